--- a/crates/access-log/src/observer.rs
+++ b/crates/access-log/src/observer.rs
@@ -163,7 +163,7 @@
 fn attempt_outcome(outcome: &Outcome) -> AttemptOutcome {
     match outcome {
         Outcome::Success => AttemptOutcome::Success,
-        Outcome::Refused { .. } => AttemptOutcome::Rejected,
+        Outcome::Rejected { .. } => AttemptOutcome::Rejected,
         Outcome::Cancelled | Outcome::Unsent { .. } => AttemptOutcome::NotSent,
         _ => AttemptOutcome::Failed,
     }
@@ -171,7 +171,7 @@
 
 fn retry_after(outcome: &Outcome) -> Option<i64> {
     match outcome {
-        Outcome::Refused { wait } => *wait,
+        Outcome::Rejected { retry_after: wait } => *wait,
         _ => None,
     }
 }
--- a/crates/access-log/tests/golden.rs
+++ b/crates/access-log/tests/golden.rs
@@ -238,7 +238,7 @@
             at: 0,
         });
     }
-    let rejected = |wait| Outcome::Refused { wait };
+    let rejected = |wait| Outcome::Rejected { retry_after: wait };
     for (attempt, (cause, outcome, report)) in [
         (EndCause::Response(200), Outcome::Success, &[0.25, 46.0][..]),
         (
--- a/crates/dead-letter/src/record.rs
+++ b/crates/dead-letter/src/record.rs
@@ -289,7 +289,7 @@
     match outcome {
         Outcome::Success => "success",
         Outcome::Error => "error",
-        Outcome::Refused { .. } => "refused",
+        Outcome::Rejected { .. } => "refused",
         Outcome::TimedOut => "timed-out",
         Outcome::NoConnection => "no-connection",
         Outcome::Reset => "reset",
--- a/crates/dead-letter/tests/golden/store_script.rs
+++ b/crates/dead-letter/tests/golden/store_script.rs
@@ -57,7 +57,7 @@
 fn every_outcome() -> Vec<AttemptRecord> {
     let outcomes = [
         Some(Outcome::Error),
-        Some(Outcome::Refused { wait: None }),
+        Some(Outcome::Rejected { retry_after: None }),
         Some(Outcome::TimedOut),
         Some(Outcome::NoConnection),
         Some(Outcome::Reset),
--- a/crates/dead-letter/tests/world/mod.rs
+++ b/crates/dead-letter/tests/world/mod.rs
@@ -190,7 +190,7 @@
 /// How a call ends, by a number below 100: whether it runs, and what is seen of it.
 fn end_of_call(roll: u32, travel: Duration) -> Fate {
     let ends = |millis, outcome| Some((Duration::from_millis(millis) + travel, outcome));
-    let refused = |wait| ends(15, Outcome::Refused { wait });
+    let refused = |wait| ends(15, Outcome::Rejected { retry_after: wait });
     let ran = Some(travel);
     let (runs_after, tells) = match roll {
         0..20 => (ran, ends(50, Outcome::Success)),
--- a/crates/dead-letter/tests/world/plan.rs
+++ b/crates/dead-letter/tests/world/plan.rs
@@ -2,7 +2,7 @@
 
 use milletturn_dead_letter::config::Config;
 use milletturn_dead_letter::redrive_schedule::RedriveRule;
-use milletturn_policy::{Class, Effect, Kind, MILLISECOND, Micros, SECOND, Settings};
+use milletturn_policy::{Class, DestinationKind, Effect, MILLISECOND, Micros, SECOND, Settings};
 
 /// The window of idempotency keys.
 pub(super) const WINDOW: Micros = 12 * SECOND;
@@ -91,10 +91,10 @@
             .classes
             .push(Class::new(name, effect, 4 * SECOND, DEADLINE));
     }
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max: 1,
+        max_batch_size: 1,
     });
     settings
 }
--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -68,9 +68,9 @@
             tenant: arrival
                 .tenant
                 .as_ref()
-                .and_then(|name| self.decision_module.tenant(name.as_str())),
-            again: arrival.resubmitted,
-            orphan: arrival.from_failed_sender,
+                .and_then(|name| self.decision_module.tenant_index(name.as_str())),
+            resubmitted: arrival.resubmitted,
+            from_lost_sender: arrival.from_failed_sender,
             ..NewMessage::new(message_id, class, destination, deadline - self.clock.now())
         };
         self.events.push(Event::Accepted(new_message));
@@ -101,7 +101,7 @@
         };
         message.clients = message.clients.saturating_sub(1);
         if message.clients == 0 {
-            self.events.push(Event::Dropped(message_id));
+            self.events.push(Event::Cancelled(message_id));
             self.end(message_id, EndOrigin::Client);
         }
     }
@@ -136,11 +136,12 @@
     ) {
         // the client hears of this end by the reply: no notification is pending
         let notified_key = ordering_key.filter(|_| ended_at_once.is_some());
-        self.events.extend(notified_key.map(|key| Event::Notice {
-            message: message_id,
-            key,
-            taken: true,
-        }));
+        self.events
+            .extend(notified_key.map(|key| Event::Notification {
+                message: message_id,
+                key,
+                acknowledged: true,
+            }));
         let outcome = ended_at_once.unwrap_or_else(|| self.record_accepted(message_id, &pending));
         let PendingArrival {
             arrival,
@@ -165,7 +166,7 @@
         if outcome != ArrivalOutcome::Accepted {
             self.close(message_id);
             if outcome == ArrivalOutcome::NoCapacity {
-                self.events.push(Event::Dropped(message_id));
+                self.events.push(Event::Cancelled(message_id));
             }
         }
         // a client that disconnected is reported by its guard
@@ -221,9 +222,10 @@
 /// How the decision module ended a message in the turn of its arrival, if it did.
 fn outcome_in(actions: &[Action], message_id: MessageId) -> Option<ArrivalOutcome> {
     actions.iter().find_map(|action| match action {
-        Action::Refuse { message, wait } if *message == message_id => {
-            Some(ArrivalOutcome::Rejected { wait: *wait })
-        }
+        Action::Reject {
+            message,
+            retry_after: wait,
+        } if *message == message_id => Some(ArrivalOutcome::Rejected { wait: *wait }),
         Action::Fail(message) if *message == message_id => Some(ArrivalOutcome::Failed),
         _ => None,
     })
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -131,13 +131,13 @@
             attempt.finish(outcome, 0);
         }
         let closed = !message.open;
-        self.events.push(Event::Ended {
+        self.events.push(Event::AttemptEnded {
             message: message_id,
             attempt,
             endpoint,
             outcome,
             latency: 0,
-            closed,
+            message_closed: closed,
             report: Vec::new(),
             ambiguous: false,
         });
@@ -217,8 +217,11 @@
                 .attempts
                 .iter()
                 .map(|attempt_ref| {
-                    self.decision_module
-                        .may_begin(now, attempt_ref.message_id, attempt_ref.attempt)
+                    self.decision_module.write_deadline(
+                        now,
+                        attempt_ref.message_id,
+                        attempt_ref.attempt,
+                    )
                 })
                 .collect::<Option<Vec<_>>>();
             if let Some(write_by) = latest_ends.and_then(|times| times.into_iter().min()) {
--- a/crates/engine/src/endings.rs
+++ b/crates/engine/src/endings.rs
@@ -59,13 +59,13 @@
             }
             self.end(message_id, EndOrigin::Endpoint);
         }
-        self.events.push(Event::Ended {
+        self.events.push(Event::AttemptEnded {
             message: message_id,
             attempt: attempt_index,
             endpoint,
             outcome: end.outcome,
             latency,
-            closed: self.messages.get_open(message_id).is_none(),
+            message_closed: self.messages.get_open(message_id).is_none(),
             report: end.report,
             ambiguous: end.ambiguous,
         });
--- a/crates/engine/src/endpoint_list.rs
+++ b/crates/engine/src/endpoint_list.rs
@@ -1,6 +1,6 @@
 //! The endpoint list port: which endpoints there are, as a source (service discovery, a file) reports them.
 
-use milletturn_policy::Status;
+use milletturn_policy::EndpointStatus;
 use std::net::SocketAddr;
 
 /// One endpoint of a list.
@@ -17,7 +17,7 @@
     /// Its destination.
     pub destination: u64,
     /// Whether it serves, drains or is removed; this says nothing of its health.
-    pub status: Status,
+    pub status: EndpointStatus,
     /// Calls per second that the list assigns to its destination.
     pub weight: f64,
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -94,9 +94,13 @@
     /// When the settings are invalid.
     pub(crate) fn assemble(ports: Ports) -> Result<Self, SettingsError> {
         let settings = ports.settings;
-        let bundle_max = settings.kinds.iter().map(|kind| kind.bundle_max).collect();
+        let bundle_max = settings
+            .kinds
+            .iter()
+            .map(|kind| kind.max_batch_size)
+            .collect();
         let classes = ClassTable::new(&settings.classes);
-        let (max_open_messages, max_attempts) = (settings.max_held, settings.max_attempts);
+        let (max_open_messages, max_attempts) = (settings.max_pending, settings.max_attempts);
         let mut engine = Engine {
             decision_module: Sender::new(settings, ports.seed)?,
             clock: ports.clock,
@@ -193,19 +197,24 @@
             Action::Send {
                 message,
                 endpoint,
-                expires,
+                expires_at: expires,
             } => self.send(now, message, endpoint, expires, bundles),
             Action::Cancel { message, attempt } => self.cancel(message, attempt),
-            Action::Refuse { message, wait } => {
+            Action::Reject {
+                message,
+                retry_after: wait,
+            } => {
                 let after_ms = wait.and_then(|wait| u64::try_from(wait / MILLISECOND).ok());
                 self.give_up(message, Ending::Returned { after_ms });
             }
             Action::Fail(message) => self.give_up(message, Ending::Failed),
             Action::SetAlarm(at) => self.alarm = Some(at),
-            Action::Disconnect(endpoint) => self.transport.close_idle_connections(endpoint),
+            Action::CloseIdleConnections(endpoint) => {
+                self.transport.close_idle_connections(endpoint)
+            }
             Action::Log(text) => self.observer.observe(&EngineEvent::PolicyLog(&text)),
             // the watch is always on; sockets offer neither probes nor notes
-            Action::Subscribe | Action::Probe(_) | Action::Note(_) => {}
+            Action::Subscribe | Action::Probe(_) | Action::Gossip(_) => {}
         }
     }
 
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -94,7 +94,7 @@
             Input::Arrived(arrival) => self.on_arrival(arrival),
             Input::ClientDisconnected(id) => self.on_client_disconnected(&id),
             Input::Stopping(at) => self.events.push(Event::Stopping {
-                ends: self.clock.at(at),
+                ends_at: self.clock.at(at),
             }),
             Input::RequestStart(call, reply) => {
                 self.start_requests.push(StartRequest { call, reply });
@@ -151,7 +151,10 @@
         let uid = self.endpoint_name(endpoint);
         self.observer
             .observe(&EngineEvent::RetryAfter { uid: &uid, wait });
-        self.events.push(Event::ToldWait { endpoint, wait });
+        self.events.push(Event::RetryAfter {
+            endpoint,
+            retry_after: wait,
+        });
     }
 
     /// The endpoint's name, empty if it is not listed any more.
@@ -166,7 +169,7 @@
         EngineStatus {
             open_messages: self.messages.open_count(),
             listed_endpoints: self.endpoints.count(),
-            ejected_endpoints: self.decision_module.avoided(),
+            ejected_endpoints: self.decision_module.ejected_endpoint_count(),
         }
     }
 }
--- a/crates/engine/src/reconfiguration.rs
+++ b/crates/engine/src/reconfiguration.rs
@@ -3,7 +3,9 @@
 use crate::endpoint_list::{EndpointListUpdate, ListedEndpoint};
 use crate::engine::Engine;
 use crate::observer::EngineEvent;
-use milletturn_policy::{EndpointId, Entry, Event, Listing, Settings, SettingsError, Status};
+use milletturn_policy::{
+    EndpointEntry, EndpointId, EndpointListKind, EndpointStatus, Event, Settings, SettingsError,
+};
 
 /// Where an endpoint list comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -29,12 +31,13 @@
             .iter()
             .map(|class| classes.position(&class.name))
             .collect();
-        let (max_open_messages, max_attempts) = (settings.max_held, settings.max_attempts);
+        let (max_open_messages, max_attempts) = (settings.max_pending, settings.max_attempts);
         let module_settings = Settings {
             classes: classes.all().to_vec(),
             ..settings
         };
-        self.decision_module.retune(module_settings, &changed)?;
+        self.decision_module
+            .reconfigure(module_settings, &changed)?;
         self.max_open_messages = max_open_messages;
         self.max_attempts = max_attempts;
         self.classes = classes;
@@ -56,7 +59,7 @@
             let Some(endpoint) = self.apply_listed(&listed, kind) else {
                 continue;
             };
-            entries.push(Entry {
+            entries.push(EndpointEntry {
                 endpoint,
                 destination: listed.destination,
                 zone: index_of(&self.zones, &listed.zone) as u16,
@@ -69,25 +72,30 @@
             self.ready.send_replace(true);
         }
         let listing = match (origin, update.full) {
-            (ListOrigin::Cache, _) => Listing::Old,
-            (ListOrigin::Source, true) => Listing::Full,
-            (ListOrigin::Source, false) => Listing::Changes,
+            (ListOrigin::Cache, _) => EndpointListKind::Cached,
+            (ListOrigin::Source, true) => EndpointListKind::Full,
+            (ListOrigin::Source, false) => EndpointListKind::Changes,
         };
-        self.events.push(Event::Listed { listing, entries });
+        self.events.push(Event::EndpointList {
+            kind: listing,
+            entries,
+        });
     }
 
     /// Applies one listed endpoint to the table and the transport; `None` for a removed one that was not known.
     fn apply_listed(&mut self, listed: &ListedEndpoint, kind: usize) -> Option<EndpointId> {
         let endpoint = match listed.status {
-            Status::Gone => self.endpoints.remove(&listed.uid)?,
-            Status::Serving | Status::Draining => {
+            EndpointStatus::Removed => self.endpoints.remove(&listed.uid)?,
+            EndpointStatus::Serving | EndpointStatus::Draining => {
                 let bundle_max = self.bundle_max.get(kind).copied().unwrap_or(1);
                 self.endpoints.upsert(listed, bundle_max)
             }
         };
         match listed.status {
-            Status::Serving => self.transport.add_endpoint(endpoint, listed.address),
-            Status::Draining | Status::Gone => self.transport.remove_endpoint(endpoint),
+            EndpointStatus::Serving => self.transport.add_endpoint(endpoint, listed.address),
+            EndpointStatus::Draining | EndpointStatus::Removed => {
+                self.transport.remove_endpoint(endpoint)
+            }
         }
         Some(endpoint)
     }
--- a/crates/engine/src/recovery.rs
+++ b/crates/engine/src/recovery.rs
@@ -55,8 +55,8 @@
             tenant: accepted
                 .tenant
                 .as_deref()
-                .and_then(|name| self.decision_module.tenant(name)),
-            later: unfinished.redriven,
+                .and_then(|name| self.decision_module.tenant_index(name)),
+            deferred: unfinished.redriven,
             ..NewMessage::new(message_id, class, destination, deadline - now)
         };
         self.events.push(Event::Resumed {
--- a/crates/engine/src/redrive.rs
+++ b/crates/engine/src/redrive.rs
@@ -103,7 +103,7 @@
         message.clients = 0;
         let time_left = message.deadline - message.accepted_at;
         let new_message = NewMessage {
-            later: true,
+            deferred: true,
             ..NewMessage::new(message_id, message.class, message.destination, time_left)
         };
         self.messages.insert(message_id, message);
--- a/crates/engine/src/retention.rs
+++ b/crates/engine/src/retention.rs
@@ -30,10 +30,10 @@
         if !message.redriven && (end.ending != Ending::Delivered || self.notify_delivered) {
             let ordering_key = message.ordering_key;
             if let Some(key) = ordering_key {
-                self.events.push(Event::Notice {
+                self.events.push(Event::Notification {
                     message: message_id,
                     key,
-                    taken: false,
+                    acknowledged: false,
                 });
             }
             let id = message.item.id.clone();
@@ -109,10 +109,10 @@
     pub(crate) fn on_notified(&mut self, message_id: MessageId) {
         let has_archive = self.archive.is_some();
         if let Some(key) = self.unconfirmed_keys.remove(&message_id) {
-            self.events.push(Event::Notice {
+            self.events.push(Event::Notification {
                 message: message_id,
                 key,
-                taken: true,
+                acknowledged: true,
             });
         }
         if let Some(pending) = self.pending_release.get_mut(&message_id) {
--- a/crates/engine/tests/ambiguous_responses.rs
+++ b/crates/engine/tests/ambiguous_responses.rs
@@ -37,7 +37,7 @@
     let rejection = AttemptEnd {
         call: number,
         position: 0,
-        outcome: Outcome::Refused { wait: None },
+        outcome: Outcome::Rejected { retry_after: None },
         closed: false,
         report: Vec::new(),
         cause: EndCause::Response(503),
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! Settings that the tests of the engine share.
 
-use milletturn_policy::{Class, Effect, Kind, SECOND, Settings};
+use milletturn_policy::{Class, DestinationKind, Effect, SECOND, Settings};
 
 /// Settings with one kind of destination, `one`, and a class `keyed` whose window is 12 s. Messages of all classes
 /// may take 20 s.
@@ -17,10 +17,10 @@
     settings
         .classes
         .push(Class::new("keyed", keyed, 4 * SECOND, 20 * SECOND));
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max,
+        max_batch_size: bundle_max,
     });
     settings
 }
--- a/crates/engine/tests/golden_snapshot/layout.rs
+++ b/crates/engine/tests/golden_snapshot/layout.rs
@@ -120,8 +120,8 @@
 fn retried_message() -> MessageLayout {
     let rejected = AttemptLayout {
         out: false,
-        outcome: Some(Outcome::Refused {
-            wait: Some(20 * MILLISECOND),
+        outcome: Some(Outcome::Rejected {
+            retry_after: Some(20 * MILLISECOND),
         }),
         latency: Some(5 * MILLISECOND),
         may_have_run: false,
--- a/crates/engine/tests/golden_snapshot/main.rs
+++ b/crates/engine/tests/golden_snapshot/main.rs
@@ -105,7 +105,7 @@
             let outcomes = [
                 (Outcome::Success, 0),
                 (Outcome::Error, 1),
-                (Outcome::Refused { wait: None }, 2),
+                (Outcome::Rejected { retry_after: None }, 2),
                 (Outcome::TimedOut, 3),
                 (Outcome::NoConnection, 4),
                 (Outcome::Reset, 5),
--- a/crates/engine/tests/golden_snapshot/scenario.rs
+++ b/crates/engine/tests/golden_snapshot/scenario.rs
@@ -4,7 +4,9 @@
 use milletturn_engine::{
     AttemptEnd, Call, EndCause, Engine, Input, ListedEndpoint, Notification, Ports, SharedStr,
 };
-use milletturn_policy::{Class, Effect, Kind, Micros, Outcome, SECOND, Settings, Status, Tenant};
+use milletturn_policy::{
+    Class, DestinationKind, Effect, EndpointStatus, Micros, Outcome, SECOND, Settings, Tenant,
+};
 use milletturn_test_support::{MemoryJournal, RecordingTransport, arrival, listed, ports};
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -12,28 +14,32 @@
 
 pub(crate) fn settings() -> Settings {
     let mut settings = Settings::new(40, 50);
-    settings.notices = true;
+    settings.notifications_enabled = true;
     let keyed = Effect::Keyed {
         window: 12 * SECOND,
         zone_only: true,
     };
     let mut ordered = Class::new("ordered", Effect::Repeatable, 2 * SECOND, 15 * SECOND);
-    (ordered.ordered, ordered.worth, ordered.late_share) = (true, 3.5, 0.25);
+    (
+        ordered.ordered,
+        ordered.priority_weight,
+        ordered.late_value_share,
+    ) = (true, 3.5, 0.25);
     settings.classes = vec![
         Class::new("unsafe", Effect::Unsafe, 4 * SECOND, 20 * SECOND),
         Class::new("keyed", keyed, 4 * SECOND, 20 * SECOND),
         ordered,
     ];
     settings.kinds = vec![
-        Kind {
+        DestinationKind {
             name: "one".into(),
             separate_routes: false,
-            bundle_max: 1,
+            max_batch_size: 1,
         },
-        Kind {
+        DestinationKind {
             name: "many".into(),
             separate_routes: true,
-            bundle_max: 5,
+            max_batch_size: 5,
         },
     ];
     settings.tenants = vec![Tenant {
@@ -64,7 +70,7 @@
         },
         listed(4),
         ListedEndpoint {
-            status: Status::Draining,
+            status: EndpointStatus::Draining,
             ..listed(77)
         },
     ];
@@ -163,8 +169,8 @@
     world.run_for(5).await;
     world.end(
         "refused-once",
-        Outcome::Refused {
-            wait: Some(20 * MILLISECOND),
+        Outcome::Rejected {
+            retry_after: Some(20 * MILLISECOND),
         },
         false,
     );
--- a/crates/engine/tests/start_requests.rs
+++ b/crates/engine/tests/start_requests.rs
@@ -28,7 +28,9 @@
 
 fn rejection(call: u64, wait: Micros) -> Input {
     let (outcome, cause) = (
-        Outcome::Refused { wait: Some(wait) },
+        Outcome::Rejected {
+            retry_after: Some(wait),
+        },
         EndCause::Response(429),
     );
     Input::AttemptEnded(AttemptEnd {
--- a/crates/hot-restart/tests/golden/data.rs
+++ b/crates/hot-restart/tests/golden/data.rs
@@ -3,7 +3,7 @@
 use milletturn_engine::{
     Arrival, ArrivalOutcome, AttemptEnd, Call, EndCause, Engine, Input, Ports, SharedStr,
 };
-use milletturn_policy::{Class, Effect, EndpointId, Kind, Outcome, SECOND, Settings};
+use milletturn_policy::{Class, DestinationKind, Effect, EndpointId, Outcome, SECOND, Settings};
 use milletturn_test_support::{MemoryJournal, RecordingTransport, arrival, listed, ports};
 use std::fs;
 use std::path::PathBuf;
@@ -36,9 +36,9 @@
 pub(crate) const OUTCOMES: [Outcome; 10] = [
     Outcome::Success,
     Outcome::Error,
-    Outcome::Refused { wait: None },
-    Outcome::Refused {
-        wait: Some(1_500_000),
+    Outcome::Rejected { retry_after: None },
+    Outcome::Rejected {
+        retry_after: Some(1_500_000),
     },
     Outcome::TimedOut,
     Outcome::NoConnection,
@@ -128,10 +128,10 @@
         4 * SECOND,
         20 * SECOND,
     ));
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max: 1,
+        max_batch_size: 1,
     });
     let calls = RecordingTransport::default();
     let ports: Ports = ports(
--- a/crates/hot-restart/tests/snapshot.rs
+++ b/crates/hot-restart/tests/snapshot.rs
@@ -6,7 +6,7 @@
     RestoredEngine, Snapshot, stable_hash,
 };
 use milletturn_hot_restart::FORMAT_VERSION;
-use milletturn_policy::{Class, Effect, Kind, Outcome, SECOND, Settings};
+use milletturn_policy::{Class, DestinationKind, Effect, Outcome, SECOND, Settings};
 use milletturn_test_support::{
     Effects, Fate, MemoryJournal, Outside, Power, VirtualTransport, arrival, listed, ports,
 };
@@ -39,10 +39,10 @@
         4 * SECOND,
         20 * SECOND,
     ));
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max: 1,
+        max_batch_size: 1,
     });
     let outside = Outside {
         begun: Instant::now(),
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -2,7 +2,8 @@
 //! of its wire protocol; both end up here, so that each name is in one place.
 
 use milletturn_policy::{
-    Class, Effect, Fade, Kind, Micros, SECOND, Safety, Settings, SettingsError, Tenant,
+    Class, DestinationKind, Effect, Micros, SECOND, Safety, Settings, SettingsError, Tenant,
+    ValueDecay,
 };
 use std::collections::BTreeMap;
 
@@ -126,15 +127,15 @@
     settings.senders = texts.required("balancers")? as u32;
     settings.zone = position(&names.zones, texts.text("az").unwrap_or("")) as u16;
     settings.max_attempts = texts.required("caps.mostTries")? as usize;
-    settings.second_copies = texts.flag("caps.secondCopies");
-    settings.may_cancel = texts.flag("caps.mayCancel");
-    settings.may_probe = texts.flag("caps.mayProbe");
-    settings.may_note = texts.flag("caps.peers");
-    settings.connection_idle = texts.duration_or("caps.connIdle", 0)?;
+    settings.hedging_enabled = texts.flag("caps.secondCopies");
+    settings.cancellation_enabled = texts.flag("caps.mayCancel");
+    settings.probing_enabled = texts.flag("caps.mayProbe");
+    settings.gossip_enabled = texts.flag("caps.peers");
+    settings.idle_connection_timeout = texts.duration_or("caps.connIdle", 0)?;
     if texts.flag("caps.retryAfter") {
-        settings.max_client_wait = texts.duration_or("caps.maxRetryAfter", 0)?;
+        settings.max_client_retry_after = texts.duration_or("caps.maxRetryAfter", 0)?;
     }
-    settings.list_on_request = texts.text("discovery") == Some("on_request");
+    settings.list_requires_subscription = texts.text("discovery") == Some("on_request");
     settings.weight_trust = match texts.text("weights") {
         Some("nominal") => 1.0,
         Some("rough") => 0.5,
@@ -147,8 +148,8 @@
 fn read_report(texts: &SettingTexts, settings: &mut Settings) {
     if texts.text("report.how").is_some_and(|how| how != "silent") {
         let fields = texts.list("report.fields");
-        settings.report_left = fields.iter().position(|&field| field == "x0");
-        settings.report_limit = fields.iter().position(|&field| field == "x1");
+        settings.report_remaining_index = fields.iter().position(|&field| field == "x0");
+        settings.report_limit_index = fields.iter().position(|&field| field == "x1");
     }
 }
 
@@ -157,7 +158,7 @@
     settings.price_cross_zone = texts.number_or("prices.crossZone", 0.0)?;
     settings.price_probe = texts.number_or("prices.probe", 0.0)?;
     settings.price_waste = texts.number_or("prices.waste", 0.0)?;
-    settings.over_share_worth = texts.number_or("overShareWorth", 1.0)?;
+    settings.over_share_weight = texts.number_or("overShareWorth", 1.0)?;
     for fee in texts.list("specifics.zoneFee") {
         settings.zone_fees.push(
             fee.parse()
@@ -165,7 +166,7 @@
         );
     }
     if texts.text("specifics.fades") == Some("by_half") {
-        settings.fade = Fade::Halving;
+        settings.value_decay = ValueDecay::Halving;
     }
     Ok(())
 }
@@ -173,13 +174,13 @@
 fn read_safety(texts: &SettingTexts, default: &Safety) -> Result<Safety, SettingsError> {
     Ok(Safety {
         drain_grace: to_micros(texts.required("safety.stopSendingWithin")?),
-        cold_time: to_micros(texts.required("safety.cold")?),
-        start_capacity: texts.required("safety.startCapacity")?,
-        fall_multiple: texts.required("safety.fallMultiple")?,
-        fall_span: to_micros(texts.required("safety.fall")?),
-        answer_grace: texts.duration_or("safety.graceToAnswer", default.answer_grace)?,
-        key_rest: texts.duration_or("safety.turnGap", 0)?,
-        ask_every: texts.duration_or("safety.askEvery", default.ask_every)?,
+        slow_start: to_micros(texts.required("safety.cold")?),
+        initial_capacity: texts.required("safety.startCapacity")?,
+        overload_multiple: texts.required("safety.fallMultiple")?,
+        overload_window: to_micros(texts.required("safety.fall")?),
+        response_grace: texts.duration_or("safety.graceToAnswer", default.response_grace)?,
+        ordered_key_backoff: texts.duration_or("safety.turnGap", 0)?,
+        list_poll_interval: texts.duration_or("safety.askEvery", default.list_poll_interval)?,
     })
 }
 
@@ -205,16 +206,19 @@
     Ok(Class {
         name: name.to_string(),
         effect,
-        aim: to_micros(texts.required(&path("aim"))?),
+        latency_objective: to_micros(texts.required(&path("aim"))?),
         deadline: to_micros(texts.required(&path("deadline"))?),
-        worth: texts.number_or(&path("worth"), 1.0)?,
-        late_share: texts.number_or(&path("lateShare"), 0.0)?,
+        priority_weight: texts.number_or(&path("worth"), 1.0)?,
+        late_value_share: texts.number_or(&path("lateShare"), 0.0)?,
         ordered: texts.flag(&path("oneAtATime")),
     })
 }
 
 /// The kinds of destination: lists beside that of their names, in the same order.
-fn read_kinds(texts: &SettingTexts, names: &[String]) -> Result<Vec<Kind>, SettingsError> {
+fn read_kinds(
+    texts: &SettingTexts,
+    names: &[String],
+) -> Result<Vec<DestinationKind>, SettingsError> {
     let separate = texts.list("specifics.routesApart");
     let bundles = texts.list("specifics.bundleMax");
     let mut kinds = Vec::new();
@@ -225,10 +229,10 @@
                 .map_err(|_| SettingsError::new("specifics.bundleMax", "is not a whole number"))?,
             None => 1,
         };
-        kinds.push(Kind {
+        kinds.push(DestinationKind {
             name: name.clone(),
             separate_routes: separate.get(index) == Some(&"true"),
-            bundle_max,
+            max_batch_size: bundle_max,
         });
     }
     Ok(kinds)
--- a/crates/platform/src/answer.rs
+++ b/crates/platform/src/answer.rs
@@ -86,12 +86,12 @@
     let unsent = Outcome::Unsent { no_slot: false };
     let address = call.address;
     match head.status {
-        StatusCode::TOO_MANY_REQUESTS => (Outcome::Refused { wait }, false),
+        StatusCode::TOO_MANY_REQUESTS => (Outcome::Rejected { retry_after: wait }, false),
         StatusCode::SERVICE_UNAVAILABLE => {
             let slots_taken = head.headers.get("slots-taken");
             match slots_taken.is_some_and(|value| value == "1") {
                 true => (Outcome::Unsent { no_slot: true }, false),
-                false => (Outcome::Refused { wait }, false),
+                false => (Outcome::Rejected { retry_after: wait }, false),
             }
         }
         StatusCode::GATEWAY_TIMEOUT => (unsent, false),
--- a/crates/platform/src/call_text.rs
+++ b/crates/platform/src/call_text.rs
@@ -106,7 +106,7 @@
     let words = words_by_id(text);
     let end = |item: &CallItem| match words.get(item.id.as_str().as_bytes()).copied() {
         Some(b"ok") => (Outcome::Success, true),
-        Some(b"later") => (Outcome::Refused { wait }, false),
+        Some(b"later") => (Outcome::Rejected { retry_after: wait }, false),
         Some(b"gone") => (Outcome::Unsent { no_slot: false }, true),
         Some(b"exhausted") => (Outcome::Unsent { no_slot: false }, false),
         _ => (Outcome::Error, false),
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -209,8 +209,8 @@
         .map(|(path, text)| (path.as_str(), text.as_str()))
         .collect();
     let (mut settings, names) = read_settings(&SettingTexts(pairs))?;
-    settings.notices = true;
-    settings.safety.key_rest += SOCKET_SLACK;
+    settings.notifications_enabled = true;
+    settings.safety.ordered_key_backoff += SOCKET_SLACK;
     settings.validate()?;
     Ok((settings, names))
 }
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -1,7 +1,7 @@
 //! The list of endpoints in discovery's form.
 
 use milletturn_engine::{EndpointListUpdate, ListedEndpoint};
-use milletturn_policy::Status;
+use milletturn_policy::EndpointStatus;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -33,9 +33,9 @@
     let read = |value: &Value| {
         let target = Target::deserialize(value).map_err(|error| error.to_string())?;
         let status = match target.state.as_str() {
-            "up" => Status::Serving,
-            "draining" => Status::Draining,
-            "removed" => Status::Gone,
+            "up" => EndpointStatus::Serving,
+            "draining" => EndpointStatus::Draining,
+            "removed" => EndpointStatus::Removed,
             other => return Err(format!("unknown state '{other}'")),
         };
         let address = target
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -19,7 +19,10 @@
                        "fall": 3.0, "turnGap": told}
         });
         let (settings, _) = settings_of(&value).expect("sound");
-        assert_eq!(settings.safety.key_rest, rest * MILLISECOND + SOCKET_SLACK);
-        assert!(settings.notices, "ends are told by notices");
+        assert_eq!(
+            settings.safety.ordered_key_backoff,
+            rest * MILLISECOND + SOCKET_SLACK
+        );
+        assert!(settings.notifications_enabled, "ends are told by notices");
     }
 }
--- a/crates/platform/tests/single_calls.rs
+++ b/crates/platform/tests/single_calls.rs
@@ -323,7 +323,11 @@
             let heard = rig.rig.heard(None).await;
             assert_eq!(heard.waits, expected, "{headers}");
             let wait = expected.into_iter().max();
-            assert_eq!(heard.outcome, Outcome::Refused { wait }, "{headers}");
+            assert_eq!(
+                heard.outcome,
+                Outcome::Rejected { retry_after: wait },
+                "{headers}"
+            );
             drop(stream);
             // the next call needs a connection of its own
             rig.rig.calls.close_idle_connections(EndpointId(1));
@@ -381,7 +385,7 @@
 fn a_rejection_that_does_not_end_its_connection_proves_nothing() {
     local(async {
         let first = response("503 No", "");
-        let refused = Outcome::Refused { wait: None };
+        let refused = Outcome::Rejected { retry_after: None };
         for (second, then, ambiguous) in [
             (first.clone(), Then::StayOpen, true),
             (first.clone(), Then::Close, true),
@@ -570,7 +574,7 @@
         let text = response("503 No", "");
         stream.write_all(text.as_bytes()).await.expect("open");
         let end = rig.end().await;
-        assert_eq!(end.outcome, Outcome::Refused { wait: None });
+        assert_eq!(end.outcome, Outcome::Rejected { retry_after: None });
         assert!(!end.ambiguous);
         let (mut count, mut bytes) = (0, vec![0; 1 << 20]);
         while let Ok(more) = timeout(LONG, stream.read(&mut bytes))
--- a/crates/policy/benches/turn.rs
+++ b/crates/policy/benches/turn.rs
@@ -9,8 +9,8 @@
 )]
 
 use milletturn_policy::{
-    Action, Class, Effect, EndpointId, Entry, Event, Kind, Listing, MILLISECOND, MessageId, Micros,
-    NewMessage, Outcome, SECOND, Sender, Settings,
+    Action, Class, DestinationKind, Effect, EndpointEntry, EndpointId, EndpointListKind, Event,
+    MILLISECOND, MessageId, Micros, NewMessage, Outcome, SECOND, Sender, Settings,
 };
 use std::time::Instant;
 
@@ -42,13 +42,13 @@
             } => Some((*message, *endpoint)),
             _ => None,
         });
-        let ended = |(message, endpoint): (MessageId, EndpointId)| Event::Ended {
+        let ended = |(message, endpoint): (MessageId, EndpointId)| Event::AttemptEnded {
             message,
             attempt: 0,
             endpoint,
             outcome: outcome(u64::from(endpoint.0)),
             latency: MILLISECOND,
-            closed: false,
+            message_closed: false,
             report: Vec::new(),
             ambiguous: false,
         };
@@ -65,10 +65,10 @@
         4 * SECOND,
         3_600 * SECOND,
     ));
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max: 1,
+        max_batch_size: 1,
     });
     let sender = Sender::new(settings, 3).expect("settings");
     let mut host = Host {
@@ -77,10 +77,10 @@
         actions: Vec::new(),
     };
     let entries = (0..destinations)
-        .map(|n| Entry::new(EndpointId(n as u32), n))
+        .map(|n| EndpointEntry::new(EndpointId(n as u32), n))
         .collect();
-    host.tell(&[Event::Listed {
-        listing: Listing::Full,
+    host.tell(&[Event::EndpointList {
+        kind: EndpointListKind::Full,
         entries,
     }]);
     let message = |id, destination| {
--- a/crates/policy/src/attempt_end.rs
+++ b/crates/policy/src/attempt_end.rs
@@ -6,12 +6,12 @@
 impl Sender {
     /// An attempt ended; other events are ignored.
     pub(crate) fn on_attempt_ended(&mut self, event: &Event, actions: &mut Vec<Action>) {
-        let Event::Ended {
+        let Event::AttemptEnded {
             message,
             attempt,
             outcome,
             latency,
-            closed,
+            message_closed: closed,
             report,
             ambiguous,
             ..
--- a/crates/policy/src/cleanup.rs
+++ b/crates/policy/src/cleanup.rs
@@ -41,7 +41,7 @@
         let Some(held) = self.messages.get_mut(&message.id) else {
             return;
         };
-        held.owed = !message.later && attempts.is_empty();
+        held.owed = !message.deferred && attempts.is_empty();
         held.attempts.extend(attempts.iter().map(|past| Attempt {
             endpoint: past.endpoint,
             sent: past.sent,
@@ -51,7 +51,7 @@
             overlapped: true,
             cancelled: false,
         }));
-        let rest_until = self.now + self.settings.safety.key_rest;
+        let rest_until = self.now + self.settings.safety.ordered_key_backoff;
         let unsure = attempts.iter().any(|past| past.may_have_run);
         if let Some(line) = held
             .key
@@ -88,7 +88,7 @@
             .messages
             .get(&id)
             .and_then(|message| message.key)
-            .filter(|_| self.settings.notices);
+            .filter(|_| self.settings.notifications_enabled);
         if let Some(line) = key.and_then(|key| self.keys.get_mut(&key)) {
             line.untold.insert(id);
         }
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -8,8 +8,8 @@
     Action, DestinationId, Effect, EndpointId, Event, MILLISECOND, MessageId, Micros, NewMessage,
     Outcome, SECOND, Safety, Settings, SettingsError,
 };
-use crate::outage_evidence::{Odds, SICK};
-use crate::rejection_correlation::Advice;
+use crate::outage_evidence::{EJECTION_THRESHOLD, OutageEvidence};
+use crate::rejection_correlation::RateAdvice;
 use crate::scheduler::{Agenda, Closed, Lane, Shed, Stage};
 use crate::state::{
     Attempt, Call, ClassRecord, Endpoint, Flow, Health, Held, Sender, Unit, UnitId, seconds,
@@ -59,7 +59,7 @@
 const RETURNING: f64 = 11.0;
 /// A unit that has just failed may be in doubt, for a fall span and up to this evidence: so many calls at
 /// once show whether it is gone. More end a false alarm sooner, fewer waste less on an outage.
-const GONE: f64 = 2.0 * SICK;
+const GONE: f64 = 2.0 * EJECTION_THRESHOLD;
 const DOUBT_CALLS: usize = 2;
 const NOISY: f64 = 0.15; // usual share of failures from which on there is a doubt
 const KNOWN: f64 = 50.0; // a unit of fewer calls that serves so many a second may be noisy and not yet known
@@ -126,7 +126,7 @@
     /// When the settings make no sense.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let list_retry = settings.list_on_request.then_some(Micros::MIN);
+        let list_retry = settings.list_requires_subscription.then_some(Micros::MIN);
         let tenant_tokens = settings.tenants.iter().map(|_| (f64::MAX, 0)).collect();
         Ok(Sender {
             settings,
@@ -183,8 +183,11 @@
 
     fn learn(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Listed { listing, entries } => self.learn_list(*listing, entries),
-            Event::ListFailed => {
+            Event::EndpointList {
+                kind: listing,
+                entries,
+            } => self.learn_list(*listing, entries),
+            Event::EndpointListFailed => {
                 let jitter = Micros::from(self.random.next_u32()) % self.list_rest;
                 self.list_retry = Some(self.now + self.list_rest / 2 + jitter);
                 self.list_rest = (self.list_rest * 2).min(LIST_MOST);
@@ -202,29 +205,36 @@
                 self.agenda.touch(message.id);
             }
             Event::Resumed { message, attempts } => self.resume(message, attempts),
-            Event::Stopping { ends } => self.ends = Some(*ends),
-            Event::Notice {
+            Event::Stopping { ends_at: ends } => self.ends = Some(*ends),
+            Event::Notification {
                 message,
                 key,
-                taken,
+                acknowledged: taken,
             } => self.learn_notice(*message, *key, *taken),
-            Event::ToldWait { endpoint, wait } => {
+            Event::RetryAfter {
+                endpoint,
+                retry_after: wait,
+            } => {
                 let id = self.unit_of(*endpoint);
                 self.heed(id, *wait, actions);
             }
-            Event::Ended { .. } => self.on_attempt_ended(event, actions),
-            Event::Dropped(message) => {
+            Event::AttemptEnded { .. } => self.on_attempt_ended(event, actions),
+            Event::Cancelled(message) => {
                 self.close(*message, actions);
                 self.forget_if_done(*message);
             }
-            Event::Started { .. } | Event::Probed { .. } | Event::Noted { .. } | Event::Alarm => {}
+            Event::ResponseStarted { .. }
+            | Event::Probed { .. }
+            | Event::GossipReceived { .. }
+            | Event::Alarm => {}
         }
     }
 
     pub(crate) fn accept(&mut self, new: &NewMessage) {
         let deadline = self.now + new.time_left;
         let class = self.settings.classes.get(new.class);
-        let (mut worth, ordered) = class.map_or((1.0, false), |class| (class.worth, class.ordered));
+        let (mut worth, ordered) =
+            class.map_or((1.0, false), |class| (class.priority_weight, class.ordered));
         let born = class.map_or(self.now, |class| deadline - class.deadline);
         if let Some(tenant) = new
             .tenant
@@ -240,13 +250,13 @@
             worth *= if within {
                 1.0
             } else {
-                self.settings.over_share_worth
+                self.settings.over_share_weight
             };
         }
         let key = new.key.filter(|_| ordered);
         if let Some(key) = key {
             self.keys.entry(key).or_default().turn.push_back(new.id);
-            if self.keys.len() > 2 * self.settings.max_held {
+            if self.keys.len() > 2 * self.settings.max_pending {
                 self.forget_keys();
             }
         }
@@ -259,7 +269,7 @@
             ..Held::default()
         };
         (held.class, held.destination, held.retry_rest) = (new.class, new.destination, RETRY_FIRST);
-        (held.later, held.most) = (new.later, self.settings.max_attempts);
+        (held.later, held.most) = (new.deferred, self.settings.max_attempts);
         self.messages.insert(new.id, held);
         self.agenda.touch(new.id);
         self.rouse_all(new.destination);
@@ -273,7 +283,7 @@
             .settings
             .classes
             .get(class)
-            .map_or(0, |class| class.aim.min(left));
+            .map_or(0, |class| class.latency_objective.min(left));
         for endpoint in self.routes.get(&destination).cloned().unwrap_or_default() {
             let (id, phase) = (self.unit_of(endpoint), self.phase());
             let (known, unit) = (self.units.contains_key(&id), self.unit(id));
@@ -323,7 +333,7 @@
         let limit = unit
             .and_then(|unit| unit.told_limit)
             .filter(|_| report.is_empty());
-        let full = limit.is_some() && outcome == Outcome::Refused { wait: None };
+        let full = limit.is_some() && outcome == Outcome::Rejected { retry_after: None };
         // what the host could not send rests too, or a lasting fault there would use up all attempts at once
         if !matches!(
             outcome,
@@ -333,8 +343,7 @@
             message.retry_rest = (rest * 2).min(RETRY_MOST);
             // where a limit or a wait is told, the pace holds it back
             let told = unit.is_some_and(|unit| unit.told_limit.is_some() || unit.pace.is_finite());
-            let paced =
-                matches!(outcome, Outcome::Refused { wait } if told && !full || wait.is_some());
+            let paced = matches!(outcome, Outcome::Rejected { retry_after: wait } if told && !full || wait.is_some());
             message.retry_at = self.now + if paced { 0 } else { rest };
         }
         let rests = matches!(
@@ -348,7 +357,7 @@
         {
             line.rest_until = line
                 .rest_until
-                .max(self.now + self.settings.safety.key_rest);
+                .max(self.now + self.settings.safety.ordered_key_backoff);
             line.turn
                 .front()
                 .into_iter()
@@ -370,7 +379,10 @@
             unit.look_anew();
             self.close_idle(unit_id, endpoint_id, actions);
         }
-        if let Outcome::Refused { wait: Some(wait) } = outcome {
+        if let Outcome::Rejected {
+            retry_after: Some(wait),
+        } = outcome
+        {
             self.heed(unit_id, wait, actions);
         }
         if first {
@@ -397,8 +409,8 @@
     ) {
         let (now, span, cold) = (
             self.now,
-            self.settings.safety.fall_span,
-            self.settings.safety.cold_time,
+            self.settings.safety.overload_window,
+            self.settings.safety.slow_start,
         );
         let (slots, senders) = (
             self.settings.call_slots as f64,
@@ -425,7 +437,7 @@
                 (record.strikes, record.alive_at) = (0, now);
                 record.alive_sent = record.alive_sent.max(sent);
                 record.fails -= CLASS_WEIGHT * record.fails;
-            } else if outcome.failed() || outcome == Outcome::Cancelled && latency > silence {
+            } else if outcome.is_failure() || outcome == Outcome::Cancelled && latency > silence {
                 record.strikes += 1;
                 record.struck_until = now + ((span / 4) << record.strikes.min(3));
                 record.fails += CLASS_WEIGHT * (1.0 - record.fails);
@@ -445,7 +457,7 @@
                 };
             }
         }
-        let tells_left = self.settings.report_left.is_some();
+        let tells_left = self.settings.report_remaining_index.is_some();
         let tells = self
             .units
             .get(&unit_id)
@@ -453,7 +465,7 @@
         let unit = self.unit(unit_id);
         if matches!(
             outcome,
-            Outcome::Success | Outcome::Error | Outcome::Refused { .. }
+            Outcome::Success | Outcome::Error | Outcome::Rejected { .. }
         ) {
             unit.alive_at = now;
         }
@@ -464,19 +476,21 @@
                 unit.succeeded = true;
                 // what succeeds now and then for longer than an outage with its return lasts is only noisy
                 let unknown =
-                    unit.odds.remembered() < KNOWN && unit.usual_rate(now, span / 30) >= BUSY;
+                    unit.odds.observed_calls() < KNOWN && unit.usual_rate(now, span / 30) >= BUSY;
                 let away =
                     now - unit.ill_since > ILL_TIMES * cold || now < unit.doubt_until && unknown;
                 let learns = unit.health == Health::Healthy || away;
-                unit.odds.good(learns, GONE);
+                unit.odds.record_success(learns, GONE);
                 unit.served.push(now, usize::MAX);
                 let rate = unit.served_rate(now, span);
                 if !tells {
                     let lately = unit.served_lately(now, span);
-                    let advice = unit.refusals.answer(false, sent, now, unit.pace, lately);
+                    let advice = unit
+                        .refusals
+                        .on_response(false, sent, now, unit.pace, lately);
                     unit.heed_refusals(advice, lately);
                 }
-                if !(unit.refusals.looks() || tells_left && unit.told_limit.is_some()) {
+                if !(unit.refusals.is_probing_rate() || tells_left && unit.told_limit.is_some()) {
                     unit.grow();
                 }
                 // what is served while returning must not raise the budget of the return itself
@@ -496,7 +510,7 @@
                     }
                     Health::Ejected { .. } if now < unit.doubt_until => {}
                     Health::Ejected { .. } => {
-                        unit.odds.set(unit.odds.evidence().min(RETURNING));
+                        unit.odds.set_evidence(unit.odds.evidence().min(RETURNING));
                         // between the last trial that failed and this one; seldom tried, it has long begun
                         let since = sent - (sent - unit.bad_sent).clamp(0, cold) / 2;
                         (unit.health, unit.warm_at) = (Health::Recovering { since }, now + cold);
@@ -508,7 +522,7 @@
                     _ => {}
                 }
             }
-            Outcome::Refused { wait } => {
+            Outcome::Rejected { retry_after: wait } => {
                 unit.bad_sent = unit.bad_sent.max(sent);
                 unit.refused_since = if unit.refused_run == 0 {
                     now
@@ -518,23 +532,30 @@
                 unit.refused_run += 1;
                 let rate = unit.served_rate(now, span);
                 let told = wait.is_some() || tells;
-                let usual = if told { 0.0 } else { unit.refusals.usual() };
+                let usual = if told {
+                    0.0
+                } else {
+                    unit.refusals.baseline_rate()
+                };
                 let run = SHUT_RUN.max(if told {
                     0
                 } else {
-                    (SICK / Odds::weight(usual)).ceil() as u32
+                    (EJECTION_THRESHOLD / OutageEvidence::failure_log_likelihood_ratio(usual))
+                        .ceil() as u32
                 });
                 let shut = unit.refused_run >= run && now - unit.refused_since >= SHUT_SPAN;
                 let lately = unit.served_lately(now, span);
                 let advice = match told {
-                    true if full => Advice::Keep,
-                    true => Advice::Cut,
-                    false => unit.refusals.answer(true, sent, now, unit.pace, lately),
+                    true if full => RateAdvice::Keep,
+                    true => RateAdvice::Reduce,
+                    false => unit
+                        .refusals
+                        .on_response(true, sent, now, unit.pace, lately),
                 };
                 unit.heed_refusals(advice, lately);
                 // what opens again is found out by its pace, too
                 let opens_slowly = shut && !told && unit.pace.is_infinite();
-                if (advice == Advice::Cut && unit.cut(sent, now)) || opens_slowly {
+                if (advice == RateAdvice::Reduce && unit.cut(sent, now)) || opens_slowly {
                     unit.slow_down(rate, senders, phase);
                     unit.limited = true;
                 }
@@ -542,14 +563,15 @@
                     self.fall_sick(unit_id, false, "shut", actions);
                 }
             }
-            _ if outcome.failed() => {
+            _ if outcome.is_failure() => {
                 unit.bad_sent = unit.bad_sent.max(sent);
                 let reset = outcome == Outcome::Reset;
                 let evidence = unit
                     .odds
-                    .bad(if reset { RESET_WEIGHT } else { 1.0 }, class_fails);
+                    .record_failure(if reset { RESET_WEIGHT } else { 1.0 }, class_fails);
                 let (rate, lone) = (unit.served_rate(now, span), !unit.succeeded);
-                let congested = outcome != Outcome::Error || lone && evidence > SICK / 2.0;
+                let congested =
+                    outcome != Outcome::Error || lone && evidence > EJECTION_THRESHOLD / 2.0;
                 let fresh = !reset && congested && unit.cut(sent, now);
                 // with a call or more in a span the failure score is soon sure
                 let rare = unit.usual_rate(now, cold) * seconds(span) < 1.0;
@@ -560,7 +582,7 @@
                 if evidence >= GONE {
                     unit.doubt_until = now;
                 }
-                if evidence >= SICK {
+                if evidence >= EJECTION_THRESHOLD {
                     self.fall_sick(unit_id, false, "fails", actions);
                 }
             }
@@ -569,7 +591,7 @@
     }
 
     fn heed(&mut self, id: UnitId, wait: Micros, actions: &mut Vec<Action>) {
-        if wait > 2 * self.settings.safety.fall_span {
+        if wait > 2 * self.settings.safety.overload_window {
             self.fall_sick(id, false, "shut", actions); // closed, not throttled: it opens cold
         }
         let until = self.now + wait + MILLISECOND;
@@ -584,8 +606,8 @@
     fn learn_report(&mut self, id: UnitId, report: &[f64]) {
         let read = |at: Option<usize>| at.and_then(|index| report.get(index).copied());
         let (limit, left) = (
-            read(self.settings.report_limit),
-            read(self.settings.report_left),
+            read(self.settings.report_limit_index),
+            read(self.settings.report_remaining_index),
         );
         let share = limit.unwrap_or(0.0) / f64::from(self.settings.senders);
         let Some(limit) = limit.filter(|&limit| limit > 0.0 && limit <= LIMIT_MOST) else {
@@ -594,7 +616,7 @@
         if left.is_some_and(|left| !(0.0..=1.0 + LEFT_SLACK).contains(&left)) {
             return; // what tells an absurd share tells no limit either
         }
-        let (now, span) = (self.now, self.settings.safety.fall_span);
+        let (now, span) = (self.now, self.settings.safety.overload_window);
         let waiting = self.agenda.held_for(id.0) / self.call_room(id.0);
         let unit = self.unit(id);
         let proven = (PACE_USED * unit.served_rate(now, span)).max(PACE_UNUSED * share);
@@ -627,7 +649,7 @@
     /// Guards endpoints that take few connections against hundreds of senders that each keep one idle. Could
     /// harm where traffic comes in bursts with long pauses: the next call pays a handshake.
     fn close_idle(&mut self, id: UnitId, endpoint: EndpointId, actions: &mut Vec<Action>) {
-        let (now, idle) = (self.now, self.settings.connection_idle);
+        let (now, idle) = (self.now, self.settings.idle_connection_timeout);
         let unit = self.unit(id);
         let usual = unit.usual_rate(now, idle);
         let Some(known) = self.endpoints.get(&endpoint) else {
@@ -637,7 +659,7 @@
         let kind = self.crowded.get(&known.kind).copied().unwrap_or(0.0);
         let crowded = known.crowded > CROWDED || rare && kind > CROWDED;
         if crowded && self.agenda.load(endpoint) == 0 {
-            actions.push(Action::Disconnect(endpoint));
+            actions.push(Action::CloseIdleConnections(endpoint));
         }
     }
 
@@ -646,8 +668,8 @@
             share_of(self.settings.call_slots, WINDOW_SICK) as f64,
             self.now,
         );
-        let (phase, span) = (self.phase(), self.settings.safety.fall_span);
-        let cold = self.settings.safety.cold_time;
+        let (phase, span) = (self.phase(), self.settings.safety.overload_window);
+        let cold = self.settings.safety.slow_start;
         self.agenda.stir(id.0);
         let unit = self.unit(id);
         if !matches!(unit.health, Health::Ejected { .. }) {
@@ -662,12 +684,13 @@
             if unit.health == Health::Healthy {
                 (unit.ill_since, unit.well_rate) = (now, unit.usual_rate(now, cold));
             }
-            let unknown = unit.odds.remembered() < KNOWN && unit.usual_rate(now, span / 30) >= BUSY;
-            let noisy = unknown || unit.odds.usual() >= NOISY;
+            let unknown =
+                unit.odds.observed_calls() < KNOWN && unit.usual_rate(now, span / 30) >= BUSY;
+            let noisy = unknown || unit.odds.baseline_rate() >= NOISY;
             let doubted = noisy && unit.health == Health::Healthy && why == "fails";
             unit.doubt_until = if doubted { now + span } else { now };
             if !doubted && now - unit.ill_since <= ILL_TIMES * cold {
-                unit.odds.was_outage();
+                unit.odds.exclude_outage_from_baseline();
             }
             unit.health = Health::Ejected {
                 unresponsive: silent,
@@ -725,7 +748,7 @@
             };
             let class = self.settings.classes.get(held.class);
             let repeatable = class.is_some_and(|class| class.effect != Effect::Unsafe);
-            let free = self.settings.may_cancel && (scarce || repeatable);
+            let free = self.settings.cancellation_enabled && (scarce || repeatable);
             for (index, attempt) in held.attempts.iter_mut().enumerate() {
                 let call = self
                     .calls
@@ -771,7 +794,7 @@
             || target.destination != message.destination
             || message.attempts.len() >= message.most
             || self.now + MARGIN >= message.deadline
-            || (out && !self.settings.second_copies)
+            || (out && !self.settings.hedging_enabled)
         {
             return false;
         }
@@ -806,7 +829,7 @@
     /// By when the last byte of an attempt that has not begun must be written; none: it may not begin.
     /// Guards against what came while its connection did: a told wait, a drain, the end of a key's window.
     #[must_use]
-    pub fn may_begin(&self, now: Micros, id: MessageId, index: usize) -> Option<Micros> {
+    pub fn write_deadline(&self, now: Micros, id: MessageId, index: usize) -> Option<Micros> {
         let message = self.messages.get(&id).filter(|message| message.open)?;
         let attempt = message
             .attempts
@@ -905,7 +928,7 @@
         let excess = self
             .agenda
             .open
-            .saturating_sub(share_of(self.settings.max_held, HELD_FULL));
+            .saturating_sub(share_of(self.settings.max_pending, HELD_FULL));
         let over: BTreeSet<MessageId> = self.agenda.over(self.now + MARGIN, self.now).collect();
         let mut stuck = Vec::new();
         for (&destination, here) in self.agenda.shed().filter(|_| excess > 0) {
@@ -928,10 +951,10 @@
                 continue;
             };
             actions.push(if self.may_refuse(message) {
-                let wait = self.settings.max_client_wait / 2;
-                Action::Refuse {
+                let wait = self.settings.max_client_retry_after / 2;
+                Action::Reject {
                     message: id,
-                    wait: (wait > 0).then_some(wait),
+                    retry_after: (wait > 0).then_some(wait),
                 }
             } else {
                 Action::Fail(id)
@@ -959,11 +982,16 @@
     /// Guards what waits at a told limit from growing older than it is worth, and hands it to senders that
     /// have less before them. Could refuse what a rising pace would have served in time.
     fn comes_too_late(&self, new: &NewMessage) -> bool {
-        let Some(class) = self.settings.classes.get(new.class).filter(|_| !new.later) else {
+        let Some(class) = self
+            .settings
+            .classes
+            .get(new.class)
+            .filter(|_| !new.deferred)
+        else {
             return false;
         };
-        let early = new.time_left + class.aim - class.deadline;
-        let room = if new.again || early <= 0 {
+        let early = new.time_left + class.latency_objective - class.deadline;
+        let room = if new.resubmitted || early <= 0 {
             new.time_left
         } else {
             early
@@ -1003,23 +1031,25 @@
         let Some(class) = self.settings.classes.get(message.class) else {
             return 0.0;
         };
-        let aims = age as f64 / class.aim as f64;
+        let aims = age as f64 / class.latency_objective as f64;
         let left = if aims <= YOUNG {
             1.0 + aims
         } else {
-            0.8 * class.worth_left(age, self.settings.fade)
+            0.8 * class.remaining_value(age, self.settings.value_decay)
         };
         message.worth * left
     }
 
     /// Where a message of a lane that was born then stands in the order of urgency.
     pub(crate) fn stage(&self, lane: &Lane, born: Micros) -> Stage {
-        let (age, fade) = (self.now - born, self.settings.fade);
+        let (age, fade) = (self.now - born, self.settings.value_decay);
         match self.settings.classes.get(lane.class) {
             _ if lane.owed => Stage::Floor,
-            Some(class) if lane.worth > 0 && age as f64 / class.aim as f64 > YOUNG => {
-                match class.worth_left(age, fade) {
-                    left if left <= class.late_share => Stage::Floor,
+            Some(class)
+                if lane.worth > 0 && age as f64 / class.latency_objective as f64 > YOUNG =>
+            {
+                match class.remaining_value(age, fade) {
+                    left if left <= class.late_value_share => Stage::Floor,
                     left if left >= 1.0 => Stage::Full,
                     _ => Stage::Late,
                 }
@@ -1120,7 +1150,7 @@
             unit.ready_at(needed)
         };
         let rested =
-            unit.last_sent.max(unit.since_return()) + self.settings.safety.cold_time + MILLISECOND;
+            unit.last_sent.max(unit.since_return()) + self.settings.safety.slow_start + MILLISECOND;
         let within = unit.in_flight < unit.window.floor().max(1.0) as usize;
         let (open, until) = match unit.health {
             Health::Ejected { .. } | Health::Recovering { .. } if copy => (false, Micros::MAX),
@@ -1244,7 +1274,7 @@
         actions.push(Action::Send {
             message: id,
             endpoint,
-            expires,
+            expires_at: expires,
         });
     }
 
@@ -1255,7 +1285,7 @@
         };
         message.open = false;
         self.agenda.touch(id);
-        if self.settings.may_cancel {
+        if self.settings.cancellation_enabled {
             for (attempt, _) in message
                 .attempts
                 .iter()
@@ -1290,10 +1320,14 @@
             .settings
             .classes
             .iter()
-            .map(|class| class.aim)
+            .map(|class| class.latency_objective)
             .min()
             .unwrap_or(0);
-        let steered = self.settings.report_left.and(unit.told_limit).is_some()
+        let steered = self
+            .settings
+            .report_remaining_index
+            .and(unit.told_limit)
+            .is_some()
             && unit.health == Health::Healthy;
         // what the pace has above its floor is told as left; what may wait within its aim is not saved up
         let spare = if steered {
@@ -1322,9 +1356,10 @@
     pub(crate) fn unit(&mut self, id: UnitId) -> &mut Unit {
         if !self.units.contains_key(&id) {
             let mut new = Unit::fresh(share_of(self.settings.call_slots, WINDOW_START) as f64);
-            if self.settings.report_limit.is_some() {
-                let even =
-                    self.settings.max_held as f64 / PLACES_LAST / self.routes.len().max(1) as f64;
+            if self.settings.report_limit_index.is_some() {
+                let even = self.settings.max_pending as f64
+                    / PLACES_LAST
+                    / self.routes.len().max(1) as f64;
                 new.pace = even.max(PACE_START / f64::from(self.settings.senders).powi(2));
                 new.tokens = 1.0;
             }
@@ -1365,7 +1400,7 @@
 
     /// A refusal is taken for a limit's: one is told, or many senders meet a unit that each seldom calls.
     fn tells(&self, settings: &Settings, now: Micros) -> bool {
-        let busy = self.usual_rate(now, settings.safety.fall_span / 30) >= BUSY;
+        let busy = self.usual_rate(now, settings.safety.overload_window / 30) >= BUSY;
         self.told_limit.is_some() || settings.senders > 1 && !busy
     }
 
@@ -1399,14 +1434,14 @@
     }
 
     /// See `rejection_correlation.rs`.
-    fn heed_refusals(&mut self, advice: Advice, rate: f64) {
+    fn heed_refusals(&mut self, advice: RateAdvice, rate: f64) {
         match advice {
-            Advice::Halve => {
+            RateAdvice::HalveForProbe => {
                 self.pace = (self.pace.min(rate) / 2.0).max(PACE_LEAST);
                 self.tokens = self.tokens.min(1.0);
             }
-            Advice::Restore(pace) => self.pace = pace,
-            Advice::Keep | Advice::Cut => {}
+            RateAdvice::Restore(pace) => self.pace = pace,
+            RateAdvice::Keep | RateAdvice::Reduce => {}
         }
     }
 
@@ -1427,13 +1462,13 @@
     /// best has beyond that cancels in the sum by the root of the senders; told, reports steer it. Guards a
     /// return against the sum of hundreds; could starve one seldom called: no rest is above two cold times.
     fn allowed(&self, safety: &Safety, senders: f64, now: Micros) -> Flow {
-        let span = seconds(safety.fall_span.max(1));
+        let span = seconds(safety.overload_window.max(1));
         let (since, most) = match self.health {
             Health::Healthy => return Flow::even(self.pace),
             Health::Ejected { .. } => (now, 1.0 / span),
             Health::Recovering { since } => (since, self.pace),
         };
-        let (cold, first) = (safety.cold_time.max(1), safety.start_capacity);
+        let (cold, first) = (safety.slow_start.max(1), safety.initial_capacity);
         let level = first + (1.0 - first) * ((now - since) as f64 / cold as f64).min(1.0);
         let usual = self.usual_rate(now, cold).max(self.well_rate);
         let cancels = if self.told_limit.is_some() {
@@ -1445,7 +1480,8 @@
         let trials = (TRIALS / senders / span)
             .max(0.5 / seconds(cold))
             .min(1.0 / span);
-        let whole = (budget * safety.fall_multiple * BUDGET_SHARE).max(trials / first.max(0.01));
+        let whole =
+            (budget * safety.overload_multiple * BUDGET_SHARE).max(trials / first.max(0.01));
         let rate = whole * level;
         if rate >= most || matches!(self.health, Health::Ejected { .. }) {
             return Flow::even(rate.min(most));
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -114,7 +114,7 @@
         let kind = first
             .and_then(|id| self.endpoints.get(id))
             .and_then(|known| self.settings.kinds.get(known.kind));
-        kind.map_or(1, |kind| kind.bundle_max.max(1))
+        kind.map_or(1, |kind| kind.max_batch_size.max(1))
     }
 
     /// Whether an endpoint is known to be in a zone.
@@ -276,7 +276,7 @@
             .endpoints
             .get(&call.endpoint)
             .and_then(|known| self.settings.kinds.get(known.kind));
-        call.size < kind.map_or(1, |kind| kind.bundle_max)
+        call.size < kind.map_or(1, |kind| kind.max_batch_size)
     }
 
     fn slots_full(&self) -> bool {
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -1,7 +1,9 @@
 //! The list of endpoints, and what is forgotten when it drops some. It decides nothing.
 
 use crate::decide::LIST_FIRST;
-use crate::interface::{DestinationId, EndpointId, Entry, Listing, Micros, SECOND, Status};
+use crate::interface::{
+    DestinationId, EndpointEntry, EndpointId, EndpointListKind, EndpointStatus, Micros, SECOND,
+};
 use crate::state::Sender;
 use crate::state::{Endpoint, Unit};
 use std::collections::BTreeSet;
@@ -12,11 +14,11 @@
 
 impl Sender {
     /// Takes news of the list in. It costs what they name, a whole list what it holds.
-    pub(crate) fn learn_list(&mut self, listing: Listing, entries: &[Entry]) {
-        if listing != Listing::Old {
+    pub(crate) fn learn_list(&mut self, listing: EndpointListKind, entries: &[EndpointEntry]) {
+        if listing != EndpointListKind::Cached {
             self.list_rest = LIST_FIRST;
         }
-        if listing != Listing::Changes {
+        if listing != EndpointListKind::Changes {
             self.agenda.built = false;
             self.endpoints
                 .values_mut()
@@ -39,7 +41,7 @@
             self.agenda.built &= known.zone == entry.zone;
             self.agenda.stir(entry.destination);
             (known.destination, known.zone, known.kind) = (destination, zone, kind);
-            known.serving = entry.status == Status::Serving;
+            known.serving = entry.status == EndpointStatus::Serving;
             if !known.serving {
                 self.leaving.insert(entry.endpoint);
             }
--- a/crates/policy/src/idle.rs
+++ b/crates/policy/src/idle.rs
@@ -51,7 +51,7 @@
             return;
         }
         let unit = match self.dormant.remove(&id) {
-            Some(packed) => unpacked(&packed.expand(), self.now, self.settings.safety.cold_time),
+            Some(packed) => unpacked(&packed.expand(), self.now, self.settings.safety.slow_start),
             None => {
                 // an answer may come from what the list has dropped meanwhile
                 self.unused.insert(id);
@@ -112,8 +112,8 @@
         window: unit.window,
         typical_latency: unit.usual,
         hedge_after: unit.offset,
-        failures: unit.odds.known(),
-        rejections: unit.refusals.known(),
+        failures: unit.odds.observed_counts(),
+        rejections: unit.refusals.observed_counts(),
         outage_evidence: unit.odds.evidence(),
     }
 }
@@ -146,7 +146,7 @@
     if limits.rate.is_finite() {
         (unit.tokens, unit.flow, unit.burst) = (1.0, Flow::even(limits.rate), 1.0);
     }
-    unit.odds.recalled(known.failures, known.outage_evidence);
-    unit.refusals.recalled(known.rejections);
+    unit.odds.restore(known.failures, known.outage_evidence);
+    unit.refusals.restore(known.rejections);
     unit
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -46,13 +46,13 @@
     /// What a repeat does.
     pub effect: Effect,
     /// Full worth when delivered within this time.
-    pub aim: Micros,
+    pub latency_objective: Micros,
     /// No longer delivered after this time.
     pub deadline: Micros,
     /// Worth of one message.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth that is left at the deadline.
-    pub late_share: f64,
+    pub late_value_share: f64,
     /// Messages of one key go one at a time, in order.
     pub ordered: bool,
 }
@@ -64,10 +64,10 @@
         Class {
             name: name.to_string(),
             effect,
-            aim,
+            latency_objective: aim,
             deadline,
-            worth: 1.0,
-            late_share: 0.0,
+            priority_weight: 1.0,
+            late_value_share: 0.0,
             ordered: false,
         }
     }
@@ -76,27 +76,28 @@
 impl Class {
     /// Share of the worth that a delivery at this age still has.
     #[must_use]
-    pub fn worth_left(&self, age: Micros, fade: Fade) -> f64 {
-        let late = (age - self.aim) as f64;
+    pub fn remaining_value(&self, age: Micros, fade: ValueDecay) -> f64 {
+        let late = (age - self.latency_objective) as f64;
         let left = match fade {
-            Fade::Halving => 0.5f64.powf(late / self.aim as f64),
-            Fade::Even => {
-                1.0 - (1.0 - self.late_share) * late / (self.deadline - self.aim).max(1) as f64
+            ValueDecay::Halving => 0.5f64.powf(late / self.latency_objective as f64),
+            ValueDecay::Linear => {
+                1.0 - (1.0 - self.late_value_share) * late
+                    / (self.deadline - self.latency_objective).max(1) as f64
             }
         };
-        left.min(1.0).max(self.late_share)
+        left.min(1.0).max(self.late_value_share)
     }
 }
 
 /// A kind of destination.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Kind {
+pub struct DestinationKind {
     /// Its name.
     pub name: String,
     /// Each endpoint is a route of its own, with its own limit, waits and outages.
     pub separate_routes: bool,
     /// Messages that one call may carry.
-    pub bundle_max: usize,
+    pub max_batch_size: usize,
 }
 
 /// A tenant.
@@ -110,9 +111,9 @@
 
 /// How worth falls after the aim.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fade {
+pub enum ValueDecay {
     /// Evenly, down to the late share at the deadline.
-    Even,
+    Linear,
     /// By half with each further aim, not under the late share.
     Halving,
 }
@@ -123,19 +124,19 @@
     /// Sends to a draining endpoint end within this time.
     pub drain_grace: Micros,
     /// A returning destination is warm after this time.
-    pub cold_time: Micros,
+    pub slow_start: Micros,
     /// It starts with this share of its capacity.
-    pub start_capacity: f64,
+    pub initial_capacity: f64,
     /// It falls over when sent this multiple of what it can do ...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ... for this long.
-    pub fall_span: Micros,
+    pub overload_window: Micros,
     /// A final answer still counts this long after the deadline.
-    pub answer_grace: Micros,
+    pub response_grace: Micros,
     /// Rest of a key after an attempt whose end is not sure.
-    pub key_rest: Micros,
+    pub ordered_key_backoff: Micros,
     /// An unsubscribed sender must ask for the list this often.
-    pub ask_every: Micros,
+    pub list_poll_interval: Micros,
 }
 
 /// All that a sender is told at start-up.
@@ -148,31 +149,31 @@
     /// Calls that may be out at once.
     pub call_slots: usize,
     /// Messages that may be held.
-    pub max_held: usize,
+    pub max_pending: usize,
     /// Attempts for one message.
     pub max_attempts: usize,
     /// Two attempts of one message may be out together.
-    pub second_copies: bool,
+    pub hedging_enabled: bool,
     /// Attempts may be cancelled.
-    pub may_cancel: bool,
+    pub cancellation_enabled: bool,
     /// The host tells the ends that the module gives by notices, which may come later; else they are known at once.
-    pub notices: bool,
+    pub notifications_enabled: bool,
     /// Endpoints may be probed.
-    pub may_probe: bool,
+    pub probing_enabled: bool,
     /// Senders may write to each other.
-    pub may_note: bool,
+    pub gossip_enabled: bool,
     /// Idle connections close by themselves after this time; 0 where that is not known.
-    pub connection_idle: Micros,
+    pub idle_connection_timeout: Micros,
     /// Longest wait that a client heeds; 0 where clients are told none.
-    pub max_client_wait: Micros,
+    pub max_client_retry_after: Micros,
     /// The endpoint list must be asked for.
-    pub list_on_request: bool,
+    pub list_requires_subscription: bool,
     /// The list gives each destination's rate: 0 no, 1 exactly, 0.5 up to half off.
     pub weight_trust: f64,
     /// Position of the remaining share of the limit in a load report.
-    pub report_left: Option<usize>,
+    pub report_remaining_index: Option<usize>,
     /// Position of the limit, in calls a second, in a load report.
-    pub report_limit: Option<usize>,
+    pub report_limit_index: Option<usize>,
     /// Price of a call to another zone, as a share of a first try.
     pub price_cross_zone: f64,
     /// Price of a probe, as a share of a first try.
@@ -182,15 +183,15 @@
     /// Price of a message that a separate route takes on, by zone.
     pub zone_fees: Vec<f64>,
     /// Worth of a message beyond its tenant's share.
-    pub over_share_worth: f64,
+    pub over_share_weight: f64,
     /// How worth falls after the aim.
-    pub fade: Fade,
+    pub value_decay: ValueDecay,
     /// Figures of the rules.
     pub safety: Safety,
     /// Classes; events name them by position.
     pub classes: Vec<Class>,
     /// Kinds of destination; list entries name them by position.
-    pub kinds: Vec<Kind>,
+    pub kinds: Vec<DestinationKind>,
     /// Tenants; messages name them by position.
     pub tenants: Vec<Tenant>,
 }
@@ -203,34 +204,34 @@
             senders: 1,
             zone: 0,
             call_slots,
-            max_held,
+            max_pending: max_held,
             max_attempts: 8,
-            second_copies: true,
-            may_cancel: true,
-            notices: false,
-            may_probe: false,
-            may_note: false,
-            connection_idle: 0,
-            max_client_wait: 0,
-            list_on_request: false,
+            hedging_enabled: true,
+            cancellation_enabled: true,
+            notifications_enabled: false,
+            probing_enabled: false,
+            gossip_enabled: false,
+            idle_connection_timeout: 0,
+            max_client_retry_after: 0,
+            list_requires_subscription: false,
             weight_trust: 0.0,
-            report_left: None,
-            report_limit: None,
+            report_remaining_index: None,
+            report_limit_index: None,
             price_cross_zone: 0.0,
             price_probe: 0.0,
             price_waste: 0.0,
             zone_fees: Vec::new(),
-            over_share_worth: 1.0,
-            fade: Fade::Even,
+            over_share_weight: 1.0,
+            value_decay: ValueDecay::Linear,
             safety: Safety {
                 drain_grace: SECOND,
-                cold_time: 10 * SECOND,
-                start_capacity: 0.2,
-                fall_multiple: 2.0,
-                fall_span: 2 * SECOND,
-                answer_grace: 20 * MILLISECOND,
-                key_rest: 0,
-                ask_every: 10 * SECOND,
+                slow_start: 10 * SECOND,
+                initial_capacity: 0.2,
+                overload_multiple: 2.0,
+                overload_window: 2 * SECOND,
+                response_grace: 20 * MILLISECOND,
+                ordered_key_backoff: 0,
+                list_poll_interval: 10 * SECOND,
             },
             classes: Vec::new(),
             kinds: Vec::new(),
@@ -276,9 +277,9 @@
         };
         positive("senders", self.senders > 0)?;
         positive("call_slots", self.call_slots > 0)?;
-        positive("max_held", self.max_held > 0)?;
+        positive("max_held", self.max_pending > 0)?;
         positive("max_attempts", self.max_attempts > 0)?;
-        share("over_share_worth", self.over_share_worth)?;
+        share("over_share_worth", self.over_share_weight)?;
         share("weight_trust", self.weight_trust)?;
         share("price_cross_zone", self.price_cross_zone)?;
         share("price_probe", self.price_probe)?;
@@ -289,26 +290,26 @@
         let safety = &self.safety;
         for (name, span) in [
             ("safety.drain_grace", safety.drain_grace),
-            ("safety.cold_time", safety.cold_time),
-            ("safety.fall_span", safety.fall_span),
-            ("safety.answer_grace", safety.answer_grace),
-            ("safety.key_rest", safety.key_rest),
-            ("safety.ask_every", safety.ask_every),
-            ("connection_idle", self.connection_idle),
-            ("max_client_wait", self.max_client_wait),
+            ("safety.cold_time", safety.slow_start),
+            ("safety.fall_span", safety.overload_window),
+            ("safety.answer_grace", safety.response_grace),
+            ("safety.key_rest", safety.ordered_key_backoff),
+            ("safety.ask_every", safety.list_poll_interval),
+            ("connection_idle", self.idle_connection_timeout),
+            ("max_client_wait", self.max_client_retry_after),
         ] {
             if span < 0 {
                 return Err(SettingsError::new(name, "must not be negative"));
             }
         }
-        share("safety.start_capacity", safety.start_capacity)?;
-        share("safety.fall_multiple", safety.fall_multiple)?;
+        share("safety.start_capacity", safety.initial_capacity)?;
+        share("safety.fall_multiple", safety.overload_multiple)?;
         for class in &self.classes {
             let name = |field: &str| format!("classes.{}.{field}", class.name);
-            positive(&name("aim"), class.aim > 0)?;
+            positive(&name("aim"), class.latency_objective > 0)?;
             positive(&name("deadline"), class.deadline > 0)?;
-            share(&name("worth"), class.worth)?;
-            share(&name("late_share"), class.late_share)?;
+            share(&name("worth"), class.priority_weight)?;
+            share(&name("late_share"), class.late_value_share)?;
             if let Effect::Keyed { window, .. } = class.effect {
                 positive(&name("window"), window > 0)?;
             }
@@ -316,7 +317,7 @@
         for kind in &self.kinds {
             positive(
                 &format!("kinds.{}.bundle_max", kind.name),
-                kind.bundle_max > 0,
+                kind.max_batch_size > 0,
             )?;
         }
         for tenant in &self.tenants {
@@ -359,29 +360,29 @@
 
 /// What a listing event holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Listing {
+pub enum EndpointListKind {
     /// Changed entries only.
     Changes,
     /// The whole list; what is not in it is gone.
     Full,
     /// The whole list as last known before a restart, maybe old.
-    Old,
+    Cached,
 }
 
 /// An endpoint's state in the list; it says nothing of health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Status {
+pub enum EndpointStatus {
     /// Listed.
     Serving,
     /// Nothing new may be sent there.
     Draining,
     /// Removed.
-    Gone,
+    Removed,
 }
 
 /// One endpoint in a listing.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Entry {
+pub struct EndpointEntry {
     /// Which endpoint.
     pub endpoint: EndpointId,
     /// Its destination.
@@ -391,21 +392,21 @@
     /// Its destination's kind, by position in the settings.
     pub kind: usize,
     /// Its state.
-    pub status: Status,
+    pub status: EndpointStatus,
     /// Calls a second that the list gives its destination (or route); used where `weight_trust` is above 0.
     pub weight: f64,
 }
 
-impl Entry {
+impl EndpointEntry {
     /// A serving endpoint of the first kind and zone.
     #[must_use]
     pub fn new(endpoint: EndpointId, destination: DestinationId) -> Self {
-        Entry {
+        EndpointEntry {
             endpoint,
             destination,
             zone: 0,
             kind: 0,
-            status: Status::Serving,
+            status: EndpointStatus::Serving,
             weight: 1.0,
         }
     }
@@ -427,11 +428,11 @@
     /// Its tenant, by position.
     pub tenant: Option<usize>,
     /// The client has handed it in before.
-    pub again: bool,
+    pub resubmitted: bool,
     /// It comes from a sender that died.
-    pub orphan: bool,
+    pub from_lost_sender: bool,
     /// It is sent again long after its first end: all others come first.
-    pub later: bool,
+    pub deferred: bool,
 }
 
 impl NewMessage {
@@ -445,9 +446,9 @@
             time_left,
             key: None,
             tenant: None,
-            again: false,
-            orphan: false,
-            later: false,
+            resubmitted: false,
+            from_lost_sender: false,
+            deferred: false,
         }
     }
 }
@@ -471,9 +472,9 @@
     /// The destination answered with an error; it may have run.
     Error,
     /// Turned away unseen, perhaps with a wait; it never ran.
-    Refused {
+    Rejected {
         /// How long to keep away.
-        wait: Option<Micros>,
+        retry_after: Option<Micros>,
     },
     /// No answer in time; it may have run or still run.
     TimedOut,
@@ -493,7 +494,7 @@
 impl Outcome {
     /// True if the destination, or the way to it, failed the attempt.
     #[must_use]
-    pub fn failed(self) -> bool {
+    pub fn is_failure(self) -> bool {
         matches!(
             self,
             Outcome::Error | Outcome::TimedOut | Outcome::NoConnection | Outcome::Reset
@@ -505,7 +506,7 @@
     pub fn never_ran(self) -> bool {
         matches!(
             self,
-            Outcome::Refused { .. } | Outcome::NoConnection | Outcome::Unsent { .. }
+            Outcome::Rejected { .. } | Outcome::NoConnection | Outcome::Unsent { .. }
         )
     }
 }
@@ -514,14 +515,14 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// News of the endpoint list.
-    Listed {
+    EndpointList {
         /// What the entries are.
-        listing: Listing,
+        kind: EndpointListKind,
         /// The entries.
-        entries: Vec<Entry>,
+        entries: Vec<EndpointEntry>,
     },
     /// Asking for the list failed, or the subscription broke.
-    ListFailed,
+    EndpointListFailed,
     /// A message came in.
     Accepted(NewMessage),
     /// A message taken before a restart is back, with all attempts that it had. Its time may be up.
@@ -534,27 +535,27 @@
     /// The process has been asked to stop: calls that are out then are cut off.
     Stopping {
         /// When it ends.
-        ends: Micros,
+        ends_at: Micros,
     },
     /// A destination told a wait in an answer that turned no message away.
-    ToldWait {
+    RetryAfter {
         /// The endpoint that told it.
         endpoint: EndpointId,
         /// How long to keep away.
-        wait: Micros,
+        retry_after: Micros,
     },
     /// What became of the notice of an ended message's end, where the settings say that ends are told by notices: its
     /// key's next message waits for it, in this life and in the next.
-    Notice {
+    Notification {
         /// Which message.
         message: MessageId,
         /// Its key.
         key: u64,
         /// It has been taken; else it is owed from an earlier life.
-        taken: bool,
+        acknowledged: bool,
     },
     /// An attempt ended.
-    Ended {
+    AttemptEnded {
         /// Which message.
         message: MessageId,
         /// Which attempt, from 0.
@@ -566,21 +567,21 @@
         /// Time since the send.
         latency: Micros,
         /// Nothing more is owed for the message.
-        closed: bool,
+        message_closed: bool,
         /// Load report, if any.
         report: Vec<f64>,
         /// The response may be a copy of an earlier one: whatever the outcome, this attempt may have run.
         ambiguous: bool,
     },
     /// The answer has started; the client owns this attempt now.
-    Started {
+    ResponseStarted {
         /// Which message.
         message: MessageId,
         /// Which attempt.
         attempt: usize,
     },
     /// Nobody wants this message any more.
-    Dropped(MessageId),
+    Cancelled(MessageId),
     /// A probe was answered or failed.
     Probed {
         /// Which endpoint.
@@ -591,7 +592,7 @@
         report: Vec<f64>,
     },
     /// Another sender wrote.
-    Noted {
+    GossipReceived {
         /// Its number.
         from: u32,
         /// What it wrote.
@@ -611,7 +612,7 @@
         /// Where to.
         endpoint: EndpointId,
         /// When the attempt times out.
-        expires: Micros,
+        expires_at: Micros,
     },
     /// Call off an attempt.
     Cancel {
@@ -621,11 +622,11 @@
         attempt: usize,
     },
     /// End a message undelivered; a retry does no harm.
-    Refuse {
+    Reject {
         /// Which message.
         message: MessageId,
         /// Advice to the client.
-        wait: Option<Micros>,
+        retry_after: Option<Micros>,
     },
     /// End a message as failed.
     Fail(MessageId),
@@ -634,11 +635,11 @@
     /// Probe an endpoint.
     Probe(EndpointId),
     /// Give back the connections to an endpoint that carry nothing now.
-    Disconnect(EndpointId),
+    CloseIdleConnections(EndpointId),
     /// Subscribe to the endpoint list.
     Subscribe,
     /// Write to all other senders.
-    Note(Vec<u8>),
+    Gossip(Vec<u8>),
     /// A line for the log.
     Log(String),
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,7 +5,7 @@
 //! reads no clock: the program that hosts it does both. The same events always give the same actions.
 //!
 //! ```
-//! use milletturn_policy::{Action, Class, Effect, Entry, Event, EndpointId, Listing, MessageId, NewMessage,
+//! use milletturn_policy::{Action, Class, Effect, EndpointEntry, Event, EndpointId, EndpointListKind, MessageId, NewMessage,
 //!     Sender, Settings};
 //!
 //! let mut settings = Settings::new(8, 100);
@@ -13,7 +13,7 @@
 //! let mut sender = Sender::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //! let events = [
-//!     Event::Listed { listing: Listing::Full, entries: vec![Entry::new(EndpointId(1), 40)] },
+//!     Event::EndpointList { kind: EndpointListKind::Full, entries: vec![EndpointEntry::new(EndpointId(1), 40)] },
 //!     Event::Accepted(NewMessage::new(MessageId(5), 0, 40, 10_000_000)),
 //! ];
 //! sender.handle(1_000_000, &events, &mut actions);
--- a/crates/policy/src/outage_evidence.rs
+++ b/crates/policy/src/outage_evidence.rs
@@ -15,8 +15,8 @@
 const MEMORY: f64 = 200.0;
 /// Bounds of the usual share. Below, one stray failure would speak too loud; above, most calls fail.
 const USUAL_LEAST: f64 = 0.005;
-/// See [`Odds::usual`].
-pub const USUAL_MOST: f64 = 0.4;
+/// See [`OutageEvidence::baseline_rate`].
+pub const MAX_BASELINE_RATE: f64 = 0.4;
 /// Of a unit that is gone, at least this share of calls is bad: outages fail half of them or more.
 const GONE: f64 = 0.5;
 /// And of one that answers nothing at all.
@@ -25,11 +25,11 @@
 /// Evidence for an outage at which a unit is taken for gone: a chance of about one in 10^6 a call. Higher
 /// spares noisy units, lower finds outages sooner: this is three failures in a row where they are rare,
 /// six where one in ten is usual.
-pub const SICK: f64 = 13.5;
+pub const EJECTION_THRESHOLD: f64 = 13.5;
 
 /// The usual share of bad calls, and the evidence that it no longer holds.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
-pub struct Odds {
+pub struct OutageEvidence {
     /// Calls remembered at most; bad ones and all.
     memory: f64,
     bad: f64,
@@ -40,17 +40,17 @@
     evidence: f64,
 }
 
-impl Default for Odds {
+impl Default for OutageEvidence {
     fn default() -> Self {
-        Odds::remembering(MEMORY)
+        OutageEvidence::with_memory(MEMORY)
     }
 }
 
-impl Odds {
+impl OutageEvidence {
     /// Odds of which nothing is known, with a memory of so many calls.
     #[must_use]
-    pub fn remembering(memory: f64) -> Self {
-        Odds {
+    pub fn with_memory(memory: f64) -> Self {
+        OutageEvidence {
             memory,
             bad: 0.0,
             all: 0.0,
@@ -61,31 +61,31 @@
 
     /// Share of calls that are usually bad.
     #[must_use]
-    pub fn usual(&self) -> f64 {
+    pub fn baseline_rate(&self) -> f64 {
         let share = (self.bad + PRIOR_BAD) / (self.all + PRIOR_ALL);
-        share.clamp(USUAL_LEAST, USUAL_MOST)
+        share.clamp(USUAL_LEAST, MAX_BASELINE_RATE)
     }
 
     /// Bad calls among all that are remembered.
     #[must_use]
-    pub fn known(&self) -> (f64, f64) {
+    pub fn observed_counts(&self) -> (f64, f64) {
         (self.bad, self.all)
     }
 
     /// Odds as they were: of so many bad calls among so many, with so much evidence.
-    pub fn recalled(&mut self, (bad, all): (f64, f64), evidence: f64) {
+    pub fn restore(&mut self, (bad, all): (f64, f64), evidence: f64) {
         (self.bad, self.all, self.evidence) = (bad.min(all), all, evidence);
     }
 
     /// Calls that are remembered.
     #[must_use]
-    pub fn remembered(&self) -> f64 {
+    pub fn observed_calls(&self) -> f64 {
         self.all
     }
 
     /// What a bad call speaks for an outage where such a share is usual.
     #[must_use]
-    pub fn weight(usual: f64) -> f64 {
+    pub fn failure_log_likelihood_ratio(usual: f64) -> f64 {
         (gone(usual) / usual).ln()
     }
 
@@ -94,17 +94,17 @@
     #[must_use]
     pub fn evidence(&self) -> f64 {
         self.evidence
-            .max(self.pending * (SILENT / self.usual()).ln())
+            .max(self.pending * (SILENT / self.baseline_rate()).ln())
     }
 
     /// Sets the evidence: what is known from elsewhere.
-    pub fn set(&mut self, evidence: f64) {
+    pub fn set_evidence(&mut self, evidence: f64) {
         self.evidence = evidence;
     }
 
     /// A call went well. `learn`: what was bad before it counts as usual.
-    pub fn good(&mut self, learn: bool, most: f64) {
-        let usual = self.usual();
+    pub fn record_success(&mut self, learn: bool, most: f64) {
+        let usual = self.baseline_rate();
         let speaks = ((1.0 - gone(usual)) / (1.0 - usual)).ln();
         self.evidence = (self.evidence.min(most) + speaks).max(0.0);
         if learn {
@@ -116,19 +116,24 @@
     /// A call went badly, of such a weight. `usual`: the share that is usual for its like, where that
     /// fares worse than the rest; it says nothing of the unit then. Gives the evidence that is
     /// reached.
-    pub fn bad(&mut self, weight: f64, usual: f64) -> f64 {
-        self.pending += if usual > self.usual() { 0.0 } else { weight };
-        self.evidence += weight * Odds::weight(self.usual().max(usual));
+    pub fn record_failure(&mut self, weight: f64, usual: f64) -> f64 {
+        self.pending += if usual > self.baseline_rate() {
+            0.0
+        } else {
+            weight
+        };
+        self.evidence +=
+            weight * OutageEvidence::failure_log_likelihood_ratio(self.baseline_rate().max(usual));
         self.evidence()
     }
 
     /// What was bad of late was an outage: it says nothing of what is usual.
-    pub fn was_outage(&mut self) {
+    pub fn exclude_outage_from_baseline(&mut self) {
         (self.evidence, self.pending) = (self.evidence(), 0.0);
     }
 
     /// Takes a share over that was found by a trial of calls.
-    pub fn found(&mut self, bad: f64, all: f64) {
+    pub fn adopt_measured_rate(&mut self, bad: f64, all: f64) {
         self.add(bad, all);
         (self.pending, self.evidence) = (0.0, 0.0);
     }
--- a/crates/policy/src/reconfigure.rs
+++ b/crates/policy/src/reconfigure.rs
@@ -12,7 +12,7 @@
 
     /// Position of a tenant; none for one that the settings don't name.
     #[must_use]
-    pub fn tenant(&self, name: &str) -> Option<usize> {
+    pub fn tenant_index(&self, name: &str) -> Option<usize> {
         self.settings
             .tenants
             .iter()
@@ -26,14 +26,14 @@
     ///
     /// # Errors
     /// When the settings make no sense; nothing has changed then.
-    pub fn retune(
+    pub fn reconfigure(
         &mut self,
         mut settings: Settings,
         renewed: &[usize],
     ) -> Result<(), SettingsError> {
         settings.validate_figures()?;
         settings.zone = self.settings.zone;
-        settings.list_on_request = self.settings.list_on_request;
+        settings.list_requires_subscription = self.settings.list_requires_subscription;
         settings.kinds = std::mem::take(&mut self.settings.kinds);
         settings.tenants = std::mem::take(&mut self.settings.tenants);
         self.settings = settings;
--- a/crates/policy/src/rejection_correlation.rs
+++ b/crates/policy/src/rejection_correlation.rs
@@ -1,7 +1,7 @@
 //! Refusals that tell neither limit nor wait: whether they follow the load, and what that asks of the pace.
 
 use crate::interface::{Micros, SECOND};
-use crate::outage_evidence::{Odds, USUAL_MOST};
+use crate::outage_evidence::{MAX_BASELINE_RATE, OutageEvidence};
 
 /// Answers that the usual share remembers: more than that of failures, so that a pace which creeps up to
 /// a limit does not make its refusals usual.
@@ -22,7 +22,7 @@
 const LOOK_MOST: Micros = 5 * SECOND;
 const LOOK_RATE: f64 = 20.0;
 /// At half the pace a limit refuses less than this part of what it did, as long as it did not refuse more
-/// than [`USUAL_MOST`]; the odds at which that is decided.
+/// than [`MAX_BASELINE_RATE`]; the odds at which that is decided.
 const FALLS_TO: f64 = 0.35;
 const DECIDED: f64 = 3.0;
 /// A limit is remembered for so long after a refusal that it explains. It lies above half the rate at which
@@ -33,28 +33,28 @@
 
 /// What refusals ask of the pace.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Advice {
+pub enum RateAdvice {
     /// Nothing.
     Keep,
     /// There is a limit: the usual cut.
-    Cut,
+    Reduce,
     /// Half the pace for a while, to see whether refusals follow it.
-    Halve,
+    HalveForProbe,
     /// They did not: this was the pace before.
     Restore(f64),
 }
 
 /// Refusals that tell no limit and no wait: whether they follow the load.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
-pub struct Refusals {
-    odds: Odds,
+pub struct RejectionCorrelation {
+    odds: OutageEvidence,
     look: Option<Look>,
     looked_at: Option<Micros>,
     limited_until: Micros,
     /// The rate at which the limit was found, and pace and odds as they were before.
     limited_at: f64,
     pace_before: f64,
-    before: Odds,
+    before: OutageEvidence,
 }
 
 /// A look at the refused share: first as things are, then at half the pace.
@@ -73,11 +73,11 @@
     odds: f64,
 }
 
-impl Default for Refusals {
+impl Default for RejectionCorrelation {
     fn default() -> Self {
-        let odds = Odds::remembering(MEMORY);
+        let odds = OutageEvidence::with_memory(MEMORY);
         let before = odds.clone();
-        Refusals {
+        RejectionCorrelation {
             odds,
             look: None,
             looked_at: None,
@@ -89,40 +89,40 @@
     }
 }
 
-impl Refusals {
+impl RejectionCorrelation {
     /// Refusals among the answers that are remembered.
     #[must_use]
-    pub fn known(&self) -> (f64, f64) {
-        self.odds.known()
+    pub fn observed_counts(&self) -> (f64, f64) {
+        self.odds.observed_counts()
     }
 
     /// What was usual, as it was.
-    pub fn recalled(&mut self, known: (f64, f64)) {
-        self.odds.recalled(known, 0.0);
+    pub fn restore(&mut self, known: (f64, f64)) {
+        self.odds.restore(known, 0.0);
     }
 
     /// Share of calls that are refused whatever the load.
     #[must_use]
-    pub fn usual(&self) -> f64 {
-        self.odds.usual()
+    pub fn baseline_rate(&self) -> f64 {
+        self.odds.baseline_rate()
     }
 
     /// The pace is held down to be looked at.
     #[must_use]
-    pub fn looks(&self) -> bool {
+    pub fn is_probing_rate(&self) -> bool {
         self.look.as_ref().is_some_and(|look| look.halved)
     }
 
     /// An answer to a call that was sent at a time. `pace` is the present one, `rate` that of calls
     /// served of late.
-    pub fn answer(
+    pub fn on_response(
         &mut self,
         refused: bool,
         sent: Micros,
         now: Micros,
         pace: f64,
         rate: f64,
-    ) -> Advice {
+    ) -> RateAdvice {
         if let Some(look) = self.look.take() {
             return self.look_on(look, refused, sent, now, pace, rate);
         }
@@ -130,21 +130,22 @@
         if !refused {
             // what is refused well below the limit is usual
             self.odds
-                .good(!limited || rate < BELOW * self.limited_at, 2.0 * EXCESS);
-            return Advice::Keep;
+                .record_success(!limited || rate < BELOW * self.limited_at, 2.0 * EXCESS);
+            return RateAdvice::Keep;
         }
-        let excess = self.odds.bad(1.0, 0.0) >= if limited { EXCESS_LIMITED } else { EXCESS };
-        let known = self.odds.remembered() >= KNOWN;
+        let excess =
+            self.odds.record_failure(1.0, 0.0) >= if limited { EXCESS_LIMITED } else { EXCESS };
+        let known = self.odds.observed_calls() >= KNOWN;
         let doubtful = known
-            && self.usual() >= DOUBTFUL
+            && self.baseline_rate() >= DOUBTFUL
             && self.looked_at.is_none_or(|at| now - at > LOOK_EVERY);
         if excess {
-            self.odds.set(0.0);
+            self.odds.set_evidence(0.0);
         }
         if excess && limited && rate < LIMITED_LEAST * self.limited_at {
             self.limited_until = now;
             self.odds = self.before.clone();
-            return Advice::Restore(self.pace_before);
+            return RateAdvice::Restore(self.pace_before);
         }
         if excess && limited {
             return self.limit(now, rate);
@@ -157,11 +158,11 @@
                 ..Look::default()
             };
             if doubtful && !excess {
-                return self.halve(look, now, self.usual(), pace, rate);
+                return self.halve(look, now, self.baseline_rate(), pace, rate);
             }
             self.look = Some(look);
         }
-        Advice::Keep
+        RateAdvice::Keep
     }
 
     fn look_on(
@@ -172,7 +173,7 @@
         now: Micros,
         pace: f64,
         rate: f64,
-    ) -> Advice {
+    ) -> RateAdvice {
         if sent >= look.from {
             look.all += 1.0;
             look.bad += f64::from(u8::from(refused));
@@ -182,37 +183,37 @@
             if look.all < SAMPLE && now < look.until {
                 self.look = Some(look);
             } else if share >= DOUBTFUL {
-                return match share > USUAL_MOST || rate < LOOK_RATE {
+                return match share > MAX_BASELINE_RATE || rate < LOOK_RATE {
                     true => self.limit(now, rate),
                     false => self.halve(look, now, share, pace, rate),
                 };
             } else {
-                self.odds.found(look.bad, look.all);
+                self.odds.adopt_measured_rate(look.bad, look.all);
             }
-            return Advice::Keep;
+            return RateAdvice::Keep;
         }
         if sent >= look.from {
             let good = ((1.0 - look.share) / (1.0 - FALLS_TO * look.share)).ln();
             look.odds += if refused { -FALLS_TO.ln() } else { good };
         }
         if look.odds >= DECIDED {
-            self.odds.found(look.bad, look.all);
-            return Advice::Restore(look.pace);
+            self.odds.adopt_measured_rate(look.bad, look.all);
+            return RateAdvice::Restore(look.pace);
         }
         if look.odds <= -DECIDED || now > look.until {
             // what is refused at half the pace is usual, the rest was the limit's
             (self.before, self.pace_before) = (self.odds.clone(), look.pace);
-            self.before.found(look.share * SAMPLE, SAMPLE);
-            self.odds = Odds::remembering(MEMORY);
-            self.odds.found(look.bad, look.all);
+            self.before.adopt_measured_rate(look.share * SAMPLE, SAMPLE);
+            self.odds = OutageEvidence::with_memory(MEMORY);
+            self.odds.adopt_measured_rate(look.bad, look.all);
             (self.limited_at, self.limited_until) = (look.rate, now + LIMITED);
         } else {
             self.look = Some(look);
         }
-        Advice::Keep
+        RateAdvice::Keep
     }
 
-    fn halve(&mut self, look: Look, now: Micros, share: f64, pace: f64, rate: f64) -> Advice {
+    fn halve(&mut self, look: Look, now: Micros, share: f64, pace: f64, rate: f64) -> RateAdvice {
         self.looked_at = Some(now);
         let (from, until, bad, all) = (now, now + LOOK_MOST, 0.0, 0.0);
         self.look = Some(Look {
@@ -226,15 +227,15 @@
             share,
             ..look
         });
-        Advice::Halve
+        RateAdvice::HalveForProbe
     }
 
-    fn limit(&mut self, now: Micros, rate: f64) -> Advice {
+    fn limit(&mut self, now: Micros, rate: f64) -> RateAdvice {
         if now >= self.limited_until {
             (self.limited_at, self.pace_before) = (rate, f64::INFINITY);
-            self.before = std::mem::replace(&mut self.odds, Odds::remembering(MEMORY));
+            self.before = std::mem::replace(&mut self.odds, OutageEvidence::with_memory(MEMORY));
         }
         self.limited_until = now + LIMITED;
-        Advice::Cut
+        RateAdvice::Reduce
     }
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,8 +1,8 @@
 //! Plain records that the decisions keep. No rule, table or tuned value is here: those are in `decide.rs`.
 
 use crate::interface::{DestinationId, EndpointId, MessageId, Micros, SECOND, Settings};
-use crate::outage_evidence::Odds;
-use crate::rejection_correlation::Refusals;
+use crate::outage_evidence::OutageEvidence;
+use crate::rejection_correlation::RejectionCorrelation;
 use crate::scheduler::Agenda;
 use milletturn_idle_state::CompactState;
 /// How a unit seems to be.
@@ -202,8 +202,8 @@
     /// The latency as it is over a long time.
     pub usual: Option<Micros>,
     /// The evidence that it is gone, and that refusals which tell nothing follow the load.
-    pub odds: Odds,
-    pub refusals: Refusals,
+    pub odds: OutageEvidence,
+    pub refusals: RejectionCorrelation,
     /// Until then a unit that has just fallen sick by failures may only have been noisy.
     pub doubt_until: Micros,
     /// From when on it is surely warm: a cold time behind the first answer of a return.
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -4,8 +4,8 @@
 pub(crate) mod traffic;
 
 use milletturn_policy::{
-    Action, Class, Effect, EndpointId, Entry, Event, Kind, Listing, MILLISECOND, MessageId, Micros,
-    NewMessage, Outcome, SECOND, Sender, Settings,
+    Action, Class, DestinationKind, Effect, EndpointEntry, EndpointId, EndpointListKind, Event,
+    MILLISECOND, MessageId, Micros, NewMessage, Outcome, SECOND, Sender, Settings,
 };
 
 pub(crate) const T0: Micros = 100 * SECOND;
@@ -43,21 +43,21 @@
     let mut ordered = Class::new("ordered", Effect::Repeatable, 2 * SECOND, 30 * SECOND);
     ordered.ordered = true;
     settings.classes.push(ordered);
-    settings.safety.key_rest = 100 * MILLISECOND;
-    settings.kinds.push(Kind {
+    settings.safety.ordered_key_backoff = 100 * MILLISECOND;
+    settings.kinds.push(DestinationKind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max: 1,
+        max_batch_size: 1,
     });
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "apart".into(),
         separate_routes: true,
-        bundle_max: 1,
+        max_batch_size: 1,
     });
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "bundled".into(),
         separate_routes: false,
-        bundle_max: 5,
+        max_batch_size: 5,
     });
     settings
 }
@@ -67,8 +67,8 @@
 pub(crate) const UNSAFE: usize = 2;
 pub(crate) const ORDERED: usize = 3;
 
-pub(crate) fn entry(endpoint: u32, destination: u64) -> Entry {
-    Entry::new(EndpointId(endpoint), destination)
+pub(crate) fn entry(endpoint: u32, destination: u64) -> EndpointEntry {
+    EndpointEntry::new(EndpointId(endpoint), destination)
 }
 
 pub(crate) fn message(id: u64, class: usize, destination: u64) -> Event {
@@ -87,13 +87,13 @@
     outcome: Outcome,
     latency: Micros,
 ) -> Event {
-    Event::Ended {
+    Event::AttemptEnded {
         message: MessageId(message),
         attempt,
         endpoint: EndpointId(endpoint),
         outcome,
         latency,
-        closed: outcome == Outcome::Success,
+        message_closed: outcome == Outcome::Success,
         report: Vec::new(),
         ambiguous: false,
     }
@@ -101,7 +101,7 @@
 
 /// The same end, with a report in its answer.
 pub(crate) fn reported(mut end: Event, told: &[f64]) -> Event {
-    if let Event::Ended { report, .. } = &mut end {
+    if let Event::AttemptEnded { report, .. } = &mut end {
         *report = told.to_vec();
     }
     end
@@ -109,14 +109,14 @@
 
 /// The same end, by a response that may be a copy.
 pub(crate) fn ambiguous(mut end: Event) -> Event {
-    if let Event::Ended { ambiguous, .. } = &mut end {
+    if let Event::AttemptEnded { ambiguous, .. } = &mut end {
         *ambiguous = true;
     }
     end
 }
 
 impl Rig {
-    pub(crate) fn new(settings: Settings, entries: Vec<Entry>) -> Self {
+    pub(crate) fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
         let sender = Sender::new(settings, 11).expect("settings make sense");
         let mut rig = Rig {
             sender,
@@ -125,8 +125,8 @@
             sends: Vec::new(),
             log: Vec::new(),
         };
-        rig.tell(vec![Event::Listed {
-            listing: Listing::Full,
+        rig.tell(vec![Event::EndpointList {
+            kind: EndpointListKind::Full,
             entries,
         }]);
         rig
@@ -204,7 +204,7 @@
     }
 
     pub(crate) fn refused(&self, message: u64) -> bool {
-        self.count(|a| matches!(a, Action::Refuse { message: m, .. } if m.0 == message)) == 1
+        self.count(|a| matches!(a, Action::Reject { message: m, .. } if m.0 == message)) == 1
     }
 
     pub(crate) fn cancels(&self, message: u64) -> usize {
--- a/crates/policy/tests/common/traffic.rs
+++ b/crates/policy/tests/common/traffic.rs
@@ -100,7 +100,7 @@
                 Action::Send {
                     message,
                     endpoint,
-                    expires,
+                    expires_at: expires,
                 } => {
                     let attempt = attempts.entry(message.0).or_default();
                     seen.calls += 1;
--- a/crates/policy/tests/dormancy.rs
+++ b/crates/policy/tests/dormancy.rs
@@ -38,15 +38,15 @@
 #[test]
 fn one_that_is_never_called_is_only_listed_and_one_that_idles_is_packed() {
     let mut rig = rig(1_000);
-    assert_eq!(rig.sender.known(), (0, 0));
+    assert_eq!(rig.sender.scope_counts(), (0, 0));
     (0..20).for_each(|n| call(&mut rig, n, n));
-    assert_eq!(rig.sender.known(), (20, 0));
+    assert_eq!(rig.sender.scope_counts(), (20, 0));
     idle(&mut rig, 299 * SECOND, 30);
-    assert_eq!(rig.sender.known(), (20, 0), "not before its time");
+    assert_eq!(rig.sender.scope_counts(), (20, 0), "not before its time");
     idle(&mut rig, 2 * SECOND, 30);
-    assert_eq!(rig.sender.known(), (0, 20));
+    assert_eq!(rig.sender.scope_counts(), (0, 20));
     call(&mut rig, 100, 3);
-    assert_eq!(rig.sender.known(), (1, 19));
+    assert_eq!(rig.sender.scope_counts(), (1, 19));
 }
 
 #[test]
@@ -54,14 +54,14 @@
     let mut rig = rig(50);
     (0..50).for_each(|n| call(&mut rig, n, n));
     let begun = rig.now;
-    rig.tell(vec![Event::ToldWait {
+    rig.tell(vec![Event::RetryAfter {
         endpoint: EndpointId(7),
-        wait: 30 * 24 * HOUR,
+        retry_after: 30 * 24 * HOUR,
     }]);
     for day in 1..30u64 {
         let span = begun + day as Micros * 24 * HOUR - rig.now;
         idle(&mut rig, span, 60);
-        assert!(rig.sender.known().1 >= 49, "packed");
+        assert!(rig.sender.scope_counts().1 >= 49, "packed");
         call(&mut rig, 1_000 + day, 7);
         assert!(
             rig.sends_of(1_000 + day).is_empty(),
@@ -81,7 +81,7 @@
         let mut rig = rig(10);
         (0..50).for_each(|id| call(&mut rig, id, 3));
         idle(&mut rig, quiet, 60);
-        assert_eq!(rig.sender.known(), (0, 1));
+        assert_eq!(rig.sender.scope_counts(), (0, 1));
         let before = rig.sends.len();
         rig.tell((0..100).map(|id| message(1_000 + id, FREE, 3)).collect());
         rig.run(rig.now + SECOND);
@@ -103,11 +103,17 @@
         if rig.sends.iter().any(|send| send.1 == id) {
             rig.end(id, Outcome::NoConnection, 10 * MILLISECOND);
         }
-        rig.tell(vec![Event::Dropped(MessageId(id))]);
+        rig.tell(vec![Event::Cancelled(MessageId(id))]);
     }
-    assert_eq!(rig.sender.avoided(), 1);
+    assert_eq!(rig.sender.ejected_endpoint_count(), 1);
     idle(&mut rig, HOUR / 2, 60);
-    assert_eq!((rig.sender.known(), rig.sender.avoided()), ((0, 1), 1));
+    assert_eq!(
+        (
+            rig.sender.scope_counts(),
+            rig.sender.ejected_endpoint_count()
+        ),
+        ((0, 1), 1)
+    );
     let before = rig.sends.len();
     rig.tell((0..50).map(|id| message(1_000 + id, FREE, 3)).collect());
     assert!(rig.sends.len() - before <= 2, "a trial, not all");
@@ -126,42 +132,42 @@
             FREE,
             if round % 2 == 0 { 1 } else { round + 3 },
         )]);
-        let gone = Entry {
-            status: Status::Gone,
+        let gone = EndpointEntry {
+            status: EndpointStatus::Removed,
             ..entry(old, if round % 2 == 1 { round + 3 } else { 1 })
         };
         let entries = vec![gone, entry(new, destination)];
-        rig.tell(vec![Event::Listed {
-            listing: Listing::Changes,
+        rig.tell(vec![Event::EndpointList {
+            kind: EndpointListKind::Changes,
             entries,
         }]);
         rig.run(rig.now + 200 * MILLISECOND);
-        rig.tell(vec![Event::Dropped(MessageId(round))]);
+        rig.tell(vec![Event::Cancelled(MessageId(round))]);
         let calls = rig.sends.split_off(0);
         let late = |call: &(Micros, u64, u32, usize)| {
             ended(call.1, call.3, call.2, Outcome::TimedOut, 200 * MILLISECOND)
         };
         rig.tell(calls.iter().map(late).collect());
-        rig.tell(vec![Event::ToldWait {
+        rig.tell(vec![Event::RetryAfter {
             endpoint: EndpointId(old),
-            wait: MILLISECOND,
+            retry_after: MILLISECOND,
         }]);
     }
     rig.run(rig.now + 61 * SECOND);
     let entries = vec![entry(0, 0)];
-    rig.tell(vec![Event::Listed {
-        listing: Listing::Full,
+    rig.tell(vec![Event::EndpointList {
+        kind: EndpointListKind::Full,
         entries,
     }]);
     // calls that were never answered end with their time; what they held goes with the next news
     for _ in 0..3 {
         rig.run(rig.now + 61 * SECOND);
-        rig.tell(vec![Event::Listed {
-            listing: Listing::Changes,
+        rig.tell(vec![Event::EndpointList {
+            kind: EndpointListKind::Changes,
             entries: Vec::new(),
         }]);
     }
-    let (live, packed) = rig.sender.known();
+    let (live, packed) = rig.sender.scope_counts();
     assert!(
         live + packed <= 1,
         "{live} and {packed} units of destinations that are gone"
@@ -174,7 +180,7 @@
 #[test]
 fn a_return_goes_on_behind_a_quiet_that_is_shorter_than_it() {
     let mut settings = settings(200);
-    settings.safety.cold_time = 2_000 * SECOND;
+    settings.safety.slow_start = 2_000 * SECOND;
     let mut rig = Rig::new(settings, vec![entry(3, 3)]);
     (0..50).for_each(|id| call(&mut rig, id, 3));
     let away = rig.sends.len();
@@ -186,7 +192,7 @@
     rig.run(rig.now + 10 * SECOND);
     rig.end(100, Outcome::Success, 10 * MILLISECOND);
     idle(&mut rig, HOUR / 10, 60);
-    assert_eq!(rig.sender.known(), (0, 1));
+    assert_eq!(rig.sender.scope_counts(), (0, 1));
     // by its first answer behind the quiet it is as cold as it was
     call(&mut rig, 200, 3);
     let before = rig.sends.len();
--- a/crates/policy/tests/evidence.rs
+++ b/crates/policy/tests/evidence.rs
@@ -1,26 +1,26 @@
 //! The sequential test by itself, and refusals that follow the load or do not.
 
-use milletturn_policy::outage_evidence::Odds;
-use milletturn_policy::rejection_correlation::{Advice, Refusals};
+use milletturn_policy::outage_evidence::OutageEvidence;
+use milletturn_policy::rejection_correlation::{RateAdvice, RejectionCorrelation};
 use milletturn_policy::{MILLISECOND, SECOND};
 
 #[test]
 fn the_run_that_is_needed_follows_from_what_is_usual() {
     for (share, run) in [(0.0, 3), (0.1, 6), (0.3, 11)] {
-        let mut odds = Odds::default();
+        let mut odds = OutageEvidence::default();
         let mut owed = 0.0;
         for _ in 0..2_000 {
             owed += share;
             if owed >= 1.0 {
                 owed -= 1.0;
-                odds.bad(1.0, 0.0);
+                odds.record_failure(1.0, 0.0);
             } else {
-                odds.good(true, 100.0);
+                odds.record_success(true, 100.0);
             }
         }
-        odds.set(0.0);
+        odds.set_evidence(0.0);
         let found = (1..100)
-            .find(|_| odds.bad(1.0, 0.0) >= 13.5)
+            .find(|_| odds.record_failure(1.0, 0.0) >= 13.5)
             .expect("found");
         assert!((run..=run + 2).contains(&found), "{share}: {found}");
     }
@@ -28,19 +28,19 @@
 
 #[test]
 fn what_led_to_an_outage_is_not_usual() {
-    let mut odds = Odds::default();
-    (0..100).for_each(|_| odds.good(true, 100.0));
-    let usual = odds.usual();
-    (0..50).for_each(|_| _ = odds.bad(1.0, 0.0));
-    odds.was_outage();
-    odds.good(true, 20.0);
-    assert!(odds.usual() <= usual);
+    let mut odds = OutageEvidence::default();
+    (0..100).for_each(|_| odds.record_success(true, 100.0));
+    let usual = odds.baseline_rate();
+    (0..50).for_each(|_| _ = odds.record_failure(1.0, 0.0));
+    odds.exclude_outage_from_baseline();
+    odds.record_success(true, 20.0);
+    assert!(odds.baseline_rate() <= usual);
 }
 
 /// Refusals at random with this share, and one of every call above `limit` calls a second, at an offered rate. Gives the
 /// calls a second that went out and the share of them that was refused.
 fn offered(rate: f64, noise: f64, limit: f64, seconds: i64) -> (f64, f64) {
-    let mut refusals = Refusals::default();
+    let mut refusals = RejectionCorrelation::default();
     let (mut pace, mut tokens, mut now, mut state) = (f64::INFINITY, 0.0, 0, 7u64);
     let (mut room, mut all, mut bad, mut served) = (0.0f64, 0.0, 0.0, rate.min(limit));
     let step = 2 * MILLISECOND;
@@ -61,12 +61,12 @@
             room -= f64::from(u8::from(!refused));
             (all, bad) = (all + 1.0, bad + f64::from(u8::from(refused)));
             served += f64::from(u8::from(!refused));
-            match refusals.answer(refused, now - step, now, pace, served) {
-                Advice::Cut => pace = pace.min(rate) * 0.8,
-                Advice::Halve => pace = pace.min(rate) / 2.0,
-                Advice::Restore(before) => pace = before,
-                Advice::Keep if !refused && !refusals.looks() => pace += 0.25,
-                Advice::Keep => {}
+            match refusals.on_response(refused, now - step, now, pace, served) {
+                RateAdvice::Reduce => pace = pace.min(rate) * 0.8,
+                RateAdvice::HalveForProbe => pace = pace.min(rate) / 2.0,
+                RateAdvice::Restore(before) => pace = before,
+                RateAdvice::Keep if !refused && !refusals.is_probing_rate() => pace += 0.25,
+                RateAdvice::Keep => {}
             }
         }
     }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -105,7 +105,7 @@
     // quay-notices, split: 598 of 599 refusals came on new connections, all without the report that other answers have,
     // while six or more senders had one open. Each cut the pace as if the limit were used up, and nobody gave one back.
     let (mut told, entries) = one_of_three_hundred();
-    (told.senders, told.connection_idle) = (60, 3 * SECOND);
+    (told.senders, told.idle_connection_timeout) = (60, 3 * SECOND);
     let mut rig = Rig::new(told, entries);
     let mut answered = 0;
     let mut sent = [0, 0];
@@ -118,7 +118,7 @@
             while let Some(send) = rig.sends.get(answered).copied() {
                 let away = full && answered % 2 == 0;
                 let outcome = if away {
-                    Outcome::Refused { wait: None }
+                    Outcome::Rejected { retry_after: None }
                 } else {
                     Outcome::Success
                 };
@@ -134,18 +134,21 @@
         sent[1] >= 50,
         "{sent:?}: 40 messages in 20 s, and a second call for those turned away"
     );
-    assert!(rig.count(|action| matches!(action, Action::Disconnect(EndpointId(1)))) > 10);
+    assert!(rig.count(|action| matches!(action, Action::CloseIdleConnections(EndpointId(1)))) > 10);
 }
 
 #[test]
 fn a_message_is_handed_back_where_its_turn_comes_beyond_its_aim() {
     let mut told = settings(10);
     told.senders = 100;
-    (told.report_left, told.report_limit) = (Some(0), Some(1));
-    told.classes[KEYED].aim = 4 * SECOND;
+    (told.report_remaining_index, told.report_limit_index) = (Some(0), Some(1));
+    told.classes[KEYED].latency_objective = 4 * SECOND;
     let arrival = |id, time, again| {
         let new = NewMessage::new(MessageId(id), KEYED, 7, time);
-        Event::Accepted(NewMessage { again, ..new })
+        Event::Accepted(NewMessage {
+            resubmitted: again,
+            ..new
+        })
     };
     // a limit of 50 for a hundred senders: a call in two seconds
     let mut rig = Rig::new(told, vec![entry(1, 7)]);
@@ -188,7 +191,7 @@
         let back = T0 + 20 * SECOND + run * 500 * MILLISECOND;
         let mut told = settings(10);
         told.senders = 100;
-        (told.report_left, told.report_limit) = (Some(0), Some(1));
+        (told.report_remaining_index, told.report_limit_index) = (Some(0), Some(1));
         let mut rig = Rig::new(told, vec![entry(1, 7)]);
         let (mut answered, mut first) = (0, Micros::MAX);
         for id in 0..3000 {
@@ -243,11 +246,11 @@
 }
 
 /// One of 300 senders before a limit of 85 calls a second: an even share of one call in 3.5 s.
-fn one_of_three_hundred() -> (Settings, Vec<Entry>) {
+fn one_of_three_hundred() -> (Settings, Vec<EndpointEntry>) {
     let mut told = settings(10);
-    (told.senders, told.max_held) = (300, 16);
-    (told.report_left, told.report_limit) = (Some(0), Some(1));
-    told.classes[KEYED].aim = 4 * SECOND;
+    (told.senders, told.max_pending) = (300, 16);
+    (told.report_remaining_index, told.report_limit_index) = (Some(0), Some(1));
+    told.classes[KEYED].latency_objective = 4 * SECOND;
     (told, among_others())
 }
 
@@ -287,7 +290,10 @@
     let before = rig.sends.len();
     for id in 20..320 {
         let new = NewMessage::new(MessageId(id), KEYED, 7, 30 * SECOND);
-        rig.tell(vec![Event::Accepted(NewMessage { again: true, ..new })]);
+        rig.tell(vec![Event::Accepted(NewMessage {
+            resubmitted: true,
+            ..new
+        })]);
         rig.run(rig.now + 100 * MILLISECOND);
         answer(&mut rig, &mut answered, 0.95);
     }
@@ -307,8 +313,8 @@
     for seed in 0..300 {
         let mut rig = Rig::new(told.clone(), vec![]);
         rig.sender = Sender::new(told.clone(), seed).expect("settings make sense");
-        rig.tell(vec![Event::Listed {
-            listing: Listing::Full,
+        rig.tell(vec![Event::EndpointList {
+            kind: EndpointListKind::Full,
             entries: entries.clone(),
         }]);
         let resumed = |id| NewMessage::new(MessageId(id), KEYED, 7, 15 * SECOND);
--- a/crates/policy/tests/guards.rs
+++ b/crates/policy/tests/guards.rs
@@ -9,7 +9,7 @@
 use common::*;
 use milletturn_policy::*;
 
-fn two_destinations() -> Vec<Entry> {
+fn two_destinations() -> Vec<EndpointEntry> {
     vec![entry(1, 7), entry(2, 8)]
 }
 
@@ -128,7 +128,7 @@
     }
     rig.run(rig.now + 5 * SECOND); // a pause: nothing was served lately
     rig.tell(vec![message(1, FREE, 7)]);
-    rig.end(1, Outcome::Refused { wait: None }, MILLISECOND);
+    rig.end(1, Outcome::Rejected { retry_after: None }, MILLISECOND);
     let start = rig.now;
     rig.tell((100..140).map(|id| message(id, FREE, 7)).collect());
     while rig.now < start + 3 * SECOND {
@@ -157,7 +157,7 @@
     // Round 7 (i0671ac): one sender had most of the traffic and kept to its even share.
     let mut told = settings(40);
     told.senders = 8;
-    told.report_limit = Some(0);
+    told.report_limit_index = Some(0);
     let mut rig = Rig::new(told, two_destinations());
     rig.tell((0..400).map(|id| message(id, FREE, 7)).collect());
     let mut counts = [0usize; 2];
@@ -233,7 +233,7 @@
 #[test]
 fn messages_of_a_sick_destination_are_refused_when_too_many_are_held() {
     let mut small = settings(8);
-    small.max_held = 20;
+    small.max_pending = 20;
     let mut rig = Rig::new(small, two_destinations());
     rig.tell((0..8).map(|id| message(id, FREE, 7)).collect());
     rig.run(T0 + 6 * SECOND);
@@ -247,7 +247,7 @@
 fn bundles_fill_one_call() {
     let mut rig = Rig::new(
         settings(4),
-        vec![Entry {
+        vec![EndpointEntry {
             kind: 2,
             ..entry(1, 7)
         }],
@@ -279,7 +279,7 @@
             .collect();
         rig.now += 20 * MILLISECOND;
         let result = if rig.now < open {
-            Outcome::Refused { wait: None }
+            Outcome::Rejected { retry_after: None }
         } else {
             Outcome::Success
         };
@@ -308,7 +308,7 @@
 fn a_bundle_is_filled_before_another_endpoint_gets_a_call() {
     // Round 9 (i8e33e4): with two endpoints the second message opened a call of its own.
     let entries = (1..=3)
-        .map(|n| Entry {
+        .map(|n| EndpointEntry {
             kind: 2,
             ..entry(n, 7)
         })
@@ -374,7 +374,7 @@
             Outcome::Success
         };
         rig.end(id, outcome, 100 * MILLISECOND);
-        rig.tell(vec![Event::Dropped(MessageId(id))]); // no retry
+        rig.tell(vec![Event::Cancelled(MessageId(id))]); // no retry
     }
     assert_eq!(
         rig.count(|action| matches!(action, Action::Log(line) if line.contains("sick"))),
@@ -387,7 +387,7 @@
         if !rig.sends_of(id).is_empty() {
             rig.end(id, Outcome::Reset, 100 * MILLISECOND);
         }
-        rig.tell(vec![Event::Dropped(MessageId(id))]);
+        rig.tell(vec![Event::Cancelled(MessageId(id))]);
     }
     assert_eq!(
         rig.count(|action| matches!(action, Action::Log(line) if line.contains("sick"))),
@@ -413,11 +413,11 @@
         open = waiting;
         for id in sent {
             rig.end(id, Outcome::Error, 100 * MILLISECOND);
-            rig.tell(vec![Event::Dropped(MessageId(id))]);
+            rig.tell(vec![Event::Cancelled(MessageId(id))]);
         }
     }
     open.into_iter()
-        .for_each(|id| _ = rig.tell(vec![Event::Dropped(MessageId(id))]));
+        .for_each(|id| _ = rig.tell(vec![Event::Cancelled(MessageId(id))]));
     assert!(rig.count(|action| matches!(action, Action::Log(text) if text.contains("sick"))) > 0);
     rig.tell(vec![message(10, FREE, 7)]);
     rig.run(rig.now + 5 * SECOND);
--- a/crates/policy/tests/noise.rs
+++ b/crates/policy/tests/noise.rs
@@ -10,7 +10,7 @@
 
 use common::traffic::{Traffic, noisy, play};
 use common::*;
-use milletturn_policy::outage_evidence::{Odds, SICK};
+use milletturn_policy::outage_evidence::{EJECTION_THRESHOLD, OutageEvidence};
 use milletturn_policy::*;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -19,7 +19,7 @@
 fn a_steady_share_of_failures_costs_no_message() {
     for outcome in [
         Outcome::Error,
-        Outcome::Refused { wait: None },
+        Outcome::Rejected { retry_after: None },
         Outcome::Reset,
     ] {
         for (share, least) in [(0.02, 0.99), (0.1, 0.99), (0.3, 0.95)] {
@@ -52,13 +52,13 @@
 #[test]
 fn a_tenth_of_failures_is_no_outage_in_a_million_calls() {
     let mut random = Pcg32::seed_from_u64(9);
-    let (mut odds, mut alarms, mut was) = (Odds::default(), 0, false);
+    let (mut odds, mut alarms, mut was) = (OutageEvidence::default(), 0, false);
     for call in 0..1_000_000 {
         match f64::from(random.next_u32()) / f64::from(u32::MAX) < 0.1 {
-            true => _ = odds.bad(1.0, 0.0),
-            false => odds.good(true, 2.0 * SICK),
+            true => _ = odds.record_failure(1.0, 0.0),
+            false => odds.record_success(true, 2.0 * EJECTION_THRESHOLD),
         }
-        let is = odds.evidence() >= SICK;
+        let is = odds.evidence() >= EJECTION_THRESHOLD;
         // what is usual must be known first
         alarms += usize::from(is && !was && call > 200);
         was = is;
@@ -108,7 +108,7 @@
         let away = (10 * SECOND..10 * SECOND + 300 * MILLISECOND).contains(&at);
         Some((
             if away {
-                Outcome::Refused { wait: None }
+                Outcome::Rejected { retry_after: None }
             } else {
                 Outcome::Success
             },
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -37,9 +37,9 @@
     u64::from(endpoint / 3)
 }
 
-fn listed(endpoint: u32) -> Entry {
+fn listed(endpoint: u32) -> EndpointEntry {
     let kind = (endpoint / 3 % 3) as usize;
-    Entry {
+    EndpointEntry {
         zone: (endpoint % 2) as u16,
         kind,
         ..entry(endpoint, destination(endpoint))
@@ -57,24 +57,25 @@
     let mut settings = settings([10, 3, 2][seed as usize % 3]);
     settings.max_attempts = 5;
     settings.senders = [1, 3, 300][seed as usize % 3];
-    (settings.may_note, settings.list_on_request) = (true, seed.is_multiple_of(2));
-    (settings.report_left, settings.report_limit) = (Some(0), Some(1));
+    (settings.gossip_enabled, settings.list_requires_subscription) = (true, seed.is_multiple_of(2));
+    (settings.report_remaining_index, settings.report_limit_index) = (Some(0), Some(1));
     settings.tenants = vec![Tenant {
         name: "first".into(),
         allowance: 5.0,
     }];
-    settings.connection_idle = 5 * SECOND;
-    settings.over_share_worth = 0.5;
+    settings.idle_connection_timeout = 5 * SECOND;
+    settings.over_share_weight = 0.5;
     if seed % 4 > 1 {
         // room runs out, and worth falls to a floor that many reach
-        (settings.max_held, settings.fade) = (40, Fade::Halving);
+        (settings.max_pending, settings.value_decay) = (40, ValueDecay::Halving);
         for class in &mut settings.classes {
-            (class.aim, class.late_share) = (SECOND, [0.3, 1.0, 0.0, 0.6][seed as usize / 4 % 4]);
+            (class.latency_objective, class.late_value_share) =
+                (SECOND, [0.3, 1.0, 0.0, 0.6][seed as usize / 4 % 4]);
         }
     }
     let mut sender = Sender::new(settings.clone(), seed).expect("settings");
     if !shortcuts {
-        sender = sender.without_shortcuts();
+        sender = sender.without_incremental_scheduling();
     }
     let (mut now, mut next) = (T0, 0u64);
     let mut books: BTreeMap<u64, Book> = BTreeMap::new();
@@ -85,8 +86,8 @@
     let mut rests: BTreeMap<u64, Micros> = BTreeMap::new();
     let mut all = Vec::new();
     let mut alarms: BTreeSet<Micros> = BTreeSet::new();
-    let mut events = vec![Event::Listed {
-        listing: Listing::Old,
+    let mut events = vec![Event::EndpointList {
+        kind: EndpointListKind::Cached,
         entries: (0..12).map(listed).collect(),
     }];
     let mut sends = 0;
@@ -124,14 +125,14 @@
             let mut changed = listed(endpoint);
             if stopped.remove(&endpoint).is_none() {
                 changed.status = if below(2) == 0 {
-                    Status::Draining
+                    EndpointStatus::Draining
                 } else {
-                    Status::Gone
+                    EndpointStatus::Removed
                 };
                 stopped.insert(endpoint, now);
             }
-            events.push(Event::Listed {
-                listing: Listing::Changes,
+            events.push(Event::EndpointList {
+                kind: EndpointListKind::Changes,
                 entries: vec![changed],
             });
         }
@@ -149,8 +150,8 @@
                 _ if over => Outcome::TimedOut,
                 _ if bad && below(4) != 0 => Outcome::Error,
                 0 => Outcome::Error,
-                1 => Outcome::Refused {
-                    wait: (below(2) == 0).then(|| Micros::from(below(3_000_000))),
+                1 => Outcome::Rejected {
+                    retry_after: (below(2) == 0).then(|| Micros::from(below(3_000_000))),
                 },
                 2 if below(3) == 0 => Outcome::NoConnection,
                 3 if below(3) == 0 => Outcome::Reset,
@@ -164,9 +165,12 @@
             if let (Some(key), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) =
                 (book.key, outcome)
             {
-                rests.insert(key, now + settings.safety.key_rest);
+                rests.insert(key, now + settings.safety.ordered_key_backoff);
             }
-            if let Outcome::Refused { wait: Some(wait) } = outcome {
+            if let Outcome::Rejected {
+                retry_after: Some(wait),
+            } = outcome
+            {
                 let until = waits.entry(wait_key(call.endpoint)).or_default();
                 *until = (*until).max(now + wait);
             }
@@ -179,8 +183,8 @@
                 outcome,
                 now - call.sent,
             );
-            if let Event::Ended {
-                closed: flag,
+            if let Event::AttemptEnded {
+                message_closed: flag,
                 report,
                 ..
             } = &mut event
@@ -189,7 +193,7 @@
                 *report = vec![f64::from(below(11)) / 10.0, f64::from(below(30))];
             }
             if below(10) == 0 {
-                events.push(Event::Noted {
+                events.push(Event::GossipReceived {
                     from: below(5),
                     bytes: vec![7; below(300) as usize],
                 });
@@ -208,7 +212,7 @@
                 Action::Send {
                     message,
                     endpoint,
-                    expires,
+                    expires_at: expires,
                 } => {
                     sends += 1;
                     let (id, endpoint) = (message.0, endpoint.0);
@@ -256,10 +260,10 @@
                         expires: *expires,
                     });
                 }
-                Action::Refuse { message, .. } => {
+                Action::Reject { message, .. } => {
                     let book = books.get_mut(&message.0).expect("known");
                     assert!(
-                        !book.ended && now <= book.deadline + settings.safety.answer_grace,
+                        !book.ended && now <= book.deadline + settings.safety.response_grace,
                         "ended twice or late"
                     );
                     let free = settings.classes[book.class].effect == Effect::Repeatable;
@@ -272,7 +276,7 @@
                 Action::Fail(message) => {
                     let book = books.get_mut(&message.0).expect("known");
                     assert!(
-                        !book.ended && now <= book.deadline + settings.safety.answer_grace,
+                        !book.ended && now <= book.deadline + settings.safety.response_grace,
                         "ended twice or late"
                     );
                     book.ended = true;
--- a/crates/policy/tests/resumed.rs
+++ b/crates/policy/tests/resumed.rs
@@ -10,11 +10,11 @@
 use milletturn_policy::*;
 
 /// A module of a new process that has just heard of these endpoints.
-fn restarted(told: &Settings, seed: u64, entries: Vec<Entry>) -> Rig {
+fn restarted(told: &Settings, seed: u64, entries: Vec<EndpointEntry>) -> Rig {
     let mut rig = Rig::new(told.clone(), vec![]);
     rig.sender = Sender::new(told.clone(), seed).expect("settings make sense");
-    rig.tell(vec![Event::Listed {
-        listing: Listing::Full,
+    rig.tell(vec![Event::EndpointList {
+        kind: EndpointListKind::Full,
         entries,
     }]);
     rig
@@ -64,10 +64,10 @@
     // three quarters of the aim are 1.5 s, and this one has 0.4 s left
     let mut told = settings(4);
     (
-        told.report_left,
-        told.report_limit,
+        told.report_remaining_index,
+        told.report_limit_index,
         told.senders,
-        told.max_held,
+        told.max_pending,
     ) = (Some(0), Some(1), 300, 4);
     for seed in 0..100 {
         let mut rig = restarted(&told, seed, vec![entry(1, 7)]);
@@ -83,7 +83,7 @@
     // first: what is too much is shed there
     for seed in 0..20 {
         let mut told = settings(4);
-        told.max_held = 5;
+        told.max_pending = 5;
         let mut rig = restarted(&told, seed, vec![entry(1, 7), entry(2, 7)]);
         rig.tell((0..12).map(|id| resumed(id, 9 * SECOND)).collect());
         let mut ended = 0;
@@ -120,10 +120,10 @@
     // the first of the destination has all its time, the next one 0.4 s
     let mut told = settings(4);
     (
-        told.report_left,
-        told.report_limit,
+        told.report_remaining_index,
+        told.report_limit_index,
         told.senders,
-        told.max_held,
+        told.max_pending,
     ) = (Some(0), Some(1), 300, 4);
     for seed in 0..100 {
         let mut rig = restarted(&told, seed, vec![entry(1, 7)]);
@@ -138,10 +138,10 @@
     // guards against 300 senders that all begin at once since the first of their messages was over
     let mut told = settings(4);
     (
-        told.report_left,
-        told.report_limit,
+        told.report_remaining_index,
+        told.report_limit_index,
         told.senders,
-        told.max_held,
+        told.max_pending,
     ) = (Some(0), Some(1), 300, 4);
     let mut at_once = 0;
     for seed in 0..100 {
@@ -182,7 +182,7 @@
         for outcome in [
             None,
             Some(Outcome::Reset),
-            Some(Outcome::Refused { wait: None }),
+            Some(Outcome::Rejected { retry_after: None }),
             Some(Outcome::TimedOut),
         ] {
             let mut rig = Rig::new(a_second_for_repeats(), vec![entry(1, 7), entry(2, 7)]);
@@ -193,7 +193,7 @@
                 // each call that is out ends like this, the next is written only while that is legal
                 while let Some(send) = rig.sends.get(answered).copied() {
                     answered += 1;
-                    let until = rig.sender.may_begin(send.0, MessageId(1), send.3 + 1);
+                    let until = rig.sender.write_deadline(send.0, MessageId(1), send.3 + 1);
                     assert!(
                         until.is_none_or(|until| until < T0 - age + SECOND),
                         "{age} {outcome:?}"
@@ -227,10 +227,10 @@
     // an aim of 2 s lets the first call rest 1.5 s, and the window has 0.7 s left
     let mut told = a_second_for_repeats();
     (
-        told.report_left,
-        told.report_limit,
+        told.report_remaining_index,
+        told.report_limit_index,
         told.senders,
-        told.max_held,
+        told.max_pending,
     ) = (Some(0), Some(1), 300, 4);
     for seed in 0..100 {
         let mut rig = restarted(&told, seed, vec![entry(1, 7)]);
--- a/crates/policy/tests/retune.rs
+++ b/crates/policy/tests/retune.rs
@@ -20,7 +20,7 @@
             max_attempts: now,
             ..settings.clone()
         };
-        rig.sender.retune(new, &[]).expect("makes sense");
+        rig.sender.reconfigure(new, &[]).expect("makes sense");
         rig.tell(vec![message(2, FREE, 7)]);
         for id in [1, 2] {
             while rig.sends_of(id).len() < 20 && !rig.refused(id) && !rig.failed(id) {
@@ -43,7 +43,7 @@
         max_attempts: 0,
         ..settings(8)
     };
-    assert!(rig.sender.retune(bad, &[]).is_err());
+    assert!(rig.sender.reconfigure(bad, &[]).is_err());
     rig.tell(vec![message(1, FREE, 7)]);
     assert_eq!(rig.sends_of(1).len(), 1);
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -9,7 +9,7 @@
 use common::*;
 use milletturn_policy::*;
 
-fn pool(count: u32) -> Vec<Entry> {
+fn pool(count: u32) -> Vec<EndpointEntry> {
     (1..=count).map(|endpoint| entry(endpoint, 7)).collect()
 }
 
@@ -67,7 +67,7 @@
     assert_eq!(rig.sends_of(1).len(), 2);
 
     let mut none = settings(40);
-    none.second_copies = false;
+    none.hedging_enabled = false;
     let mut rig = Rig::new(none, pool(4));
     rig.tell(vec![message(1, FREE, 7)]);
     rig.run(T0 + 3 * SECOND);
@@ -75,7 +75,7 @@
 
     let mut rig = Rig::new(settings(40), pool(4));
     let mut late = NewMessage::new(MessageId(1), FREE, 7, SECOND);
-    late.again = true;
+    late.resubmitted = true;
     rig.tell(vec![Event::Accepted(late)]);
     rig.run(T0 + 3 * SECOND);
     assert_eq!(rig.sends_of(1).len(), 1, "no time was left for a copy");
@@ -143,7 +143,7 @@
 #[test]
 fn an_unsafe_message_goes_again_when_it_never_ran() {
     for outcome in [
-        Outcome::Refused { wait: None },
+        Outcome::Rejected { retry_after: None },
         Outcome::NoConnection,
         Outcome::Unsent { no_slot: true },
     ] {
@@ -161,7 +161,7 @@
     rig.tell(vec![message(1, UNSAFE, 7), message(2, KEYED, 7)]);
     for id in [1, 2] {
         let (endpoint, attempt) = rig.last_send(id);
-        let refused = Outcome::Refused { wait: None };
+        let refused = Outcome::Rejected { retry_after: None };
         rig.tell(vec![ambiguous(ended(
             id,
             attempt,
@@ -236,15 +236,15 @@
     let (used, _) = rig.last_send(1);
     let other = 3 - used;
     let mut drains = entry(other, 7);
-    drains.status = Status::Draining;
-    rig.tell(vec![Event::Listed {
-        listing: Listing::Changes,
+    drains.status = EndpointStatus::Draining;
+    rig.tell(vec![Event::EndpointList {
+        kind: EndpointListKind::Changes,
         entries: vec![drains],
     }]);
     rig.run(T0 + 3 * SECOND);
     assert_eq!(rig.sends_of(1).len(), 1, "no copy to the draining endpoint");
-    rig.tell(vec![Event::Listed {
-        listing: Listing::Full,
+    rig.tell(vec![Event::EndpointList {
+        kind: EndpointListKind::Full,
         entries: Vec::new(),
     }]);
     rig.end(1, Outcome::Error, SECOND);
@@ -254,8 +254,8 @@
     assert!(rig.refused(1) && rig.refused(2));
     let known = rig.sends.len();
     rig.tell(vec![
-        Event::Listed {
-            listing: Listing::Full,
+        Event::EndpointList {
+            kind: EndpointListKind::Full,
             entries: pool(2),
         },
         message(3, FREE, 7),
@@ -269,15 +269,15 @@
 
 #[test]
 fn a_told_wait_binds_the_destination_or_the_one_route() {
-    let wait = Outcome::Refused {
-        wait: Some(2 * SECOND),
+    let wait = Outcome::Rejected {
+        retry_after: Some(2 * SECOND),
     };
     let mut rig = Rig::new(settings(40), pool(3));
     rig.tell(vec![message(1, FREE, 7), message(2, UNSAFE, 7)]);
     rig.now += 10 * MILLISECOND;
     let told = rig.now;
     rig.end(1, wait, 10 * MILLISECOND);
-    rig.end(2, Outcome::Refused { wait: None }, 10 * MILLISECOND);
+    rig.end(2, Outcome::Rejected { retry_after: None }, 10 * MILLISECOND);
     rig.tell(vec![message(3, FREE, 7)]);
     rig.run(told + 10 * SECOND);
     let early: Vec<_> = rig.sends[2..]
@@ -288,7 +288,7 @@
     assert!(rig.sends.len() > 2, "they go when the wait is over");
 
     let routes = (1..=2)
-        .map(|n| Entry {
+        .map(|n| EndpointEntry {
             kind: 1,
             ..entry(n, 7)
         })
@@ -328,7 +328,7 @@
     );
     rig.tell(vec![with_key(4, 5)]);
     rig.now += 50 * MILLISECOND;
-    rig.tell(vec![Event::Dropped(MessageId(2))]);
+    rig.tell(vec![Event::Cancelled(MessageId(2))]);
     assert_eq!(
         rig.sends_of(4).len(),
         0,
@@ -354,7 +354,7 @@
             .log
             .iter()
             .filter(|(_, action)| match action {
-                Action::Fail(m) | Action::Refuse { message: m, .. } => m.0 == id,
+                Action::Fail(m) | Action::Reject { message: m, .. } => m.0 == id,
                 _ => false,
             })
             .map(|(at, _)| *at)
@@ -381,9 +381,9 @@
         ended(1, 1, endpoint, Outcome::Success, SECOND), // a called-off copy that succeeds all the same
         ended(1, 1, endpoint, Outcome::TimedOut, SECOND),
         ended(77, 0, 99, Outcome::Success, SECOND),
-        Event::Dropped(MessageId(1)),
-        Event::Dropped(MessageId(78)),
-        Event::Started {
+        Event::Cancelled(MessageId(1)),
+        Event::Cancelled(MessageId(78)),
+        Event::ResponseStarted {
             message: MessageId(79),
             attempt: 4,
         },
@@ -392,13 +392,13 @@
             outcome: Outcome::TimedOut,
             report: vec![],
         },
-        Event::Noted {
+        Event::GossipReceived {
             from: 3,
             bytes: vec![1, 2, 3],
         },
-        Event::ListFailed,
-        Event::Listed {
-            listing: Listing::Changes,
+        Event::EndpointListFailed,
+        Event::EndpointList {
+            kind: EndpointListKind::Changes,
             entries: Vec::new(),
         },
         Event::Alarm,
@@ -423,7 +423,7 @@
 #[test]
 fn discovery_is_asked_for_at_once_and_again_with_growing_rests() {
     let mut asks = settings(8);
-    asks.list_on_request = true;
+    asks.list_requires_subscription = true;
     let mut rig = Rig::new(asks, pool(1));
     let subscribed = |rig: &Rig| -> Vec<Micros> {
         rig.log
@@ -434,7 +434,7 @@
     };
     assert_eq!(subscribed(&rig), [0]);
     for _ in 0..4 {
-        rig.tell(vec![Event::ListFailed]);
+        rig.tell(vec![Event::EndpointListFailed]);
         rig.run(rig.now + 8 * SECOND);
     }
     let times = subscribed(&rig);
@@ -495,7 +495,7 @@
 #[test]
 fn a_call_that_has_not_begun_is_kept_back_by_what_came_meanwhile() {
     // seen on the split day: connections that came up after a second carried calls into waits told in between
-    let begun = |rig: &Rig, id| rig.sender.may_begin(rig.now, MessageId(id), 0);
+    let begun = |rig: &Rig, id| rig.sender.write_deadline(rig.now, MessageId(id), 0);
     let fresh = || {
         let mut rig = Rig::new(settings(40), pool(1));
         rig.tell(vec![message(1, FREE, 7)]);
@@ -508,31 +508,31 @@
         "up to its time"
     );
     assert_eq!(
-        rig.sender.may_begin(rig.now, MessageId(1), 1),
+        rig.sender.write_deadline(rig.now, MessageId(1), 1),
         None,
         "there is no such attempt"
     );
-    rig.tell(vec![Event::ToldWait {
+    rig.tell(vec![Event::RetryAfter {
         endpoint: EndpointId(1),
-        wait: SECOND,
+        retry_after: SECOND,
     }]);
     assert_eq!(begun(&rig, 1), None, "a wait was told");
     rig.now += 1_100 * MILLISECOND;
     assert!(begun(&rig, 1).is_some(), "the wait is over");
 
     let mut rig = fresh();
-    let draining = Entry {
-        status: Status::Draining,
+    let draining = EndpointEntry {
+        status: EndpointStatus::Draining,
         ..entry(1, 7)
     };
-    rig.tell(vec![Event::Listed {
-        listing: Listing::Changes,
+    rig.tell(vec![Event::EndpointList {
+        kind: EndpointListKind::Changes,
         entries: vec![draining],
     }]);
     assert_eq!(begun(&rig, 1), None, "the endpoint drains");
 
     let mut rig = fresh();
-    rig.tell(vec![Event::Dropped(MessageId(1))]);
+    rig.tell(vec![Event::Cancelled(MessageId(1))]);
     assert_eq!(begun(&rig, 1), None, "the message is over");
 }
 
@@ -545,7 +545,7 @@
     rig.end(1, Outcome::Reset, SECOND);
     rig.run(T0 + 5_900 * MILLISECOND);
     assert_eq!(rig.sends_of(1).len(), 2, "inside the window of 6 s");
-    let begun = |now| rig.sender.may_begin(now, MessageId(1), 1);
+    let begun = |now| rig.sender.write_deadline(now, MessageId(1), 1);
     let by = begun(rig.now).expect("still inside");
     assert!(
         by <= T0 + 6 * SECOND && by > T0 + 5_900 * MILLISECOND,
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -44,12 +44,12 @@
             attempts: Default::default(),
             sends: Vec::new(),
         };
-        let entries: Vec<Entry> = (1..=2).map(|n| entry(n, 7)).collect();
+        let entries: Vec<EndpointEntry> = (1..=2).map(|n| entry(n, 7)).collect();
         for index in 0..count {
             fleet.tell(
                 index,
-                vec![Event::Listed {
-                    listing: Listing::Full,
+                vec![Event::EndpointList {
+                    kind: EndpointListKind::Full,
                     entries: entries.clone(),
                 }],
             );
@@ -125,7 +125,9 @@
     for count in SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.hand_in();
-        fleet.play(T0 + 12 * SECOND, |_| Outcome::Refused { wait: None });
+        fleet.play(T0 + 12 * SECOND, |_| Outcome::Rejected {
+            retry_after: None,
+        });
         let late = fleet.sent_within(4 * SECOND, 12 * SECOND);
         assert!(late <= 80, "{count} senders: {late} tries in 8 s");
         assert!(
@@ -141,9 +143,13 @@
     for count in SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.hand_in();
-        fleet.play(T0 + 60 * MILLISECOND, |_| Outcome::Refused { wait: None });
+        fleet.play(T0 + 60 * MILLISECOND, |_| Outcome::Rejected {
+            retry_after: None,
+        });
         let start = fleet.now - T0;
-        fleet.play(T0 + 400 * MILLISECOND, |_| Outcome::Refused { wait: None });
+        fleet.play(T0 + 400 * MILLISECOND, |_| Outcome::Rejected {
+            retry_after: None,
+        });
         let again = fleet.sent_within(start, 400 * MILLISECOND);
         assert!(
             again <= 20,
@@ -159,8 +165,8 @@
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.hand_in();
         let opens = T0 + 6 * SECOND;
-        let told = |now: Micros| Outcome::Refused {
-            wait: Some((opens - now).max(MILLISECOND)),
+        let told = |now: Micros| Outcome::Rejected {
+            retry_after: Some((opens - now).max(MILLISECOND)),
         };
         fleet.play(opens, told);
         assert_eq!(
@@ -230,12 +236,14 @@
         (150 * MILLISECOND..=SECOND).contains(&failed),
         "after one failure: {failed}"
     );
-    let refused = again(Outcome::Refused { wait: None });
+    let refused = again(Outcome::Rejected { retry_after: None });
     assert!(
         (100 * MILLISECOND..=5 * SECOND).contains(&refused),
         "after one refusal: {refused}"
     );
-    let told = again(Outcome::Refused { wait: Some(SECOND) });
+    let told = again(Outcome::Rejected {
+        retry_after: Some(SECOND),
+    });
     assert!(
         (1_051 * MILLISECOND..=6 * SECOND).contains(&told),
         "after a told wait: {told}"
@@ -256,8 +264,8 @@
 fn connections_are_given_back_where_they_are_scarce_and_kept_elsewhere() {
     // Rounds 16 and 21: idle connections of hundreds of senders filled endpoints that take few.
     let mut rich = settings(8);
-    rich.connection_idle = 5 * SECOND;
-    let closes = |rig: &Rig| rig.count(|a| *a == Action::Disconnect(EndpointId(1)));
+    rich.idle_connection_timeout = 5 * SECOND;
+    let closes = |rig: &Rig| rig.count(|a| *a == Action::CloseIdleConnections(EndpointId(1)));
     let mut rig = Rig::new(rich, vec![entry(1, 7), entry(2, 8)]);
     rig.tell(vec![message(1, FREE, 7)]);
     rig.now += 100 * MILLISECOND;
@@ -286,7 +294,7 @@
     let count = |left: f64| {
         let mut told = settings(3);
         told.senders = 50;
-        (told.report_left, told.report_limit) = (Some(0), Some(1));
+        (told.report_remaining_index, told.report_limit_index) = (Some(0), Some(1));
         let mut rig = Rig::new(told, vec![entry(1, 7)]);
         rig.tell((0..40).map(|id| message(id, FREE, 7)).collect());
         let mut answered = 0;
@@ -318,14 +326,14 @@
 #[test]
 fn replaced_fleets_quiet_destinations_and_old_keys_take_no_memory() {
     let mut small = settings(8);
-    small.max_held = 10;
+    small.max_pending = 10;
     let mut rig = Rig::new(small, vec![entry(1, 7)]);
     let mut early = 0;
     for round in 0..400u32 {
         let (id, number) = (u64::from(round), round + 1);
         let entries = vec![entry(number, u64::from(number) + 100)];
-        rig.tell(vec![Event::Listed {
-            listing: Listing::Full,
+        rig.tell(vec![Event::EndpointList {
+            kind: EndpointListKind::Full,
             entries,
         }]);
         let mut new = NewMessage::new(MessageId(id), ORDERED, u64::from(number) + 100, 30 * SECOND);
@@ -349,9 +357,9 @@
 fn an_id_that_returns_elsewhere_is_new() {
     let mut rig = Rig::new(settings(8), vec![entry(1, 7)]);
     rig.tell(vec![message(1, FREE, 7)]);
-    rig.tell(vec![Event::Listed {
-        listing: Listing::Full,
-        entries: vec![Entry {
+    rig.tell(vec![Event::EndpointList {
+        kind: EndpointListKind::Full,
+        entries: vec![EndpointEntry {
             kind: 1,
             zone: 1,
             ..entry(1, 8)
@@ -368,12 +376,12 @@
 #[test]
 fn odd_reports_weights_notes_and_alarms_neither_panic_nor_stop_the_traffic() {
     let mut told = settings(2);
-    (told.senders, told.weight_trust, told.may_note) = (300, 0.5, true);
-    (told.report_left, told.report_limit) = (Some(0), Some(1));
+    (told.senders, told.weight_trust, told.gossip_enabled) = (300, 0.5, true);
+    (told.report_remaining_index, told.report_limit_index) = (Some(0), Some(1));
     for odd in [0.0, -3.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
         let mut rig = Rig::new(
             told.clone(),
-            vec![Entry {
+            vec![EndpointEntry {
                 weight: odd,
                 ..entry(1, 7)
             }],
@@ -381,7 +389,7 @@
         for id in 0..5 {
             rig.tell(vec![
                 message(id, FREE, 7),
-                Event::Noted {
+                Event::GossipReceived {
                     from: 999,
                     bytes: vec![0; 300],
                 },
@@ -395,7 +403,7 @@
             rig.tell(vec![
                 end.clone(),
                 end,
-                Event::Noted {
+                Event::GossipReceived {
                     from: 0,
                     bytes: vec![],
                 },
@@ -422,7 +430,7 @@
 /// destinations.
 fn steps(held: u64, destinations: u32) -> u64 {
     let mut settings = settings(200);
-    settings.max_held = 20_000;
+    settings.max_pending = 20_000;
     let gone = 10;
     let mut rig = Rig::new(
         settings,
@@ -450,9 +458,9 @@
                 gone + round % (u64::from(destinations) - gone),
             )]);
             rig.now += MILLISECOND;
-            let before = rig.sender.steps();
+            let before = rig.sender.work_steps();
             rig.end(id, Outcome::Success, MILLISECOND);
-            rig.sender.steps() - before
+            rig.sender.work_steps() - before
         })
         .collect();
     turns.sort_unstable();
--- a/crates/scale/src/fleet/hollow.rs
+++ b/crates/scale/src/fleet/hollow.rs
@@ -321,7 +321,7 @@
         let seed = common.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let asking = Asking::new(
             config.settings.senders,
-            !config.settings.list_on_request,
+            !config.settings.list_requires_subscription,
             seed,
         );
         tasks.push(spawn_local(agent::watch(Tcp, agents, 0, asking, inputs)).abort_handle());
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -12,7 +12,7 @@
 };
 use milletturn_platform::Budget;
 use milletturn_platform::calls::Calls;
-use milletturn_policy::{Class, Effect, Kind, SECOND, Settings, Status};
+use milletturn_policy::{Class, DestinationKind, Effect, EndpointStatus, SECOND, Settings};
 use milletturn_test_support::{Agent, MemoryJournal};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -40,7 +40,7 @@
         zone: "a".into(),
         kind: "one".into(),
         destination: number,
-        status: Status::Serving,
+        status: EndpointStatus::Serving,
         weight,
     }
 }
@@ -66,10 +66,10 @@
     settings
         .classes
         .push(Class::new("notice", keyed, 4 * SECOND, 7 * 86_400 * SECOND));
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max: 1,
+        max_batch_size: 1,
     });
     let (inputs, received) = mpsc::unbounded_channel();
     let budget = Budget::new(SOCKETS, 128_000_000, SLOTS);
--- a/crates/scale/src/roles/turn.rs
+++ b/crates/scale/src/roles/turn.rs
@@ -7,8 +7,8 @@
 use milletturn_engine::observer::NoopObserver;
 use milletturn_engine::{EngineEvent, EngineStatus, Observer};
 use milletturn_policy::{
-    Action, Class, Effect, EndpointId, Entry, Event, Kind, Listing, MILLISECOND, MessageId, Micros,
-    NewMessage, Outcome, SECOND, Sender, Settings,
+    Action, Class, DestinationKind, Effect, EndpointEntry, EndpointId, EndpointListKind, Event,
+    MILLISECOND, MessageId, Micros, NewMessage, Outcome, SECOND, Sender, Settings,
 };
 use std::rc::Rc;
 
@@ -33,10 +33,10 @@
             4 * SECOND,
             3_600 * SECOND,
         ));
-        settings.kinds.push(Kind {
+        settings.kinds.push(DestinationKind {
             name: "one".into(),
             separate_routes: false,
-            bundle_max: 1,
+            max_batch_size: 1,
         });
         let sender = Sender::new(settings, 3).map_err(|error| Error::Wrong(error.to_string()))?;
         let mut host = Host {
@@ -45,10 +45,10 @@
             actions: Vec::new(),
         };
         let entries = (0..destinations)
-            .map(|n| Entry::new(EndpointId(n as u32), n))
+            .map(|n| EndpointEntry::new(EndpointId(n as u32), n))
             .collect();
-        host.tell(&[Event::Listed {
-            listing: Listing::Full,
+        host.tell(&[Event::EndpointList {
+            kind: EndpointListKind::Full,
             entries,
         }]);
         Ok(host)
@@ -78,13 +78,13 @@
 
     /// The ends of all calls of the last turn.
     fn ends(&self, outcome: Outcome) -> Vec<Event> {
-        let ended = |(message, endpoint)| Event::Ended {
+        let ended = |(message, endpoint)| Event::AttemptEnded {
             message,
             attempt: 0,
             endpoint,
             outcome,
             latency: MILLISECOND,
-            closed: false,
+            message_closed: false,
             report: Vec::new(),
             ambiguous: false,
         };
--- a/crates/scale/tests/counts.rs
+++ b/crates/scale/tests/counts.rs
@@ -2,7 +2,7 @@
 //! order is found; a line through points is the line that they lie on.
 
 use milletturn_engine::{EndpointListUpdate, ListedEndpoint};
-use milletturn_policy::Status;
+use milletturn_policy::EndpointStatus;
 use milletturn_scale::fit::{Form, best, fit};
 use milletturn_scale::fleet::tally::{Mark, Report, Tally, sum_of};
 use milletturn_scale::fleet::times::Spread;
@@ -20,7 +20,7 @@
         zone: String::new(),
         kind: "one".into(),
         destination,
-        status: Status::Serving,
+        status: EndpointStatus::Serving,
         weight: 1.0,
     };
     EndpointListUpdate {
--- a/crates/sidecar/src/endpoints.rs
+++ b/crates/sidecar/src/endpoints.rs
@@ -8,7 +8,7 @@
 
 use crate::plan::{PlanError, resolve};
 use milletturn_engine::ListedEndpoint;
-use milletturn_policy::Status;
+use milletturn_policy::EndpointStatus;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::io;
@@ -127,8 +127,14 @@
         if !self.limit.is_finite() || self.limit < 0.0 {
             return Err(DestinationError::InvalidLimit(self.limit));
         }
-        let serving = self.endpoints.iter().map(|text| (text, Status::Serving));
-        let draining = self.draining.iter().map(|text| (text, Status::Draining));
+        let serving = self
+            .endpoints
+            .iter()
+            .map(|text| (text, EndpointStatus::Serving));
+        let draining = self
+            .draining
+            .iter()
+            .map(|text| (text, EndpointStatus::Draining));
         serving
             .chain(draining)
             .map(|(address, status)| {
--- a/crates/sidecar/src/plan.rs
+++ b/crates/sidecar/src/plan.rs
@@ -144,7 +144,7 @@
                 .saturating_sub(OUTCOME_LOG_FILES * outcome_log_max_bytes),
             store_reserved_bytes,
             outcome_log_max_bytes,
-            idle_timeout: to_duration(settings.connection_idle),
+            idle_timeout: to_duration(settings.idle_connection_timeout),
             connect_timeout: to_duration(document.time(&["connections", "dial"])),
             settings,
             kinds: destinations.kinds,
--- a/crates/sidecar/src/plan/decision_settings.rs
+++ b/crates/sidecar/src/plan/decision_settings.rs
@@ -2,7 +2,7 @@
 
 use super::count_as_usize;
 use milletturn_config::document::Document;
-use milletturn_policy::{Class, Effect, Fade, Safety, Settings};
+use milletturn_policy::{Class, Effect, Safety, Settings, ValueDecay};
 
 /// The settings with the classes of the configuration; kinds and the callback's class are added later.
 pub(super) fn from_document(document: &Document) -> Settings {
@@ -11,17 +11,17 @@
         count_as_usize(document, &["limits", "held"]),
     );
     settings.max_attempts = count_as_usize(document, &["retry", "attempts"]);
-    settings.second_copies = document.flag(&["retry", "copies"]);
-    settings.max_client_wait = document.time(&["retry", "client_wait"]) * 2;
-    settings.connection_idle = document.time(&["connections", "idle"]);
+    settings.hedging_enabled = document.flag(&["retry", "copies"]);
+    settings.max_client_retry_after = document.time(&["retry", "client_wait"]) * 2;
+    settings.idle_connection_timeout = document.time(&["connections", "idle"]);
     settings.weight_trust = 1.0;
-    settings.fade = Fade::Halving;
+    settings.value_decay = ValueDecay::Halving;
     settings.safety = Safety {
         drain_grace: document.time(&["safety", "drain"]),
-        cold_time: document.time(&["safety", "cold"]),
-        start_capacity: document.number_of(&["safety", "cold_start"]),
-        fall_multiple: document.number_of(&["safety", "fall_multiple"]),
-        fall_span: document.time(&["safety", "fall_time"]),
+        slow_start: document.time(&["safety", "cold"]),
+        initial_capacity: document.number_of(&["safety", "cold_start"]),
+        overload_multiple: document.number_of(&["safety", "fall_multiple"]),
+        overload_window: document.time(&["safety", "fall_time"]),
         ..settings.safety.clone()
     };
     for name in document.names("class") {
@@ -41,8 +41,8 @@
         _ => Effect::Unsafe,
     };
     Class {
-        worth: document.number_of(&setting("worth")),
-        late_share: document.number_of(&setting("late_worth")),
+        priority_weight: document.number_of(&setting("worth")),
+        late_value_share: document.number_of(&setting("late_worth")),
         ..Class::new(
             name,
             effect,
--- a/crates/sidecar/src/plan/destinations.rs
+++ b/crates/sidecar/src/plan/destinations.rs
@@ -4,7 +4,7 @@
 use crate::callback::{CLASS, Callback};
 use milletturn_config::document::Document;
 use milletturn_engine::ListedEndpoint;
-use milletturn_policy::{Class, Effect, Kind, Micros, SECOND, Settings, Status};
+use milletturn_policy::{Class, DestinationKind, Effect, EndpointStatus, Micros, SECOND, Settings};
 use std::collections::BTreeSet;
 
 /// How long one message that carries an outcome to the callback is attempted; then it is submitted anew.
@@ -48,7 +48,7 @@
                 zone: String::new(),
                 kind: kind.clone(),
                 destination: document.count(&setting("id")),
-                status: Status::Serving,
+                status: EndpointStatus::Serving,
                 weight,
             });
         }
@@ -69,11 +69,11 @@
             zone: String::new(),
             kind: SINGLE_MESSAGE_KIND.to_string(),
             destination,
-            status: Status::Serving,
+            status: EndpointStatus::Serving,
             weight: 0.0,
         });
         settings.classes.push(Class {
-            late_share: 1.0,
+            late_value_share: 1.0,
             ..Class::new(CLASS, Effect::Repeatable, SECOND, CALLBACK_TIME_TO_LIVE)
         });
         Ok(Callback {
@@ -96,11 +96,11 @@
     }
 
     /// The kinds as the decision module's settings have them.
-    pub(super) fn kind_settings(&self) -> impl Iterator<Item = Kind> {
-        self.kinds.iter().map(|kind| Kind {
+    pub(super) fn kind_settings(&self) -> impl Iterator<Item = DestinationKind> {
+        self.kinds.iter().map(|kind| DestinationKind {
             name: kind.clone(),
             separate_routes: false,
-            bundle_max: kind.parse().unwrap_or(1),
+            max_batch_size: kind.parse().unwrap_or(1),
         })
     }
 }
--- a/crates/sidecar/tests/golden/endpoints_file.rs
+++ b/crates/sidecar/tests/golden/endpoints_file.rs
@@ -2,7 +2,7 @@
 
 use super::golden;
 use milletturn_engine::ListedEndpoint;
-use milletturn_policy::Status;
+use milletturn_policy::EndpointStatus;
 use milletturn_sidecar::endpoints;
 
 #[test]
@@ -25,22 +25,28 @@
             "11/127.0.0.1:9004",
             "127.0.0.1:9004",
             11,
-            Status::Serving,
+            EndpointStatus::Serving,
             0.0,
         ),
         listed(
             "12/127.0.0.1:9005",
             "127.0.0.1:9005",
             12,
-            Status::Serving,
+            EndpointStatus::Serving,
+            12.5,
+        ),
+        listed(
+            "12/[::1]:9006",
+            "[::1]:9006",
+            12,
+            EndpointStatus::Serving,
             12.5,
         ),
-        listed("12/[::1]:9006", "[::1]:9006", 12, Status::Serving, 12.5),
         listed(
             "12/127.0.0.1:9007",
             "127.0.0.1:9007",
             12,
-            Status::Draining,
+            EndpointStatus::Draining,
             12.5,
         ),
     ];
--- a/crates/sidecar/tests/golden/plan.rs
+++ b/crates/sidecar/tests/golden/plan.rs
@@ -3,7 +3,7 @@
 use milletturn_config::check_documents;
 use milletturn_config::document::Document;
 use milletturn_dead_letter::redrive_schedule::RedriveRule;
-use milletturn_policy::{Effect, Fade};
+use milletturn_policy::{Effect, ValueDecay};
 use milletturn_sidecar::plan::Plan;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -96,27 +96,33 @@
     assert_eq!(
         (
             settings.call_slots,
-            settings.max_held,
+            settings.max_pending,
             settings.max_attempts
         ),
         (50, 500, 9)
     );
-    assert!(!settings.second_copies);
+    assert!(!settings.hedging_enabled);
     assert_eq!(
-        (settings.max_client_wait, settings.connection_idle),
+        (
+            settings.max_client_retry_after,
+            settings.idle_connection_timeout
+        ),
         (8_000_000, 7_000_000)
     );
-    assert_eq!((settings.weight_trust, settings.fade), (1.0, Fade::Halving));
+    assert_eq!(
+        (settings.weight_trust, settings.value_decay),
+        (1.0, ValueDecay::Halving)
+    );
     let safety = &settings.safety;
     assert_eq!(
-        (safety.drain_grace, safety.cold_time),
+        (safety.drain_grace, safety.slow_start),
         (1_500_000, 12_000_000)
     );
     assert_eq!(
         (
-            safety.start_capacity,
-            safety.fall_multiple,
-            safety.fall_span
+            safety.initial_capacity,
+            safety.overload_multiple,
+            safety.overload_window
         ),
         (0.2, 2.5, 4_000_000)
     );
@@ -132,10 +138,10 @@
             (
                 class.name.as_str(),
                 class.effect,
-                class.aim,
+                class.latency_objective,
                 class.deadline,
-                class.worth,
-                class.late_share,
+                class.priority_weight,
+                class.late_value_share,
             )
         })
         .collect();
@@ -169,7 +175,7 @@
     let kinds: Vec<_> = settings
         .kinds
         .iter()
-        .map(|kind| (kind.name.as_str(), kind.bundle_max))
+        .map(|kind| (kind.name.as_str(), kind.max_batch_size))
         .collect();
     assert_eq!(kinds, [("1", 1), ("5", 5)]);
 }
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -40,7 +40,7 @@
             Action::Send {
                 message,
                 endpoint,
-                expires,
+                expires_at: expires,
             } => {
                 let (message, endpoint) = (self.message(*message), self.endpoint(*endpoint));
                 let expires = Seconds(*expires);
@@ -49,7 +49,10 @@
             Action::Cancel { message, attempt } => {
                 writeln!(reply, "withdraw {id} {} {attempt}", self.message(*message))
             }
-            Action::Refuse { message, wait } => {
+            Action::Reject {
+                message,
+                retry_after: wait,
+            } => {
                 let message = self.message(*message);
                 match wait {
                     Some(wait) => writeln!(reply, "shed {id} {message} {}", Seconds(*wait)),
@@ -63,11 +66,11 @@
             Action::Probe(endpoint) => {
                 writeln!(reply, "health_check {id} {}", self.endpoint(*endpoint))
             }
-            Action::Disconnect(endpoint) => {
+            Action::CloseIdleConnections(endpoint) => {
                 writeln!(reply, "disconnect {id} {}", self.endpoint(*endpoint))
             }
             Action::Subscribe => writeln!(reply, "listen {id} 1"),
-            Action::Note(bytes) => writeln!(reply, "publish {id} -1 {}", encode(bytes)),
+            Action::Gossip(bytes) => writeln!(reply, "publish {id} -1 {}", encode(bytes)),
             Action::Log(text) => {
                 writeln!(reply, "record {id} {}", text.replace(['\n', '\r'], " "))
             }
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -6,7 +6,8 @@
 use crate::interner::Interner;
 use milletturn_platform_settings::{SettingNames, position};
 use milletturn_policy::{
-    EndpointId, Entry, Event, Listing, MessageId, NewMessage, Outcome, Status,
+    EndpointEntry, EndpointId, EndpointListKind, EndpointStatus, Event, MessageId, NewMessage,
+    Outcome,
 };
 use std::collections::BTreeMap;
 
@@ -52,12 +53,12 @@
             "demand" => self.new_message(fields),
             "first_byte" => self.started(fields),
             "outcome" => self.ended(fields),
-            "dropped" => Ok(Event::Dropped(self.message(fields)?)),
+            "dropped" => Ok(Event::Cancelled(self.message(fields)?)),
             "echo" => self.health_checked(fields),
             "heard" => {
                 let from = fields.integer("a sender's number")? as u32;
                 let bytes = decode(fields.text("bytes")?)?;
-                Ok(Event::Noted { from, bytes })
+                Ok(Event::GossipReceived { from, bytes })
             }
             _ => {
                 fields.text("a token")?;
@@ -71,7 +72,7 @@
         fields.number("a latency")?;
         let attempt = fields.integer("an attempt")? as usize;
         fields.text("an endpoint")?;
-        Ok(Event::Started { message, attempt })
+        Ok(Event::ResponseStarted { message, attempt })
     }
 
     fn ended(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
@@ -85,13 +86,13 @@
             .optional("a remark")?
             .map_or(Ok(0.0), |text| parse_number(text, "a remark"))?;
         let report = fields.report()?;
-        Ok(Event::Ended {
+        Ok(Event::AttemptEnded {
             message,
             attempt,
             endpoint,
             outcome: outcome(name, remark),
             latency,
-            closed,
+            message_closed: closed,
             report,
             ambiguous: false,
         })
@@ -135,9 +136,9 @@
             time_left,
             key,
             tenant,
-            again: bits & RESUBMITTED_BIT != 0,
-            orphan: bits & FROM_FAILED_SENDER_BIT != 0,
-            later: false,
+            resubmitted: bits & RESUBMITTED_BIT != 0,
+            from_lost_sender: bits & FROM_FAILED_SENDER_BIT != 0,
+            deferred: false,
         }))
     }
 
@@ -147,10 +148,10 @@
         lists: &EndpointLists,
     ) -> Result<Event, Malformed> {
         let listing = match fields.text("a kind of announcement")? {
-            "delta" => Listing::Changes,
-            "full" => Listing::Full,
-            "cached" => Listing::Old,
-            "failed" => return Ok(Event::ListFailed),
+            "delta" => EndpointListKind::Changes,
+            "full" => EndpointListKind::Full,
+            "cached" => EndpointListKind::Cached,
+            "failed" => return Ok(Event::EndpointListFailed),
             other => return malformed("delta, full, cached or failed", other),
         };
         let number = fields.integer("a list number")?;
@@ -161,26 +162,29 @@
         for row in rows {
             entries.push(self.endpoint_row(row)?);
         }
-        Ok(Event::Listed { listing, entries })
+        Ok(Event::EndpointList {
+            kind: listing,
+            entries,
+        })
     }
 
     /// One endpoint of a list.
-    pub(crate) fn endpoint_row(&mut self, row: &str) -> Result<Entry, Malformed> {
+    pub(crate) fn endpoint_row(&mut self, row: &str) -> Result<EndpointEntry, Malformed> {
         let mut fields = Fields::new(row);
         let endpoint = self.endpoint(&mut fields)?;
         let zone = position(&self.settings.zones, fields.text("a zone")?) as u16;
         let kind = position(&self.settings.kinds, fields.text("a kind")?);
         let destination = fields.integer("a destination")?;
         let status = match fields.text("a status")? {
-            "SERVING" => Status::Serving,
-            "DRAINING" => Status::Draining,
-            "DELETED" => Status::Gone,
+            "SERVING" => EndpointStatus::Serving,
+            "DRAINING" => EndpointStatus::Draining,
+            "DELETED" => EndpointStatus::Removed,
             other => return malformed("SERVING, DRAINING or DELETED", other),
         };
         let weight = fields
             .optional("a weight")?
             .map_or(Ok(0.0), |text| parse_number(text, "a weight"))?;
-        Ok(Entry {
+        Ok(EndpointEntry {
             endpoint,
             destination,
             zone,
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -108,8 +108,8 @@
     match name {
         "delivered" => Outcome::Success,
         "app_error" => Outcome::Error,
-        "shed" => Outcome::Refused {
-            wait: (remark > 0.0).then(|| (remark * 1e3).ceil() as Micros),
+        "shed" => Outcome::Rejected {
+            retry_after: (remark > 0.0).then(|| (remark * 1e3).ceil() as Micros),
         },
         "expired" => Outcome::TimedOut,
         "dial_failed" => Outcome::NoConnection,
--- a/crates/test-support/src/cold_fleet.rs
+++ b/crates/test-support/src/cold_fleet.rs
@@ -3,8 +3,8 @@
 
 use crate::turns::turn;
 use milletturn_policy::{
-    Action, Class, Effect, EndpointId, Entry, Event, Kind, Listing, MILLISECOND, MessageId, Micros,
-    NewMessage, Outcome, PastAttempt, SECOND, Sender, Settings,
+    Action, Class, DestinationKind, Effect, EndpointEntry, EndpointId, EndpointListKind, Event,
+    MILLISECOND, MessageId, Micros, NewMessage, Outcome, PastAttempt, SECOND, Sender, Settings,
 };
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -67,9 +67,9 @@
 pub fn play(case: Return) -> Overrun {
     let mut settings = Settings::new(10, 40);
     (settings.senders, settings.max_attempts) = (case.senders as u32, 12);
-    settings.connection_idle = 5 * SECOND;
+    settings.idle_connection_timeout = 5 * SECOND;
     if case.told {
-        (settings.report_left, settings.report_limit) = (Some(0), Some(1));
+        (settings.report_remaining_index, settings.report_limit_index) = (Some(0), Some(1));
     }
     let keyed = Effect::Keyed {
         window: 12 * SECOND,
@@ -78,15 +78,15 @@
     settings
         .classes
         .push(Class::new("one", keyed, 4 * SECOND, TIME));
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max: 1,
+        max_batch_size: 1,
     });
     let safety = settings.safety.clone();
-    let entries = vec![Entry::new(EndpointId(1), DESTINATION)];
-    let listed = Event::Listed {
-        listing: Listing::Full,
+    let entries = vec![EndpointEntry::new(EndpointId(1), DESTINATION)];
+    let listed = Event::EndpointList {
+        kind: EndpointListKind::Full,
         entries,
     };
     let start = |seed| Sender::new(settings.clone(), seed).expect("settings make sense");
@@ -102,12 +102,12 @@
     let mut held: BTreeMap<u64, (usize, Micros)> = BTreeMap::new();
     let (mut now, mut next, mut id, mut life) = (T0, T0, 0u64, 0);
     let back = T0 + case.well + AWAY;
-    let (cold, span) = (safety.cold_time, safety.fall_span);
+    let (cold, span) = (safety.slow_start, safety.overload_window);
     let level = |at: Micros| {
         let warm = (at - back) as f64 / cold as f64;
-        safety.start_capacity + (1.0 - safety.start_capacity) * warm.clamp(0.0, 1.0)
+        safety.initial_capacity + (1.0 - safety.initial_capacity) * warm.clamp(0.0, 1.0)
     };
-    let allows = |at: Micros| case.capacity * level(at) * safety.fall_multiple * seconds(span);
+    let allows = |at: Micros| case.capacity * level(at) * safety.overload_multiple * seconds(span);
     let mut lately: VecDeque<Micros> = VecDeque::new();
     let (mut seen, mut calls, mut whole) = (
         Overrun {
@@ -156,13 +156,13 @@
                     true => vec![0.5, case.capacity],
                     false => vec![],
                 };
-                inbox[sender].push(Event::Ended {
+                inbox[sender].push(Event::AttemptEnded {
                     message: MessageId(message),
                     attempt,
                     endpoint: EndpointId(1),
                     outcome,
                     latency: now - sent,
-                    closed: outcome == Outcome::Success,
+                    message_closed: outcome == Outcome::Success,
                     report,
                     ambiguous: false,
                 });
@@ -191,7 +191,7 @@
             );
             for action in actions {
                 match action {
-                    Action::Refuse { message, .. } | Action::Fail(message) => {
+                    Action::Reject { message, .. } | Action::Fail(message) => {
                         held.remove(&message.0);
                     }
                     Action::Send {
@@ -238,7 +238,7 @@
                 (seen.roots, seen.at) = (roots, now - back);
             }
             seen.fell |= came > n + 2.0 * n.sqrt() + 2.0;
-            whole += case.capacity * level(now) * safety.fall_multiple * seconds(STEP);
+            whole += case.capacity * level(now) * safety.overload_multiple * seconds(STEP);
         }
     }
     seen.used = calls / whole;
--- a/crates/test-support/src/engine_ports.rs
+++ b/crates/test-support/src/engine_ports.rs
@@ -6,7 +6,7 @@
     Arrival, ArrivalOutcome, Call, CallItem, Clock, EndpointListUpdate, ListedEndpoint, Ports,
     SharedStr, Transport,
 };
-use milletturn_policy::{EndpointId, SECOND, Settings, Status};
+use milletturn_policy::{EndpointId, EndpointStatus, SECOND, Settings};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -74,7 +74,7 @@
         zone: String::new(),
         kind: "one".into(),
         destination: number,
-        status: Status::Serving,
+        status: EndpointStatus::Serving,
         weight: 1.0,
     }
 }
--- a/crates/test-support/src/limited_fleet/limit.rs
+++ b/crates/test-support/src/limited_fleet/limit.rs
@@ -127,7 +127,7 @@
         let (least, most) = self.how.waits;
         let tells = self.how.tells_wait > 0.0 && self.roll() < self.how.tells_wait;
         let wait = tells.then(|| least + ((most - least) as f64 * self.roll()) as Micros);
-        Outcome::Refused { wait }
+        Outcome::Rejected { retry_after: wait }
     }
 
     fn roll(&mut self) -> f64 {
--- a/crates/test-support/src/limited_fleet/mod.rs
+++ b/crates/test-support/src/limited_fleet/mod.rs
@@ -5,7 +5,7 @@
 mod table;
 
 pub use limit::{Limit, Limiting};
-use milletturn_policy::{Effect, EndpointId, Entry, MILLISECOND, Micros, SECOND};
+use milletturn_policy::{Effect, EndpointEntry, EndpointId, MILLISECOND, Micros, SECOND};
 pub use play::play;
 
 /// Longer than any demand lasts.
@@ -193,15 +193,15 @@
 
 /// The first destination, and others that get no message here: the places for messages are for all of them.
 #[must_use]
-pub fn among_others() -> Vec<Entry> {
+pub fn among_others() -> Vec<EndpointEntry> {
     destinations_among_others(1)
 }
 
 /// As [`among_others`], with so many destinations that get messages.
-fn destinations_among_others(number: usize) -> Vec<Entry> {
-    let used =
-        (0..number as u64).map(|at| Entry::new(EndpointId(1 + at as u32), play::DESTINATION + at));
-    let others = (100..116).map(|number| Entry::new(EndpointId(number), u64::from(number)));
+fn destinations_among_others(number: usize) -> Vec<EndpointEntry> {
+    let used = (0..number as u64)
+        .map(|at| EndpointEntry::new(EndpointId(1 + at as u32), play::DESTINATION + at));
+    let others = (100..116).map(|number| EndpointEntry::new(EndpointId(number), u64::from(number)));
     used.chain(others).collect()
 }
 
--- a/crates/test-support/src/limited_fleet/play.rs
+++ b/crates/test-support/src/limited_fleet/play.rs
@@ -5,8 +5,8 @@
 use super::{Demand, HOUR, Second, Served, destinations_among_others, seconds};
 use crate::turns::turn;
 use milletturn_policy::{
-    Action, Class, Effect, EndpointId, Event, Kind, Listing, MILLISECOND, MessageId, Micros,
-    NewMessage, Outcome, SECOND, Sender, Settings,
+    Action, Class, DestinationKind, Effect, EndpointId, EndpointListKind, Event, MILLISECOND,
+    MessageId, Micros, NewMessage, Outcome, SECOND, Sender, Settings,
 };
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -52,23 +52,23 @@
     let mut settings = Settings::new(10, demand.places);
     settings.senders = demand.senders as u32;
     settings.max_attempts = 12;
-    settings.connection_idle = IDLE;
+    settings.idle_connection_timeout = IDLE;
     if demand.limiting.reports {
-        (settings.report_left, settings.report_limit) = (Some(0), Some(1));
+        (settings.report_remaining_index, settings.report_limit_index) = (Some(0), Some(1));
     }
     let terms = demand.terms;
-    settings.second_copies = terms.effect != Effect::Unsafe;
+    settings.hedging_enabled = terms.effect != Effect::Unsafe;
     settings
         .classes
         .push(Class::new("one", terms.effect, terms.aim, terms.time));
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max: demand.bundle,
+        max_batch_size: demand.bundle,
     });
     let entries = destinations_among_others(demand.destinations);
-    let listed = Event::Listed {
-        listing: Listing::Full,
+    let listed = Event::EndpointList {
+        kind: EndpointListKind::Full,
         entries,
     };
     let mut random = Pcg32::seed_from_u64(demand.seed);
@@ -178,7 +178,10 @@
                 DESTINATION + known.to as u64,
                 left,
             );
-            let new = NewMessage { again: true, ..new };
+            let new = NewMessage {
+                resubmitted: true,
+                ..new
+            };
             inbox[receiver(&mut roll)].push(Event::Accepted(new));
             held.insert(message);
         }
@@ -196,13 +199,13 @@
                 } else {
                     vec![]
                 };
-                inbox[call.sender].push(Event::Ended {
+                inbox[call.sender].push(Event::AttemptEnded {
                     message: MessageId(message),
                     attempt,
                     endpoint: EndpointId(1 + call.to as u32),
                     outcome: call.outcome,
                     latency: now - call.sent,
-                    closed: success,
+                    message_closed: success,
                     report,
                     ambiguous: false,
                 });
@@ -225,7 +228,7 @@
             let mut sent: BTreeMap<usize, Vec<(u64, usize)>> = BTreeMap::new();
             for action in actions {
                 match action {
-                    Action::Refuse { message, .. } => {
+                    Action::Reject { message, .. } => {
                         held.remove(&message.0);
                         served.seconds[at].handed_back += 1;
                         let Some(known) = waiting.get_mut(&message.0) else {
@@ -248,7 +251,7 @@
                             .push((message.0, known.attempts));
                         known.attempts += 1;
                     }
-                    Action::Disconnect(endpoint) => {
+                    Action::CloseIdleConnections(endpoint) => {
                         tables
                             .get_mut(destination_of(endpoint))
                             .into_iter()
@@ -265,9 +268,9 @@
                 let connected = tables[to].take(index, now);
                 let outcome = match connected {
                     true => limits[to].call(since),
-                    false => Outcome::Refused { wait: None },
+                    false => Outcome::Rejected { retry_after: None },
                 };
-                let refused = usize::from(matches!(outcome, Outcome::Refused { .. }));
+                let refused = usize::from(matches!(outcome, Outcome::Rejected { .. }));
                 served.calls += 1;
                 served.refused += refused;
                 served.seconds[at].calls += 1;
--- a/src/assemble.rs
+++ b/src/assemble.rs
@@ -154,7 +154,7 @@
 fn open_journal(options: &SenderOptions) -> Result<(FileJournal, Recovery), Box<dyn Error>> {
     let settings = &options.settings;
     let entries = settings
-        .max_held
+        .max_pending
         .saturating_mul(2 * settings.max_attempts + 1) as u64;
     let opened = FileJournal::open(&options.state_dir, options.journal_max_bytes, entries)?;
     log_recovery(&options.name, &opened.0, &opened.1);
--- a/src/run.rs
+++ b/src/run.rs
@@ -130,7 +130,7 @@
             version: cached.map_or(0, |cached| cached.version),
             backoff: Asking::new(
                 config.settings.senders,
-                !config.settings.list_on_request,
+                !config.settings.list_requires_subscription,
                 config.seed,
             ),
         }
@@ -154,7 +154,9 @@
         budget: config.budget,
         journal_max_bytes,
         store,
-        idle_timeout: Duration::from_micros(u64::try_from(config.settings.connection_idle)?),
+        idle_timeout: Duration::from_micros(u64::try_from(
+            config.settings.idle_connection_timeout,
+        )?),
         connect_timeout: Duration::from_micros(u64::try_from(config.names.dial_timeout)?),
         settings: config.settings,
         cached_endpoints: config.known,
