--- a/crates/policy/src/passes.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,10 +1,10 @@
 //! One way through all that may be sent, and how the agenda follows the messages. It decides nothing: which endpoint,
 //! whether at all and in which order is asked of `decide.rs`.
 
-use crate::agenda::{Head, LATE, Lane, Pass, Place, Stand};
 use crate::decide::MARGIN;
 use crate::interface::Action;
 use crate::interface::{DestinationId, Effect, EndpointId, MILLISECOND, MessageId, Micros};
+use crate::scheduler::{Head, LATE, Lane, Pass, Place, Stand};
 use crate::state::Sender;
 use crate::state::{Held, Unit};
 use std::collections::BTreeMap;
@@ -114,7 +114,7 @@
         let kind = first
             .and_then(|id| self.endpoints.get(id))
             .and_then(|known| self.settings.kinds.get(known.kind));
-        kind.map_or(1, |kind| kind.bundle_max.max(1))
+        kind.map_or(1, |kind| kind.max_batch_size.max(1))
     }
 
     /// Whether an endpoint is known to be in a zone.
@@ -276,7 +276,7 @@
             .endpoints
             .get(&call.endpoint)
             .and_then(|known| self.settings.kinds.get(known.kind));
-        call.size < kind.map_or(1, |kind| kind.bundle_max)
+        call.size < kind.map_or(1, |kind| kind.max_batch_size)
     }
 
     fn slots_full(&self) -> bool {
