--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioIo;
 use milletturn_engine::{EngineStatus, Input};
 use milletturn_logging::RateLimitedLog;
-use milletturn_platform::Gate;
+use milletturn_platform::DrainGate;
 use std::cell::Cell;
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -41,7 +41,7 @@
     /// The engine, which is asked for its status.
     pub inputs: mpsc::UnboundedSender<Input>,
     /// Turns clients away during a drain.
-    pub gate: Rc<Gate>,
+    pub gate: Rc<DrainGate>,
     /// True once endpoints are known.
     pub ready: watch::Receiver<bool>,
     /// The engine's status when it was last known.
@@ -112,7 +112,7 @@
             return response;
         }
         match request.uri().path() {
-            "/-/ready" if *self.ready.borrow() && self.gate.says_ready() => {
+            "/-/ready" if *self.ready.borrow() && self.gate.is_ready() => {
                 text(StatusCode::OK, "ready\n")
             }
             "/-/ready" => text(StatusCode::SERVICE_UNAVAILABLE, "takes no clients now\n"),
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -7,7 +7,7 @@
 use milletturn_engine::{
     ArrivalOutcome, EndReason, Ending, EngineEvent, EngineStatus, Input, Observer,
 };
-use milletturn_platform::Gate;
+use milletturn_platform::DrainGate;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -103,7 +103,7 @@
     let text = runtime.block_on(local.run_until(async {
         let (inputs, received) = mpsc::unbounded_channel();
         let (known, ready) = watch::channel(false);
-        let gate = Rc::new(Gate::new());
+        let gate = Rc::new(DrainGate::new());
         let state = AdminState {
             metrics: metrics(),
             inputs,
@@ -130,7 +130,7 @@
         ] {
             text.push_str(&request(address, line).await);
         }
-        gate.end();
+        gate.begin_shutdown();
         for line in ["POST /-/drain", "POST /-/resume", "GET /-/ready"] {
             text.push_str(&request(address, line).await);
         }
--- a/crates/hot-restart/src/old_process.rs
+++ b/crates/hot-restart/src/old_process.rs
@@ -5,7 +5,7 @@
 use crate::frames::{Decision, MAX_FRAME_BYTES, Offer, read_frame, write_frame};
 use milletturn_engine::Engine;
 use milletturn_logging::RateLimitedLog;
-use milletturn_platform::Gate;
+use milletturn_platform::DrainGate;
 use std::fs::{self, Permissions};
 use std::os::fd::BorrowedFd;
 use std::os::unix::fs::PermissionsExt;
@@ -81,7 +81,7 @@
     /// The lock of the state folder.
     pub lock: BorrowedFd<'a>,
     /// The old process's drain state and its connections from clients.
-    pub gate: &'a Gate,
+    pub gate: &'a DrainGate,
 }
 
 /// The new process's decision on an offer.
@@ -105,7 +105,7 @@
     let deadline = Instant::now() + OFFER_TIMEOUT;
     let offer = Offer {
         snapshot: engine.snapshot()?,
-        client_connections: inherited.gate.connections(),
+        client_connections: inherited.gate.open_connections(),
         calls_in_flight: engine.calls_in_flight(),
         is_drained: inherited.gate.is_drained(),
     };
--- a/crates/hot-restart/src/remainder.rs
+++ b/crates/hot-restart/src/remainder.rs
@@ -9,7 +9,7 @@
 use crate::old_process::TakeoverRequest;
 use milletturn_engine::{Arrival, ArrivalOutcome, EngineStatus, Input};
 use milletturn_logging::log;
-use milletturn_platform::Gate;
+use milletturn_platform::DrainGate;
 use milletturn_policy::Outcome;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     /// What clients and calls bring.
     pub inputs: mpsc::UnboundedReceiver<Input>,
     /// The connections from clients.
-    pub gate: Rc<Gate>,
+    pub gate: Rc<DrainGate>,
 }
 
 impl Remainder {
@@ -88,7 +88,9 @@
 
     fn is_busy(&mut self, forwarder: &Forwarder) -> bool {
         self.cancels.retain(|_, cancels| !cancels.is_closed());
-        !self.cancels.is_empty() || !forwarder.replies.is_empty() || self.gate.connections() > 0
+        !self.cancels.is_empty()
+            || !forwarder.replies.is_empty()
+            || self.gate.open_connections() > 0
     }
 }
 
--- a/crates/hot-restart/tests/golden/old_process.rs
+++ b/crates/hot-restart/tests/golden/old_process.rs
@@ -8,7 +8,7 @@
 use milletturn_engine::{ArrivalOutcome, EngineStatus, Input};
 use milletturn_hot_restart::old_process::{self, InheritedState, OfferOutcome, TakeoverRequest};
 use milletturn_hot_restart::remainder::Remainder;
-use milletturn_platform::Gate;
+use milletturn_platform::DrainGate;
 use std::collections::BTreeMap;
 use std::fs::{self, File};
 use std::net::TcpListener;
@@ -58,7 +58,7 @@
 }
 
 impl ForwardingProcess {
-    fn new(gate: Rc<Gate>) -> Self {
+    fn new(gate: Rc<DrainGate>) -> Self {
         let (sender, received) = mpsc::unbounded_channel();
         let (brought, outcomes) = inputs();
         for input in brought {
@@ -118,8 +118,8 @@
             let (request, mut peer) = request_takeover(&folder).await;
             let clients = TcpListener::bind("127.0.0.1:0").expect("a port");
             let lock = File::create(folder.join("lock")).expect("a file");
-            let gate = Rc::new(Gate::new());
-            let connections = [gate.enter(), gate.enter()];
+            let gate = Rc::new(DrainGate::new());
+            let connections = [gate.track_connection(), gate.track_connection()];
             assert!(gate.drain());
             let engine = engine().await;
             let inherited = InheritedState {
--- a/crates/platform/src/attribution.rs
+++ b/crates/platform/src/attribution.rs
@@ -9,7 +9,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::call_text::{REQUEST_ID, words_by_id};
+use crate::call_codec::{REQUEST_ID, words_by_id};
 use hyper::StatusCode;
 use hyper::header::{CONNECTION, HeaderMap};
 use hyper::http::response::Parts;
--- a/crates/platform/src/answer.rs
+++ b/crates/platform/src/call_result.rs
@@ -1,6 +1,6 @@
 //! What the end of a call means for each of its messages.
 
-use crate::call_text::{ends_of, report_of, wait_of};
+use crate::call_codec::{ends_of, report_of, wait_of};
 use hyper::StatusCode;
 use hyper::http::response::Parts;
 use milletturn_engine::{Call, EndCause};
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,8 +1,8 @@
 //! Reads `RELAY_CONFIG`. The nested settings are flattened into the reader of the simulator's wire, so that
 //! their names live in one place.
 
-use crate::budget::Budget;
-use crate::list::parse_list;
+use crate::endpoint_list::parse_list;
+use crate::resource_budget::ResourceBudget;
 use milletturn_engine::EndpointListUpdate;
 use milletturn_logging::log;
 use milletturn_platform_settings::{SettingNames, SettingTexts, read_settings};
@@ -61,29 +61,29 @@
     /// The sender's name, the same after a restart.
     pub name: String,
     /// Where clients connect.
-    pub listen: SocketAddr,
+    pub listen_address: SocketAddr,
     /// Where operators connect, if they may.
-    pub management: Option<SocketAddr>,
+    pub management_address: Option<SocketAddr>,
     /// The agent.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// The folder that outlasts the process.
-    pub state: PathBuf,
+    pub state_dir: PathBuf,
     /// For random numbers.
     pub seed: u64,
     /// Bytes that the lasting folder may hold.
-    pub disk: u64,
+    pub disk_bytes: u64,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Bytes of memory that it may use.
-    pub memory: u64,
+    pub memory_bytes: u64,
     /// How descriptors and memory are shared out.
-    pub budget: Budget,
+    pub budget: ResourceBudget,
     /// The file that all this comes from; a reload reads it again.
     pub path: PathBuf,
     /// The keys that it has.
-    pub shape: Shape,
+    pub keys: ConfigKeys,
     /// The list as last known, maybe old.
-    pub known: Option<EndpointListUpdate>,
+    pub cached_endpoints: Option<EndpointListUpdate>,
     /// What the decision module is told.
     pub settings: Settings,
     /// What the rest is told.
@@ -124,9 +124,9 @@
 
 /// What a reload can change. The rest of the file binds from the next start on.
 #[derive(Debug)]
-pub struct Reloaded {
+pub struct ReloadedConfig {
     /// The agent.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     /// What the decision module is told.
     pub settings: Settings,
 }
@@ -137,9 +137,9 @@
 ///
 /// # Errors
 /// When the file can't be read, lacks a key, or has a value that makes no sense.
-pub fn reload(path: &Path, shape: &Shape) -> Result<Reloaded, ConfigError> {
+pub fn reload(path: &Path, keys: &ConfigKeys) -> Result<ReloadedConfig, ConfigError> {
     let value: Value = read(path)?;
-    if let Some(key) = shape.missing(&value) {
+    if let Some(key) = keys.missing(&value) {
         return Err(ConfigError::Missing(key));
     }
     let file = File::deserialize(&value).map_err(|error| ConfigError::Json {
@@ -149,21 +149,21 @@
     bytes_of("limits.disk_mb", file.limits.disk_mb)?;
     bytes_of("limits.memory_mb", file.limits.memory_mb)?;
     let (settings, _) = settings_of(&file.settings)?;
-    Ok(Reloaded {
-        discovery: address("discovery", file.discovery)?,
+    Ok(ReloadedConfig {
+        discovery_address: address("discovery", file.discovery)?,
         settings,
     })
 }
 
 /// Which keys a file has, by path. Lists count as one key: classes come and go.
 #[derive(Debug, Clone, Default)]
-pub struct Shape(BTreeSet<String>);
+pub struct ConfigKeys(BTreeSet<String>);
 
-impl Shape {
+impl ConfigKeys {
     fn of(value: &Value) -> Self {
-        let mut shape = Shape::default();
-        shape.add("", value);
-        shape
+        let mut keys = ConfigKeys::default();
+        keys.add("", value);
+        keys
     }
 
     fn add(&mut self, path: &str, value: &Value) {
@@ -179,7 +179,7 @@
 
     /// The first key that the value lacks.
     fn missing(&self, value: &Value) -> Option<String> {
-        let found = Shape::of(value);
+        let found = ConfigKeys::of(value);
         self.0.difference(&found.0).next().cloned()
     }
 }
@@ -229,10 +229,10 @@
 impl Config {
     /// The budget of descriptors and memory where so many descriptors more are used by other parts.
     #[must_use]
-    pub fn budget_beside(&self, descriptors: usize) -> Budget {
-        Budget::new(
-            self.sockets.saturating_sub(descriptors),
-            self.memory,
+    pub fn budget_excluding(&self, descriptors: usize) -> ResourceBudget {
+        ResourceBudget::new(
+            self.max_descriptors.saturating_sub(descriptors),
+            self.memory_bytes,
             self.settings.call_slots,
         )
     }
@@ -256,14 +256,14 @@
         let variable = |name| variable(name).ok_or(ConfigError::Variable(name));
         let path = PathBuf::from(variable("RELAY_CONFIG")?);
         let value: Value = read(&path)?;
-        let shape = Shape::of(&value);
+        let keys = ConfigKeys::of(&value);
         let file = File::deserialize(value).map_err(|error| ConfigError::Json {
             path: path.clone(),
             error,
         })?;
-        let state = PathBuf::from(variable("RELAY_STATE")?);
+        let state_dir = PathBuf::from(variable("RELAY_STATE")?);
         let name = variable("RELAY_NAME").unwrap_or(file.name);
-        let listen = address(
+        let listen_address = address(
             "RELAY_LISTEN",
             variable("RELAY_LISTEN").unwrap_or(file.listen),
         )?;
@@ -274,9 +274,9 @@
                 file.discovery
             ));
         }
-        let discovery = address("RELAY_DISCOVERY", told)?;
-        let management = variable("RELAY_MANAGEMENT").ok().or(file.management);
-        let management = management
+        let discovery_address = address("RELAY_DISCOVERY", told)?;
+        let management_address = variable("RELAY_MANAGEMENT").ok().or(file.management);
+        let management_address = management_address
             .map(|text| address("RELAY_MANAGEMENT", text))
             .transpose()?;
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Value {
@@ -284,24 +284,24 @@
             found: file.seed.clone(),
             wanted: "a hexadecimal number",
         })?;
-        let disk = bytes_of("limits.disk_mb", file.limits.disk_mb)?;
-        let memory = bytes_of("limits.memory_mb", file.limits.memory_mb)?;
+        let disk_bytes = bytes_of("limits.disk_mb", file.limits.disk_mb)?;
+        let memory_bytes = bytes_of("limits.memory_mb", file.limits.memory_mb)?;
         let (settings, names) = settings_of(&file.settings)?;
         Ok(Config {
             name,
-            listen,
-            management,
-            discovery,
-            state,
+            listen_address,
+            management_address,
+            discovery_address,
+            state_dir,
             seed,
-            disk,
-            sockets: file.limits.sockets,
-            memory,
-            budget: Budget::new(file.limits.sockets, memory, settings.call_slots),
+            disk_bytes,
+            max_descriptors: file.limits.sockets,
+            memory_bytes,
+            budget: ResourceBudget::new(file.limits.sockets, memory_bytes, settings.call_slots),
             path,
-            shape,
+            keys,
             // what of it can not be read is asked for with the whole list
-            known: parse_list(&file.known).map(|(list, unread)| EndpointListUpdate {
+            cached_endpoints: parse_list(&file.known).map(|(list, unread)| EndpointListUpdate {
                 version: if unread > 0 { 0 } else { list.version },
                 ..list
             }),
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to an endpoint: opened, kept between calls, and reported with a reason when it is closed.
 
 use crate::attribution::ConnectionRecord;
-use crate::wire::{MonitoredStream, Wire};
+use crate::connection_monitor::{MonitoredStream, Wire};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1::{self, SendRequest};
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/connection_monitor.rs
@@ -10,7 +10,7 @@
 pub(crate) use self::stream::MonitoredStream;
 
 use self::first_line::FirstLine;
-use crate::call_text::wait_in;
+use crate::call_codec::wait_in;
 use milletturn_engine::{Attribution, ConnectionUse, MAX_BODY_BYTES, UnsolicitedData};
 use milletturn_policy::Micros;
 use std::cell::{Cell, RefCell};
--- a/crates/platform/src/agent.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The platform's agent: the watch of the endpoint list.
 
-use crate::asking::{Asking, Failure, SILENCE};
-use crate::feed::{Feed, Told};
+use crate::discovery_backoff::{DiscoveryBackoff, Failure, SILENCE};
+use crate::watch_stream::{WatchEvent, WatchStream};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::body::{Body, Incoming};
@@ -43,8 +43,8 @@
 impl WatchError {
     fn failure(&self) -> Failure {
         match self {
-            WatchError::Status(_) => Failure::Refused,
-            _ => Failure::Unreached,
+            WatchError::Status(_) => Failure::Rejected,
+            _ => Failure::Unreachable,
         }
     }
 }
@@ -53,11 +53,11 @@
 /// list is asked for whole: the versions of another agent say nothing.
 ///
 /// `asking` sets the rests between tries.
-pub async fn watch(
+pub async fn watch_endpoints(
     network: impl Network,
     mut agents: watch::Receiver<SocketAddr>,
     version: u64,
-    mut asking: Asking,
+    mut asking: DiscoveryBackoff,
     inputs: mpsc::UnboundedSender<Input>,
 ) {
     let mut told = String::new();
@@ -73,7 +73,7 @@
             network: network.clone(),
             agent,
             rest,
-            patience: asking.patience(),
+            patience: asking.max_queue_wait(),
         };
         let failed = async { watch_once(opening, &mut progress, &inputs).await.err() };
         let error = tokio::select! {
@@ -82,7 +82,7 @@
                     return;
                 }
                 (progress, told, rest) = (Progress::default(), String::new(), Duration::ZERO);
-                asking.answered();
+                asking.reset();
                 continue;
             }
             failed = failed => match failed {
@@ -92,9 +92,9 @@
         };
         progress.repairs = matches!(error, WatchError::Lost);
         if progress.took {
-            asking.answered();
+            asking.reset();
         }
-        rest = asking.rest(error.failure());
+        rest = asking.next_delay(error.failure());
         let error = error.to_string();
         if error != told {
             milletturn_logging::log(format_args!("discovery: watch lost: {error}"));
@@ -198,7 +198,7 @@
 ) -> Result<(), WatchError> {
     let response = opening.open(progress).await?;
     let mut body = response.into_body();
-    let (mut feed, mut heard, mut lost) = (Feed::default(), Instant::now(), false);
+    let (mut feed, mut heard, mut lost) = (WatchStream::default(), Instant::now(), false);
     loop {
         // only what is whole is a sign of life: bytes that trickle without end tell nothing
         let frame = timeout_at(heard + SILENCE, body.frame())
@@ -208,10 +208,10 @@
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        for told in feed.take(&data) {
+        for told in feed.push(&data) {
             match told {
-                Told::Alive => heard = Instant::now(),
-                Told::List(update, unread) => {
+                WatchEvent::KeepAlive => heard = Instant::now(),
+                WatchEvent::Update(update, unread) => {
                     (heard, progress.took) = (Instant::now(), true);
                     lost |= unread > 0;
                     progress.version = if lost { 0 } else { update.version };
@@ -219,7 +219,7 @@
                         return Ok(());
                     }
                 }
-                Told::Unread(text) => {
+                WatchEvent::Malformed(text) => {
                     lost = true;
                     milletturn_logging::log(format_args!("discovery: line skipped: {text}"));
                 }
--- a/crates/platform/src/asking.rs
+++ b/crates/platform/src/discovery_backoff.rs
@@ -43,27 +43,27 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// Nothing was answered, or the answer ended.
-    Unreached,
+    Unreachable,
     /// It answered that it does not serve this call.
-    Refused,
+    Rejected,
 }
 
 /// The rests of one sender.
 #[derive(Debug)]
-pub struct Asking {
+pub struct DiscoveryBackoff {
     random: Pcg32,
     round: Duration,
     unreached: u32,
     refused: u32,
 }
 
-impl Asking {
+impl DiscoveryBackoff {
     /// Of one among so many senders that ask one discovery; each has a seed of its own. A list that is pushed is the
     /// own agent's, whom nobody else asks: what the agent has counts as told, so no rest may grow with the fleet.
     #[must_use]
     pub fn new(senders: u32, pushed: bool, seed: u64) -> Self {
         let senders = if pushed { 1 } else { senders };
-        Asking {
+        DiscoveryBackoff {
             random: Pcg32::seed_from_u64(seed),
             round: EACH * senders,
             unreached: 0,
@@ -72,23 +72,23 @@
     }
 
     /// Something came: the next failure is a first one.
-    pub fn answered(&mut self) {
+    pub fn reset(&mut self) {
         (self.unreached, self.refused) = (0, 0);
     }
 
     /// How long a call stays worth waiting for in discovery's queue: as long as all senders may take to ask.
     #[must_use]
-    pub fn patience(&self) -> Duration {
+    pub fn max_queue_wait(&self) -> Duration {
         MOST.max(self.round * ROUNDS)
     }
 
     /// The rest after a failure: two seconds at most, or from a second refusal on a second or four rounds of all
     /// senders.
-    pub fn rest(&mut self, failure: Failure) -> Duration {
+    pub fn next_delay(&mut self, failure: Failure) -> Duration {
         let (failures, most) = match failure {
-            Failure::Unreached => (&mut self.unreached, SOON),
-            Failure::Refused if self.refused == 0 => (&mut self.refused, SOON),
-            Failure::Refused => (&mut self.refused, Duration::MAX),
+            Failure::Unreachable => (&mut self.unreached, SOON),
+            Failure::Rejected if self.refused == 0 => (&mut self.refused, SOON),
+            Failure::Rejected => (&mut self.refused, Duration::MAX),
         };
         let grown = self
             .round
@@ -151,10 +151,14 @@
     #[test]
     fn a_fleet_that_lost_its_watches_together_gets_through_to_a_discovery_short_of_room() {
         for seed in 0..5 {
-            let mut fleet: Vec<Asking> = (0..100)
-                .map(|n| Asking::new(100, false, seed * 1000 + n))
+            let mut fleet: Vec<DiscoveryBackoff> = (0..100)
+                .map(|n| DiscoveryBackoff::new(100, false, seed * 1000 + n))
                 .collect();
-            let rest = &mut |n| fleet[n as usize].rest(Failure::Refused).as_secs_f64();
+            let rest = &mut |n| {
+                fleet[n as usize]
+                    .next_delay(Failure::Rejected)
+                    .as_secs_f64()
+            };
             let served = answered(100, 12.5, 30.0, rest);
             assert!(served >= 95, "seed {seed}: {served} of 100 in 30 s");
         }
@@ -165,10 +169,14 @@
     #[test]
     fn with_short_rests_after_refusals_too_nobody_would_get_through() {
         for seed in 0..5 {
-            let mut fleet: Vec<Asking> = (0..100)
-                .map(|n| Asking::new(100, false, seed * 1000 + n))
+            let mut fleet: Vec<DiscoveryBackoff> = (0..100)
+                .map(|n| DiscoveryBackoff::new(100, false, seed * 1000 + n))
                 .collect();
-            let rest = &mut |n| fleet[n as usize].rest(Failure::Unreached).as_secs_f64();
+            let rest = &mut |n| {
+                fleet[n as usize]
+                    .next_delay(Failure::Unreachable)
+                    .as_secs_f64()
+            };
             let served = answered(100, 12.5, 30.0, rest);
             assert!(served < 50, "seed {seed}: {served} of 100 in 30 s");
         }
@@ -177,19 +185,19 @@
     #[test]
     fn a_discovery_that_can_not_be_reached_is_asked_soon_however_many_senders_there_are() {
         for seed in 0..200 {
-            let mut many = Asking::new(300, false, seed);
+            let mut many = DiscoveryBackoff::new(300, false, seed);
             assert!(
-                (0..20).all(|_| many.rest(Failure::Unreached) <= SOON),
+                (0..20).all(|_| many.next_delay(Failure::Unreachable) <= SOON),
                 "seed {seed}"
             );
             assert!(
-                many.rest(Failure::Refused) <= SOON,
+                many.next_delay(Failure::Rejected) <= SOON,
                 "seed {seed}: the first refusal"
             );
-            let mut own = Asking::new(300, true, seed);
-            for failure in [Failure::Unreached, Failure::Refused] {
+            let mut own = DiscoveryBackoff::new(300, true, seed);
+            for failure in [Failure::Unreachable, Failure::Rejected] {
                 assert!(
-                    (0..20).all(|_| own.rest(failure) <= MOST),
+                    (0..20).all(|_| own.next_delay(failure) <= MOST),
                     "seed {seed}: nobody else asks the own agent"
                 );
             }
@@ -198,17 +206,19 @@
 
     #[test]
     fn a_few_senders_ask_again_soon() {
-        let mut alone = Asking::new(2, false, 7);
-        let first = alone.rest(Failure::Refused);
+        let mut alone = DiscoveryBackoff::new(2, false, 7);
+        let first = alone.next_delay(Failure::Rejected);
         assert!(
             first >= FIRST && first <= Duration::from_millis(160),
             "{first:?}"
         );
-        let rests: Vec<Duration> = (0..10).map(|_| alone.rest(Failure::Refused)).collect();
+        let rests: Vec<Duration> = (0..10)
+            .map(|_| alone.next_delay(Failure::Rejected))
+            .collect();
         assert!(rests.iter().all(|&rest| rest <= MOST), "{rests:?}");
-        alone.answered();
+        alone.reset();
         assert!(
-            alone.rest(Failure::Refused) <= Duration::from_millis(160),
+            alone.next_delay(Failure::Rejected) <= Duration::from_millis(160),
             "as at first"
         );
     }
--- a/crates/platform/src/gate.rs
+++ b/crates/platform/src/drain_gate.rs
@@ -60,62 +60,62 @@
 
     /// True while messages are still taken on. A process that ends takes them to the last: nothing tells its
     /// clients sooner.
-    fn takes(self, now: Instant) -> bool {
+    fn accepts_messages(self, now: Instant) -> bool {
         !matches!(self, Phase::Drained(since) if now >= since + DRAIN_TAKES)
     }
 }
 
 /// The phase, and those who wait for it.
 #[derive(Debug)]
-pub struct Gate {
+pub struct DrainGate {
     phase: watch::Sender<Phase>,
     /// Idle connections are to be closed.
-    closing: watch::Sender<bool>,
+    closing_idle: watch::Sender<bool>,
     /// So are those in the middle of a request.
-    last: watch::Sender<bool>,
+    closing_all: watch::Sender<bool>,
     /// The sender serves in another process, whatever this one does.
-    handed: Cell<bool>,
+    is_handed_over: Cell<bool>,
     /// Connections that are open.
-    connections: Cell<usize>,
+    open_connections: Cell<usize>,
 }
 
-impl Gate {
-    /// An open one. [`Gate::run`] must run beside it.
+impl DrainGate {
+    /// An open one. [`DrainGate::run`] must run beside it.
     #[allow(clippy::new_without_default)]
     #[must_use]
     pub fn new() -> Self {
-        Gate {
+        DrainGate {
             phase: watch::channel(Phase::Open).0,
-            closing: watch::channel(false).0,
-            last: watch::channel(false).0,
-            handed: Cell::new(false),
-            connections: Cell::new(0),
+            closing_idle: watch::channel(false).0,
+            closing_all: watch::channel(false).0,
+            is_handed_over: Cell::new(false),
+            open_connections: Cell::new(0),
         }
     }
 
     /// True while clients are wanted.
-    pub fn says_ready(&self) -> bool {
-        *self.phase.borrow() == Phase::Open || self.handed.get()
+    pub fn is_ready(&self) -> bool {
+        *self.phase.borrow() == Phase::Open || self.is_handed_over.get()
     }
 
     /// True if each answer is to close its connection.
-    pub fn closes(&self) -> bool {
+    pub fn closes_connections(&self) -> bool {
         *self.phase.borrow() != Phase::Open
     }
 
     /// True while messages are taken on.
-    pub fn takes(&self) -> bool {
-        self.phase.borrow().takes(Instant::now())
+    pub fn accepts_messages(&self) -> bool {
+        self.phase.borrow().accepts_messages(Instant::now())
     }
 
     /// Turns true when idle connections are to go.
-    pub fn closing(&self) -> watch::Receiver<bool> {
-        self.closing.subscribe()
+    pub fn closing_idle(&self) -> watch::Receiver<bool> {
+        self.closing_idle.subscribe()
     }
 
     /// Turns true when connections are to go also in the middle of a request.
-    pub fn last(&self) -> watch::Receiver<bool> {
-        self.last.subscribe()
+    pub fn closing_all(&self) -> watch::Receiver<bool> {
+        self.closing_all.subscribe()
     }
 
     /// Empties the sender; false if the process ends. A drain that is on goes on.
@@ -127,7 +127,7 @@
             }
             open
         });
-        !self.is_over()
+        !self.is_retiring()
     }
 
     /// Ends a drain; false if the process ends.
@@ -139,13 +139,13 @@
             }
             drained
         });
-        !self.is_over()
+        !self.is_retiring()
     }
 
     /// Another process has taken over; one that ends goes on ending.
     pub fn hand_over(&self) {
-        self.handed.set(true);
-        let next = if self.is_over() {
+        self.is_handed_over.set(true);
+        let next = if self.is_retiring() {
             *self.phase.borrow()
         } else {
             Phase::HandedOver
@@ -154,18 +154,22 @@
     }
 
     /// Waits until another process has taken over.
-    pub async fn handed_over(&self) {
+    pub async fn until_handed_over(&self) {
         // the sender lives as long as this
-        let _ = self.phase.subscribe().wait_for(|_| self.handed.get()).await;
+        let _ = self
+            .phase
+            .subscribe()
+            .wait_for(|_| self.is_handed_over.get())
+            .await;
     }
 
     /// The process ends.
-    pub fn end(&self) {
+    pub fn begin_shutdown(&self) {
         self.phase.send_replace(Phase::Ending(Instant::now()));
     }
 
     /// True once the process ends, or has been taken over.
-    pub fn is_over(&self) -> bool {
+    pub fn is_retiring(&self) -> bool {
         matches!(*self.phase.borrow(), Phase::Ending(_) | Phase::HandedOver)
     }
 
@@ -175,14 +179,14 @@
     }
 
     /// Connections from clients that are open.
-    pub fn connections(&self) -> usize {
-        self.connections.get()
+    pub fn open_connections(&self) -> usize {
+        self.open_connections.get()
     }
 
     /// One more connection, until what this gives is dropped.
-    pub fn enter(self: &Rc<Self>) -> Inside {
-        self.connections.update(|count| count + 1);
-        Inside(self.clone())
+    pub fn track_connection(self: &Rc<Self>) -> ConnectionGuard {
+        self.open_connections.update(|count| count + 1);
+        ConnectionGuard(self.clone())
     }
 
     /// Tells idle connections when to go, and no longer once the gate is open again.
@@ -192,8 +196,8 @@
             let phase = *phases.borrow_and_update();
             let mut next: Option<Instant> = None;
             for (due, turned) in [
-                (phase.closes_idle(), &self.closing),
-                (phase.closes_last(), &self.last),
+                (phase.closes_idle(), &self.closing_idle),
+                (phase.closes_last(), &self.closing_all),
             ] {
                 let now = due.is_some_and(|due| due <= Instant::now());
                 turned.send_if_modified(|turned| std::mem::replace(turned, now) != now);
@@ -209,11 +213,13 @@
 
 /// An open connection.
 #[derive(Debug)]
-pub struct Inside(Rc<Gate>);
+pub struct ConnectionGuard(Rc<DrainGate>);
 
-impl Drop for Inside {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
-        self.0.connections.update(|count| count.saturating_sub(1));
+        self.0
+            .open_connections
+            .update(|count| count.saturating_sub(1));
     }
 }
 
@@ -227,22 +233,27 @@
     async fn a_drain_closes_idle_connections_and_a_resume_opens_again() {
         LocalSet::new()
             .run_until(async {
-                let gate = Rc::new(Gate::new());
+                let gate = Rc::new(DrainGate::new());
                 tokio::task::spawn_local(gate.clone().run());
-                let closing = gate.closing();
-                assert!(gate.says_ready() && gate.takes() && !gate.closes());
+                let closing = gate.closing_idle();
+                assert!(gate.is_ready() && gate.accepts_messages() && !gate.closes_connections());
                 assert!(gate.drain());
                 advance(DRAIN_IDLE / 2).await;
                 // a second word must not start the time anew
                 assert!(gate.drain());
-                assert!(!gate.says_ready() && gate.closes() && gate.takes() && !*closing.borrow());
+                assert!(
+                    !gate.is_ready()
+                        && gate.closes_connections()
+                        && gate.accepts_messages()
+                        && !*closing.borrow()
+                );
                 tokio::time::sleep(DRAIN_IDLE / 2 + Duration::from_millis(1)).await;
                 assert!(*closing.borrow());
                 tokio::time::sleep(DRAIN_TAKES - DRAIN_IDLE).await;
-                assert!(!gate.takes());
+                assert!(!gate.accepts_messages());
                 assert!(gate.resume());
                 tokio::time::sleep(Duration::from_millis(1)).await;
-                assert!(gate.says_ready() && gate.takes() && !*closing.borrow());
+                assert!(gate.is_ready() && gate.accepts_messages() && !*closing.borrow());
             })
             .await;
     }
@@ -251,13 +262,13 @@
     async fn the_end_is_for_good() {
         LocalSet::new()
             .run_until(async {
-                let gate = Rc::new(Gate::new());
+                let gate = Rc::new(DrainGate::new());
                 tokio::task::spawn_local(gate.clone().run());
                 assert!(gate.drain());
-                gate.end();
-                assert!(!gate.resume() && !gate.drain() && !gate.says_ready());
+                gate.begin_shutdown();
+                assert!(!gate.resume() && !gate.drain() && !gate.is_ready());
                 tokio::time::sleep(ENDING_IDLE + Duration::from_millis(1)).await;
-                assert!(*gate.closing().borrow() && gate.takes());
+                assert!(*gate.closing_idle().borrow() && gate.accepts_messages());
             })
             .await;
     }
--- a/crates/platform/src/calls.rs
+++ b/crates/platform/src/http_transport.rs
@@ -7,13 +7,13 @@
 mod response;
 
 use self::response::{READ_TIMEOUT, ResponseReader};
-use crate::answer::Answer;
 use crate::attribution::CloseBehaviours;
-use crate::budget::Budget;
-use crate::call_text::{Persistence, bulk_size, request_of};
+use crate::call_codec::{Persistence, bulk_size, request_of};
+use crate::call_result::Answer;
 use crate::connection::Connection;
+use crate::connection_monitor::Wire;
 use crate::pools::Pools;
-use crate::wire::Wire;
+use crate::resource_budget::ResourceBudget;
 use milletturn_engine::{
     AttemptEnd, Attribution, Call, CallItem, EndCause, Input, MAX_BODY_BYTES, Transport,
 };
@@ -37,7 +37,7 @@
 
 /// The connections to the endpoints and what calls have in common: the transport of the platform.
 #[derive(Clone)]
-pub struct Calls(Rc<Shared>);
+pub struct HttpTransport(Rc<Shared>);
 
 struct Shared {
     pools: RefCell<Pools<Connection>>,
@@ -56,14 +56,14 @@
     close_behaviours: RefCell<CloseBehaviours>,
 }
 
-impl Calls {
+impl HttpTransport {
     /// No connections yet. `idle` is when endpoints close idle ones, zero where that is not known. `attempts_written`
     /// counts messages that have been written whole.
     pub fn new(
         idle: Duration,
         dial_timeout: Duration,
         report_fields: Vec<String>,
-        budget: &Budget,
+        budget: &ResourceBudget,
         inputs: mpsc::UnboundedSender<Input>,
         attempts_written: Rc<Cell<u64>>,
     ) -> Self {
@@ -73,9 +73,9 @@
             idle
         };
         let max_idle_time = (idle * 9 / 10).min(idle.saturating_sub(Duration::from_millis(300)));
-        Calls(Rc::new(Shared {
-            pools: RefCell::new(Pools::new(budget.idle)),
-            descriptors: Arc::new(Semaphore::new(budget.endpoints)),
+        HttpTransport(Rc::new(Shared {
+            pools: RefCell::new(Pools::new(budget.idle_connections)),
+            descriptors: Arc::new(Semaphore::new(budget.endpoint_connections)),
             max_idle_time,
             dial_timeout,
             report_fields,
@@ -88,7 +88,7 @@
     }
 }
 
-impl Calls {
+impl HttpTransport {
     /// Descriptors for connections that are free.
     #[must_use]
     pub fn descriptors(&self) -> Arc<Semaphore> {
@@ -96,7 +96,7 @@
     }
 }
 
-impl Transport for Calls {
+impl Transport for HttpTransport {
     /// Starts a call; its messages' ends come as inputs. `cancels` has the positions that are called off.
     fn start(&self, call: Call, cancels: mpsc::UnboundedReceiver<usize>) {
         let shared = self.0.clone();
--- a/crates/platform/src/calls/response.rs
+++ b/crates/platform/src/http_transport/response.rs
@@ -1,8 +1,8 @@
 //! Reads the response to a call: what it says, what ties it to the call, and what becomes of its connection.
 
 use super::{Shared, give_back};
-use crate::answer::Answer;
 use crate::attribution::{CloseBehaviour, announces_close, names_messages};
+use crate::call_result::Answer;
 use crate::connection::Connection;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -6,23 +6,23 @@
     reason = "names and shape of this package have not had their turn yet"
 )]
 
-pub mod agent;
-mod answer;
-mod asking;
 mod attribution;
-mod budget;
-mod call_text;
-pub mod calls;
+mod call_codec;
+mod call_result;
 pub mod config;
 mod connection;
-pub mod door;
-pub mod feed;
-mod gate;
-mod list;
-pub mod notices;
+mod connection_monitor;
+pub mod discovery;
+mod discovery_backoff;
+mod drain_gate;
+mod endpoint_list;
+pub mod http_transport;
+pub mod notifications;
 mod pools;
-mod wire;
+mod resource_budget;
+pub mod server;
+pub mod watch_stream;
 
-pub use asking::{Asking, Failure};
-pub use budget::Budget;
-pub use gate::Gate;
+pub use discovery_backoff::{DiscoveryBackoff, Failure};
+pub use drain_gate::DrainGate;
+pub use resource_budget::ResourceBudget;
--- a/crates/platform/src/notices.rs
+++ b/crates/platform/src/notifications.rs
@@ -1,7 +1,7 @@
 //! The notices that end undelivered messages, posted to the platform's agent.
 
-use crate::agent::{CallError, Network, call};
-use crate::asking::{ANSWER, FIRST};
+use crate::discovery::{CallError, Network, call};
+use crate::discovery_backoff::{ANSWER, FIRST};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST};
@@ -70,7 +70,7 @@
 
 /// Posts notices until each has been answered 204, always to the agent's present address. A notice twice does no
 /// harm, so a post that hangs keeps none waiting.
-pub async fn post_notices(
+pub async fn post_notifications(
     network: impl Network,
     mut agents: watch::Receiver<SocketAddr>,
     mut queue: mpsc::UnboundedReceiver<Notification>,
--- a/crates/platform/src/door.rs
+++ b/crates/platform/src/server.rs
@@ -1,6 +1,6 @@
 //! The clients' side: reads messages that are handed in, and answers as the driver decides.
 
-use crate::gate::Gate;
+use crate::drain_gate::DrainGate;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
@@ -57,17 +57,17 @@
     /// True once endpoints are known.
     pub ready: watch::Receiver<bool>,
     /// Whether clients are let in, and whether each answer closes its connection.
-    pub gate: Rc<Gate>,
+    pub drain_gate: Rc<DrainGate>,
     /// Connections that may be open at once.
-    pub most: usize,
+    pub max_connections: usize,
     /// Those of them that are not.
-    pub places: Arc<Semaphore>,
+    pub connection_slots: Arc<Semaphore>,
     /// Beside these, new connections that may wait for a place at once.
-    pub waiting: Arc<Semaphore>,
+    pub waiting_slots: Arc<Semaphore>,
     /// Beside these, closed connections that may be read to their end at once.
-    pub closed: Arc<Semaphore>,
+    pub lingering_slots: Arc<Semaphore>,
     /// Bytes of bodies that may be in reading at once.
-    pub bodies: Semaphore,
+    pub body_bytes: Semaphore,
 }
 
 /// Why a request is not taken on, as HTTP tells it.
@@ -196,7 +196,7 @@
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             // what stands in the queue is the other process's
-            () = server.gate.handed_over() => return,
+            () = server.drain_gate.until_handed_over() => return,
         };
         let stream = match accepted {
             Ok((stream, _)) => stream,
@@ -208,17 +208,20 @@
         };
         // without it answers still come, only later
         let _ = stream.set_nodelay(true);
-        let inside = server.gate.enter();
-        let (permit, waits) = match server.places.clone().try_acquire_owned() {
+        let inside = server.drain_gate.track_connection();
+        let (permit, waits) = match server.connection_slots.clone().try_acquire_owned() {
             Ok(permit) => (Some(permit), None),
             // each of those that wait is done within `PLACE_TIME`
-            Err(_) => (None, server.waiting.clone().acquire_owned().await.ok()),
+            Err(_) => (
+                None,
+                server.waiting_slots.clone().acquire_owned().await.ok(),
+            ),
         };
         let (server, places, faults) = (server.clone(), places.clone(), faults.clone());
         tokio::task::spawn_local(async move {
             let permit = match permit {
                 Some(permit) => Some(permit),
-                None => places.get(&server.places).await,
+                None => places.get(&server.connection_slots).await,
             };
             // its descriptor has one share of the budget from its accept to its end
             let (left, share) = match permit {
@@ -233,7 +236,7 @@
                 None => {
                     faults.log(format_args!(
                         "clients: all {} places have an open request",
-                        server.most
+                        server.max_connections
                     ));
                     // one that does not take these few bytes has no use for them
                     let _ = stream.try_write(TURNED_AWAY);
@@ -241,7 +244,7 @@
                 }
             };
             if let Some(stream) = left {
-                close(stream, share, &server.closed).await;
+                close(stream, share, &server.lingering_slots).await;
             }
             drop(inside);
         });
@@ -255,7 +258,10 @@
     places: &Rc<Places>,
     place: Rc<Place>,
 ) -> Option<TcpStream> {
-    let (mut closing, mut last) = (server.gate.closing(), server.gate.last());
+    let (mut closing, mut last) = (
+        server.drain_gate.closing_idle(),
+        server.drain_gate.closing_all(),
+    );
     let (shared, seen, others) = (server.clone(), place.clone(), places.clone());
     let stream = Watched {
         stream,
@@ -465,7 +471,7 @@
         }
     };
     let mut response = response;
-    let close = close || server.gate.closes();
+    let close = close || server.drain_gate.closes_connections();
     if close {
         response
             .headers_mut()
@@ -498,7 +504,7 @@
         if request.method() != Method::GET {
             return Err((StatusCode::METHOD_NOT_ALLOWED, ONLY_GET));
         }
-        let ready = *server.ready.borrow() && server.gate.says_ready();
+        let ready = *server.ready.borrow() && server.drain_gate.is_ready();
         return if ready {
             Ok(Response::default())
         } else {
@@ -580,7 +586,7 @@
         let _ = server.inputs.send(Input::Rejected { class, destination });
         Err((StatusCode::SERVICE_UNAVAILABLE, what))
     };
-    let Ok(room) = server.bodies.try_acquire_many(most as u32) else {
+    let Ok(room) = server.body_bytes.try_acquire_many(most as u32) else {
         return refuse("too many bodies at once");
     };
     let body = timeout_at(ends, read_body(request.into_body()))
@@ -590,7 +596,7 @@
     if !*server.ready.borrow() {
         return refuse("not ready");
     }
-    if !server.gate.takes() {
+    if !server.drain_gate.accepts_messages() {
         return refuse("draining");
     }
     let (reply, answer) = oneshot::channel();
--- a/crates/platform/src/feed.rs
+++ b/crates/platform/src/watch_stream.rs
@@ -1,63 +1,63 @@
 //! What a watch brings, from its bytes in whatever pieces: lists, signs of life, and what can't be read. It opens no
 //! socket and reads no clock.
 
-use crate::list::parse_list;
+use crate::endpoint_list::parse_list;
 use milletturn_engine::EndpointListUpdate;
 use serde_json::{Deserializer, Value};
 
 /// A longer object is not kept: read, it takes up several times its size.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_OBJECT_BYTES: usize = 1 << 20;
 /// So much of what can't be read is shown.
 const SHOWN: usize = 80;
 
 /// One thing that a watch brought.
 #[derive(Debug, PartialEq)]
-pub enum Told {
+pub enum WatchEvent {
     /// The end of a line outside any object: while nothing changes, an empty one comes now and then.
-    Alive,
+    KeepAlive,
     /// News; so many entries of it can't be read.
-    List(EndpointListUpdate, usize),
+    Update(EndpointListUpdate, usize),
     /// Something that can't be read, from its beginning. What it said is not known.
-    Unread(String),
+    Malformed(String),
 }
 
 /// Takes the bytes in. An object may run over several lines.
 #[derive(Debug, Default)]
-pub struct Feed {
+pub struct WatchStream {
     /// What has come of the next object.
     text: Vec<u8>,
     /// The rest of a line that was too long is passed over.
     skipping: bool,
 }
 
-impl Feed {
+impl WatchStream {
     /// Bytes that are kept of an object whose end has not come.
     #[must_use]
-    pub fn kept(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.text.len()
     }
 
     /// What these bytes complete.
-    pub fn take(&mut self, bytes: &[u8]) -> Vec<Told> {
+    pub fn push(&mut self, bytes: &[u8]) -> Vec<WatchEvent> {
         let mut told = Vec::new();
         self.text.extend_from_slice(bytes);
         // only these bytes complete anything: an object that is still coming is not read again for each piece
-        if bytes.contains(&b'}') || bytes.contains(&b'\n') || self.text.len() > LONGEST {
+        if bytes.contains(&b'}') || bytes.contains(&b'\n') || self.text.len() > MAX_OBJECT_BYTES {
             let mut at = 0;
             while let Some(length) = self.next(at, &mut told) {
                 at += length;
             }
             self.text.drain(..at);
         }
-        if self.text.len() > LONGEST {
-            told.push(Told::Unread(shown(&self.text)));
+        if self.text.len() > MAX_OBJECT_BYTES {
+            told.push(WatchEvent::Malformed(shown(&self.text)));
             (self.text, self.skipping) = (Vec::new(), true);
         }
         told
     }
 
     /// Reads what stands at a place; its length, or none where more has to come.
-    fn next(&mut self, at: usize, told: &mut Vec<Told>) -> Option<usize> {
+    fn next(&mut self, at: usize, told: &mut Vec<WatchEvent>) -> Option<usize> {
         let rest = &self.text[at..];
         let line = |from: &[u8]| {
             from.iter()
@@ -70,7 +70,7 @@
         }
         let first = *rest.first()?;
         if first.is_ascii_whitespace() {
-            told.extend((first == b'\n').then_some(Told::Alive));
+            told.extend((first == b'\n').then_some(WatchEvent::KeepAlive));
             return Some(1);
         }
         let mut values = Deserializer::from_slice(rest).into_iter::<Value>();
@@ -78,8 +78,8 @@
             Ok(value) => {
                 let length = values.byte_offset();
                 told.push(match parse_list(&value) {
-                    Some((update, unread)) => Told::List(update, unread),
-                    None => Told::Unread(shown(&rest[..length])),
+                    Some((update, unread)) => WatchEvent::Update(update, unread),
+                    None => WatchEvent::Malformed(shown(&rest[..length])),
                 });
                 Some(length)
             }
@@ -87,7 +87,7 @@
             Err(_) => {
                 // the next line may be whole again
                 let length = line(rest)?;
-                told.push(Told::Unread(shown(&rest[..length])));
+                told.push(WatchEvent::Malformed(shown(&rest[..length])));
                 Some(length)
             }
         }
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! The transport alone, on one thread as it runs in the sender.
 
 use milletturn_engine::{CallItem, Input, SharedStr, Transport};
-use milletturn_platform::{Budget, calls::Calls};
+use milletturn_platform::{ResourceBudget, http_transport::HttpTransport};
 use milletturn_policy::EndpointId;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -22,10 +22,10 @@
 }
 
 /// A transport that may call endpoint 1 at this address, and what it tells.
-pub(crate) fn calls(endpoint: SocketAddr) -> (Calls, mpsc::UnboundedReceiver<Input>) {
+pub(crate) fn calls(endpoint: SocketAddr) -> (HttpTransport, mpsc::UnboundedReceiver<Input>) {
     let (inputs, received) = mpsc::unbounded_channel();
-    let budget = Budget::new(256, 32_000_000, 40);
-    let calls = Calls::new(LONG, LONG, Vec::new(), &budget, inputs, Rc::default());
+    let budget = ResourceBudget::new(256, 32_000_000, 40);
+    let calls = HttpTransport::new(LONG, LONG, Vec::new(), &budget, inputs, Rc::default());
     calls.add_endpoint(EndpointId(1), endpoint);
     (calls, received)
 }
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -6,17 +6,17 @@
     reason = "scenarios of this file have not had their turn yet"
 )]
 
-mod virtual_agent;
+mod virtual_discovery;
 
 use milletturn_engine::{Ending, Input, Notification, SharedStr};
-use milletturn_platform::notices::post_notices;
-use milletturn_platform::{Asking, agent};
+use milletturn_platform::notifications::post_notifications;
+use milletturn_platform::{DiscoveryBackoff, discovery};
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, sleep_until, timeout};
-use virtual_agent::{State, VirtualAgent, virtual_time};
+use virtual_discovery::{State, VirtualDiscovery, virtual_time};
 
 /// What discovery has counts as told so long after it had it and could be reached.
 const TOLD: Duration = Duration::from_millis(6000);
@@ -35,12 +35,18 @@
 
 /// A watch of one of so many senders; what it hands on.
 fn watching(
-    agent: &VirtualAgent,
+    agent: &VirtualDiscovery,
     agents: watch::Receiver<SocketAddr>,
-    asking: Asking,
+    asking: DiscoveryBackoff,
 ) -> mpsc::UnboundedReceiver<Input> {
     let (inputs, received) = mpsc::unbounded_channel();
-    spawn_local(agent::watch(agent.clone(), agents, 0, asking, inputs));
+    spawn_local(discovery::watch_endpoints(
+        agent.clone(),
+        agents,
+        0,
+        asking,
+        inputs,
+    ));
     received
 }
 
@@ -57,9 +63,14 @@
 
 /// How long after its return the agent's news is heard: it is well until `from`, if that is not zero, and again from
 /// `back` on.
-async fn heard_after(state: State, from: Duration, back: Duration, asking: Asking) -> Duration {
+async fn heard_after(
+    state: State,
+    from: Duration,
+    back: Duration,
+    asking: DiscoveryBackoff,
+) -> Duration {
     let began = Instant::now();
-    let agent = VirtualAgent::new(
+    let agent = VirtualDiscovery::new(
         vec![(ms(0), State::Well), (from, state), (back, State::Well)],
         ANSWER,
     );
@@ -89,8 +100,11 @@
                 for from in [0, 5000, 5700, 6400] {
                     for out in 0..60 {
                         let (from, back) = (ms(from), ms(from + 50 + 230 * out));
-                        let asking =
-                            Asking::new(senders, pushed, from.as_millis() as u64 * 100 + out);
+                        let asking = DiscoveryBackoff::new(
+                            senders,
+                            pushed,
+                            from.as_millis() as u64 * 100 + out,
+                        );
                         let heard = heard_after(state, from, back, asking).await;
                         let what =
                             format!("{state:?} {from:?} {back:?} {senders} {pushed}: {heard:?}");
@@ -108,10 +122,11 @@
     virtual_time(async {
         for seed in 0..200 {
             for (senders, pushed) in [(300, false), (3, false), (300, true)] {
-                let agent = VirtualAgent::new(vec![(ms(0), State::Refusing(1))], ANSWER);
+                let agent = VirtualDiscovery::new(vec![(ms(0), State::Refusing(1))], ANSWER);
                 let (_address, agents) = watch::channel(address(1));
                 let began = Instant::now();
-                let mut received = watching(&agent, agents, Asking::new(senders, pushed, seed));
+                let mut received =
+                    watching(&agent, agents, DiscoveryBackoff::new(senders, pushed, seed));
                 listed(&mut received, 1).await;
                 // it has answered the first call with its refusal when that had been out for so long
                 assert!(
@@ -129,7 +144,7 @@
         for (senders, pushed) in [(1, false), (5, false), (300, true)] {
             for out in 0..100 {
                 let back = ms(5050 + 230 * out);
-                let asking = Asking::new(senders, pushed, out);
+                let asking = DiscoveryBackoff::new(senders, pushed, out);
                 let heard = heard_after(State::Refusing(u32::MAX), ms(5000), back, asking).await;
                 assert!(heard < TOLD, "{senders} {pushed} {back:?}: {heard:?}");
             }
@@ -150,10 +165,10 @@
             for moved in 0..40 {
                 let moved = ms(5000 + 330 * moved);
                 let agent =
-                    VirtualAgent::new(vec![(ms(0), State::Well), (ms(5000), state)], ms(100));
+                    VirtualDiscovery::new(vec![(ms(0), State::Well), (ms(5000), state)], ms(100));
                 agent.lies_at(address(2), vec![(ms(0), State::Well)]);
                 let (to, agents) = watch::channel(address(1));
-                let mut received = watching(&agent, agents, Asking::new(300, false, 7));
+                let mut received = watching(&agent, agents, DiscoveryBackoff::new(300, false, 7));
                 listed(&mut received, 1).await;
                 sleep_until(agent.began() + moved).await;
                 while received.try_recv().is_ok() {}
@@ -170,10 +185,16 @@
 fn calls_that_queue_at_a_slow_discovery_for_longer_than_a_watch_may_be_silent_are_answered() {
     virtual_time(async {
         // serves 12.5 calls a second in the order of their coming, also those that nobody waits for any more
-        let agent = VirtualAgent::new(vec![(ms(0), State::Queue(ms(80)))], ms(0));
+        let agent = VirtualDiscovery::new(vec![(ms(0), State::Queue(ms(80)))], ms(0));
         let (_address, agents) = watch::channel(address(1));
         let mut fleet: Vec<_> = (0..100)
-            .map(|seed| watching(&agent, agents.clone(), Asking::new(100, false, seed)))
+            .map(|seed| {
+                watching(
+                    &agent,
+                    agents.clone(),
+                    DiscoveryBackoff::new(100, false, seed),
+                )
+            })
             .collect();
         sleep(ms(30_000)).await;
         let served = fleet
@@ -192,11 +213,11 @@
 }
 
 impl Posting {
-    fn at(agent: &VirtualAgent) -> Self {
+    fn at(agent: &VirtualDiscovery) -> Self {
         let (notices, queue) = mpsc::unbounded_channel();
         let (inputs, received) = mpsc::unbounded_channel();
         let (to, agents) = watch::channel(address(1));
-        spawn_local(post_notices(agent.clone(), agents, queue, inputs));
+        spawn_local(post_notifications(agent.clone(), agents, queue, inputs));
         Posting {
             notices,
             inputs: received,
@@ -234,7 +255,8 @@
         for hanging in [State::Silent, State::Lost] {
             for later in [0, 1, 30, 99, 100, 101, 250, 700] {
                 // the post that is begun first hangs, and so does none behind it
-                let agent = VirtualAgent::new(vec![(ms(0), hanging), (ms(1), State::Well)], ms(5));
+                let agent =
+                    VirtualDiscovery::new(vec![(ms(0), hanging), (ms(1), State::Well)], ms(5));
                 let mut posting = Posting::at(&agent);
                 posting.owe(1);
                 sleep(ms(1 + later)).await;
@@ -258,7 +280,7 @@
 fn an_agent_that_answers_late_gets_to_answer_and_few_posts_are_out() {
     virtual_time(async {
         for late in [5, 90, 150, 400, 950] {
-            let agent = VirtualAgent::new(vec![(ms(0), State::Well)], ms(late));
+            let agent = VirtualDiscovery::new(vec![(ms(0), State::Well)], ms(late));
             let mut posting = Posting::at(&agent);
             for number in 1..=1000 {
                 posting.owe(number);
@@ -296,7 +318,7 @@
         ] {
             for back in 0..40 {
                 let back = ms(4000 + 70 * back);
-                let agent = VirtualAgent::new(vec![(ms(0), state), (back, State::Well)], ms(5));
+                let agent = VirtualDiscovery::new(vec![(ms(0), state), (back, State::Well)], ms(5));
                 let mut posting = Posting::at(&agent);
                 posting.owe(1);
                 sleep_until(agent.began() + back - ms(40)).await;
@@ -305,7 +327,7 @@
                 let heard = agent.taken("m2") - agent.began() - back;
                 assert!(heard < LOST - ms(40), "{state:?} {back:?}: {heard:?}");
             }
-            let agent = VirtualAgent::new(vec![(ms(0), state)], ms(5));
+            let agent = VirtualDiscovery::new(vec![(ms(0), state)], ms(5));
             agent.lies_at(address(2), vec![(ms(0), State::Well)]);
             let mut posting = Posting::at(&agent);
             posting.owe(1);
--- a/crates/platform/tests/door.rs
+++ b/crates/platform/tests/server.rs
@@ -2,8 +2,8 @@
 //! against the bytes that come at that instant. Clients are plain sockets, written and read in the same thread.
 
 use milletturn_engine::{ArrivalOutcome, Input};
-use milletturn_platform::Gate;
-use milletturn_platform::door::{Server, serve};
+use milletturn_platform::DrainGate;
+use milletturn_platform::server::{Server, serve};
 use milletturn_policy::{Class, Effect};
 use milletturn_test_support::message;
 use std::cell::{Cell, RefCell};
@@ -26,7 +26,7 @@
 struct Door {
     address: SocketAddr,
     server: Rc<Server>,
-    gate: Rc<Gate>,
+    gate: Rc<DrainGate>,
     /// Ids of the messages that were handed in. All are taken on.
     taken: Rc<RefCell<Vec<String>>>,
     /// Nothing is answered meanwhile.
@@ -41,18 +41,18 @@
         let address = listener.local_addr().expect("bound");
         let (inputs, mut received) = mpsc::unbounded_channel();
         let (ready, seen) = watch::channel(true);
-        let gate = Rc::new(Gate::new());
+        let gate = Rc::new(DrainGate::new());
         let class = Class::new("order", Effect::Unsafe, 4_000_000, 20_000_000);
         let server = Rc::new(Server {
             classes: Rc::new(RefCell::new(vec![(0, class)])),
             inputs,
             ready: seen,
-            gate: gate.clone(),
-            most,
-            places: Arc::new(Semaphore::new(most)),
-            waiting: Arc::new(Semaphore::new(beside)),
-            closed: Arc::new(Semaphore::new(beside)),
-            bodies: Semaphore::new(1 << 20),
+            drain_gate: gate.clone(),
+            max_connections: most,
+            connection_slots: Arc::new(Semaphore::new(most)),
+            waiting_slots: Arc::new(Semaphore::new(beside)),
+            lingering_slots: Arc::new(Semaphore::new(beside)),
+            body_bytes: Semaphore::new(1 << 20),
         });
         let taken: Rc<RefCell<Vec<String>>> = Rc::default();
         let silent: Rc<Cell<bool>> = Rc::default();
@@ -83,9 +83,9 @@
 
     /// A client whose connection the door has accepted.
     async fn client(&self) -> Client {
-        let before = self.gate.connections();
+        let before = self.gate.open_connections();
         let client = Client::connect(self.address);
-        turn_until("it is accepted", || self.gate.connections() > before).await;
+        turn_until("it is accepted", || self.gate.open_connections() > before).await;
         client
     }
 
@@ -94,10 +94,10 @@
         let mut client = self.client().await;
         let mut text = message("order", id, 7, 20_000, b"12345");
         let last = text.split_off(text.len() - 2);
-        let before = self.server.bodies.available_permits();
+        let before = self.server.body_bytes.available_permits();
         client.write(&text);
         turn_until("its head is read", || {
-            self.server.bodies.available_permits() < before
+            self.server.body_bytes.available_permits() < before
         })
         .await;
         (client, last)
@@ -249,7 +249,7 @@
         let (mut half, last) = door.half("m1").await;
         let mut new = Client::connect(door.address);
         // accepted, and the place is about to be asked for
-        turn_until("it is accepted", || door.gate.connections() == 2).await;
+        turn_until("it is accepted", || door.gate.open_connections() == 2).await;
         half.write(&last);
         assert_eq!(half.status().await, "202");
         // which frees the place
@@ -298,7 +298,10 @@
             (half.end().await, new.status().await.as_str()),
             (Ok(()), "202")
         );
-        turn_until("the last byte is read", || door.gate.connections() <= 2).await;
+        turn_until("the last byte is read", || {
+            door.gate.open_connections() <= 2
+        })
+        .await;
         assert_eq!(*door.taken.borrow(), ["m2"]);
     });
 }
@@ -328,7 +331,10 @@
     paused(async {
         let door = Door::open(2, 4).await;
         // both places have an open request: the engine is silent
-        let (first, second) = (door.server.places.clone(), door.server.places.clone());
+        let (first, second) = (
+            door.server.connection_slots.clone(),
+            door.server.connection_slots.clone(),
+        );
         let held = [
             first.try_acquire_owned().expect("free"),
             second.try_acquire_owned().expect("free"),
@@ -338,7 +344,7 @@
         for (number, client) in new.iter_mut().enumerate() {
             client.write(&message("order", &format!("m{number}"), 7, 20_000, b"x"));
         }
-        turn_until("all are accepted", || door.gate.connections() == 4).await;
+        turn_until("all are accepted", || door.gate.open_connections() == 4).await;
         // and wait: their time begins with their first turn
         turns(200).await;
         advance(Duration::from_millis(101)).await;
@@ -349,7 +355,10 @@
         // one that comes behind them finds a place as soon as there is one
         let mut late = Client::connect(door.address);
         late.write(&message("order", "late", 7, 20_000, b"x"));
-        turn_until("it waits", || door.server.waiting.available_permits() == 3).await;
+        turn_until("it waits", || {
+            door.server.waiting_slots.available_permits() == 3
+        })
+        .await;
         drop(held);
         assert_eq!(late.status().await, "202");
         assert!(
@@ -372,7 +381,10 @@
         turn_until("it is with the engine", || door.taken.borrow().len() == 1).await;
         let mut new = door.client().await;
         new.write(&message("order", "m2", 7, 20_000, b"x"));
-        turn_until("it waits", || door.server.waiting.available_permits() == 0).await;
+        turn_until("it waits", || {
+            door.server.waiting_slots.available_permits() == 0
+        })
+        .await;
         turns(200).await;
         door.silent.set(false);
         assert_eq!(
@@ -387,7 +399,7 @@
     paused(async {
         let door = Door::open(8, 4).await;
         let told = Instant::now();
-        door.gate.end();
+        door.gate.begin_shutdown();
         advance(Duration::from_millis(2600)).await;
         let (mut half, _) = door.half("half").await;
         let (whole, last) = door.half("whole").await;
@@ -407,7 +419,7 @@
             let _ = client.stream.shutdown(Shutdown::Both);
         }
         drop((half, whole));
-        turn_until("all have gone", || door.gate.connections() == 0).await;
+        turn_until("all have gone", || door.gate.open_connections() == 0).await;
         assert!(told.elapsed() < Duration::from_millis(3300));
     });
 }
--- a/crates/platform/tests/single_calls.rs
+++ b/crates/platform/tests/single_calls.rs
@@ -5,7 +5,7 @@
 
 use common::{LONG, item, local};
 use milletturn_engine::{AttemptEnd, Attribution, Call, EndCause, Input, Transport};
-use milletturn_platform::calls::Calls;
+use milletturn_platform::http_transport::HttpTransport;
 use milletturn_policy::{EndpointId, MILLISECOND, Micros, Outcome};
 use milletturn_test_support::{Endpoint, OK};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 }
 
 struct Rig {
-    calls: Calls,
+    calls: HttpTransport,
     received: mpsc::UnboundedReceiver<Input>,
     next: u64,
     /// Calls carry what must run once.
--- a/crates/platform/tests/virtual_agent/mod.rs
+++ b/crates/platform/tests/virtual_discovery/mod.rs
@@ -1,6 +1,6 @@
 //! An agent in virtual time, without sockets.
 
-use milletturn_platform::agent::Network;
+use milletturn_platform::discovery::Network;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -74,13 +74,13 @@
 
 /// The agent, and the network before it.
 #[derive(Clone)]
-pub(crate) struct VirtualAgent(Rc<RefCell<World>>);
+pub(crate) struct VirtualDiscovery(Rc<RefCell<World>>);
 
-impl VirtualAgent {
+impl VirtualDiscovery {
     /// In these states from these times on; when it answers, then so late. The list's version is the number of the
     /// state.
     pub(crate) fn new(plan: Vec<(Duration, State)>, answer: Duration) -> Self {
-        VirtualAgent(Rc::new(RefCell::new(World {
+        VirtualDiscovery(Rc::new(RefCell::new(World {
             began: Instant::now(),
             plans: BTreeMap::from([(SocketAddr::from(([127, 0, 0, 1], 1)), plan)]),
             answer,
@@ -234,7 +234,7 @@
     }
 }
 
-impl Network for VirtualAgent {
+impl Network for VirtualDiscovery {
     type Stream = DuplexStream;
 
     async fn connect(&self, address: SocketAddr) -> io::Result<DuplexStream> {
--- a/crates/platform/tests/feed.rs
+++ b/crates/platform/tests/watch_stream.rs
@@ -1,17 +1,17 @@
 //! What a watch brings, from bytes in whatever pieces.
 
-use milletturn_platform::feed::{Feed, LONGEST, Told};
+use milletturn_platform::watch_stream::{MAX_OBJECT_BYTES, WatchEvent, WatchStream};
 
 const FIRST: &str = r#"{"rev":41,"all":true,"targets":[{"uid":"s-1","endpoint":"127.0.0.1:9","pod_group":3,"state":"up"}]}"#;
 
 /// Versions of lists, `-` for signs of life, `?` for what can't be read.
 fn read(pieces: &[&str]) -> String {
-    let mut feed = Feed::default();
-    let told = pieces.iter().flat_map(|piece| feed.take(piece.as_bytes()));
+    let mut feed = WatchStream::default();
+    let told = pieces.iter().flat_map(|piece| feed.push(piece.as_bytes()));
     told.map(|told| match told {
-        Told::Alive => "-".to_string(),
-        Told::List(update, unread) => format!("{}/{unread} ", update.version),
-        Told::Unread(_) => "?".to_string(),
+        WatchEvent::KeepAlive => "-".to_string(),
+        WatchEvent::Update(update, unread) => format!("{}/{unread} ", update.version),
+        WatchEvent::Malformed(_) => "?".to_string(),
     })
     .collect()
 }
@@ -50,17 +50,17 @@
 
 #[test]
 fn a_line_without_end_takes_no_more_than_its_room_and_is_no_sign_of_life() {
-    let mut feed = Feed::default();
+    let mut feed = WatchStream::default();
     let piece = vec![b' '; 1 << 16];
-    let mut told = feed.take(b"{\"rev\":41,");
+    let mut told = feed.push(b"{\"rev\":41,");
     for _ in 0..40 {
-        told.extend(feed.take(&piece));
-        assert!(feed.kept() <= LONGEST + piece.len());
+        told.extend(feed.push(&piece));
+        assert!(feed.buffered_bytes() <= MAX_OBJECT_BYTES + piece.len());
     }
     assert_eq!(told.len(), 1, "{told:?}");
-    assert!(matches!(&told[..], [Told::Unread(_)]));
+    assert!(matches!(&told[..], [WatchEvent::Malformed(_)]));
     assert_eq!(
-        feed.take(format!("\n{FIRST}").as_bytes()).len(),
+        feed.push(format!("\n{FIRST}").as_bytes()).len(),
         1,
         "the next line is read"
     );
--- a/crates/scale/src/fleet/hollow.rs
+++ b/crates/scale/src/fleet/hollow.rs
@@ -8,9 +8,9 @@
 use milletturn_coordination_protocol::clock::now;
 use milletturn_engine::Input;
 use milletturn_member::{CoordinatorClient, Member};
-use milletturn_platform::Asking;
-use milletturn_platform::agent::{self, Tcp};
+use milletturn_platform::DiscoveryBackoff;
 use milletturn_platform::config::{Config, reload};
+use milletturn_platform::discovery::{self, Tcp};
 use serde::{Deserialize, Serialize};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -206,7 +206,7 @@
             }
             Order::Reload => {
                 for sender in self.senders.values_mut() {
-                    let read = reload(&sender.config.path, &sender.config.shape);
+                    let read = reload(&sender.config.path, &sender.config.keys);
                     sender.config.settings = read
                         .map_err(|error| Error::Wrong(error.to_string()))?
                         .settings;
@@ -316,15 +316,17 @@
             common.destinations,
         )));
         let mut tasks = Vec::new();
-        let (agent, agents) = watch::channel(config.discovery);
+        let (agent, agents) = watch::channel(config.discovery_address);
         let (inputs, mut listed) = mpsc::unbounded_channel();
         let seed = common.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let asking = Asking::new(
+        let asking = DiscoveryBackoff::new(
             config.settings.senders,
             !config.settings.list_on_request,
             seed,
         );
-        tasks.push(spawn_local(agent::watch(Tcp, agents, 0, asking, inputs)).abort_handle());
+        tasks.push(
+            spawn_local(discovery::watch_endpoints(Tcp, agents, 0, asking, inputs)).abort_handle(),
+        );
         let (told, marks) = (tally.clone(), self.marks.clone());
         if common.engines {
             tasks.extend(bare::start(&config, listed, told, marks)?);
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -10,8 +10,8 @@
     Clock, EndpointListUpdate, Engine, EngineStatus, Input, Journal, ListedEndpoint, Ports,
     SharedStr,
 };
-use milletturn_platform::Budget;
-use milletturn_platform::calls::Calls;
+use milletturn_platform::ResourceBudget;
+use milletturn_platform::http_transport::HttpTransport;
 use milletturn_policy::{Class, Effect, Kind, SECOND, Settings, Status};
 use milletturn_test_support::{Agent, MemoryJournal};
 use std::io::{Read, Write};
@@ -72,9 +72,9 @@
         bundle_max: 1,
     });
     let (inputs, received) = mpsc::unbounded_channel();
-    let budget = Budget::new(SOCKETS, 128_000_000, SLOTS);
+    let budget = ResourceBudget::new(SOCKETS, 128_000_000, SLOTS);
     let (idle, dial) = (Duration::from_secs(5), Duration::from_millis(500));
-    let calls = Calls::new(
+    let calls = HttpTransport::new(
         idle,
         dial,
         Vec::new(),
--- a/crates/sidecar/src/plan.rs
+++ b/crates/sidecar/src/plan.rs
@@ -10,7 +10,7 @@
 use milletturn_config::document::{Document, host_and_port};
 use milletturn_dead_letter::config::{Config as StoreConfig, RESERVED_STORE_SIZES};
 use milletturn_engine::ListedEndpoint;
-use milletturn_platform::Budget;
+use milletturn_platform::ResourceBudget;
 use milletturn_policy::{Micros, Settings};
 use std::io;
 use std::net::{SocketAddr, ToSocketAddrs};
@@ -41,7 +41,7 @@
     /// Kinds of destination, named by the messages that one call may carry.
     pub kinds: Vec<String>,
     /// How file descriptors and memory are divided.
-    pub budget: Budget,
+    pub budget: ResourceBudget,
     /// Disk space of the journal, in bytes.
     pub journal_max_bytes: u64,
     /// Disk space of the dead-letter store with its reserve, in bytes; 0 without a store.
@@ -157,14 +157,14 @@
 }
 
 /// Divides descriptors and memory; what the sidecar itself has open is subtracted first.
-fn budget_from(document: &Document, has_operators: bool) -> Budget {
+fn budget_from(document: &Document, has_operators: bool) -> ResourceBudget {
     let operators_descriptors = if has_operators {
         SOCKETS_OPERATORS as usize
     } else {
         0
     };
     let reserved = OTHER_DESCRIPTORS + operators_descriptors;
-    Budget::new(
+    ResourceBudget::new(
         count_as_usize(document, &["limits", "sockets"]).saturating_sub(reserved),
         document.size(&["limits", "memory"]),
         count_as_usize(document, &["limits", "calls"]),
--- a/src/assemble.rs
+++ b/src/assemble.rs
@@ -21,9 +21,9 @@
 use milletturn_hot_restart::old_process;
 use milletturn_journal::{FileJournal, Recovery};
 use milletturn_logging::log;
-use milletturn_platform::Budget;
-use milletturn_platform::calls::Calls;
-use milletturn_platform::door::serve;
+use milletturn_platform::ResourceBudget;
+use milletturn_platform::http_transport::HttpTransport;
+use milletturn_platform::server::serve;
 use milletturn_policy::{Class, Settings};
 use running::SharedHandles;
 use std::error::Error;
@@ -54,7 +54,7 @@
     /// Names of the load report's fields.
     pub report_fields: Vec<String>,
     /// Limits of connections and buffered bytes.
-    pub budget: Budget,
+    pub budget: ResourceBudget,
     /// Bytes that the journal may take up.
     pub journal_max_bytes: u64,
     /// The dead-letter store, if there is one.
@@ -183,8 +183,8 @@
 }
 
 /// The transport to the endpoints, with no connections yet.
-fn start_calls(options: &SenderOptions, handles: &SharedHandles) -> Calls {
-    Calls::new(
+fn start_calls(options: &SenderOptions, handles: &SharedHandles) -> HttpTransport {
+    HttpTransport::new(
         options.idle_timeout,
         options.connect_timeout,
         options.report_fields.clone(),
--- a/src/assemble/engine.rs
+++ b/src/assemble/engine.rs
@@ -8,7 +8,7 @@
 use milletturn_engine::{Archive, Clock, Engine, Notification, Observer, Ports, RestoredEngine};
 use milletturn_journal::FileJournal;
 use milletturn_logging::log;
-use milletturn_platform::calls::Calls;
+use milletturn_platform::http_transport::HttpTransport;
 use milletturn_policy::Settings;
 use std::error::Error;
 use tokio::sync::{mpsc, watch};
@@ -18,7 +18,7 @@
     pub(super) clock: Clock,
     pub(super) journal: FileJournal,
     pub(super) store_worker: Option<StoreWorker>,
-    pub(super) calls: Calls,
+    pub(super) calls: HttpTransport,
     pub(super) notifications: mpsc::UnboundedSender<Notification>,
     pub(super) observer: Box<dyn Observer>,
     pub(super) ready: watch::Sender<bool>,
--- a/src/assemble/listener.rs
+++ b/src/assemble/listener.rs
@@ -1,9 +1,9 @@
 //! Where clients connect, and how many connections there may be.
 
 use super::running::SharedHandles;
-use milletturn_platform::Budget;
-use milletturn_platform::calls::Calls;
-use milletturn_platform::door::Server;
+use milletturn_platform::ResourceBudget;
+use milletturn_platform::http_transport::HttpTransport;
+use milletturn_platform::server::Server;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use tokio::net::{TcpListener, TcpSocket};
@@ -23,9 +23,9 @@
 }
 
 impl ConnectionLimits {
-    pub(super) fn new(budget: &Budget, calls: &Calls) -> Self {
+    pub(super) fn new(budget: &ResourceBudget, calls: &HttpTransport) -> Self {
         ConnectionLimits {
-            clients: Arc::new(Semaphore::new(budget.clients)),
+            clients: Arc::new(Semaphore::new(budget.client_connections)),
             calls: calls.descriptors(),
         }
     }
@@ -35,18 +35,18 @@
 pub(super) fn http_server(
     handles: &SharedHandles,
     limits: &ConnectionLimits,
-    budget: &Budget,
+    budget: &ResourceBudget,
 ) -> Server {
     Server {
-        places: limits.clients.clone(),
+        connection_slots: limits.clients.clone(),
         classes: handles.classes.clone(),
         inputs: handles.inputs.clone(),
         ready: handles.ready.clone(),
-        gate: handles.gate.clone(),
-        most: budget.clients,
-        waiting: Arc::new(Semaphore::new(budget.beside)),
-        closed: Arc::new(Semaphore::new(budget.beside)),
-        bodies: Semaphore::new(budget.bodies),
+        drain_gate: handles.gate.clone(),
+        max_connections: budget.client_connections,
+        waiting_slots: Arc::new(Semaphore::new(budget.extra_connections)),
+        lingering_slots: Arc::new(Semaphore::new(budget.extra_connections)),
+        body_bytes: Semaphore::new(budget.body_bytes),
     }
 }
 
--- a/src/assemble/running.rs
+++ b/src/assemble/running.rs
@@ -4,7 +4,7 @@
 use milletturn_admin::Metrics;
 use milletturn_engine::{Input, Notification};
 use milletturn_logging::log;
-use milletturn_platform::Gate;
+use milletturn_platform::DrainGate;
 use milletturn_policy::{Class, Settings};
 use std::cell::RefCell;
 use std::error::Error;
@@ -24,7 +24,7 @@
     /// True once endpoints are known.
     pub(super) ready: watch::Receiver<bool>,
     /// Whether clients are admitted.
-    pub(super) gate: Rc<Gate>,
+    pub(super) gate: Rc<DrainGate>,
     /// What is counted.
     pub(super) metrics: Rc<Metrics>,
     /// Classes that clients may name, with their positions.
@@ -41,7 +41,7 @@
         SharedHandles {
             inputs,
             ready,
-            gate: Rc::new(Gate::new()),
+            gate: Rc::new(DrainGate::new()),
             metrics: Rc::new(Metrics::default()),
             classes: Rc::new(RefCell::new(classes)),
         }
@@ -57,7 +57,7 @@
     /// What is counted.
     pub metrics: Rc<Metrics>,
     /// Whether clients are admitted.
-    pub gate: Rc<Gate>,
+    pub gate: Rc<DrainGate>,
     /// True once endpoints are known.
     pub ready: watch::Receiver<bool>,
     /// Classes that clients may name, with their positions.
@@ -116,7 +116,7 @@
             }
         }
         log(format_args!("{name}: SIGTERM, draining"));
-        gate.end();
+        gate.begin_shutdown();
         let deadline = Instant::now() + SHUTDOWN_TIMEOUT;
         let _ = inputs.send(Input::Stopping(deadline));
         let timeout = sleep_until(deadline);
--- a/src/assemble/takeover.rs
+++ b/src/assemble/takeover.rs
@@ -8,7 +8,7 @@
 use milletturn_hot_restart::old_process::{self, InheritedState, OfferOutcome, TakeoverRequest};
 use milletturn_hot_restart::remainder::Remainder;
 use milletturn_logging::log;
-use milletturn_platform::Gate;
+use milletturn_platform::DrainGate;
 use std::fs::File;
 use std::net::TcpListener;
 use std::os::fd::{AsFd, OwnedFd};
@@ -85,7 +85,7 @@
 
 /// What a process needs to be taken over.
 pub(super) struct Owner {
-    pub(super) gate: Rc<Gate>,
+    pub(super) gate: Rc<DrainGate>,
     pub(super) lock: Option<File>,
     pub(super) listening_socket: OwnedFd,
 }
@@ -126,7 +126,7 @@
             Some(request) = requests.recv() => request,
         };
         // a process that ends is not taken over: the next one begins when it is gone
-        let Some(lock) = owner.lock.as_ref().filter(|_| !owner.gate.is_over()) else {
+        let Some(lock) = owner.lock.as_ref().filter(|_| !owner.gate.is_retiring()) else {
             continue;
         };
         let inherited = InheritedState {
@@ -139,7 +139,7 @@
                 owner.gate.hand_over();
                 log(format_args!(
                     "hot restart: {} clients and {} calls stay here",
-                    owner.gate.connections(),
+                    owner.gate.open_connections(),
                     engine.calls_in_flight()
                 ));
                 return Some(outcome);
--- a/src/run.rs
+++ b/src/run.rs
@@ -10,10 +10,10 @@
 use milletturn_engine::Input;
 use milletturn_hot_restart::new_process::{FolderOwnership, acquire_folder};
 use milletturn_logging::log;
-use milletturn_platform::Asking;
-use milletturn_platform::agent::{self, Tcp};
-use milletturn_platform::config::{Config, Reloaded, Shape, reload};
-use milletturn_platform::notices::post_notices;
+use milletturn_platform::DiscoveryBackoff;
+use milletturn_platform::config::{Config, ConfigKeys, ReloadedConfig, reload};
+use milletturn_platform::discovery::{self, Tcp};
+use milletturn_platform::notifications::post_notifications;
 use milletturn_policy::Class;
 use std::cell::RefCell;
 use std::error::Error;
@@ -41,24 +41,24 @@
     let mut config = Config::from_env()?;
     let store = store_file.map(StoreConfig::read).transpose()?;
     let journal_max_bytes = match &store {
-        Some(store) => journal_max_bytes(store, config.disk)?,
-        None => config.disk,
+        Some(store) => journal_max_bytes(store, config.disk_bytes)?,
+        None => config.disk_bytes,
     };
-    config.budget = config.budget_beside(reserved_descriptors(&config, store.is_some()));
+    config.budget = config.budget_excluding(reserved_descriptors(&config, store.is_some()));
     let store = store.map(|store| StoreOptions {
         config: store,
-        max_total_bytes: config.disk - journal_max_bytes,
+        max_total_bytes: config.disk_bytes - journal_max_bytes,
     });
     let Some(folder_access) = acquire_access(&config, store.is_some(), &mut signals).await? else {
         return Ok(());
     };
     let watch_start = WatchStart::new(&config, &folder_access);
-    let (name, path, shape) = (
+    let (name, path, keys) = (
         config.name.clone(),
         config.path.clone(),
-        config.shape.clone(),
+        config.keys.clone(),
     );
-    let (discovery, management) = (config.discovery, config.management);
+    let (discovery, management) = (config.discovery_address, config.management_address);
     let options = sender_options(config, journal_max_bytes, store, folder_access)?;
     let mut running = assemble(options).await?;
     let discovery = start_discovery(discovery, watch_start, &mut running);
@@ -68,7 +68,7 @@
     let reload = Rc::new(Reload {
         name,
         path,
-        shape,
+        keys,
         discovery,
         metrics: running.metrics.clone(),
         inputs: running.inputs.clone(),
@@ -93,7 +93,7 @@
         return Ok(Some(FolderAccess::Configured));
     }
     tokio::select! {
-        ownership = acquire_folder(&config.state) => Ok(Some(FolderAccess::Locked(ownership?))),
+        ownership = acquire_folder(&config.state_dir) => Ok(Some(FolderAccess::Locked(ownership?))),
         // nothing has been accepted, and the process that it waits for may outlast any patience
         () = signals.until_terminated() => {
             log(format_args!("{}: SIGTERM before the folder was free, ends", config.name));
@@ -104,7 +104,7 @@
 
 /// Descriptors of the admin listener and the store, beside those of delivery.
 fn reserved_descriptors(config: &Config, has_store: bool) -> usize {
-    let admin = config.management.map_or(0, |_| MAX_DESCRIPTORS);
+    let admin = config.management_address.map_or(0, |_| MAX_DESCRIPTORS);
     admin + if has_store { STORE_DESCRIPTORS } else { 0 }
 }
 
@@ -112,7 +112,7 @@
 struct WatchStart {
     /// The version of the list that is known; zero asks for the whole list.
     version: u64,
-    backoff: Asking,
+    backoff: DiscoveryBackoff,
 }
 
 impl WatchStart {
@@ -123,12 +123,12 @@
             FolderAccess::Locked(FolderOwnership::Takeover(_))
         );
         let cached = config
-            .known
+            .cached_endpoints
             .as_ref()
             .filter(|cached| !cached.targets.is_empty() && !is_takeover);
         WatchStart {
             version: cached.map_or(0, |cached| cached.version),
-            backoff: Asking::new(
+            backoff: DiscoveryBackoff::new(
                 config.settings.senders,
                 !config.settings.list_on_request,
                 config.seed,
@@ -145,8 +145,8 @@
     folder_access: FolderAccess,
 ) -> Result<SenderOptions, Box<dyn Error>> {
     Ok(SenderOptions {
-        state_dir: config.state,
-        listen_address: config.listen,
+        state_dir: config.state_dir,
+        listen_address: config.listen_address,
         seed: config.seed,
         zones: config.names.zones,
         kinds: config.names.kinds,
@@ -157,7 +157,7 @@
         idle_timeout: Duration::from_micros(u64::try_from(config.settings.connection_idle)?),
         connect_timeout: Duration::from_micros(u64::try_from(config.names.dial_timeout)?),
         settings: config.settings,
-        cached_endpoints: config.known,
+        cached_endpoints: config.cached_endpoints,
         notify_delivered: false,
         folder_access,
         first_message_number: 0,
@@ -172,7 +172,7 @@
     running: &mut Running,
 ) -> watch::Sender<SocketAddr> {
     let (discovery, addresses) = watch::channel(address);
-    tokio::task::spawn_local(agent::watch(
+    tokio::task::spawn_local(discovery::watch_endpoints(
         Tcp,
         addresses.clone(),
         start.version,
@@ -180,7 +180,12 @@
         running.inputs.clone(),
     ));
     if let Some(ends) = running.ends.take() {
-        tokio::task::spawn_local(post_notices(Tcp, addresses, ends, running.inputs.clone()));
+        tokio::task::spawn_local(post_notifications(
+            Tcp,
+            addresses,
+            ends,
+            running.inputs.clone(),
+        ));
     }
     discovery
 }
@@ -207,7 +212,7 @@
 struct Reload {
     name: String,
     path: PathBuf,
-    shape: Shape,
+    keys: ConfigKeys,
     /// The address of the discovery agent.
     discovery: watch::Sender<SocketAddr>,
     metrics: Rc<Metrics>,
@@ -244,10 +249,10 @@
 
     /// The address of discovery before and now. The engine comes first: what it turns down changes nothing else.
     async fn apply(&self) -> Result<(SocketAddr, SocketAddr), Box<dyn Error>> {
-        let Reloaded {
-            discovery,
+        let ReloadedConfig {
+            discovery_address: discovery,
             settings,
-        } = reload(&self.path, &self.shape)?;
+        } = reload(&self.path, &self.keys)?;
         let classes = settings.classes.clone();
         let (reply, positions) = oneshot::channel();
         self.inputs
