--- a/crates/access-log/src/observer.rs
+++ b/crates/access-log/src/observer.rs
@@ -66,7 +66,7 @@
             destination,
             age_us: non_negative(age),
         },
-        EngineEvent::GivenUp {
+        EngineEvent::Abandoned {
             id,
             destination,
             age,
--- a/crates/access-log/tests/golden.rs
+++ b/crates/access-log/tests/golden.rs
@@ -293,7 +293,7 @@
         (EndReason::Unknown, false),
     ] {
         let ending = Ending::Failed;
-        observe(&EngineEvent::GivenUp {
+        observe(&EngineEvent::Abandoned {
             id: "m-1",
             class: 0,
             destination: 7,
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -79,14 +79,14 @@
                 self.count(*class, |ends| ends.errors += 1);
             }
             EngineEvent::Rejected { class, .. } => self.count(*class, |ends| ends.shed += 1),
-            EngineEvent::GivenUp {
+            EngineEvent::Abandoned {
                 class,
                 ending: Ending::Returned { .. },
                 ..
             } => {
                 self.count(*class, |ends| ends.shed += 1);
             }
-            EngineEvent::GivenUp { class, .. } => self.count(*class, |ends| ends.errors += 1),
+            EngineEvent::Abandoned { class, .. } => self.count(*class, |ends| ends.errors += 1),
             EngineEvent::ConnectionClosed { reason, .. } => {
                 *self
                     .closed_connections
--- a/crates/admin/src/metrics/tests.rs
+++ b/crates/admin/src/metrics/tests.rs
@@ -21,7 +21,7 @@
 }
 
 fn given_up(ending: Ending) -> EngineEvent<'static> {
-    EngineEvent::GivenUp {
+    EngineEvent::Abandoned {
         id: "m-1",
         class: 0,
         destination: 7,
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -47,7 +47,7 @@
         at: 0,
         outcome,
     };
-    let given_up = |ending| EngineEvent::GivenUp {
+    let given_up = |ending| EngineEvent::Abandoned {
         id: "m-1",
         class: 0,
         destination: 7,
--- a/crates/dead-letter/src/redrive_order.rs
+++ b/crates/dead-letter/src/redrive_order.rs
@@ -22,7 +22,7 @@
         class: row.class.clone(),
         destination: row.destination,
         body: Bytes::from(row.body.clone()?),
-        risk: uncertain.map(|sent_at| uncertain_attempt(row, sent_at)),
+        uncertain_attempt: uncertain.map(|sent_at| uncertain_attempt(row, sent_at)),
     })
 }
 
--- a/crates/dead-letter/tests/store.rs
+++ b/crates/dead-letter/tests/store.rs
@@ -261,7 +261,7 @@
     let order = service
         .request_redrive(1, "me", "once more", now)
         .expect("it never ran");
-    assert_eq!((order.number, order.risk.clone()), (1, None));
+    assert_eq!((order.number, order.uncertain_attempt.clone()), (1, None));
     // by hand while a rule redrives it, or the other way round
     let second = service.request_redrive(1, "rule", "", now);
     assert_eq!(rejection(second), Some(Rejection::InProgress));
--- a/crates/dead-letter/tests/world/ports.rs
+++ b/crates/dead-letter/tests/world/ports.rs
@@ -46,10 +46,10 @@
         &mut self,
         number: u64,
         accepted: Accepted,
-        risk: Option<AttemptStarted>,
+        uncertain_attempt: Option<AttemptStarted>,
     ) -> Result<(), JournalError> {
         self.unfinished.borrow_mut().insert(number);
-        self.step(|journal| journal.record_redrive(number, accepted, risk))
+        self.step(|journal| journal.record_redrive(number, accepted, uncertain_attempt))
     }
 
     fn record_attempt(
--- a/crates/dead-letter/tests/world/process.rs
+++ b/crates/dead-letter/tests/world/process.rs
@@ -118,7 +118,7 @@
         notifications: mpsc::UnboundedSender<Notification>,
     ) -> Ports {
         let world = self.world;
-        let targets = (0..world.plan.destinations * 2).map(|number| ListedEndpoint {
+        let endpoints = (0..world.plan.destinations * 2).map(|number| ListedEndpoint {
             destination: number / 2,
             ..listed(number)
         });
@@ -131,7 +131,7 @@
             cached_endpoints: Some(EndpointListUpdate {
                 version: 1,
                 full: true,
-                targets: targets.collect(),
+                endpoints: endpoints.collect(),
             }),
             journal: Box::new(journal),
             archive: Some(Box::new(self.archive.clone())),
--- a/crates/engine/src/archive.rs
+++ b/crates/engine/src/archive.rs
@@ -112,7 +112,7 @@
     pub body: Bytes,
     /// The attempt that a further one could repeat; `None` if the message never ran, may be repeated, or an operator
     /// accepted the repeat.
-    pub risk: Option<UncertainAttempt>,
+    pub uncertain_attempt: Option<UncertainAttempt>,
 }
 
 /// A redrive order with the way for its outcome.
--- a/crates/engine/src/endings.rs
+++ b/crates/engine/src/endings.rs
@@ -150,7 +150,7 @@
     }
 
     /// The decision module gave the message up undelivered: its client is notified.
-    pub(crate) fn give_up(&mut self, message_id: MessageId, ending: Ending) {
+    pub(crate) fn abandon(&mut self, message_id: MessageId, ending: Ending) {
         let (now, max_attempts) = (self.clock.now(), self.max_attempts);
         let Some(message) = self.messages.get_open_mut(message_id) else {
             return;
@@ -164,7 +164,7 @@
         message.end = Some(end);
         let (id, redriven) = (message.item.id.clone(), message.redriven);
         let (class, ordering_key) = (message.class, message.ordering_key);
-        let event = EngineEvent::GivenUp {
+        let event = EngineEvent::Abandoned {
             id: id.as_str(),
             class,
             destination: message.destination,
--- a/crates/engine/src/endpoint_list.rs
+++ b/crates/engine/src/endpoint_list.rs
@@ -30,5 +30,5 @@
     /// The list is complete: endpoints that are not in it are removed.
     pub full: bool,
     /// The endpoints that are listed or have changed.
-    pub targets: Vec<ListedEndpoint>,
+    pub endpoints: Vec<ListedEndpoint>,
 }
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -198,9 +198,9 @@
             Action::Cancel { message, attempt } => self.cancel(message, attempt),
             Action::Refuse { message, wait } => {
                 let after_ms = wait.and_then(|wait| u64::try_from(wait / MILLISECOND).ok());
-                self.give_up(message, Ending::Returned { after_ms });
+                self.abandon(message, Ending::Returned { after_ms });
             }
-            Action::Fail(message) => self.give_up(message, Ending::Failed),
+            Action::Fail(message) => self.abandon(message, Ending::Failed),
             Action::SetAlarm(at) => self.alarm = Some(at),
             Action::Disconnect(endpoint) => self.transport.close_idle_connections(endpoint),
             Action::Log(text) => self.observer.observe(&EngineEvent::PolicyLog(&text)),
--- a/crates/engine/src/journal.rs
+++ b/crates/engine/src/journal.rs
@@ -118,7 +118,7 @@
         &mut self,
         number: u64,
         accepted: Accepted,
-        risk: Option<AttemptStarted>,
+        uncertain_attempt: Option<AttemptStarted>,
     ) -> Result<(), JournalError>;
     /// Records an attempt; its call may start once this has succeeded.
     ///
--- a/crates/engine/src/observer.rs
+++ b/crates/engine/src/observer.rs
@@ -103,7 +103,7 @@
         age: Micros,
     },
     /// An accepted message was given up.
-    GivenUp {
+    Abandoned {
         /// The message's id.
         id: &'a str,
         /// Position of its class.
--- a/crates/engine/src/reconfiguration.rs
+++ b/crates/engine/src/reconfiguration.rs
@@ -46,12 +46,12 @@
     /// Takes over an endpoint list or a change of one; the decision module hears of it in the next turn.
     pub(crate) fn on_endpoints_listed(&mut self, update: EndpointListUpdate, origin: ListOrigin) {
         if update.full {
-            for endpoint in self.endpoints.remove_unlisted(&update.targets) {
+            for endpoint in self.endpoints.remove_unlisted(&update.endpoints) {
                 self.transport.remove_endpoint(endpoint);
             }
         }
-        let mut entries = Vec::with_capacity(update.targets.len());
-        for listed in update.targets {
+        let mut entries = Vec::with_capacity(update.endpoints.len());
+        for listed in update.endpoints {
             let kind = index_of(&self.kinds, &listed.kind);
             let Some(endpoint) = self.apply_listed(&listed, kind) else {
                 continue;
--- a/crates/engine/src/redrive.rs
+++ b/crates/engine/src/redrive.rs
@@ -39,7 +39,8 @@
         }
         let class = self.classes.position(&order.class);
         let now = self.clock.now();
-        let Some(deadline) = self.redrive_deadline(class, order.risk.as_ref(), now) else {
+        let Some(deadline) = self.redrive_deadline(class, order.uncertain_attempt.as_ref(), now)
+        else {
             return RedriveOutcome::TooLate;
         };
         let accepted = Accepted {
@@ -55,7 +56,7 @@
             deadline,
             body: order.body.to_vec(),
         };
-        let uncertain = order.risk.map(|attempt| AttemptStarted {
+        let uncertain = order.uncertain_attempt.map(|attempt| AttemptStarted {
             uid: attempt.uid,
             sent_at: attempt.sent_at,
             never_ran: false,
@@ -118,11 +119,11 @@
     fn redrive_deadline(
         &self,
         class: usize,
-        risk: Option<&UncertainAttempt>,
+        uncertain_attempt: Option<&UncertainAttempt>,
         now: Micros,
     ) -> Option<Micros> {
         let max_time = self.classes.deadline(class)?;
-        match self.key_window_left(class, risk, now) {
+        match self.key_window_left(class, uncertain_attempt, now) {
             None => Some(now + max_time),
             Some(left) if left < MIN_TIME_TO_DELIVER => None,
             Some(left) => Some(now + left.min(max_time)),
@@ -135,10 +136,10 @@
     fn key_window_left(
         &self,
         class: usize,
-        risk: Option<&UncertainAttempt>,
+        uncertain_attempt: Option<&UncertainAttempt>,
         now: Micros,
     ) -> Option<Micros> {
-        let sent_at = risk?.sent_at;
+        let sent_at = uncertain_attempt?.sent_at;
         let window = self.classes.key_window(class)?;
         Some(if sent_at > now {
             0
--- a/crates/engine/tests/golden_snapshot/scenario.rs
+++ b/crates/engine/tests/golden_snapshot/scenario.rs
@@ -47,7 +47,7 @@
     journal: &MemoryJournal,
     calls: &RecordingTransport,
 ) -> (Ports, mpsc::UnboundedReceiver<Notification>) {
-    let targets = vec![
+    let endpoints = vec![
         listed(1),
         listed(2),
         ListedEndpoint {
@@ -73,7 +73,7 @@
         zones: vec!["east".into(), "west".into()],
         kinds: vec!["one".into(), "many".into()],
         notifications: notice,
-        ..ports(settings(), targets, journal, calls.clone())
+        ..ports(settings(), endpoints, journal, calls.clone())
     };
     (ports, notices)
 }
--- a/crates/engine/tests/redrives.rs
+++ b/crates/engine/tests/redrives.rs
@@ -109,11 +109,11 @@
         number: u64,
         id: &str,
         class: &str,
-        risk: Option<Micros>,
+        uncertain_attempt: Option<Micros>,
     ) -> oneshot::Receiver<RedriveOutcome> {
         let (reply, answer) = oneshot::channel();
         let message_id = SharedStr::new(id.as_bytes()).expect("a valid id");
-        let risk = risk.map(|sent_at| UncertainAttempt {
+        let uncertain_attempt = uncertain_attempt.map(|sent_at| UncertainAttempt {
             uid: "s-1".into(),
             sent_at,
         });
@@ -125,7 +125,7 @@
             class,
             destination: 1,
             body,
-            risk,
+            uncertain_attempt,
         };
         self.inputs
             .send(Input::Redrive(RedriveRequest { order, reply }))
@@ -242,7 +242,7 @@
         let engine = TestEngine::start(8, 100);
         wait(15_000).await;
         let now = START + 15 * SECOND;
-        for (risk, expected) in [
+        for (sent_at, expected) in [
             (now - 12 * SECOND, RedriveOutcome::TooLate),
             (
                 now - 12 * SECOND + 50 * MILLISECOND,
@@ -252,11 +252,11 @@
             (now + SECOND, RedriveOutcome::TooLate),
             (now - 11 * SECOND, RedriveOutcome::Accepted),
         ] {
-            let number = risk as u64;
+            let number = sent_at as u64;
             assert_eq!(
-                engine.redrive(number, "m", "keyed", Some(risk)).await,
+                engine.redrive(number, "m", "keyed", Some(sent_at)).await,
                 Ok(expected),
-                "{risk}"
+                "{sent_at}"
             );
         }
         // the accepted one fails until its window ends, and not a moment longer
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -11,9 +11,9 @@
 }
 
 /// Settings as text by their paths, such as `caps.maxOpen`: of a `begin` line, or of a real sender's configuration.
-pub struct SettingTexts<'a>(pub BTreeMap<&'a str, &'a str>);
+pub struct RawSettings<'a>(pub BTreeMap<&'a str, &'a str>);
 
-impl SettingTexts<'_> {
+impl RawSettings<'_> {
     /// None where it is missing or empty.
     fn text(&self, path: &str) -> Option<&str> {
         self.0.get(path).copied().filter(|text| !text.is_empty())
@@ -89,7 +89,7 @@
 ///
 /// # Errors
 /// Names the first setting that is missing or makes no sense.
-pub fn read_settings(texts: &SettingTexts) -> Result<(Settings, SettingNames), SettingsError> {
+pub fn read_settings(texts: &RawSettings) -> Result<(Settings, SettingNames), SettingsError> {
     let mut names = SettingNames {
         zones: owned(&texts.list("zones")),
         kinds: owned(&texts.list("machineTypes")),
@@ -120,7 +120,7 @@
 }
 
 /// Settings with the limits and the abilities of the platform.
-fn read_limits(texts: &SettingTexts, names: &SettingNames) -> Result<Settings, SettingsError> {
+fn read_limits(texts: &RawSettings, names: &SettingNames) -> Result<Settings, SettingsError> {
     let slots = texts.required("specifics.callSlots")? as usize;
     let mut settings = Settings::new(slots, texts.required("caps.maxOpen")? as usize);
     settings.senders = texts.required("balancers")? as u32;
@@ -144,7 +144,7 @@
 }
 
 /// Which fields of load reports the policy reads.
-fn read_report(texts: &SettingTexts, settings: &mut Settings) {
+fn read_report(texts: &RawSettings, settings: &mut Settings) {
     if texts.text("report.how").is_some_and(|how| how != "silent") {
         let fields = texts.list("report.fields");
         settings.report_left = fields.iter().position(|&field| field == "x0");
@@ -153,7 +153,7 @@
 }
 
 /// Prices, and how the worth of a message falls.
-fn read_prices(texts: &SettingTexts, settings: &mut Settings) -> Result<(), SettingsError> {
+fn read_prices(texts: &RawSettings, settings: &mut Settings) -> Result<(), SettingsError> {
     settings.price_cross_zone = texts.number_or("prices.crossZone", 0.0)?;
     settings.price_probe = texts.number_or("prices.probe", 0.0)?;
     settings.price_waste = texts.number_or("prices.waste", 0.0)?;
@@ -170,7 +170,7 @@
     Ok(())
 }
 
-fn read_safety(texts: &SettingTexts, default: &Safety) -> Result<Safety, SettingsError> {
+fn read_safety(texts: &RawSettings, default: &Safety) -> Result<Safety, SettingsError> {
     Ok(Safety {
         drain_grace: to_micros(texts.required("safety.stopSendingWithin")?),
         cold_time: to_micros(texts.required("safety.cold")?),
@@ -183,7 +183,7 @@
     })
 }
 
-fn read_class(texts: &SettingTexts, index: usize) -> Result<Class, SettingsError> {
+fn read_class(texts: &RawSettings, index: usize) -> Result<Class, SettingsError> {
     let path = |field: &str| format!("classes.{index}.{field}");
     let name = texts
         .text(&path("name"))
@@ -214,7 +214,7 @@
 }
 
 /// The kinds of destination: lists beside that of their names, in the same order.
-fn read_kinds(texts: &SettingTexts, names: &[String]) -> Result<Vec<Kind>, SettingsError> {
+fn read_kinds(texts: &RawSettings, names: &[String]) -> Result<Vec<Kind>, SettingsError> {
     let separate = texts.list("specifics.routesApart");
     let bundles = texts.list("specifics.bundleMax");
     let mut kinds = Vec::new();
@@ -234,7 +234,7 @@
     Ok(kinds)
 }
 
-fn read_tenant(texts: &SettingTexts, index: usize) -> Result<Tenant, SettingsError> {
+fn read_tenant(texts: &RawSettings, index: usize) -> Result<Tenant, SettingsError> {
     let name = texts
         .text(&format!("realms.{index}.name"))
         .unwrap_or("")
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -5,7 +5,7 @@
 use crate::list::parse_list;
 use milletturn_engine::EndpointListUpdate;
 use milletturn_logging::log;
-use milletturn_platform_settings::{SettingNames, SettingTexts, read_settings};
+use milletturn_platform_settings::{RawSettings, SettingNames, read_settings};
 use milletturn_policy::{MILLISECOND, Micros, Settings, SettingsError};
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
@@ -208,7 +208,7 @@
         .iter()
         .map(|(path, text)| (path.as_str(), text.as_str()))
         .collect();
-    let (mut settings, names) = read_settings(&SettingTexts(pairs))?;
+    let (mut settings, names) = read_settings(&RawSettings(pairs))?;
     settings.notices = true;
     settings.safety.key_rest += SOCKET_SLACK;
     settings.validate()?;
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/list.rs
@@ -52,20 +52,20 @@
             weight: target.capacity_hint,
         })
     };
-    let targets = line.targets.iter().filter_map(|value| match read(value) {
+    let endpoints = line.targets.iter().filter_map(|value| match read(value) {
         Ok(listed) => Some(listed),
         Err(error) => {
             milletturn_logging::log(format_args!("discovery: entry skipped: {error}"));
             None
         }
     });
-    let targets: Vec<ListedEndpoint> = targets.collect();
-    let unread = line.targets.len() - targets.len();
+    let endpoints: Vec<ListedEndpoint> = endpoints.collect();
+    let unread = line.targets.len() - endpoints.len();
     Some((
         EndpointListUpdate {
             version: line.rev,
             full: line.all,
-            targets,
+            endpoints,
         },
         unread,
     ))
--- a/crates/scale/src/fleet/tally.rs
+++ b/crates/scale/src/fleet/tally.rs
@@ -146,8 +146,11 @@
         if update.full {
             (self.destinations, self.sum) = (0, 0);
         }
-        self.destinations += update.targets.len() as u64;
-        let hashes = update.targets.iter().map(|listed| hash(listed.destination));
+        self.destinations += update.endpoints.len() as u64;
+        let hashes = update
+            .endpoints
+            .iter()
+            .map(|listed| hash(listed.destination));
         self.sum = hashes.fold(self.sum, u64::wrapping_add);
         let before = self.version;
         self.version = self.version.max(update.version);
@@ -156,7 +159,7 @@
             add(&mut self.since.begun, at.saturating_sub(self.begun));
         }
         // pieces of the first list have small versions, changes the moment of their publishing
-        if update.targets.len() == 1 && update.version > self.begun {
+        if update.endpoints.len() == 1 && update.version > self.begun {
             add(&mut self.since.in_force, at.saturating_sub(update.version));
         }
         if let Some(mark) = mark
--- a/crates/scale/src/roles/journal.rs
+++ b/crates/scale/src/roles/journal.rs
@@ -118,13 +118,13 @@
     points.push(here("resident", "B", probe::resident()? - resident));
     let address = free();
     alone(async move {
-        let targets = (1..=SERVED)
+        let endpoints = (1..=SERVED)
             .map(|number| listed(number, address, 0.0))
             .collect();
         let known = EndpointListUpdate {
             version: 1,
             full: true,
-            targets,
+            endpoints,
         };
         let (begun, started) = (probe::cpu(), Instant::now());
         let (mut engine, inputs, mut received) = engine_of(Box::new(journal), Some(known), 400)?;
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -146,12 +146,12 @@
         tokio::task::spawn_local(async move { engine.run(&mut received).await });
         heard(&inputs).await?;
         let (resident, begun, mut version) = (probe::resident()?, probe::cpu(), 0);
-        let mut tell = |full: bool, targets: Vec<ListedEndpoint>| {
+        let mut tell = |full: bool, endpoints: Vec<ListedEndpoint>| {
             version += 1;
             let update = EndpointListUpdate {
                 version,
                 full,
-                targets,
+                endpoints,
             };
             inputs
                 .send(Input::EndpointsListed(update))
--- a/crates/scale/tests/counts.rs
+++ b/crates/scale/tests/counts.rs
@@ -26,7 +26,7 @@
     EndpointListUpdate {
         version,
         full,
-        targets: destinations.into_iter().map(target).collect(),
+        endpoints: destinations.into_iter().map(target).collect(),
     }
 }
 
--- a/crates/sidecar/src/endpoints/watcher.rs
+++ b/crates/sidecar/src/endpoints/watcher.rs
@@ -67,7 +67,7 @@
                 let update = EndpointListUpdate {
                     version,
                     full: true,
-                    targets: fixed.iter().cloned().chain(listed).collect(),
+                    endpoints: fixed.iter().cloned().chain(listed).collect(),
                 };
                 if inputs.send(Input::EndpointsListed(update)).is_err() {
                     return;
--- a/crates/simulator-adapter/src/bin/milletturn-simulator-adapter.rs
+++ b/crates/simulator-adapter/src/bin/milletturn-simulator-adapter.rs
@@ -6,7 +6,7 @@
 fn main() -> ExitCode {
     let input = io::BufReader::with_capacity(1 << 16, io::stdin().lock());
     let output = io::BufWriter::with_capacity(1 << 16, io::stdout().lock());
-    match milletturn_simulator_adapter::wire::Host::new().run(input, output) {
+    match milletturn_simulator_adapter::protocol::Host::new().run(input, output) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("milletturn-simulator-adapter: {error}");
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -7,7 +7,7 @@
 
 /// Why the adapter stopped.
 #[derive(Debug, thiserror::Error)]
-pub enum WireError {
+pub enum ProtocolError {
     /// A line that is not as it should be.
     #[error("line {number}: expected {expected}, found '{found}'")]
     MalformedLine {
--- a/crates/simulator-adapter/src/input.rs
+++ b/crates/simulator-adapter/src/input.rs
@@ -1,6 +1,6 @@
 //! The adapter's input, line by line.
 
-use crate::error::{Malformed, WireError};
+use crate::error::{Malformed, ProtocolError};
 use std::io::BufRead;
 
 /// Reads lines and counts them for errors.
@@ -21,7 +21,7 @@
     }
 
     /// Reads the next line; `false` at the end of the input.
-    pub(crate) fn advance(&mut self) -> Result<bool, WireError> {
+    pub(crate) fn advance(&mut self) -> Result<bool, ProtocolError> {
         self.text.clear();
         if self.input.read_line(&mut self.text)? == 0 {
             return Ok(false);
@@ -39,8 +39,8 @@
     }
 
     /// An error at the line that was read last.
-    pub(crate) fn error(&self, expected: &str, found: &str) -> WireError {
-        WireError::MalformedLine {
+    pub(crate) fn error(&self, expected: &str, found: &str) -> ProtocolError {
+        ProtocolError::MalformedLine {
             number: self.number,
             expected: expected.to_string(),
             found: found.to_string(),
@@ -48,8 +48,8 @@
     }
 
     /// An error behind the last line: the input ended where more had to come.
-    pub(crate) fn error_at_end(&self, expected: &str) -> WireError {
-        WireError::MalformedLine {
+    pub(crate) fn error_at_end(&self, expected: &str) -> ProtocolError {
+        ProtocolError::MalformedLine {
             number: self.number + 1,
             expected: expected.to_string(),
             found: "end of input".to_string(),
@@ -57,7 +57,7 @@
     }
 
     /// Adds the number of the last line to what is wrong with it.
-    pub(crate) fn located<T>(&self, result: Result<T, Malformed>) -> Result<T, WireError> {
+    pub(crate) fn located<T>(&self, result: Result<T, Malformed>) -> Result<T, ProtocolError> {
         result.map_err(|Malformed { expected, found }| self.error(&expected, &found))
     }
 }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -7,4 +7,4 @@
 mod fields;
 mod input;
 mod interner;
-pub mod wire;
+pub mod protocol;
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -3,12 +3,12 @@
 //! Decides nothing. The instances of one process know nothing of each other.
 
 use crate::actions::ActionNames;
-pub use crate::error::WireError;
+pub use crate::error::ProtocolError;
 use crate::error::{Malformed, malformed};
 use crate::events::{EndpointLists, EventNames};
 use crate::fields::Fields;
 use crate::input::InputLines;
-use milletturn_platform_settings::{SettingTexts, read_settings};
+use milletturn_platform_settings::{RawSettings, read_settings};
 use milletturn_policy::{Action, Event, Micros, Sender};
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
@@ -59,7 +59,11 @@
     ///
     /// # Errors
     /// A malformed line, input that ends inside a batch, or a failed read or write.
-    pub fn run(&mut self, input: impl BufRead, mut output: impl Write) -> Result<(), WireError> {
+    pub fn run(
+        &mut self,
+        input: impl BufRead,
+        mut output: impl Write,
+    ) -> Result<(), ProtocolError> {
         let mut lines = InputLines::new(input);
         let mut reply = String::new();
         while lines.advance()? {
@@ -76,7 +80,7 @@
         Ok(())
     }
 
-    fn read_batch(&mut self, lines: &mut InputLines<impl BufRead>) -> Result<(), WireError> {
+    fn read_batch(&mut self, lines: &mut InputLines<impl BufRead>) -> Result<(), ProtocolError> {
         self.order.clear();
         loop {
             if !lines.advance()? {
@@ -95,7 +99,7 @@
     }
 
     /// Reads a list of endpoints: its head, which is the last line read, and its rows.
-    fn read_list(&mut self, lines: &mut InputLines<impl BufRead>) -> Result<(), WireError> {
+    fn read_list(&mut self, lines: &mut InputLines<impl BufRead>) -> Result<(), ProtocolError> {
         let (number, row_count) = lines.located(list_head(lines.text()))?;
         let mut rows = Vec::new();
         for _ in 0..row_count {
@@ -141,7 +145,7 @@
     fn begin(&mut self, id: &str, fields: &mut Fields, line: &str) -> Result<(), Malformed> {
         let seed = fields.integer("a seed")?;
         let setup = line.splitn(4, ' ').nth(3).unwrap_or("");
-        let texts = SettingTexts(
+        let texts = RawSettings(
             setup
                 .split(' ')
                 .filter_map(|pair| pair.split_once('='))
--- a/crates/simulator-adapter/tests/wire.rs
+++ b/crates/simulator-adapter/tests/protocol.rs
@@ -1,6 +1,6 @@
 //! The wire: bad input, restarts, instances together and apart.
 
-use milletturn_simulator_adapter::wire::Host;
+use milletturn_simulator_adapter::protocol::Host;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
--- a/crates/test-support/src/engine_ports.rs
+++ b/crates/test-support/src/engine_ports.rs
@@ -19,7 +19,7 @@
 /// The ports of an engine whose notifications and events nobody receives, for endpoints of the kind `one`.
 pub fn ports(
     settings: Settings,
-    targets: Vec<ListedEndpoint>,
+    endpoints: Vec<ListedEndpoint>,
     journal: &MemoryJournal,
     transport: impl Transport + 'static,
 ) -> Ports {
@@ -32,7 +32,7 @@
         cached_endpoints: Some(EndpointListUpdate {
             version: 1,
             full: true,
-            targets,
+            endpoints,
         }),
         journal: Box::new(journal.clone()),
         archive: None,
--- a/crates/test-support/src/memory_journal.rs
+++ b/crates/test-support/src/memory_journal.rs
@@ -47,9 +47,9 @@
         &mut self,
         number: u64,
         accepted: Accepted,
-        risk: Option<AttemptStarted>,
+        uncertain_attempt: Option<AttemptStarted>,
     ) -> Result<(), JournalError> {
-        let attempts: Vec<AttemptStarted> = risk.into_iter().collect();
+        let attempts: Vec<AttemptStarted> = uncertain_attempt.into_iter().collect();
         let prior_attempts = attempts.len();
         self.unfinished.borrow_mut().insert(
             number,
--- a/src/run.rs
+++ b/src/run.rs
@@ -125,7 +125,7 @@
         let cached = config
             .known
             .as_ref()
-            .filter(|cached| !cached.targets.is_empty() && !is_takeover);
+            .filter(|cached| !cached.endpoints.is_empty() && !is_takeover);
         WatchStart {
             version: cached.map_or(0, |cached| cached.version),
             backoff: Asking::new(
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -111,14 +111,14 @@
 
 /// The endpoint list at the start: the fixed ones and those of the file.
 fn initial_endpoints(plan: &Plan) -> Result<EndpointListUpdate, Box<dyn Error>> {
-    let mut targets = plan.fixed_endpoints.clone();
+    let mut endpoints = plan.fixed_endpoints.clone();
     if let Some(file) = &plan.endpoints_file {
-        targets.extend(endpoints::read(file)?);
+        endpoints.extend(endpoints::read(file)?);
     }
     Ok(EndpointListUpdate {
         version: 1,
         full: true,
-        targets,
+        endpoints,
     })
 }
 
