--- a/benches/failing.rs
+++ b/benches/failing.rs
@@ -5,7 +5,9 @@
 #[path = "../tests/node/mod.rs"]
 mod node;
 
-use milletturn_test_support::{Agent, Client, Endpoint, Reply, list, message};
+use milletturn_test_support::{
+    Client, FakeDiscovery, FakeEndpoint, Reply, endpoint_list, message_request,
+};
 use node::Node;
 use std::time::{Duration, Instant};
 
@@ -16,8 +18,14 @@
 
 /// Times of answers, microseconds, sorted.
 fn play(store: Option<&str>) -> Vec<u64> {
-    let endpoint = Endpoint::new(|_, _| Reply::Answer("500 Oops", String::new()));
-    let agent = Agent::new(vec![list(&[("s-1", endpoint.address, "one", 7, "up")])]);
+    let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("500 Oops", String::new()));
+    let agent = FakeDiscovery::new(vec![endpoint_list(&[(
+        "s-1",
+        endpoint.address,
+        "one",
+        7,
+        "up",
+    )])]);
     let node = match store {
         Some(settings) => Node::with_store(&agent, settings),
         None => Node::new(&agent),
@@ -31,7 +39,8 @@
             for number in 0..RATE * SECONDS / CLIENTS {
                 let due = Duration::from_secs(1) * number * CLIENTS / RATE;
                 std::thread::sleep(due.saturating_sub(begun.elapsed()));
-                let text = message("order", &format!("c{client}-{number}"), 7, 80, &[b'x'; 500]);
+                let text =
+                    message_request("order", &format!("c{client}-{number}"), 7, 80, &[b'x'; 500]);
                 let sent = Instant::now();
                 connection.send(&text).expect("an answer");
                 times.push(sent.elapsed().as_micros() as u64);
--- a/benches/many.rs
+++ b/benches/many.rs
@@ -8,7 +8,7 @@
 mod common;
 
 use common::{Sidecar, free};
-use milletturn_test_support::{Client, Endpoint, OK, Reply, message};
+use milletturn_test_support::{Client, FakeEndpoint, OK, Reply, message_request};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -53,7 +53,7 @@
 }
 
 /// Messages taken on and delivered a second, as the endpoint counts them, for each whole second.
-fn rate(http: SocketAddr, well: &Endpoint, seconds: u64, beside: bool) -> Vec<f64> {
+fn rate(http: SocketAddr, well: &FakeEndpoint, seconds: u64, beside: bool) -> Vec<f64> {
     let until = Instant::now() + Duration::from_secs(seconds);
     let next = Arc::new(AtomicU64::new(0));
     let mut threads: Vec<_> = (0..CLIENTS)
@@ -64,7 +64,8 @@
                 while Instant::now() < until {
                     let number = next.fetch_add(1, Ordering::Relaxed);
                     let id = format!("{beside}-{client}-{number}");
-                    let bytes = message("notice", &id, 1 + number % BUSY, 20_000, &[b'x'; 256]);
+                    let bytes =
+                        message_request("notice", &id, 1 + number % BUSY, 20_000, &[b'x'; 256]);
                     if connection.send(&bytes).is_none() {
                         connection = Client::new(http);
                     }
@@ -84,7 +85,7 @@
                 let id = format!("silent-{number}");
                 let destination = BUSY + 1 + number % SILENT;
                 if connection
-                    .send(&message("notice", &id, destination, 20_000, b"x"))
+                    .send(&message_request("notice", &id, destination, 20_000, b"x"))
                     .is_none()
                 {
                     connection = Client::new(http);
@@ -93,10 +94,10 @@
         }));
     }
     let mut each = Vec::new();
-    let mut before = well.count();
+    let mut before = well.request_count();
     for _ in 0..seconds {
         std::thread::sleep(Duration::from_secs(1));
-        let now = well.count();
+        let now = well.request_count();
         each.push((now - before) as f64);
         before = now;
     }
@@ -147,8 +148,8 @@
     );
     for count in [100, 1_000, most] {
         for (name, program) in &programs {
-            let well = Endpoint::new(|_, _| OK);
-            let silent = Endpoint::new(|_, _| Reply::Silence);
+            let well = FakeEndpoint::new(|_, _| OK);
+            let silent = FakeEndpoint::new(|_, _| Reply::NoResponse);
             let (sidecar, ready) = started(program, count, well.address, silent.address);
             let memory = sidecar.memory();
             let alone = rate(sidecar.http, &well, seconds, false);
--- a/benches/noise.rs
+++ b/benches/noise.rs
@@ -9,7 +9,7 @@
 mod common;
 
 use common::{Sidecar, free};
-use milletturn_test_support::{Client, Endpoint, OK, Reply, message};
+use milletturn_test_support::{Client, FakeEndpoint, OK, Reply, message_request};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
@@ -51,10 +51,10 @@
 }
 
 /// An endpoint that fails a share of its calls at random, from a seed.
-fn endpoint(noise: Noise, share: f64, seed: u64) -> Endpoint {
+fn endpoint(noise: Noise, share: f64, seed: u64) -> FakeEndpoint {
     let random = Mutex::new((Pcg32::seed_from_u64(seed), false));
     let seen = Mutex::new(BTreeSet::new());
-    Endpoint::new(move |request, _| {
+    FakeEndpoint::new(move |request, _| {
         let first = seen
             .lock()
             .expect("not poisoned")
@@ -74,9 +74,9 @@
         }
         match noise {
             _ if !bad => OK,
-            Noise::Refused => Reply::Answer("503 Busy", String::new()),
+            Noise::Refused => Reply::Respond("503 Busy", String::new()),
             Noise::Reset => Reply::Close,
-            _ => Reply::Answer("500 Oops", String::new()),
+            _ => Reply::Respond("500 Oops", String::new()),
         }
     })
 }
@@ -113,7 +113,8 @@
                 std::thread::sleep(due.saturating_duration_since(Instant::now()));
                 number += 1;
                 let id = format!("c{client}-{number}");
-                let bytes = message("notice", &id, 7, DEADLINE.as_millis() as u64, &[b'x'; 256]);
+                let bytes =
+                    message_request("notice", &id, 7, DEADLINE.as_millis() as u64, &[b'x'; 256]);
                 // what could not be handed in was never promised
                 if connection.is_none() {
                     connection = TcpStream::connect(http).is_ok().then(|| Client::new(http));
@@ -175,7 +176,7 @@
         taken: taken.len(),
         delivered,
         refused,
-        calls: endpoint.count(),
+        calls: endpoint.request_count(),
     }
 }
 
@@ -218,7 +219,7 @@
         taken: messages as usize,
         delivered,
         refused: 0,
-        calls: endpoint.count(),
+        calls: endpoint.request_count(),
     }
 }
 
--- a/benches/sidecar.rs
+++ b/benches/sidecar.rs
@@ -6,7 +6,7 @@
     reason = "scenarios of this file have not had their turn yet"
 )]
 
-use milletturn_test_support::{Client, Endpoint, OK, Unused, message};
+use milletturn_test_support::{Client, FakeEndpoint, OK, Unused, message_request};
 use std::net::{SocketAddr, TcpStream};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
@@ -114,7 +114,7 @@
             rank(&times, 100)
         );
     }
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let file = folder.join("app.toml");
     let mut starts = Vec::new();
     for _ in 0..ROUNDS {
@@ -145,10 +145,10 @@
         // to the delivery at the endpoint, which is what the application waits for
         let mut client = Client::new(http);
         for call in 0..CALLS {
-            let before = endpoint.count();
+            let before = endpoint.request_count();
             let begun = Instant::now();
             client
-                .send(&message(
+                .send(&message_request(
                     "notice",
                     &format!("t{round}-{call}"),
                     7,
@@ -156,7 +156,7 @@
                     b"x",
                 ))
                 .expect("an answer");
-            while endpoint.count() == before {
+            while endpoint.request_count() == before {
                 std::hint::spin_loop();
             }
             through.push(begun.elapsed().as_secs_f64() * 1e6);
@@ -166,7 +166,7 @@
         for call in 0..CALLS {
             let begun = Instant::now();
             client
-                .send(&message(
+                .send(&message_request(
                     "inbox",
                     &format!("d{round}-{call}"),
                     7,
@@ -189,14 +189,15 @@
         );
     }
     // eight clients back to back: each waits for its 202 only
-    let before = endpoint.count();
+    let before = endpoint.request_count();
     let begun = Instant::now();
     let clients: Vec<_> = (0..8)
         .map(|number| {
             std::thread::spawn(move || {
                 let mut client = Client::new(http);
                 for call in 0..1_000 {
-                    let text = message("notice", &format!("l{number}-{call}"), 7, 12_000, b"x");
+                    let text =
+                        message_request("notice", &format!("l{number}-{call}"), 7, 12_000, b"x");
                     while client.send(&text).is_none_or(|(code, _)| code != 202) {
                         client = Client::new(http);
                         std::thread::sleep(Duration::from_millis(5));
@@ -208,7 +209,7 @@
     clients
         .into_iter()
         .for_each(|client| client.join().expect("ended"));
-    while endpoint.count() < before + 8_000 {
+    while endpoint.request_count() < before + 8_000 {
         std::thread::sleep(Duration::from_millis(1));
     }
     println!(
--- a/crates/platform/tests/door.rs
+++ b/crates/platform/tests/door.rs
@@ -5,7 +5,7 @@
 use milletturn_platform::Gate;
 use milletturn_platform::door::{Server, serve};
 use milletturn_policy::{Class, Effect};
-use milletturn_test_support::message;
+use milletturn_test_support::message_request;
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
 use std::io::{ErrorKind, Read, Write};
@@ -92,7 +92,7 @@
     /// A client whose request is in the door but for its last bytes, which are given back.
     async fn half(&self, id: &str) -> (Client, Vec<u8>) {
         let mut client = self.client().await;
-        let mut text = message("order", id, 7, 20_000, b"12345");
+        let mut text = message_request("order", id, 7, 20_000, b"12345");
         let last = text.split_off(text.len() - 2);
         let before = self.server.bodies.available_permits();
         client.write(&text);
@@ -106,7 +106,7 @@
     /// A client whose first message has been answered.
     async fn idle(&self, id: &str) -> Client {
         let mut client = self.client().await;
-        client.write(&message("order", id, 7, 20_000, b"x"));
+        client.write(&message_request("order", id, 7, 20_000, b"x"));
         assert_eq!(client.status().await, "202");
         client
     }
@@ -253,7 +253,7 @@
         half.write(&last);
         assert_eq!(half.status().await, "202");
         // which frees the place
-        new.write(&message("order", "m2", 7, 20_000, b"x"));
+        new.write(&message_request("order", "m2", 7, 20_000, b"x"));
         assert_eq!(
             (half.end().await, new.status().await.as_str()),
             (Ok(()), "202")
@@ -269,14 +269,14 @@
         let door = Door::open(4, 1).await;
         let began = Instant::now();
         let mut client = door.client().await;
-        let mut text = message("order", "m1", 7, 20_000, b"x");
+        let mut text = message_request("order", "m1", 7, 20_000, b"x");
         let last = text.split_off(30);
         client.write(&text);
         let mut client = write_at(client, last, began + Duration::from_millis(2000)).await;
         assert_eq!(client.status().await, "202");
         // another request: the door has 2.5 s for it
         let answered = Instant::now();
-        let text = message("order", "m2", 7, 20_000, b"x");
+        let text = message_request("order", "m2", 7, 20_000, b"x");
         let mut client = write_at(client, text, answered + Duration::from_millis(2500)).await;
         assert_eq!(client.status().await, "202");
         assert_eq!(*door.taken.borrow(), ["m1", "m2"]);
@@ -289,7 +289,7 @@
         let door = Door::open(1, 1).await;
         let (mut half, last) = door.half("m1").await;
         let mut new = Client::connect(door.address);
-        new.write(&message("order", "m2", 7, 20_000, b"x"));
+        new.write(&message_request("order", "m2", 7, 20_000, b"x"));
         assert_eq!(half.status().await, "503");
         // what it still writes is read and dropped
         half.write(&last);
@@ -310,9 +310,9 @@
         let door = Door::open(1, 1).await;
         let mut idle = door.idle("m1").await;
         let mut new = Client::connect(door.address);
-        new.write(&message("order", "m2", 7, 20_000, b"x"));
+        new.write(&message_request("order", "m2", 7, 20_000, b"x"));
         assert_eq!(new.status().await, "202");
-        idle.write(&message("order", "m3", 7, 20_000, b"x"));
+        idle.write(&message_request("order", "m3", 7, 20_000, b"x"));
         turns(200).await;
         assert_eq!(idle.end().await, Ok(()));
         idle.write(&[b'x'; 1000]);
@@ -336,7 +336,13 @@
         let began = Instant::now();
         let mut new: Vec<Client> = (0..4).map(|_| Client::connect(door.address)).collect();
         for (number, client) in new.iter_mut().enumerate() {
-            client.write(&message("order", &format!("m{number}"), 7, 20_000, b"x"));
+            client.write(&message_request(
+                "order",
+                &format!("m{number}"),
+                7,
+                20_000,
+                b"x",
+            ));
         }
         turn_until("all are accepted", || door.gate.connections() == 4).await;
         // and wait: their time begins with their first turn
@@ -348,7 +354,7 @@
         }
         // one that comes behind them finds a place as soon as there is one
         let mut late = Client::connect(door.address);
-        late.write(&message("order", "late", 7, 20_000, b"x"));
+        late.write(&message_request("order", "late", 7, 20_000, b"x"));
         turn_until("it waits", || door.server.waiting.available_permits() == 3).await;
         drop(held);
         assert_eq!(late.status().await, "202");
@@ -371,7 +377,7 @@
         half.write(&last);
         turn_until("it is with the engine", || door.taken.borrow().len() == 1).await;
         let mut new = door.client().await;
-        new.write(&message("order", "m2", 7, 20_000, b"x"));
+        new.write(&message_request("order", "m2", 7, 20_000, b"x"));
         turn_until("it waits", || door.server.waiting.available_permits() == 0).await;
         turns(200).await;
         door.silent.set(false);
--- a/crates/platform/tests/single_calls.rs
+++ b/crates/platform/tests/single_calls.rs
@@ -7,7 +7,7 @@
 use milletturn_engine::{AttemptEnd, Attribution, Call, EndCause, Input, Transport};
 use milletturn_platform::calls::Calls;
 use milletturn_policy::{EndpointId, MILLISECOND, Micros, Outcome};
-use milletturn_test_support::{Endpoint, OK};
+use milletturn_test_support::{FakeEndpoint, OK};
 use std::net::SocketAddr;
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -120,7 +120,7 @@
 #[test]
 fn what_may_not_begin_any_more_leaves_no_byte_and_keeps_its_connection() {
     local(async {
-        let endpoint = Endpoint::new(|_, _| OK);
+        let endpoint = FakeEndpoint::new(|_, _| OK);
         let mut rig = Rig::new(endpoint.address);
         let _cancel = rig.start(endpoint.address, 10);
         drop(rig.asked().await);
@@ -129,7 +129,7 @@
             (ended.outcome, ended.cause),
             (Outcome::Unsent { no_slot: false }, EndCause::NotStarted)
         );
-        assert_eq!(endpoint.count(), 0);
+        assert_eq!(endpoint.request_count(), 0);
         tokio::time::sleep(REST).await;
         let _cancel = rig.start(endpoint.address, 10);
         assert_eq!(
@@ -137,8 +137,11 @@
             Outcome::Success,
             "an idle connection needs no question"
         );
-        assert_eq!(endpoint.connections.load(Ordering::SeqCst), 1);
-        assert_eq!((endpoint.times("m0"), endpoint.times("m1")), (0, 1));
+        assert_eq!(endpoint.connection_count.load(Ordering::SeqCst), 1);
+        assert_eq!(
+            (endpoint.attempt_count("m0"), endpoint.attempt_count("m1")),
+            (0, 1)
+        );
     });
 }
 
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -13,7 +13,7 @@
 use milletturn_platform::Budget;
 use milletturn_platform::calls::Calls;
 use milletturn_policy::{Class, Effect, Kind, SECOND, Settings, Status};
-use milletturn_test_support::{Agent, MemoryJournal};
+use milletturn_test_support::{FakeDiscovery, MemoryJournal};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
@@ -269,7 +269,7 @@
     line: String,
     patience: Duration,
 ) -> Result<Sender, Error> {
-    let agent = Agent::new(vec![line]);
+    let agent = FakeDiscovery::new(vec![line]);
     let listen = free();
     let config = serde_json::json!({
         "name": "n1", "listen": listen.to_string(), "discovery": agent.address.to_string(), "seed": "8c1f",
--- a/crates/scale/src/roles/path.rs
+++ b/crates/scale/src/roles/path.rs
@@ -5,7 +5,7 @@
 use super::{Scene, point, probe};
 use crate::Error;
 use crate::figures::Point;
-use milletturn_test_support::{Client, Endpoint, OK, message};
+use milletturn_test_support::{Client, FakeEndpoint, OK, message_request};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -42,7 +42,7 @@
                             return;
                         }
                         std::thread::sleep((begun + due).saturating_duration_since(Instant::now()));
-                        let text = message(
+                        let text = message_request(
                             "notice",
                             &format!("{number}"),
                             1 + number % destinations,
@@ -73,7 +73,7 @@
 
 /// Processor time of a sender that is handed so many messages a second.
 pub(super) fn rate(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let (folder, endpoint) = (folder()?, Endpoint::new(|_, _| OK));
+    let (folder, endpoint) = (folder()?, FakeEndpoint::new(|_, _| OK));
     let told = Sidecar {
         limits: &limits(1_024, 10_000),
         list: &file_of(SERVED, endpoint.address),
@@ -81,12 +81,12 @@
     let sender = Sender::sidecar(&scene.program, folder.path(), &told)?;
     let load = Load::start(sender.http, scene.at, SERVED, WARM + SPAN);
     std::thread::sleep(WARM);
-    let (begun, cpu, count) = (Instant::now(), sender.cpu()?, endpoint.count());
+    let (begun, cpu, count) = (Instant::now(), sender.cpu()?, endpoint.request_count());
     std::thread::sleep(SPAN - Duration::from_millis(200));
     let (seconds, cpu, count) = (
         begun.elapsed().as_secs_f64(),
         sender.cpu()? - cpu,
-        endpoint.count() - count,
+        endpoint.request_count() - count,
     );
     let (resident, refused) = (sender.memory()?.0, load.ended()?);
     let delivered = count as f64 / seconds;
@@ -106,7 +106,7 @@
 
 /// Descriptors and memory of a sender that delivers its share of events to so many destinations.
 pub(super) fn sockets(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let (folder, endpoint) = (folder()?, Endpoint::new(|_, _| OK));
+    let (folder, endpoint) = (folder()?, FakeEndpoint::new(|_, _| OK));
     let told = Sidecar {
         limits: &limits(4_096, 10_000),
         list: &file_of(scene.at, endpoint.address),
--- a/crates/test-support/src/duplicating_proxy.rs
+++ b/crates/test-support/src/duplicating_proxy.rs
@@ -134,7 +134,7 @@
 
 /// A request or response as it goes on.
 fn bytes_of(message: &Request) -> Vec<u8> {
-    let mut text = format!("{}\r\n", message.line);
+    let mut text = format!("{}\r\n", message.start_line);
     for (name, value) in &message.headers {
         text += &format!("{name}: {value}\r\n");
     }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -39,11 +39,11 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait for a condition: far beyond what any takes.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits for a condition, and fails by its name when it never comes.
 pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < until, "never came: {what}");
         thread::sleep(Duration::from_millis(3));
@@ -54,7 +54,7 @@
 #[derive(Debug, Clone, Default)]
 pub struct Request {
     /// First line.
-    pub line: String,
+    pub start_line: String,
     /// Headers, names in lower case.
     pub headers: BTreeMap<String, String>,
     /// Body.
@@ -71,8 +71,8 @@
 
     /// Ids of the messages in a call, single or bulk.
     #[must_use]
-    pub fn ids(&self) -> Vec<String> {
-        if self.line.starts_with("POST /inbox ") {
+    pub fn message_ids(&self) -> Vec<String> {
+        if self.start_line.starts_with("POST /inbox ") {
             return vec![self.header("x-request-id").to_string()];
         }
         let (mut ids, mut rest) = (Vec::new(), &self.body[..]);
@@ -98,8 +98,8 @@
             return None;
         }
         let line = line.trim_end().to_string();
-        if request.line.is_empty() {
-            request.line = line;
+        if request.start_line.is_empty() {
+            request.start_line = line;
         } else if line.is_empty() {
             break;
         } else if let Some((name, value)) = line.split_once(':') {
@@ -123,49 +123,49 @@
 #[derive(Debug, Clone)]
 pub enum Reply {
     /// Status line and headers, without the last empty line, and the body.
-    Answer(&'static str, String),
+    Respond(&'static str, String),
     /// Nothing, while the connection stays open.
-    Silence,
+    NoResponse,
     /// The connection ends.
     Close,
     /// An answer, and then the connection ends.
-    Last(&'static str),
+    RespondAndClose(&'static str),
     /// These bytes, while the connection stays open.
     Raw(&'static str),
     /// These bytes, and the others a moment later.
-    Late(&'static str, &'static str),
+    RawInTwoParts(&'static str, &'static str),
 }
 
 /// Delivered.
-pub const OK: Reply = Reply::Answer("200 OK", String::new());
+pub const OK: Reply = Reply::Respond("200 OK", String::new());
 
 type Script = Arc<dyn Fn(&Request, usize) -> Reply + Send + Sync>;
 
 /// A server whose script gets each request and its number.
 #[derive(Clone)]
-pub struct Endpoint {
+pub struct FakeEndpoint {
     /// Where it listens.
     pub address: SocketAddr,
     /// All requests so far.
-    pub seen: Arc<Mutex<Vec<Request>>>,
+    pub requests: Arc<Mutex<Vec<Request>>>,
     /// Connections accepted so far.
-    pub connections: Arc<AtomicUsize>,
+    pub connection_count: Arc<AtomicUsize>,
 }
 
-impl Endpoint {
+impl FakeEndpoint {
     /// Listens at once.
     pub fn new(script: impl Fn(&Request, usize) -> Reply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let endpoint = Endpoint {
+        let endpoint = FakeEndpoint {
             address: listener.local_addr().expect("bound"),
-            seen: Arc::default(),
-            connections: Arc::default(),
+            requests: Arc::default(),
+            connection_count: Arc::default(),
         };
         let (here, script): (_, Script) = (endpoint.clone(), Arc::new(script));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (here, script) = (here.clone(), script.clone());
-                let connection = here.connections.fetch_add(1, Ordering::SeqCst);
+                let connection = here.connection_count.fetch_add(1, Ordering::SeqCst);
                 thread::spawn(move || here.serve(stream, connection, &script));
             }
         });
@@ -180,19 +180,19 @@
                 ..request
             };
             let number = {
-                let mut seen = self.seen.lock().expect("not poisoned");
+                let mut seen = self.requests.lock().expect("not poisoned");
                 seen.push(request.clone());
                 seen.len() - 1
             };
             let (head, body, last) = match script(&request, number) {
-                Reply::Answer(head, body) => (head, body, false),
-                Reply::Last(head) => (head, String::new(), true),
-                Reply::Silence => continue,
+                Reply::Respond(head, body) => (head, body, false),
+                Reply::RespondAndClose(head) => (head, String::new(), true),
+                Reply::NoResponse => continue,
                 Reply::Raw(text) => {
                     let _ = stream.write_all(text.as_bytes());
                     continue;
                 }
-                Reply::Late(text, late) => {
+                Reply::RawInTwoParts(text, late) => {
                     let _ = stream.write_all(text.as_bytes());
                     thread::sleep(Duration::from_millis(50));
                     let _ = stream.write_all(late.as_bytes());
@@ -214,54 +214,54 @@
 
     /// Requests so far.
     #[must_use]
-    pub fn count(&self) -> usize {
-        self.seen.lock().expect("not poisoned").len()
+    pub fn request_count(&self) -> usize {
+        self.requests.lock().expect("not poisoned").len()
     }
 
     /// One of the requests.
     #[must_use]
     pub fn request(&self, number: usize) -> Request {
-        self.seen.lock().expect("not poisoned")[number].clone()
+        self.requests.lock().expect("not poisoned")[number].clone()
     }
 
     /// How often a message came.
-    pub fn times(&self, id: &str) -> usize {
-        let seen = self.seen.lock().expect("not poisoned");
+    pub fn attempt_count(&self, id: &str) -> usize {
+        let seen = self.requests.lock().expect("not poisoned");
         seen.iter()
-            .flat_map(Request::ids)
+            .flat_map(Request::message_ids)
             .filter(|other| other == id)
             .count()
     }
 }
 
 /// Discovery: tells one list to each watch, and takes notices.
-pub struct Agent {
+pub struct FakeDiscovery {
     /// Where it listens.
     pub address: SocketAddr,
     /// Lines of notices that were taken.
-    pub notices: Arc<Mutex<Vec<String>>>,
+    pub notifications: Arc<Mutex<Vec<String>>>,
     /// Lines for the next watch; empty: a silent one, as while discovery is down.
-    pub lines: Arc<Mutex<Vec<String>>>,
+    pub watch_lines: Arc<Mutex<Vec<String>>>,
     /// Watches so far.
-    pub watches: Arc<AtomicUsize>,
+    pub watch_count: Arc<AtomicUsize>,
     /// So many requests with notices are answered 500 first.
-    pub faults: Arc<AtomicUsize>,
+    pub remaining_faults: Arc<AtomicUsize>,
 }
 
-impl Agent {
+impl FakeDiscovery {
     /// Listens at once; these lines go to each watch.
     #[must_use]
     pub fn new(lines: Vec<String>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let agent = Agent {
+        let agent = FakeDiscovery {
             address: listener.local_addr().expect("bound"),
-            notices: Arc::default(),
-            lines: Arc::new(Mutex::new(lines)),
-            watches: Arc::default(),
-            faults: Arc::default(),
+            notifications: Arc::default(),
+            watch_lines: Arc::new(Mutex::new(lines)),
+            watch_count: Arc::default(),
+            remaining_faults: Arc::default(),
         };
-        let (notices, lines) = (agent.notices.clone(), agent.lines.clone());
-        let (watches, faults) = (agent.watches.clone(), agent.faults.clone());
+        let (notices, lines) = (agent.notifications.clone(), agent.watch_lines.clone());
+        let (watches, faults) = (agent.watch_count.clone(), agent.remaining_faults.clone());
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let (notices, lines) = (notices.clone(), lines.clone());
@@ -274,9 +274,9 @@
 
     /// Lines of notices so far, each once: an agent that is slow to answer gets one again, and that says nothing new.
     #[must_use]
-    pub fn notices(&self) -> Vec<String> {
+    pub fn notifications(&self) -> Vec<String> {
         let mut lines: Vec<String> = Vec::new();
-        for line in self.notices.lock().expect("not poisoned").iter() {
+        for line in self.notifications.lock().expect("not poisoned").iter() {
             if !lines.contains(line) {
                 lines.push(line.clone());
             }
@@ -296,7 +296,7 @@
     let Some(request) = read_http(&mut reader) else {
         return;
     };
-    if request.line.starts_with("POST /v1/outcomes ") {
+    if request.start_line.starts_with("POST /v1/outcomes ") {
         let faulty = faults
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
                 left.checked_sub(1)
@@ -315,9 +315,11 @@
         return;
     }
     assert!(
-        request.line.starts_with("GET /v1/endpoints?watch=1&from="),
+        request
+            .start_line
+            .starts_with("GET /v1/endpoints?watch=1&from="),
         "{}",
-        request.line
+        request.start_line
     );
     watches.fetch_add(1, Ordering::SeqCst);
     let mut told = lines.lock().expect("not poisoned").clone();
@@ -344,7 +346,7 @@
 
 /// A list for discovery's form: each endpoint's uid, address, kind, destination and state.
 #[must_use]
-pub fn list(entries: &[(&str, SocketAddr, &str, u64, &str)]) -> String {
+pub fn endpoint_list(entries: &[(&str, SocketAddr, &str, u64, &str)]) -> String {
     let targets: Vec<String> = entries
         .iter()
         .map(|(uid, address, kind, destination, state)| {
@@ -361,7 +363,7 @@
 
 /// A message as a client hands it in.
 #[must_use]
-pub fn message(class: &str, id: &str, dest: u64, time_ms: u64, body: &[u8]) -> Vec<u8> {
+pub fn message_request(class: &str, id: &str, dest: u64, time_ms: u64, body: &[u8]) -> Vec<u8> {
     let head = format!(
         "POST /{class} HTTP/1.1\r\nHost: app.svc\r\nX-Request-ID: {id}\r\nX-Priority-Class: {class}\r\n\
          X-Timeout: {time_ms}m\r\nIdempotency-Key: key-{id}\r\nContent-Length: {}\r\nEnvelope: dest={dest}\r\n\r\n",
@@ -378,7 +380,7 @@
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("the sender accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         Client(BufReader::new(stream))
     }
 
@@ -404,7 +406,7 @@
     pub fn send(&mut self, bytes: &[u8]) -> Option<(u16, Request)> {
         self.0.get_mut().write_all(bytes).ok()?;
         let answer = read_http(&mut self.0)?;
-        let status = answer.line.split(' ').nth(1)?.parse().ok()?;
+        let status = answer.start_line.split(' ').nth(1)?.parse().ok()?;
         Some((status, answer))
     }
 }
--- a/crates/test-support/src/unreliable_endpoint.rs
+++ b/crates/test-support/src/unreliable_endpoint.rs
@@ -158,7 +158,7 @@
                 let text = self.success(request);
                 self.respond(request, "200 OK", &text)?;
                 let mut executions = self.executions.lock().expect("not poisoned");
-                for id in request.ids() {
+                for id in request.message_ids() {
                     *executions.delivered.entry(id).or_default() += 1;
                 }
                 Some(())
@@ -176,9 +176,9 @@
 
     /// A body that tells each message's end in a bulk call, and is another one each time in a call of one.
     fn success(&mut self, request: &Request) -> String {
-        match request.line.starts_with("POST /inbox/bulk ") {
+        match request.start_line.starts_with("POST /inbox/bulk ") {
             true => request
-                .ids()
+                .message_ids()
                 .iter()
                 .map(|id| format!("{id} ok\r\n"))
                 .collect(),
@@ -201,7 +201,7 @@
 
     fn run(&mut self, request: &Request) {
         let mut executions = self.executions.lock().expect("not poisoned");
-        for id in request.ids() {
+        for id in request.message_ids() {
             *executions.runs.entry(id).or_default() += 1;
         }
     }
--- a/tests/dead_letter.rs
+++ b/tests/dead_letter.rs
@@ -10,19 +10,25 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-fn one(endpoint: &Endpoint) -> Agent {
-    Agent::new(vec![list(&[("s-1", endpoint.address, "one", 7, "up")])])
+fn one(endpoint: &FakeEndpoint) -> FakeDiscovery {
+    FakeDiscovery::new(vec![endpoint_list(&[(
+        "s-1",
+        endpoint.address,
+        "one",
+        7,
+        "up",
+    )])])
 }
 
 /// An endpoint that answers 500 until it is repaired.
-fn broken() -> (Endpoint, Arc<AtomicBool>) {
+fn broken() -> (FakeEndpoint, Arc<AtomicBool>) {
     let repaired = Arc::new(AtomicBool::new(false));
     let seen = repaired.clone();
     let answer = move |_: &Request, _| match seen.load(Ordering::SeqCst) {
         true => OK,
-        false => Reply::Answer("500 Oops", String::new()),
+        false => Reply::Respond("500 Oops", String::new()),
     };
-    (Endpoint::new(answer), repaired)
+    (FakeEndpoint::new(answer), repaired)
 }
 
 /// The only message in the store, once there is one.
@@ -90,17 +96,19 @@
         (stored["id"].as_str(), stored["reason"].as_str()),
         (Some("m1"), Some("no-repeat"))
     );
-    wait_until("the platform is notified", || agent.notices().len() == 1);
+    wait_until("the platform is notified", || {
+        agent.notifications().len() == 1
+    });
     check_record(&node, number);
     check_confirmation(&node, number);
-    assert_eq!(endpoint.times("m1"), 1, "a dry run sends nothing");
+    assert_eq!(endpoint.attempt_count("m1"), 1, "a dry run sends nothing");
     repaired.store(true, Ordering::SeqCst);
     assert_eq!(code(&node, &["resend", number]), 0);
     wait_until("it is delivered", || state(&node, number) == "delivered");
-    assert_eq!(endpoint.times("m1"), 2);
+    assert_eq!(endpoint.attempt_count("m1"), 2);
     assert_eq!(code(&node, &["resend", number]), 4, "it was delivered");
     assert_eq!(
-        agent.notices().len(),
+        agent.notifications().len(),
         1,
         "one final answer, and no second one for the redrive"
     );
@@ -137,7 +145,7 @@
     let number = stored["number"].to_string();
     std::thread::sleep(std::time::Duration::from_millis(600)); // several beats of the rules
     assert_eq!(
-        endpoint.times("fails"),
+        endpoint.attempt_count("fails"),
         1,
         "no rule sends what may have run"
     );
@@ -148,7 +156,7 @@
         0
     );
     wait_until("the rule sends it", || state(&node, &number) == "delivered");
-    assert_eq!(endpoint.times("fails"), 2);
+    assert_eq!(endpoint.attempt_count("fails"), 2);
     let (_, records) = node.undelivered(&["show", &number]);
     assert!(records[0]["notes"].to_string().contains("by rule"));
 }
@@ -227,7 +235,7 @@
     wanted.sort();
     assert_eq!(ids, wanted);
     assert!(
-        (0..submitted).all(|number| endpoint.times(&format!("m{number}")) <= 1),
+        (0..submitted).all(|number| endpoint.attempt_count(&format!("m{number}")) <= 1),
         "unsafe ones ran once at most"
     );
 }
@@ -235,13 +243,13 @@
 #[test]
 fn a_store_that_can_not_be_written_delays_no_answer_and_loses_nothing() {
     let (broken, _) = broken();
-    let healthy = Endpoint::new(|_, _| OK);
-    let targets = list(&[
+    let healthy = FakeEndpoint::new(|_, _| OK);
+    let targets = endpoint_list(&[
         ("s-1", broken.address, "one", 7, "up"),
         ("s-2", healthy.address, "one", 8, "up"),
     ]);
     let node = Node::with_store(
-        &Agent::new(vec![targets]),
+        &FakeDiscovery::new(vec![targets]),
         "[store]\nmax_mb = 2\nkeep_returned = true",
     )
     .ready();
@@ -263,7 +271,9 @@
         );
     }
     // calls go on while the store can't take anything
-    wait_until("the good ones are delivered", || healthy.count() == 5);
+    wait_until("the good ones are delivered", || {
+        healthy.request_count() == 5
+    });
     wait_until("the fault is told", || node.logged("wait in the ledger"));
     lock.execute_batch("COMMIT").expect("free again");
     drop(lock);
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -114,10 +114,10 @@
         let Ok(mut stream) = TcpStream::connect(node.address) else {
             return false;
         };
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         let mut answer = [0; 12];
         stream
-            .write_all(&message("webhook", id, destination, time_ms, b"x"))
+            .write_all(&message_request("webhook", id, destination, time_ms, b"x"))
             .is_ok()
             && stream.read_exact(&mut answer).is_ok()
             && answer.ends_with(b"202")
@@ -126,10 +126,10 @@
 
 #[test]
 fn idle_clients_that_fill_the_table_keep_nobody_from_discovery_calls_and_ends() {
-    let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
+    let (old, new) = (FakeEndpoint::new(|_, _| OK), FakeEndpoint::new(|_, _| OK));
     let lists = |old_state, new_state| {
         let away = ("d-9", old.address, "one", 9, "draining");
-        list(&[
+        endpoint_list(&[
             ("s-1", old.address, "one", 7, old_state),
             ("s-2", new.address, "one", 7, new_state),
             away,
@@ -143,13 +143,13 @@
     crowd(node.address, 3 * DESCRIPTORS, &ends);
     crowd(node.operators.expect("an address"), DESCRIPTORS, &ends);
     hand_in(&node, "m1", 7, 20_000);
-    wait_until("m1 is delivered", || old.times("m1") == 1);
+    wait_until("m1 is delivered", || old.attempt_count("m1") == 1);
     before.goes();
     wait_until("discovery is gone", || node.logged("no connection"));
     // no endpoint takes it, and its notice has to wait for discovery
     hand_in(&node, "m2", 9, 200);
     hand_in(&node, "m3", 7, 20_000);
-    wait_until("m3 is delivered", || old.times("m3") == 1);
+    wait_until("m3 is delivered", || old.attempt_count("m3") == 1);
     let listener = TcpListener::bind(address).expect("the same port");
     let after = Discovery::at(listener, lists("draining", "up"));
     wait_until("a watch", || after.watches.load(Ordering::SeqCst) > 0);
@@ -161,8 +161,10 @@
         round += 1;
         let id = format!("l{round}");
         hand_in(&node, &id, 7, 20_000);
-        wait_until("delivered", || old.times(&id) + new.times(&id) > 0);
-        new.times(&id) > 0
+        wait_until("delivered", || {
+            old.attempt_count(&id) + new.attempt_count(&id) > 0
+        });
+        new.attempt_count(&id) > 0
     });
     node.terminate();
     assert!(node.process.wait().expect("it ends").success());
--- a/tests/duplicate_responses.rs
+++ b/tests/duplicate_responses.rs
@@ -25,15 +25,15 @@
 /// Rejects what a copy crosses. Its other responses differ, as those with a load report do.
 fn reject_crossed(crossed: bool, number: usize) -> Reply {
     match crossed {
-        true => Reply::Answer(REJECTED, String::new()),
-        false => Reply::Answer("200 OK", number.to_string()),
+        true => Reply::Respond(REJECTED, String::new()),
+        false => Reply::Respond("200 OK", number.to_string()),
     }
 }
 
 /// Rejects what a copy crosses. Its other responses are the same bytes.
 fn reject_crossed_alike(crossed: bool, _: usize) -> Reply {
     match crossed {
-        true => Reply::Answer(REJECTED, String::new()),
+        true => Reply::Respond(REJECTED, String::new()),
         false => OK,
     }
 }
@@ -42,15 +42,15 @@
 fn deliver_crossed(crossed: bool, _: usize) -> Reply {
     match crossed {
         true => OK,
-        false => Reply::Answer(REJECTED, String::new()),
+        false => Reply::Respond(REJECTED, String::new()),
     }
 }
 
 /// Never answers what a copy crosses.
 fn ignore_crossed(crossed: bool, number: usize) -> Reply {
     match crossed {
-        true => Reply::Silence,
-        false => Reply::Answer("200 OK", number.to_string()),
+        true => Reply::NoResponse,
+        false => Reply::Respond("200 OK", number.to_string()),
     }
 }
 
@@ -58,7 +58,7 @@
 fn close_crossed(crossed: bool, number: usize) -> Reply {
     match crossed {
         true => Reply::Close,
-        false => Reply::Answer("200 OK", number.to_string()),
+        false => Reply::Respond("200 OK", number.to_string()),
     }
 }
 
@@ -67,10 +67,10 @@
 /// An endpoint, and the proxy between it and the sender.
 struct Fixture {
     proxy: DuplicatingProxy,
-    endpoint: Endpoint,
+    endpoint: FakeEndpoint,
     /// Ids that the endpoint has answered with 200, each time.
     delivered: Arc<Mutex<Vec<String>>>,
-    agent: Agent,
+    agent: FakeDiscovery,
     node: Node,
 }
 
@@ -98,17 +98,25 @@
     fn behind(script: Script, usual_time: Duration, duplication: Duplication) -> Self {
         let delivered: Arc<Mutex<Vec<String>>> = Arc::default();
         let ran = delivered.clone();
-        let endpoint = Endpoint::new(move |request, number| {
+        let endpoint = FakeEndpoint::new(move |request, number| {
             let crossed = !request.header(COPY_HEADER).is_empty();
             thread::sleep(if crossed { SERVICE_TIME } else { usual_time });
             let reply = script(crossed, number);
-            if matches!(reply, Reply::Answer("200 OK", _)) {
-                ran.lock().expect("not poisoned").extend(request.ids());
+            if matches!(reply, Reply::Respond("200 OK", _)) {
+                ran.lock()
+                    .expect("not poisoned")
+                    .extend(request.message_ids());
             }
             reply
         });
         let proxy = DuplicatingProxy::new(endpoint.address, duplication);
-        let agent = Agent::new(vec![list(&[("s-1", proxy.address, "one", 7, "up")])]);
+        let agent = FakeDiscovery::new(vec![endpoint_list(&[(
+            "s-1",
+            proxy.address,
+            "one",
+            7,
+            "up",
+        )])]);
         let node = Node::traced(&agent).ready();
         Fixture {
             proxy,
@@ -139,7 +147,7 @@
 
     fn is_ended(&self, id: &String) -> bool {
         let quoted = format!("\"{id}\"");
-        let notices = self.agent.notices();
+        let notices = self.agent.notifications();
         self.delivered().contains(id) || notices.iter().any(|line| line.contains(&quoted))
     }
 
@@ -234,7 +242,11 @@
     };
     let fixture = Fixture::behind(reject_crossed, SERVICE_TIME, duplication);
     assert_loses_nothing(&fixture);
-    assert_eq!(fixture.endpoint.count(), MESSAGES, "and none was repeated");
+    assert_eq!(
+        fixture.endpoint.request_count(),
+        MESSAGES,
+        "and none was repeated"
+    );
 }
 
 #[test]
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -15,8 +15,14 @@
 const MAX_JOURNAL_BYTES: u64 = 3_000_000;
 const MAGIC: &[u8] = b"MTJ1";
 
-fn one(endpoint: &Endpoint) -> Agent {
-    Agent::new(vec![list(&[("s-1", endpoint.address, "one", 7, "up")])])
+fn one(endpoint: &FakeEndpoint) -> FakeDiscovery {
+    FakeDiscovery::new(vec![endpoint_list(&[(
+        "s-1",
+        endpoint.address,
+        "one",
+        7,
+        "up",
+    )])])
 }
 
 fn accepted(id: &str, class: &str, body: usize) -> Accepted {
@@ -69,7 +75,7 @@
     // the agent, with its lists and for notices, and every endpoint: all accept, and say nothing for ever
     let hangs = unresponsive();
     let address = hangs.local_addr().expect("bound");
-    let known = list(&[
+    let known = endpoint_list(&[
         ("s-1", address, "one", 7, "up"),
         ("s-2", address, "bulk", 8, "up"),
     ]);
@@ -117,7 +123,7 @@
     const STARTS: usize = 30;
     let hangs = unresponsive();
     let address = hangs.local_addr().expect("bound");
-    let known = list(&[("s-1", address, "one", 7, "up")]);
+    let known = endpoint_list(&[("s-1", address, "one", 7, "up")]);
     let together = std::sync::Barrier::new(STARTS);
     std::thread::scope(|scope| {
         for _ in 0..STARTS {
@@ -136,7 +142,7 @@
 
 #[test]
 fn a_damaged_and_full_journal_does_not_prevent_readiness() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::prepared(one(&endpoint).address, 0.3, NOTHING_KNOWN, |state| {
         // small messages: what each may have lost takes up much beside them
         let (mut journal, _) = FileJournal::open(state, 300_000, 1).expect("a journal");
@@ -156,8 +162,8 @@
     wait_until("a new one is taken on as the old ones end", || {
         node.hand_in("webhook", "new", 7, 20_000, b"x") == 202
     });
-    wait_until("it is delivered", || endpoint.times("new") >= 1);
-    assert_eq!(endpoint.count(), endpoint.times("new"));
+    wait_until("it is delivered", || endpoint.attempt_count("new") >= 1);
+    assert_eq!(endpoint.request_count(), endpoint.attempt_count("new"));
 }
 
 #[test]
@@ -175,17 +181,17 @@
         assert!(node.logged("300 messages owed"));
         node.kill();
     }
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let node = node.moved_to(agent.address).ready();
     assert!(node.logged("300 messages owed"));
-    wait_until("all are delivered", || endpoint.count() >= 300);
+    wait_until("all are delivered", || endpoint.request_count() >= 300);
     let ids: Vec<String> = (0..300).map(|number| format!("m{number}")).collect();
     assert!(
-        ids.iter().all(|id| endpoint.times(id) == 1),
+        ids.iter().all(|id| endpoint.attempt_count(id) == 1),
         "each once: none may be repeated"
     );
-    assert!(agent.notices().is_empty());
+    assert!(agent.notifications().is_empty());
 }
 
 #[test]
@@ -229,7 +235,7 @@
 fn check_start_after_kill(class: &str, records: &[&[u8]], whole: usize, torn: usize) {
     let next = records.get(whole).map_or(&[][..], |record| &record[..torn]);
     let left = [records[..whole].concat(), next.to_vec()].concat();
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let node = Node::prepared(agent.address, 3.0, NOTHING_KNOWN, |state| {
         std::fs::write(state.join("journal"), left).expect("written");
@@ -238,13 +244,13 @@
     let case = format!("{class}, {whole} records and {torn} bytes");
     let calls = match (class, whole) {
         (_, 1) | ("webhook", 2) => {
-            wait_until(&case, || endpoint.times("m1") == 1);
+            wait_until(&case, || endpoint.attempt_count("m1") == 1);
             1
         }
         ("order", 2) => {
             wait_until(&case, || {
                 agent
-                    .notices()
+                    .notifications()
                     .iter()
                     .any(|line| line.contains(r#""m1","state":"failed""#))
             });
@@ -256,9 +262,9 @@
     wait_until("another is over", || {
         node.hand_in("webhook", "m2", 7, 120_000, b"x") == 200
     });
-    assert_eq!(endpoint.times("m1"), calls, "{case}");
+    assert_eq!(endpoint.attempt_count("m1"), calls, "{case}");
     assert_eq!(
-        agent.notices().len(),
+        agent.notifications().len(),
         usize::from(class == "order" && whole == 2),
         "{case}"
     );
@@ -269,7 +275,7 @@
     // what a process leaves when it is killed behind its first, second ... record, with all that would have followed it
     // undone: the 202 behind the first, the call's first byte behind the second, the end of the call
     for class in ["order", "webhook"] {
-        let endpoint = Endpoint::new(|_, _| OK);
+        let endpoint = FakeEndpoint::new(|_, _| OK);
         let agent = one(&endpoint);
         let mut node = Node::new(&agent).ready();
         assert_eq!(node.hand_in(class, "m1", 7, 120_000, b"x"), 202);
@@ -291,9 +297,9 @@
 
 #[test]
 fn messages_given_up_without_a_call_are_counted_by_reason() {
-    let endpoint = Endpoint::new(|_, _| Reply::Answer("418 Teapot", String::new()));
+    let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("418 Teapot", String::new()));
     let draining = |uid, destination| (uid, endpoint.address, "one", destination, "draining");
-    let agent = Agent::new(vec![list(&[
+    let agent = FakeDiscovery::new(vec![endpoint_list(&[
         ("s-1", endpoint.address, "one", 7, "up"),
         draining("d-9", 9),
     ])]);
@@ -302,7 +308,7 @@
     assert_eq!(node.hand_in("order", "tried", 7, 20_000, b"x"), 202);
     assert_eq!(node.hand_in("webhook", "untried", 9, 300, b"x"), 202);
     assert_eq!(node.hand_in("order", "untried-too", 9, 300, b"x"), 202);
-    wait_until("all three notices", || agent.notices().len() == 3);
+    wait_until("all three notices", || agent.notifications().len() == 3);
     wait_until("all three are in the log", || {
         let log = node.log.lock().expect("not poisoned");
         log.iter()
@@ -335,5 +341,5 @@
         "{rows:?}"
     );
     assert!(account("text").contains("untried"), "{}", account("text"));
-    assert!(agent.watches.load(Ordering::SeqCst) > 0);
+    assert!(agent.watch_count.load(Ordering::SeqCst) > 0);
 }
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -65,12 +65,12 @@
 }
 
 impl Node {
-    pub(crate) fn new(agent: &Agent) -> Self {
+    pub(crate) fn new(agent: &FakeDiscovery) -> Self {
         Node::start(new_folder(), Setup::new(agent.address))
     }
 
     /// One that runs another build of the program.
-    pub(crate) fn of_program(program: &Path, agent: &Agent) -> Self {
+    pub(crate) fn of_program(program: &Path, agent: &FakeDiscovery) -> Self {
         let program = program.to_path_buf();
         let setup = Setup {
             program,
@@ -89,7 +89,7 @@
     }
 
     /// One that keeps the undelivered as these settings say.
-    pub(crate) fn with_store(agent: &Agent, settings: &str) -> Self {
+    pub(crate) fn with_store(agent: &FakeDiscovery, settings: &str) -> Self {
         let node = Node::new(agent);
         let folder = node.folder.clone();
         drop(node);
@@ -118,7 +118,7 @@
     }
 
     /// One that writes the lines for the account of all senders.
-    pub(crate) fn traced(agent: &Agent) -> Self {
+    pub(crate) fn traced(agent: &FakeDiscovery) -> Self {
         let node = Node::new(agent);
         std::fs::write(node.folder.join("trace"), "").expect("written");
         node.restart()
@@ -145,7 +145,7 @@
     }
 
     /// One that may hold so few descriptors: the system gives it no more.
-    pub(crate) fn narrow(agent: &Agent, sockets: usize) -> Self {
+    pub(crate) fn narrow(agent: &FakeDiscovery, sockets: usize) -> Self {
         Node::narrow_at(agent.address, sockets)
     }
 
@@ -300,7 +300,7 @@
         time_ms: u64,
         body: &[u8],
     ) -> u16 {
-        self.raw(&message(class, id, dest, time_ms, body)).0
+        self.raw(&message_request(class, id, dest, time_ms, body)).0
     }
 
     /// The lines of its log that name a message.
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -5,15 +5,21 @@
 use node::*;
 use std::time::{Duration, Instant};
 
-fn one(endpoint: &Endpoint) -> Agent {
-    Agent::new(vec![list(&[("s-1", endpoint.address, "one", 7, "up")])])
+fn one(endpoint: &FakeEndpoint) -> FakeDiscovery {
+    FakeDiscovery::new(vec![endpoint_list(&[(
+        "s-1",
+        endpoint.address,
+        "one",
+        7,
+        "up",
+    )])])
 }
 
 #[test]
 fn the_figures_tell_each_end_and_what_is_held() {
-    let endpoint = Endpoint::new(|request, _| match request.header("x-request-id") {
-        "hangs" => Reply::Silence,
-        "fails" => Reply::Answer("500 Oops", String::new()),
+    let endpoint = FakeEndpoint::new(|request, _| match request.header("x-request-id") {
+        "hangs" => Reply::NoResponse,
+        "fails" => Reply::Respond("500 Oops", String::new()),
         _ => OK,
     });
     let node = Node::new(&one(&endpoint)).ready();
@@ -40,17 +46,17 @@
 #[test]
 fn a_drained_sender_loses_its_clients_and_a_resumed_one_takes_them_again() {
     // guards against idle connections that stay through a drain, and against one that never ends
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
     let mut idle = Client::new(node.address);
     assert_eq!(
-        idle.send(&message("webhook", "m1", 7, 20_000, b"x"))
+        idle.send(&message_request("webhook", "m1", 7, 20_000, b"x"))
             .map(|answer| answer.0),
         Some(202)
     );
     let mut used = Client::new(node.address);
     assert_eq!(
-        used.send(&message("webhook", "m2", 7, 20_000, b"x"))
+        used.send(&message_request("webhook", "m2", 7, 20_000, b"x"))
             .map(|answer| answer.0),
         Some(202)
     );
@@ -62,7 +68,7 @@
     );
     // a client that has not heard of it is served, and its connection closed behind that
     let answer = used
-        .send(&message("webhook", "m3", 7, 20_000, b"x"))
+        .send(&message_request("webhook", "m3", 7, 20_000, b"x"))
         .expect("an answer");
     assert_eq!((answer.0, answer.1.header("connection")), (202, "close"));
     wait_until("the idle one is closed", || idle.is_closed());
@@ -70,7 +76,7 @@
         node.hand_in("webhook", "late", 7, 20_000, b"x") == 503
     });
     wait_until("all is delivered", || {
-        endpoint.count() >= 3 && node.figure("active") == 0
+        endpoint.request_count() >= 3 && node.figure("active") == 0
     });
     assert_eq!(node.operate("POST", "/-/resume"), 200);
     assert_eq!(
@@ -80,7 +86,7 @@
     let mut client = Client::new(node.address);
     for id in ["m4", "m5"] {
         let answer = client
-            .send(&message("webhook", id, 7, 20_000, b"x"))
+            .send(&message_request("webhook", id, 7, 20_000, b"x"))
             .expect("kept open again");
         assert_eq!(answer.0, 202);
     }
@@ -88,7 +94,7 @@
 
 #[test]
 fn callers_that_do_not_finish_keep_nobody_out() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
     let operators = node.operators.expect("an address");
     let mut silent: Vec<Client> = (0..8).map(|_| Client::new(operators)).collect();
@@ -125,10 +131,10 @@
 fn a_reload_brings_classes_and_takes_them_away_and_what_is_open_keeps_its_own() {
     // guards against rules that change under a message that is out, and against positions that are mixed up
     let endpoint =
-        Endpoint::new(
+        FakeEndpoint::new(
             |request, _| match request.header("x-request-id").split('-').next() {
-                Some("bad") => Reply::Answer("500 Oops", String::new()),
-                Some("slow") => Reply::Silence,
+                Some("bad") => Reply::Respond("500 Oops", String::new()),
+                Some("slow") => Reply::NoResponse,
                 _ => OK,
             },
         );
@@ -137,7 +143,7 @@
     assert_eq!(node.hand_in("licence", "m1", 7, 20_000, b"x"), 400);
     // unsafe, and may run: it must never go out again, whatever its class's name means later
     assert_eq!(node.hand_in("order", "slow-order", 7, 3_000, b"x"), 202);
-    wait_until("it is out", || endpoint.times("slow-order") == 1);
+    wait_until("it is out", || endpoint.attempt_count("slow-order") == 1);
     node.reload(|text| {
         text.replace(r#"{"name":"order""#, NEW)
             .replace("at_most_once", "idempotent")
@@ -154,12 +160,15 @@
     wait_until("handed back", || node.figure("responses.order.shed") == 1);
     wait_until("failed", || node.figure("responses.order.errors") == 1);
     assert_eq!(
-        (endpoint.times("bad-order"), endpoint.times("slow-order")),
+        (
+            endpoint.attempt_count("bad-order"),
+            endpoint.attempt_count("slow-order")
+        ),
         (2, 1)
     );
     wait_until("told", || {
         agent
-            .notices()
+            .notifications()
             .iter()
             .any(|line| line.contains("slow-order") && line.contains("failed"))
     });
@@ -172,7 +181,7 @@
 
 #[test]
 fn nothing_is_taken_from_a_broken_file() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
     let sound =
@@ -219,15 +228,15 @@
 #[test]
 fn a_message_keeps_its_effect_through_a_kill_behind_a_reload() {
     // guards against an unsafe message that goes again since its class's name means another effect by then
-    let endpoint = Endpoint::new(|request, _| match request.header("x-request-id") {
-        "m1" | "m2" => Reply::Silence,
+    let endpoint = FakeEndpoint::new(|request, _| match request.header("x-request-id") {
+        "m1" | "m2" => Reply::NoResponse,
         _ => OK,
     });
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
     for (class, id) in [("order", "m1"), ("webhook", "m2")] {
         assert_eq!(node.hand_in(class, id, 7, 20_000, b"x"), 202);
-        wait_until("it is out", || endpoint.times(id) == 1);
+        wait_until("it is out", || endpoint.attempt_count(id) == 1);
     }
     node.reload(|text| {
         text.replace("at_most_once", "idempotent")
@@ -238,13 +247,13 @@
     let node = node.restart_as_it_is().ready();
     wait_until("the unsafe one has failed", || {
         agent
-            .notices()
+            .notifications()
             .iter()
             .any(|line| line.contains("m1") && line.contains("failed"))
     });
     wait_until("the keyed one goes again, though its class is gone", || {
-        endpoint.times("m2") == 2
+        endpoint.attempt_count("m2") == 2
     });
-    assert_eq!(endpoint.times("m1"), 1);
+    assert_eq!(endpoint.attempt_count("m1"), 1);
     assert_eq!(node.hand_in("order", "m3", 7, 20_000, b"x"), 202);
 }
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -8,7 +8,7 @@
 
 /// Hands a message about something in.
 fn about(node: &Node, subject: &str, id: &str, time_ms: u64) -> u16 {
-    let text = String::from_utf8(message("posting", id, 7, time_ms, b"x")).expect("text");
+    let text = String::from_utf8(message_request("posting", id, 7, time_ms, b"x")).expect("text");
     node.raw(
         text.replace(
             "POST /posting ",
@@ -19,26 +19,32 @@
     .0
 }
 
-fn agent(endpoint: &Endpoint) -> Agent {
-    Agent::new(vec![list(&[("s-1", endpoint.address, "one", 7, "up")])])
+fn agent(endpoint: &FakeEndpoint) -> FakeDiscovery {
+    FakeDiscovery::new(vec![endpoint_list(&[(
+        "s-1",
+        endpoint.address,
+        "one",
+        7,
+        "up",
+    )])])
 }
 
 /// Position of a message's first call, among all calls.
-fn first_of(endpoint: &Endpoint, id: &str) -> Option<usize> {
-    let seen = endpoint.seen.lock().expect("not poisoned");
+fn first_of(endpoint: &FakeEndpoint, id: &str) -> Option<usize> {
+    let seen = endpoint.requests.lock().expect("not poisoned");
     seen.iter()
-        .position(|call| call.ids().iter().any(|other| other == id))
+        .position(|call| call.message_ids().iter().any(|other| other == id))
 }
 
 #[test]
 fn messages_of_one_subject_go_one_at_a_time_also_across_a_kill() {
     let open = Arc::new(AtomicBool::new(false));
     let answers = open.clone();
-    let endpoint = Endpoint::new(move |request, _| {
+    let endpoint = FakeEndpoint::new(move |request, _| {
         let held = ["m1", "m2"].contains(&request.header("x-request-id"))
             && !answers.load(Ordering::SeqCst);
         if held {
-            Reply::Answer("500 Oops", String::new())
+            Reply::Respond("500 Oops", String::new())
         } else {
             OK
         }
@@ -46,7 +52,7 @@
     let agent = agent(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(about(&node, "a", "m1", 20_000), 202);
-    wait_until("the first is out", || endpoint.times("m1") >= 1);
+    wait_until("the first is out", || endpoint.attempt_count("m1") >= 1);
     assert_eq!(
         (
             about(&node, "a", "m2", 20_000),
@@ -54,18 +60,26 @@
         ),
         (202, 202)
     );
-    wait_until("another subject goes on", || endpoint.times("other") == 1);
-    wait_until("the first is tried again", || endpoint.times("m1") >= 3);
-    assert_eq!(endpoint.times("m2"), 0, "the one before it is not over");
+    wait_until("another subject goes on", || {
+        endpoint.attempt_count("other") == 1
+    });
+    wait_until("the first is tried again", || {
+        endpoint.attempt_count("m1") >= 3
+    });
+    assert_eq!(
+        endpoint.attempt_count("m2"),
+        0,
+        "the one before it is not over"
+    );
     let node = node.restart().ready();
     assert!(node.logged("2 messages owed"));
-    let before = endpoint.times("m1");
+    let before = endpoint.attempt_count("m1");
     wait_until("the first is tried in the new life", || {
-        endpoint.times("m1") > before
+        endpoint.attempt_count("m1") > before
     });
-    assert_eq!(endpoint.times("m2"), 0, "nor is it in the new life");
+    assert_eq!(endpoint.attempt_count("m2"), 0, "nor is it in the new life");
     open.store(true, Ordering::SeqCst);
-    wait_until("the second goes", || endpoint.times("m2") >= 1);
+    wait_until("the second goes", || endpoint.attempt_count("m2") >= 1);
     assert!(first_of(&endpoint, "m1") < first_of(&endpoint, "m2"));
     // a subject that stands twice is none that anybody meant
     assert_eq!(about(&node, "a&subject=b", "m3", 20_000), 400);
@@ -74,8 +88,8 @@
 
 #[test]
 fn the_next_of_a_subject_waits_until_the_platform_knows_of_the_end_before() {
-    let endpoint = Endpoint::new(|request, _| {
-        let busy = Reply::Answer("503 Busy", String::new());
+    let endpoint = FakeEndpoint::new(|request, _| {
+        let busy = Reply::Respond("503 Busy", String::new());
         if request.header("x-request-id") == "m1" {
             busy
         } else {
@@ -83,7 +97,7 @@
         }
     });
     let agent = agent(&endpoint);
-    agent.faults.store(usize::MAX, Ordering::SeqCst);
+    agent.remaining_faults.store(usize::MAX, Ordering::SeqCst);
     let node = Node::new(&agent).ready();
     assert_eq!(about(&node, "a", "m1", 400), 202);
     assert_eq!(about(&node, "a", "m2", 20_000), 202);
@@ -91,9 +105,11 @@
         node.logged("notices answered 500")
     });
     assert_eq!(about(&node, "b", "other", 20_000), 202);
-    wait_until("another subject goes on", || endpoint.times("other") == 1);
+    wait_until("another subject goes on", || {
+        endpoint.attempt_count("other") == 1
+    });
     assert_eq!(
-        endpoint.times("m2"),
+        endpoint.attempt_count("m2"),
         0,
         "the end of the one before is not known"
     );
@@ -103,15 +119,17 @@
         node.logged("notices answered 500")
     });
     assert_eq!(about(&node, "b", "another", 20_000), 202);
-    wait_until("another subject goes on", || endpoint.times("another") == 1);
+    wait_until("another subject goes on", || {
+        endpoint.attempt_count("another") == 1
+    });
     assert_eq!(
-        endpoint.times("m2"),
+        endpoint.attempt_count("m2"),
         0,
         "the end of the one before is still not known"
     );
-    agent.faults.store(0, Ordering::SeqCst);
+    agent.remaining_faults.store(0, Ordering::SeqCst);
     wait_until("the second goes once the notice is in", || {
-        endpoint.times("m2") >= 1
+        endpoint.attempt_count("m2") >= 1
     });
-    assert!(agent.notices().iter().any(|line| line.contains("m1")));
+    assert!(agent.notifications().iter().any(|line| line.contains("m1")));
 }
--- a/tests/response_faults.rs
+++ b/tests/response_faults.rs
@@ -30,7 +30,7 @@
 struct Play {
     seed: u64,
     executions: Arc<Mutex<Executions>>,
-    agent: Agent,
+    agent: FakeDiscovery,
     node: Node,
     accepted: Vec<String>,
 }
@@ -39,7 +39,7 @@
     fn new(seed: u64) -> Self {
         let executions: Arc<Mutex<Executions>> = Arc::default();
         let endpoint = |number| unreliable_endpoint(seed * 10 + number, &executions);
-        let agent = Agent::new(vec![list(&[
+        let agent = FakeDiscovery::new(vec![endpoint_list(&[
             ("s-1", endpoint(1), "one", 7, "up"),
             ("s-2", endpoint(2), "one", 7, "up"),
             ("s-3", endpoint(3), "one", 8, "up"),
@@ -84,7 +84,7 @@
     }
 
     fn open(&self) -> Vec<&String> {
-        let notices = self.agent.notices();
+        let notices = self.agent.notifications();
         let executions = self.executions.lock().expect("not poisoned");
         let is_ended = |id: &String| {
             let quoted = format!("\"{id}\"");
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -7,26 +7,32 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-fn agent_with_one(endpoint: &Endpoint) -> Agent {
-    Agent::new(vec![list(&[("s-1", endpoint.address, "one", 7, "up")])])
+fn agent_with_one(endpoint: &FakeEndpoint) -> FakeDiscovery {
+    FakeDiscovery::new(vec![endpoint_list(&[(
+        "s-1",
+        endpoint.address,
+        "one",
+        7,
+        "up",
+    )])])
 }
 
 #[test]
 fn a_reload_moves_the_watch_and_pending_notifications_to_the_new_address() {
     // guards against a SIGHUP that kills, and against notifications that go on to an address that is gone
-    let (first, second) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
-    let dead = Endpoint::new(|_, _| Reply::Close);
-    let lines = |live: &Endpoint, uid: &str| {
-        vec![list(&[
+    let (first, second) = (FakeEndpoint::new(|_, _| OK), FakeEndpoint::new(|_, _| OK));
+    let dead = FakeEndpoint::new(|_, _| Reply::Close);
+    let lines = |live: &FakeEndpoint, uid: &str| {
+        vec![endpoint_list(&[
             (uid, live.address, "one", 7, "up"),
             ("s-0", dead.address, "one", 8, "up"),
         ])]
     };
     let (old, new) = (
-        Agent::new(lines(&first, "s-1")),
-        Agent::new(lines(&second, "s-2")),
+        FakeDiscovery::new(lines(&first, "s-1")),
+        FakeDiscovery::new(lines(&second, "s-2")),
     );
-    old.faults.store(usize::MAX, Ordering::SeqCst);
+    old.remaining_faults.store(usize::MAX, Ordering::SeqCst);
     let node = Node::new(&old).ready();
     assert_eq!(node.hand_in("order", "owed", 8, 5_000, b"x"), 202);
     wait_until("its notification is pending", || {
@@ -40,25 +46,27 @@
         node.logged("nothing changed")
     });
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("delivered as before", || first.times("m1") == 1);
+    wait_until("delivered as before", || first.attempt_count("m1") == 1);
     node.reload(|_| sound.replace(&old.address.to_string(), &new.address.to_string()));
     wait_until("the pending notification comes to the new address", || {
-        new.notices().iter().any(|line| line.contains("owed"))
+        new.notifications().iter().any(|line| line.contains("owed"))
     });
     wait_until("the new list holds", || {
-        let id = format!("n{}", first.count());
+        let id = format!("n{}", first.request_count());
         assert_eq!(node.hand_in("webhook", &id, 7, 20_000, b"x"), 202);
-        wait_until("delivered", || first.times(&id) + second.times(&id) > 0);
-        second.count() > 0
+        wait_until("delivered", || {
+            first.attempt_count(&id) + second.attempt_count(&id) > 0
+        });
+        second.request_count() > 0
     });
-    assert!(old.notices().is_empty());
+    assert!(old.notifications().is_empty());
 }
 
 #[test]
 fn clients_that_send_nothing_or_never_finish_are_closed_in_time() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&agent_with_one(&endpoint)).ready();
-    let text = message("webhook", "m1", 7, 20_000, b"12345");
+    let text = message_request("webhook", "m1", 7, 20_000, b"12345");
     // nothing at all, half a head, half a body
     for part in [0, 30, text.len() - 2] {
         let began = Instant::now();
@@ -71,15 +79,15 @@
             began.elapsed()
         );
     }
-    assert_eq!(endpoint.count(), 0);
+    assert_eq!(endpoint.request_count(), 0);
 }
 
 #[test]
 fn when_connection_slots_run_out_the_oldest_silent_connection_is_closed() {
     // guards against new clients that wait unaccepted behind silent ones
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::narrow(&agent_with_one(&endpoint), 64).ready();
-    let text = message("webhook", "half", 7, 20_000, b"12345");
+    let text = message_request("webhook", "half", 7, 20_000, b"12345");
     let mut silent: Vec<Client> = (0..40).map(|_| Client::new(node.address)).collect();
     // half a request counts as silence
     silent
@@ -100,10 +108,11 @@
 #[test]
 fn a_body_of_ambiguous_length_smuggles_no_second_request() {
     // hyper shows only one of the two headers; the hidden request must not be read, in either order
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&agent_with_one(&endpoint)).ready();
-    let hidden = String::from_utf8(message("webhook", "hidden", 7, 20_000, b"x")).expect("text");
-    let plain = String::from_utf8(message("webhook", "m1", 7, 20_000, b"")).expect("text");
+    let hidden =
+        String::from_utf8(message_request("webhook", "hidden", 7, 20_000, b"x")).expect("text");
+    let plain = String::from_utf8(message_request("webhook", "m1", 7, 20_000, b"")).expect("text");
     let body = format!("0\r\n\r\n{hidden}");
     let length = format!("Content-Length: {}\r\n", body.len());
     let chunked = "Transfer-Encoding: chunked\r\n";
@@ -128,16 +137,18 @@
     // chunks alone are plain HTTP
     let text = with(chunked.to_string()).replace(&body, "1\r\nx\r\n0\r\n\r\n");
     assert_eq!(node.raw(text.as_bytes()).0, 202);
-    wait_until("the plain one is delivered", || endpoint.times("m1") == 1);
-    assert_eq!(endpoint.count(), 1);
+    wait_until("the plain one is delivered", || {
+        endpoint.attempt_count("m1") == 1
+    });
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 #[test]
 fn a_large_upload_is_answered_before_it_has_ended() {
     // guards against a reset that takes the answer with it
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&agent_with_one(&endpoint)).ready();
-    let text = String::from_utf8(message("webhook", "m1", 7, 20_000, b"")).expect("text");
+    let text = String::from_utf8(message_request("webhook", "m1", 7, 20_000, b"")).expect("text");
     let mut bytes = text
         .replace("Content-Length: 0", "Content-Length: 60000000")
         .into_bytes();
@@ -149,22 +160,23 @@
 
 /// How often a message that is not idempotent is sent whose first response is this, and the notifications about it.
 fn attempts_and_notifications_after(first: &'static str) -> (usize, Vec<String>) {
-    let endpoint = Endpoint::new(move |_, number| if number == 0 { Reply::Raw(first) } else { OK });
+    let endpoint =
+        FakeEndpoint::new(move |_, number| if number == 0 { Reply::Raw(first) } else { OK });
     let agent = agent_with_one(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("order", "m1", 7, 3_000, b"x"), 202);
-    wait_until("it is out", || endpoint.times("m1") == 1);
+    wait_until("it is out", || endpoint.attempt_count("m1") == 1);
     wait_until("it is over", || {
         // with no time left it would not be sent anew
-        !agent.notices().is_empty() || node.hand_in("order", "m1", 7, 0, b"x") == 200
+        !agent.notifications().is_empty() || node.hand_in("order", "m1", 7, 0, b"x") == 200
     });
     // what came behind an answer must not become the next call's
     assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
     wait_until("the next is delivered", || {
         node.hand_in("webhook", "m2", 7, 20_000, b"x") == 200
     });
-    assert_eq!(endpoint.times("m2"), 1, "{first}");
-    (endpoint.times("m1"), agent.notices())
+    assert_eq!(endpoint.attempt_count("m2"), 1, "{first}");
+    (endpoint.attempt_count("m1"), agent.notifications())
 }
 
 #[test]
@@ -210,8 +222,8 @@
 #[test]
 fn a_connection_with_bytes_after_the_response_is_not_reused() {
     const LATE: &str = "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n";
-    let endpoint = Endpoint::new(|_, number| match number {
-        0 => Reply::Late("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", LATE),
+    let endpoint = FakeEndpoint::new(|_, number| match number {
+        0 => Reply::RawInTwoParts("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", LATE),
         _ => OK,
     });
     let agent = agent_with_one(&endpoint);
@@ -227,8 +239,8 @@
     });
     assert_eq!(
         (
-            endpoint.times("m2"),
-            endpoint.connections.load(Ordering::SeqCst)
+            endpoint.attempt_count("m2"),
+            endpoint.connection_count.load(Ordering::SeqCst)
         ),
         (1, 2)
     );
@@ -236,50 +248,58 @@
 
 #[test]
 fn a_new_endpoint_at_an_old_address_gets_a_connection_of_its_own() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = agent_with_one(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.times("m1") == 1);
-    let next = Agent::new(vec![list(&[("s-2", endpoint.address, "one", 8, "up")])]);
+    wait_until("delivered", || endpoint.attempt_count("m1") == 1);
+    let next = FakeDiscovery::new(vec![endpoint_list(&[(
+        "s-2",
+        endpoint.address,
+        "one",
+        8,
+        "up",
+    )])]);
     node.reload(|text| text.replace(&agent.address.to_string(), &next.address.to_string()));
     // an unknown destination is refused, with a time to come again, until the list names it
     wait_until("it is known", || {
         node.hand_in("webhook", "m2", 8, 20_000, b"x") == 202
     });
-    wait_until("delivered", || endpoint.times("m2") == 1);
+    wait_until("delivered", || endpoint.attempt_count("m2") == 1);
     assert_eq!(endpoint.request(1).connection, 1);
 }
 
 #[test]
 fn an_unknown_destination_is_rejected_with_a_retry_after() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = agent_with_one(&endpoint);
     let node = Node::new(&agent).ready();
-    let (status, answer) = node.raw(&message("webhook", "m1", 4711, 20_000, b"x"));
+    let (status, answer) = node.raw(&message_request("webhook", "m1", 4711, 20_000, b"x"));
     assert_eq!(status, 429);
     assert!(!answer.header("retry-after").is_empty());
     assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
-    wait_until("the other is delivered", || endpoint.times("m2") == 1);
-    assert!(agent.notices().is_empty());
+    wait_until("the other is delivered", || {
+        endpoint.attempt_count("m2") == 1
+    });
+    assert!(agent.notifications().is_empty());
 }
 
 #[test]
 fn a_link_that_cuts_or_stalls_costs_an_attempt_and_no_message() {
     // the first connections break or stall in the middle of the call; the key makes another attempt harmless
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let cuts = scripted_link(endpoint.address, |number| match number {
         0 => ConnectionFault::CutAfter(40),
         1 => ConnectionFault::StallAfter(40),
         2 => ConnectionFault::Delay(Duration::from_millis(20)),
         _ => ConnectionFault::None,
     });
-    let agent = Agent::new(vec![list(&[("s-1", cuts, "one", 7, "up")])]);
+    let agent = FakeDiscovery::new(vec![endpoint_list(&[("s-1", cuts, "one", 7, "up")])]);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.times("m1") == 1);
+    wait_until("delivered", || endpoint.attempt_count("m1") == 1);
     wait_until("its end is known", || {
         node.hand_in("webhook", "m1", 7, 0, b"x") == 200
     });
-    assert!(agent.notices().is_empty());
+    assert!(agent.notifications().is_empty());
 }
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -113,7 +113,7 @@
     }
 
     fn hand_in(&self, class: &str, id: &str, dest: u64) -> u16 {
-        self.status(&message(class, id, dest, 2_000, b"x"))
+        self.status(&message_request(class, id, dest, 2_000, b"x"))
     }
 
     fn restart(mut self) -> Self {
@@ -136,7 +136,7 @@
         let request = format!("GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
         stream.write_all(request.as_bytes()).expect("written");
         let mut text = String::new();
-        stream.set_read_timeout(Some(PATIENCE)).expect("set");
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
         stream.read_to_string(&mut text).expect("an answer");
         let status = text
             .split(' ')
@@ -203,10 +203,10 @@
     )
 }
 
-fn endpoints() -> (Endpoint, Endpoint) {
+fn endpoints() -> (FakeEndpoint, FakeEndpoint) {
     (
-        Endpoint::new(|_, _| OK),
-        Endpoint::new(|_, _| Reply::Answer("500 Oops", String::new())),
+        FakeEndpoint::new(|_, _| OK),
+        FakeEndpoint::new(|_, _| Reply::Respond("500 Oops", String::new())),
     )
 }
 
@@ -296,19 +296,19 @@
 
 #[test]
 fn a_message_that_its_destination_says_is_over_has_a_final_answer_too() {
-    let gone = Endpoint::new(|_, _| Reply::Answer("410 Gone", String::new()));
+    let gone = FakeEndpoint::new(|_, _| Reply::Respond("410 Gone", String::new()));
     let (good, _) = endpoints();
     let sidecar = Sidecar::new(&destinations(gone.address, good.address));
     assert_eq!(sidecar.hand_in("notice", "m1", 1), 202);
     wait_until("it has ended", || {
         sidecar.get("/v1/messages/m1").1.contains("failed")
     });
-    assert_eq!(gone.times("m1"), 1);
+    assert_eq!(gone.attempt_count("m1"), 1);
 }
 
 #[test]
 fn a_changed_file_of_endpoints_counts_and_a_broken_one_changes_nothing() {
-    let (first, second) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
+    let (first, second) = (FakeEndpoint::new(|_, _| OK), FakeEndpoint::new(|_, _| OK));
     let folder = folder();
     let file = folder.join("endpoints.toml");
     let write = |text: String| {
@@ -324,19 +324,21 @@
         "[endpoints]\nfile = 'endpoints.toml'\n",
     );
     assert_eq!(sidecar.hand_in("notice", "m1", 1), 202);
-    wait_until("delivered to the first", || first.times("m1") == 1);
+    wait_until("delivered to the first", || first.attempt_count("m1") == 1);
     write("[destination.1]\nendpoints = ['nonsense']\n".to_string());
     wait_until("the broken file is told", || {
         sidecar.logged("nothing changed")
     });
     assert_eq!(sidecar.hand_in("notice", "m2", 1), 202);
-    wait_until("delivered as before", || first.times("m2") == 1);
+    wait_until("delivered as before", || first.attempt_count("m2") == 1);
     write(of(second.address));
     wait_until("the new list counts", || {
-        let id = format!("n{}", first.count());
+        let id = format!("n{}", first.request_count());
         assert_eq!(sidecar.hand_in("notice", &id, 1), 202);
-        wait_until("delivered", || first.times(&id) + second.times(&id) > 0);
-        second.count() > 0
+        wait_until("delivered", || {
+            first.attempt_count(&id) + second.attempt_count(&id) > 0
+        });
+        second.request_count() > 0
     });
 }
 
@@ -441,7 +443,7 @@
     assert!(sidecar.logged("MT005"));
     assert_eq!(rejected().as_deref(), Some("1|c"));
     assert_eq!(sidecar.hand_in("notice", "m1", 1), 202);
-    wait_until("it goes on", || good.times("m1") == 1);
+    wait_until("it goes on", || good.attempt_count("m1") == 1);
     std::fs::write(&sidecar.file, text).expect("written");
     hangup();
     wait_until("it is sound", || sidecar.logged("is sound"));
@@ -463,7 +465,7 @@
 
 #[test]
 fn a_new_configuration_is_sound_and_starts() {
-    let good = Endpoint::new(|_, _| OK);
+    let good = FakeEndpoint::new(|_, _| OK);
     let folder = folder();
     for effect in ["keyed", "unsafe", "repeatable"] {
         let words = [
@@ -488,7 +490,7 @@
         std::fs::write(&file, text).expect("written");
         let sidecar = Sidecar::run(file, http, outcomes);
         assert_eq!(sidecar.hand_in("notice", effect, 1), 202);
-        wait_until("delivered", || good.times(effect) == 1);
+        wait_until("delivered", || good.attempt_count(effect) == 1);
     }
 }
 
@@ -510,7 +512,7 @@
 /// A seeded sample of variants of the good examples, by a real start: what the check takes starts, and delivers.
 #[test]
 fn what_the_check_takes_starts_and_delivers() {
-    let good = Endpoint::new(|_, _| OK);
+    let good = FakeEndpoint::new(|_, _| OK);
     let folder = folder();
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/sidecar");
     let text = ["billing", "ordering"].map(|name| {
@@ -555,7 +557,9 @@
         let sidecar = Sidecar::run(file, http, outcomes);
         let id = format!("v{started}");
         assert_eq!(sidecar.hand_in(class, &id, 7), 202, "{variant}");
-        wait_until(&format!("delivered, {variant}"), || good.times(&id) >= 1);
+        wait_until(&format!("delivered, {variant}"), || {
+            good.attempt_count(&id) >= 1
+        });
         started += 1;
     }
 }
@@ -566,8 +570,8 @@
     let calls = Arc::new(AtomicUsize::new(0));
     let seen = calls.clone();
     // it turns away every third, and the first ones
-    let callback = Endpoint::new(move |_, _| match seen.fetch_add(1, Ordering::SeqCst) {
-        number if number < 4 || number % 3 == 0 => Reply::Answer("500 Oops", String::new()),
+    let callback = FakeEndpoint::new(move |_, _| match seen.fetch_add(1, Ordering::SeqCst) {
+        number if number < 4 || number % 3 == 0 => Reply::Respond("500 Oops", String::new()),
         _ => OK,
     });
     let rest = destinations(good.address, bad.address);
@@ -592,7 +596,7 @@
     }
     assert!(taken.len() > 40, "{}", taken.len());
     let answered = || -> Vec<serde_json::Value> {
-        let requests = (0..callback.count()).map(|number| callback.request(number));
+        let requests = (0..callback.request_count()).map(|number| callback.request(number));
         requests
             .map(|request| serde_json::from_slice(&request.body).expect("JSON"))
             .collect()
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -8,14 +8,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-fn one(endpoint: &Endpoint) -> Agent {
-    Agent::new(vec![only(endpoint)])
+fn one(endpoint: &FakeEndpoint) -> FakeDiscovery {
+    FakeDiscovery::new(vec![only(endpoint)])
 }
 
 /// One endpoint, and destinations that are known but have none that takes anything.
-fn only(endpoint: &Endpoint) -> String {
+fn only(endpoint: &FakeEndpoint) -> String {
     let away = |uid, destination| (uid, endpoint.address, "one", destination, "draining");
-    list(&[
+    endpoint_list(&[
         ("s-1", endpoint.address, "one", 7, "up"),
         away("d-8", 8),
         away("d-9", 9),
@@ -25,13 +25,13 @@
 
 #[test]
 fn a_message_goes_on_unchanged_and_is_over() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
     let body = b"any \0 bytes\r\n\xff";
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, body), 202);
-    wait_until("delivered", || endpoint.count() == 1);
+    wait_until("delivered", || endpoint.request_count() == 1);
     let call = endpoint.request(0);
-    assert_eq!(call.line, "POST /inbox HTTP/1.1");
+    assert_eq!(call.start_line, "POST /inbox HTTP/1.1");
     assert_eq!(
         (call.header("x-request-id"), call.header("idempotency-key")),
         ("m1", "key-m1")
@@ -44,28 +44,28 @@
     });
     let node = node.restart().ready();
     assert!(node.logged("0 messages owed"));
-    assert_eq!(endpoint.times("m1"), 1);
+    assert_eq!(endpoint.attempt_count("m1"), 1);
 }
 
 #[test]
 fn connections_are_kept_and_left_before_the_endpoint_closes_them() {
     // guards against a handshake for each call, and against writing to a connection about to close
-    let endpoint = Endpoint::new(|request, _| repeating_id(request));
+    let endpoint = FakeEndpoint::new(|request, _| repeating_id(request));
     let node = Node::with(one(&endpoint).address, 3.0, 1.0).ready();
     hand_in_three(&node, &endpoint);
-    assert_eq!(endpoint.connections.load(Ordering::SeqCst), 1);
+    assert_eq!(endpoint.connection_count.load(Ordering::SeqCst), 1);
     std::thread::sleep(Duration::from_millis(1000)); // the idle time itself
     assert_eq!(node.hand_in("webhook", "late", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.count() == 4);
+    wait_until("delivered", || endpoint.request_count() == 4);
     assert_eq!(endpoint.request(3).connection, 1);
 }
 
 #[test]
 fn a_connection_carries_two_calls_where_responses_name_no_request() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::with(one(&endpoint).address, 3.0, 1.0).ready();
     hand_in_three(&node, &endpoint);
-    assert_eq!(endpoint.connections.load(Ordering::SeqCst), 2);
+    assert_eq!(endpoint.connection_count.load(Ordering::SeqCst), 2);
     let asked: Vec<bool> = (0..3)
         .map(|number| endpoint.request(number).header("connection") == "close")
         .collect();
@@ -75,11 +75,11 @@
 /// Delivered, and the response repeats the request's id.
 fn repeating_id(request: &Request) -> Reply {
     let head = format!("200 OK\r\nX-Request-ID: {}", request.header("x-request-id"));
-    Reply::Answer(head.leak(), String::new())
+    Reply::Respond(head.leak(), String::new())
 }
 
 /// Hands in three messages, each once the one before is delivered.
-fn hand_in_three(node: &Node, endpoint: &Endpoint) {
+fn hand_in_three(node: &Node, endpoint: &FakeEndpoint) {
     for n in 0..3 {
         assert_eq!(
             node.hand_in("webhook", &format!("m{n}"), 7, 20_000, b"x"),
@@ -88,16 +88,16 @@
         wait_until("its end is known", || {
             node.hand_in("webhook", &format!("m{n}"), 7, 0, b"x") == 200
         });
-        assert_eq!(endpoint.count(), n + 1);
+        assert_eq!(endpoint.request_count(), n + 1);
         std::thread::sleep(Duration::from_millis(20)); // the rest that a connection gets behind an answer
     }
 }
 
 #[test]
 fn bad_input_is_answered_and_harms_nobody() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
-    let good = String::from_utf8(message("webhook", "m1", 7, 9000, b"x")).expect("text");
+    let good = String::from_utf8(message_request("webhook", "m1", 7, 9000, b"x")).expect("text");
     let without = |name: &str| {
         let lines = good
             .split_inclusive("\r\n")
@@ -150,29 +150,34 @@
         node.hand_in("webhook", "most", 7, 20_000, &[b'z'; 65_536]),
         202
     );
-    wait_until("the largest body goes out", || endpoint.times("most") == 1);
-    assert_eq!(endpoint.count(), 1);
+    wait_until("the largest body goes out", || {
+        endpoint.attempt_count("most") == 1
+    });
+    assert_eq!(endpoint.request_count(), 1);
 }
 
 #[test]
 fn the_same_id_while_held_is_one_message() {
-    let endpoint = Endpoint::new(|_, _| Reply::Silence);
+    let endpoint = FakeEndpoint::new(|_, _| Reply::NoResponse);
     let node = Node::new(&one(&endpoint)).ready();
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
     assert_eq!(node.hand_in("order", "m2", 7, 20_000, b"x"), 202);
     // each has a connection of its own, and the endpoint may read either first
     wait_until("both are out", || {
-        endpoint.times("m1") >= 1 && endpoint.times("m2") >= 1
+        endpoint.attempt_count("m1") >= 1 && endpoint.attempt_count("m2") >= 1
     });
-    assert_eq!((endpoint.times("m1"), endpoint.times("m2")), (1, 1));
+    assert_eq!(
+        (endpoint.attempt_count("m1"), endpoint.attempt_count("m2")),
+        (1, 1)
+    );
 }
 
 /// One keyed and one unsafe message whose first call fares as given: how often each comes in all. An unsafe
 /// one is sent again only if it never ran; a keyed one in any case that leaves it undelivered.
 fn fares(first: Reply) -> (usize, usize, Vec<String>) {
     let failed: Arc<Mutex<Vec<String>>> = Arc::default();
-    let endpoint = Endpoint::new(move |request, _| {
+    let endpoint = FakeEndpoint::new(move |request, _| {
         let id = request.header("x-request-id").to_string();
         let mut failed = failed.lock().expect("not poisoned");
         if failed.contains(&id) {
@@ -184,20 +189,22 @@
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "keyed", 7, 8_000, b"x"), 202);
-    wait_until("keyed is out", || endpoint.times("keyed") > 0);
-    let settled =
-        |id: &str| endpoint.times(id) > 1 || agent.notices().iter().any(|line| line.contains(id));
-    let over = |id: &str| settled(id) || node.raw(&message("webhook", id, 7, 1, b"x")).0 == 200;
+    wait_until("keyed is out", || endpoint.attempt_count("keyed") > 0);
+    let settled = |id: &str| {
+        endpoint.attempt_count(id) > 1 || agent.notifications().iter().any(|line| line.contains(id))
+    };
+    let over =
+        |id: &str| settled(id) || node.raw(&message_request("webhook", id, 7, 1, b"x")).0 == 200;
     wait_until("keyed is settled", || over("keyed"));
     assert_eq!(node.hand_in("order", "unsafe", 7, 3_000, b"x"), 202);
-    wait_until("unsafe is out", || endpoint.times("unsafe") > 0);
+    wait_until("unsafe is out", || endpoint.attempt_count("unsafe") > 0);
     wait_until("unsafe is settled", || {
         settled("unsafe") || node.hand_in("order", "unsafe", 7, 1, b"x") == 200
     });
     (
-        endpoint.times("keyed"),
-        endpoint.times("unsafe"),
-        agent.notices(),
+        endpoint.attempt_count("keyed"),
+        endpoint.attempt_count("unsafe"),
+        agent.notifications(),
     )
 }
 
@@ -208,17 +215,17 @@
 #[test]
 fn success_ends_a_message() {
     assert_eq!(fares(OK), (1, 1, vec![]));
-    assert_eq!(fares(Reply::Last("200 OK")), (1, 1, vec![]));
+    assert_eq!(fares(Reply::RespondAndClose("200 OK")), (1, 1, vec![]));
 }
 
 #[test]
 fn an_error_may_have_run() {
     assert_eq!(
-        fares(Reply::Answer("500 Oops", String::new())),
+        fares(Reply::Respond("500 Oops", String::new())),
         (2, 1, vec![failed("unsafe")])
     );
     assert_eq!(
-        fares(Reply::Answer("418 Teapot", String::new())),
+        fares(Reply::Respond("418 Teapot", String::new())),
         (2, 1, vec![failed("unsafe")])
     );
 }
@@ -226,7 +233,7 @@
 #[test]
 fn a_malformed_answer_fails_that_call_only() {
     assert_eq!(
-        fares(Reply::Last("nonsense\r\n\x01")),
+        fares(Reply::RespondAndClose("nonsense\r\n\x01")),
         (2, 1, vec![failed("unsafe")])
     );
 }
@@ -238,7 +245,7 @@
 
 #[test]
 fn silence_may_have_run_and_ends_in_time() {
-    let (_, times, notices) = fares(Reply::Silence);
+    let (_, times, notices) = fares(Reply::NoResponse);
     assert_eq!((times, notices), (1, vec![failed("unsafe")]));
 }
 
@@ -251,7 +258,7 @@
         "504 Spent",
     ] {
         assert_eq!(
-            fares(Reply::Answer(head, String::new())),
+            fares(Reply::Respond(head, String::new())),
             (2, 2, vec![]),
             "{head}"
         );
@@ -260,50 +267,58 @@
 
 #[test]
 fn a_message_that_is_gone_is_over_without_a_notice() {
-    let endpoint = Endpoint::new(|_, _| Reply::Answer("410 Gone", String::new()));
+    let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("410 Gone", String::new()));
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 400, b"x"), 202);
-    wait_until("it is out", || endpoint.count() == 1);
+    wait_until("it is out", || endpoint.request_count() == 1);
     // a later message's notice shows that none came for the first, whose time was up before
     assert_eq!(node.hand_in("webhook", "m2", 99, 900, b"x"), 202);
-    wait_until("the later one's notice", || !agent.notices().is_empty());
-    assert_eq!(endpoint.count(), 1);
-    assert!(agent.notices().iter().all(|line| line.contains("m2")));
+    wait_until("the later one's notice", || {
+        !agent.notifications().is_empty()
+    });
+    assert_eq!(endpoint.request_count(), 1);
+    assert!(agent.notifications().iter().all(|line| line.contains("m2")));
 }
 
 #[test]
 fn a_refused_connection_never_ran() {
     let refusing = Unused::on([127, 0, 0, 1]);
-    let agent = Agent::new(vec![list(&[("s-1", refusing.address, "one", 7, "up")])]);
+    let agent = FakeDiscovery::new(vec![endpoint_list(&[(
+        "s-1",
+        refusing.address,
+        "one",
+        7,
+        "up",
+    )])]);
     let node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("order", "m1", 7, 700, b"x"), 202);
-    wait_until("its notice", || !agent.notices().is_empty());
+    wait_until("its notice", || !agent.notifications().is_empty());
     // an unsafe message may be returned only if none of its calls ran
     assert!(
-        agent.notices()[0].contains("returned"),
+        agent.notifications()[0].contains("returned"),
         "{:?}",
-        agent.notices()
+        agent.notifications()
     );
     assert!(
-        agent.notices()[0].contains("after_ms"),
+        agent.notifications()[0].contains("after_ms"),
         "{:?}",
-        agent.notices()
+        agent.notifications()
     );
 }
 
 #[test]
 fn a_told_wait_is_heeded() {
-    let endpoint = Endpoint::new(|_, number| match number {
-        0 => Reply::Answer("429 Later\r\nRetry-After: 1.2", String::new()),
+    let endpoint = FakeEndpoint::new(|_, number| match number {
+        0 => Reply::Respond("429 Later\r\nRetry-After: 1.2", String::new()),
         _ => OK,
     });
     let node = Node::new(&one(&endpoint)).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("it is out", || endpoint.count() == 1);
+    wait_until("it is out", || endpoint.request_count() == 1);
     let told = Instant::now();
     assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
-    wait_until("both are delivered", || endpoint.count() == 3);
+    wait_until("both are delivered", || endpoint.request_count() == 3);
     assert!(
         told.elapsed() > Duration::from_millis(1100),
         "{:?}",
@@ -316,28 +331,34 @@
     // the first call holds the destination's window, so that the rest gathers and travels together
     let held: Arc<Mutex<bool>> = Arc::new(Mutex::new(true));
     let gate = held.clone();
-    let endpoint = Endpoint::new(move |request, _| {
-        if request.line.starts_with("POST /inbox ") {
-            if request.ids()[0].starts_with("first") {
+    let endpoint = FakeEndpoint::new(move |request, _| {
+        if request.start_line.starts_with("POST /inbox ") {
+            if request.message_ids()[0].starts_with("first") {
                 wait_until("the gate opens", || !*gate.lock().expect("not poisoned"));
             }
             return OK;
         }
-        let ids = request.ids();
+        let ids = request.message_ids();
         let ends = ["ok", "error", "later", "gone", "exhausted"];
         let word = |id: &String| {
             id.strip_prefix('b')
                 .and_then(|n| n.parse().ok())
                 .map_or("ok", |n: usize| ends[n])
         };
-        Reply::Answer(
+        Reply::Respond(
             "200 OK",
             ids.iter()
                 .map(|id| format!("{id} {}\r\n", word(id)))
                 .collect(),
         )
     });
-    let agent = Agent::new(vec![list(&[("s-1", endpoint.address, "bulk", 7, "up")])]);
+    let agent = FakeDiscovery::new(vec![endpoint_list(&[(
+        "s-1",
+        endpoint.address,
+        "bulk",
+        7,
+        "up",
+    )])]);
     let node = Node::new(&agent).ready();
     for n in 0..2 {
         assert_eq!(
@@ -345,26 +366,27 @@
             202
         );
     }
-    wait_until("the window is full", || endpoint.count() == 2);
+    wait_until("the window is full", || endpoint.request_count() == 2);
     for n in 0..5 {
         assert_eq!(node.hand_in("order", &format!("b{n}"), 7, 4_000, b"x"), 202);
     }
     *held.lock().expect("not poisoned") = false;
     wait_until("a bulk call", || {
-        (0..endpoint.count()).any(|n| endpoint.request(n).line.contains("/inbox/bulk"))
+        (0..endpoint.request_count())
+            .any(|n| endpoint.request(n).start_line.contains("/inbox/bulk"))
     });
     wait_until("the error's notice", || {
-        agent.notices().contains(&failed("b1"))
+        agent.notifications().contains(&failed("b1"))
     });
     wait_until("what never ran goes again", || {
-        endpoint.times("b2") > 1 && endpoint.times("b4") > 1
+        endpoint.attempt_count("b2") > 1 && endpoint.attempt_count("b4") > 1
     });
     for id in ["b0", "b1", "b3"] {
-        assert_eq!(endpoint.times(id), 1, "{id}");
+        assert_eq!(endpoint.attempt_count(id), 1, "{id}");
     }
     assert!(
         !agent
-            .notices()
+            .notifications()
             .iter()
             .any(|line| line.contains("b0") || line.contains("b3"))
     );
@@ -373,9 +395,9 @@
 #[test]
 fn a_killed_sender_resumes_what_it_owes() {
     // each step: taken on and not sent; sent with no outcome, keyed and unsafe; its notice owed
-    let endpoint = Endpoint::new(|request, number| {
+    let endpoint = FakeEndpoint::new(|request, number| {
         if number < 2 || request.header("x-request-id") == "unsafe" {
-            Reply::Silence
+            Reply::NoResponse
         } else {
             OK
         }
@@ -385,60 +407,67 @@
     assert_eq!(node.hand_in("webhook", "sent", 7, 20_000, b"body"), 202);
     assert_eq!(node.hand_in("order", "unsafe", 7, 20_000, b"x"), 202);
     wait_until("both are out", || {
-        endpoint.times("sent") == 1 && endpoint.times("unsafe") == 1
+        endpoint.attempt_count("sent") == 1 && endpoint.attempt_count("unsafe") == 1
     });
     assert_eq!(
         node.hand_in("webhook", "unsent", 8, 20_000, b"unsent body"),
         202
     );
-    agent.faults.store(usize::MAX, Ordering::SeqCst);
+    agent.remaining_faults.store(usize::MAX, Ordering::SeqCst);
     assert_eq!(node.hand_in("webhook", "owed", 9, 100, b"x"), 202);
     wait_until("its notice fails", || node.logged("notices answered 500"));
     let mut node = node;
     node.kill();
-    agent.faults.store(0, Ordering::SeqCst);
-    let other = Endpoint::new(|_, _| OK);
-    let lines = list(&[
+    agent.remaining_faults.store(0, Ordering::SeqCst);
+    let other = FakeEndpoint::new(|_, _| OK);
+    let lines = endpoint_list(&[
         ("s-1", endpoint.address, "one", 7, "up"),
         ("s-2", other.address, "one", 8, "up"),
     ]);
-    *agent.lines.lock().expect("not poisoned") = vec![lines];
+    *agent.watch_lines.lock().expect("not poisoned") = vec![lines];
     let node = node.restart().ready();
     assert!(node.logged("4 messages owed"));
-    wait_until("the unsent one goes out", || other.times("unsent") == 1);
+    wait_until("the unsent one goes out", || {
+        other.attempt_count("unsent") == 1
+    });
     assert_eq!(other.request(0).body, b"unsent body");
     assert_eq!(other.request(0).header("idempotency-key"), "key-unsent");
     wait_until("the keyed one goes out again", || {
-        endpoint.times("sent") >= 2
+        endpoint.attempt_count("sent") >= 2
     });
     wait_until("the unsafe one's and the owed one's notices", || {
-        let notices = agent.notices();
+        let notices = agent.notifications();
         notices.contains(&failed("unsafe")) && notices.iter().any(|line| line.contains("owed"))
     });
-    assert_eq!(endpoint.times("unsafe"), 1);
-    assert_eq!(agent.notices().len(), 2, "{:?}", agent.notices());
+    assert_eq!(endpoint.attempt_count("unsafe"), 1);
+    assert_eq!(
+        agent.notifications().len(),
+        2,
+        "{:?}",
+        agent.notifications()
+    );
 }
 
 #[test]
 fn a_deadline_that_passed_while_down_ends_by_a_notice_at_once() {
-    let endpoint = Endpoint::new(|_, _| Reply::Silence);
+    let endpoint = FakeEndpoint::new(|_, _| Reply::NoResponse);
     let agent = one(&endpoint);
     let mut node = Node::new(&agent).ready();
     assert_eq!(node.hand_in("webhook", "m1", 7, 600, b"x"), 202);
     node.kill();
     std::thread::sleep(Duration::from_millis(700)); // until its time is up
-    assert!(agent.notices().is_empty());
+    assert!(agent.notifications().is_empty());
     let _node = node.restart();
     wait_until("its notice", || {
-        agent.notices().iter().any(|line| line.contains("m1"))
+        agent.notifications().iter().any(|line| line.contains("m1"))
     });
 }
 
 #[test]
 fn a_torn_record_is_dropped_and_damage_keeps_what_is_sound() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let away = ("s-7", endpoint.address, "one", 7, "draining");
-    let agent = Agent::new(vec![list(&[
+    let agent = FakeDiscovery::new(vec![endpoint_list(&[
         ("s-9", endpoint.address, "one", 5, "up"),
         away,
     ])]);
@@ -455,17 +484,19 @@
     let mut damaged = sound.clone();
     damaged[20] ^= 0xff;
     std::fs::write(node.journal(), &damaged).expect("damaged");
-    *agent.lines.lock().expect("not poisoned") =
-        vec![list(&[("s-1", endpoint.address, "one", 7, "up")])];
+    *agent.watch_lines.lock().expect("not poisoned") =
+        vec![endpoint_list(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.restart().ready();
     assert!(node.logged("1 messages owed") && node.logged("damaged"));
-    wait_until("the sound one is delivered", || endpoint.times("m2") == 1);
-    assert_eq!(endpoint.times("m1"), 0);
+    wait_until("the sound one is delivered", || {
+        endpoint.attempt_count("m2") == 1
+    });
+    assert_eq!(endpoint.attempt_count("m1"), 0);
 }
 
 #[test]
 fn a_full_journal_refuses_and_stays_within_its_limit() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let node = Node::with(agent.address, 0.3, 5.0).ready();
     let size = || {
@@ -503,7 +534,7 @@
 
 #[test]
 fn a_folder_that_fills_up_and_empties_takes_messages_again() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let node = Node::with(agent.address, 0.3, 5.0).ready();
     let mut full = false;
@@ -514,19 +545,21 @@
     wait_until("they have ended", || {
         node.hand_in("webhook", "after", 7, 9_000, &[b'x'; 30_000]) == 202
     });
-    wait_until("the new one is delivered", || endpoint.times("after") == 1);
+    wait_until("the new one is delivered", || {
+        endpoint.attempt_count("after") == 1
+    });
 }
 
 #[test]
 fn sigterm_drains_with_an_answer_for_every_client() {
     // guards against connections that end with a request on them, and against an exit with calls out
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let mut node = Node::new(&agent).ready();
     let mut client = Client::new(node.address);
     assert_eq!(
         client
-            .send(&message("webhook", "m1", 7, 20_000, b"x"))
+            .send(&message_request("webhook", "m1", 7, 20_000, b"x"))
             .expect("answered")
             .0,
         202
@@ -535,7 +568,7 @@
     node.terminate();
     wait_until("draining", || node.logged("draining"));
     let (status, answer) = client
-        .send(&message("webhook", "m2", 7, 20_000, b"x"))
+        .send(&message_request("webhook", "m2", 7, 20_000, b"x"))
         .expect("answered");
     assert_eq!((status, answer.header("connection")), (202, "close"));
     assert_eq!(
@@ -545,7 +578,9 @@
     );
     assert_eq!(node.get_ready(), 503);
     wait_until("all are delivered", || {
-        ["m1", "m2", "m3"].iter().all(|id| endpoint.times(id) == 1)
+        ["m1", "m2", "m3"]
+            .iter()
+            .all(|id| endpoint.attempt_count(id) == 1)
     });
     let status = node.process.wait().expect("it ends");
     assert!(
@@ -559,7 +594,7 @@
 
 #[test]
 fn near_the_end_of_a_drain_no_call_starts_that_would_be_cut_off() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
     node.terminate();
@@ -568,20 +603,22 @@
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
     let mut node = node;
     assert!(node.process.wait().expect("it ends").success());
-    assert_eq!(endpoint.count(), 0);
+    assert_eq!(endpoint.request_count(), 0);
     let _node = node.restart();
-    wait_until("the next life sends it", || endpoint.times("m1") == 1);
+    wait_until("the next life sends it", || {
+        endpoint.attempt_count("m1") == 1
+    });
 }
 
 #[test]
 fn a_draining_endpoint_gets_nothing_new_and_bad_lines_are_skipped() {
-    let (old, new) = (Endpoint::new(|_, _| OK), Endpoint::new(|_, _| OK));
-    let agent = Agent::new(vec![
-        list(&[("s-1", old.address, "one", 7, "up"), ("s-2", new.address, "one", 7, "up")]),
+    let (old, new) = (FakeEndpoint::new(|_, _| OK), FakeEndpoint::new(|_, _| OK));
+    let agent = FakeDiscovery::new(vec![
+        endpoint_list(&[("s-1", old.address, "one", 7, "up"), ("s-2", new.address, "one", 7, "up")]),
         "{not json".to_string(),
         r#"{"rev":8,"all":false,"targets":[{"uid":5},{"uid":"s-3","endpoint":"nowhere","pod_group":7,"state":"up"}]}"#
             .to_string(),
-        list(&[("s-1", old.address, "one", 7, "draining")]).replace("\"all\":true", "\"all\":false"),
+        endpoint_list(&[("s-1", old.address, "one", 7, "draining")]).replace("\"all\":true", "\"all\":false"),
     ]);
     let node = Node::new(&agent).ready();
     wait_until("both lines are skipped", || {
@@ -590,26 +627,28 @@
     for n in 0..6 {
         let id = format!("m{n}");
         assert_eq!(node.hand_in("webhook", &id, 7, 20_000, b"x"), 202);
-        wait_until("delivered", || new.times(&id) + old.times(&id) > 0);
+        wait_until("delivered", || {
+            new.attempt_count(&id) + old.attempt_count(&id) > 0
+        });
     }
     assert!(
-        new.count() >= 5,
+        new.request_count() >= 5,
         "the change may come after the first message: {}",
-        new.count()
+        new.request_count()
     );
 }
 
 #[test]
 fn a_silent_watch_is_left_for_a_new_one() {
-    let endpoint = Endpoint::new(|_, _| OK);
-    let agent = Agent::new(Vec::new());
+    let endpoint = FakeEndpoint::new(|_, _| OK);
+    let agent = FakeDiscovery::new(Vec::new());
     let node = Node::new(&agent);
-    wait_until("a watch", || agent.watches.load(Ordering::SeqCst) > 0);
+    wait_until("a watch", || agent.watch_count.load(Ordering::SeqCst) > 0);
     let began = Instant::now();
     assert_eq!(node.get_ready(), 503, "no list is known");
     assert_eq!(node.hand_in("webhook", "early", 7, 20_000, b"x"), 503);
-    *agent.lines.lock().expect("not poisoned") =
-        vec![list(&[("s-1", endpoint.address, "one", 7, "up")])];
+    *agent.watch_lines.lock().expect("not poisoned") =
+        vec![endpoint_list(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.ready();
     // what was missed counts as told after 6 s
     assert!(
@@ -618,18 +657,20 @@
         began.elapsed()
     );
     assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.times("m1") == 1);
+    wait_until("delivered", || endpoint.attempt_count("m1") == 1);
 }
 
 #[test]
 fn a_log_that_nobody_reads_does_not_end_the_sender() {
     // guards against eprintln, which panics when its pipe is gone
-    let endpoint = Endpoint::new(|_, _| Reply::Answer("418 Teapot", String::new()));
+    let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("418 Teapot", String::new()));
     let agent = one(&endpoint);
     let mut node = Node::new(&agent).ready();
     node.log_closes();
     assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
-    wait_until("its notice", || agent.notices().contains(&failed("m1")));
+    wait_until("its notice", || {
+        agent.notifications().contains(&failed("m1"))
+    });
     wait_until("the last line that is read", || node.logged("418"));
     node.terminate(); // which logs two lines more
     assert!(node.process.wait().expect("it ends").success());
@@ -637,15 +678,17 @@
 
 #[test]
 fn a_client_that_leaves_before_its_answer_is_no_client() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
-    let text = message("webhook", "m1", 7, 20_000, b"12345");
+    let text = message_request("webhook", "m1", 7, 20_000, b"12345");
     let mut stream = std::net::TcpStream::connect(node.address).expect("accepts");
     stream.write_all(&text[..text.len() - 2]).expect("written");
     drop(stream);
     assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
-    wait_until("the other is delivered", || endpoint.times("m2") == 1);
-    assert_eq!(endpoint.times("m1"), 0);
+    wait_until("the other is delivered", || {
+        endpoint.attempt_count("m2") == 1
+    });
+    assert_eq!(endpoint.attempt_count("m1"), 0);
 }
 
 #[test]
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -11,17 +11,17 @@
 use std::thread;
 use std::time::Duration;
 
-fn one(endpoint: &Endpoint) -> Agent {
-    Agent::new(vec![list(&[
+fn one(endpoint: &FakeEndpoint) -> FakeDiscovery {
+    FakeDiscovery::new(vec![endpoint_list(&[
         ("s-1", endpoint.address, "one", 7, "up"),
         ("s-2", endpoint.address, "one", 8, "up"),
     ])])
 }
 
 /// An endpoint that answers messages whose id begins with `blocked` only once it is released.
-fn blocked_until(release: &Arc<AtomicBool>) -> Endpoint {
+fn blocked_until(release: &Arc<AtomicBool>) -> FakeEndpoint {
     let release = release.clone();
-    Endpoint::new(move |request, _| {
+    FakeEndpoint::new(move |request, _| {
         let blocked = request.header("x-request-id").starts_with("blocked");
         while blocked && !release.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(3));
@@ -85,7 +85,7 @@
         let id = format!("m{number}-{next}");
         // no connection is refused, reset or left without a response
         let (status, head) = client
-            .send(&message("webhook", &id, 7, 20_000, b"x"))
+            .send(&message_request("webhook", &id, 7, 20_000, b"x"))
             .expect("a response");
         match status {
             202 => accepted.push(id),
@@ -109,7 +109,7 @@
     let old = Node::new(&one(&endpoint)).ready();
     // out in the old process while it is replaced; unsafe, so a second send would be seen as harm
     assert_eq!(old.hand_in("order", "blocked-order", 7, 20_000, b"x"), 202);
-    wait_until("it is out", || endpoint.times("blocked-order") == 1);
+    wait_until("it is out", || endpoint.attempt_count("blocked-order") == 1);
     let load = Load::start(old.address);
     load.wait_for_more(50);
     let new = old.upgrade().ready();
@@ -130,32 +130,38 @@
     load.wait_for_more(50);
     let accepted = load.stop();
     wait_until("all delivered", || {
-        endpoint.count() > accepted.len() && new.figure("active") == 0
+        endpoint.request_count() > accepted.len() && new.figure("active") == 0
     });
-    assert_eq!(endpoint.times("blocked-order"), 1);
+    assert_eq!(endpoint.attempt_count("blocked-order"), 1);
     // one each, the one that was blocked, and none that was rejected
-    assert!(accepted.iter().all(|id| endpoint.times(id) == 1));
-    assert_eq!(endpoint.count(), accepted.len() + 1);
+    assert!(accepted.iter().all(|id| endpoint.attempt_count(id) == 1));
+    assert_eq!(endpoint.request_count(), accepted.len() + 1);
 }
 
 #[test]
 fn a_retry_after_to_the_old_process_binds_the_new_one() {
-    let endpoint = Endpoint::new(|request, _| match request.header("x-request-id") {
-        "first" => Reply::Answer("429 No\r\nRetry-After: 600", String::new()),
+    let endpoint = FakeEndpoint::new(|request, _| match request.header("x-request-id") {
+        "first" => Reply::Respond("429 No\r\nRetry-After: 600", String::new()),
         _ => OK,
     });
     let old = Node::new(&one(&endpoint)).ready();
     assert_eq!(old.hand_in("webhook", "first", 7, 20_000, b"x"), 202);
     wait_until("told", || {
-        endpoint.times("first") == 1 && old.figure("active") <= 1
+        endpoint.attempt_count("first") == 1 && old.figure("active") <= 1
     });
     thread::sleep(Duration::from_millis(100)); // the answer's way
     let new = old.upgrade().ready();
     let _ = new.hand_in("webhook", "second", 7, 20_000, b"x");
     // another destination, later than that: had it been sent, it would have been seen
     assert_eq!(new.hand_in("webhook", "other", 8, 20_000, b"x"), 202);
-    wait_until("the other goes", || endpoint.times("other") == 1);
-    assert_eq!((endpoint.times("first"), endpoint.times("second")), (1, 0));
+    wait_until("the other goes", || endpoint.attempt_count("other") == 1);
+    assert_eq!(
+        (
+            endpoint.attempt_count("first"),
+            endpoint.attempt_count("second")
+        ),
+        (1, 0)
+    );
 }
 
 #[test]
@@ -166,7 +172,7 @@
     let mut old = Node::new(&agent).ready();
     for (class, id) in [("order", "blocked-order"), ("webhook", "blocked-webhook")] {
         assert_eq!(old.hand_in(class, id, 7, 20_000, b"x"), 202);
-        wait_until("it is out", || endpoint.times(id) >= 1);
+        wait_until("it is out", || endpoint.attempt_count(id) >= 1);
     }
     let new = old.upgrade().ready();
     old.kill();
@@ -177,20 +183,20 @@
     // the unsafe one has failed for good, the keyed one goes again
     wait_until("failed", || {
         agent
-            .notices()
+            .notifications()
             .iter()
             .any(|line| line.contains("blocked-order") && line.contains("failed"))
     });
     wait_until("delivered", || {
         new.hand_in("webhook", "blocked-webhook", 7, 0, b"x") == 200
     });
-    assert_eq!(endpoint.times("blocked-order"), 1);
-    assert!(endpoint.times("blocked-webhook") >= 2);
+    assert_eq!(endpoint.attempt_count("blocked-order"), 1);
+    assert!(endpoint.attempt_count("blocked-webhook") >= 2);
 }
 
 #[test]
 fn callers_at_the_socket_who_know_nothing_change_nothing() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
     let socket = node.folder.join("state/handover");
     let hello = b"MTH1\x01\0\0\0";
@@ -225,7 +231,7 @@
     let endpoint = blocked_until(&release);
     let mut old = Node::new(&one(&endpoint)).ready();
     assert_eq!(old.hand_in("webhook", "blocked-1", 7, 20_000, b"x"), 202);
-    wait_until("it is out", || endpoint.times("blocked-1") == 1);
+    wait_until("it is out", || endpoint.attempt_count("blocked-1") == 1);
     let mut caller = UnixStream::connect(old.folder.join("state/handover")).expect("it listens");
     caller.write_all(b"MTH1\x01\0\0\0").expect("written");
     let _ = caller.read(&mut [0; 8]).expect("a hello");
@@ -244,7 +250,7 @@
 
 #[test]
 fn a_drain_outlasts_an_upgrade() {
-    let endpoint = Endpoint::new(|_, _| OK);
+    let endpoint = FakeEndpoint::new(|_, _| OK);
     let old = Node::new(&one(&endpoint)).ready();
     assert_eq!(old.operate("POST", "/-/drain"), 200);
     let new = old.upgrade();
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -153,28 +153,34 @@
 fn hot_restart(from: &Program, to: &Program) {
     let release = Arc::new(AtomicBool::new(false));
     let is_released = release.clone();
-    let endpoint = Endpoint::new(move |request, _| {
+    let endpoint = FakeEndpoint::new(move |request, _| {
         let is_held_back = request.header("x-request-id").starts_with("waiting");
         while is_held_back && !is_released.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(3));
         }
         OK
     });
-    let agent = Agent::new(vec![list(&[("s-1", endpoint.address, "one", 7, "up")])]);
+    let agent = FakeDiscovery::new(vec![endpoint_list(&[(
+        "s-1",
+        endpoint.address,
+        "one",
+        7,
+        "up",
+    )])]);
     let mut old = Node::of_program(from.path(), &agent).ready();
     // two calls are out while the process is replaced; a second call of the unsafe one would be harm
     for (class, id) in [("order", "waiting-order"), ("webhook", "waiting-webhook")] {
         assert_eq!(old.hand_in(class, id, 7, 20_000, b"x"), 202);
-        wait_until("it is out", || endpoint.times(id) >= 1);
+        wait_until("it is out", || endpoint.attempt_count(id) >= 1);
     }
     let mut client = Client::new(old.address);
     let new = old.upgrade_to(to.path()).ready();
     assert_eq!(new.address, old.address, "it has the same socket");
     // what is accepted from now on is the new one's, whoever the client was connected to
-    let accepted = client.send(&message("webhook", "after", 7, 20_000, b"x"));
+    let accepted = client.send(&message_request("webhook", "after", 7, 20_000, b"x"));
     assert!(matches!(accepted, Some((202, _)) | None), "{accepted:?}");
     assert_eq!(new.hand_in("webhook", "after-too", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.times("after-too") == 1);
+    wait_until("delivered", || endpoint.attempt_count("after-too") == 1);
     release.store(true, Ordering::SeqCst);
     for (class, id) in [("order", "waiting-order"), ("webhook", "waiting-webhook")] {
         wait_until("its end is known to the new process", || {
@@ -184,8 +190,8 @@
     wait_until("the old process ends by itself", || {
         old.process.try_wait().expect("ours").is_some()
     });
-    assert_eq!(endpoint.times("waiting-order"), 1, "not sent twice");
-    assert!(agent.notices().is_empty(), "nothing failed");
+    assert_eq!(endpoint.attempt_count("waiting-order"), 1, "not sent twice");
+    assert!(agent.notifications().is_empty(), "nothing failed");
 }
 
 #[test]
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -58,7 +58,7 @@
     let (text, rest) = match script {
         Script::Text(text) => (text.as_str(), ""),
         Script::Trickle(text, rest) => (text.as_str(), *rest),
-        Script::Hang => return thread::sleep(PATIENCE),
+        Script::Hang => return thread::sleep(WAIT_TIMEOUT),
     };
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
@@ -69,20 +69,20 @@
             return;
         }
     }
-    thread::sleep(PATIENCE);
+    thread::sleep(WAIT_TIMEOUT);
 }
 
 /// Two endpoints of one destination: the old one, in this state, and the new one.
 struct Two {
-    old: Endpoint,
-    new: Endpoint,
+    old: FakeEndpoint,
+    new: FakeEndpoint,
 }
 
 impl Two {
     fn new() -> Self {
         Two {
-            old: Endpoint::new(|_, _| OK),
-            new: Endpoint::new(|_, _| OK),
+            old: FakeEndpoint::new(|_, _| OK),
+            new: FakeEndpoint::new(|_, _| OK),
         }
     }
 
@@ -90,7 +90,7 @@
         let old = ("s-1", self.old.address, "one", 7, state);
         format!(
             "{}\n",
-            list(&[old, ("s-2", self.new.address, "one", 7, "up")])
+            endpoint_list(&[old, ("s-2", self.new.address, "one", 7, "up")])
         )
     }
 
@@ -99,15 +99,15 @@
         let mut round = 0;
         wait_until("the old one is left alone", || {
             round += 1;
-            let before = self.old.count();
+            let before = self.old.request_count();
             for n in 0..24 {
                 let id = format!("m-{round}-{n}");
                 assert_eq!(node.hand_in("webhook", &id, 7, 20_000, b"x"), 202);
                 wait_until("delivered", || {
-                    self.new.times(&id) + self.old.times(&id) > 0
+                    self.new.attempt_count(&id) + self.old.attempt_count(&id) > 0
                 });
             }
-            self.old.count() == before
+            self.old.request_count() == before
         });
     }
 }
