--- a/crates/hot-restart/src/remainder.rs
+++ b/crates/hot-restart/src/forwarding.rs
@@ -24,7 +24,7 @@
 const LINGER: Duration = Duration::from_millis(300);
 
 /// What is left to a process that has been taken over.
-pub struct Remainder {
+pub struct ForwardingState {
     /// By number of each call in flight: takes the positions of the messages in it that are to be cancelled.
     pub cancels: BTreeMap<u64, mpsc::UnboundedSender<usize>>,
     /// What clients and calls bring.
@@ -33,7 +33,7 @@
     pub gate: Rc<Gate>,
 }
 
-impl Remainder {
+impl ForwardingState {
     /// Confirms the takeover, then forwards until nothing is left or the new process is gone. The engine must be
     /// released before, as the new process goes on with its state.
     pub async fn forward_until_idle(mut self, request: TakeoverRequest) {
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -17,15 +17,15 @@
 //!     ---- outcomes, cancels ----------->
 //! ```
 //!
-//! [`new_process`] asks and takes over, [`old_process`] is asked and offers, [`remainder`] is what the old process
+//! [`new_process`] asks and takes over, [`old_process`] is asked and offers, [`forwarding`] is what the old process
 //! does after that, [`bridge`] hears it in the new one.
 
 pub mod bridge;
 mod descriptors;
+pub mod forwarding;
 mod frames;
 pub mod new_process;
 pub mod old_process;
-pub mod remainder;
 
 use std::time::Duration;
 use thiserror::Error;
--- a/crates/hot-restart/src/old_process.rs
+++ b/crates/hot-restart/src/old_process.rs
@@ -87,7 +87,7 @@
 /// The new process's decision on an offer.
 #[derive(Debug)]
 pub enum OfferOutcome {
-    /// It takes over: the engine must be released now, see [`crate::remainder`].
+    /// It takes over: the engine must be released now, see [`crate::forwarding`].
     TakenOver(TakeoverRequest),
     /// It can't read the offer: this process must exit at once and leave the journal to it.
     MustExit,
--- a/crates/hot-restart/tests/golden/old_process.rs
+++ b/crates/hot-restart/tests/golden/old_process.rs
@@ -6,8 +6,8 @@
 };
 use crate::socket::{assert_same_address, read_exact, receive, write};
 use milletturn_engine::{ArrivalOutcome, EngineStatus, Input};
+use milletturn_hot_restart::forwarding::ForwardingState;
 use milletturn_hot_restart::old_process::{self, InheritedState, OfferOutcome, TakeoverRequest};
-use milletturn_hot_restart::remainder::Remainder;
 use milletturn_platform::Gate;
 use std::collections::BTreeMap;
 use std::fs::{self, File};
@@ -49,7 +49,7 @@
 
 /// An old process that has been taken over, on its own side and on the new one's.
 struct ForwardingProcess {
-    remainder: Remainder,
+    forwarding: ForwardingState,
     outcomes: Vec<oneshot::Receiver<ArrivalOutcome>>,
     cancelled: Vec<mpsc::UnboundedReceiver<usize>>,
     status: oneshot::Receiver<EngineStatus>,
@@ -75,7 +75,7 @@
             })
             .unzip();
         ForwardingProcess {
-            remainder: Remainder {
+            forwarding: ForwardingState {
                 cancels,
                 inputs: received,
                 gate,
@@ -106,7 +106,7 @@
             let more = peer.read(&mut [0; 8]).await.expect("its end");
             assert_eq!(more, 0, "no more frames");
         };
-        tokio::join!(self.remainder.forward_until_idle(request), peer_side);
+        tokio::join!(self.forwarding.forward_until_idle(request), peer_side);
     }
 }
 
--- a/crates/idle-state/src/lib.rs
+++ b/crates/idle-state/src/lib.rs
@@ -10,10 +10,10 @@
 //! | single latencies and service times behind those figures | not at all |
 
 mod compact;
-mod confidence;
+mod initial_limits;
 
 pub use compact::{CompactState, DestinationState, Health};
-pub use confidence::{InitialLimits, STALE_AFTER, initial_limits};
+pub use initial_limits::{InitialLimits, STALE_AFTER, initial_limits};
 
 /// A point in time (Unix time) or a duration, in microseconds.
 pub type Micros = i64;
--- a/src/assemble/takeover.rs
+++ b/src/assemble/takeover.rs
@@ -4,9 +4,9 @@
 use super::listener::ConnectionLimits;
 use milletturn_engine::{Engine, ForeignCall, Input, Snapshot};
 use milletturn_hot_restart::bridge::Bridge;
+use milletturn_hot_restart::forwarding::ForwardingState;
 use milletturn_hot_restart::new_process::{FolderOwnership, Takeover};
 use milletturn_hot_restart::old_process::{self, InheritedState, OfferOutcome, TakeoverRequest};
-use milletturn_hot_restart::remainder::Remainder;
 use milletturn_logging::log;
 use milletturn_platform::Gate;
 use std::fs::File;
@@ -102,12 +102,12 @@
         None => true,
         Some(OfferOutcome::MustExit) => false,
         Some(OfferOutcome::TakenOver(request)) => {
-            let remainder = Remainder {
+            let forwarding = ForwardingState {
                 cancels: engine.into_cancel_senders(),
                 inputs,
                 gate: owner.gate,
             };
-            remainder.forward_until_idle(request).await;
+            forwarding.forward_until_idle(request).await;
             true
         }
     }
