--- a/crates/journal/src/codec.rs
+++ b/crates/journal/src/codec.rs
@@ -1,19 +1,19 @@
-//! A record's frame in the file: magic (4 bytes), length and CRC-32 of the payload (4 bytes each, little end first),
-//! and the payload.
+//! The framing of a record in the journal file: a magic number (4 bytes), the length and the CRC-32 of the payload
+//! (4 bytes each, little-endian), then the payload.
 
 use crate::records::Record;
 use milletturn_engine::JournalError;
 
-/// The first bytes of each record, by which reading goes on behind damage.
+/// The first bytes of each record. After damage, the reader searches for them to find the next intact record.
 pub(crate) const MAGIC: [u8; 4] = *b"MTJ1";
 const HEADER_BYTES: usize = 12;
-/// More than any record needs; a greater length is damage.
+/// Maximum length of a payload, larger than any record needs: a length above it is treated as damage.
 const MAX_PAYLOAD_BYTES: usize = 1 << 18;
 
-/// The bytes of a record with its frame.
+/// Encodes a record as a framed byte sequence.
 ///
 /// # Errors
-/// When it can't be encoded.
+/// When the record can't be encoded.
 pub(crate) fn encode(record: &Record) -> Result<Vec<u8>, JournalError> {
     let payload = postcard::to_allocvec(record).map_err(JournalError::Encode)?;
     let mut bytes = Vec::with_capacity(HEADER_BYTES + payload.len());
@@ -24,9 +24,10 @@
     Ok(bytes)
 }
 
-/// The record at the start of the bytes, and its length with the frame; none where no intact one is there.
+/// Decodes the record at the start of `bytes`, with its length including the frame. `None` if the bytes don't start
+/// with an intact record.
 pub(crate) fn decode(bytes: &[u8]) -> Option<(Record, usize)> {
-    let number = |at: usize| {
+    let read_u32 = |at: usize| {
         bytes
             .get(at..at + 4)?
             .try_into()
@@ -36,7 +37,7 @@
     if !bytes.starts_with(&MAGIC) {
         return None;
     }
-    let (length, checksum) = (number(4)? as usize, number(8)?);
+    let (length, checksum) = (read_u32(4)? as usize, read_u32(8)?);
     let payload = bytes
         .get(HEADER_BYTES..HEADER_BYTES + length)
         .filter(|_| length <= MAX_PAYLOAD_BYTES)?;
--- a/crates/journal/src/compaction.rs
+++ b/crates/journal/src/compaction.rs
@@ -1,5 +1,5 @@
-//! Compaction: what is unfinished is written to a new file, which then takes the old one's name. Until then the old
-//! one stands, so that a kill at any moment loses nothing.
+//! Compaction: the unfinished messages are written to a new file, which is then renamed over the old one. The old file
+//! is kept until the rename, so that a kill at any moment loses nothing.
 
 use crate::file_journal::FileJournal;
 use milletturn_engine::JournalError;
@@ -8,13 +8,13 @@
 use std::path::Path;
 
 impl FileJournal {
-    /// Replaces the file by one with the unfinished messages only.
+    /// Replaces the file by one that holds only the unfinished messages.
     ///
     /// # Errors
-    /// [`JournalError::Full`] when there is no room for both files; [`JournalError::Write`] when the medium fails.
-    /// The old file stands then.
+    /// [`JournalError::Full`] when the old and the new file together would exceed the size limit;
+    /// [`JournalError::Write`] when the new file can't be written or renamed. The old file is kept in both cases.
     pub(crate) fn compact(&mut self) -> Result<(), JournalError> {
-        // cheaper than to encode: this is tried at each end of a message while there is no room
+        // check before encoding, which costs more: while the journal is full, each finished message calls this
         if self.size + self.live.bytes() > self.max_bytes_of_both() {
             return Err(JournalError::Full);
         }
@@ -22,7 +22,8 @@
         self.replace(&bytes)
     }
 
-    /// The same; it leaves out the finished messages whose records could not be written too.
+    /// Compacts the file and clears the list of finished messages whose records could not be written: the compacted
+    /// file no longer contains these messages, so their records are not needed.
     ///
     /// # Errors
     /// As [`FileJournal::compact`].
@@ -32,16 +33,16 @@
         Ok(())
     }
 
-    /// Puts a file with these bytes in place of the present one.
+    /// Replaces the journal file by a new one with the given content.
     ///
     /// # Errors
     /// As [`FileJournal::compact`].
     pub(crate) fn replace(&mut self, bytes: &[u8]) -> Result<(), JournalError> {
-        let new = self.path.with_extension("new");
+        let new_path = self.path.with_extension("new");
         if self.size + bytes.len() as u64 > self.max_bytes_of_both() {
             return Err(JournalError::Full);
         }
-        match write_and_rename(&new, &self.path, bytes) {
+        match write_and_rename(&new_path, &self.path, bytes) {
             Ok(file) => {
                 self.file = file;
                 self.size = bytes.len() as u64;
@@ -49,23 +50,26 @@
                 Ok(())
             }
             Err(error) => {
-                // the error that is reported is that of the write
-                let _ = fs::remove_file(&new);
+                // the write error is the one to report; the next start removes a file that is left over
+                let _ = fs::remove_file(&new_path);
                 Err(JournalError::Write(error))
             }
         }
     }
 
-    /// Limit of old and new file together. An old one beyond the limit, as changed settings may leave it, is its own
-    /// limit: no new one has room beside it.
+    /// Maximum size of the old and the new file together. If the old file is already larger than `max_bytes`, which
+    /// happens when the setting was lowered, its size is the maximum and there is no space for a new file.
     fn max_bytes_of_both(&self) -> u64 {
         self.max_bytes.max(self.size)
     }
 }
 
-fn write_and_rename(new: &Path, path: &Path, bytes: &[u8]) -> io::Result<File> {
-    let mut file = OpenOptions::new().append(true).create_new(true).open(new)?;
+fn write_and_rename(new_path: &Path, path: &Path, bytes: &[u8]) -> io::Result<File> {
+    let mut file = OpenOptions::new()
+        .append(true)
+        .create_new(true)
+        .open(new_path)?;
     file.write_all(bytes)?;
-    fs::rename(new, path)?;
+    fs::rename(new_path, path)?;
     Ok(file)
 }
--- a/crates/journal/src/file_journal.rs
+++ b/crates/journal/src/file_journal.rs
@@ -1,7 +1,7 @@
-//! The open journal file: records are appended, within the bounds that leave room for compaction.
+//! The open journal file: appends records and keeps the file small enough to be compacted.
 //!
-//! Each record is written whole by one write straight to the file: what was written outlasts a SIGKILL without a
-//! sync. Before the file could grow beyond what lets old and new stand side by side under the limit, it is compacted.
+//! Each record is written by one unbuffered write, so that it survives a SIGKILL of the process without a sync. The
+//! file is compacted before it grows so large that the old and the compacted file together would exceed the size limit.
 
 use crate::codec::encode;
 use crate::live_messages::LiveMessages;
@@ -14,39 +14,43 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Most bytes that the record of one attempt, outcome or end takes up.
+/// Maximum size in bytes of the record of one attempt, attempt outcome or message end.
 const MAX_SMALL_RECORD_BYTES: u64 = 64;
-/// At most this part of the limit is kept free of new messages.
-const MAX_RESERVE_PART: u64 = 4;
-/// For the folder's own blocks and the rounding of two files to whole 512 bytes.
+/// At most the size limit divided by this number is reserved for the records of messages that are already accepted.
+const MAX_RESERVE_DIVISOR: u64 = 4;
+/// Bytes of the size limit that are set aside for the folder's own blocks and for rounding two files up to whole
+/// blocks of 512 bytes.
 const ROUNDING_BYTES: u64 = 4 * 1024;
-/// A file up to this size is not worth compacting at the start.
+/// A file of at most this many bytes is too small to be worth compacting when it is opened.
 const SMALL_FILE_BYTES: u64 = 256 * 1024;
 
-/// The journal in a file.
+/// The write-ahead journal of one sender, in a file named `journal`.
 #[derive(Debug)]
 pub struct FileJournal {
     pub(crate) path: PathBuf,
     pub(crate) file: File,
-    /// Bytes of the file.
+    /// Size of the file in bytes.
     pub(crate) size: u64,
-    /// Limit of the folder's files together, without [`ROUNDING_BYTES`].
+    /// Maximum size of the folder's files together, without [`ROUNDING_BYTES`].
     pub(crate) max_bytes: u64,
-    /// Kept free of new messages, for the attempts, outcomes and ends of those that were accepted.
+    /// Bytes that new messages may not use: they are reserved for the attempts, outcomes and ends of accepted messages.
     reserved_bytes: u64,
     pub(crate) live: LiveMessages,
-    /// Finished messages whose records could not be written yet.
+    /// Numbers of the finished messages whose [`Record::Finished`] could not be written yet.
     pub(crate) unrecorded: Vec<u64>,
-    /// A write failed half-way and could not be taken back: no append can succeed until a compaction.
+    /// True after a write that failed half-way and could not be truncated away. Appends fail until a compaction has
+    /// replaced the file.
     pub(crate) broken: bool,
 }
 
 impl FileJournal {
-    /// Opens the journal in the folder, or creates it, and reads the unfinished messages. The folder may hold
-    /// `max_bytes`; the attempts, outcomes and ends of messages in flight at once may come to `max_small_records`.
+    /// Opens the journal in `folder`, or creates it, and reads the unfinished messages.
+    ///
+    /// `max_bytes` limits the folder's files together. `max_small_records` is the largest number of records of
+    /// attempts, outcomes and ends that the messages in flight at one time may need; space is reserved for them.
     ///
     /// # Errors
-    /// When the folder or the file can't be read or written. Damage is no error: [`Recovery`] reports it.
+    /// When the folder or the file can't be read or written. A damaged file is no error: [`Recovery`] reports damage.
     pub fn open(
         folder: &Path,
         max_bytes: u64,
@@ -54,7 +58,7 @@
     ) -> Result<(Self, Recovery), JournalError> {
         fs::create_dir_all(folder).map_err(JournalError::Write)?;
         let path = folder.join("journal");
-        // what a kill in the middle of a compaction left behind
+        // a kill during a compaction leaves an incomplete new file
         match fs::remove_file(folder.join("journal.new")) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => {
                 return Err(JournalError::Write(error));
@@ -84,7 +88,7 @@
             max_bytes: max_bytes.saturating_sub(ROUNDING_BYTES),
             reserved_bytes: max_small_records
                 .saturating_mul(MAX_SMALL_RECORD_BYTES)
-                .min(max_bytes / MAX_RESERVE_PART),
+                .min(max_bytes / MAX_RESERVE_DIVISOR),
             live,
             unrecorded: Vec::new(),
             broken: false,
@@ -93,7 +97,7 @@
         Ok((journal, recovery))
     }
 
-    /// Cuts off a torn tail, marks damage, and compacts where that is due.
+    /// Truncates an incomplete last record, and compacts a file that is damaged or larger than [`SMALL_FILE_BYTES`].
     fn repair(&mut self, recovery: &Recovery) -> Result<(), JournalError> {
         if recovery.torn_bytes > 0 {
             self.size -= recovery.torn_bytes as u64;
@@ -107,31 +111,33 @@
             Ok(())
         };
         match compacted {
-            // the file is intact as it stands, and is compacted once enough of its messages are finished
+            // without space for a second file the journal works uncompacted; it is compacted later, when enough of
+            // its messages have finished
             Ok(()) | Err(JournalError::Full) => Ok(()),
             Err(error) => Err(error),
         }
     }
 
-    /// Notes in the file that damage is before this place, and compacts it.
+    /// Appends a [`Record::DamageBefore`], so that the next start does not report the same damage, and compacts the
+    /// file.
     fn mark_damage(&mut self) -> Result<(), JournalError> {
-        // one record, for which `ROUNDING_BYTES` has room in a folder that is full
-        let mark = encode(&Record::DamageBefore)?;
-        self.file.write_all(&mark).map_err(JournalError::Write)?;
-        self.size += mark.len() as u64;
-        let bytes = [self.live.encode()?, mark].concat();
+        // this one record fits into `ROUNDING_BYTES` even if the folder is full
+        let marker = encode(&Record::DamageBefore)?;
+        self.file.write_all(&marker).map_err(JournalError::Write)?;
+        self.size += marker.len() as u64;
+        let bytes = [self.live.encode()?, marker].concat();
         self.live.presume_attempts()?;
         self.replace(&bytes)
     }
 
-    /// Appends a record; `reserved_bytes` must be left free behind it.
+    /// Appends a record, if `reserved_bytes` are still free after it. Compacts the file first where that makes space.
     fn append(&mut self, record: Record, reserved_bytes: u64) -> Result<(), JournalError> {
         if self.broken {
             return Err(JournalError::Full);
         }
         let bytes = encode(&record)?;
         let length = bytes.len() as u64;
-        // old and new file must fit together, also after this record
+        // after this record, the file and its compacted successor, which contains the record too, must fit together
         let fits =
             |size: u64| size + self.live.bytes() + 2 * length + reserved_bytes <= self.max_bytes;
         if !fits(self.size) {
@@ -202,7 +208,7 @@
         }
         let written = self.append(Record::Finished(number), 0);
         if written.is_err() {
-            // nothing more is owed: a compacted file is without the message, and may fit where a record does not
+            // the message needs no further work, so a compacted file leaves it out, and may fit where the record did not
             self.live.apply(Record::Finished(number), 0);
             self.unrecorded.push(number);
             return self.compact_finished();
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -1,13 +1,13 @@
 //! The write-ahead journal: the engine's [`Journal`](milletturn_engine::Journal) in a file that outlasts the process.
 //!
-//! | module | what it holds |
+//! | module | contents |
 //! | --- | --- |
-//! | `file_journal` | the open file: appending, and the bounds of its size |
-//! | `recovery` | reading the file at the start, with a torn tail or damage |
-//! | `compaction` | a new file with what is unfinished in place of the old one |
-//! | `live_messages` | the unfinished messages, and the bytes that they need |
+//! | `file_journal` | the open file: appending records within the size limit |
+//! | `recovery` | reading the file at the start, with an incomplete last record or damage |
+//! | `compaction` | replacing the file by one that holds only the unfinished messages |
+//! | `live_messages` | the unfinished messages, and the bytes that a compacted file needs for them |
 //! | `records` | the stored form of each record |
-//! | `codec` | a record's frame: magic, length, checksum, payload |
+//! | `codec` | the framing of a record: magic, length, checksum, payload |
 
 mod codec;
 mod compaction;
--- a/crates/journal/src/live_messages.rs
+++ b/crates/journal/src/live_messages.rs
@@ -1,5 +1,5 @@
-//! The unfinished messages of the journal, by the records applied so far, and the bytes that a compacted file needs
-//! for them.
+//! The unfinished messages of the journal, as the records so far leave them, and the number of bytes that a compacted
+//! file needs for them.
 
 use crate::records::{DetailEffect, Details, PriorAttempt, Record, encode_unfinished};
 use milletturn_engine::{
@@ -12,29 +12,29 @@
 #[derive(Debug, Default)]
 pub(crate) struct LiveMessages {
     messages: BTreeMap<u64, LiveMessage>,
-    /// Sum over the messages.
+    /// Sum of [`LiveMessage::bytes`] over all messages.
     bytes: u64,
 }
 
 #[derive(Debug)]
 struct LiveMessage {
     message: Unfinished,
-    /// Bytes of the records that a compacted file needs for it.
+    /// Size of the records that a compacted file needs for this message.
     bytes: u64,
 }
 
 impl LiveMessages {
-    /// Bytes of a compacted file.
+    /// Size of a compacted file in bytes.
     pub(crate) fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// True while something is owed for the message.
+    /// True until the message is finished.
     pub(crate) fn contains(&self, number: u64) -> bool {
         self.messages.contains_key(&number)
     }
 
-    /// A copy of the messages.
+    /// A copy of the messages, by number.
     pub(crate) fn unfinished(&self) -> BTreeMap<u64, Unfinished> {
         self.messages
             .iter()
@@ -42,7 +42,7 @@
             .collect()
     }
 
-    /// Encodes a compacted file.
+    /// Encodes the content of a compacted file.
     ///
     /// # Errors
     /// When a record can't be encoded.
@@ -54,8 +54,8 @@
         Ok(bytes)
     }
 
-    /// Applies a record that takes up so many bytes in the file. Records of messages that are finished, or unknown
-    /// after damage, change nothing.
+    /// Applies a record that takes up `bytes` in the file. Records of messages that are finished, or unknown because
+    /// of damage, change nothing.
     pub(crate) fn apply(&mut self, record: Record, bytes: u64) {
         match record {
             Record::Accepted(number, accepted) => self.insert(number, fresh(accepted), bytes),
@@ -97,12 +97,13 @@
             Record::Ended(number, end) => {
                 self.update(number, bytes, |message| message.end = Some(end));
             }
-            // a record that can't be encoded here can't be written either
+            // fails only where a record can't be encoded, and such a record can't be written to a file either
             Record::DamageBefore => drop(self.presume_attempts()),
         }
     }
 
-    /// Adds an attempt that may have run to each message: a lost record may have been that of one.
+    /// Adds to each message an attempt that may have run, because a record lost to damage may have been that of an
+    /// attempt.
     ///
     /// # Errors
     /// When a message can't be encoded.
@@ -138,7 +139,7 @@
     }
 }
 
-/// A message without attempts.
+/// A newly accepted message without attempts.
 fn fresh(accepted: Accepted) -> Unfinished {
     Unfinished {
         accepted,
--- a/crates/journal/src/records.rs
+++ b/crates/journal/src/records.rs
@@ -1,7 +1,7 @@
-//! The records of the file, as they are stored.
+//! The records of the journal file, as they are stored.
 //!
-//! They are encoded by position (postcard): the order of variants and fields is the format, and variants are only
-//! ever added at the end. The engine's types are mirrored here, so that a change of theirs can't change the file.
+//! Records are encoded by position (postcard): the order of variants and fields is the format, and variants may only be
+//! added at the end. The engine's types are mirrored here, so that a change to an engine type can't change the format.
 
 use milletturn_engine::{
     Accepted, AttemptStarted, EndReason, Ending, JournalError, MessageEnd, Unfinished,
@@ -9,7 +9,8 @@
 use milletturn_policy::Effect;
 use serde::{Deserialize, Serialize};
 
-/// Stored form of an accepted message; what is skipped here is stored beside it, in variants of later builds.
+/// Stored form of an accepted message. The skipped fields were added by later builds and are stored next to it, in
+/// their own variants of [`Record`].
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(remote = "Accepted")]
 struct StoredAccepted {
@@ -28,7 +29,7 @@
     body: Vec<u8>,
 }
 
-/// Stored form of what a repeated delivery does.
+/// Stored form of the effect of a repeated delivery.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(remote = "Effect")]
 enum StoredEffect {
@@ -78,11 +79,11 @@
     at: i64,
 }
 
-/// The attempt of before a redrive that the rules of repeated delivery count from.
+/// The attempt made before a redrive from which the rules of repeated delivery count their time.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct PriorAttempt(#[serde(with = "StoredAttempt")] pub(crate) AttemptStarted);
 
-/// What [`StoredAccepted`] skips.
+/// The fields of an accepted message that [`StoredAccepted`] skips.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Details {
     pub(crate) effect: Option<DetailEffect>,
@@ -93,31 +94,31 @@
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct DetailEffect(#[serde(with = "StoredEffect")] pub(crate) Effect);
 
-/// One record. The first field of most is the number of the message.
+/// One record of the journal. The `u64` at the start of most variants is the number of the message.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Record {
-    /// A message is accepted; its class said nothing of effects.
+    /// A message is accepted; its class defined no effect of a repeated delivery.
     Accepted(u64, #[serde(with = "StoredAccepted")] Accepted),
     /// An attempt starts.
     AttemptStarted(u64, #[serde(with = "StoredAttempt")] AttemptStarted),
     /// The outcome of an attempt is known.
     AttemptOutcome {
         message: u64,
-        /// Its position among the attempts of the message.
+        /// Position of the attempt among those of the message, from 0.
         attempt: u32,
         never_ran: bool,
     },
-    /// A message has ended. Only older builds write it: without reason and time.
+    /// A message has ended, without reason and time. Only older builds write this record.
     EndedWithoutReason(u64, #[serde(with = "StoredEnding")] Ending),
-    /// Nothing more is owed for a message.
+    /// A message is finished: neither an attempt nor a notification is due for it any more.
     Finished(u64),
-    /// A message comes back from the dead-letter store to be redriven.
+    /// A message from the dead-letter store is redriven.
     Redriven(
         u64,
         #[serde(with = "StoredAccepted")] Accepted,
         Option<PriorAttempt>,
     ),
-    /// A message has ended; its notification, or its place in the dead-letter store, is still owed.
+    /// A message has ended; its notification, or its storage as a dead letter, is still due.
     Ended(u64, #[serde(with = "StoredEnd")] MessageEnd),
     /// A message is accepted, with the effect of its class at that time.
     AcceptedWithEffect(
@@ -127,12 +128,12 @@
     ),
     /// A message with a subject or a tenant is accepted.
     AcceptedWithDetails(u64, #[serde(with = "StoredAccepted")] Accepted, Details),
-    /// Damage before this record may have hidden an attempt of each message that is unfinished here.
+    /// The file was damaged before this record: an attempt of each message that is unfinished here may have been lost.
     DamageBefore,
 }
 
 impl Record {
-    /// The record for a message that is accepted, in the oldest variant that can hold it.
+    /// The record for a message that is accepted: of the variants that can hold the message, the oldest one.
     pub(crate) fn accepted(number: u64, mut accepted: Accepted) -> Self {
         if accepted.subject.is_some() || accepted.tenant.is_some() {
             let details = Details {
@@ -158,10 +159,10 @@
     }
 }
 
-/// Encodes the records that a file needs for one unfinished message.
+/// Encodes the records that a compacted file needs for one unfinished message.
 ///
 /// # Errors
-/// When one can't be encoded.
+/// When a record can't be encoded.
 pub(crate) fn encode_unfinished(
     number: u64,
     message: &Unfinished,
--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -1,24 +1,25 @@
-//! Recovery: the file is read at the start. A torn tail, which a kill leaves, is reported, and cut off by
-//! `FileJournal`; damage before intact records is skipped, and taken for attempts that may have run.
+//! Recovery: reading the journal file at the start. An incomplete last record, as a kill leaves it, is reported here
+//! and truncated by `FileJournal`. Damaged bytes before intact records are skipped; as the lost records may have been
+//! those of attempts, each unfinished message is then presumed to have an attempt that may have run.
 
 use crate::codec::{MAGIC, decode};
 use crate::live_messages::LiveMessages;
 use crate::records::Record;
 
-/// What was found in the file at the start.
+/// What was found when the journal file was opened.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// There was no file before.
+    /// True if no file existed and a new one was created.
     pub created: bool,
-    /// Intact records.
+    /// Number of intact records.
     pub records: usize,
-    /// Bytes cut off at the end: a record that a kill left unfinished.
+    /// Bytes truncated at the end of the file: a record that was only partly written when the process was killed.
     pub torn_bytes: usize,
-    /// Bytes skipped before intact records: real damage. Reported at the first start that finds it.
+    /// Damaged bytes that were skipped. Only the first start that finds the damage reports them.
     pub damaged_bytes: usize,
 }
 
-/// Applies the records of a file.
+/// Applies the records in the content of a journal file to `live`.
 pub(crate) fn replay(bytes: &[u8], live: &mut LiveMessages) -> Recovery {
     let mut recovery = Recovery::default();
     let (mut at, mut unreadable) = (0, 0);
@@ -29,7 +30,7 @@
         };
         recovery.damaged_bytes += std::mem::take(&mut unreadable);
         if matches!(record, Record::DamageBefore) {
-            // an earlier start has found and reported it
+            // an earlier start has already reported the damage before this marker
             recovery.damaged_bytes = 0;
         }
         recovery.records += 1;
@@ -45,7 +46,8 @@
     recovery
 }
 
-/// True if a record begins inside the tail too: a kill cuts only one short, so that more than one lost is damage.
+/// True if another record begins inside the unreadable tail. A kill leaves only one record incomplete, so more than one
+/// unreadable record means damage.
 fn contains_another_record(tail: &[u8]) -> bool {
     (1..tail.len()).any(|from| tail[from..].starts_with(&MAGIC))
 }
--- a/crates/journal/tests/full.rs
+++ b/crates/journal/tests/full.rs
@@ -1,4 +1,5 @@
-//! A journal that is full, damaged or larger than its limit: it opens, keeps the intact records, and gets room again.
+//! A journal that is full, damaged or larger than its limit still opens, keeps its intact records, and has space for
+//! new messages again once old ones are finished.
 
 use milletturn_engine::{Accepted, Journal};
 use milletturn_journal::{FileJournal, Recovery};
@@ -11,13 +12,13 @@
 fn folder(name: &str) -> PathBuf {
     let folder =
         PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
-    // of an earlier run
+    // an earlier run may have left the folder behind
     let _ = fs::remove_dir_all(&folder);
     folder
 }
 
 fn open(folder: &Path, limit: u64) -> (FileJournal, Recovery) {
-    let (journal, recovery) = FileJournal::open(folder, limit, 1).expect("it opens");
+    let (journal, recovery) = FileJournal::open(folder, limit, 1).expect("the journal opens");
     if limit != LIMIT {
         return (journal, recovery);
     }
@@ -44,47 +45,47 @@
     }
 }
 
-/// Accepts messages until there is no room; how many that were.
+/// Accepts messages until the journal is full. Returns how many were accepted.
 fn fill(journal: &mut FileJournal) -> u64 {
     (0..)
         .find(|&number| journal.record_accepted(number, accepted(number)).is_err())
-        .expect("it has an end")
+        .expect("the journal becomes full")
 }
 
-/// Changes the file.
-fn change(folder: &Path, change: impl FnOnce(&mut Vec<u8>)) {
+/// Edits the bytes of the journal file.
+fn edit_file(folder: &Path, edit: impl FnOnce(&mut Vec<u8>)) {
     let file = folder.join("journal");
     let mut bytes = fs::read(&file).expect("the journal");
-    change(&mut bytes);
+    edit(&mut bytes);
     fs::write(file, bytes).expect("written");
 }
 
 #[test]
-fn damage_in_a_full_journal_is_no_reason_not_to_start() {
+fn a_full_journal_with_damage_opens() {
     let folder = folder("full-and-damaged");
     let count = fill(&mut open(&folder, LIMIT).0);
-    change(&folder, |bytes| bytes[20] ^= 0xff);
+    edit_file(&folder, |bytes| bytes[20] ^= 0xff);
     let (mut journal, recovery) = open(&folder, LIMIT);
     assert!(recovery.damaged_bytes > 0);
     let unfinished = journal.unfinished();
     assert_eq!(unfinished.len() as u64, count - 1);
-    // a record that is lost may have been that of an attempt
+    // the lost record may have been that of an attempt of any message
     assert!(
         unfinished
             .values()
             .all(|message| message.attempts.len() == 1 && !message.attempts[0].never_ran)
     );
-    // the next attempt proves to have never run: the presumed one must not count as that
+    // the next attempt of a message turns out to have never run: that must not be recorded for the presumed attempt
     let next = (2..count).find(|&next| {
-        // there is room again once enough of them are finished
+        // the record of an attempt fits again once enough messages are finished
         let _ = journal.record_finished(next - 1);
         journal
             .record_attempt(next, "s-1", 1_700_000_001_000_000)
             .is_ok()
     });
-    let next = next.expect("room as they end");
-    journal.record_never_ran(next, 1).expect("room");
-    journal.retry().expect("room");
+    let next = next.expect("space after enough messages are finished");
+    journal.record_never_ran(next, 1).expect("space");
+    journal.retry().expect("space");
     for _ in 0..2 {
         let (journal, recovery) = open(&folder, LIMIT);
         assert_eq!(recovery.damaged_bytes, 0, "reported once");
@@ -100,8 +101,9 @@
     }
 }
 
-/// Leaves a file whose messages have finished, all but the last, and then loses the records that say so. Finished
-/// messages come back by that: more than fits beside the old file. The number of the last one.
+/// Leaves a file in which all messages but the last are finished, and then damages the records of type `Finished`. The
+/// finished messages are unfinished again, and take up more space than a compacted file may have next to the old one.
+/// Returns the number of the last message.
 fn fill_and_lose_finished(folder: &Path) -> u64 {
     let (mut journal, _) = open(folder, LIMIT);
     let mut number = 0;
@@ -112,20 +114,20 @@
     {
         journal
             .record_accepted(number, accepted(number))
-            .expect("room");
-        journal.record_finished(number).expect("room");
+            .expect("space");
+        journal.record_finished(number).expect("space");
         number += 1;
     }
     journal
         .record_accepted(number, accepted(number))
-        .expect("room");
+        .expect("space");
     drop(journal);
-    change(folder, |bytes| {
-        let marks: Vec<usize> = (0..bytes.len())
+    edit_file(folder, |bytes| {
+        let record_starts: Vec<usize> = (0..bytes.len())
             .filter(|&at| bytes[at..].starts_with(MAGIC))
             .collect();
-        // every second record finishes a message
-        marks
+        // every second record is of type `Finished`
+        record_starts
             .iter()
             .skip(1)
             .step_by(2)
@@ -135,12 +137,12 @@
 }
 
 #[test]
-fn a_journal_whose_finished_records_are_lost_starts_and_gets_room_as_they_finish_again() {
+fn a_journal_that_lost_its_finished_records_opens_and_frees_space_as_messages_finish_again() {
     let folder = folder("finished-lost");
     let number = fill_and_lose_finished(&folder);
     let (_, recovery) = open(&folder, LIMIT);
     assert!(recovery.damaged_bytes > 0);
-    // as it stands, also after another start
+    // the file could not be compacted, so the next start reads the same messages
     let (mut journal, recovery) = open(&folder, LIMIT);
     assert_eq!(
         (recovery.damaged_bytes, journal.unfinished().len() as u64),
@@ -154,16 +156,16 @@
     );
     assert!(
         journal.record_accepted(number + 1, accepted(0)).is_err(),
-        "no room is left"
+        "the journal is full"
     );
-    let full = (0..=number)
+    let failed = (0..=number)
         .filter(|&number| journal.record_finished(number).is_err())
         .count();
-    assert!(full > 0, "the first of these records have no room either");
-    journal.retry().expect("room");
+    assert!(failed > 0, "the first of these records do not fit either");
+    journal.retry().expect("space");
     journal
         .record_accepted(number + 1, accepted(0))
-        .expect("room again");
+        .expect("space again");
     drop(journal);
     let (journal, _) = open(&folder, LIMIT);
     assert_eq!(
@@ -173,8 +175,8 @@
 }
 
 #[test]
-fn a_journal_larger_than_its_limit_starts() {
-    // settings may leave it less than the process before had
+fn a_journal_larger_than_its_limit_opens() {
+    // the limit may have been lowered in the settings since the file was written
     let folder = folder("larger");
     let (mut journal, _) = open(&folder, 2 << 20);
     let count = fill(&mut journal);
@@ -184,17 +186,17 @@
         (recovery.damaged_bytes, journal.unfinished().len() as u64),
         (0, count)
     );
-    // what is finished makes room, also while a record has none
+    // finished messages free space, also while the records of their end do not fit
     assert!(
         (0..count)
             .filter(|&number| journal.record_finished(number).is_err())
             .count()
             > 0
     );
-    journal.retry().expect("room");
+    journal.retry().expect("space");
     journal
         .record_accepted(count, accepted(count))
-        .expect("room again");
+        .expect("space again");
     drop(journal);
     assert_eq!(open(&folder, 512 * 1024).0.unfinished().len(), 1);
 }
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Journal files as earlier builds wrote them: each value is read back, and today's code writes the same bytes.
+//! Journal files written by earlier builds: the present code reads each value back, and writes the same bytes.
 
 use milletturn_engine::{
     Accepted, AttemptStarted, EndReason, Ending, Journal, MessageEnd, Unfinished,
@@ -12,24 +12,24 @@
 const MAX_BYTES: u64 = 1 << 20;
 const START: i64 = 1_700_000_000_000_000;
 
-/// Every kind of record that is written today, but those of a compacted or a damaged file.
+/// A file with every kind of record that is still written, except those of a compacted or a damaged file.
 const JOURNAL: &[u8] = include_bytes!("golden/journal.bin");
-/// What opening it leaves when the first record is damaged.
+/// The file that is left when `JOURNAL` is opened with a damaged first record.
 const AFTER_DAMAGE: &[u8] = include_bytes!("golden/journal-after-damage.bin");
-/// Records that only older builds wrote: an end without reason and time.
+/// A file with records that only older builds wrote: message ends without reason and time.
 const OLDER: &[u8] = include_bytes!("golden/journal-older.bin");
 
 fn folder(name: &str) -> PathBuf {
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("golden-{name}-{}", std::process::id()));
-    // of an earlier run
+    // an earlier run may have left the folder behind
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
     folder
 }
 
 fn open(folder: &Path) -> (FileJournal, Recovery) {
-    FileJournal::open(folder, MAX_BYTES, 16).expect("it opens")
+    FileJournal::open(folder, MAX_BYTES, 16).expect("the journal opens")
 }
 
 fn open_with(name: &str, bytes: &[u8]) -> (PathBuf, FileJournal, Recovery) {
@@ -58,7 +58,7 @@
     }
 }
 
-/// Messages 1 to 16, each of its own kind.
+/// The message with the given number. Messages 2 to 8 differ in effect, subject and tenant; the others have none.
 fn message(number: u64) -> Accepted {
     let text = |text: &str| Some(text.to_string());
     let (effect, subject, tenant) = match number {
@@ -102,7 +102,7 @@
     EndReason::Delivered,
 ];
 
-/// The ends of messages 9 to 14.
+/// The end of the message with the given number, from 9 to 14.
 fn end(number: u64) -> MessageEnd {
     let ending = match number {
         10 => Ending::Returned { after_ms: None },
@@ -127,41 +127,51 @@
     }
 }
 
-/// Writes what `JOURNAL` has.
+/// Writes the records of `JOURNAL`.
 fn write_all(journal: &mut FileJournal) {
     for number in 1..=14 {
         journal
             .record_accepted(number, message(number))
-            .expect("room");
+            .expect("space");
     }
-    // tried: once, and twice with the first one proved to have never run
-    journal.record_attempt(2, "s-1", START + 100).expect("room");
-    journal.record_attempt(3, "s-1", START + 200).expect("room");
-    journal.record_attempt(3, "s-2", START + 300).expect("room");
-    journal.record_never_ran(3, 0).expect("room");
-    // ended, their notices unfinished
-    journal.record_attempt(9, "s-3", START + 400).expect("room");
+    // message 2 has one attempt; message 3 has two, of which the first is known to have never run
+    journal
+        .record_attempt(2, "s-1", START + 100)
+        .expect("space");
+    journal
+        .record_attempt(3, "s-1", START + 200)
+        .expect("space");
+    journal
+        .record_attempt(3, "s-2", START + 300)
+        .expect("space");
+    journal.record_never_ran(3, 0).expect("space");
+    // messages 9 to 14 have ended, but their notifications are still due
+    journal
+        .record_attempt(9, "s-3", START + 400)
+        .expect("space");
     for number in 9..=14 {
-        journal.record_end(number, end(number)).expect("room");
+        journal.record_end(number, end(number)).expect("space");
     }
-    // back from the archive, without and with an attempt of before, then tried again
-    journal.record_redrive(15, message(15), None).expect("room");
+    // messages 15 to 17 are redriven: 15 without, 16 and 17 with an attempt made before; 16 is then attempted once more
+    journal
+        .record_redrive(15, message(15), None)
+        .expect("space");
     journal
         .record_redrive(16, message(16), Some(sent("s-4", 500, false)))
-        .expect("room");
+        .expect("space");
     journal
         .record_redrive(17, message(17), Some(sent("s-5", 600, true)))
-        .expect("room");
+        .expect("space");
     journal
         .record_attempt(16, "s-6", START + 700)
-        .expect("room");
-    // over
-    journal.record_accepted(18, message(18)).expect("room");
-    journal.record_finished(18).expect("room");
-    journal.record_finished(4).expect("room");
+        .expect("space");
+    // messages 18 and 4 are finished
+    journal.record_accepted(18, message(18)).expect("space");
+    journal.record_finished(18).expect("space");
+    journal.record_finished(4).expect("space");
 }
 
-/// What is unfinished then.
+/// The messages that are unfinished after `write_all`.
 fn unfinished() -> BTreeMap<u64, Unfinished> {
     let numbers = (1..=17).filter(|&number| number != 4);
     numbers
@@ -190,7 +200,7 @@
         .collect()
 }
 
-fn sound(records: usize) -> Recovery {
+fn intact(records: usize) -> Recovery {
     Recovery {
         created: false,
         records,
@@ -202,7 +212,7 @@
 #[test]
 fn each_record_is_read_and_written_as_before() {
     let (_, journal, recovery) = open_with("read", JOURNAL);
-    assert_eq!(recovery, sound(32));
+    assert_eq!(recovery, intact(32));
     assert_eq!(journal.unfinished(), unfinished());
     let folder = folder("write");
     let (mut journal, recovery) = open(&folder);
@@ -225,7 +235,7 @@
     let last = JOURNAL.len() - 14;
     assert!(
         JOURNAL[last..].starts_with(b"MTJ1"),
-        "the last record: message 4 is over"
+        "the last record finishes message 4"
     );
     let mut left = unfinished();
     left.insert(
@@ -272,20 +282,22 @@
         }
     );
     assert_eq!(written(&folder), AFTER_DAMAGE);
-    // the lost record may have told of a send of each message
+    // the lost record may have been that of an attempt of any message
     let presumed = |(number, mut unfinished): (u64, Unfinished)| {
-        let send = AttemptStarted {
+        let attempt = AttemptStarted {
             uid: String::new(),
             sent_at: unfinished.accepted.accepted_at,
             never_ran: false,
         };
-        unfinished.attempts.insert(unfinished.prior_attempts, send);
+        unfinished
+            .attempts
+            .insert(unfinished.prior_attempts, attempt);
         (number, unfinished)
     };
     let left: BTreeMap<u64, Unfinished> = unfinished().into_iter().skip(1).map(presumed).collect();
     assert_eq!(journal.unfinished(), left);
     drop(journal);
-    // read again: the damage is told once
+    // the next start does not report the damage again
     let (journal, recovery) = open(&folder);
     assert_eq!(recovery.damaged_bytes, 0);
     assert_eq!(written(&folder), AFTER_DAMAGE);
@@ -295,7 +307,7 @@
 #[test]
 fn ends_of_older_builds_are_read() {
     let (folder, journal, recovery) = open_with("older", OLDER);
-    assert_eq!(recovery, sound(6));
+    assert_eq!(recovery, intact(6));
     let found: Vec<(u64, Option<MessageEnd>)> = journal
         .unfinished()
         .into_iter()
@@ -328,5 +340,5 @@
             .iter()
             .all(|(&number, unfinished)| unfinished.accepted == accepted(number))
     );
-    assert_eq!(written(&folder), OLDER, "what is read is left as it stands");
+    assert_eq!(written(&folder), OLDER, "reading leaves the file unchanged");
 }
