--- a/crates/hot-restart/src/bridge.rs
+++ b/crates/hot-restart/src/bridge.rs
@@ -1,5 +1,5 @@
-//! The new process's connection to the old one, while that lives: what its clients and calls bring becomes inputs of
-//! the engine here, and the engine's outcomes and cancels go back.
+//! The new process's connection to the old one, until the old one exits. Messages from the old process's clients and
+//! the ends of its calls become inputs of the engine in the new process; outcomes and cancellations are sent back.
 
 use crate::HotRestartError;
 use crate::frames::{
@@ -19,7 +19,7 @@
 use tokio::task::JoinSet;
 use tokio::time::Instant;
 
-/// The connection to the process that has been taken over.
+/// The connection to the process that was taken over.
 pub struct Bridge {
     stream: UnixStream,
 }
@@ -29,7 +29,8 @@
         Bridge { stream }
     }
 
-    /// Runs until the old process is gone. Its calls in flight then end as cut off: they may have run.
+    /// Runs until the connection to the old process ends. The calls that the old process has in flight at that time
+    /// end with [`Outcome::Reset`]: they may have run.
     pub async fn run(self, calls: Vec<ForeignCall>, inputs: mpsc::UnboundedSender<Input>) {
         let (reader, writer) = self.stream.into_split();
         let (frames, to_write) = mpsc::unbounded_channel();
@@ -52,11 +53,12 @@
             tasks,
         };
         let error = receiver.receive(reader).await;
-        receiver.cut_off(&error);
+        receiver.end_pending_calls(&error);
     }
 }
 
-/// The messages of the old process's calls whose ends are yet to come: by call, true at their positions.
+/// The calls of the old process that have not ended completely: by number of the call, one flag per message, which is
+/// true while the attempt for that message is pending.
 #[derive(Default)]
 struct CallsInFlight(BTreeMap<u64, Vec<bool>>);
 
@@ -73,38 +75,38 @@
     }
 }
 
-/// Turns the old process's frames into inputs.
+/// Turns the frames of the old process into inputs of the engine.
 struct Receiver {
     in_flight: CallsInFlight,
     inputs: mpsc::UnboundedSender<Input>,
-    /// To the old process.
+    /// Frames to be sent to the old process.
     frames: mpsc::UnboundedSender<ToOldProcess>,
-    /// Write frames and wait for what is to be written; they end with the bridge.
+    /// The tasks that wait for outcomes and cancellations, and the one that writes frames. All end with the bridge.
     tasks: JoinSet<()>,
 }
 
 impl Receiver {
-    /// Reads until that fails, at the end of the old process above all; why.
+    /// Reads frames until one can't be read, normally because the old process has exited. Returns that error.
     async fn receive(&mut self, mut reader: OwnedReadHalf) -> HotRestartError {
         loop {
             let frame = match read_frame(&mut reader, MAX_FRAME_BYTES).await {
                 Ok(frame) => frame,
                 Err(error) => return error,
             };
-            let input = match self.input_of(frame) {
+            let input = match self.convert_frame(frame) {
                 Ok(input) => input,
                 Err(error) => return error,
             };
             if self.inputs.send(input).is_err() {
-                return HotRestartError::Protocol("after the end of this process");
+                return HotRestartError::Protocol("a frame after the engine of this process ended");
             }
         }
     }
 
-    fn input_of(&mut self, frame: ToNewProcess) -> Result<Input, HotRestartError> {
+    fn convert_frame(&mut self, frame: ToNewProcess) -> Result<Input, HotRestartError> {
         Ok(match frame {
-            ToNewProcess::Arrived(forwarded) => Input::Arrived(self.arrival_of(forwarded)?),
-            ToNewProcess::ClientDisconnected(id) => Input::ClientDisconnected(shared(&id)?),
+            ToNewProcess::Arrived(forwarded) => Input::Arrived(self.convert_arrival(forwarded)?),
+            ToNewProcess::ClientDisconnected(id) => Input::ClientDisconnected(shared_str(&id)?),
             ToNewProcess::Rejected { class, destination } => Input::Rejected { class, destination },
             ToNewProcess::RetryAfter { endpoint, wait } => Input::RetryAfter {
                 endpoint: EndpointId(endpoint),
@@ -117,17 +119,17 @@
         })
     }
 
-    /// The arrival, whose outcome goes back to the old process by a task of its own.
-    fn arrival_of(&mut self, forwarded: ForwardedArrival) -> Result<Arrival, HotRestartError> {
-        let optional = |text: Option<String>| text.map(|text| shared(&text)).transpose();
-        let id = shared(&forwarded.id)?;
+    /// Converts a forwarded message, and spawns the task that sends the outcome of the message to the old process.
+    fn convert_arrival(&mut self, forwarded: ForwardedArrival) -> Result<Arrival, HotRestartError> {
+        let optional = |text: Option<String>| text.map(|text| shared_str(&text)).transpose();
+        let id = shared_str(&forwarded.id)?;
         let key = optional(forwarded.key)?;
         let subject = optional(forwarded.subject)?;
         let tenant = optional(forwarded.tenant)?;
         let now = Instant::now();
         let age = Duration::from_micros(forwarded.age_us);
         let (reply, outcome) = oneshot::channel();
-        // those that have ended are dropped now and then, so that there are no more than messages in flight
+        // remove finished tasks, so that the set holds no more tasks than messages are in flight
         while self.tasks.try_join_next().is_some() {}
         self.tasks.spawn_local(forward_outcome(
             forwarded.slot,
@@ -150,11 +152,11 @@
         })
     }
 
-    /// Ends the calls that the old process had in flight when it went.
-    fn cut_off(self, error: &HotRestartError) {
+    /// Ends the calls that the old process had in flight when the connection was lost.
+    fn end_pending_calls(self, error: &HotRestartError) {
         let calls = self.in_flight.0;
         log(format_args!(
-            "hot restart: the old process is gone ({error}), {} calls cut off",
+            "hot restart: connection to the old process ended ({error}), {} calls cut off",
             calls.len()
         ));
         for (call, pending) in calls {
@@ -170,7 +172,7 @@
                     closed: false,
                     load_report: Vec::new(),
                 });
-                // nobody listens any more only when the process ends
+                // the send fails only if the engine has ended, and then no input matters
                 let _ = self.inputs.send(Input::AttemptEnded(end));
             }
         }
@@ -190,8 +192,9 @@
     }
 }
 
-fn shared(text: &str) -> Result<SharedStr, HotRestartError> {
-    SharedStr::new(text.as_bytes()).map_err(|_| HotRestartError::Protocol("an id"))
+fn shared_str(text: &str) -> Result<SharedStr, HotRestartError> {
+    SharedStr::new(text.as_bytes())
+        .map_err(|_| HotRestartError::Protocol("invalid id, key, subject or tenant"))
 }
 
 async fn write_frames(
@@ -211,7 +214,7 @@
     frames: mpsc::UnboundedSender<ToOldProcess>,
 ) {
     while let Some(position) = cancels.recv().await {
-        // nobody listens any more once the old process is gone
+        // the send fails once the old process has exited, and then its calls have ended as well
         let _ = frames.send(ToOldProcess::Cancel { call, position });
     }
 }
--- a/crates/hot-restart/src/descriptors.rs
+++ b/crates/hot-restart/src/descriptors.rs
@@ -1,4 +1,5 @@
-//! The hello of eight bytes, and the file descriptors that travel beside it (unix(7), `SCM_RIGHTS`).
+//! The hello of eight bytes that opens the connection, and the file descriptors that are sent with the old process's
+//! hello as ancillary data (`SCM_RIGHTS`, see unix(7)).
 
 use crate::{FORMAT_VERSION, HotRestartError};
 use rustix::net::{
@@ -13,7 +14,7 @@
 
 const MAGIC: [u8; 4] = *b"MTH1";
 
-/// The first bytes from either side: magic and format version, little end first.
+/// The first bytes that either process sends: a magic number and the format version in little-endian byte order.
 pub(crate) fn hello() -> [u8; 8] {
     let mut bytes = [0; 8];
     bytes[..4].copy_from_slice(&MAGIC);
@@ -21,13 +22,13 @@
     bytes
 }
 
-/// The format version that a hello names; none where the bytes are no hello.
+/// The format version in a hello. `None` if the bytes are not a hello.
 pub(crate) fn format_version_of(hello: [u8; 8]) -> Option<u32> {
     let (magic, version) = hello.split_at(4);
     (magic == MAGIC).then(|| version.try_into().map(u32::from_le_bytes).unwrap_or(0))
 }
 
-/// Sends a hello with two descriptors.
+/// Sends a hello with two file descriptors.
 ///
 /// # Errors
 /// When the socket fails.
@@ -53,16 +54,16 @@
         });
         match sent {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
-            // eight bytes go at once into an empty buffer
+            // no partial write needs handling: the send buffer is empty, so all eight bytes fit
             other => return other.map(drop).map_err(HotRestartError::from),
         }
     }
 }
 
-/// Receives a hello with two descriptors: its format version, and these.
+/// Receives a hello with two file descriptors. Returns the format version and the descriptors.
 ///
 /// # Errors
-/// When the socket fails, or something else arrives.
+/// When the socket fails, or when the received bytes are not a hello with exactly two descriptors.
 pub(crate) async fn receive_descriptors(
     stream: &UnixStream,
 ) -> Result<(u32, [OwnedFd; 2]), HotRestartError> {
@@ -75,17 +76,17 @@
             Err(error) => return Err(error.into()),
             Ok((length, descriptors)) => {
                 let version = format_version_of(bytes).filter(|_| length == bytes.len());
-                let version = version.ok_or(HotRestartError::Protocol("no hello"))?;
+                let version = version.ok_or(HotRestartError::Protocol("not a valid hello"))?;
                 let descriptors = descriptors
                     .try_into()
-                    .map_err(|_| HotRestartError::Protocol("not two descriptors"))?;
+                    .map_err(|_| HotRestartError::Protocol("not exactly two descriptors"))?;
                 return Ok((version, descriptors));
             }
         }
     }
 }
 
-/// One message: its length, and the descriptors beside it.
+/// Receives one message. Returns the number of bytes, and the descriptors that came with them.
 fn receive_once(stream: &UnixStream, bytes: &mut [u8]) -> io::Result<(usize, Vec<OwnedFd>)> {
     let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
     let mut ancillary = RecvAncillaryBuffer::new(&mut space);
--- a/crates/hot-restart/src/forwarding.rs
+++ b/crates/hot-restart/src/forwarding.rs
@@ -1,5 +1,5 @@
-//! What is left to the old process: it forwards what its clients and its calls in flight bring to the new process,
-//! and the new process's outcomes and cancels back to them.
+//! Forwarding in the old process after a takeover: messages from its clients and the ends of its calls in flight go to
+//! the new process; outcomes and cancellations from the new process go to the clients and calls.
 
 use crate::HotRestartError;
 use crate::frames::{
@@ -18,28 +18,31 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// How often it is checked whether anything is left to forward.
+/// Interval between two checks whether anything is left to forward.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// The process stays so long after its last client and call: a client must read the response that is on its way.
+/// Time that the process stays after its last client connection and call have ended, so that clients can still read
+/// responses that have been sent.
 const LINGER: Duration = Duration::from_millis(300);
 
-/// What is left to a process that has been taken over.
+/// The state of a process that has been taken over, with all that it needs to forward.
 pub struct ForwardingState {
-    /// By number of each call in flight: takes the positions of the messages in it that are to be cancelled.
+    /// For each call in flight, by number, the channel that takes the positions of the messages to be cancelled in it.
     pub cancels: BTreeMap<u64, mpsc::UnboundedSender<usize>>,
-    /// What clients and calls bring.
+    /// Inputs from clients and calls, which are forwarded to the new process.
     pub inputs: mpsc::UnboundedReceiver<Input>,
-    /// The connections from clients.
+    /// Counts the client connections.
     pub gate: Rc<Gate>,
 }
 
 impl ForwardingState {
-    /// Confirms the takeover, then forwards until nothing is left or the new process is gone. The engine must be
-    /// released before, as the new process goes on with its state.
+    /// Confirms the takeover, and then forwards until all clients and calls are gone or the connection to the new
+    /// process ends. The engine must be released before this call, as the new process uses its state from then on.
     pub async fn forward_until_idle(mut self, request: TakeoverRequest) {
         let (reader, mut writer) = request.0.into_split();
         if let Err(error) = write_frame(&mut writer, &TakeoverConfirmed).await {
-            return log(format_args!("hot restart: {error}"));
+            return log(format_args!(
+                "hot restart: takeover could not be confirmed: {error}"
+            ));
         }
         let (received, mut replies) = mpsc::unbounded_channel();
         let reading = tokio::task::spawn_local(read_replies(reader, received));
@@ -50,14 +53,16 @@
             tokio::select! {
                 reply = replies.recv() => {
                     let Some(reply) = reply else {
-                        break log(format_args!("hot restart: the new process is gone"));
+                        break log(format_args!("hot restart: connection to the new process ended"));
                     };
                     self.apply(reply, &mut forwarder);
                 }
                 input = self.inputs.recv() => {
                     let Some(input) = input else { break };
                     if let Err(error) = forwarder.forward(input).await {
-                        break log(format_args!("hot restart: {error}"));
+                        break log(format_args!(
+                            "hot restart: forwarding to the new process failed: {error}"
+                        ));
                     }
                 }
                 _ = idle_check.tick() => {
@@ -77,7 +82,7 @@
         match reply {
             ToOldProcess::Outcome { slot, outcome } => forwarder.reply(slot, outcome),
             ToOldProcess::Cancel { call, position } => {
-                // a call that has just ended needs no cancel
+                // a call that has ended in the meantime needs no cancellation
                 let _ = self
                     .cancels
                     .get(&call)
@@ -92,10 +97,10 @@
     }
 }
 
-/// Turns inputs into frames, and remembers which client waits for which outcome.
+/// Sends inputs as frames to the new process, and keeps the reply channels of clients that wait for an outcome.
 struct Forwarder {
     writer: OwnedWriteHalf,
-    /// The clients that wait for an outcome, by slot.
+    /// The reply channels of clients that wait for an outcome, by [`ForwardedArrival::slot`].
     replies: BTreeMap<u64, oneshot::Sender<ArrivalOutcome>>,
     next_slot: u64,
 }
@@ -110,27 +115,27 @@
     }
 
     fn reply(&mut self, slot: u64, outcome: ArrivalOutcome) {
-        // a client that is gone has been forwarded as disconnected
+        // the send fails for a client that has disconnected, which has been forwarded as an input of its own
         let _ = self.replies.remove(&slot).map(|reply| reply.send(outcome));
     }
 
     async fn forward(&mut self, input: Input) -> Result<(), HotRestartError> {
-        match self.frame_of(input) {
+        match self.convert_input(input) {
             Some(frame) => write_frame(&mut self.writer, &frame).await,
             None => Ok(()),
         }
     }
 
-    /// The frame for an input; none for what the new process has of its own.
-    fn frame_of(&mut self, input: Input) -> Option<ToNewProcess> {
+    /// The frame for an input. `None` for an input that is not forwarded.
+    fn convert_input(&mut self, input: Input) -> Option<ToNewProcess> {
         Some(match input {
-            Input::Arrived(arrival) => ToNewProcess::Arrived(self.forwarded(arrival)),
+            Input::Arrived(arrival) => ToNewProcess::Arrived(self.convert_arrival(arrival)),
             Input::ClientDisconnected(id) => ToNewProcess::ClientDisconnected(id.to_string()),
             Input::Rejected { class, destination } => ToNewProcess::Rejected { class, destination },
             Input::AttemptEnded(end) => ToNewProcess::AttemptEnded(ForwardedEnd {
                 call: end.call,
                 position: end.position,
-                // a frame says only what an outcome says: a reset may have run
+                // a frame has no `ambiguous` flag: a reset is the outcome of an attempt that may have run
                 outcome: match end.ambiguous {
                     true => Outcome::Reset,
                     false => end.outcome,
@@ -143,12 +148,12 @@
                 wait,
             },
             Input::GetStatus(reply) => {
-                // there is no engine here any more; one who does not wait for the status needs none
+                // this process has no engine any more; the send fails only if nobody waits for the status
                 let _ = reply.send(EngineStatus::default());
                 return None;
             }
-            // the new process has its own list, notifications and settings, and ends when it is told; a call that
-            // waits for its connection is not started here any more
+            // the new process has its own endpoint list, notifications and settings, and is stopped separately; a call
+            // that still waits for its connection is not started in this process any more
             Input::RequestStart(..)
             | Input::EndpointsListed(_)
             | Input::Notified(_)
@@ -161,7 +166,7 @@
         })
     }
 
-    fn forwarded(&mut self, arrival: Arrival) -> ForwardedArrival {
+    fn convert_arrival(&mut self, arrival: Arrival) -> ForwardedArrival {
         let slot = self.next_slot;
         self.next_slot += 1;
         self.replies.insert(slot, arrival.reply);
@@ -182,7 +187,7 @@
     }
 }
 
-/// Reads frames of the new process until it is gone or nobody receives them.
+/// Reads frames from the new process until the connection ends or the channel is closed.
 async fn read_replies(mut reader: OwnedReadHalf, replies: mpsc::UnboundedSender<ToOldProcess>) {
     while let Ok(reply) = read_frame(&mut reader, MAX_FRAME_BYTES).await {
         if replies.send(reply).is_err() {
--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -1,6 +1,7 @@
-//! What the two processes write to each other: a length in four bytes, little end first, and the encoded frame.
+//! The frames that the two processes exchange after the hello: the length in four bytes, little-endian, followed by
+//! the encoded frame.
 //!
-//! Frames are encoded by position (postcard): the order of fields and variants is their format.
+//! Frames are encoded by position (postcard): the order of fields and variants is the format.
 
 #[cfg(test)]
 mod tests;
@@ -12,59 +13,61 @@
 use serde::{Deserialize, Serialize};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 
-/// Limit of a frame once the new process has taken over: a body, and the fields beside it.
+/// Maximum length of any frame other than an offer: a message body, plus 16 KiB for the other fields.
 pub(crate) const MAX_FRAME_BYTES: usize = MAX_BODY_BYTES + 16 * 1024;
-/// Limit of an offer: a message takes some hundred bytes without its body, so this is far more than are in flight.
+/// Maximum length of an offer. A message without its body takes some hundred bytes, so far more messages fit than are
+/// ever in flight.
 pub(crate) const MAX_OFFER_BYTES: usize = 16 << 20;
 
-/// What the old process offers, beside the descriptors.
+/// The state that the old process offers, sent after the hello with the descriptors.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Offer {
-    /// See [`milletturn_engine::Snapshot`].
+    /// The encoded [`milletturn_engine::Snapshot`].
     pub snapshot: Vec<u8>,
-    /// Its connections from clients, which count against the same limit.
+    /// Client connections of the old process, which count against the limit of the new one until they are closed.
     pub client_connections: usize,
-    /// Its calls in flight, which count against the same limit.
+    /// Calls that the old process has in flight, which count against the limit of the new one until they end.
     pub calls_in_flight: usize,
-    /// Operators have drained it.
+    /// True while operators have the old process drained.
     pub is_drained: bool,
 }
 
 /// The new process's reply to an offer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) enum Decision {
-    /// It takes over.
+    /// The new process takes over.
     Commit,
-    /// It can't read the offer: the old process must exit at once, as at a kill, and leave the journal to it.
+    /// The new process can't read the offer. The old process must exit at once, as if it were killed, so that the new
+    /// one can recover the state from the journal.
     Exit,
 }
 
-/// From the old process: its engine is gone, and the state belongs to the new one.
+/// Sent by the old process after a commit: its engine is released, and the state now belongs to the new process.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct TakeoverConfirmed;
 
-/// A message that a client handed to the old process.
+/// A message that a client submitted to the old process.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ForwardedArrival {
-    /// Number of the client's request, by which its outcome comes back.
+    /// Number of the client's request; [`ToOldProcess::Outcome`] refers to the request by this number.
     pub slot: u64,
     pub id: String,
     pub key: Option<String>,
-    /// Position of the class in the settings.
+    /// Position of the message class in the settings.
     pub class: usize,
     pub subject: Option<String>,
     pub tenant: Option<String>,
     pub destination: u64,
-    /// Counted from when it was submitted.
+    /// Microseconds from the submission to the deadline of the message.
     pub time_to_live: Micros,
-    /// Microseconds since it was submitted.
+    /// Microseconds from the submission to the sending of this frame.
     pub age_us: u64,
     pub resubmitted: bool,
     pub from_failed_sender: bool,
     pub body: Vec<u8>,
 }
 
-/// The end of one message of a call that the old process has in flight.
+/// The end of the attempt for one message of a call that the old process had in flight.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct ForwardedEnd {
     pub call: u64,
@@ -72,11 +75,11 @@
     pub position: usize,
     pub outcome: Outcome,
     pub closed: bool,
-    /// The load report in the order of the settings, or empty.
+    /// The endpoint's load report, in the order of the fields in the settings; empty if there was none.
     pub load_report: Vec<f64>,
 }
 
-/// From the old process, once it only forwards.
+/// A frame from the old process after the takeover, when it only forwards.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum ToNewProcess {
     Arrived(ForwardedArrival),
@@ -86,17 +89,17 @@
     RetryAfter { endpoint: u32, wait: Micros },
 }
 
-/// From the new process, once it has taken over.
+/// A frame from the new process after the takeover.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub(crate) enum ToOldProcess {
     Outcome { slot: u64, outcome: ArrivalOutcome },
     Cancel { call: u64, position: usize },
 }
 
-/// Writes a frame in one piece.
+/// Writes the length and the encoded frame with a single `write_all`.
 ///
 /// # Errors
-/// When it can't be encoded, or the stream fails.
+/// When the frame can't be encoded, or the stream fails.
 pub(crate) async fn write_frame<T: Serialize>(
     stream: &mut (impl AsyncWrite + Unpin),
     frame: &T,
@@ -108,10 +111,10 @@
     Ok(stream.write_all(&bytes).await?)
 }
 
-/// Reads a frame of at most `max_bytes`. Not cancel safe: a future that is dropped loses what it has read.
+/// Reads a frame of at most `max_bytes`. Not cancel safe: dropping the future loses the bytes that were read so far.
 ///
 /// # Errors
-/// When the stream fails or ends early, the frame is longer, or its bytes don't decode.
+/// When the stream fails or ends early, when the frame is longer than `max_bytes`, or when it can't be decoded.
 pub(crate) async fn read_frame<T: DeserializeOwned>(
     stream: &mut (impl AsyncRead + Unpin),
     max_bytes: usize,
@@ -120,7 +123,7 @@
     if length > max_bytes {
         return Err(HotRestartError::FrameTooLong(length));
     }
-    // grows with what arrives, not with what is announced
+    // the buffer grows with the received bytes; it is not allocated from the length, which may be wrong
     let mut payload = Vec::new();
     stream.take(length as u64).read_to_end(&mut payload).await?;
     if payload.len() < length {
--- a/crates/hot-restart/src/frames/tests.rs
+++ b/crates/hot-restart/src/frames/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[tokio::test]
-async fn frames_that_are_cut_too_long_or_noise_are_errors() {
+async fn truncated_oversized_and_undecodable_frames_are_errors() {
     let mut bytes = Vec::new();
     let frame = ToNewProcess::ClientDisconnected("m1".to_string());
     write_frame(&mut bytes, &frame).await.expect("written");
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -1,24 +1,27 @@
-//! Hot restart: a new process takes over a running one's sockets and state under load, and no rule pauses meanwhile.
+//! Hot restart: a new process takes over the sockets and the state of a running one under load. All limits and delivery
+//! rules stay in force during the takeover.
 //!
-//! There is one engine at any time. The new process connects to a socket in the state folder. The old one stops its
-//! engine between two turns and offers the engine's snapshot, the socket where clients connect, and the lock of the
-//! state folder. Once the new process has committed, the old one has no engine any more: it forwards what its
-//! connected clients and its calls in flight bring, until they have ended or it is told to end. Envoy's hot restart
-//! drains its old process in the same way. See `docs/design/hot-restart.md`.
+//! Only one engine runs at any time. The new process connects to a Unix socket in the state folder. The old process
+//! stops its engine between two turns and offers a snapshot of the engine, the listening socket for clients, and the
+//! lock of the state folder. After the new process has committed, the old one releases its engine. It then forwards
+//! messages from its connected clients and the ends of its calls in flight to the new process, until all have ended or
+//! it is told to end. Envoy's hot restart drains its old process in the same way. See `docs/design/hot-restart.md`.
 //!
 //! ```text
 //! new process                          old process
-//!     ---- hello, format version ------->   the engine pauses
+//!     ---- hello, format version ------->   the engine is paused
 //!     <--- descriptors, offer -----------
 //!     ---- commit ---------------------->   the engine is released, the journal closed
 //!     <--- takeover confirmed -----------
-//!     the engine goes on                    ... before `commit`, an error or 2 s of silence: it goes on here
+//!     the engine resumes here
 //!     <--- arrivals, ends of attempts ---
 //!     ---- outcomes, cancels ----------->
 //! ```
 //!
-//! [`new_process`] asks and takes over, [`old_process`] is asked and offers, [`forwarding`] is what the old process
-//! does after that, [`bridge`] hears it in the new one.
+//! If an error or a timeout of 2 s occurs before `commit`, the engine resumes in the old process.
+//!
+//! [`new_process`] requests the takeover, and [`old_process`] accepts the request and makes the offer. After the
+//! takeover, [`forwarding`] runs in the old process and [`bridge`] in the new one.
 
 pub mod bridge;
 mod descriptors;
@@ -30,26 +33,26 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The version of snapshots and frames. It is raised with each change of any of their types: a test compares the
-/// bytes of a known snapshot.
+/// The version of the snapshot and frame formats. Raise it with each change to any of their types; a test compares the
+/// hash of a known snapshot, so that a change does not go unnoticed.
 pub const FORMAT_VERSION: u32 = 7;
 
-/// Why one process could not take over from the other.
+/// An error in the communication between the old and the new process.
 #[derive(Debug, Error)]
 pub enum HotRestartError {
-    /// The socket failed or was closed.
-    #[error("the other process: {0}")]
+    /// The socket failed or was closed by the other process.
+    #[error("connection to the other process failed: {0}")]
     Socket(#[from] std::io::Error),
-    /// Nothing came within this time.
-    #[error("the other process said nothing for {0:?}")]
+    /// The other process sent nothing within this time.
+    #[error("the other process did not respond within {0:?}")]
     Timeout(Duration),
-    /// What came is not what the protocol has at this step.
-    #[error("the other process sent what can't be read: {0}")]
+    /// The other process sent something that the protocol does not allow at this step.
+    #[error("unexpected data from the other process: {0}")]
     Protocol(&'static str),
-    /// The bytes don't decode.
-    #[error("the other process sent what can't be read: {0}")]
+    /// A frame or a snapshot can't be decoded or encoded.
+    #[error("data exchanged with the other process can't be decoded or encoded: {0}")]
     Decode(#[from] postcard::Error),
-    /// A frame is longer than the limit; its length in bytes.
-    #[error("the other process sent a frame of {0} bytes")]
+    /// A frame is longer than the limit. The value is the length of the frame in bytes.
+    #[error("the other process sent a frame of {0} bytes, which is above the limit")]
     FrameTooLong(usize),
 }
--- a/crates/hot-restart/src/new_process.rs
+++ b/crates/hot-restart/src/new_process.rs
@@ -1,4 +1,4 @@
-//! The new process: waits for the state folder, or takes over from the process that owns it.
+//! The new process: acquires the state folder, either when no other process owns it or by taking over from the owner.
 
 use crate::bridge::Bridge;
 use crate::descriptors::{hello, receive_descriptors};
@@ -17,49 +17,51 @@
 use tokio::net::UnixStream;
 use tokio::time::{sleep, timeout};
 
-/// The file whose lock says that a process owns the state folder. It stays empty.
+/// Name of the file in the state folder that the owner of the folder keeps locked. The file is always empty.
 const LOCK_NAME: &str = "lock";
-/// Longest wait for each step of the old process. It only pauses its engine between two turns meanwhile.
+/// Maximum time for each step of the old process. A step is short: the old process only has to pause its engine between
+/// two turns.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Pause between two attempts to own the folder.
+/// Time between two attempts to acquire the folder.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How a process came to own its state folder.
+/// How this process acquired its state folder.
 pub enum FolderOwnership {
-    /// No other process runs there.
+    /// No other process uses the folder.
     Exclusive {
-        /// The lock of the folder, which this process has.
+        /// The lock of the folder, held by this process.
         lock: File,
-        /// The socket where clients connect, of a process that has just exited; none after a plain start.
+        /// The listening socket for clients, inherited from a process that could not be taken over and was told to
+        /// exit. `None` if there was no such process.
         listener: Option<TcpListener>,
     },
-    /// Another process runs there still, and has given up its state to this one.
+    /// Another process still runs and has given its state to this one.
     Takeover(Box<Takeover>),
 }
 
-/// What the old process gave up.
+/// The state and resources that the old process has given to this one.
 pub struct Takeover {
-    /// The state of its engine.
+    /// The state of the old process's engine.
     pub snapshot: Snapshot,
-    /// The socket where clients connect.
+    /// The listening socket for clients.
     pub listener: TcpListener,
     /// The folder's lock, shared with the old process.
     pub lock: File,
-    /// Its connections from clients: they count against the same limit until it is gone.
+    /// Client connections of the old process: they count against this process's limit until the old one exits.
     pub client_connections: usize,
-    /// Its calls in flight: they count against the same limit until it is gone.
+    /// Calls that the old process has in flight: they count against this process's limit until the old one exits.
     pub calls_in_flight: usize,
-    /// Operators have drained it.
+    /// True if operators have the old process drained.
     pub is_drained: bool,
-    /// Hears what its clients and calls bring.
+    /// Receives the messages from the old process's clients, and the ends of its calls.
     pub bridge: Bridge,
 }
 
-/// Waits until this process owns the state folder, alone or by taking over from a running one. That process may be of
-/// any version; as long as it runs and can't be taken over, this one waits.
+/// Waits until this process owns the state folder, either alone or by taking over from a running process. The running
+/// process may be of any version. While another process owns the folder and can't be taken over, this function waits.
 ///
 /// # Errors
-/// When the folder can't be used.
+/// When the folder can't be created, or its lock file can't be opened or locked.
 pub async fn acquire_folder(folder: &Path) -> std::io::Result<FolderOwnership> {
     std::fs::create_dir_all(folder)?;
     let lock = OpenOptions::new()
@@ -91,14 +93,15 @@
     }
 }
 
-/// Asks the old process once. `listener` gets its socket if it is told to exit.
+/// Requests a takeover from the old process once. If the old process is told to exit, its listening socket is stored in
+/// `listener`.
 async fn try_take_over(
     folder: &Path,
     listener: &mut Option<TcpListener>,
 ) -> Result<Takeover, HotRestartError> {
     let mut stream = UnixStream::connect(folder.join(SOCKET_NAME)).await?;
     stream.write_all(&hello()).await?;
-    let (version, [inherited, lock]) = in_time(receive_descriptors(&stream)).await?;
+    let (version, [inherited, lock]) = with_timeout(receive_descriptors(&stream)).await?;
     let inherited = TcpListener::from(inherited);
     let (offer, snapshot) = match read_offer(&mut stream, version).await {
         Ok(found) => found,
@@ -107,7 +110,8 @@
             | HotRestartError::Decode(_)
             | HotRestartError::FrameTooLong(_)),
         ) => {
-            // the journal is readable in any version: go on as after a restart, with no connection refused
+            // unlike the offer, the journal can be read in any version: this process recovers from the journal as
+            // after a restart, and client connections wait in the inherited socket's queue instead of being refused
             write_frame(&mut stream, &Decision::Exit).await?;
             *listener = Some(inherited);
             return Err(error);
@@ -115,11 +119,13 @@
         Err(error) => return Err(error),
     };
     write_frame(&mut stream, &Decision::Commit).await?;
-    // once the old process has read that, it has no engine; an end of the stream says the same
-    match in_time(read_frame(&mut stream, MAX_FRAME_BYTES)).await {
+    // when the old process confirms the commit or closes the connection, its engine is released
+    match with_timeout(read_frame(&mut stream, MAX_FRAME_BYTES)).await {
         Ok(TakeoverConfirmed) => {}
         Err(HotRestartError::Socket(error)) => {
-            log(format_args!("hot restart: the old process ended: {error}"));
+            log(format_args!(
+                "hot restart: the old process ended before it confirmed the takeover: {error}"
+            ));
         }
         Err(error) => return Err(error),
     }
@@ -134,7 +140,7 @@
     })
 }
 
-/// The offer, and the snapshot in it.
+/// Reads the offer, and decodes the snapshot in it.
 async fn read_offer(
     stream: &mut UnixStream,
     version: u32,
@@ -142,13 +148,13 @@
     if version != FORMAT_VERSION {
         return Err(HotRestartError::Protocol("another form"));
     }
-    let offer: Offer = in_time(read_frame(stream, MAX_OFFER_BYTES)).await?;
+    let offer: Offer = with_timeout(read_frame(stream, MAX_OFFER_BYTES)).await?;
     let snapshot = Snapshot::decode(&offer.snapshot)?;
     Ok((offer, snapshot))
 }
 
-/// A step of the old process, within the time that it has for it.
-async fn in_time<T>(
+/// Waits for a step of the old process for [`REPLY_TIMEOUT`] at most.
+async fn with_timeout<T>(
     step: impl Future<Output = Result<T, HotRestartError>>,
 ) -> Result<T, HotRestartError> {
     timeout(REPLY_TIMEOUT, step)
--- a/crates/hot-restart/src/old_process.rs
+++ b/crates/hot-restart/src/old_process.rs
@@ -1,4 +1,4 @@
-//! The old process: listens for one that wants to take over, and offers it the engine's state.
+//! The old process: listens for takeover requests, and offers the engine's state to the new process.
 
 use crate::HotRestartError;
 use crate::descriptors::{format_version_of, send_descriptors};
@@ -16,25 +16,25 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// The socket in the state folder.
+/// Name of the Unix socket in the state folder where takeovers are requested.
 pub(crate) const SOCKET_NAME: &str = "handover";
-/// Longest time from the offer to the new process's decision. The engine is paused meanwhile; the new process only
-/// reads and decodes, which takes milliseconds.
+/// Maximum time from the offer to the new process's decision, during which the engine is paused. The new process only
+/// has to read and decode the offer, which takes milliseconds.
 const OFFER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest wait for the hello of a process that connects.
+/// Maximum wait for the hello of a process that has connected.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
-/// Pause after a connection that failed.
+/// Wait after a failed connection before the next one is accepted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A process that wants to take over, by its connection.
+/// A request to take over: the connection of the process that sent it.
 #[derive(Debug)]
 pub struct TakeoverRequest(pub(crate) UnixStream);
 
-/// Listens in the state folder for a process that wants to take over. A socket that an earlier process left there is
-/// removed.
+/// Creates the Unix socket in the state folder where takeovers are requested, and listens on it. A socket left by an
+/// earlier process is replaced.
 ///
 /// # Errors
-/// When the folder allows no socket, or its path is longer than a socket's may be.
+/// When no socket can be created in the folder, for example because the path is longer than allowed for a socket.
 pub fn listen(folder: &Path) -> std::io::Result<UnixListener> {
     let path = folder.join(SOCKET_NAME);
     match fs::remove_file(&path) {
@@ -46,7 +46,7 @@
     Ok(listener)
 }
 
-/// Accepts processes that want to take over, one after the other, and passes them on. Ends once nobody receives them.
+/// Accepts takeover requests one after the other and sends them to `requests`. Returns once the channel is closed.
 pub async fn accept_requests(listener: UnixListener, requests: mpsc::Sender<TakeoverRequest>) {
     let faults = RateLimitedLog::default();
     loop {
@@ -57,46 +57,50 @@
                 }
             }
             Err(error) => {
-                faults.log(format_args!("hot restart: {error}"));
+                faults.log(format_args!(
+                    "hot restart: takeover request failed: {error}"
+                ));
                 tokio::time::sleep(ACCEPT_PAUSE).await;
             }
         }
     }
 }
 
-/// The next process that connects and says hello, whatever its format version.
+/// Waits for the next process that connects, and reads its hello. Any format version is accepted, since it is the new
+/// process that compares the versions.
 async fn accept_request(listener: &UnixListener) -> Result<TakeoverRequest, HotRestartError> {
     let (mut stream, _) = listener.accept().await?;
     let mut bytes = [0; 8];
     let read = timeout(HELLO_TIMEOUT, stream.read_exact(&mut bytes)).await;
     read.map_err(|_| HotRestartError::Timeout(HELLO_TIMEOUT))??;
-    format_version_of(bytes).ok_or(HotRestartError::Protocol("no hello"))?;
+    format_version_of(bytes).ok_or(HotRestartError::Protocol("not a valid hello"))?;
     Ok(TakeoverRequest(stream))
 }
 
-/// What the new process inherits beside the engine's snapshot.
+/// What the new process inherits in addition to the engine's snapshot.
 pub struct InheritedState<'a> {
-    /// The socket where clients connect.
+    /// The listening socket for clients.
     pub listener: BorrowedFd<'a>,
     /// The lock of the state folder.
     pub lock: BorrowedFd<'a>,
-    /// The old process's drain state and its connections from clients.
+    /// Holds the old process's drain state and the number of its client connections.
     pub gate: &'a Gate,
 }
 
 /// The new process's decision on an offer.
 #[derive(Debug)]
 pub enum OfferOutcome {
-    /// It takes over: the engine must be released now, see [`crate::forwarding`].
+    /// The new process takes over. The engine must be released now, and the process goes on with [`crate::forwarding`].
     TakenOver(TakeoverRequest),
-    /// It can't read the offer: this process must exit at once and leave the journal to it.
+    /// The new process can't read the offer. This process must exit at once, so that the new one can use the journal.
     MustExit,
 }
 
-/// Offers all state to the new process. The engine must not run meanwhile; on an error it goes on in this process.
+/// Offers the state of this process to the new one, and waits for the decision. The engine must not run until this
+/// function returns; after an error, it is to be resumed in this process.
 ///
 /// # Errors
-/// When the new process does not decide in time, or in a way that can't be read.
+/// When the snapshot can't be encoded, or when no valid decision is received within 2 s.
 pub async fn offer_takeover(
     mut request: TakeoverRequest,
     engine: &Engine,
--- a/crates/hot-restart/tests/golden/data.rs
+++ b/crates/hot-restart/tests/golden/data.rs
@@ -1,4 +1,4 @@
-//! The bytes of before, and the values that stand in them.
+//! The recorded bytes of earlier builds, and the values that are encoded in them.
 
 use milletturn_engine::{
     Arrival, ArrivalOutcome, AttemptEnd, Call, EndCause, Engine, Input, Ports, SharedStr,
@@ -12,14 +12,14 @@
 use tokio::time::{Instant, sleep};
 
 pub(crate) const HELLO: &[u8] = b"MTH1\x07\0\0\0";
-/// An engine with one call in flight, two connections from clients, drained.
+/// The offer of an old process with one call in flight and two client connections that operators have drained.
 pub(crate) const OFFER: &[u8] = include_bytes!("offer.bin");
 pub(crate) const COMMIT: &[u8] = b"\x01\0\0\0\0";
 pub(crate) const EXIT: &[u8] = b"\x01\0\0\0\x01";
 pub(crate) const CONFIRMED: &[u8] = b"\0\0\0\0";
-/// Each kind of frame from the old process, see `inputs`.
+/// Frames of each kind from the old process to the new one: those that encode `inputs`.
 pub(crate) const TO_NEW: &[u8] = include_bytes!("to-new.bin");
-/// Each outcome of the arrivals there, by slot, and two cancels.
+/// Frames from the new process to the old one: `ARRIVAL_OUTCOMES` for the arrivals in `TO_NEW`, and `CANCELS`.
 pub(crate) const TO_OLD: &[u8] = include_bytes!("to-old.bin");
 
 pub(crate) const ARRIVAL_OUTCOMES: [ArrivalOutcome; 6] = [
@@ -48,31 +48,32 @@
     Outcome::Unsent { no_slot: true },
 ];
 
-/// Calls in flight in the old process, and the positions in them that are cancelled.
+/// Calls in flight in the old process, each with the position of the message that is cancelled.
 pub(crate) const CANCELS: [(u64, usize); 2] = [(20, 1), (300, 2)];
 
 pub(crate) fn folder(name: &str) -> PathBuf {
     let folder = std::env::temp_dir().join(format!("milletturn-{name}-{}", std::process::id()));
-    // of an earlier run
+    // an earlier run may have left the folder behind
     let _ = fs::remove_dir_all(&folder);
     fs::create_dir_all(&folder).expect("a folder");
     folder
 }
 
-pub(crate) fn shared(text: &str) -> SharedStr {
-    SharedStr::new(text.as_bytes()).expect("a word")
+pub(crate) fn shared_str(text: &str) -> SharedStr {
+    SharedStr::new(text.as_bytes()).expect("a valid text")
 }
 
-/// The message of a slot as it is submitted, and its outcome. The first one has all that a message can have.
+/// The message of a slot as it is submitted, and the receiver of its outcome. The message of slot 0 has all optional
+/// fields.
 pub(crate) fn submitted(slot: usize) -> (Arrival, oneshot::Receiver<ArrivalOutcome>) {
     let (reply, outcome) = oneshot::channel();
     let first = slot == 0;
     let arrival = Arrival {
-        id: shared(&format!("message-{slot}")),
-        key: first.then(|| shared("key")),
+        id: shared_str(&format!("message-{slot}")),
+        key: first.then(|| shared_str("key")),
         class: slot,
-        subject: first.then(|| shared("account-9")),
-        tenant: first.then(|| shared("acme")),
+        subject: first.then(|| shared_str("account-9")),
+        tenant: first.then(|| shared_str("acme")),
         destination: 1000 + slot as u64,
         time_to_live: 20_000_000,
         submitted_at: Instant::now() - Duration::from_micros(1234),
@@ -84,7 +85,7 @@
     (arrival, outcome)
 }
 
-/// The ends in `TO_NEW`.
+/// One of the ends of attempts in `TO_NEW`: the one with `OUTCOMES[number]`.
 pub(crate) fn ended(number: usize) -> AttemptEnd {
     AttemptEnd {
         call: 300,
@@ -102,11 +103,12 @@
     }
 }
 
-/// What clients and calls bring to the old process, and the outcomes that the clients wait for.
+/// The inputs that the old process gets from its clients and calls, and the receivers of the outcomes that the clients
+/// wait for.
 pub(crate) fn inputs() -> (Vec<Input>, Vec<oneshot::Receiver<ArrivalOutcome>>) {
     let (arrivals, outcomes): (Vec<_>, Vec<_>) = (0..ARRIVAL_OUTCOMES.len()).map(submitted).unzip();
     let mut inputs: Vec<Input> = arrivals.into_iter().map(Input::Arrived).collect();
-    inputs.push(Input::ClientDisconnected(shared("message-0")));
+    inputs.push(Input::ClientDisconnected(shared_str("message-0")));
     inputs.push(Input::Rejected {
         class: 1,
         destination: 77,
@@ -145,7 +147,7 @@
     let (arrival, _outcome) = arrival("m1", 0, false);
     inputs.send(Input::Arrived(arrival)).expect("open");
     tokio::select! {
-        () = engine.run(&mut received) => unreachable!("its inputs are open"),
+        () = engine.run(&mut received) => unreachable!("the inputs are open"),
         () = sleep(Duration::from_millis(5)) => {}
     }
     let calls: Vec<Call> = calls.0.take();
--- a/crates/hot-restart/tests/golden/main.rs
+++ b/crates/hot-restart/tests/golden/main.rs
@@ -1,5 +1,5 @@
-//! What the two processes write to each other, byte for byte as earlier builds of this format version did: each side
-//! is played against what the other one wrote.
+//! The data exchanged by the two processes of a hot restart, byte for byte as earlier builds of this format version
+//! wrote it: each side runs against recorded bytes of the other.
 
 mod data;
 mod new_process;
--- a/crates/hot-restart/tests/golden/new_process.rs
+++ b/crates/hot-restart/tests/golden/new_process.rs
@@ -1,4 +1,4 @@
-//! The new process, against the bytes of an old one.
+//! The new process, run against recorded bytes of an old one.
 
 use crate::data::{
     ARRIVAL_OUTCOMES, CANCELS, COMMIT, CONFIRMED, EXIT, HELLO, OFFER, TO_NEW, TO_OLD, folder,
@@ -18,20 +18,20 @@
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// An old process that is played here: its folder with lock and socket, and where its clients connect.
-struct OldProcess {
+/// A fake old process: its state folder with lock and socket, and the listener for its clients.
+struct FakeOldProcess {
     folder: PathBuf,
     clients: TcpListener,
     lock: File,
     socket: UnixListener,
 }
 
-impl OldProcess {
+impl FakeOldProcess {
     fn new(name: &str) -> Self {
         let folder = folder(name);
         let lock = File::create(folder.join("lock")).expect("a file");
-        lock.lock().expect("ours");
-        OldProcess {
+        lock.lock().expect("the lock is free");
+        FakeOldProcess {
             clients: TcpListener::bind("127.0.0.1:0").expect("a port"),
             lock,
             socket: UnixListener::bind(folder.join("handover")).expect("a socket"),
@@ -39,7 +39,8 @@
         }
     }
 
-    /// Offers, with this hello; the connection, and what the new process decides.
+    /// Accepts a takeover request, replies with this hello, and makes the offer if the hello is that of the present
+    /// version. Returns the connection, and the bytes of the new process's decision.
     async fn offer(&self, hello: &[u8]) -> (UnixStream, Vec<u8>) {
         let (mut peer, _) = self.socket.accept().await.expect("a request");
         assert_eq!(read_exact(&mut peer, HELLO.len()).await, HELLO);
@@ -57,14 +58,14 @@
     }
 }
 
-impl Drop for OldProcess {
+impl Drop for FakeOldProcess {
     fn drop(&mut self) {
-        // what is left there does no harm
+        // a folder that can't be removed does not disturb other tests
         let _ = fs::remove_dir_all(&self.folder);
     }
 }
 
-/// Plays the engine of the new process: each input must be as expected; arrivals get their outcomes.
+/// Stands in for the engine of the new process: checks each input, and replies to the arrivals with `ARRIVAL_OUTCOMES`.
 async fn check_inputs(received: &mut mpsc::UnboundedReceiver<Input>) {
     let mut outcomes = ARRIVAL_OUTCOMES.into_iter();
     let (expected, _outcomes) = inputs();
@@ -89,15 +90,15 @@
                     )
                 );
                 let outcome = outcomes.next().expect("one for each");
-                found.reply.send(outcome).expect("somebody waits");
+                found.reply.send(outcome).expect("the receiver is open");
             }
-            // these have no parts that differ by process
+            // the other inputs hold no channels and no times, so that their debug text can be compared
             (found, expected) => assert_eq!(format!("{found:?}"), format!("{expected:?}")),
         }
     }
 }
 
-/// The calls that the old process has in flight, and what cancels them.
+/// The calls that the old process has in flight, and the senders that cancel messages in them.
 fn foreign_calls() -> (Vec<ForeignCall>, Vec<mpsc::UnboundedSender<usize>>) {
     let sizes = [(20, 3), (300, 12)];
     let calls = sizes.into_iter().map(|(call, items)| {
@@ -112,14 +113,14 @@
     calls.unzip()
 }
 
-/// The last two frames of `TO_OLD`.
+/// Length of the last two frames of `TO_OLD`, which are the cancellations.
 const CANCEL_BYTES: usize = 7 + 8;
 
 #[tokio::test(start_paused = true)]
-async fn the_new_process_reads_and_writes_the_bytes_of_before() {
+async fn the_new_process_reads_and_writes_the_recorded_bytes() {
     LocalSet::new()
         .run_until(async {
-            let old = OldProcess::new("golden-new");
+            let old = FakeOldProcess::new("golden-new");
             let old_side = async {
                 let (mut peer, decision) = old.offer(HELLO).await;
                 assert_eq!(decision, COMMIT);
@@ -128,7 +129,7 @@
             };
             let (ownership, peer) = tokio::join!(acquire_folder(&old.folder), old_side);
             let FolderOwnership::Takeover(takeover) = ownership.expect("a folder") else {
-                panic!("it takes over")
+                panic!("the new process did not take over")
             };
             assert_eq!(takeover.client_connections, 2);
             assert_eq!(takeover.calls_in_flight, 1);
@@ -143,7 +144,7 @@
         .await;
 }
 
-/// Plays the old process at the other end of a bridge, and then its end.
+/// Exchanges frames with a bridge as the old process, and then closes the connection, as at the exit of that process.
 async fn check_bridge(bridge: Bridge, mut peer: UnixStream) {
     let (inputs, mut received) = mpsc::unbounded_channel();
     let (calls, cancels) = foreign_calls();
@@ -152,12 +153,12 @@
         check_inputs(&mut received).await;
         let mut written = read_exact(&mut peer, TO_OLD.len() - CANCEL_BYTES).await;
         for (cancels, (_, position)) in cancels.iter().zip(CANCELS) {
-            cancels.send(position).expect("somebody listens");
+            cancels.send(position).expect("the receiver is open");
             sleep(Duration::from_millis(1)).await;
         }
         written.extend(read_exact(&mut peer, CANCEL_BYTES).await);
         assert_eq!(written, TO_OLD);
-        // the old process goes, with the rest of its calls
+        // the old process exits; its remaining calls must end as reset
         drop(peer);
         let mut cut_off = Vec::new();
         while let Some(input) = received.recv().await {
@@ -179,12 +180,12 @@
 async fn a_process_of_another_version_must_exit() {
     LocalSet::new()
         .run_until(async {
-            let old = OldProcess::new("golden-version");
+            let old = FakeOldProcess::new("golden-version");
             let old_side = async {
                 let (peer, decision) = old.offer(b"MTH1\x06\0\0\0").await;
                 assert_eq!(decision, EXIT);
-                // it exits, as it was told
-                old.lock.unlock().expect("ours");
+                // the old process exits, as it was told to
+                old.lock.unlock().expect("the lock is held");
                 drop(peer);
             };
             let (ownership, ()) = tokio::join!(acquire_folder(&old.folder), old_side);
@@ -193,7 +194,7 @@
                 listener: Some(listener),
             } = ownership.expect("a folder")
             else {
-                panic!("it owns the folder")
+                panic!("the new process does not own the folder")
             };
             assert_same_address(&listener, &old.clients);
             old.assert_locked();
--- a/crates/hot-restart/tests/golden/old_process.rs
+++ b/crates/hot-restart/tests/golden/old_process.rs
@@ -1,4 +1,4 @@
-//! The old process, against the bytes of a new one.
+//! The old process, run against recorded bytes of a new one.
 
 use crate::data::{
     ARRIVAL_OUTCOMES, CANCELS, COMMIT, CONFIRMED, HELLO, OFFER, TO_NEW, TO_OLD, engine, folder,
@@ -20,34 +20,37 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::LocalSet;
 
-/// Asks at the old process's socket to take over, as a new one does.
+/// Requests a takeover at the socket of the old process. Returns the request as the old process receives it, and the
+/// new process's end of the connection.
 async fn request_takeover(folder: &Path) -> (TakeoverRequest, UnixStream) {
     let listener = old_process::listen(folder).expect("a socket");
     let (requests, mut received) = mpsc::channel(1);
     tokio::task::spawn_local(old_process::accept_requests(listener, requests));
     let mut peer = UnixStream::connect(folder.join("handover"))
         .await
-        .expect("it listens");
+        .expect("the socket accepts connections");
     write(&mut peer, HELLO).await;
     let request = received.recv().await.expect("a request");
     (request, peer)
 }
 
-/// Reads the offer as a new process does, with its descriptors, and commits.
+/// Acts as the new process: checks the offer and its descriptors, and commits.
 async fn commit(peer: &mut UnixStream, clients: &TcpListener) {
     let (hello, mut descriptors) = receive(peer).await;
     assert_eq!(hello, HELLO);
     assert_eq!(descriptors.len(), 2);
     let lock = File::from(descriptors.pop().expect("the lock"));
-    lock.try_lock().expect("shared with the one that offers");
+    lock.try_lock()
+        .expect("the lock is shared with the old process");
     let inherited = TcpListener::from(descriptors.pop().expect("the listener"));
     assert_same_address(&inherited, clients);
     let offer = read_exact(peer, OFFER.len()).await;
-    assert!(offer == OFFER, "the offer is not that of before");
+    assert!(offer == OFFER, "the offer differs from the recorded bytes");
     write(peer, COMMIT).await;
 }
 
-/// An old process that has been taken over, on its own side and on the new one's.
+/// An old process that has been taken over, with the channels that show what the new process sent to its clients and
+/// calls.
 struct ForwardingProcess {
     forwarding: ForwardingState,
     outcomes: Vec<oneshot::Receiver<ArrivalOutcome>>,
@@ -60,11 +63,11 @@
 impl ForwardingProcess {
     fn new(gate: Rc<Gate>) -> Self {
         let (sender, received) = mpsc::unbounded_channel();
-        let (brought, outcomes) = inputs();
-        for input in brought {
+        let (forwarded, outcomes) = inputs();
+        for input in forwarded {
             sender.send(input).expect("open");
         }
-        // one who asks for the status gets an empty one, and the new process hears nothing of it
+        // a status request is answered with an empty status and is not forwarded to the new process
         let (reply, status) = oneshot::channel();
         sender.send(Input::GetStatus(reply)).expect("open");
         let (cancels, cancelled): (BTreeMap<_, _>, Vec<_>) = CANCELS
@@ -87,13 +90,16 @@
         }
     }
 
-    /// Forwards to a new process that is played here.
+    /// Runs the forwarding, with `peer` acting as the new process.
     async fn forward(self, request: TakeoverRequest, peer: &mut UnixStream) {
         let mut cancelled = self.cancelled;
         let peer_side = async {
             assert_eq!(read_exact(peer, CONFIRMED.len()).await, CONFIRMED);
             let frames = read_exact(peer, TO_NEW.len()).await;
-            assert!(frames == TO_NEW, "the frames are not those of before");
+            assert!(
+                frames == TO_NEW,
+                "the frames differ from the recorded bytes"
+            );
             write(peer, TO_OLD).await;
             for (outcome, expected) in self.outcomes.into_iter().zip(ARRIVAL_OUTCOMES) {
                 assert_eq!(outcome.await, Ok(expected));
@@ -103,7 +109,7 @@
             }
             drop(cancelled);
             assert_eq!(self.status.await, Ok(EngineStatus::default()));
-            let more = peer.read(&mut [0; 8]).await.expect("its end");
+            let more = peer.read(&mut [0; 8]).await.expect("end of the stream");
             assert_eq!(more, 0, "no more frames");
         };
         tokio::join!(self.forwarding.forward_until_idle(request), peer_side);
@@ -111,7 +117,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_old_process_writes_and_reads_the_bytes_of_before() {
+async fn the_old_process_writes_and_reads_the_recorded_bytes() {
     LocalSet::new()
         .run_until(async {
             let folder = folder("golden-old");
@@ -132,7 +138,7 @@
                 commit(&mut peer, &clients)
             );
             let Ok(OfferOutcome::TakenOver(request)) = outcome else {
-                panic!("it was committed: {outcome:?}")
+                panic!("the offer was not committed: {outcome:?}")
             };
             drop(connections);
             ForwardingProcess::new(gate)
--- a/crates/hot-restart/tests/golden/socket.rs
+++ b/crates/hot-restart/tests/golden/socket.rs
@@ -1,4 +1,4 @@
-//! Bytes and descriptors on a socket.
+//! Helpers that send and receive bytes and file descriptors on a Unix socket.
 
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
@@ -13,7 +13,10 @@
 
 pub(crate) async fn read_exact(stream: &mut UnixStream, length: usize) -> Vec<u8> {
     let mut bytes = vec![0; length];
-    stream.read_exact(&mut bytes).await.expect("so many bytes");
+    stream
+        .read_exact(&mut bytes)
+        .await
+        .expect("the given number of bytes");
     bytes
 }
 
@@ -21,7 +24,7 @@
     stream.write_all(bytes).await.expect("written");
 }
 
-/// Eight bytes and the descriptors beside them.
+/// Receives up to eight bytes, and the descriptors sent with them.
 pub(crate) async fn receive(stream: &UnixStream) -> (Vec<u8>, Vec<OwnedFd>) {
     stream.readable().await.expect("readable");
     stream
--- a/crates/hot-restart/tests/snapshot.rs
+++ b/crates/hot-restart/tests/snapshot.rs
@@ -1,5 +1,5 @@
-//! An engine that goes on in another process, in virtual time; and the format version of the snapshot that it
-//! travels in.
+//! An engine that is restored in another process from its snapshot, in virtual time; and the format version of the
+//! snapshot.
 
 use milletturn_engine::{
     ArrivalOutcome, AttemptEnd, CallItem, EndCause, Ending, Engine, Input, Notification, Ports,
@@ -17,12 +17,13 @@
 use tokio::task::{LocalSet, yield_now};
 use tokio::time::{Instant, sleep};
 
-/// Changes with each change of any type in a snapshot. When it does, raise `FORMAT_VERSION` and take the new value
-/// over: a process of the other version must go on from the journal. A change of decisions that this small run makes
-/// changes the value too; then the version stays.
+/// Format version and hash of the snapshot that this test takes. The hash changes with each change to a type in the
+/// snapshot: then raise `FORMAT_VERSION` and set the new value here, since a process of the other version must recover
+/// from the journal instead. If the hash changes only because the engine decides differently in this test, set the new
+/// value and keep the version.
 const FINGERPRINT: (u32, u64) = (7, 6_957_180_694_112_498_467);
 
-/// The parts of one process.
+/// The engine's ports in one process, and the ends of its channels.
 struct Process {
     ports: Ports,
     inputs: mpsc::UnboundedSender<Input>,
@@ -30,7 +31,7 @@
     notifications: mpsc::UnboundedReceiver<Notification>,
 }
 
-/// A process whose calls go to a client system that never answers.
+/// A process whose calls go to an endpoint that never responds.
 fn process(journal: &MemoryJournal) -> Process {
     let mut settings = Settings::new(8, 50);
     settings.classes.push(Class::new(
@@ -72,19 +73,19 @@
     let (arrival, outcome) = arrival(id, 0, false);
     inputs
         .send(Input::Arrived(arrival))
-        .expect("somebody listens");
+        .expect("the inputs are open");
     outcome
 }
 
-/// Runs the engine until all that has been sent is done, and stops it between two turns.
-async fn settle(engine: &mut Engine, received: &mut mpsc::UnboundedReceiver<Input>) {
+/// Runs the engine until it has handled all inputs, and stops it between two turns.
+async fn run_until_idle(engine: &mut Engine, received: &mut mpsc::UnboundedReceiver<Input>) {
     tokio::select! {
-        () = engine.run(received) => unreachable!("its inputs are open"),
+        () = engine.run(received) => unreachable!("the inputs are open"),
         () = sleep(Duration::from_millis(5)) => {}
     }
 }
 
-/// The snapshot of an engine that has accepted `m1` and `m2` and has both in flight. The engine is gone.
+/// The snapshot of an engine that has accepted `m1` and `m2` and has both in flight. The engine is then dropped.
 async fn snapshot_with_two_calls(journal: &MemoryJournal) -> Vec<u8> {
     let Process {
         ports,
@@ -94,7 +95,7 @@
     } = process(journal);
     let mut old = Engine::new(ports).expect("settings");
     let outcomes = [submit(&inputs, "m1"), submit(&inputs, "m2")];
-    settle(&mut old, &mut received).await;
+    run_until_idle(&mut old, &mut received).await;
     for outcome in outcomes {
         assert_eq!(outcome.await, Ok(ArrivalOutcome::Accepted));
     }
@@ -104,7 +105,7 @@
     bytes
 }
 
-/// The end of a call of the old process.
+/// The end of an attempt that the old process made.
 fn attempt_ended(call: u64, outcome: Outcome) -> Input {
     Input::AttemptEnded(AttemptEnd {
         call,
@@ -119,7 +120,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn calls_of_the_old_process_end_in_the_new_one_and_the_format_version_is_known() {
+async fn calls_of_the_old_process_end_in_the_new_one_and_the_snapshot_format_is_unchanged() {
     LocalSet::new()
         .run_until(async {
             let journal = MemoryJournal::default();
@@ -127,9 +128,9 @@
             assert_eq!(
                 (FORMAT_VERSION, stable_hash(&bytes)),
                 FINGERPRINT,
-                "the format has changed: raise FORMAT_VERSION, and note the new value here"
+                "the format has changed: raise FORMAT_VERSION, and set the new hash in FINGERPRINT"
             );
-            // the old engine is gone; its calls go on
+            // the old engine has been dropped; its calls are still in flight
             let Process {
                 ports,
                 inputs,
@@ -147,22 +148,25 @@
             for (call, outcome) in ends {
                 inputs.send(attempt_ended(call, outcome)).expect("open");
             }
-            // the same id is the same message in either process
+            // a message submitted again under the same id is recognized in the new process
             let resubmitted = submit(&inputs, "m1");
-            settle(&mut engine, &mut received).await;
+            run_until_idle(&mut engine, &mut received).await;
             yield_now().await;
             assert_eq!(resubmitted.await, Ok(ArrivalOutcome::AlreadyDelivered));
             let failed = notifications
                 .try_recv()
-                .expect("the other one is unsafe and may have run");
+                .expect("a notification of m2, which is unsafe and may have run");
             assert_eq!((failed.id.as_str(), failed.ending), ("m2", Ending::Failed));
-            assert!(notifications.try_recv().is_err(), "one end each");
+            assert!(
+                notifications.try_recv().is_err(),
+                "only m2 has a notification"
+            );
         })
         .await;
 }
 
 #[test]
-fn a_snapshot_that_is_cut_or_changed_is_an_error_or_another_snapshot_never_a_panic() {
+fn a_truncated_or_changed_snapshot_is_an_error() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -177,7 +181,7 @@
         } = process(&journal);
         let mut engine = Engine::new(ports).expect("settings");
         let _outcome = submit(&inputs, "m1");
-        settle(&mut engine, &mut received).await;
+        run_until_idle(&mut engine, &mut received).await;
         let bytes = engine.snapshot().expect("encoded");
         for cut in 0..bytes.len() {
             assert!(Snapshot::decode(&bytes[..cut]).is_err(), "{cut}");
@@ -187,7 +191,7 @@
             changed[at] ^= 0x55;
             assert!(
                 Snapshot::decode(&changed).is_err(),
-                "its sum no longer fits, {at}"
+                "the checksum does not match, byte {at} changed"
             );
         }
     });
--- a/crates/journal/src/file_journal.rs
+++ b/crates/journal/src/file_journal.rs
@@ -208,7 +208,7 @@
         }
         let written = self.append(Record::Finished(number), 0);
         if written.is_err() {
-            // the message needs no further work, so a compacted file leaves it out, and may fit where the record did not
+            // the message needs no further work: a compacted file leaves it out, and may fit where the record did not
             self.live.apply(Record::Finished(number), 0);
             self.unrecorded.push(number);
             return self.compact_finished();
