--- a/crates/idle-state/src/compact.rs
+++ b/crates/idle-state/src/compact.rs
@@ -1,95 +1,97 @@
-//! The compact form of a destination's state, and the conversion there and back.
+//! The compact form of a destination's state, and the conversion to and from this form.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// The health of a destination when it was used last.
+/// The health of a destination at the time when it became idle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum Health {
-    /// It takes calls.
+    /// The destination gets calls without restriction.
     #[default]
     Healthy,
-    /// It gets no calls but probes: an outlier that failed, rejected calls or no longer answered.
+    /// The destination gets only probes, because its calls failed, were rejected or got no response.
     Ejected {
-        /// It only stopped answering: no failure and no rejection was seen.
+        /// True if calls only got no response: there was no failure and no rejection.
         unresponsive: bool,
         /// When it was ejected.
         since: Micros,
     },
-    /// It has answered again and is warming up.
+    /// The destination has responded again after an ejection and is warming up.
     Recovering {
-        /// Time of its first success.
+        /// Time of the first success after the ejection.
         since: Micros,
     },
 }
 
-/// All that is remembered of a destination for its next message. Times are Unix times in microseconds.
+/// The state of a destination that is kept while it is idle. Times are Unix times in microseconds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DestinationState {
-    /// End of the last `Retry-After`; nothing may be sent before.
+    /// End of the last `Retry-After`; no call may be sent before this time.
     pub wait_until: Micros,
-    /// Its health.
+    /// Whether the destination was healthy, ejected or recovering.
     pub health: Health,
-    /// When it was healthy last, where it is not.
+    /// When the destination was last healthy. Meaningful only if `health` is not [`Health::Healthy`].
     pub unhealthy_since: Micros,
-    /// When it was first known.
+    /// When the destination was first known to this sender.
     pub first_seen: Micros,
     /// When the last call was sent.
     pub last_sent: Micros,
-    /// Calls sent so far; the compact form stops counting at 2^32 - 1.
+    /// Number of calls sent so far; the compact form stops counting at 2^32 - 1.
     pub sent: u64,
-    /// The rate limit that its answers announced, in calls a second.
+    /// The rate limit that the destination announced in its responses, in calls per second.
     pub announced_limit: Option<f64>,
-    /// This sender's even share of an announced limit, or 0.
+    /// This sender's part of an announced limit that all senders share evenly, in calls per second; 0 if there is none.
     pub share: f64,
-    /// Rate limit in calls a second; infinite where nothing bounded them.
+    /// Rate limit in calls per second; infinite if there was no limit.
     pub rate: f64,
-    /// The highest rate that was served, in calls a second.
+    /// The highest rate that the destination served, in calls per second.
     pub best_rate: f64,
-    /// Limit of the calls in flight.
+    /// Maximum number of calls in flight.
     pub window: f64,
-    /// Typical latency.
+    /// Typical latency of a call in microseconds; `None` if it is not known.
     pub typical_latency: Option<Micros>,
-    /// Latency after which a hedged request goes out.
+    /// Time in microseconds after which a call without a response is hedged; `None` if it is not known.
     pub hedge_after: Option<Micros>,
-    /// Weights of the failures and of all remembered calls.
+    /// Weight of the failed calls, and weight of all calls that were counted.
     pub failures: (f64, f64),
-    /// Weights of the rejections and of all remembered answers.
+    /// Weight of the rejections, and weight of all responses that were counted.
     pub rejections: (f64, f64),
-    /// Evidence of an outage.
+    /// Evidence of an outage as a log-likelihood ratio: the larger the value, the more likely the outage.
     pub outage_evidence: f64,
 }
 
-/// A [`DestinationState`] in 88 bytes. Its serialized form is that of its fields in this order.
+/// A [`DestinationState`] in 88 bytes. Serialized by position: the order of the fields is the format.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct CompactState {
     wait_until: Micros,
-    /// When it was ejected, or began to recover; 0 while it is healthy.
+    /// When the destination was ejected, or began to recover; 0 if it is healthy.
     health_since: Micros,
-    condition: Condition,
-    /// Seconds, rounded up, as the next two.
+    health_kind: HealthKind,
+    /// Unix time in seconds, rounded up.
     unhealthy_since: u32,
+    /// Unix time in seconds, rounded up.
     first_seen: u32,
+    /// Unix time in seconds, rounded up.
     last_sent: u32,
     sent: u32,
-    /// Zero or less: none.
+    /// Zero or less if there is no announced limit.
     announced_limit: f32,
     share: f32,
     rate: f32,
     best_rate: f32,
     window: f32,
-    /// [`NO_DURATION`]: none.
+    /// Microseconds, or [`UNKNOWN_DURATION`].
     typical_latency: u32,
-    /// [`NO_DURATION`]: none.
+    /// Microseconds, or [`UNKNOWN_DURATION`].
     hedge_after: u32,
     failures: (f32, f32),
     rejections: (f32, f32),
     outage_evidence: f32,
 }
 
-/// [`Health`] without its times; the order is that of the serialized form.
+/// [`Health`] without its times. Serialized by position: the order of the variants is the format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-enum Condition {
+enum HealthKind {
     Healthy,
     Ejected,
     Unresponsive,
@@ -97,32 +99,35 @@
 }
 
 const SECOND: Micros = 1_000_000;
-/// Stands for a duration that is not known.
-const NO_DURATION: u32 = u32::MAX;
+/// The compact form of a duration that is not known.
+const UNKNOWN_DURATION: u32 = u32::MAX;
 
 impl CompactState {
-    /// End of the last `Retry-After`.
+    /// End of the last `Retry-After`, as Unix time in microseconds. Exact.
     #[must_use]
     pub fn wait_until(&self) -> Micros {
         self.wait_until
     }
 
-    /// True for a destination that is ejected.
+    /// True if the destination is ejected, whether unresponsive or not.
     #[must_use]
     pub fn is_ejected(&self) -> bool {
-        matches!(self.condition, Condition::Ejected | Condition::Unresponsive)
+        matches!(
+            self.health_kind,
+            HealthKind::Ejected | HealthKind::Unresponsive
+        )
     }
 
-    /// When the last call was sent, up to a second later.
+    /// When the last call was sent, as Unix time in microseconds, rounded up to a whole second.
     #[must_use]
     pub fn last_sent(&self) -> Micros {
         Micros::from(self.last_sent) * SECOND
     }
 
-    /// The state that was compacted, but for the rounding that the page of this package describes.
+    /// The state from which this compact form was made, with the precision described at the top of this package.
     #[must_use]
     pub fn expand(&self) -> DestinationState {
-        let pair = |(part, all): (f32, f32)| (f64::from(part), f64::from(all));
+        let pair = |(part, total): (f32, f32)| (f64::from(part), f64::from(total));
         DestinationState {
             wait_until: self.wait_until,
             health: self.health(),
@@ -145,60 +150,61 @@
 
     fn health(&self) -> Health {
         let since = self.health_since;
-        match self.condition {
-            Condition::Healthy => Health::Healthy,
-            Condition::Ejected => Health::Ejected {
+        match self.health_kind {
+            HealthKind::Healthy => Health::Healthy,
+            HealthKind::Ejected => Health::Ejected {
                 unresponsive: false,
                 since,
             },
-            Condition::Unresponsive => Health::Ejected {
+            HealthKind::Unresponsive => Health::Ejected {
                 unresponsive: true,
                 since,
             },
-            Condition::Recovering => Health::Recovering { since },
+            HealthKind::Recovering => Health::Recovering { since },
         }
     }
 }
 
 impl From<&DestinationState> for CompactState {
-    fn from(known: &DestinationState) -> Self {
-        let pair = |(part, all): (f64, f64)| (round_down(part), round_down(all));
+    fn from(state: &DestinationState) -> Self {
+        let pair = |(part, total): (f64, f64)| (round_down(part), round_down(total));
         CompactState {
-            wait_until: known.wait_until,
-            health_since: match known.health {
+            wait_until: state.wait_until,
+            health_since: match state.health {
                 Health::Healthy => 0,
                 Health::Ejected { since, .. } | Health::Recovering { since } => since,
             },
-            condition: match known.health {
-                Health::Healthy => Condition::Healthy,
+            health_kind: match state.health {
+                Health::Healthy => HealthKind::Healthy,
                 Health::Ejected {
                     unresponsive: false,
                     ..
-                } => Condition::Ejected,
+                } => HealthKind::Ejected,
                 Health::Ejected {
                     unresponsive: true, ..
-                } => Condition::Unresponsive,
-                Health::Recovering { .. } => Condition::Recovering,
+                } => HealthKind::Unresponsive,
+                Health::Recovering { .. } => HealthKind::Recovering,
             },
-            unhealthy_since: seconds_rounded_up(known.unhealthy_since),
-            first_seen: seconds_rounded_up(known.first_seen),
-            last_sent: seconds_rounded_up(known.last_sent),
-            sent: u32::try_from(known.sent).unwrap_or(u32::MAX),
-            announced_limit: known.announced_limit.map_or(0.0, round_down),
-            share: round_down(known.share),
-            rate: round_down(known.rate),
-            best_rate: round_down(known.best_rate),
-            window: round_down(known.window),
-            typical_latency: compact_duration(known.typical_latency),
-            hedge_after: compact_duration(known.hedge_after),
-            failures: pair(known.failures),
-            rejections: pair(known.rejections),
-            outage_evidence: round_down(known.outage_evidence),
+            unhealthy_since: seconds_rounded_up(state.unhealthy_since),
+            first_seen: seconds_rounded_up(state.first_seen),
+            last_sent: seconds_rounded_up(state.last_sent),
+            sent: u32::try_from(state.sent).unwrap_or(u32::MAX),
+            announced_limit: state.announced_limit.map_or(0.0, round_down),
+            share: round_down(state.share),
+            rate: round_down(state.rate),
+            best_rate: round_down(state.best_rate),
+            window: round_down(state.window),
+            typical_latency: compact_duration(state.typical_latency),
+            hedge_after: compact_duration(state.hedge_after),
+            failures: pair(state.failures),
+            rejections: pair(state.rejections),
+            outage_evidence: round_down(state.outage_evidence),
         }
     }
 }
 
-/// The nearest `f32` that is not greater; infinity stays. What is no number becomes 0.
+/// The largest `f32` that is not greater than the value. Positive infinity stays infinite, negative infinity becomes
+/// [`f32::MIN`], and NaN becomes 0.
 fn round_down(value: f64) -> f32 {
     if value.is_nan() {
         return 0.0;
@@ -206,28 +212,28 @@
     if value.is_infinite() {
         return if value > 0.0 { f32::INFINITY } else { f32::MIN };
     }
-    let near = value.clamp(f64::from(f32::MIN), f64::from(f32::MAX)) as f32;
-    if f64::from(near) > value {
-        near.next_down()
+    let nearest = value.clamp(f64::from(f32::MIN), f64::from(f32::MAX)) as f32;
+    if f64::from(nearest) > value {
+        nearest.next_down()
     } else {
-        near
+        nearest
     }
 }
 
-/// Unix seconds, rounded up: a little less is remembered for a little less long. Times before 1970 become 0, those
-/// after 2106 the last one.
+/// Unix time in seconds, rounded up, so that no time is earlier than before. Times before 1970 become 0, times after
+/// 2106 become `u32::MAX`.
 fn seconds_rounded_up(at: Micros) -> u32 {
     u32::try_from((at.max(0) + SECOND - 1) / SECOND).unwrap_or(u32::MAX)
 }
 
 fn compact_duration(duration: Option<Micros>) -> u32 {
-    duration.map_or(NO_DURATION, |micros| {
+    duration.map_or(UNKNOWN_DURATION, |micros| {
         u32::try_from(micros.max(0))
-            .unwrap_or(NO_DURATION - 1)
-            .min(NO_DURATION - 1)
+            .unwrap_or(UNKNOWN_DURATION - 1)
+            .min(UNKNOWN_DURATION - 1)
     })
 }
 
 fn expand_duration(compact: u32) -> Option<Micros> {
-    (compact != NO_DURATION).then(|| Micros::from(compact))
+    (compact != UNKNOWN_DURATION).then(|| Micros::from(compact))
 }
--- a/crates/idle-state/src/initial_limits.rs
+++ b/crates/idle-state/src/initial_limits.rs
@@ -1,46 +1,48 @@
-//! How far old measurements are relied on: the limits that a destination starts with when it is used again.
+//! The limits with which calls to an idle destination start again, depending on the age of its measurements.
 
 use crate::{DestinationState, Micros};
 
 const SECOND: Micros = 1_000_000;
 
-/// Measurements older than this are stale. An hour is far beyond any outage that still lasts, and short beside the
-/// weeks between two messages of a small destination: a shorter time treats a quiet evening as if it were a quarter, a
-/// longer one relies on a limit that a deployment has changed meanwhile.
+/// Time after the last call, in microseconds, from which the measurements of a destination are stale. An hour is far
+/// longer than any outage that may still be in progress, and short compared to the weeks between two messages of a
+/// small destination. A shorter time would discard the measurements after one evening without messages; a longer one
+/// would rely on limits that a deployment has changed meanwhile.
 pub const STALE_AFTER: Micros = 3_600 * SECOND;
-/// Calls a second that stale measurements allow at first, to be grown by successes: each may add half of what is there,
-/// so that 200 a second are reached after some ten. Higher serves a burst sooner, lower meets a new limit more gently.
-const STALE_RATE: f64 = 4.0;
-/// Calls in flight at once where the measurements are stale.
-const STALE_WINDOW: f64 = 4.0;
+/// Maximum initial rate, in calls per second, where the measurements are stale. Each success may raise the rate by
+/// half, so that 200 per second are reached after about ten. A higher value serves a burst sooner; a lower one causes
+/// fewer rejections if the destination has lowered its limit.
+const MAX_STALE_RATE: f64 = 4.0;
+/// Maximum number of calls in flight, at first, where the measurements are stale.
+const MAX_STALE_WINDOW: f64 = 4.0;
 
-/// The limits that a destination starts with when it is used again.
+/// The limits with which calls to an idle destination start again.
 #[derive(Debug, Clone, PartialEq)]
 pub struct InitialLimits {
-    /// The measurements are recent: the limits are those of before.
+    /// True if the measurements are not stale, so that the limits are the same as at the last call.
     pub is_fresh: bool,
-    /// Calls a second; infinite where nothing bounds them.
+    /// Maximum calls per second; infinite if there is no limit.
     pub rate: f64,
-    /// Calls in flight.
+    /// Maximum calls in flight.
     pub window: f64,
 }
 
-/// The limits to start with at `now`, by the time since the last call. A `Retry-After` is no measurement: it binds to
-/// its end, whatever its age.
+/// The limits to start with at `now`, depending on the time since the last call. A `Retry-After` is not affected: it
+/// applies until its end, whatever its age.
 #[must_use]
-pub fn initial_limits(known: &DestinationState, now: Micros) -> InitialLimits {
-    let is_fresh = now - known.last_sent < STALE_AFTER;
+pub fn initial_limits(state: &DestinationState, now: Micros) -> InitialLimits {
+    let is_fresh = now - state.last_sent < STALE_AFTER;
     if is_fresh {
         return InitialLimits {
             is_fresh,
-            rate: known.rate,
-            window: known.window,
+            rate: state.rate,
+            window: state.window,
         };
     }
-    // the limit may be lower by now: it is found again from below, never by a burst
+    // the destination may have lowered its limit: start low and let successes raise the rate, without a burst
     InitialLimits {
         is_fresh,
-        rate: known.rate.min(STALE_RATE),
-        window: known.window.min(STALE_WINDOW),
+        rate: state.rate.min(MAX_STALE_RATE),
+        window: state.window.min(MAX_STALE_WINDOW),
     }
 }
--- a/crates/idle-state/src/lib.rs
+++ b/crates/idle-state/src/lib.rs
@@ -1,13 +1,14 @@
-//! The compact form of destinations that get no calls: tens of bytes in place of the kilobytes of one in use, and
-//! how far what it remembers may still be relied on. A pure library: no clock, no I/O.
+//! The state that is kept of an idle destination, that is one which currently gets no calls, and the limits with which
+//! calls to it start again. The compact form takes up tens of bytes, where a destination in use takes up kilobytes.
+//! A pure library: no clock, no I/O.
 //!
-//! | value | how the compact form holds it |
+//! | value | precision in the compact form |
 //! | --- | --- |
-//! | end of a `Retry-After`, start of an ejection or a recovery | exactly |
-//! | first seen, last healthy, last called | rounded up to whole seconds |
-//! | limits, rates, windows, counts | rounded down to 24 bits of precision (one part in 16 million), so that nothing allows more than before |
+//! | end of a `Retry-After`, start of an ejection or a recovery | exact |
+//! | first seen, last healthy, last call | rounded up to whole seconds |
+//! | limits, rates, windows, counts | rounded down to 24 bits of precision (one part in 16 million), so that no limit is higher than before |
 //! | latencies | whole microseconds, 71 minutes at most |
-//! | single latencies and service times behind those figures | not at all |
+//! | the single latencies and service times from which these are computed | not kept |
 
 mod compact;
 mod initial_limits;
--- a/crates/idle-state/tests/compact.rs
+++ b/crates/idle-state/tests/compact.rs
@@ -1,4 +1,4 @@
-//! What the compact form must keep, over random states.
+//! Properties that the compact form must keep, checked with random states.
 
 use milletturn_idle_state::{CompactState, DestinationState, Health, STALE_AFTER, initial_limits};
 use proptest::prelude::*;
@@ -44,29 +44,29 @@
 
 proptest! {
     #[test]
-    fn no_limit_is_lost_or_raised(known in states()) {
-        let compact = CompactState::from(&known);
+    fn no_limit_is_lost_or_raised(original in states()) {
+        let compact = CompactState::from(&original);
         let expanded = compact.expand();
-        prop_assert_eq!(expanded.wait_until, known.wait_until);
-        prop_assert_eq!(expanded.health, known.health);
-        prop_assert_eq!(compact.is_ejected(), matches!(known.health, Health::Ejected { .. }));
-        for (after, before) in [(expanded.rate, known.rate), (expanded.best_rate, known.best_rate)] {
+        prop_assert_eq!(expanded.wait_until, original.wait_until);
+        prop_assert_eq!(expanded.health, original.health);
+        prop_assert_eq!(compact.is_ejected(), matches!(original.health, Health::Ejected { .. }));
+        for (after, before) in [(expanded.rate, original.rate), (expanded.best_rate, original.best_rate)] {
             prop_assert!(after <= before && (after >= before * (1.0 - 2e-7) || before < 1e-30), "{} {}", after, before);
         }
-        prop_assert_eq!(expanded.announced_limit.is_some(), known.announced_limit.is_some());
-        prop_assert!(expanded.announced_limit <= known.announced_limit);
-        // a pause after a call is no shorter
-        prop_assert!(expanded.last_sent >= known.last_sent && expanded.last_sent < known.last_sent + 1_000_000);
-        // compacting once more changes nothing
+        prop_assert_eq!(expanded.announced_limit.is_some(), original.announced_limit.is_some());
+        prop_assert!(expanded.announced_limit <= original.announced_limit);
+        // a wait that counts from the last call must not become shorter
+        prop_assert!(expanded.last_sent >= original.last_sent && expanded.last_sent < original.last_sent + 1_000_000);
+        // compacting the expanded state again gives the same compact form
         prop_assert_eq!(CompactState::from(&expanded), compact);
     }
 
     #[test]
-    fn stale_limits_are_no_higher_than_fresh_ones(known in states(), age in 0i64..10 * STALE_AFTER) {
-        let now = known.last_sent + age;
-        let limits = initial_limits(&known, now);
+    fn stale_limits_are_no_higher_than_fresh_ones(original in states(), age in 0i64..10 * STALE_AFTER) {
+        let now = original.last_sent + age;
+        let limits = initial_limits(&original, now);
         prop_assert_eq!(limits.is_fresh, age < STALE_AFTER);
-        prop_assert!(limits.rate <= known.rate && limits.window <= known.window);
+        prop_assert!(limits.rate <= original.rate && limits.window <= original.window);
         prop_assert!(limits.is_fresh || limits.rate <= 4.0);
     }
 }
--- a/crates/idle-state/tests/golden.rs
+++ b/crates/idle-state/tests/golden.rs
@@ -1,13 +1,13 @@
-//! CompactState destinations as earlier builds wrote them, inside the snapshot that one process hands to the next.
+//! Compact destination states as earlier builds wrote them into the snapshot of a hot restart.
 
 use milletturn_idle_state::{CompactState, DestinationState, Health};
 
-/// Four destinations, one of each health, one behind the other.
+/// Four encoded compact states, one for each kind of health, without separators.
 const COMPACT: &[u8] = include_bytes!("golden/compact.bin");
 
 const AT: i64 = 1_700_000_000_000_000;
 
-/// Values that the compact form keeps exactly.
+/// The states encoded in `COMPACT`. Their values are chosen so that the compact form keeps them exactly.
 fn states() -> [DestinationState; 4] {
     let healthy = DestinationState {
         wait_until: 0,
@@ -62,23 +62,23 @@
 #[test]
 fn each_value_is_read_back_and_written_as_the_same_bytes() {
     let mut bytes = COMPACT;
-    for known in states() {
+    for state in states() {
         let (compact, remaining) =
-            postcard::take_from_bytes::<CompactState>(bytes).expect("a compact destination");
+            postcard::take_from_bytes::<CompactState>(bytes).expect("a compact state");
         bytes = remaining;
-        assert_eq!(compact.expand(), known);
-        assert_eq!(compact, CompactState::from(&known));
-        assert_eq!(compact.wait_until(), known.wait_until);
-        assert_eq!(compact.last_sent(), known.last_sent);
+        assert_eq!(compact.expand(), state);
+        assert_eq!(compact, CompactState::from(&state));
+        assert_eq!(compact.wait_until(), state.wait_until);
+        assert_eq!(compact.last_sent(), state.last_sent);
         assert_eq!(
             compact.is_ejected(),
-            matches!(known.health, Health::Ejected { .. })
+            matches!(state.health, Health::Ejected { .. })
         );
     }
     assert!(bytes.is_empty());
     let written: Vec<u8> = states()
         .iter()
-        .flat_map(|known| postcard::to_allocvec(&CompactState::from(known)).expect("encoded"))
+        .flat_map(|state| postcard::to_allocvec(&CompactState::from(state)).expect("encoded"))
         .collect();
     assert_eq!(written, COMPACT);
 }
