--- a/crates/access-log/src/lib.rs
+++ b/crates/access-log/src/lib.rs
@@ -1,11 +1,12 @@
-//! The access log of a group of senders: a record for each step of a message, and the summary over all logs.
+//! The access log of a group of senders: a record for each step of a message, and a summary of all senders' logs.
 //!
-//! Each sender writes its records into its own log. One sender of a hundred makes a call a second, and no figure of its
-//! own shows what all do together: so the records of all logs are summed by destination and interval.
+//! Each sender writes its records to its own log. One sender of a hundred makes about one call per second, too few to
+//! show how the whole group treats a destination. Therefore the records of all logs are summed by destination and
+//! interval.
 //!
 //! - [`AccessRecord`]: one record, as it is written and read.
 //! - [`AccessLogObserver`]: writes the records of one sender.
-//! - [`AccessLogSummary`]: the sums over the records of all.
+//! - [`AccessLogSummary`]: sums the records of all senders.
 
 mod observer;
 mod record;
--- a/crates/access-log/src/observer.rs
+++ b/crates/access-log/src/observer.rs
@@ -1,17 +1,17 @@
-//! Writes the records of one sender into its log.
+//! The observer that writes the access records of one sender to its log.
 
 use crate::record::{AccessEvent, AccessRecord, AttemptOutcome, GiveUpReason, RECORD_PREFIX};
 use milletturn_engine::{Attribution, CloseReason, EndCause, EndReason, EngineEvent, Observer};
 use milletturn_policy::Outcome;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-/// An observer that logs each event of the engine as a record, and hands it on to the next observer.
+/// An observer that logs the engine's events as access records, and passes each event on to the next observer.
 pub struct AccessLogObserver {
     next: Box<dyn Observer>,
 }
 
 impl AccessLogObserver {
-    /// An observer before another one.
+    /// Creates an observer that passes each event on to `next`.
     #[must_use]
     pub fn new(next: Box<dyn Observer>) -> Self {
         Self { next }
@@ -36,7 +36,7 @@
     }
 }
 
-/// The record's part of an event; none for those that are not of a message's way.
+/// Converts an engine event into an access event. `None` for events that are not logged.
 fn access_event(event: &EngineEvent<'_>) -> Option<AccessEvent> {
     Some(match *event {
         EngineEvent::Accepted {
@@ -91,7 +91,7 @@
     })
 }
 
-/// The record's part of an event of an attempt or a connection; none for other events.
+/// Converts an engine event about an attempt or a connection. `None` for other events.
 fn transport_event(event: &EngineEvent<'_>) -> Option<AccessEvent> {
     Some(match *event {
         EngineEvent::ConnectionClosed {
@@ -135,7 +135,7 @@
             uid: uid.to_string(),
             call,
             cause: cause_text(cause),
-            retry_after_us: retry_after(&outcome).map(non_negative),
+            retry_after_us: rejection_wait(&outcome).map(non_negative),
             destination,
             outcome: attempt_outcome(&outcome),
             report: report.to_vec(),
@@ -169,7 +169,7 @@
     }
 }
 
-fn retry_after(outcome: &Outcome) -> Option<i64> {
+fn rejection_wait(outcome: &Outcome) -> Option<i64> {
     match outcome {
         Outcome::Refused { wait } => *wait,
         _ => None,
@@ -186,7 +186,7 @@
     }
 }
 
-/// The text of a cause in the log; readers of logs go by it.
+/// The text of a cause in the log. Programs that read logs depend on these texts, so they must not change.
 fn cause_text(cause: EndCause) -> String {
     match cause {
         EndCause::Response(status) => format!("answer {status}"),
@@ -202,7 +202,7 @@
     }
 }
 
-/// The text of a close reason in the log; readers of logs go by it.
+/// The text of a close reason in the log. Programs that read logs depend on these texts, so they must not change.
 fn close_text(reason: CloseReason) -> &'static str {
     match reason {
         CloseReason::CallFailed => "call failed",
@@ -213,7 +213,7 @@
     }
 }
 
-/// The text of an attribution in the log; readers of logs go by it.
+/// The text of an attribution in the log. Programs that read logs depend on these texts, so they must not change.
 fn attribution_text(attribution: Attribution) -> &'static str {
     match attribution {
         Attribution::FirstCall => "first call",
--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -1,119 +1,119 @@
-//! One record of the access log, as it is written and read.
+//! The records of the access log, as they are written and read.
 
 use serde::{Deserialize, Serialize};
 
 /// The text before the JSON object of each record.
 pub(crate) const RECORD_PREFIX: &str = "trace ";
 
-/// One step of a message at one sender, with its time.
+/// One record of the access log: an event at one sender, with its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AccessRecord {
-    /// When it happened: Unix time in microseconds.
+    /// Time of the event, as Unix time in microseconds.
     #[serde(rename = "at")]
     pub at_us: u64,
-    /// What happened.
+    /// The event, whose fields are written next to the time.
     #[serde(flatten)]
     pub event: AccessEvent,
 }
 
-/// What happened, and to which destination.
+/// An event that is logged: most are a step of one message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum AccessEvent {
     /// A message was accepted.
     #[serde(rename = "taken")]
     Accepted {
-        /// The message's id; empty in records of older senders.
+        /// Id of the message; empty in records of older senders.
         #[serde(default, skip_serializing_if = "String::is_empty")]
         id: String,
-        /// Its destination.
+        /// Destination of the message, by number.
         #[serde(rename = "to")]
         destination: u64,
     },
     /// A message was rejected on arrival.
     #[serde(rename = "turned_away")]
     Rejected {
-        /// The message's id; empty in records of older senders.
+        /// Id of the message; empty in records of older senders.
         #[serde(default, skip_serializing_if = "String::is_empty")]
         id: String,
-        /// Its destination.
+        /// Destination of the message, by number.
         #[serde(rename = "to")]
         destination: u64,
     },
     /// An attempt began.
     #[serde(rename = "sent")]
     AttemptStarted {
-        /// The message's id.
+        /// Id of the message; empty in records of older senders.
         #[serde(default)]
         id: String,
-        /// Its destination.
+        /// Destination of the message, by number.
         #[serde(rename = "to")]
         destination: u64,
-        /// The attempt's number among the message's, from 0.
+        /// Number of the attempt among those of the message, from 0.
         attempt: usize,
     },
     /// An attempt ended.
     #[serde(rename = "ended")]
     AttemptEnded {
-        /// The message's id.
+        /// Id of the message; empty in records of older senders.
         #[serde(default)]
         id: String,
-        /// The attempt's number among the message's, from 0.
+        /// Number of the attempt among those of the message, from 0.
         #[serde(default)]
         attempt: usize,
-        /// The endpoint's name.
+        /// Name of the endpoint; empty in records of older senders.
         #[serde(default)]
         uid: String,
-        /// The number of the call, new for each of a process; several messages may share it.
+        /// Number of the call, unique within the process; the attempts of a batch share one call.
         #[serde(default)]
         call: u64,
-        /// What the outcome is derived from, such as `answer 503` or `no head`.
+        /// The observation from which the outcome follows, such as `answer 503` or `no head`.
         #[serde(default)]
         cause: String,
         /// The Retry-After of a rejection, in microseconds.
         #[serde(rename = "wait", default, skip_serializing_if = "Option::is_none")]
         retry_after_us: Option<u64>,
-        /// The message's destination.
+        /// Destination of the message, by number.
         #[serde(rename = "to")]
         destination: u64,
-        /// How it ended.
+        /// How the attempt ended.
         #[serde(rename = "how")]
         outcome: AttemptOutcome,
-        /// The figures of the load report in its response.
+        /// Values of the load report in the response, in the order of the settings; empty if there was no report.
         report: Vec<f64>,
-        /// The number of its connection, new for each of a process.
+        /// Number of the connection, unique within the process; `None` if the attempt got no connection.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         connection: Option<u64>,
-        /// The call's place among those of its connection, from 1.
+        /// Number of the call among those on the connection, from 1.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         call_on_connection: Option<u64>,
-        /// Time from the last byte of the request to the first byte behind it, in microseconds.
+        /// Time in microseconds from the last byte of the request to the first byte that came after it.
         #[serde(
             rename = "response_after",
             default,
             skip_serializing_if = "Option::is_none"
         )]
         response_after_us: Option<u64>,
-        /// What ties the response to the call, such as `first call`.
+        /// Why the response is known to belong to the call, such as `first call`.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         attributed_by: Option<String>,
     },
     /// A connection to an endpoint was closed.
     #[serde(rename = "closed")]
     ConnectionClosed {
-        /// The endpoint's name, empty if it is not listed any more.
+        /// Name of the endpoint; empty if the endpoint is not listed any more.
         uid: String,
-        /// The connection's number.
+        /// Number of the connection, unique within the process.
         connection: u64,
-        /// How many calls it carried.
+        /// Number of calls that the connection carried.
         calls: u64,
-        /// Why, such as `evicted` or `unsolicited data`.
+        /// Why the connection was closed, such as `evicted` or `unsolicited data`.
         #[serde(rename = "why")]
         reason: String,
-        /// The status of the response that came while no call was out.
+        /// Status of a response that came while no call was in flight on the connection.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         unsolicited_status: Option<u16>,
-        /// Time from the last request to what came while no call was out, in microseconds.
+        /// Time in microseconds from the last request to the data that came while no call was in flight.
         #[serde(
             rename = "unsolicited_after",
             default,
@@ -123,44 +123,44 @@
     },
     /// A message was delivered.
     Delivered {
-        /// The message's id; empty in records of older senders.
+        /// Id of the message; empty in records of older senders.
         #[serde(default, skip_serializing_if = "String::is_empty")]
         id: String,
-        /// Its destination.
+        /// Destination of the message, by number.
         #[serde(rename = "to")]
         destination: u64,
-        /// Its age in microseconds, since it was accepted.
+        /// Microseconds since the message was accepted.
         #[serde(rename = "age")]
         age_us: u64,
     },
     /// A message was given up.
     GivenUp {
-        /// The message's id; empty in records of older senders.
+        /// Id of the message; empty in records of older senders.
         #[serde(default, skip_serializing_if = "String::is_empty")]
         id: String,
-        /// Its destination.
+        /// Destination of the message, by number.
         #[serde(rename = "to")]
         destination: u64,
-        /// Its age in microseconds, since it was accepted.
+        /// Microseconds since the message was accepted.
         #[serde(rename = "age")]
         age_us: u64,
-        /// Why it was given up.
+        /// Why the message was given up.
         #[serde(rename = "why", default)]
         reason: GiveUpReason,
-        /// Whether no call of it was ever begun.
+        /// True if no attempt was ever started for the message.
         #[serde(rename = "untried", default)]
         never_attempted: bool,
     },
-    /// An endpoint sent a Retry-After, in any response; the first bytes of the response are enough.
+    /// An endpoint sent a Retry-After in any response, even in one of which only the first bytes were received.
     #[serde(rename = "told_wait")]
     RetryAfter {
-        /// The endpoint's name.
+        /// Name of the endpoint.
         uid: String,
-        /// The delay from now on, in microseconds.
+        /// Microseconds to wait from the time of the record.
         #[serde(rename = "wait")]
         delay_us: u64,
     },
-    /// The decision module logged something.
+    /// The decision module wrote a log entry.
     #[serde(rename = "remark")]
     PolicyLog {
         /// The text of the log entry.
@@ -172,19 +172,19 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum GiveUpReason {
-    /// Its deadline passed.
+    /// The deadline of the message passed.
     #[serde(rename = "time_up")]
     DeadlineExceeded,
-    /// It was rejected after it had been accepted, before its deadline.
+    /// The message was rejected after it had been accepted, before its deadline.
     #[serde(rename = "turned_away")]
     Rejected,
-    /// All its attempts were used.
+    /// All attempts that the message may have were made.
     #[serde(rename = "attempts_used")]
     AttemptsExhausted,
-    /// It failed before its deadline, and with attempts left.
+    /// The message failed before its deadline with attempts left, but may not be retried.
     #[serde(rename = "no_repeat")]
     NotRetryable,
-    /// A record of an older sender does not say.
+    /// The record does not say, as those of older senders do not.
     #[default]
     Unknown,
 }
@@ -196,20 +196,20 @@
     /// The endpoint accepted the message.
     #[serde(rename = "ok")]
     Success,
-    /// The endpoint rejected it, for now.
+    /// The endpoint rejected the message for now; a later attempt may succeed.
     #[serde(rename = "refused")]
     Rejected,
-    /// Anything else, but for what never left the sender.
+    /// The endpoint responded with an error or not in time, no connection could be opened, or the connection broke.
     Failed,
-    /// It was cancelled, or never sent.
+    /// The attempt was cancelled, or never left the sender.
     #[serde(rename = "none")]
     NotSent,
 }
 
 impl AccessRecord {
-    /// Reads a line of a log, if that is a record; what stands before the prefix is not looked at.
+    /// Parses a line of a log. Text before the record prefix `trace ` is ignored.
     ///
-    /// The line may be any text; what is no record gives none.
+    /// Any text may be passed; `None` is returned for a line that is not a record.
     #[must_use]
     pub fn parse(line: &str) -> Option<Self> {
         let (_, object) = line.split_once(RECORD_PREFIX)?;
@@ -218,7 +218,8 @@
 }
 
 impl AccessEvent {
-    /// The destination that it is counted for; a Retry-After and a closed connection are counted for none.
+    /// The destination for which the event is counted. `None` for events that are not counted by destination, such as
+    /// a Retry-After or a closed connection.
     pub(crate) fn destination(&self) -> Option<u64> {
         match self {
             AccessEvent::Accepted { destination, .. }
@@ -233,7 +234,7 @@
     }
 }
 
-/// The destination in a log entry of the decision module such as "destination 4 sick: shut".
+/// The number of the destination in a log entry of the decision module, such as 4 in "destination 4 sick: shut".
 fn destination_in_log(text: &str) -> Option<u64> {
     text.strip_prefix("destination ")?
         .split(' ')
--- a/crates/access-log/src/summary.rs
+++ b/crates/access-log/src/summary.rs
@@ -1,27 +1,27 @@
-//! Sums over the records of all senders, by destination and interval.
+//! The summary of the records of all senders, by destination and interval.
 
 use crate::record::{AccessEvent, AccessRecord, AttemptOutcome, GiveUpReason};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// Most rows of a summary; records of further rows are dropped and counted.
+/// Maximum number of rows of a summary. Records that would need further rows are dropped and counted.
 ///
-/// A day of 24 h in seconds at 50 destinations is four million.
+/// A day of 24 h in intervals of one second at 50 destinations needs four million rows.
 const MAX_ROWS: usize = 4_500_000;
 
-/// What all senders together did at one destination in one interval.
+/// Counts of the events of all senders for one destination in one interval.
 #[derive(Debug, Clone, Default, PartialEq, Serialize)]
 pub struct IntervalTotals {
-    /// Messages accepted.
+    /// Messages that were accepted.
     #[serde(rename = "taken")]
     pub accepted: u64,
-    /// Messages rejected on arrival.
+    /// Messages that were rejected on arrival.
     #[serde(rename = "turned_away")]
     pub rejected: u64,
-    /// Attempts that began.
+    /// Attempts that were started.
     #[serde(rename = "sent")]
     pub attempts: u64,
-    /// Those among them that were not a message's first.
+    /// Started attempts that were not the first of their message.
     #[serde(rename = "again")]
     pub retries: u64,
     /// Attempts that succeeded.
@@ -30,37 +30,37 @@
     /// Attempts that the endpoint rejected.
     #[serde(rename = "refused")]
     pub rejected_attempts: u64,
-    /// Attempts that failed.
+    /// Attempts with the outcome [`AttemptOutcome::Failed`].
     #[serde(rename = "failed")]
     pub failed_attempts: u64,
-    /// Messages delivered.
+    /// Messages that were delivered.
     pub delivered: u64,
-    /// The sum of the ages of those, in microseconds.
+    /// Sum of the ages of the delivered messages, in microseconds.
     pub age_us: u64,
-    /// Messages given up.
+    /// Messages that were given up.
     pub given_up: u64,
-    /// Those among them of which no call was ever begun, by reason.
+    /// Given-up messages for which no attempt was ever started, by reason.
     #[serde(rename = "untried")]
     pub never_attempted: BTreeMap<GiveUpReason, u64>,
-    /// Senders that ejected it.
+    /// Number of times that a sender ejected the destination.
     #[serde(rename = "fell_sick")]
     pub ejections: u64,
-    /// Senders that saw it recover.
+    /// Number of times that a sender found the destination recovered.
     #[serde(rename = "returned")]
     pub recoveries: u64,
-    /// Load reports of two figures or more.
+    /// Number of load reports with at least two values.
     pub reports: u64,
-    /// The sum of their first figures.
+    /// Sum of the first values of these reports.
     pub report_first: f64,
-    /// The sum of their second ones.
+    /// Sum of the second values of these reports.
     pub report_second: f64,
 }
 
-/// The summary over any number of logs, whose records may be added in any order.
+/// The summary of any number of logs. Records may be added in any order.
 #[derive(Debug)]
 pub struct AccessLogSummary {
     interval_us: u64,
-    /// By destination and number of the interval since the Unix epoch.
+    /// Keyed by destination and number of the interval since the Unix epoch.
     rows: BTreeMap<(u64, u64), IntervalTotals>,
     dropped_records: u64,
 }
@@ -68,18 +68,18 @@
 /// One row of a summary.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SummaryRow<'a> {
-    /// The destination.
+    /// Number of the destination.
     pub destination: u64,
-    /// When the interval begins, in seconds since the first interval of all.
+    /// Start of the interval, in seconds since the start of the earliest interval in the summary.
     pub from_s: f64,
-    /// Messages accepted so far that are neither delivered nor given up at the interval's end.
+    /// Accepted messages that are neither delivered nor given up at the end of the interval.
     pub in_flight: i128,
-    /// What happened in the interval.
+    /// Counts for this destination in this interval.
     pub totals: &'a IntervalTotals,
 }
 
 impl AccessLogSummary {
-    /// An empty summary with intervals of so many microseconds, one at least.
+    /// Creates an empty summary with intervals of `interval_us` microseconds. A value of 0 is taken as 1.
     #[must_use]
     pub fn new(interval_us: u64) -> Self {
         AccessLogSummary {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Counts one record.
+    /// Adds one record to the summary.
     pub fn add(&mut self, record: &AccessRecord) {
         let Some(destination) = record.event.destination() else {
             return;
@@ -102,13 +102,13 @@
         self.rows.entry(key).or_default().add(&record.event);
     }
 
-    /// Records that were dropped since the summary has as many rows as it may.
+    /// Number of records that were dropped because the summary has reached its maximum number of rows.
     #[must_use]
     pub fn dropped_records(&self) -> u64 {
         self.dropped_records
     }
 
-    /// The rows by destination, then time.
+    /// The rows, ordered by destination and then by time.
     pub fn rows(&self) -> impl Iterator<Item = SummaryRow<'_>> {
         let intervals = self.rows.keys().map(|(_, interval)| *interval);
         let first = intervals.min().unwrap_or(0);
--- a/crates/access-log/tests/golden.rs
+++ b/crates/access-log/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The records of senders' logs, against data that was written before names in the code changed: each is read with every
-//! value, and written again as the very same text.
+//! Access records compared with logs of earlier builds: each record is read with all its values, and written again as
+//! exactly the same text. Guards against a rename in the code that changes the format.
 
 use milletturn_access_log::{
     AccessEvent, AccessLogObserver, AccessLogSummary, AccessRecord, AttemptOutcome, GiveUpReason,
@@ -13,10 +13,10 @@
 use std::time::Duration;
 
 const STORED_LOG: &str = include_str!("golden/lines.log");
-/// The same steps as written since records have ids, connections and close reasons.
+/// The log that the present code writes for `emit_events`, with ids, connections and close reasons.
 const LOG_WITH_IDS: &str = include_str!("golden/lines_with_ids.log");
 
-fn objects(text: &str) -> Vec<&str> {
+fn json_objects(text: &str) -> Vec<&str> {
     text.lines()
         .filter_map(|line| line.split_once("trace ").map(|(_, object)| object))
         .collect()
@@ -135,7 +135,7 @@
         .collect();
     let events: Vec<AccessEvent> = records.iter().map(|record| record.event.clone()).collect();
     assert_eq!(events, expected());
-    for (number, (record, object)) in records.iter().zip(objects(STORED_LOG)).enumerate() {
+    for (number, (record, object)) in records.iter().zip(json_objects(STORED_LOG)).enumerate() {
         let at_us = 1_764_000_000_000_000 + 250_000 * number as u64;
         assert_eq!(record.at_us, at_us);
         assert_eq!(serde_json::to_string(record).expect("JSON"), object);
@@ -144,7 +144,7 @@
 
 #[test]
 fn records_with_ids_and_connections_are_read_and_written_as_they_were() {
-    for object in objects(LOG_WITH_IDS) {
+    for object in json_objects(LOG_WITH_IDS) {
         let record = AccessRecord::parse(&format!("trace {object}")).expect("a record");
         assert_eq!(serde_json::to_string(&record).expect("JSON"), object);
     }
@@ -312,8 +312,8 @@
     observe(&EngineEvent::Classes(&[]));
 }
 
-/// An attempt whose response came on the first call of its connection, and a connection that brought another response behind
-/// it.
+/// An attempt whose response came on the first call of its connection, and the close of this connection after it had
+/// received a second response that nobody asked for.
 fn emit_attributed(observe: &mut impl FnMut(&EngineEvent<'_>)) {
     observe(&EngineEvent::AttemptEnded {
         id: &SharedStr::new(b"m-3").expect("an id"),
@@ -377,8 +377,8 @@
     emit_attributed(&mut observe);
 }
 
-/// Standard error is the log, and a process has one: the events are emitted in a process of their own, which is this test
-/// once more.
+/// The log is written to standard error, so the events are emitted in a child process, which runs this same test with
+/// the environment variable `EMIT` set.
 #[test]
 fn each_event_is_logged_as_the_stored_record() {
     if std::env::var_os(EMIT).is_some() {
@@ -394,15 +394,15 @@
         ])
         .env(EMIT, "1")
         .output()
-        .expect("it runs");
+        .expect("the child process runs");
     let text = String::from_utf8(output.stderr).expect("text");
     let without_time = |object: &str| -> String {
         let (head, remainder) = object.split_once(',').expect("a time, and more");
         assert!(head.starts_with(r#"{"at":"#), "{object}");
         remainder.to_string()
     };
-    let logged: Vec<String> = objects(&text).into_iter().map(without_time).collect();
-    let stored: Vec<String> = objects(LOG_WITH_IDS)
+    let logged: Vec<String> = json_objects(&text).into_iter().map(without_time).collect();
+    let stored: Vec<String> = json_objects(LOG_WITH_IDS)
         .into_iter()
         .map(without_time)
         .collect();
--- a/crates/access-log/tests/summary.rs
+++ b/crates/access-log/tests/summary.rs
@@ -1,4 +1,4 @@
-//! The summary over records of several senders, and lines that are no records.
+//! The summary of the records of several senders, and lines that are not records.
 
 use milletturn_access_log::{AccessLogSummary, AccessRecord};
 
@@ -7,7 +7,7 @@
     AccessRecord::parse(&text).expect("a record")
 }
 
-/// Times in microseconds and events of several senders, out of order.
+/// Events of several senders with their times in microseconds, out of order.
 const EVENTS: [(u64, &str); 8] = [
     (10_200_000, r#""what":"sent","to":4,"attempt":1"#),
     (10_000_000, r#""what":"taken","to":4"#),
@@ -62,12 +62,12 @@
     assert_eq!(
         (rows[2].destination, rows[2].in_flight),
         (9, 1),
-        "messages in flight are counted anew for each destination"
+        "messages in flight are counted separately for each destination"
     );
 }
 
 #[test]
-fn other_text_gives_no_record() {
+fn a_line_that_is_not_a_record_is_ignored() {
     for line in [
         "",
         "trace",
