--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,5 +1,5 @@
-//! The admin listener, an address of its own for operators: readiness, metrics, drain and resume; and the observer
-//! that counts what the metrics show. It decides nothing about messages.
+//! The admin server for operators, which listens on a separate address: readiness, metrics, drain and resume. Also the
+//! observer that counts engine events for the metrics. Nothing in this package affects how messages are delivered.
 
 mod metrics;
 pub mod server;
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -1,7 +1,7 @@
-//! The metrics of the sender, and their text.
+//! The metrics of the sender, and their text format.
 //!
-//! The text has the lines of the StatsD protocol (`name:value|type`): `c` is a counter since the start of the process,
-//! `g` a gauge. The names are read by operators' scripts and stay as they are.
+//! The text has one line per metric in the format of the StatsD protocol, `name:value|type`: `c` is a counter since the
+//! start of the process, `g` a gauge. Operators' scripts depend on the names, so they must not change.
 
 #[cfg(test)]
 mod tests;
@@ -12,34 +12,36 @@
 use std::fmt::Write;
 use std::rc::Rc;
 
-/// Classes that are counted by name: configurations have a handful, and each reload may bring new names. Beyond
-/// these all are counted together as [`OTHER_CLASSES`].
+/// Maximum number of message classes that are counted by name. A configuration has a handful of classes, but each
+/// reload may bring new names. Further classes are counted together as [`OTHER_CLASSES`].
 const MAX_CLASSES: usize = 256;
-/// Name under which classes beyond [`MAX_CLASSES`] are counted; no class can have it.
+/// Name under which classes beyond [`MAX_CLASSES`] are counted. Not a valid class name, so it can't collide with one.
 const OTHER_CLASSES: &str = "other:classes";
 
-/// Messages of one class by how they ended.
+/// Number of messages of one class, by how they ended.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 struct EndCounts {
+    /// Delivered messages.
     ok: u64,
-    /// Rejected or returned: submitting them again is harmless.
+    /// Messages that were rejected or returned, and that can be submitted again without risk.
     shed: u64,
+    /// Messages that failed.
     errors: u64,
 }
 
-/// The counters of this process.
+/// The metrics of this process.
 #[derive(Debug, Default)]
 pub struct Metrics {
-    /// Names of the classes, by the positions that events carry.
+    /// Names of the classes. Engine events refer to a class by its position in this list.
     class_names: RefCell<Vec<String>>,
     ends: RefCell<BTreeMap<String, EndCounts>>,
-    /// Connections to endpoints by why they were closed.
+    /// Number of closed connections to endpoints, by reason.
     closed_connections: RefCell<BTreeMap<CloseReason, u64>>,
-    /// Messages that were completely written to endpoints; the transport counts them.
+    /// Number of attempts whose message was completely written to an endpoint. Counted by the transport.
     pub attempts_written: Rc<Cell<u64>>,
-    /// Configuration files that a reload applied.
+    /// Number of reloads that applied the configuration file.
     pub config_applied: Cell<u64>,
-    /// Configuration files that a reload rejected.
+    /// Number of reloads that rejected the configuration file.
     pub config_rejected: Cell<u64>,
 }
 
@@ -65,7 +67,7 @@
         match event {
             EngineEvent::Classes(names) => {
                 *self.class_names.borrow_mut() = names.to_vec();
-                // a class is shown from the start, not from its first message on
+                // add all classes with zero counts, so that each is shown before its first message
                 for class in 0..names.len() {
                     self.count(class, |_| {});
                 }
@@ -98,7 +100,7 @@
         }
     }
 
-    /// The text of all metrics, with the gauges of this status.
+    /// Renders all metrics as text, with the gauges taken from `status`.
     pub fn render(&self, status: EngineStatus) -> String {
         let mut text = String::new();
         // writing to a string can't fail
@@ -127,7 +129,7 @@
     }
 }
 
-/// A close reason's part of its counter's name.
+/// The last part of the name of the counter for a close reason.
 fn close_name(reason: CloseReason) -> &'static str {
     match reason {
         CloseReason::CallFailed => "call_failed",
@@ -138,11 +140,11 @@
     }
 }
 
-/// An observer that counts each event, and passes it on.
+/// An observer that counts each event in the metrics, and passes the event on to the next observer.
 pub struct MetricsObserver {
-    /// Where it counts.
+    /// The metrics in which events are counted.
     pub metrics: Rc<Metrics>,
-    /// Gets the same events.
+    /// The observer to which each event is passed on.
     pub next: Box<dyn Observer>,
 }
 
--- a/crates/admin/src/metrics/tests.rs
+++ b/crates/admin/src/metrics/tests.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn each_end_is_counted_once_under_its_class() {
+fn each_message_end_is_counted_once_under_its_class() {
     let metrics = Metrics::default();
     metrics.count_event(&EngineEvent::Classes(&["a".to_string(), "b".to_string()]));
     let accepted = EngineEvent::Accepted {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn class_names_without_end_do_not_grow_the_metrics() {
+fn the_number_of_counted_classes_is_limited() {
     let metrics = Metrics::default();
     for number in 0..2 * MAX_CLASSES {
         metrics.count_event(&EngineEvent::Classes(&[format!("c{number}")]));
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP/1.1 server for operators, one request for each connection.
+//! The admin HTTP/1.1 server for operators. Each connection serves one request.
 
 use crate::metrics::Metrics;
 use bytes::Bytes;
@@ -20,56 +20,59 @@
 use tokio::sync::{Semaphore, mpsc, oneshot, watch};
 use tokio::time::{sleep, timeout};
 
-/// Connections at once. Callers are few, and some never finish a request: each is served for [`REQUEST_TIMEOUT`] at
-/// most.
+/// Maximum number of connections served at the same time. There are few clients, but some never finish a request; such
+/// a connection is closed after [`REQUEST_TIMEOUT`].
 const MAX_CONNECTIONS: usize = 12;
-/// Descriptors that the server needs at most: its connections, one being accepted, the listener.
+/// Maximum number of file descriptors that the server uses: its connections, one more that is being accepted, and the
+/// listener.
 pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 2;
-/// Longest time of a request, from connecting to its response. Callers wait 1 s.
+/// Maximum time from accepting a connection to the end of its response. Clients wait 1 s for a response.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Longest wait for another connection to end: one does within [`REQUEST_TIMEOUT`] at the latest.
-const CONNECTION_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest wait for the engine's status: then the one before is shown, which is as old as the last request for it.
+/// Maximum wait of a new connection for a free connection slot. A slot becomes free within [`REQUEST_TIMEOUT`].
+const SLOT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Maximum wait for the engine's status. After this time the status of the last successful request is used.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(300);
-/// Limit of a request's head.
+/// Maximum size of a request head in bytes.
 const MAX_HEAD_BYTES: usize = 8 * 1024;
 
-/// What the requests read and change.
+/// The state that admin requests read and change.
 pub struct AdminState {
-    /// The metrics to show.
+    /// The metrics that are returned.
     pub metrics: Rc<Metrics>,
-    /// The engine, which is asked for its status.
+    /// The inputs of the engine, used to request its status.
     pub inputs: mpsc::UnboundedSender<Input>,
-    /// Turns clients away during a drain.
+    /// Records whether the sender is drained; drain and resume requests change this.
     pub gate: Rc<Gate>,
-    /// True once endpoints are known.
+    /// True once the sender knows its endpoints.
     pub ready: watch::Receiver<bool>,
-    /// The engine's status when it was last known.
+    /// The last status received from the engine; used when the engine does not reply in time.
     pub last_status: Cell<EngineStatus>,
 }
 
-/// Serves operators without end.
+/// Accepts and serves connections of operators; never returns.
 pub async fn serve(listener: TcpListener, state: Rc<AdminState>) {
     let faults = RateLimitedLog::default();
-    let free = std::sync::Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let free_slots = std::sync::Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                faults.log(format_args!("operators: no connection accepted: {error}"));
+                faults.log(format_args!(
+                    "admin server: accepting a connection failed: {error}"
+                ));
                 sleep(Duration::from_millis(50)).await;
                 continue;
             }
         };
-        let Ok(Ok(permit)) = timeout(CONNECTION_TIMEOUT, free.clone().acquire_owned()).await else {
+        let Ok(Ok(permit)) = timeout(SLOT_TIMEOUT, free_slots.clone().acquire_owned()).await else {
             faults.log(format_args!(
-                "operators: all {MAX_CONNECTIONS} places hold calls that do not end"
+                "admin server: connection rejected, all {MAX_CONNECTIONS} connection slots are in use"
             ));
             continue;
         };
         let state = state.clone();
         tokio::task::spawn_local(async move {
-            // a caller that is not done by then has no response coming
+            // after the timeout the connection is closed, with or without a response
             let _ = timeout(REQUEST_TIMEOUT, serve_one(stream, state)).await;
             drop(permit);
         });
@@ -77,34 +80,34 @@
 }
 
 async fn serve_one(stream: TcpStream, state: Rc<AdminState>) {
-    // without it responses still come, only later
+    // an error is ignored: without TCP_NODELAY responses are only delayed
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let state = state.clone();
         async move { Ok::<_, Infallible>(state.respond(&request).await) }
     });
     let connection = http1::Builder::new()
-        .header_read_timeout(None) // `REQUEST_TIMEOUT` covers it
+        .header_read_timeout(None) // the head is included in `REQUEST_TIMEOUT`
         .keep_alive(false)
         .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service);
-    // how a caller leaves is its own affair
+    // an error, such as a client that disconnects early, needs no handling
     let _ = connection.await;
 }
 
 impl AdminState {
     async fn respond(&self, request: &Request<Incoming>) -> Response<Full<Bytes>> {
-        let get = match request.uri().path() {
+        let is_get = match request.uri().path() {
             "/-/ready" | "/-/metrics" => true,
             "/-/drain" | "/-/resume" => false,
             _ => return text(StatusCode::NOT_FOUND, "no such path\n"),
         };
-        let (wanted, name) = if get {
+        let (allowed_method, name) = if is_get {
             (Method::GET, "GET")
         } else {
             (Method::POST, "POST")
         };
-        if request.method() != wanted {
+        if request.method() != allowed_method {
             let mut response = text(StatusCode::METHOD_NOT_ALLOWED, "another method\n");
             response
                 .headers_mut()
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The admin server, held by data that was written before names in the code changed: paths, methods, statuses,
-//! headers, bodies and the names of the metrics.
+//! The admin server compared with stored responses: paths, methods, statuses, headers, bodies and the names of the
+//! metrics. Guards against a rename in the code that changes what operators' scripts read.
 
 use milletturn_admin::server::{AdminState, serve};
 use milletturn_admin::{Metrics, MetricsObserver};
@@ -16,15 +16,18 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, watch};
 
+/// Sends a request. Returns the request line and the response without its date.
 async fn request(address: SocketAddr, line: &str) -> String {
-    let mut stream = TcpStream::connect(address).await.expect("it accepts");
+    let mut stream = TcpStream::connect(address)
+        .await
+        .expect("the server accepts");
     let head = format!("{line} HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n");
     stream.write_all(head.as_bytes()).await.expect("written");
     let mut text = String::new();
     stream
         .read_to_string(&mut text)
         .await
-        .expect("a response, and the end");
+        .expect("a response, and the end of the stream");
     let without_date: String = text
         .split_inclusive("\r\n")
         .filter(|line| !line.starts_with("date: "))
@@ -80,7 +83,7 @@
     metrics
 }
 
-/// Plays the engine.
+/// Stands in for the engine: replies to each status request.
 async fn answer_status(mut received: mpsc::UnboundedReceiver<Input>) {
     while let Some(input) = received.recv().await {
         if let Input::GetStatus(reply) = input {
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn operators_get_the_same_bytes() {
+fn responses_to_operators_are_unchanged() {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -102,7 +105,7 @@
     let local = tokio::task::LocalSet::new();
     let text = runtime.block_on(local.run_until(async {
         let (inputs, received) = mpsc::unbounded_channel();
-        let (known, ready) = watch::channel(false);
+        let (set_ready, ready) = watch::channel(false);
         let gate = Rc::new(Gate::new());
         let state = AdminState {
             metrics: metrics(),
@@ -116,7 +119,7 @@
         tokio::task::spawn_local(serve(listener, Rc::new(state)));
         tokio::task::spawn_local(answer_status(received));
         let mut text = request(address, "GET /-/ready").await;
-        known.send_replace(true);
+        set_ready.send_replace(true);
         for line in [
             "GET /-/ready",
             "GET /-/metrics",
