--- a/crates/access-log/tests/golden.rs
+++ b/crates/access-log/tests/golden.rs
@@ -313,7 +313,7 @@
 }
 
 /// An attempt whose response came on the first call of its connection, and the close of this connection after it had
-/// received a second response that nobody asked for.
+/// received a second response that belongs to no call.
 fn emit_attributed(observe: &mut impl FnMut(&EngineEvent<'_>)) {
     observe(&EngineEvent::AttemptEnded {
         id: &SharedStr::new(b"m-3").expect("an id"),
--- a/crates/hot-restart/src/bridge.rs
+++ b/crates/hot-restart/src/bridge.rs
@@ -57,8 +57,8 @@
     }
 }
 
-/// The calls of the old process that have not ended completely: by number of the call, one flag per message, which is
-/// true while the attempt for that message is pending.
+/// The calls of the old process that have not ended completely. For each call, by number, there is one flag per
+/// message, which is true while the attempt for that message is pending.
 #[derive(Default)]
 struct CallsInFlight(BTreeMap<u64, Vec<bool>>);
 
--- a/crates/idle-state/src/compact.rs
+++ b/crates/idle-state/src/compact.rs
@@ -124,7 +124,7 @@
         Micros::from(self.last_sent) * SECOND
     }
 
-    /// The state from which this compact form was made, with the precision described at the top of this package.
+    /// The state from which this compact form was made, with the precision described in the crate documentation.
     #[must_use]
     pub fn expand(&self) -> DestinationState {
         let pair = |(part, total): (f32, f32)| (f64::from(part), f64::from(total));
--- a/crates/journal/src/records.rs
+++ b/crates/journal/src/records.rs
@@ -79,7 +79,8 @@
     at: i64,
 }
 
-/// The attempt made before a redrive from which the rules of repeated delivery count their time.
+/// An attempt made before a redrive whose effect a further attempt could repeat. The rules that limit repeated delivery
+/// count their time from this attempt.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct PriorAttempt(#[serde(with = "StoredAttempt")] pub(crate) AttemptStarted);
 
--- a/crates/journal/tests/full.rs
+++ b/crates/journal/tests/full.rs
@@ -83,9 +83,9 @@
             .record_attempt(next, "s-1", 1_700_000_001_000_000)
             .is_ok()
     });
-    let next = next.expect("space after enough messages are finished");
-    journal.record_never_ran(next, 1).expect("space");
-    journal.retry().expect("space");
+    let next = next.expect("the record fits after enough messages are finished");
+    journal.record_never_ran(next, 1).expect("the record fits");
+    journal.retry().expect("the record fits");
     for _ in 0..2 {
         let (journal, recovery) = open(&folder, LIMIT);
         assert_eq!(recovery.damaged_bytes, 0, "reported once");
@@ -114,13 +114,13 @@
     {
         journal
             .record_accepted(number, accepted(number))
-            .expect("space");
-        journal.record_finished(number).expect("space");
+            .expect("the record fits");
+        journal.record_finished(number).expect("the record fits");
         number += 1;
     }
     journal
         .record_accepted(number, accepted(number))
-        .expect("space");
+        .expect("the record fits");
     drop(journal);
     edit_file(folder, |bytes| {
         let record_starts: Vec<usize> = (0..bytes.len())
@@ -162,10 +162,10 @@
         .filter(|&number| journal.record_finished(number).is_err())
         .count();
     assert!(failed > 0, "the first of these records do not fit either");
-    journal.retry().expect("space");
+    journal.retry().expect("the record fits");
     journal
         .record_accepted(number + 1, accepted(0))
-        .expect("space again");
+        .expect("the record fits again");
     drop(journal);
     let (journal, _) = open(&folder, LIMIT);
     assert_eq!(
@@ -193,10 +193,10 @@
             .count()
             > 0
     );
-    journal.retry().expect("space");
+    journal.retry().expect("the record fits");
     journal
         .record_accepted(count, accepted(count))
-        .expect("space again");
+        .expect("the record fits again");
     drop(journal);
     assert_eq!(open(&folder, 512 * 1024).0.unfinished().len(), 1);
 }
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -132,43 +132,47 @@
     for number in 1..=14 {
         journal
             .record_accepted(number, message(number))
-            .expect("space");
+            .expect("the record fits");
     }
     // message 2 has one attempt; message 3 has two, of which the first is known to have never run
     journal
         .record_attempt(2, "s-1", START + 100)
-        .expect("space");
+        .expect("the record fits");
     journal
         .record_attempt(3, "s-1", START + 200)
-        .expect("space");
+        .expect("the record fits");
     journal
         .record_attempt(3, "s-2", START + 300)
-        .expect("space");
-    journal.record_never_ran(3, 0).expect("space");
+        .expect("the record fits");
+    journal.record_never_ran(3, 0).expect("the record fits");
     // messages 9 to 14 have ended, but their notifications are still due
     journal
         .record_attempt(9, "s-3", START + 400)
-        .expect("space");
+        .expect("the record fits");
     for number in 9..=14 {
-        journal.record_end(number, end(number)).expect("space");
+        journal
+            .record_end(number, end(number))
+            .expect("the record fits");
     }
     // messages 15 to 17 are redriven: 15 without, 16 and 17 with an attempt made before; 16 is then attempted once more
     journal
         .record_redrive(15, message(15), None)
-        .expect("space");
+        .expect("the record fits");
     journal
         .record_redrive(16, message(16), Some(sent("s-4", 500, false)))
-        .expect("space");
+        .expect("the record fits");
     journal
         .record_redrive(17, message(17), Some(sent("s-5", 600, true)))
-        .expect("space");
+        .expect("the record fits");
     journal
         .record_attempt(16, "s-6", START + 700)
-        .expect("space");
+        .expect("the record fits");
     // messages 18 and 4 are finished
-    journal.record_accepted(18, message(18)).expect("space");
-    journal.record_finished(18).expect("space");
-    journal.record_finished(4).expect("space");
+    journal
+        .record_accepted(18, message(18))
+        .expect("the record fits");
+    journal.record_finished(18).expect("the record fits");
+    journal.record_finished(4).expect("the record fits");
 }
 
 /// The messages that are unfinished after `write_all`.
