--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,6 +1,6 @@
-//! The platform's agent: the watch of the endpoint list.
+//! The discovery client: watches the endpoint list over HTTP.
 
-use crate::discovery_backoff::{DiscoveryBackoff, Failure, SILENCE};
+use crate::discovery_backoff::{DiscoveryBackoff, Failure, MAX_SILENCE};
 use crate::watch_stream::{WatchEvent, WatchStream};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -26,16 +26,16 @@
 
 #[derive(Debug, Error)]
 enum WatchError {
-    #[error("silent for {SILENCE:?}")]
-    Silent,
-    #[error("answered {0}")]
+    #[error("silent for {MAX_SILENCE:?}")]
+    Unresponsive,
+    #[error("discovery responded with status {0}")]
     Status(StatusCode),
-    #[error("the stream ended")]
+    #[error("discovery ended the stream")]
     Ended,
-    #[error("something could not be read: the whole list is asked for")]
-    Lost,
+    #[error("part of the stream could not be parsed; requesting the full list")]
+    Incomplete,
     #[error(transparent)]
-    Connect(#[from] CallError),
+    Connect(#[from] RequestError),
     #[error(transparent)]
     Http(#[from] hyper::Error),
 }
@@ -49,40 +49,42 @@
     }
 }
 
-/// Watches the list for ever and hands each change on. A new address of the agent counts at once, and its first
-/// list is asked for whole: the versions of another agent say nothing.
+/// Watches the endpoint list and sends each update to `inputs`; returns when `inputs` or `addresses` is closed.
 ///
-/// `asking` sets the rests between tries.
+/// `addresses` holds discovery's current address. When it changes, the running watch is dropped at once and the full
+/// list is requested from the new address, because versions of one discovery process mean nothing to another.
+/// `version` is the version of the list that is already known, or 0 to request the full list. `backoff` sets the delay
+/// before each retry.
 pub async fn watch_endpoints(
     network: impl Network,
-    mut agents: watch::Receiver<SocketAddr>,
+    mut addresses: watch::Receiver<SocketAddr>,
     version: u64,
-    mut asking: DiscoveryBackoff,
+    mut backoff: DiscoveryBackoff,
     inputs: mpsc::UnboundedSender<Input>,
 ) {
-    let mut told = String::new();
+    let mut last_logged = String::new();
     let mut progress = Progress {
         version,
         ..Progress::default()
     };
-    let mut rest = Duration::ZERO;
+    let mut delay = Duration::ZERO;
     loop {
-        progress.took = false;
-        let agent = *agents.borrow_and_update();
-        let opening = Opening {
+        progress.has_received_update = false;
+        let address = *addresses.borrow_and_update();
+        let request = WatchRequest {
             network: network.clone(),
-            agent,
-            rest,
-            patience: asking.max_queue_wait(),
+            address,
+            delay,
+            max_queue_wait: backoff.max_queue_wait(),
         };
-        let failed = async { watch_once(opening, &mut progress, &inputs).await.err() };
+        let failed = async { watch_once(request, &mut progress, &inputs).await.err() };
         let error = tokio::select! {
-            moved = agents.changed() => {
-                if moved.is_err() {
+            changed = addresses.changed() => {
+                if changed.is_err() {
                     return;
                 }
-                (progress, told, rest) = (Progress::default(), String::new(), Duration::ZERO);
-                asking.reset();
+                (progress, last_logged, delay) = (Progress::default(), String::new(), Duration::ZERO);
+                backoff.reset();
                 continue;
             }
             failed = failed => match failed {
@@ -90,200 +92,206 @@
                 None => return,
             },
         };
-        progress.repairs = matches!(error, WatchError::Lost);
-        if progress.took {
-            asking.reset();
+        progress.is_refetch = matches!(error, WatchError::Incomplete);
+        if progress.has_received_update {
+            backoff.reset();
         }
-        rest = asking.next_delay(error.failure());
+        delay = backoff.next_delay(error.failure());
         let error = error.to_string();
-        if error != told {
+        if error != last_logged {
             milletturn_logging::log(format_args!("discovery: watch lost: {error}"));
-            told = error;
+            last_logged = error;
         }
-        if progress.took {
-            told = String::new();
+        if progress.has_received_update {
+            last_logged = String::new();
         }
     }
 }
 
-/// What a watch begins with and leaves behind.
+/// State that is kept from one watch request to the next.
 #[derive(Default)]
 struct Progress {
-    /// The next watch asks for what has changed since then; 0 for the whole list.
+    /// The next watch requests the changes since this version; 0 requests the full list.
     version: u64,
-    /// Something has come.
-    took: bool,
-    /// The watch was opened because one before it brought what can't be read: once more of that ends it no more.
-    repairs: bool,
-    /// A call before this one that was taken and not answered: it may stand far ahead in a long queue.
-    waiting: Option<Waiting>,
+    /// Whether the current watch has received a list update.
+    has_received_update: bool,
+    /// Whether the current watch was opened because part of the previous one could not be parsed. A further parse
+    /// error does not end such a watch, so that a permanently malformed entry causes only one refetch.
+    is_refetch: bool,
+    /// An earlier request that discovery has accepted but not answered: its position in a long queue may be far ahead
+    /// of a newer request's.
+    queued: Option<QueuedRequest>,
 }
 
-/// A call whose answer is waited for beside a newer one: one that discovery will never answer keeps nobody from
-/// asking again, and one that queues is not lost by that.
-struct Waiting {
+/// An earlier request whose response is awaited beside the newest one. Waiting for both means that a request that
+/// discovery never answers does not block further requests, and that one that is only queued does not lose its position.
+struct QueuedRequest {
     since: Instant,
-    answer: Pin<Box<dyn Future<Output = Result<Response<Incoming>, CallError>>>>,
+    response: Pin<Box<dyn Future<Output = Result<Response<Incoming>, RequestError>>>>,
 }
 
 /// How the next watch is opened.
-struct Opening<N> {
+struct WatchRequest<N> {
     network: N,
-    agent: SocketAddr,
-    /// First of all, nothing is asked for so long.
-    rest: Duration,
-    /// So long is a call worth waiting for.
-    patience: Duration,
+    address: SocketAddr,
+    /// Time to wait before the request is sent.
+    delay: Duration,
+    /// How long an unanswered request is kept waiting.
+    max_queue_wait: Duration,
 }
 
-impl<N: Network> Opening<N> {
-    /// The answer to a new call, or to one before it.
+impl<N: Network> WatchRequest<N> {
+    /// Sends the request and returns the first response, either to this request or to the queued earlier one.
     async fn open(self, progress: &mut Progress) -> Result<Response<Incoming>, WatchError> {
-        let Opening {
+        let WatchRequest {
             network,
-            agent,
-            rest,
-            patience,
+            address,
+            delay,
+            max_queue_wait,
         } = self;
         let path = format!("/v1/endpoints?watch=1&from={}", progress.version);
         let request = Request::get(path)
-            .header(HOST, agent.to_string())
+            .header(HOST, address.to_string())
             .body(Empty::<Bytes>::new());
-        let request = request.map_err(CallError::from)?;
-        let (accepted, since) = (Rc::new(Cell::new(false)), Instant::now() + rest);
-        let seen = accepted.clone();
-        let mut answer: Pin<Box<dyn Future<Output = _>>> = Box::pin(async move {
-            sleep(rest).await;
-            call(&network, agent, request, &seen).await
+        let request = request.map_err(RequestError::from)?;
+        let (connected, since) = (Rc::new(Cell::new(false)), Instant::now() + delay);
+        let connected_flag = connected.clone();
+        let mut newest: Pin<Box<dyn Future<Output = _>>> = Box::pin(async move {
+            sleep(delay).await;
+            send_request(&network, address, request, &connected_flag).await
         });
         let response = loop {
-            let before = async {
-                match &mut progress.waiting {
-                    Some(waiting) => waiting.answer.as_mut().await,
+            let earlier = async {
+                match &mut progress.queued {
+                    Some(queued) => queued.response.as_mut().await,
                     None => pending().await,
                 }
             };
             tokio::select! {
                 biased;
-                before = before => {
-                    progress.waiting = None;
-                    if let Ok(response) = before && response.status() == StatusCode::OK {
+                earlier = earlier => {
+                    progress.queued = None;
+                    if let Ok(response) = earlier && response.status() == StatusCode::OK {
                         break response;
                     }
                 }
-                response = &mut answer => break response?,
-                () = sleep_until(since + SILENCE) => {
-                    // the one that has waited longest stands furthest ahead
-                    let stays = progress.waiting.as_ref().is_some_and(|one| one.since.elapsed() < patience);
-                    if accepted.get() && !stays {
-                        progress.waiting = Some(Waiting { since, answer });
+                response = &mut newest => break response?,
+                () = sleep_until(since + MAX_SILENCE) => {
+                    // Keep the request that has waited longest, because it is furthest ahead in discovery's queue.
+                    let keeps_earlier = progress.queued.as_ref().is_some_and(|queued| queued.since.elapsed() < max_queue_wait);
+                    if connected.get() && !keeps_earlier {
+                        progress.queued = Some(QueuedRequest { since, response: newest });
                     }
-                    return Err(CallError::Time.into());
+                    return Err(RequestError::TimedOut.into());
                 }
             }
         };
         if response.status() != StatusCode::OK {
             return Err(WatchError::Status(response.status()));
         }
-        progress.waiting = None;
+        progress.queued = None;
         Ok(response)
     }
 }
 
-/// Ends well only when nobody takes the changes any more.
+/// Runs one watch until it fails. Returns `Ok` only when the receiver of the updates is closed.
 async fn watch_once(
-    opening: Opening<impl Network>,
+    request: WatchRequest<impl Network>,
     progress: &mut Progress,
     inputs: &mpsc::UnboundedSender<Input>,
 ) -> Result<(), WatchError> {
-    let response = opening.open(progress).await?;
+    let response = request.open(progress).await?;
     let mut body = response.into_body();
-    let (mut feed, mut heard, mut lost) = (WatchStream::default(), Instant::now(), false);
+    let (mut stream, mut last_event_at, mut is_incomplete) =
+        (WatchStream::default(), Instant::now(), false);
     loop {
-        // only what is whole is a sign of life: bytes that trickle without end tell nothing
-        let frame = timeout_at(heard + SILENCE, body.frame())
+        // Only complete events extend the time limit: single bytes that keep coming do not show that discovery works.
+        let frame = timeout_at(last_event_at + MAX_SILENCE, body.frame())
             .await
-            .map_err(|_| WatchError::Silent)?;
+            .map_err(|_| WatchError::Unresponsive)?;
         let frame = frame.ok_or(WatchError::Ended)??;
         let Ok(data) = frame.into_data() else {
             continue;
         };
-        for told in feed.push(&data) {
-            match told {
-                WatchEvent::KeepAlive => heard = Instant::now(),
-                WatchEvent::Update(update, unread) => {
-                    (heard, progress.took) = (Instant::now(), true);
-                    lost |= unread > 0;
-                    progress.version = if lost { 0 } else { update.version };
+        for event in stream.push(&data) {
+            match event {
+                WatchEvent::KeepAlive => last_event_at = Instant::now(),
+                WatchEvent::Update(update, malformed) => {
+                    (last_event_at, progress.has_received_update) = (Instant::now(), true);
+                    is_incomplete |= malformed > 0;
+                    progress.version = if is_incomplete { 0 } else { update.version };
                     if inputs.send(Input::EndpointsListed(update)).is_err() {
                         return Ok(());
                     }
                 }
                 WatchEvent::Malformed(text) => {
-                    lost = true;
+                    is_incomplete = true;
                     milletturn_logging::log(format_args!("discovery: line skipped: {text}"));
                 }
             }
         }
-        if lost {
-            // a later version would pass over what could not be read, for good
+        if is_incomplete {
+            // Resuming from a later version would skip the changes that could not be parsed for good.
             progress.version = 0;
-            if !progress.repairs {
-                return Err(WatchError::Lost);
+            if !progress.is_refetch {
+                return Err(WatchError::Incomplete);
             }
         }
     }
 }
 
-/// The way to the agent.
+/// Opens connections to discovery. Tests replace the sockets with an implementation of their own.
 pub trait Network: Clone + 'static {
-    /// A connection.
+    /// The byte stream of one connection.
     type Stream: AsyncRead + AsyncWrite + Unpin + 'static;
 
-    /// Connects, however long that takes.
-    fn connect(&self, agent: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
+    /// Connects to an address, without a time limit: callers set one.
+    fn connect(&self, address: SocketAddr) -> impl Future<Output = io::Result<Self::Stream>>;
 }
 
-/// Sockets.
+/// Connects over TCP.
 #[derive(Debug, Clone, Copy)]
 pub struct Tcp;
 
 impl Network for Tcp {
     type Stream = TcpStream;
 
-    async fn connect(&self, agent: SocketAddr) -> io::Result<TcpStream> {
-        let stream = TcpStream::connect(agent).await?;
+    async fn connect(&self, address: SocketAddr) -> io::Result<TcpStream> {
+        let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         Ok(stream)
     }
 }
 
 #[derive(Debug, Error)]
-pub(crate) enum CallError {
+pub(crate) enum RequestError {
     #[error("no connection: {0}")]
     Io(#[from] io::Error),
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("bad request: {0}")]
+    #[error("invalid request: {0}")]
     Request(#[from] hyper::http::Error),
     #[error("no answer in time")]
-    Time,
+    TimedOut,
 }
 
-/// One request on a connection of its own: the agent is near, and its connections may have gone silent. `accepted`
-/// turns true when it is up. However long it takes; who drops this closes the connection.
-pub(crate) async fn call<B>(
+/// Sends one request on a new connection. Connections are not reused: discovery's agent runs on the same machine, so a
+/// connection is cheap, and an idle one may have become unresponsive unnoticed.
+///
+/// Sets `connected` once the connection is established. There is no time limit; dropping the future closes the
+/// connection.
+pub(crate) async fn send_request<B>(
     network: &impl Network,
-    agent: SocketAddr,
+    address: SocketAddr,
     request: Request<B>,
-    accepted: &Cell<bool>,
-) -> Result<Response<Incoming>, CallError>
+    connected: &Cell<bool>,
+) -> Result<Response<Incoming>, RequestError>
 where
     B: Body<Data = Bytes> + 'static,
     B::Error: Into<Box<dyn Error + Send + Sync>>,
 {
-    let stream = network.connect(agent).await?;
-    accepted.set(true);
+    let stream = network.connect(address).await?;
+    connected.set(true);
     let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
     tokio::task::spawn_local(connection);
     Ok(sender.send_request(request).await?)
--- a/crates/platform/src/discovery_backoff.rs
+++ b/crates/platform/src/discovery_backoff.rs
@@ -1,108 +1,119 @@
-//! How long a sender rests before it asks discovery again. It opens no socket and reads no clock.
+//! How long a sender waits before it contacts discovery again. Free of I/O and clock.
 //!
-//! A fleet loses its watches together, and one sender's short rest is a storm of all: calls that queue for longer
-//! than a caller waits are answered for nobody, so discovery works at its limit and no one is served (metastable
-//! failure: Bronson and others, Metastable Failures in Distributed Systems, HotOS 2021). So the rests after a refusal
-//! grow with the number of senders, and each is drawn at random (M. Brooker, Exponential Backoff and Jitter, 2015).
+//! All senders lose their watches at the same time, and with short delays all would retry together. Requests that queue
+//! for longer than their caller waits are answered in vain, so discovery would work at its limit without serving anyone
+//! (metastable failure: Bronson and others, Metastable Failures in Distributed Systems, HotOS 2021). Delays after a
+//! rejection therefore grow with the number of senders, and each is random (M. Brooker, Exponential Backoff and Jitter,
+//! 2015).
 //!
-//! A discovery that could not be reached has no queue that a call could lengthen: the rests after that stay short, so
-//! that what it has when it comes back is heard in time.
+//! A discovery that can't be reached has no queue that a request could lengthen. Delays after such a failure stay short,
+//! so that changes are received in time once discovery is back.
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::time::Duration;
 
-/// What discovery has counts as told so long after it had it and could be reached.
-const TOLD: Duration = Duration::from_millis(6000);
-/// An empty line is due every 2 s: a watch, and a call that opens one, is given up when it is silent for longer.
-pub(crate) const SILENCE: Duration = Duration::from_millis(3000);
-/// Longest rest before discovery is asked again that could not be reached, and after a first refusal.
-pub(crate) const SOON: Duration = Duration::from_millis(1900);
-/// The agent is on this machine: one that is well has answered by then.
-pub(crate) const ANSWER: Duration = Duration::from_millis(1000);
-/// What the sockets' 50 ms and a busy machine leave of the sum.
-const SLACK: Duration = Duration::from_millis(100);
-// discovery may come back just behind the last sign of life, or just behind a call that it will never answer
+/// A change must be known to the sender within this time after discovery has it and can be reached.
+const MAX_UPDATE_DELAY: Duration = Duration::from_millis(6000);
+/// A watch, or a request that opens one, is abandoned after this time without data. Discovery sends an empty line every
+/// 2 s.
+pub(crate) const MAX_SILENCE: Duration = Duration::from_millis(3000);
+/// Longest delay after a failure to reach discovery, and after a first rejection.
+pub(crate) const MAX_SHORT_DELAY: Duration = Duration::from_millis(1900);
+/// Time within which a healthy discovery agent has responded. The agent runs on the same machine.
+pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Reserve for socket delays of 50 ms and for a busy machine.
+const TIMING_SLACK: Duration = Duration::from_millis(100);
+// Worst case: discovery comes back just after the last keep-alive, or just after a request that it will never answer.
 const _: () = assert!(
-    SILENCE.as_millis() + SOON.as_millis() + ANSWER.as_millis() + SLACK.as_millis()
-        <= TOLD.as_millis()
+    MAX_SILENCE.as_millis()
+        + MAX_SHORT_DELAY.as_millis()
+        + RESPONSE_TIMEOUT.as_millis()
+        + TIMING_SLACK.as_millis()
+        <= MAX_UPDATE_DELAY.as_millis()
 );
-const _: () =
-    assert!(FIRST.as_millis() <= MOST.as_millis() && MOST.as_millis() <= SOON.as_millis());
-
-/// Rest after a first failure where nobody else asks, and the longest one there.
-pub(crate) const FIRST: Duration = Duration::from_millis(50);
-pub(crate) const MOST: Duration = Duration::from_millis(1000);
-/// Time of discovery that a sender leaves to each of the others: all together ask at most so often. Shorter hears
-/// sooner from a discovery with room, longer gets through to one that is short of it.
-const EACH: Duration = Duration::from_millis(80);
-/// Longest rest after refusals as a multiple of the time that all senders take to ask once.
-const ROUNDS: u32 = 4;
-
-/// How a try to hear from discovery ended.
+const _: () = assert!(
+    MIN_DELAY.as_millis() <= DEFAULT_MAX_DELAY.as_millis()
+        && DEFAULT_MAX_DELAY.as_millis() <= MAX_SHORT_DELAY.as_millis()
+);
+
+/// Shortest delay after any failure.
+pub(crate) const MIN_DELAY: Duration = Duration::from_millis(50);
+/// Longest delay while few senders share one discovery; [`MAX_DELAY_ROUNDS`] raises the limit with more of them.
+pub(crate) const DEFAULT_MAX_DELAY: Duration = Duration::from_millis(1000);
+/// Delay per sender that shares the discovery: all senders together send at most one request in this time. Smaller
+/// values reconnect sooner to a discovery with spare capacity; larger values let an overloaded discovery recover.
+const TIME_PER_SENDER: Duration = Duration::from_millis(80);
+/// Longest delay after rejections, as a multiple of the time in which every sender sends one request.
+const MAX_DELAY_ROUNDS: u32 = 4;
+
+/// Why a request to discovery or a watch failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing was answered, or the answer ended.
+    /// There was no response, or the response ended early.
     Unreachable,
-    /// It answered that it does not serve this call.
+    /// Discovery responded with an error status.
     Rejected,
 }
 
-/// The rests of one sender.
+/// The retry delays of one sender towards discovery.
 #[derive(Debug)]
 pub struct DiscoveryBackoff {
     random: Pcg32,
     round: Duration,
-    unreached: u32,
-    refused: u32,
+    unreachable: u32,
+    rejected: u32,
 }
 
 impl DiscoveryBackoff {
-    /// Of one among so many senders that ask one discovery; each has a seed of its own. A list that is pushed is the
-    /// own agent's, whom nobody else asks: what the agent has counts as told, so no rest may grow with the fleet.
+    /// Creates the backoff of one sender. `senders` is the number of senders that share one discovery, and `seed` must
+    /// differ between them. With `is_pushed`, the list comes from an agent that serves this sender alone; `senders` is
+    /// then ignored, because a change that the agent has must be known in time however many senders there are.
     #[must_use]
-    pub fn new(senders: u32, pushed: bool, seed: u64) -> Self {
-        let senders = if pushed { 1 } else { senders };
+    pub fn new(senders: u32, is_pushed: bool, seed: u64) -> Self {
+        let senders = if is_pushed { 1 } else { senders };
         DiscoveryBackoff {
             random: Pcg32::seed_from_u64(seed),
-            round: EACH * senders,
-            unreached: 0,
-            refused: 0,
+            round: TIME_PER_SENDER * senders,
+            unreachable: 0,
+            rejected: 0,
         }
     }
 
-    /// Something came: the next failure is a first one.
+    /// Records a success: the next failure counts as the first one.
     pub fn reset(&mut self) {
-        (self.unreached, self.refused) = (0, 0);
+        (self.unreachable, self.rejected) = (0, 0);
     }
 
-    /// How long a call stays worth waiting for in discovery's queue: as long as all senders may take to ask.
+    /// How long an unanswered request is kept waiting in discovery's queue: as long as the longest delay.
     #[must_use]
     pub fn max_queue_wait(&self) -> Duration {
-        MOST.max(self.round * ROUNDS)
+        DEFAULT_MAX_DELAY.max(self.round * MAX_DELAY_ROUNDS)
     }
 
-    /// The rest after a failure: two seconds at most, or from a second refusal on a second or four rounds of all
-    /// senders.
+    /// The random delay before the retry after a failure. The limit is two seconds; from the second rejection on the
+    /// limit is one second or, if that is longer, the time in which every sender sends four requests.
     pub fn next_delay(&mut self, failure: Failure) -> Duration {
-        let (failures, most) = match failure {
-            Failure::Unreachable => (&mut self.unreached, SOON),
-            Failure::Rejected if self.refused == 0 => (&mut self.refused, SOON),
-            Failure::Rejected => (&mut self.refused, Duration::MAX),
+        let (failures, limit) = match failure {
+            Failure::Unreachable => (&mut self.unreachable, MAX_SHORT_DELAY),
+            Failure::Rejected if self.rejected == 0 => (&mut self.rejected, MAX_SHORT_DELAY),
+            Failure::Rejected => (&mut self.rejected, Duration::MAX),
         };
-        let grown = self
+        let backoff = self
             .round
             .saturating_mul(1 << failures.saturating_sub(1).min(16));
-        let most = grown.min(MOST.max(self.round * ROUNDS)).min(most);
-        let part = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
-        // all lose their watches at one moment: the first rests are spread from the start
-        let part = if *failures <= 1 {
-            part
+        let limit = backoff
+            .min(DEFAULT_MAX_DELAY.max(self.round * MAX_DELAY_ROUNDS))
+            .min(limit);
+        let fraction = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
+        // All senders lose their watches at the same moment, so the first delays are spread over the whole range.
+        let fraction = if *failures <= 1 {
+            fraction
         } else {
-            0.5 + 0.5 * part
+            0.5 + 0.5 * fraction
         };
         *failures = failures.saturating_add(1);
-        most.mul_f64(part).max(FIRST)
+        limit.mul_f64(fraction).max(MIN_DELAY)
     }
 }
 
@@ -111,115 +122,121 @@
     use super::*;
     use std::collections::BTreeMap;
 
-    const CALLER_WAITS: f64 = 2.0;
+    const CALLER_TIMEOUT_S: f64 = 2.0;
 
-    /// How many of the senders have been answered by a time, after all have lost their watches at once. Discovery
-    /// takes so many calls a second, one after the other; who waits for longer than 2 s is gone when it is served,
-    /// and who would wait for more than that is turned away. What cut the watches has filled its queue.
-    fn answered(
+    /// How many senders have received a response by `end_s`, after all have lost their watches at once. Discovery
+    /// serves `requests_per_s` one after the other. A caller that has waited for more than 2 s is gone when it is
+    /// served, and a request that would have to wait longer is rejected. The queue is full at the beginning.
+    fn served_senders(
         senders: u32,
-        calls_a_second: f64,
-        until: f64,
-        rest: &mut dyn FnMut(u32) -> f64,
+        requests_per_s: f64,
+        end_s: f64,
+        next_delay_s: &mut dyn FnMut(u32) -> f64,
     ) -> usize {
         let mut due: BTreeMap<(u64, u32), ()> = BTreeMap::new();
         let at = |seconds: f64| (seconds * 1e6) as u64;
         for sender in 0..senders {
-            due.insert((at(rest(sender)), sender), ());
+            due.insert((at(next_delay_s(sender)), sender), ());
         }
-        let (mut free_at, mut served) = (CALLER_WAITS, 0);
+        let (mut free_at_s, mut served) = (CALLER_TIMEOUT_S, 0);
         while let Some(((now, sender), ())) = due.pop_first() {
-            let now = now as f64 / 1e6;
-            if now > until {
+            let now_s = now as f64 / 1e6;
+            if now_s > end_s {
                 break;
             }
-            let waits = (free_at - now).max(0.0);
-            if waits > CALLER_WAITS {
-                due.insert((at(now + rest(sender)), sender), ());
+            let queue_wait_s = (free_at_s - now_s).max(0.0);
+            if queue_wait_s > CALLER_TIMEOUT_S {
+                due.insert((at(now_s + next_delay_s(sender)), sender), ());
                 continue;
             }
-            free_at = now + waits + 1.0 / calls_a_second;
-            if free_at - now <= CALLER_WAITS {
+            free_at_s = now_s + queue_wait_s + 1.0 / requests_per_s;
+            if free_at_s - now_s <= CALLER_TIMEOUT_S {
                 served += 1;
             } else {
-                due.insert((at(now + CALLER_WAITS + rest(sender)), sender), ());
+                due.insert(
+                    (at(now_s + CALLER_TIMEOUT_S + next_delay_s(sender)), sender),
+                    (),
+                );
             }
         }
         served
     }
 
     #[test]
-    fn a_fleet_that_lost_its_watches_together_gets_through_to_a_discovery_short_of_room() {
+    fn all_senders_reconnect_to_an_overloaded_discovery_after_losing_their_watches_together() {
         for seed in 0..5 {
             let mut fleet: Vec<DiscoveryBackoff> = (0..100)
                 .map(|n| DiscoveryBackoff::new(100, false, seed * 1000 + n))
                 .collect();
-            let rest = &mut |n| {
+            let next_delay_s = &mut |n| {
                 fleet[n as usize]
                     .next_delay(Failure::Rejected)
                     .as_secs_f64()
             };
-            let served = answered(100, 12.5, 30.0, rest);
+            let served = served_senders(100, 12.5, 30.0, next_delay_s);
             assert!(served >= 95, "seed {seed}: {served} of 100 in 30 s");
         }
     }
 
-    /// Why the rests after refusals may not stay as short as the others: what many senders are told by a discovery
-    /// that is short of room comes late, or nobody is told anything.
+    /// Shows why delays after rejections must be longer than those after an unreachable discovery: with short ones, an
+    /// overloaded discovery serves fewer than half of the senders.
     #[test]
-    fn with_short_rests_after_refusals_too_nobody_would_get_through() {
+    fn short_delays_after_rejections_would_keep_discovery_overloaded() {
         for seed in 0..5 {
             let mut fleet: Vec<DiscoveryBackoff> = (0..100)
                 .map(|n| DiscoveryBackoff::new(100, false, seed * 1000 + n))
                 .collect();
-            let rest = &mut |n| {
+            let next_delay_s = &mut |n| {
                 fleet[n as usize]
                     .next_delay(Failure::Unreachable)
                     .as_secs_f64()
             };
-            let served = answered(100, 12.5, 30.0, rest);
+            let served = served_senders(100, 12.5, 30.0, next_delay_s);
             assert!(served < 50, "seed {seed}: {served} of 100 in 30 s");
         }
     }
 
     #[test]
-    fn a_discovery_that_can_not_be_reached_is_asked_soon_however_many_senders_there_are() {
+    fn delays_after_an_unreachable_discovery_do_not_grow_with_the_number_of_senders() {
         for seed in 0..200 {
-            let mut many = DiscoveryBackoff::new(300, false, seed);
+            let mut shared = DiscoveryBackoff::new(300, false, seed);
             assert!(
-                (0..20).all(|_| many.next_delay(Failure::Unreachable) <= SOON),
+                (0..20).all(|_| shared.next_delay(Failure::Unreachable) <= MAX_SHORT_DELAY),
                 "seed {seed}"
             );
             assert!(
-                many.next_delay(Failure::Rejected) <= SOON,
-                "seed {seed}: the first refusal"
+                shared.next_delay(Failure::Rejected) <= MAX_SHORT_DELAY,
+                "seed {seed}: the first rejection"
             );
-            let mut own = DiscoveryBackoff::new(300, true, seed);
+            let mut local = DiscoveryBackoff::new(300, true, seed);
             for failure in [Failure::Unreachable, Failure::Rejected] {
                 assert!(
-                    (0..20).all(|_| own.next_delay(failure) <= MOST),
-                    "seed {seed}: nobody else asks the own agent"
+                    (0..20).all(|_| local.next_delay(failure) <= DEFAULT_MAX_DELAY),
+                    "seed {seed}: no other sender uses this agent"
                 );
             }
         }
     }
 
     #[test]
-    fn a_few_senders_ask_again_soon() {
-        let mut alone = DiscoveryBackoff::new(2, false, 7);
-        let first = alone.next_delay(Failure::Rejected);
+    fn a_few_senders_retry_soon() {
+        let mut backoff = DiscoveryBackoff::new(2, false, 7);
+        let first = backoff.next_delay(Failure::Rejected);
         assert!(
-            first >= FIRST && first <= Duration::from_millis(160),
+            first >= MIN_DELAY && first <= Duration::from_millis(160),
             "{first:?}"
         );
-        let rests: Vec<Duration> = (0..10)
-            .map(|_| alone.next_delay(Failure::Rejected))
+        let delays: Vec<Duration> = (0..10)
+            .map(|_| backoff.next_delay(Failure::Rejected))
             .collect();
-        assert!(rests.iter().all(|&rest| rest <= MOST), "{rests:?}");
-        alone.reset();
         assert!(
-            alone.next_delay(Failure::Rejected) <= Duration::from_millis(160),
-            "as at first"
+            delays.iter().all(|&delay| delay <= DEFAULT_MAX_DELAY),
+            "{delays:?}"
+        );
+        backoff.reset();
+        assert!(
+            backoff.next_delay(Failure::Rejected) <= Duration::from_millis(160),
+            "a first failure again after the reset"
         );
     }
 }
--- a/crates/platform/src/drain_gate.rs
+++ b/crates/platform/src/drain_gate.rs
@@ -1,10 +1,10 @@
-//! Whether clients are let in: the state machine behind `GET /ready`, drains, and the end of the process.
+//! Whether clients are admitted: the state machine behind `GET /ready`, drains, hot restarts and shutdown.
 //!
 //! ```text
-//! Open <-> Drained        by operators
+//! Open <-> Draining         by operators
 //!   \        |
-//!    +----> HandedOver    by a process that takes this one's place, for good
-//!    +----> Ending        by SIGTERM, for good
+//!    +----> HandedOver      by a process that takes over, permanent
+//!    +----> ShuttingDown    by SIGTERM, permanent
 //! ```
 
 use std::cell::Cell;
@@ -13,74 +13,74 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, sleep_until};
 
-/// From a drain to the end of idle client connections. The front asks every 100 ms and sends no new connection
-/// 200 ms after a no; what is used until then is closed behind its answer. Later leaves clients more time to
-/// come back by themselves, sooner leaves more room before the 4 s at which none may stand idle.
-const DRAIN_IDLE: Duration = Duration::from_millis(1000);
-/// From a drain to the last message that is taken on: 4 s after it there may be no connection with a message
-/// of the last 2 s.
-const DRAIN_TAKES: Duration = Duration::from_millis(1800);
-/// From SIGTERM to the end of idle client connections. SIGKILL comes no sooner than 3.7 s after SIGTERM.
-const ENDING_IDLE: Duration = Duration::from_millis(2500);
-/// From SIGTERM to the end of all that has no whole request: what is half read is turned away, and told so. The process
-/// ends 0.3 s behind that, which answers need to be written and clients to close.
-const ENDING_LAST: Duration = Duration::from_millis(3000);
+/// Time from the start of a drain until idle client connections are closed. The load balancer polls `GET /ready` every
+/// 100 ms and sends no new connection 200 ms after a negative response; a connection that is used before the close is
+/// closed after its response. Larger values let more clients leave by themselves; smaller values leave more margin before
+/// the limit of 4 s, after which no connection may be idle.
+const DRAIN_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1000);
+/// Time from the start of a drain during which messages are still accepted. 4 s after the start, no connection may exist
+/// on which a message came within the last 2 s.
+const DRAIN_ACCEPT_PERIOD: Duration = Duration::from_millis(1800);
+/// Time from SIGTERM until idle client connections are closed. SIGKILL comes no sooner than 3.7 s after SIGTERM.
+const SHUTDOWN_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2500);
+/// Time from SIGTERM until every connection without a complete request is closed; a partly received request is rejected
+/// with a response. The process ends 0.3 s later, which is the time for writing responses and for clients to close.
+const SHUTDOWN_CLOSE_DELAY: Duration = Duration::from_millis(3000);
 
-/// What the clients' door does.
+/// The state of the gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
-    /// Takes clients.
+    /// Clients are admitted.
     Open,
-    /// Emptied by operators since then.
-    Drained(Instant),
-    /// Another process has taken over: clients that are connected still are served, and asked to go.
+    /// An operator started a drain at this time.
+    Draining(Instant),
+    /// Another process has taken over. Clients that are still connected are served, and asked to close their connections.
     HandedOver,
-    /// The process ends.
-    Ending(Instant),
+    /// SIGTERM came at this time.
+    ShuttingDown(Instant),
 }
 
 impl Phase {
-    /// When idle connections are closed.
-    fn closes_idle(self) -> Option<Instant> {
+    /// When idle connections are closed; `None` if this state does not close them.
+    fn closes_idle_at(self) -> Option<Instant> {
         match self {
-            // each is answered once more, or goes when it has been idle for long
+            // such a connection gets one more response, or is closed by its usual idle time limit
             Phase::Open | Phase::HandedOver => None,
-            Phase::Drained(since) => Some(since + DRAIN_IDLE),
-            Phase::Ending(since) => Some(since + ENDING_IDLE),
+            Phase::Draining(since) => Some(since + DRAIN_IDLE_CLOSE_DELAY),
+            Phase::ShuttingDown(since) => Some(since + SHUTDOWN_IDLE_CLOSE_DELAY),
         }
     }
 
-    /// When connections that have no whole request are closed.
-    fn closes_last(self) -> Option<Instant> {
+    /// When connections without a complete request are closed; `None` if this state does not close them.
+    fn closes_all_at(self) -> Option<Instant> {
         match self {
-            Phase::Ending(since) => Some(since + ENDING_LAST),
+            Phase::ShuttingDown(since) => Some(since + SHUTDOWN_CLOSE_DELAY),
             _ => None,
         }
     }
 
-    /// True while messages are still taken on. A process that ends takes them to the last: nothing tells its
-    /// clients sooner.
+    /// Whether messages are still accepted. A process that shuts down accepts them until its connections are closed,
+    /// because its clients learn of the shutdown in no other way.
     fn accepts_messages(self, now: Instant) -> bool {
-        !matches!(self, Phase::Drained(since) if now >= since + DRAIN_TAKES)
+        !matches!(self, Phase::Draining(since) if now >= since + DRAIN_ACCEPT_PERIOD)
     }
 }
 
-/// The phase, and those who wait for it.
+/// Decides whether clients are admitted, and tells the server when to close their connections.
 #[derive(Debug)]
 pub struct DrainGate {
     phase: watch::Sender<Phase>,
-    /// Idle connections are to be closed.
+    /// Whether idle connections are to be closed.
     closing_idle: watch::Sender<bool>,
-    /// So are those in the middle of a request.
+    /// Whether connections with an incomplete request are to be closed too.
     closing_all: watch::Sender<bool>,
-    /// The sender serves in another process, whatever this one does.
+    /// Whether another process has taken over; `GET /ready` then stays positive whatever this process does.
     is_handed_over: Cell<bool>,
-    /// Connections that are open.
     open_connections: Cell<usize>,
 }
 
 impl DrainGate {
-    /// An open one. [`DrainGate::run`] must run beside it.
+    /// Creates an open gate. [`DrainGate::run`] must run as a task for the times to take effect.
     #[allow(clippy::new_without_default)]
     #[must_use]
     pub fn new() -> Self {
@@ -93,56 +93,56 @@
         }
     }
 
-    /// True while clients are wanted.
+    /// The answer to `GET /ready`: whether new clients are to be sent here.
     pub fn is_ready(&self) -> bool {
         *self.phase.borrow() == Phase::Open || self.is_handed_over.get()
     }
 
-    /// True if each answer is to close its connection.
+    /// Whether each response must close its connection.
     pub fn closes_connections(&self) -> bool {
         *self.phase.borrow() != Phase::Open
     }
 
-    /// True while messages are taken on.
+    /// Whether new messages are accepted.
     pub fn accepts_messages(&self) -> bool {
         self.phase.borrow().accepts_messages(Instant::now())
     }
 
-    /// Turns true when idle connections are to go.
+    /// Becomes true when idle connections must be closed, and false again when a drain ends.
     pub fn closing_idle(&self) -> watch::Receiver<bool> {
         self.closing_idle.subscribe()
     }
 
-    /// Turns true when connections are to go also in the middle of a request.
+    /// Becomes true when connections must be closed even if a request is incomplete.
     pub fn closing_all(&self) -> watch::Receiver<bool> {
         self.closing_all.subscribe()
     }
 
-    /// Empties the sender; false if the process ends. A drain that is on goes on.
+    /// Starts a drain, unless one is in progress. Returns false if the process shuts down or has been taken over.
     pub fn drain(&self) -> bool {
         self.phase.send_if_modified(|phase| {
-            let open = *phase == Phase::Open;
-            if open {
-                *phase = Phase::Drained(Instant::now());
+            let is_open = *phase == Phase::Open;
+            if is_open {
+                *phase = Phase::Draining(Instant::now());
             }
-            open
+            is_open
         });
         !self.is_retiring()
     }
 
-    /// Ends a drain; false if the process ends.
+    /// Ends a drain. Returns false if the process shuts down or has been taken over.
     pub fn resume(&self) -> bool {
         self.phase.send_if_modified(|phase| {
-            let drained = matches!(phase, Phase::Drained(_));
-            if drained {
+            let is_draining = matches!(phase, Phase::Draining(_));
+            if is_draining {
                 *phase = Phase::Open;
             }
-            drained
+            is_draining
         });
         !self.is_retiring()
     }
 
-    /// Another process has taken over; one that ends goes on ending.
+    /// Records that another process has taken over. A shutdown that has begun continues.
     pub fn hand_over(&self) {
         self.is_handed_over.set(true);
         let next = if self.is_retiring() {
@@ -155,7 +155,7 @@
 
     /// Waits until another process has taken over.
     pub async fn until_handed_over(&self) {
-        // the sender lives as long as this
+        // waiting cannot fail: the sender of the channel lives as long as `self`
         let _ = self
             .phase
             .subscribe()
@@ -163,45 +163,49 @@
             .await;
     }
 
-    /// The process ends.
+    /// Starts the shutdown; the time limits count from now.
     pub fn begin_shutdown(&self) {
-        self.phase.send_replace(Phase::Ending(Instant::now()));
+        self.phase.send_replace(Phase::ShuttingDown(Instant::now()));
     }
 
-    /// True once the process ends, or has been taken over.
+    /// Whether the process shuts down or has been taken over.
     pub fn is_retiring(&self) -> bool {
-        matches!(*self.phase.borrow(), Phase::Ending(_) | Phase::HandedOver)
+        matches!(
+            *self.phase.borrow(),
+            Phase::ShuttingDown(_) | Phase::HandedOver
+        )
     }
 
-    /// True while operators have it drained.
+    /// Whether a drain is in progress.
     pub fn is_drained(&self) -> bool {
-        matches!(*self.phase.borrow(), Phase::Drained(_))
+        matches!(*self.phase.borrow(), Phase::Draining(_))
     }
 
-    /// Connections from clients that are open.
+    /// Number of open connections from clients.
     pub fn open_connections(&self) -> usize {
         self.open_connections.get()
     }
 
-    /// One more connection, until what this gives is dropped.
+    /// Counts one more open connection until the returned guard is dropped.
     pub fn track_connection(self: &Rc<Self>) -> ConnectionGuard {
         self.open_connections.update(|count| count + 1);
         ConnectionGuard(self.clone())
     }
 
-    /// Tells idle connections when to go, and no longer once the gate is open again.
+    /// Updates [`closing_idle`](Self::closing_idle) and [`closing_all`](Self::closing_all) as their times come, and resets
+    /// them when the gate is opened again.
     pub async fn run(self: Rc<Self>) {
         let mut phases = self.phase.subscribe();
         loop {
             let phase = *phases.borrow_and_update();
             let mut next: Option<Instant> = None;
-            for (due, turned) in [
-                (phase.closes_idle(), &self.closing_idle),
-                (phase.closes_last(), &self.closing_all),
+            for (due, signal) in [
+                (phase.closes_idle_at(), &self.closing_idle),
+                (phase.closes_all_at(), &self.closing_all),
             ] {
-                let now = due.is_some_and(|due| due <= Instant::now());
-                turned.send_if_modified(|turned| std::mem::replace(turned, now) != now);
-                next = next.into_iter().chain(due.filter(|_| !now)).min();
+                let is_due = due.is_some_and(|due| due <= Instant::now());
+                signal.send_if_modified(|value| std::mem::replace(value, is_due) != is_due);
+                next = next.into_iter().chain(due.filter(|_| !is_due)).min();
             }
             tokio::select! {
                 changed = phases.changed() => if changed.is_err() { return },
@@ -211,7 +215,7 @@
     }
 }
 
-/// An open connection.
+/// Counts as one open connection of its gate until it is dropped.
 #[derive(Debug)]
 pub struct ConnectionGuard(Rc<DrainGate>);
 
@@ -230,7 +234,7 @@
     use tokio::time::advance;
 
     #[tokio::test(start_paused = true)]
-    async fn a_drain_closes_idle_connections_and_a_resume_opens_again() {
+    async fn drain_closes_idle_connections_and_resume_reopens_the_gate() {
         LocalSet::new()
             .run_until(async {
                 let gate = Rc::new(DrainGate::new());
@@ -238,8 +242,8 @@
                 let closing = gate.closing_idle();
                 assert!(gate.is_ready() && gate.accepts_messages() && !gate.closes_connections());
                 assert!(gate.drain());
-                advance(DRAIN_IDLE / 2).await;
-                // a second word must not start the time anew
+                advance(DRAIN_IDLE_CLOSE_DELAY / 2).await;
+                // a second drain command must not restart the time limits
                 assert!(gate.drain());
                 assert!(
                     !gate.is_ready()
@@ -247,9 +251,9 @@
                         && gate.accepts_messages()
                         && !*closing.borrow()
                 );
-                tokio::time::sleep(DRAIN_IDLE / 2 + Duration::from_millis(1)).await;
+                tokio::time::sleep(DRAIN_IDLE_CLOSE_DELAY / 2 + Duration::from_millis(1)).await;
                 assert!(*closing.borrow());
-                tokio::time::sleep(DRAIN_TAKES - DRAIN_IDLE).await;
+                tokio::time::sleep(DRAIN_ACCEPT_PERIOD - DRAIN_IDLE_CLOSE_DELAY).await;
                 assert!(!gate.accepts_messages());
                 assert!(gate.resume());
                 tokio::time::sleep(Duration::from_millis(1)).await;
@@ -259,7 +263,7 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn the_end_is_for_good() {
+    async fn shutdown_is_permanent() {
         LocalSet::new()
             .run_until(async {
                 let gate = Rc::new(DrainGate::new());
@@ -267,7 +271,7 @@
                 assert!(gate.drain());
                 gate.begin_shutdown();
                 assert!(!gate.resume() && !gate.drain() && !gate.is_ready());
-                tokio::time::sleep(ENDING_IDLE + Duration::from_millis(1)).await;
+                tokio::time::sleep(SHUTDOWN_IDLE_CLOSE_DELAY + Duration::from_millis(1)).await;
                 assert!(*gate.closing_idle().borrow() && gate.accepts_messages());
             })
             .await;
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints in discovery's form.
+//! Parses the endpoint list in discovery's JSON format.
 
 use milletturn_engine::{EndpointListUpdate, ListedEndpoint};
 use milletturn_policy::Status;
@@ -6,14 +6,14 @@
 use serde_json::Value;
 
 #[derive(Deserialize)]
-struct Line {
+struct ListDocument {
     rev: u64,
     all: bool,
     targets: Vec<Value>,
 }
 
 #[derive(Deserialize)]
-struct Target {
+struct TargetEntry {
     uid: String,
     endpoint: String,
     #[serde(default)]
@@ -26,47 +26,50 @@
     capacity_hint: f64,
 }
 
-/// Reads a list, with the number of entries that can't be read: these are logged and left out. None if it has not the
-/// form of a list.
+/// Parses a list. Returns the update and the number of malformed entries, which are logged and left out; `None` if the
+/// value as a whole does not have the form of a list.
 pub(crate) fn parse_list(value: &Value) -> Option<(EndpointListUpdate, usize)> {
-    let line = Line::deserialize(value).ok()?;
-    let read = |value: &Value| {
-        let target = Target::deserialize(value).map_err(|error| error.to_string())?;
-        let status = match target.state.as_str() {
+    let document = ListDocument::deserialize(value).ok()?;
+    let parse_entry = |value: &Value| {
+        let entry = TargetEntry::deserialize(value).map_err(|error| error.to_string())?;
+        let status = match entry.state.as_str() {
             "up" => Status::Serving,
             "draining" => Status::Draining,
             "removed" => Status::Gone,
             other => return Err(format!("unknown state '{other}'")),
         };
-        let address = target
+        let address = entry
             .endpoint
             .parse()
-            .map_err(|_| format!("bad address '{}'", target.endpoint))?;
+            .map_err(|_| format!("bad address '{}'", entry.endpoint))?;
         Ok(ListedEndpoint {
-            uid: target.uid,
+            uid: entry.uid,
             address,
-            zone: target.az,
-            kind: target.model,
-            destination: target.pod_group,
+            zone: entry.az,
+            kind: entry.model,
+            destination: entry.pod_group,
             status,
-            weight: target.capacity_hint,
+            weight: entry.capacity_hint,
         })
     };
-    let targets = line.targets.iter().filter_map(|value| match read(value) {
-        Ok(listed) => Some(listed),
-        Err(error) => {
-            milletturn_logging::log(format_args!("discovery: entry skipped: {error}"));
-            None
-        }
-    });
-    let targets: Vec<ListedEndpoint> = targets.collect();
-    let unread = line.targets.len() - targets.len();
+    let parsed = document
+        .targets
+        .iter()
+        .filter_map(|value| match parse_entry(value) {
+            Ok(listed) => Some(listed),
+            Err(error) => {
+                milletturn_logging::log(format_args!("discovery: entry skipped: {error}"));
+                None
+            }
+        });
+    let targets: Vec<ListedEndpoint> = parsed.collect();
+    let malformed = document.targets.len() - targets.len();
     Some((
         EndpointListUpdate {
-            version: line.rev,
-            full: line.all,
+            version: document.rev,
+            full: document.all,
             targets,
         },
-        unread,
+        malformed,
     ))
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,9 +1,10 @@
-//! The platform's HTTP/1.1, as its protocol and deployment pages have it: the door for clients, the calls to
-//! endpoints, the agent that tells the list and takes notices, and the configuration.
+//! The sender's side of the platform's HTTP/1.1 interfaces, as the protocol and deployment pages define them: the server
+//! for clients, the transport to endpoints, the discovery client (endpoint list and notifications), and the
+//! configuration.
 
 #![expect(
     clippy::too_many_lines,
-    reason = "names and shape of this package have not had their turn yet"
+    reason = "long functions of this package have not been split yet"
 )]
 
 mod attribution;
--- a/crates/platform/src/notifications.rs
+++ b/crates/platform/src/notifications.rs
@@ -1,7 +1,7 @@
-//! The notices that end undelivered messages, posted to the platform's agent.
+//! Notifications that end undelivered messages, posted to the platform's discovery agent.
 
-use crate::discovery::{CallError, Network, call};
-use crate::discovery_backoff::{ANSWER, FIRST};
+use crate::discovery::{Network, RequestError, send_request};
+use crate::discovery_backoff::{MIN_DELAY, RESPONSE_TIMEOUT};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::header::{CONTENT_TYPE, HOST};
@@ -15,52 +15,56 @@
 use tokio::task::{AbortHandle, JoinError, JoinSet};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Notices in one request.
-const BATCH: usize = 200;
-/// A message whose notice has not been taken so long after its time is lost.
-const LOST: Duration = Duration::from_millis(300);
-/// A post with no answer for so long keeps no notice any longer: the next one goes beside it.
-const AGAIN: Duration = Duration::from_millis(100);
-/// Longest rest between posts that are not answered.
-const REST_MOST: Duration = Duration::from_millis(200);
-const _: () =
-    assert!(2 * AGAIN.as_millis() < LOST.as_millis() && REST_MOST.as_millis() < LOST.as_millis());
-/// Posts that are out at once, each with a descriptor: the oldest has all its time, the newest carries what is new,
-/// and the one between them has [`AGAIN`] at least.
-pub(crate) const POSTS: usize = 3;
+/// Maximum number of notifications in one request.
+const MAX_BATCH_SIZE: usize = 200;
+/// The platform counts a message as lost when its notification has not been accepted this long after the message's
+/// deadline.
+const NOTIFICATION_DEADLINE: Duration = Duration::from_millis(300);
+/// When a request has had no response for this time, the next one is sent beside it, so that a request that hangs delays
+/// no notification any longer.
+const NEXT_POST_DELAY: Duration = Duration::from_millis(100);
+/// Longest delay between requests that fail.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
+const _: () = assert!(
+    2 * NEXT_POST_DELAY.as_millis() < NOTIFICATION_DEADLINE.as_millis()
+        && MAX_RETRY_DELAY.as_millis() < NOTIFICATION_DEADLINE.as_millis()
+);
+/// Maximum number of requests in flight, each with a file descriptor. Three let the oldest run up to its time limit and
+/// the newest carry new notifications, while the one between them has at least [`NEXT_POST_DELAY`].
+pub(crate) const MAX_POSTS: usize = 3;
 
-type Answer = Result<StatusCode, CallError>;
+type PostResult = Result<StatusCode, RequestError>;
 
-/// A notice that has not been taken, and the number of the last post that carried it; 0 for none.
-struct Owed {
-    notice: Notification,
+/// A notification that has not been accepted yet, and the number of the last request that carried it; 0 for none.
+struct PendingNotification {
+    notification: Notification,
     post: u64,
 }
 
-/// The posts that are out, the oldest first.
+/// The requests in flight, the oldest first.
 #[derive(Default)]
 struct Posts {
-    tasks: JoinSet<(Vec<u64>, Answer)>,
-    out: Vec<AbortHandle>,
+    tasks: JoinSet<(Vec<u64>, PostResult)>,
+    in_flight: Vec<AbortHandle>,
 }
 
 impl Posts {
-    fn begin(&mut self, post: impl Future<Output = (Vec<u64>, Answer)> + 'static) {
-        if self.out.len() >= POSTS {
-            // an agent that is only slow gets to answer the oldest
-            self.out.remove(1).abort();
+    fn start(&mut self, post: impl Future<Output = (Vec<u64>, PostResult)> + 'static) {
+        if self.in_flight.len() >= MAX_POSTS {
+            // Abort the second one: a slow agent can still respond to the oldest.
+            self.in_flight.remove(1).abort();
         }
         let handle = self.tasks.spawn_local(post);
-        self.out.push(handle);
+        self.in_flight.push(handle);
     }
 
-    /// The notices of the next one that ends, and its answer.
-    async fn ended(&mut self) -> Option<(Vec<u64>, Answer)> {
+    /// Waits for the next request to end; returns the numbers of its notifications and its result.
+    async fn next_ended(&mut self) -> Option<(Vec<u64>, PostResult)> {
         loop {
             let ended = self.tasks.join_next_with_id().await?;
             let id = ended.as_ref().map_or_else(JoinError::id, |(id, _)| *id);
-            self.out.retain(|handle| handle.id() != id);
-            // one that was called off tells nothing
+            self.in_flight.retain(|handle| handle.id() != id);
+            // an aborted request has no result
             if let Ok((_, ended)) = ended {
                 return Some(ended);
             }
@@ -68,97 +72,101 @@
     }
 }
 
-/// Posts notices until each has been answered 204, always to the agent's present address. A notice twice does no
-/// harm, so a post that hangs keeps none waiting.
+/// Posts each notification until a request that carries it has been answered with 204, and reports it to `inputs`
+/// then. Requests go to the current value of `addresses`. Returns when `queue` is closed and every notification has been
+/// accepted.
+///
+/// The platform ignores duplicate notifications, so notifications of a request that hangs are sent again in another one.
 pub async fn post_notifications(
     network: impl Network,
-    mut agents: watch::Receiver<SocketAddr>,
+    mut addresses: watch::Receiver<SocketAddr>,
     mut queue: mpsc::UnboundedReceiver<Notification>,
     inputs: mpsc::UnboundedSender<Input>,
 ) {
-    let mut owed: BTreeMap<u64, Owed> = BTreeMap::new();
-    let (mut posts, mut begun) = (Posts::default(), 0);
-    let (mut due, mut rest) = (Instant::now(), FIRST);
-    let (mut failing, mut open) = (false, true);
-    while open || !owed.is_empty() {
+    let mut pending: BTreeMap<u64, PendingNotification> = BTreeMap::new();
+    let (mut posts, mut started_posts) = (Posts::default(), 0);
+    let (mut next_post_at, mut delay) = (Instant::now(), MIN_DELAY);
+    let (mut is_failing, mut is_open) = (false, true);
+    while is_open || !pending.is_empty() {
         tokio::select! {
-            notice = queue.recv(), if open => {
-                open = notice.is_some();
-                let mut next = notice;
-                while let Some(notice) = next {
-                    owed.insert(notice.number, Owed { notice, post: 0 });
+            notification = queue.recv(), if is_open => {
+                is_open = notification.is_some();
+                let mut next = notification;
+                while let Some(notification) = next {
+                    pending.insert(notification.number, PendingNotification { notification, post: 0 });
                     next = queue.try_recv().ok();
                 }
             }
-            Ok(()) = agents.changed() => {
-                (posts, due, rest) = (Posts::default(), Instant::now(), FIRST);
+            Ok(()) = addresses.changed() => {
+                (posts, next_post_at, delay) = (Posts::default(), Instant::now(), MIN_DELAY);
             }
-            Some((batch, answer)) = posts.ended(), if !posts.out.is_empty() => match answer {
+            Some((batch, result)) = posts.next_ended(), if !posts.in_flight.is_empty() => match result {
                 Ok(StatusCode::NO_CONTENT) => {
-                    let taken: Vec<u64> =
-                        batch.into_iter().filter(|number| owed.remove(number).is_some()).collect();
-                    (due, rest, failing) = (Instant::now(), FIRST, false);
-                    if !taken.is_empty() && inputs.send(Input::Notified(taken)).is_err() {
+                    let accepted: Vec<u64> =
+                        batch.into_iter().filter(|number| pending.remove(number).is_some()).collect();
+                    (next_post_at, delay, is_failing) = (Instant::now(), MIN_DELAY, false);
+                    if !accepted.is_empty() && inputs.send(Input::Notified(accepted)).is_err() {
                         return;
                     }
                 }
-                // another one has carried them since
-                _ if !batch.iter().any(|number| owed.contains_key(number)) => {}
+                // Another request has delivered all of these notifications meanwhile, so this failure means nothing.
+                _ if !batch.iter().any(|number| pending.contains_key(number)) => {}
                 other => {
-                    if !std::mem::replace(&mut failing, true) {
+                    if !std::mem::replace(&mut is_failing, true) {
                         log_failure(batch.len(), other);
                     }
-                    if posts.out.is_empty() {
-                        due = Instant::now() + rest;
+                    if posts.in_flight.is_empty() {
+                        next_post_at = Instant::now() + delay;
                     }
-                    rest = (rest * 2).min(REST_MOST);
+                    delay = (delay * 2).min(MAX_RETRY_DELAY);
                 }
             },
-            () = sleep_until(due), if !owed.is_empty() => {
-                begun += 1;
-                let (batch, text) = next_batch(&mut owed, begun);
-                let (network, agent) = (network.clone(), *agents.borrow_and_update());
-                posts.begin(async move {
-                    let answer = timeout(ANSWER, post(&network, agent, text)).await;
-                    (batch, answer.unwrap_or(Err(CallError::Time)))
+            () = sleep_until(next_post_at), if !pending.is_empty() => {
+                started_posts += 1;
+                let (batch, text) = next_batch(&mut pending, started_posts);
+                let (network, address) = (network.clone(), *addresses.borrow_and_update());
+                posts.start(async move {
+                    let result = timeout(RESPONSE_TIMEOUT, post(&network, address, text)).await;
+                    (batch, result.unwrap_or(Err(RequestError::TimedOut)))
                 });
-                due = Instant::now() + AGAIN.max(rest);
+                next_post_at = Instant::now() + NEXT_POST_DELAY.max(delay);
             }
         }
     }
 }
 
-/// The notices whose last post is the longest ago, marked as carried by this one.
-fn next_batch(owed: &mut BTreeMap<u64, Owed>, post: u64) -> (Vec<u64>, String) {
-    let mut order: Vec<(u64, u64)> = owed
+/// Selects the notifications whose last request is the longest ago, and marks them as carried by request `post`. Returns
+/// their numbers and the body of the request.
+fn next_batch(pending: &mut BTreeMap<u64, PendingNotification>, post: u64) -> (Vec<u64>, String) {
+    let mut order: Vec<(u64, u64)> = pending
         .iter()
-        .map(|(number, one)| (one.post, *number))
+        .map(|(number, entry)| (entry.post, *number))
         .collect();
     order.sort_unstable();
-    order.truncate(BATCH);
+    order.truncate(MAX_BATCH_SIZE);
     let (mut batch, mut text) = (Vec::new(), String::new());
     for (_, number) in order {
-        if let Some(one) = owed.get_mut(&number) {
-            one.post = post;
-            text += &line_of(&one.notice);
+        if let Some(entry) = pending.get_mut(&number) {
+            entry.post = post;
+            text += &notification_line(&entry.notification);
             batch.push(number);
         }
     }
     (batch, text)
 }
 
-async fn post(network: &impl Network, agent: SocketAddr, text: String) -> Answer {
+async fn post(network: &impl Network, address: SocketAddr, text: String) -> PostResult {
     let request = Request::post("/v1/outcomes")
-        .header(HOST, agent.to_string())
+        .header(HOST, address.to_string())
         .header(CONTENT_TYPE, "application/x-ndjson")
         .body(Full::new(Bytes::from(text)))?;
-    call(network, agent, request, &Cell::new(false))
+    send_request(network, address, request, &Cell::new(false))
         .await
         .map(|response| response.status())
 }
 
-fn log_failure(count: usize, answer: Answer) {
-    match answer {
+fn log_failure(count: usize, result: PostResult) {
+    match result {
         Ok(status) => {
             milletturn_logging::log(format_args!("discovery: {count} notices answered {status}"));
         }
@@ -168,10 +176,10 @@
     }
 }
 
-fn line_of(notice: &Notification) -> String {
-    let mut object = serde_json::json!({ "id": notice.id.as_str() });
-    match notice.ending {
-        // nothing is owed for what was delivered
+fn notification_line(notification: &Notification) -> String {
+    let mut object = serde_json::json!({ "id": notification.id.as_str() });
+    match notification.ending {
+        // the platform expects no notification of a delivered message
         Ending::Delivered => return String::new(),
         Ending::Failed => object["state"] = "failed".into(),
         Ending::Returned { after_ms } => {
--- a/crates/platform/src/resource_budget.rs
+++ b/crates/platform/src/resource_budget.rs
@@ -1,46 +1,51 @@
-//! How descriptors and memory are shared out.
+//! Divides the limits of file descriptors and memory among the parts of a sender.
 
-use crate::notifications::POSTS;
+use crate::notifications::MAX_POSTS;
 use milletturn_engine::MAX_BODY_BYTES;
 
-/// How the limits are shared out. Every descriptor and every byte of a body that is being read comes from here,
-/// so that no part can starve another.
+/// The share of each part of a sender in its file descriptors and memory. Every descriptor and every byte of a request
+/// body that is being read counts against one of these shares, so that no part can starve another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResourceBudget {
-    /// Connections from clients. They hold a third of all descriptors for requests at most.
+    /// Maximum number of open connections from clients. Clients occupy up to a third of all descriptors with requests, so
+    /// the limit is larger than that.
     pub client_connections: usize,
-    /// Beside these, new ones that wait for a place at once, and as many closed ones that are read to their end.
+    /// Maximum number of new client connections that wait for a slot, in addition to `client_connections`. The same number
+    /// again may be closing, with their remaining input being read.
     pub extra_connections: usize,
-    /// Connections to endpoints, those of calls, of answers being read to their end, and idle ones.
+    /// Maximum number of connections to endpoints: with a call, with a response that is still being read, or idle.
     pub endpoint_connections: usize,
-    /// Idle ones among these.
+    /// Maximum number of idle connections among `endpoint_connections`.
     pub idle_connections: usize,
-    /// Bytes of clients' bodies that are being read.
+    /// Maximum total size of client request bodies that are being read, in bytes.
     pub body_bytes: usize,
 }
 
 impl ResourceBudget {
-    /// Standard streams, the poll and its waker, signals, listener, journal (two files while it is compacted),
-    /// configuration, the watch and a call that waits beside it; the posts of notices, and one that is being closed.
-    /// They are set aside before the first client comes, so that a full door keeps nobody from discovery.
-    const REST: usize = 18 + POSTS + 1;
+    /// Descriptors for everything else: standard streams, the poll and its waker, signals, listener, journal (two files
+    /// while it is compacted), configuration, the watch and a request that waits beside it, the requests with
+    /// notifications, and one connection that is being closed. They are reserved from the start, so that a server with all
+    /// its slots in use still leaves descriptors for discovery.
+    const RESERVED_DESCRIPTORS: usize = 18 + MAX_POSTS + 1;
 
-    /// The shares of so many descriptors and bytes, for a sender with so many slots for calls.
+    /// Divides the given limits, for a sender that makes at most `call_slots` calls at once.
     #[must_use]
-    pub fn new(sockets: usize, memory: u64, slots: usize) -> Self {
-        let room = sockets.saturating_sub(Self::REST);
-        let client_connections = (room * 2 / 5).max(1);
-        // half of a tenth, in two parts
-        let extra_connections = (room / 10 / 4).max(1);
-        // a tenth stays free: a closed socket counts until its task has run. Of a small number it is more: those beside,
-        // and one that is accepted before it waits for a place
-        let free = (room / 10).max(2 * extra_connections + 1);
-        let endpoint_connections = room.saturating_sub(free + client_connections).max(1);
-        // calls come first; a quarter of the connections may be idle even where slots are many
+    pub fn new(max_descriptors: usize, memory_bytes: u64, call_slots: usize) -> Self {
+        let available = max_descriptors.saturating_sub(Self::RESERVED_DESCRIPTORS);
+        let client_connections = (available * 2 / 5).max(1);
+        // half of a tenth, divided equally between waiting and closing connections
+        let extra_connections = (available / 10 / 4).max(1);
+        // A tenth stays unassigned, because a closed socket counts until its task has run. With a small limit the reserve
+        // is larger: it covers the waiting and closing connections, and one that is accepted before it waits for a slot.
+        let reserve = (available / 10).max(2 * extra_connections + 1);
+        let endpoint_connections = available
+            .saturating_sub(reserve + client_connections)
+            .max(1);
+        // Calls have priority, but a quarter of the connections may be idle even with many call slots.
         let idle_connections = endpoint_connections
-            .saturating_sub(slots)
+            .saturating_sub(call_slots)
             .max(endpoint_connections / 4);
-        let body_bytes = usize::try_from(memory / 8).unwrap_or(usize::MAX);
+        let body_bytes = usize::try_from(memory_bytes / 8).unwrap_or(usize::MAX);
         ResourceBudget {
             client_connections,
             extra_connections,
@@ -56,33 +61,33 @@
     use super::ResourceBudget;
 
     #[test]
-    fn the_parts_never_exceed_the_descriptors() {
-        // guards against shares that are each sound and together too much: 256 once had to bear 128 clients,
-        // 200 idle connections and the calls
-        for sockets in [50, 64, 256, 384, 1024, 65_536] {
-            for slots in [3, 40, 120, 2000] {
-                let budget = ResourceBudget::new(sockets, 32_000_000, slots);
+    fn shares_never_exceed_the_descriptor_limit() {
+        // Guards against shares that are each reasonable but together exceed the limit: a limit of 256 descriptors was
+        // once divided into 128 clients, 200 idle connections and the calls.
+        for descriptors in [50, 64, 256, 384, 1024, 65_536] {
+            for call_slots in [3, 40, 120, 2000] {
+                let budget = ResourceBudget::new(descriptors, 32_000_000, call_slots);
                 assert!(
                     budget.client_connections
                         + 2 * budget.extra_connections
                         + 1
                         + budget.endpoint_connections
-                        + ResourceBudget::REST
-                        <= sockets,
-                    "{sockets}: {budget:?}"
+                        + ResourceBudget::RESERVED_DESCRIPTORS
+                        <= descriptors,
+                    "{descriptors}: {budget:?}"
                 );
                 assert!(
                     budget.idle_connections > 0
                         && budget.idle_connections <= budget.endpoint_connections,
-                    "{sockets}: {budget:?}"
+                    "{descriptors}: {budget:?}"
                 );
             }
-            // clients may hold a third of the descriptors for requests
+            // clients occupy up to a third of the descriptors with requests
             let client_connections =
-                ResourceBudget::new(sockets, 32_000_000, 40).client_connections;
+                ResourceBudget::new(descriptors, 32_000_000, 40).client_connections;
             assert!(
-                sockets < 256 || client_connections > sockets / 3,
-                "{sockets}: {client_connections}"
+                descriptors < 256 || client_connections > descriptors / 3,
+                "{descriptors}: {client_connections}"
             );
         }
         assert_eq!(
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -1,4 +1,4 @@
-//! The clients' side: reads messages that are handed in, and answers as the driver decides.
+//! The HTTP server for clients: reads submitted messages, and responds as the engine decides.
 
 use crate::drain_gate::DrainGate;
 use bytes::Bytes;
@@ -27,115 +27,125 @@
 use tokio::task::yield_now;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-/// From connecting to the end of the first request's head: a silent or endless one is closed in good time.
-const FIRST_HEAD: Duration = Duration::from_millis(2000);
-/// From connecting, or from the head of a later request, to the end of the body.
-const BODY_TIME: Duration = Duration::from_millis(2400);
-/// From an answer to the end of the next head. Longer keeps more connections that nobody uses.
-const IDLE: Duration = Duration::from_millis(2500);
-/// After an answer that closes: what is still coming is read and dropped for so long and so far, or its sender
-/// would be reset before it has read the answer.
-const LINGER: Duration = Duration::from_millis(500);
-const LINGER_MOST: usize = 256 * 1024;
-/// Longest wait of a new connection for the place of one that is asked to go. Beyond it is turned away while its client,
-/// which waits four times as long, still has time to go elsewhere.
-const PLACE_TIME: Duration = Duration::from_millis(100);
-/// What a request gets that has not come whole when its connection is closed: it was not taken on.
-const TURNED_AWAY: &[u8] =
+/// Time limit for the head of the first request, from the accept of the connection. Closes connections that stay silent
+/// or send a head without end.
+const FIRST_HEAD_TIMEOUT: Duration = Duration::from_millis(2000);
+/// Time limit for the body, from the accept of the connection for the first request and from the end of the head for
+/// later ones.
+const BODY_TIMEOUT: Duration = Duration::from_millis(2400);
+/// Time limit for the next head, from the last response. Larger values keep more unused connections open.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2500);
+/// How long input is still read and discarded after a response that closes the connection. Closing at once would reset
+/// the connection before the client has read the response.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
+/// How many bytes are read and discarded in that time at most.
+const MAX_LINGER_BYTES: usize = 256 * 1024;
+/// Longest time that a new connection waits for the slot of an idle one that is asked to close. After that the new one is
+/// rejected. Its client waits four times as long, so it still has time to connect to another sender.
+const SLOT_TIMEOUT: Duration = Duration::from_millis(100);
+/// Response to an incomplete request whose connection is closed: its message was not accepted.
+const REJECTION_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-/// Longest head.
-const HEAD_MOST: usize = 16 * 1024;
-/// A longer time to deliver is cut to this.
-const TIME_MOST: u64 = 7 * 86_400_000_000;
+/// Maximum size of a request head in bytes.
+const MAX_HEAD_BYTES: usize = 16 * 1024;
+/// Longest time to live of a message, in microseconds: 7 days. A longer one is shortened to this.
+const MAX_TIME_TO_LIVE_US: u64 = 7 * 86_400_000_000;
 
-/// What the connections share.
+/// The configuration and state that all connections share.
 pub struct Server {
-    /// Classes of message, which are the first parts of paths, with their positions.
+    /// Message classes that clients may name, with their positions in the settings. The first segment of a request path is
+    /// the name of a class.
     pub classes: Rc<RefCell<Vec<(usize, Class)>>>,
-    /// The engine.
+    /// Inputs of the engine.
     pub inputs: mpsc::UnboundedSender<Input>,
     /// True once endpoints are known.
     pub ready: watch::Receiver<bool>,
-    /// Whether clients are let in, and whether each answer closes its connection.
+    /// Whether clients are admitted, and whether each response closes its connection.
     pub drain_gate: Rc<DrainGate>,
-    /// Connections that may be open at once.
+    /// Maximum number of open connections.
     pub max_connections: usize,
-    /// Those of them that are not.
+    /// Free connection slots: a permit for each connection of `max_connections` that is not in use.
     pub connection_slots: Arc<Semaphore>,
-    /// Beside these, new connections that may wait for a place at once.
+    /// Permits for new connections that wait for a slot, in addition to `max_connections`.
     pub waiting_slots: Arc<Semaphore>,
-    /// Beside these, closed connections that may be read to their end at once.
+    /// Permits for closing connections whose remaining input is being read, in addition to `max_connections`.
     pub lingering_slots: Arc<Semaphore>,
-    /// Bytes of bodies that may be in reading at once.
+    /// A permit for each byte of a request body that may be in memory while it is being read.
     pub body_bytes: Semaphore,
 }
 
-/// Why a request is not taken on, as HTTP tells it.
-type Refusal = (StatusCode, &'static str);
+/// Status and text of the response to a request that is rejected.
+type Rejection = (StatusCode, &'static str);
 
-const fn bad(what: &'static str) -> Refusal {
-    (StatusCode::BAD_REQUEST, what)
+const fn bad_request(message: &'static str) -> Rejection {
+    (StatusCode::BAD_REQUEST, message)
 }
 
-/// One connection, as it is seen from outside.
-struct Place {
-    /// Connected, or answered last.
-    since: Cell<Instant>,
-    /// With no request open then, it is closed.
-    until: Cell<Instant>,
-    /// When the body of the request that comes next must have ended, if that request is the first.
-    first: Cell<Option<Instant>>,
-    /// A request has been read, and its answer is owed.
-    open: Cell<bool>,
-    /// Its place is wanted.
-    leave: Notify,
-    leaving: Cell<bool>,
-    /// The head that is being read, as it came; empty between an answer and the next request.
+/// State of one client connection, shared between the task that serves it and the tasks that need its slot.
+struct ConnectionState {
+    /// Time of the last response, or of the accept.
+    idle_since: Cell<Instant>,
+    /// The connection is closed at this time unless a request is open then.
+    deadline: Cell<Instant>,
+    /// When the body of the first request must be complete; `None` once its head has been read.
+    first_body_deadline: Cell<Option<Instant>>,
+    /// Whether a complete request has been passed to the engine and its response is still due.
+    has_open_request: Cell<bool>,
+    /// Wakes the task that serves the connection when another client needs its slot.
+    close_requested: Notify,
+    is_close_requested: Cell<bool>,
+    /// Raw bytes of the request head that is being read; empty between a response and the next request.
     head: RefCell<Vec<u8>>,
-    /// Bytes that have been read.
-    read: Cell<u64>,
+    bytes_read: Cell<u64>,
 }
 
-impl Place {
+impl ConnectionState {
     fn new() -> Self {
         let now = Instant::now();
-        Place {
-            since: Cell::new(now),
-            until: Cell::new(now + FIRST_HEAD),
-            first: Cell::new(Some(now + BODY_TIME)),
-            open: Cell::new(false),
-            leave: Notify::new(),
-            leaving: Cell::new(false),
+        ConnectionState {
+            idle_since: Cell::new(now),
+            deadline: Cell::new(now + FIRST_HEAD_TIMEOUT),
+            first_body_deadline: Cell::new(Some(now + BODY_TIMEOUT)),
+            has_open_request: Cell::new(false),
+            close_requested: Notify::new(),
+            is_close_requested: Cell::new(false),
             head: RefCell::default(),
-            read: Cell::new(0),
+            bytes_read: Cell::new(0),
         }
     }
 
-    /// A head has been read; the end of the time for its body. Until that has come whole, the place may still
-    /// be asked for: half a request must not hold it against others.
-    fn begin(&self) -> Instant {
-        let ends = self
-            .first
+    /// Records that a request head has been read; returns the time limit for the body. Until the body is complete, the
+    /// connection may still be asked to close, so that an incomplete request cannot occupy a slot that others need.
+    fn begin_request(&self) -> Instant {
+        let deadline = self
+            .first_body_deadline
             .take()
-            .unwrap_or_else(|| Instant::now() + BODY_TIME);
-        self.until.set(ends + PLACE_TIME);
-        ends
+            .unwrap_or_else(|| Instant::now() + BODY_TIMEOUT);
+        self.deadline.set(deadline + SLOT_TIMEOUT);
+        deadline
     }
 
-    /// The driver gets the message: its answer is owed.
-    fn hand_on(&self) {
-        self.open.set(true);
+    /// Records that the message has been passed to the engine, so that the connection stays open until the response.
+    fn mark_submitted(&self) {
+        self.has_open_request.set(true);
     }
 
-    fn answered(&self, closes: bool) {
+    fn finish_response(&self, is_closing: bool) {
         let now = Instant::now();
-        self.open.set(false);
-        self.since.set(now);
-        self.until.set(now + if closes { LINGER } else { IDLE });
-    }
-
-    /// True unless the head as it came is known to have no `Content-Length`. hyper drops that header beside a
-    /// `Transfer-Encoding`, though the two together may hide a second request in the body.
+        self.has_open_request.set(false);
+        self.idle_since.set(now);
+        self.deadline.set(
+            now + if is_closing {
+                LINGER_TIMEOUT
+            } else {
+                IDLE_TIMEOUT
+            },
+        );
+    }
+
+    /// Whether the request head may contain a `Content-Length`; false only if the raw head shows that it has none. hyper
+    /// removes that header if there is a `Transfer-Encoding` too, but both together can hide a second request in the body
+    /// (request smuggling).
     fn may_have_length(&self) -> bool {
         let head = self.head.borrow();
         let mut headers = [httparse::EMPTY_HEADER; 100];
@@ -150,242 +160,261 @@
     }
 }
 
-/// The open connections, in the order of their coming, and how many new ones wait for their places.
+/// The open connections in the order of their accept, and how many new ones wait for a slot.
 #[derive(Default)]
-struct Places {
-    open: RefCell<BTreeMap<u64, Rc<Place>>>,
-    waiting: Cell<usize>,
+struct OpenConnections {
+    open: RefCell<BTreeMap<u64, Rc<ConnectionState>>>,
+    waiting_clients: Cell<usize>,
 }
 
-impl Places {
-    /// Asks the connection to go that has been without an open request for longest, if more wait than go. To be
-    /// called whenever one more waits, one that was asked stays, or one has become free to go.
-    fn ask_oldest(&self) {
-        if self.waiting.get() == 0 {
+impl OpenConnections {
+    /// Asks the connection that has been idle for longest to close, if fewer connections are closing on request than
+    /// clients wait. Must be called whenever a client begins to wait, a connection stays open although it was asked to
+    /// close, or a connection has sent its response.
+    fn ask_longest_idle_to_close(&self) {
+        if self.waiting_clients.get() == 0 {
             return;
         }
-        let places = self.open.borrow();
-        if places.values().filter(|place| place.leaving.get()).count() >= self.waiting.get() {
+        let states = self.open.borrow();
+        if states
+            .values()
+            .filter(|state| state.is_close_requested.get())
+            .count()
+            >= self.waiting_clients.get()
+        {
             return;
         }
-        let free = places
+        let candidates = states
             .values()
-            .filter(|place| !place.open.get() && !place.leaving.get());
-        if let Some(oldest) = free.min_by_key(|place| place.since.get()) {
-            oldest.leaving.set(true);
-            oldest.leave.notify_one();
+            .filter(|state| !state.has_open_request.get() && !state.is_close_requested.get());
+        if let Some(longest_idle) = candidates.min_by_key(|state| state.idle_since.get()) {
+            longest_idle.is_close_requested.set(true);
+            longest_idle.close_requested.notify_one();
         }
     }
 
-    /// A place, that of another connection if need be; none if no other can go in time.
-    async fn get(&self, free: &Arc<Semaphore>) -> Option<OwnedSemaphorePermit> {
-        self.waiting.update(|count| count + 1);
-        self.ask_oldest();
-        let permit = timeout(PLACE_TIME, free.clone().acquire_owned()).await;
-        self.waiting.update(|count| count - 1);
-        permit.ok()?.ok()
+    /// Waits for a slot, which another connection may have to free; `None` if there is none within [`SLOT_TIMEOUT`].
+    async fn acquire_slot(&self, slots: &Arc<Semaphore>) -> Option<OwnedSemaphorePermit> {
+        self.waiting_clients.update(|count| count + 1);
+        self.ask_longest_idle_to_close();
+        let slot = timeout(SLOT_TIMEOUT, slots.clone().acquire_owned()).await;
+        self.waiting_clients.update(|count| count - 1);
+        slot.ok()?.ok()
     }
 }
 
-/// Accepts clients for ever. Nobody waits long behind those who say nothing: when places run short, the
-/// oldest connection with no open request goes. Nor behind those who wait: these do so beside each other.
+/// Accepts and serves client connections until another process has taken over the listening socket.
+///
+/// When all slots are in use, the connection that has been idle for longest is closed, so that silent clients do not
+/// block new ones. New connections wait for a slot concurrently, so that they do not block each other either.
 pub async fn serve(listener: TcpListener, server: Rc<Server>) {
-    let faults = Rc::new(RateLimitedLog::default());
-    let places = Rc::new(Places::default());
+    let fault_log = Rc::new(RateLimitedLog::default());
+    let connections = Rc::new(OpenConnections::default());
     for number in 0u64.. {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            // what stands in the queue is the other process's
+            // the connections still in the listen queue belong to the other process
             () = server.drain_gate.until_handed_over() => return,
         };
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(error) => {
-                faults.log(format_args!("clients: no connection accepted: {error}"));
+                fault_log.log(format_args!("clients: no connection accepted: {error}"));
                 sleep(Duration::from_millis(50)).await;
                 continue;
             }
         };
-        // without it answers still come, only later
+        // if this fails, responses are only slower
         let _ = stream.set_nodelay(true);
-        let inside = server.drain_gate.track_connection();
-        let (permit, waits) = match server.connection_slots.clone().try_acquire_owned() {
-            Ok(permit) => (Some(permit), None),
-            // each of those that wait is done within `PLACE_TIME`
+        let connection_guard = server.drain_gate.track_connection();
+        let (slot, waiting_slot) = match server.connection_slots.clone().try_acquire_owned() {
+            Ok(slot) => (Some(slot), None),
+            // bounded: each connection that waits for a slot does so for at most `SLOT_TIMEOUT`
             Err(_) => (
                 None,
                 server.waiting_slots.clone().acquire_owned().await.ok(),
             ),
         };
-        let (server, places, faults) = (server.clone(), places.clone(), faults.clone());
+        let (server, connections, fault_log) =
+            (server.clone(), connections.clone(), fault_log.clone());
         tokio::task::spawn_local(async move {
-            let permit = match permit {
-                Some(permit) => Some(permit),
-                None => places.get(&server.connection_slots).await,
+            let slot = match slot {
+                Some(slot) => Some(slot),
+                None => connections.acquire_slot(&server.connection_slots).await,
             };
-            // its descriptor has one share of the budget from its accept to its end
-            let (left, share) = match permit {
-                Some(permit) => {
-                    drop(waits);
-                    let place = Rc::new(Place::new());
-                    places.open.borrow_mut().insert(number, place.clone());
-                    let left = serve_one(stream, &server, &places, place).await;
-                    places.open.borrow_mut().remove(&number);
-                    (left, Some(permit))
+            // The descriptor holds one permit from its accept to its end: of a connection slot or of a waiting slot.
+            let (closing, slot) = match slot {
+                Some(slot) => {
+                    drop(waiting_slot);
+                    let state = Rc::new(ConnectionState::new());
+                    connections.open.borrow_mut().insert(number, state.clone());
+                    let closing = serve_one(stream, &server, &connections, state).await;
+                    connections.open.borrow_mut().remove(&number);
+                    (closing, Some(slot))
                 }
                 None => {
-                    faults.log(format_args!(
-                        "clients: all {} places have an open request",
+                    fault_log.log(format_args!(
+                        "clients: all {} connections have an open request",
                         server.max_connections
                     ));
-                    // one that does not take these few bytes has no use for them
-                    let _ = stream.try_write(TURNED_AWAY);
-                    (Some(stream), waits)
+                    // Best effort: the socket of a client that reads has buffer space for these few bytes.
+                    let _ = stream.try_write(REJECTION_RESPONSE);
+                    (Some(stream), waiting_slot)
                 }
             };
-            if let Some(stream) = left {
-                close(stream, share, &server.lingering_slots).await;
+            if let Some(stream) = closing {
+                close_gracefully(stream, slot, &server.lingering_slots).await;
             }
-            drop(inside);
+            drop(connection_guard);
         });
     }
 }
 
-/// Serves a connection until it ends; gives the stream of one that is still to be closed.
+/// Serves a connection until it ends. Returns the stream if it must still be closed.
 async fn serve_one(
     stream: TcpStream,
     server: &Rc<Server>,
-    places: &Rc<Places>,
-    place: Rc<Place>,
+    connections: &Rc<OpenConnections>,
+    state: Rc<ConnectionState>,
 ) -> Option<TcpStream> {
-    let (mut closing, mut last) = (
+    let (mut closing_idle, mut closing_all) = (
         server.drain_gate.closing_idle(),
         server.drain_gate.closing_all(),
     );
-    let (shared, seen, others) = (server.clone(), place.clone(), places.clone());
-    let stream = Watched {
+    let (service_server, service_state, service_connections) =
+        (server.clone(), state.clone(), connections.clone());
+    let stream = ClientStream {
         stream,
-        place: place.clone(),
-        dropped: 0,
+        state: state.clone(),
+        discarded_bytes: 0,
     };
-    let service =
-        service_fn(move |request| answer(request, shared.clone(), others.clone(), seen.clone()));
+    let service = service_fn(move |request| {
+        respond(
+            request,
+            service_server.clone(),
+            service_connections.clone(),
+            service_state.clone(),
+        )
+    });
     let mut connection = http1::Builder::new()
-        .header_read_timeout(None) // `Place::until` covers it
-        .max_buf_size(HEAD_MOST)
+        .header_read_timeout(None) // replaced by `ConnectionState::deadline`
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(TokioIo::new(stream), service);
-    // one that comes after the idle ones have been closed is answered once
-    let mut stays = !*closing.borrow_and_update();
-    let mut ending = false;
+    // A connection that is accepted after the idle ones were closed is not shut down here; it gets one response.
+    let mut is_keep_alive = !*closing_idle.borrow_and_update();
+    let mut is_closing_all = false;
     loop {
-        let until = place.until.get();
+        let deadline = state.deadline.get();
         tokio::select! {
-            // a request that has come counts more than the end of its time
+            // a request that has arrived takes precedence over the deadline
             biased;
-            // how a client leaves is its own affair; a message it left behind is withdrawn by its guard
+            // An error here is no fault of the sender; `DisconnectGuard` withdraws a message whose client has disconnected.
             _ = &mut connection => return None,
-            _ = closing.wait_for(|closing| *closing), if stays => {
-                stays = false;
+            _ = closing_idle.wait_for(|closing| *closing), if is_keep_alive => {
+                is_keep_alive = false;
                 Pin::new(&mut connection).graceful_shutdown();
                 continue;
             }
-            _ = last.wait_for(|last| *last), if !ending => ending = true,
-            () = place.leave.notified() => {}
-            () = sleep_until(until) => {}
+            _ = closing_all.wait_for(|closing| *closing), if !is_closing_all => is_closing_all = true,
+            () = state.close_requested.notified() => {}
+            () = sleep_until(deadline) => {}
         }
-        if read_all(&mut connection, &place).await {
+        if read_available(&mut connection, &state).await {
             return None;
         }
-        let over = ending || place.leaving.get() || place.until.get() <= Instant::now();
-        if over && !place.open.get() {
+        let must_close = is_closing_all
+            || state.is_close_requested.get()
+            || state.deadline.get() <= Instant::now();
+        if must_close && !state.has_open_request.get() {
             break;
         }
-        if place.until.get() <= Instant::now() {
-            // its handler ends by itself: looked at again when that is long over
-            place.until.set(Instant::now() + IDLE);
+        if state.deadline.get() <= Instant::now() {
+            // The open request ends by its own time limit, well before this new deadline.
+            state.deadline.set(Instant::now() + IDLE_TIMEOUT);
         }
-        if place.leaving.replace(false) {
-            places.ask_oldest();
+        if state.is_close_requested.replace(false) {
+            connections.ask_longest_idle_to_close();
         }
     }
     let stream = connection.into_parts().io.into_inner().stream;
-    if !place.head.borrow().is_empty() {
-        // one that does not take these few bytes has no use for them
-        let _ = stream.try_write(TURNED_AWAY);
+    if !state.head.borrow().is_empty() {
+        // Best effort: the socket of a client that reads has buffer space for these few bytes.
+        let _ = stream.try_write(REJECTION_RESPONSE);
     }
     Some(stream)
 }
 
-/// Reads all that has come by now: the runtime hears of bytes only when it next asks the system, and a request
-/// whose last byte is here must not meet the close of its connection. True if the connection has ended.
-async fn read_all<C: Future + Unpin>(connection: &mut C, place: &Place) -> bool {
+/// Processes all input that the system has received so far. The runtime learns of new bytes only at its next poll of the
+/// system, and a connection must not be closed when the last byte of its request has already arrived. Returns true if
+/// the connection has ended.
+async fn read_available<C: Future + Unpin>(connection: &mut C, state: &ConnectionState) -> bool {
     loop {
-        let before = place.read.get();
+        let before = state.bytes_read.get();
         tokio::select! {
             biased;
             _ = &mut *connection => return true,
-            // comes back when the runtime has asked
+            // returns after the runtime has polled the system
             () = yield_now() => {}
         }
-        if place.open.get() || place.read.get() == before {
+        if state.has_open_request.get() || state.bytes_read.get() == before {
             return false;
         }
     }
 }
 
-/// Closes a connection with no reset, which would take an answer with it that the client has not read: ends the
-/// sending, and reads what still comes for a while. Its share is given back when there is another for that while, or
-/// when it is closed.
-async fn close(
+/// Closes a connection without a reset, which would discard a response that the client has not read yet: ends the output,
+/// then reads remaining input for a limited time. `slot` is freed at once if a lingering slot is available instead, and
+/// otherwise when the connection is closed.
+async fn close_gracefully(
     mut stream: TcpStream,
-    share: Option<OwnedSemaphorePermit>,
-    closed: &Arc<Semaphore>,
+    slot: Option<OwnedSemaphorePermit>,
+    lingering_slots: &Arc<Semaphore>,
 ) {
-    // one that is gone needs no end
+    // the client may have closed the connection already
     let _ = stream.shutdown().await;
-    let time = match closed.clone().try_acquire_owned() {
-        Ok(_beside) => {
-            drop(share);
-            timeout(LINGER, read_off(&mut stream)).await
+    let drained = match lingering_slots.clone().try_acquire_owned() {
+        Ok(_lingering_slot) => {
+            drop(slot);
+            timeout(LINGER_TIMEOUT, discard_input(&mut stream)).await
         }
-        // no descriptor may rest any longer: only what is here already
+        // Too many connections linger: read only the input that has already arrived.
         Err(_) => {
-            let read = timeout(Duration::ZERO, read_off(&mut stream)).await;
-            drop((stream, share));
+            let read = timeout(Duration::ZERO, discard_input(&mut stream)).await;
+            drop((stream, slot));
             read
         }
     };
-    // its client has not ended in time: what more it writes is reset
-    drop(time);
+    // If the client has not closed its side in time, whatever it still writes is answered with a reset.
+    drop(drained);
 }
 
-async fn read_off(stream: &mut TcpStream) {
-    let (mut scratch, mut dropped) = ([0; 8192], 0);
-    while dropped < LINGER_MOST {
+async fn discard_input(stream: &mut TcpStream) {
+    let (mut scratch, mut discarded_bytes) = ([0; 8192], 0);
+    while discarded_bytes < MAX_LINGER_BYTES {
         match stream.read(&mut scratch).await {
-            Ok(count @ 1..) => dropped += count,
+            Ok(count @ 1..) => discarded_bytes += count,
             _ => return,
         }
     }
 }
 
-/// The client's stream: keeps the head that is being read, and closes without a reset.
-struct Watched {
+/// A client's stream. Records the request head that is being read, and shuts down without a reset.
+struct ClientStream {
     stream: TcpStream,
-    place: Rc<Place>,
-    dropped: usize,
+    state: Rc<ConnectionState>,
+    discarded_bytes: usize,
 }
 
-impl Watched {
-    fn wrote(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+impl ClientStream {
+    fn clear_head_if_written(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if matches!(result, Poll::Ready(Ok(1..))) {
-            self.place.head.borrow_mut().clear();
+            self.state.head.borrow_mut().clear();
         }
         result
     }
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for ClientStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -394,26 +423,26 @@
         let before = buffer.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(context, buffer);
         let read = (buffer.filled().len() - before) as u64;
-        self.place.read.update(|count| count + read);
-        let mut head = self.place.head.borrow_mut();
-        // bodies behind the head are cut off at a read's end: only the head matters, and that has a bound
-        let ended = head.windows(4).any(|four| four == b"\r\n\r\n");
-        if !ended && head.len() < HEAD_MOST {
+        self.state.bytes_read.update(|count| count + read);
+        let mut head = self.state.head.borrow_mut();
+        // Only the head is needed, and its size is limited; what follows the head in the same read is kept too.
+        let is_head_complete = head.windows(4).any(|four| four == b"\r\n\r\n");
+        if !is_head_complete && head.len() < MAX_HEAD_BYTES {
             let new = &buffer.filled()[before..];
-            head.extend_from_slice(&new[..new.len().min(HEAD_MOST)]);
+            head.extend_from_slice(&new[..new.len().min(MAX_HEAD_BYTES)]);
         }
         result
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for ClientStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write(context, buffer);
-        self.wrote(result)
+        self.clear_head_if_written(result)
     }
 
     fn poll_write_vectored(
@@ -422,7 +451,7 @@
         buffers: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut self.stream).poll_write_vectored(context, buffers);
-        self.wrote(result)
+        self.clear_head_if_written(result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -433,14 +462,16 @@
         Pin::new(&mut self.stream).poll_flush(context)
     }
 
-    /// Ends the sending and drops what still comes. The time for that is bounded by `Place::until`.
+    /// Ends the output and discards remaining input. `ConnectionState::deadline` limits the time.
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.stream).poll_shutdown(context))?;
         let mut scratch = [0; 8192];
-        while self.dropped < LINGER_MOST {
+        while self.discarded_bytes < MAX_LINGER_BYTES {
             let mut buffer = ReadBuf::new(&mut scratch);
             match ready!(Pin::new(&mut self.stream).poll_read(context, &mut buffer)) {
-                Ok(()) if !buffer.filled().is_empty() => self.dropped += buffer.filled().len(),
+                Ok(()) if !buffer.filled().is_empty() => {
+                    self.discarded_bytes += buffer.filled().len();
+                }
                 _ => break,
             }
         }
@@ -448,25 +479,25 @@
     }
 }
 
-async fn answer(
+async fn respond(
     request: Request<Incoming>,
     server: Rc<Server>,
-    places: Rc<Places>,
-    place: Rc<Place>,
+    connections: Rc<OpenConnections>,
+    state: Rc<ConnectionState>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
-    let ends = place.begin();
-    let (response, close) = match handle(request, &server, &place, ends).await {
+    let body_deadline = state.begin_request();
+    let (response, close) = match handle(request, &server, &state, body_deadline).await {
         Ok(response) => (response, false),
-        Err((status, what)) => {
-            let mut response = Response::new(Full::from(format!("{what}\n")));
+        Err((status, message)) => {
+            let mut response = Response::new(Full::from(format!("{message}\n")));
             *response.status_mut() = status;
             if status == StatusCode::METHOD_NOT_ALLOWED {
-                let allowed = if what == ONLY_GET { "GET" } else { "POST" };
+                let allowed = if message == ONLY_GET { "GET" } else { "POST" };
                 response
                     .headers_mut()
                     .insert(ALLOW, HeaderValue::from_static(allowed));
             }
-            // what stands behind a bad request is not read: nobody knows where that one ends
+            // The input after a malformed request is not read, because it is unclear where that request ends.
             (response, status.is_client_error())
         }
     };
@@ -477,10 +508,10 @@
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    // hyper writes the answer in the same breath, before anybody can ask for the place
-    place.answered(close);
-    // for those who found all others busy
-    places.ask_oldest();
+    // hyper writes the response before any other task runs, so the connection cannot be asked to close before that.
+    state.finish_response(close);
+    // This connection is idle now, so a client that waits while all connections are busy can have its slot.
+    connections.ask_longest_idle_to_close();
     Ok(response)
 }
 
@@ -489,15 +520,18 @@
 async fn handle(
     request: Request<Incoming>,
     server: &Server,
-    place: &Place,
-    ends: Instant,
-) -> Result<Response<Full<Bytes>>, Refusal> {
-    let began = Instant::now();
-    let coding = single(request.headers(), "transfer-encoding", "Transfer-Encoding")?;
-    if coding.is_some_and(|coding| {
-        !coding.as_bytes().eq_ignore_ascii_case(b"chunked") || place.may_have_length()
+    state: &ConnectionState,
+    body_deadline: Instant,
+) -> Result<Response<Full<Bytes>>, Rejection> {
+    let received_at = Instant::now();
+    let transfer_encoding = single(request.headers(), "transfer-encoding", "Transfer-Encoding")?;
+    if transfer_encoding.is_some_and(|transfer_encoding| {
+        !transfer_encoding
+            .as_bytes()
+            .eq_ignore_ascii_case(b"chunked")
+            || state.may_have_length()
     }) {
-        return Err(bad("the length of the body is not clear"));
+        return Err(bad_request("the length of the body is not clear"));
     }
     let path = request.uri().path();
     if path == "/ready" {
@@ -511,25 +545,25 @@
             Err((StatusCode::SERVICE_UNAVAILABLE, "not ready"))
         };
     }
-    let first = path.trim_start_matches('/').split('/').next().unwrap_or("");
+    let path_class = path.trim_start_matches('/').split('/').next().unwrap_or("");
     let headers = request.headers();
-    let named = single(headers, "x-priority-class", "X-Priority-Class")?;
-    let known = server
+    let class_header = single(headers, "x-priority-class", "X-Priority-Class")?;
+    let known_class = server
         .classes
         .borrow()
         .iter()
-        .find(|(_, class)| class.name == first)
+        .find(|(_, class)| class.name == path_class)
         .cloned();
     let Some((
         class,
         Class {
             effect, ordered, ..
         },
-    )) = known
+    )) = known_class
     else {
-        // a class that nobody knows, or a path that is none
-        return Err(if named.is_some_and(|name| name == first) {
-            bad("unknown class")
+        // unknown class if the header names the same one, otherwise an unknown path
+        return Err(if class_header.is_some_and(|name| name == path_class) {
+            bad_request("unknown class")
         } else {
             (StatusCode::NOT_FOUND, "no such path")
         });
@@ -537,72 +571,74 @@
     if request.method() != Method::POST {
         return Err((StatusCode::METHOD_NOT_ALLOWED, "only POST"));
     }
-    if named.is_none_or(|name| name != first) {
-        return Err(bad("X-Priority-Class is missing or not the path's"));
+    if class_header.is_none_or(|name| name != path_class) {
+        return Err(bad_request("X-Priority-Class is missing or not the path's"));
     }
-    // a doubled one is refused, since nobody can tell which was meant; no other class heeds it
+    // Only ordered classes use the subject. A repeated one is rejected because it is unclear which one is meant.
     let subject = if ordered {
-        subject_of(request.uri().query().unwrap_or(""))?
+        parse_subject(request.uri().query().unwrap_or(""))?
     } else {
         None
     };
-    let tenant = word(single(headers, "x-tenant-id", "X-Tenant-Id")?)?;
-    let id = word(single(headers, "x-request-id", "X-Request-ID")?)?
-        .ok_or(bad("X-Request-ID is missing"))?;
-    let key = word(single(headers, "idempotency-key", "Idempotency-Key")?)?;
+    let tenant = read_id(single(headers, "x-tenant-id", "X-Tenant-Id")?)?;
+    let id = read_id(single(headers, "x-request-id", "X-Request-ID")?)?
+        .ok_or(bad_request("X-Request-ID is missing"))?;
+    let key = read_id(single(headers, "idempotency-key", "Idempotency-Key")?)?;
     if key.is_none() && matches!(effect, Effect::Keyed { .. }) {
-        return Err(bad("Idempotency-Key is missing"));
+        return Err(bad_request("Idempotency-Key is missing"));
     }
-    let time = single(headers, "x-timeout", "X-Timeout")?.ok_or(bad("X-Timeout is missing"))?;
-    let time = time
+    let time_to_live =
+        single(headers, "x-timeout", "X-Timeout")?.ok_or(bad_request("X-Timeout is missing"))?;
+    let time_to_live = time_to_live
         .to_str()
         .ok()
-        .and_then(read_time)
-        .ok_or(bad("X-Timeout can't be read"))?;
-    let envelope = single(headers, "envelope", "Envelope")?.ok_or(bad("Envelope is missing"))?;
+        .and_then(parse_time_to_live)
+        .ok_or(bad_request("X-Timeout can't be read"))?;
+    let envelope =
+        single(headers, "envelope", "Envelope")?.ok_or(bad_request("Envelope is missing"))?;
     let destination = envelope
         .to_str()
         .ok()
-        .and_then(read_destination)
-        .ok_or(bad("dest can't be read"))?;
+        .and_then(parse_destination)
+        .ok_or(bad_request("dest can't be read"))?;
     let retried = single(headers, "x-retried", "X-Retried")?;
-    let (again, orphan) = (
+    let (is_resubmitted, is_from_failed_sender) = (
         retried.is_some(),
         retried.is_some_and(|value| value == "again"),
     );
     if request.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB"));
     }
-    let most = request
+    let max_body_bytes = request
         .body()
         .size_hint()
         .upper()
-        .map_or(MAX_BODY_BYTES, |most| {
-            most.min(MAX_BODY_BYTES as u64) as usize
+        .map_or(MAX_BODY_BYTES, |upper| {
+            upper.min(MAX_BODY_BYTES as u64) as usize
         });
-    // a message that the door itself refuses is counted as turned away all the same
-    let refuse = |what| {
-        // nobody listens any more only when the process ends
+    // Messages that the server itself rejects are reported to the engine, so that they are counted.
+    let reject = |message| {
+        // sending fails only when the process ends
         let _ = server.inputs.send(Input::Rejected { class, destination });
-        Err((StatusCode::SERVICE_UNAVAILABLE, what))
+        Err((StatusCode::SERVICE_UNAVAILABLE, message))
     };
-    let Ok(room) = server.body_bytes.try_acquire_many(most as u32) else {
-        return refuse("too many bodies at once");
+    let Ok(body_permit) = server.body_bytes.try_acquire_many(max_body_bytes as u32) else {
+        return reject("too many bodies at once");
     };
-    let body = timeout_at(ends, read_body(request.into_body()))
+    let body = timeout_at(body_deadline, read_body(request.into_body()))
         .await
         .map_err(|_| (StatusCode::REQUEST_TIMEOUT, "the body did not come in time"))??;
-    drop(room);
+    drop(body_permit);
     if !*server.ready.borrow() {
-        return refuse("not ready");
+        return reject("not ready");
     }
     if !server.drain_gate.accepts_messages() {
-        return refuse("draining");
+        return reject("draining");
     }
-    let (reply, answer) = oneshot::channel();
-    place.hand_on();
-    let mut guard = Guard {
-        left: Some(id.clone()),
+    let (reply, outcome) = oneshot::channel();
+    state.mark_submitted();
+    let mut guard = DisconnectGuard {
+        pending_id: Some(id.clone()),
         inputs: &server.inputs,
     };
     let arrival = Arrival {
@@ -612,20 +648,20 @@
         subject,
         tenant,
         destination,
-        time_to_live: time,
-        submitted_at: began,
-        resubmitted: again,
-        from_failed_sender: orphan,
+        time_to_live,
+        submitted_at: received_at,
+        resubmitted: is_resubmitted,
+        from_failed_sender: is_from_failed_sender,
         body,
         reply,
     };
     if server.inputs.send(Input::Arrived(arrival)).is_err() {
         return Err((StatusCode::SERVICE_UNAVAILABLE, "ending"));
     }
-    let answer = answer.await;
-    guard.left = None;
+    let outcome = outcome.await;
+    guard.pending_id = None;
     let mut response = Response::default();
-    match answer {
+    match outcome {
         Ok(ArrivalOutcome::Accepted) => *response.status_mut() = StatusCode::ACCEPTED,
         Ok(ArrivalOutcome::AlreadyDelivered) => {}
         Ok(ArrivalOutcome::Rejected { wait }) => {
@@ -645,11 +681,11 @@
     Ok(response)
 }
 
-/// The body in memory of its own: a slice would hold the connection's whole read buffer.
-async fn read_body(mut body: Incoming) -> Result<Bytes, Refusal> {
+/// Reads the body into memory of its own. A slice would keep the connection's whole read buffer in memory.
+async fn read_body(mut body: Incoming) -> Result<Bytes, Rejection> {
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
-        let frame = frame.map_err(|_| bad("the body is malformed"))?;
+        let frame = frame.map_err(|_| bad_request("the body is malformed"))?;
         let data = frame.into_data().unwrap_or_default();
         if bytes.len() + data.len() > MAX_BODY_BYTES {
             return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is over 64 KiB"));
@@ -660,60 +696,64 @@
     Ok(bytes.into())
 }
 
-/// A client that goes before its answer hands its message in anew elsewhere: hyper drops the request then.
-struct Guard<'a> {
-    left: Option<SharedStr>,
+/// Withdraws a message whose client disconnects before the response: hyper drops the request future then, and the client
+/// submits the message to another sender.
+struct DisconnectGuard<'a> {
+    pending_id: Option<SharedStr>,
     inputs: &'a mpsc::UnboundedSender<Input>,
 }
 
-impl Drop for Guard<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
-        if let Some(id) = self.left.take() {
-            // nobody listens any more only when the process ends
+        if let Some(id) = self.pending_id.take() {
+            // sending fails only when the process ends
             let _ = self.inputs.send(Input::ClientDisconnected(id));
         }
     }
 }
 
-/// The header's only value; a doubled one is refused, since nobody can tell which was meant.
+/// The only value of a header. A repeated header is rejected because it is unclear which value is meant.
 fn single<'a>(
     headers: &'a HeaderMap,
     name: &str,
-    shown: &'static str,
-) -> Result<Option<&'a HeaderValue>, Refusal> {
+    display_name: &'static str,
+) -> Result<Option<&'a HeaderValue>, Rejection> {
     let mut values = headers.get_all(name).iter();
     let value = values.next();
     if values.next().is_some() {
-        Err(bad(shown))
+        Err(bad_request(display_name))
     } else {
         Ok(value)
     }
 }
 
-/// An id or key, copied: a slice would hold the connection's whole read buffer.
-fn word(value: Option<&HeaderValue>) -> Result<Option<SharedStr>, Refusal> {
+/// Reads an id or key into memory of its own. A slice would keep the connection's whole read buffer in memory.
+fn read_id(value: Option<&HeaderValue>) -> Result<Option<SharedStr>, Rejection> {
     let read = |value: &HeaderValue| {
-        SharedStr::new(value.as_bytes()).map_err(|_| bad("an id or key can't be read"))
+        SharedStr::new(value.as_bytes()).map_err(|_| bad_request("an id or key can't be read"))
     };
     value.map(read).transpose()
 }
 
-/// What a message is about: `subject` in the query. Messages with none are in nobody's way.
-fn subject_of(query: &str) -> Result<Option<SharedStr>, Refusal> {
+/// Parses the parameter `subject` of the query. Messages with the same subject are delivered in order; those without one
+/// are not ordered.
+fn parse_subject(query: &str) -> Result<Option<SharedStr>, Rejection> {
     let mut values = query
         .split('&')
         .filter_map(|part| part.strip_prefix("subject="));
-    let (value, more) = (values.next(), values.next());
-    let word = value
+    let (value, second) = (values.next(), values.next());
+    let subject = value
         .map(|value| SharedStr::new(value.as_bytes()))
         .transpose();
-    word.ok()
-        .filter(|_| more.is_none())
-        .ok_or(bad("subject can't be read"))
+    subject
+        .ok()
+        .filter(|_| second.is_none())
+        .ok_or(bad_request("subject can't be read"))
 }
 
-/// A number and a unit: `m` milliseconds or `u` microseconds.
-fn read_time(text: &str) -> Option<Micros> {
+/// Parses a number with a unit, `m` for milliseconds or `u` for microseconds. Long times are cut to
+/// [`MAX_TIME_TO_LIVE_US`].
+fn parse_time_to_live(text: &str) -> Option<Micros> {
     let (digits, unit) = text.split_at_checked(text.len().checked_sub(1)?)?;
     let unit = match unit {
         "m" => MILLISECOND as u64,
@@ -724,10 +764,11 @@
         return None;
     }
     let value: u64 = digits.parse().ok()?;
-    Micros::try_from(value.saturating_mul(unit).min(TIME_MOST)).ok()
+    Micros::try_from(value.saturating_mul(unit).min(MAX_TIME_TO_LIVE_US)).ok()
 }
 
-fn read_destination(text: &str) -> Option<u64> {
+/// Parses the destination number from an `Envelope` header, which contains `dest=` once.
+fn parse_destination(text: &str) -> Option<u64> {
     let mut values = text
         .split([';', ','])
         .filter_map(|part| part.trim().strip_prefix("dest="));
--- a/crates/platform/src/watch_stream.rs
+++ b/crates/platform/src/watch_stream.rs
@@ -1,101 +1,103 @@
-//! What a watch brings, from its bytes in whatever pieces: lists, signs of life, and what can't be read. It opens no
-//! socket and reads no clock.
+//! Parses the byte stream of an endpoint list watch into events: list updates, keep-alives, and malformed input. Chunks
+//! may end anywhere. Free of I/O and clock.
 
 use crate::endpoint_list::parse_list;
 use milletturn_engine::EndpointListUpdate;
 use serde_json::{Deserializer, Value};
 
-/// A longer object is not kept: read, it takes up several times its size.
+/// Maximum size of one JSON object in bytes; a longer one is skipped. A parsed object takes several times its size in
+/// memory.
 pub const MAX_OBJECT_BYTES: usize = 1 << 20;
-/// So much of what can't be read is shown.
-const SHOWN: usize = 80;
+/// Length of the excerpt of malformed input that is logged, in bytes.
+const MAX_EXCERPT_BYTES: usize = 80;
 
-/// One thing that a watch brought.
+/// One event of a watch.
 #[derive(Debug, PartialEq)]
 pub enum WatchEvent {
-    /// The end of a line outside any object: while nothing changes, an empty one comes now and then.
+    /// The end of a line outside any object. Discovery sends empty lines at intervals while nothing changes.
     KeepAlive,
-    /// News; so many entries of it can't be read.
+    /// A list update, and the number of its entries that are malformed and were left out.
     Update(EndpointListUpdate, usize),
-    /// Something that can't be read, from its beginning. What it said is not known.
+    /// The beginning of input that could not be parsed. The changes in it are unknown.
     Malformed(String),
 }
 
-/// Takes the bytes in. An object may run over several lines.
+/// Splits the bytes of a watch into events. An object may span several lines.
 #[derive(Debug, Default)]
 pub struct WatchStream {
-    /// What has come of the next object.
-    text: Vec<u8>,
-    /// The rest of a line that was too long is passed over.
-    skipping: bool,
+    /// Received bytes that do not yet form an event.
+    buffer: Vec<u8>,
+    /// Whether the rest of a line that was too long is still to be skipped.
+    is_skipping_line: bool,
 }
 
 impl WatchStream {
-    /// Bytes that are kept of an object whose end has not come.
+    /// Number of bytes buffered for an object that is not complete yet.
     #[must_use]
     pub fn buffered_bytes(&self) -> usize {
-        self.text.len()
+        self.buffer.len()
     }
 
-    /// What these bytes complete.
+    /// Adds received bytes, and returns the events that they complete.
     pub fn push(&mut self, bytes: &[u8]) -> Vec<WatchEvent> {
-        let mut told = Vec::new();
-        self.text.extend_from_slice(bytes);
-        // only these bytes complete anything: an object that is still coming is not read again for each piece
-        if bytes.contains(&b'}') || bytes.contains(&b'\n') || self.text.len() > MAX_OBJECT_BYTES {
-            let mut at = 0;
-            while let Some(length) = self.next(at, &mut told) {
-                at += length;
+        let mut events = Vec::new();
+        self.buffer.extend_from_slice(bytes);
+        // Only these characters can complete an event; without the check, an incomplete object would be parsed again for each
+        // chunk.
+        if bytes.contains(&b'}') || bytes.contains(&b'\n') || self.buffer.len() > MAX_OBJECT_BYTES {
+            let mut position = 0;
+            while let Some(length) = self.parse_next(position, &mut events) {
+                position += length;
             }
-            self.text.drain(..at);
+            self.buffer.drain(..position);
         }
-        if self.text.len() > MAX_OBJECT_BYTES {
-            told.push(WatchEvent::Malformed(shown(&self.text)));
-            (self.text, self.skipping) = (Vec::new(), true);
+        if self.buffer.len() > MAX_OBJECT_BYTES {
+            events.push(WatchEvent::Malformed(excerpt(&self.buffer)));
+            (self.buffer, self.is_skipping_line) = (Vec::new(), true);
         }
-        told
+        events
     }
 
-    /// Reads what stands at a place; its length, or none where more has to come.
-    fn next(&mut self, at: usize, told: &mut Vec<WatchEvent>) -> Option<usize> {
-        let rest = &self.text[at..];
-        let line = |from: &[u8]| {
+    /// Parses what begins at a position of the buffer. Returns its length, or `None` if more bytes are needed.
+    fn parse_next(&mut self, position: usize, events: &mut Vec<WatchEvent>) -> Option<usize> {
+        let rest = &self.buffer[position..];
+        let line_length = |from: &[u8]| {
             from.iter()
                 .position(|&byte| byte == b'\n')
                 .map(|end| end + 1)
         };
-        if self.skipping {
-            self.skipping = line(rest).is_none();
-            return line(rest).or(Some(rest.len()).filter(|&length| length > 0));
+        if self.is_skipping_line {
+            self.is_skipping_line = line_length(rest).is_none();
+            return line_length(rest).or(Some(rest.len()).filter(|&length| length > 0));
         }
         let first = *rest.first()?;
         if first.is_ascii_whitespace() {
-            told.extend((first == b'\n').then_some(WatchEvent::KeepAlive));
+            events.extend((first == b'\n').then_some(WatchEvent::KeepAlive));
             return Some(1);
         }
         let mut values = Deserializer::from_slice(rest).into_iter::<Value>();
         match values.next()? {
             Ok(value) => {
                 let length = values.byte_offset();
-                told.push(match parse_list(&value) {
-                    Some((update, unread)) => WatchEvent::Update(update, unread),
-                    None => WatchEvent::Malformed(shown(&rest[..length])),
+                events.push(match parse_list(&value) {
+                    Some((update, malformed)) => WatchEvent::Update(update, malformed),
+                    None => WatchEvent::Malformed(excerpt(&rest[..length])),
                 });
                 Some(length)
             }
             Err(error) if error.is_eof() => None,
             Err(_) => {
-                // the next line may be whole again
-                let length = line(rest)?;
-                told.push(WatchEvent::Malformed(shown(&rest[..length])));
+                // continue at the next line, which may be well-formed
+                let length = line_length(rest)?;
+                events.push(WatchEvent::Malformed(excerpt(&rest[..length])));
                 Some(length)
             }
         }
     }
 }
 
-fn shown(text: &[u8]) -> String {
-    String::from_utf8_lossy(&text[..text.len().min(SHOWN)])
+fn excerpt(text: &[u8]) -> String {
+    String::from_utf8_lossy(&text[..text.len().min(MAX_EXCERPT_BYTES)])
         .trim_end()
         .to_string()
 }
