--- a/crates/platform/src/attribution.rs
+++ b/crates/platform/src/attribution.rs
@@ -1,15 +1,15 @@
-//! What ties a response to its call. Free of I/O and clock.
+//! Attributes a response to the call that it belongs to. Free of I/O and clock.
 //!
-//! HTTP/1.1 goes by order alone: nothing in a response names its request, and whatever else comes on a connection while a
-//! call is out reads like the response to it, such as a second copy of an earlier response. Neither the content of a response
-//! nor the time that it takes tells it from such a copy. Three things do: no response came before it on its connection; it
-//! names the call's messages; or the endpoint was asked to close the connection behind it, and did so with nothing else on
-//! it.
+//! HTTP/1.1 matches responses to requests by order alone: nothing in a response names its request. Any other data that
+//! arrives on the connection while a call is in flight, such as a duplicate of an earlier response, looks like the
+//! response to that call. Neither the content nor the timing of a response distinguishes it from such a duplicate.
+//! Three criteria do: the response is the first one on its connection; it names the messages of the call; or the
+//! endpoint was asked to close the connection after the response and did so without sending anything else.
 
 #[cfg(test)]
 mod tests;
 
-use crate::call_codec::{REQUEST_ID, words_by_id};
+use crate::call_codec::{REQUEST_ID_HEADER, results_by_id};
 use hyper::StatusCode;
 use hyper::header::{CONNECTION, HeaderMap};
 use hyper::http::response::Parts;
@@ -19,55 +19,60 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// An endpoint that did not close a connection in order is asked again after this time.
+/// After this time, an endpoint that failed to close a connection in order may be asked to do so again.
 const MAX_AGE: Duration = Duration::from_secs(30);
 
-/// What earlier calls of one connection say about the next one's response.
+/// The earlier calls of a connection, as far as they matter for attributing the next response.
 #[derive(Debug, Default)]
 pub(crate) struct ConnectionRecord {
-    /// Ids of the messages that it has carried: a response that names one of them again may be a copy.
-    carried: HashSet<SharedStr>,
-    /// It has brought a rejection or an error, which name no message: a copy of it reads like the next one.
+    /// Ids of all messages that were sent on the connection: a response that names one of them again may be a
+    /// duplicate.
+    carried_ids: HashSet<SharedStr>,
+    /// Whether a response on the connection was a rejection or an error. Such a response names no message, so a
+    /// duplicate of it looks like the next response.
     has_rejected: bool,
-    /// Its responses to single messages repeat the request's id.
+    /// Whether the last response to a single message repeated the message id of the request.
     repeats_request_id: bool,
 }
 
 impl ConnectionRecord {
-    /// How the response to a call of these messages can be tied to it.
+    /// The criterion by which the response to a call with these messages can be attributed.
     pub(crate) fn attribution(&self, items: &[CallItem]) -> Attribution {
-        if self.carried.is_empty() {
+        if self.carried_ids.is_empty() {
             return Attribution::FirstCall;
         }
-        let is_named = items.len() > 1 || self.repeats_request_id;
-        let is_repeated = items.iter().any(|item| self.carried.contains(&item.id));
-        match is_named && !is_repeated && !self.has_rejected {
+        let will_name_messages = items.len() > 1 || self.repeats_request_id;
+        let is_repeated = items.iter().any(|item| self.carried_ids.contains(&item.id));
+        match will_name_messages && !is_repeated && !self.has_rejected {
             true => Attribution::NamesMessages,
             false => Attribution::LastCall,
         }
     }
 
-    /// Remembers a call and its response.
+    /// Records a call and its response.
     pub(crate) fn record(&mut self, items: &[CallItem], head: &Parts, is_all_delivered: bool) {
         self.has_rejected |= !is_all_delivered;
         if let [item] = items {
             self.repeats_request_id = repeats_id(&head.headers, item);
         }
-        self.carried
+        self.carried_ids
             .extend(items.iter().map(|item| item.id.clone()));
     }
 }
 
-/// Whether a response names the messages of its call: a 200 all of them, any other no other one.
+/// Whether a response names the messages of its call. A 200 must name all of them; any other status may name none, but
+/// no message of another call.
 pub(crate) fn names_messages(items: &[CallItem], head: &Parts, body: &[u8]) -> bool {
     match (items, head.status) {
         ([item], StatusCode::OK) => repeats_id(&head.headers, item),
-        ([item], _) => !head.headers.contains_key(REQUEST_ID) || repeats_id(&head.headers, item),
+        ([item], _) => {
+            !head.headers.contains_key(REQUEST_ID_HEADER) || repeats_id(&head.headers, item)
+        }
         (_, StatusCode::OK) => {
-            let words = words_by_id(body);
+            let results = results_by_id(body);
             items
                 .iter()
-                .all(|item| words.contains_key(item.id.as_str().as_bytes()))
+                .all(|item| results.contains_key(item.id.as_str().as_bytes()))
         }
         _ => true,
     }
@@ -75,11 +80,11 @@
 
 fn repeats_id(headers: &HeaderMap, item: &CallItem) -> bool {
     headers
-        .get(REQUEST_ID)
+        .get(REQUEST_ID_HEADER)
         .is_some_and(|value| value.as_bytes() == item.id.as_str().as_bytes())
 }
 
-/// Whether a response announces that the connection ends behind it. Earlier responses of the connection did not.
+/// Whether a response announces with `Connection: close` that the connection ends after the response.
 pub(crate) fn announces_close(head: &Parts) -> bool {
     let options = head.headers.get_all(CONNECTION).iter();
     options
@@ -88,44 +93,46 @@
         .any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
 
-/// What an endpoint does when a request asks it to close the connection behind the response.
+/// What an endpoint does when a request asks for the connection to be closed after the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CloseBehaviour {
-    /// It announces the end and closes, as RFC 9112 has it.
+    /// The endpoint announces the close and closes the connection, as RFC 9112 requires.
     InOrder,
-    /// It does not announce the end, or leaves the connection open.
+    /// The endpoint does not announce the close, or leaves the connection open.
     Other,
 }
 
-/// What endpoints were seen to do. Its size is that of the list of endpoints.
+/// The observed close behaviour of each endpoint. Contains at most one entry for each endpoint in the list.
 #[derive(Debug, Default)]
 pub(crate) struct CloseBehaviours(HashMap<EndpointId, (CloseBehaviour, Instant)>);
 
 impl CloseBehaviours {
-    /// Remembers what an endpoint did.
+    /// Records the behaviour of an endpoint.
     pub(crate) fn record(&mut self, endpoint: EndpointId, behaviour: CloseBehaviour, now: Instant) {
         self.0.insert(endpoint, (behaviour, now));
     }
 
-    /// Forgets which endpoints did not close, once that is [`MAX_AGE`] ago: a broken connection may have been all.
+    /// Removes entries of endpoints that did not close in order and are older than [`MAX_AGE`]: the cause may have been
+    /// a single broken connection.
     pub(crate) fn evict(&mut self, now: Instant) {
         self.0.retain(|_, (behaviour, seen_at)| {
             *behaviour == CloseBehaviour::InOrder || now - *seen_at < MAX_AGE
         });
     }
 
-    /// Forgets an endpoint.
-    pub(crate) fn forget(&mut self, endpoint: EndpointId) {
+    /// Removes the entry of an endpoint.
+    pub(crate) fn remove(&mut self, endpoint: EndpointId) {
         self.0.remove(&endpoint);
     }
 
-    /// Whether nothing is known of an endpoint.
+    /// Whether the behaviour of an endpoint is unknown.
     pub(crate) fn is_unknown(&self, endpoint: EndpointId) -> bool {
         !self.0.contains_key(&endpoint)
     }
 
-    /// Whether a response can be tied to its call. What must run once ends as failed where it can't: it does not try at
-    /// an endpoint of which nothing is known.
+    /// Whether a call whose response would be attributed by this criterion may be made. A call that must run at most
+    /// once would have to fail if its response could not be attributed, so such a call does not rely on the close
+    /// behaviour of an endpoint for which that is unknown.
     pub(crate) fn allow(
         &self,
         endpoint: EndpointId,
--- a/crates/platform/src/attribution/tests.rs
+++ b/crates/platform/src/attribution/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_call_needs_a_name_in_its_response_to_be_neither_the_first_nor_the_last() {
+fn a_response_must_name_its_messages_unless_its_call_is_the_first_or_last_on_the_connection() {
     let (one, other, two) = (items(&["m1"]), items(&["m2"]), items(&["m3", "m4"]));
     let mut record = ConnectionRecord::default();
     assert_eq!(record.attribution(&one), Attribution::FirstCall);
@@ -36,25 +36,25 @@
     assert_eq!(record.attribution(&two), Attribution::NamesMessages);
     record.record(&two, &head(&[]), true);
     assert_eq!(record.attribution(&items(&["m5"])), Attribution::LastCall);
-    let again = items(&["m6", "m1"]);
-    assert_eq!(record.attribution(&again), Attribution::LastCall);
+    let repeated = items(&["m6", "m1"]);
+    assert_eq!(record.attribution(&repeated), Attribution::LastCall);
 }
 
 #[test]
-fn a_connection_behind_a_rejection_carries_one_more_call() {
+fn a_connection_carries_one_more_call_after_a_rejection() {
     let mut record = ConnectionRecord::default();
-    let naming = head(&[("x-request-id", "m1")]);
-    record.record(&items(&["m1"]), &naming, true);
+    let response_with_id = head(&[("x-request-id", "m1")]);
+    record.record(&items(&["m1"]), &response_with_id, true);
     let next = items(&["m2"]);
     assert_eq!(record.attribution(&next), Attribution::NamesMessages);
-    let naming = head(&[("x-request-id", "m2")]);
-    record.record(&next, &naming, false);
-    let bulk = items(&["m3", "m4"]);
-    assert_eq!(record.attribution(&bulk), Attribution::LastCall);
+    let response_with_id = head(&[("x-request-id", "m2")]);
+    record.record(&next, &response_with_id, false);
+    let batch = items(&["m3", "m4"]);
+    assert_eq!(record.attribution(&batch), Attribution::LastCall);
 }
 
 #[test]
-fn the_end_of_a_connection_is_announced_by_one_of_its_options() {
+fn any_connection_option_can_announce_the_close() {
     for (value, expected) in [
         ("close", true),
         ("Keep-Alive, Close", true),
@@ -67,18 +67,27 @@
 }
 
 #[test]
-fn last_calls_are_made_where_endpoints_close_and_tried_anew_after_a_while() {
+fn last_calls_require_an_endpoint_that_closes_in_order_and_are_allowed_again_after_max_age() {
     let now = Instant::now();
     let mut behaviours = CloseBehaviours::default();
     let allowed = |behaviours: &CloseBehaviours| {
-        [false, true].map(|once| behaviours.allow(ENDPOINT, Attribution::LastCall, once))
+        [false, true]
+            .map(|at_most_once| behaviours.allow(ENDPOINT, Attribution::LastCall, at_most_once))
     };
-    assert_eq!(allowed(&behaviours), [true, false], "nothing is known");
+    assert_eq!(
+        allowed(&behaviours),
+        [true, false],
+        "the behaviour is unknown"
+    );
     behaviours.record(ENDPOINT, CloseBehaviour::Other, now);
     assert_eq!(allowed(&behaviours), [false, false]);
     assert!(behaviours.allow(ENDPOINT, Attribution::NamesMessages, true));
     behaviours.evict(now + MAX_AGE);
-    assert_eq!(allowed(&behaviours), [true, false], "it is forgotten");
+    assert_eq!(
+        allowed(&behaviours),
+        [true, false],
+        "the entry has been evicted"
+    );
     behaviours.record(ENDPOINT, CloseBehaviour::InOrder, now);
     behaviours.evict(now + MAX_AGE);
     assert_eq!(allowed(&behaviours), [true, true]);
--- a/crates/platform/src/call_codec.rs
+++ b/crates/platform/src/call_codec.rs
@@ -1,4 +1,5 @@
-//! Calls and their answers as the protocol page writes them: requests, bulk bodies, ends, waits, load reports.
+//! The HTTP format of calls, as the protocol page defines it: requests, batch bodies, the results of a batch,
+//! `Retry-After`, load reports.
 
 use bytes::Bytes;
 use http_body_util::Full;
@@ -10,44 +11,45 @@
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
-/// The header of an answer with the load report.
-const LOAD_REPORT: &str = "x-server-load";
-/// The header with a message's id.
-pub(crate) const REQUEST_ID: &str = "x-request-id";
-/// A longer told wait counts as this long: a destination that misspeaks is tried again after a month.
-const WAIT_MOST_S: f64 = 31.0 * 86_400.0;
+/// Response header with the load report of an endpoint.
+const LOAD_REPORT_HEADER: &str = "x-server-load";
+/// Header with the id of a message; a response may repeat it.
+pub(crate) const REQUEST_ID_HEADER: &str = "x-request-id";
+/// Longest accepted `Retry-After` in seconds, 31 days; a longer one is cut to this. A destination that announces an
+/// absurd time is retried after a month.
+const MAX_RETRY_AFTER_S: f64 = 31.0 * 86_400.0;
 
-/// What becomes of the connection behind a response.
+/// What the request says about the connection after the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Persistence {
-    /// Either side may go on using it.
+    /// The connection may be used for further calls.
     Keep,
-    /// The endpoint is asked to close it.
+    /// The endpoint is asked to close the connection after the response.
     Close,
 }
 
-/// The request, and the fewest bytes that it takes on the wire.
-pub(crate) fn request_of(
+/// Builds the request for a call. Also returns the minimum number of bytes that the request takes on the connection.
+pub(crate) fn build_request(
     address: SocketAddr,
     items: &[CallItem],
-    expires: Instant,
+    deadline: Instant,
     persistence: Persistence,
 ) -> Option<(Request<Full<Bytes>>, u64)> {
     let (path, body) = match items {
         [item] => ("/inbox", item.body.clone()),
-        _ => ("/inbox/bulk", bulk_of(items)),
+        _ => ("/inbox/bulk", encode_batch(items)),
     };
-    let left = expires
+    let remaining_ms = deadline
         .saturating_duration_since(Instant::now())
         .as_millis()
         .max(1);
-    let size = body.len() as u64;
+    let body_bytes = body.len() as u64;
     let mut request = Request::post(path)
         .header(HOST, address.to_string())
-        .header("x-timeout", format!("{left}m"))
-        .header("content-length", size);
+        .header("x-timeout", format!("{remaining_ms}m"))
+        .header("content-length", body_bytes);
     if let [item] = items {
-        request = request.header(REQUEST_ID, item.id.as_str());
+        request = request.header(REQUEST_ID_HEADER, item.id.as_str());
         if let Some(key) = &item.key {
             request = request.header("idempotency-key", key.as_str());
         }
@@ -56,24 +58,28 @@
         request = request.header(CONNECTION, "close");
     }
     let request = request.body(Full::new(body)).ok()?;
-    let line = "POST  HTTP/1.1\r\n\r\n".len() + path.len();
-    let headers: usize = request
+    let request_line_bytes = "POST  HTTP/1.1\r\n\r\n".len() + path.len();
+    let header_bytes: usize = request
         .headers()
         .iter()
         .map(|(name, value)| name.as_str().len() + value.len() + 4)
         .sum();
-    Some((request, (line + headers) as u64 + size))
+    Some((
+        request,
+        (request_line_bytes + header_bytes) as u64 + body_bytes,
+    ))
 }
 
-/// Bytes that a message takes in the body of a bulk call.
-pub(crate) fn bulk_size(item: &CallItem) -> usize {
+/// Number of bytes that a message takes in the body of a batch call.
+pub(crate) fn batch_item_bytes(item: &CallItem) -> usize {
     item.id.as_str().len()
         + item.key.as_ref().map_or(1, |key| key.as_str().len())
         + item.body.len()
         + 16
 }
 
-fn bulk_of(items: &[CallItem]) -> Bytes {
+/// Encodes the messages of a batch: for each one a line with id, key (`-` for none) and body length, then the body.
+fn encode_batch(items: &[CallItem]) -> Bytes {
     let mut body = Vec::new();
     for item in items {
         let key = item.key.as_ref().map_or("-", SharedStr::as_str).as_bytes();
@@ -87,8 +93,8 @@
     body.into()
 }
 
-/// What the body of a bulk response says of each message that it names, by id.
-pub(crate) fn words_by_id(text: &[u8]) -> HashMap<&[u8], &[u8]> {
+/// Parses the body of a batch response: the result word of each message, by message id.
+pub(crate) fn results_by_id(text: &[u8]) -> HashMap<&[u8], &[u8]> {
     text.split(|&byte| byte == b'\n')
         .filter_map(|line| {
             let at = line.iter().position(|&byte| byte == b' ')?;
@@ -97,43 +103,44 @@
         .collect()
 }
 
-/// Each message's end; one that the answer doesn't name, or names in no known word, may have run.
-pub(crate) fn ends_of(
+/// Parses the result of each message from the body of a batch response. A message that the response does not name, or
+/// names with an unknown word, may have run.
+pub(crate) fn parse_message_results(
     text: &[u8],
     items: &[CallItem],
     wait: Option<Micros>,
 ) -> Vec<(Outcome, bool)> {
-    let words = words_by_id(text);
-    let end = |item: &CallItem| match words.get(item.id.as_str().as_bytes()).copied() {
+    let results = results_by_id(text);
+    let parse_result = |item: &CallItem| match results.get(item.id.as_str().as_bytes()).copied() {
         Some(b"ok") => (Outcome::Success, true),
         Some(b"later") => (Outcome::Refused { wait }, false),
         Some(b"gone") => (Outcome::Unsent { no_slot: false }, true),
         Some(b"exhausted") => (Outcome::Unsent { no_slot: false }, false),
         _ => (Outcome::Error, false),
     };
-    items.iter().map(end).collect()
+    items.iter().map(parse_result).collect()
 }
 
-/// The longest wait that the `Retry-After` headers of an answer tell.
-pub(crate) fn wait_of(headers: &HeaderMap) -> Option<Micros> {
+/// The longest wait in the `Retry-After` headers of a response.
+pub(crate) fn retry_after(headers: &HeaderMap) -> Option<Micros> {
     headers
         .get_all(RETRY_AFTER)
         .iter()
-        .filter_map(|value| wait_in(value.as_bytes()))
+        .filter_map(|value| parse_retry_after(value.as_bytes()))
         .max()
 }
 
-/// The wait that the value of a `Retry-After` tells in seconds, with or without decimals, a month at most; none where
-/// it can't be read or is none.
-pub(crate) fn wait_in(value: &[u8]) -> Option<Micros> {
+/// Parses the value of a `Retry-After` header: seconds, with or without decimals. The result is at most a month; `None`
+/// if the value is malformed or not positive.
+pub(crate) fn parse_retry_after(value: &[u8]) -> Option<Micros> {
     let seconds: f64 = std::str::from_utf8(value).ok()?.trim().parse().ok()?;
-    (seconds > 0.0).then(|| (seconds.min(WAIT_MOST_S) * 1e3).ceil() as Micros * MILLISECOND)
+    (seconds > 0.0).then(|| (seconds.min(MAX_RETRY_AFTER_S) * 1e3).ceil() as Micros * MILLISECOND)
 }
 
-/// The load report in the order of the settings; none unless it is whole and sound.
-pub(crate) fn report_of(headers: &HeaderMap, fields: &[String]) -> Vec<f64> {
+/// Parses the load report: the values of `fields`, in their order. Empty unless every field is present and finite.
+pub(crate) fn parse_load_report(headers: &HeaderMap, fields: &[String]) -> Vec<f64> {
     let Some(text) = headers
-        .get(LOAD_REPORT)
+        .get(LOAD_REPORT_HEADER)
         .and_then(|value| value.to_str().ok())
     else {
         return Vec::new();
--- a/crates/platform/src/call_result.rs
+++ b/crates/platform/src/call_result.rs
@@ -1,88 +1,90 @@
-//! What the end of a call means for each of its messages.
+//! Maps the end of a call to a result for each of its messages.
 
-use crate::call_codec::{ends_of, report_of, wait_of};
+use crate::call_codec::{parse_load_report, parse_message_results, retry_after};
 use hyper::StatusCode;
 use hyper::http::response::Parts;
 use milletturn_engine::{Call, EndCause};
 use milletturn_logging::RateLimitedLog;
 use milletturn_policy::Outcome;
 
-/// The outcome of a message, and whether it needs no further attempt.
-pub(crate) type End = (Outcome, bool);
+/// The outcome of a message, and whether no further attempt is needed.
+pub(crate) type MessageResult = (Outcome, bool);
 
-/// What came of the whole call.
-pub(crate) struct Answer {
-    pub(crate) ends: Ends,
-    /// The load report, in the order of the settings, or empty.
-    pub(crate) report: Vec<f64>,
-    /// The response may be a copy of an earlier one: whatever the outcome, the call may have run.
-    pub(crate) ambiguous: bool,
+/// The result of a call.
+pub(crate) struct CallResult {
+    pub(crate) messages: MessageResults,
+    /// Values of the load report in the order of the configured fields; empty without a valid report.
+    pub(crate) load_report: Vec<f64>,
+    /// Whether the response may duplicate an earlier one: the call may then have run, whatever the outcome says.
+    pub(crate) may_be_duplicate: bool,
     pub(crate) cause: EndCause,
 }
 
-pub(crate) enum Ends {
-    All(End),
-    /// By position in the call.
-    Each(Vec<End>),
+pub(crate) enum MessageResults {
+    /// All messages have the same result.
+    All(MessageResult),
+    /// The result of each message, by position in the call.
+    Each(Vec<MessageResult>),
 }
 
-impl Answer {
-    /// All messages fare alike, and nothing else is known.
-    pub(crate) fn all(outcome: Outcome, cause: EndCause) -> Self {
-        Answer {
-            ends: Ends::All((outcome, outcome == Outcome::Success)),
-            report: Vec::new(),
-            ambiguous: false,
+impl CallResult {
+    /// The result of a call whose messages all have the same outcome, without a load report.
+    pub(crate) fn uniform(outcome: Outcome, cause: EndCause) -> Self {
+        CallResult {
+            messages: MessageResults::All((outcome, outcome == Outcome::Success)),
+            load_report: Vec::new(),
+            may_be_duplicate: false,
             cause,
         }
     }
 
-    /// The meaning of a complete response, by the table of the protocol page.
-    pub(crate) fn of_response(
+    /// Interprets a complete response by the table of the protocol page.
+    pub(crate) fn from_response(
         call: &Call,
         head: &Parts,
         body: &[u8],
         report_fields: &[String],
-        faults: &RateLimitedLog,
+        fault_log: &RateLimitedLog,
     ) -> Self {
-        let wait = wait_of(&head.headers);
-        let ends = match head.status {
-            StatusCode::OK if call.items.len() == 1 => Ends::All((Outcome::Success, true)),
-            StatusCode::OK => Ends::Each(ends_of(body, &call.items, wait)),
-            _ => Ends::All(end_of_status(call, head, faults)),
+        let wait = retry_after(&head.headers);
+        let messages = match head.status {
+            StatusCode::OK if call.items.len() == 1 => {
+                MessageResults::All((Outcome::Success, true))
+            }
+            StatusCode::OK => MessageResults::Each(parse_message_results(body, &call.items, wait)),
+            _ => MessageResults::All(result_of_status(call, head, fault_log)),
         };
-        Answer {
-            ends,
-            report: report_of(&head.headers, report_fields),
-            ambiguous: false,
+        CallResult {
+            messages,
+            load_report: parse_load_report(&head.headers, report_fields),
+            may_be_duplicate: false,
             cause: EndCause::Response(head.status.as_u16()),
         }
     }
 
-    /// The end of the message at a position; one that the response does not name may have run.
-    pub(crate) fn end_at(&self, position: usize) -> End {
-        match &self.ends {
-            Ends::All(end) => *end,
-            Ends::Each(ends) => ends
+    /// The result of the message at a position. A message without a result may have run.
+    pub(crate) fn message_result(&self, position: usize) -> MessageResult {
+        match &self.messages {
+            MessageResults::All(result) => *result,
+            MessageResults::Each(messages) => messages
                 .get(position)
                 .copied()
                 .unwrap_or((Outcome::Error, false)),
         }
     }
 
-    /// Whether every message was delivered.
     pub(crate) fn is_all_delivered(&self) -> bool {
-        let is_delivered = |end: &End| end.0 == Outcome::Success;
-        match &self.ends {
-            Ends::All(end) => is_delivered(end),
-            Ends::Each(ends) => ends.iter().all(is_delivered),
+        let is_delivered = |result: &MessageResult| result.0 == Outcome::Success;
+        match &self.messages {
+            MessageResults::All(result) => is_delivered(result),
+            MessageResults::Each(messages) => messages.iter().all(is_delivered),
         }
     }
 }
 
-/// What a status other than 200 means for all messages of a call.
-fn end_of_status(call: &Call, head: &Parts, faults: &RateLimitedLog) -> End {
-    let wait = wait_of(&head.headers);
+/// The result of all messages of a call for a status other than 200.
+fn result_of_status(call: &Call, head: &Parts, fault_log: &RateLimitedLog) -> MessageResult {
+    let wait = retry_after(&head.headers);
     let unsent = Outcome::Unsent { no_slot: false };
     let address = call.address;
     match head.status {
@@ -97,15 +99,15 @@
         StatusCode::GATEWAY_TIMEOUT => (unsent, false),
         StatusCode::GONE => (unsent, true),
         StatusCode::BAD_REQUEST | StatusCode::PAYLOAD_TOO_LARGE if call.items.len() > 1 => {
-            faults.log(format_args!(
-                "calls: {address} answered a bulk call with {}",
+            fault_log.log(format_args!(
+                "calls: {address} responded to a batch call with {}",
                 head.status
             ));
             (unsent, false)
         }
         status => {
             if status != StatusCode::INTERNAL_SERVER_ERROR {
-                faults.log(format_args!("calls: {address} answered {status}"));
+                fault_log.log(format_args!("calls: {address} responded with {status}"));
             }
             (Outcome::Error, false)
         }
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -1,5 +1,5 @@
-//! Reads `RELAY_CONFIG`. The nested settings are flattened into the reader of the simulator's wire, so that
-//! their names live in one place.
+//! Reads the configuration file that `RELAY_CONFIG` names. The nested settings are flattened into the form that the
+//! simulator's protocol uses, so that one parser and one set of names serve both.
 
 use crate::endpoint_list::parse_list;
 use crate::resource_budget::ResourceBudget;
@@ -15,83 +15,83 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why the sender cannot start.
+/// Why the configuration cannot be used.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// A variable that must be set is not.
+    /// A required environment variable is not set.
     #[error("the variable {0} is not set")]
-    Variable(&'static str),
-    /// The file can't be read.
+    MissingVariable(&'static str),
+    /// The file cannot be read.
     #[error("{path}: {error}", path = path.display())]
     Read {
-        /// Which file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why.
+        /// The error of the operating system.
         error: std::io::Error,
     },
-    /// The file is not JSON of the right form.
+    /// The file is not valid JSON, or a key is missing or has a wrong type.
     #[error("{path}: {error}", path = path.display())]
     Json {
-        /// Which file.
+        /// The path of the file.
         path: PathBuf,
-        /// Why, with line and column.
+        /// The parse error, with line and column where they are known.
         error: serde_json::Error,
     },
-    /// A key that stood in the file before.
+    /// A reloaded file lacks a key that the file had before.
     #[error("{0} is missing; it stood in the file before")]
-    Missing(String),
-    /// A value that is none.
+    MissingKey(String),
+    /// A value has the wrong form.
     #[error("{name} is '{found}', not {wanted}")]
     Value {
-        /// Its name.
+        /// The key or environment variable.
         name: &'static str,
-        /// What stands there.
+        /// The value that was found.
         found: String,
-        /// What should.
+        /// A description of valid values.
         wanted: &'static str,
     },
-    /// Settings that make no sense together.
+    /// A setting is missing or invalid, or settings contradict each other.
     #[error(transparent)]
     Settings(#[from] SettingsError),
 }
 
-/// All that the sender is told at its start.
+/// The configuration of a sender, from its file and the environment.
 #[derive(Debug)]
 pub struct Config {
-    /// The sender's name, the same after a restart.
+    /// Name of the sender. It must stay the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen_address: SocketAddr,
-    /// Where operators connect, if they may.
+    /// Address of the admin interface, if there is one.
     pub management_address: Option<SocketAddr>,
-    /// The agent.
+    /// Address of discovery's agent.
     pub discovery_address: SocketAddr,
-    /// The folder that outlasts the process.
+    /// Folder for files that must survive a restart.
     pub state_dir: PathBuf,
-    /// For random numbers.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Bytes that the lasting folder may hold.
+    /// Disk limit of the state folder, in bytes.
     pub disk_bytes: u64,
-    /// Descriptors that the process may hold.
+    /// Maximum number of open file descriptors of the process.
     pub max_descriptors: usize,
-    /// Bytes of memory that it may use.
+    /// Memory limit of the process, in bytes.
     pub memory_bytes: u64,
-    /// How descriptors and memory are shared out.
+    /// How file descriptors and memory are divided.
     pub budget: ResourceBudget,
-    /// The file that all this comes from; a reload reads it again.
+    /// The configuration file, which a reload reads again.
     pub path: PathBuf,
-    /// The keys that it has.
+    /// The keys that the file contains.
     pub keys: ConfigKeys,
-    /// The list as last known, maybe old.
+    /// The endpoint list in the file, which may be outdated.
     pub cached_endpoints: Option<EndpointListUpdate>,
-    /// What the decision module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
-    /// What the rest is told.
+    /// Names and time limits for the other parts of the sender.
     pub names: SettingNames,
 }
 
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     name: String,
     listen: String,
     discovery: String,
@@ -99,63 +99,66 @@
     management: Option<String>,
     #[serde(default)]
     seed: String,
-    limits: Limits,
+    limits: LimitsSection,
     #[serde(default)]
     known: Value,
     settings: Value,
 }
 
 #[derive(Deserialize)]
-struct Limits {
+struct LimitsSection {
     sockets: usize,
-    #[serde(default = "unknown_memory")]
+    #[serde(default = "default_memory_mb")]
     memory_mb: f64,
     disk_mb: f64,
 }
 
-/// How much later than here the far side may see that a call has been left: "each time limit is 50 ms longer" on
-/// sockets, as the protocol page has it. Until then the next message of its key would meet a call that is still out.
+/// How much later than the sender an endpoint may notice that a call has been abandoned: 50 ms ("each time limit is 50
+/// ms longer" on sockets, according to the protocol page). The next message with the same key waits for this time,
+/// because it could otherwise reach the endpoint while the abandoned call is still in progress there.
 pub const SOCKET_SLACK: Micros = 50 * MILLISECOND;
 
-/// What a body takes up at most is small beside any machine's memory; this stands in where the file tells none.
-fn unknown_memory() -> f64 {
+/// Memory limit in megabytes if the file has none. The value only determines the share for request bodies, which is
+/// small compared to the memory of any machine.
+fn default_memory_mb() -> f64 {
     64.0
 }
 
-/// What a reload can change. The rest of the file binds from the next start on.
+/// The parts of the configuration that a reload can change. All others take effect at the next start.
 #[derive(Debug)]
 pub struct ReloadedConfig {
-    /// The agent.
+    /// Address of discovery's agent.
     pub discovery_address: SocketAddr,
-    /// What the decision module is told.
+    /// Settings of the decision module.
     pub settings: Settings,
 }
 
-/// Reads the file again, whole or not at all: `RELAY_DISCOVERY` does not count here, since it still says what held
-/// at the start of the process. `shape` has the keys of the file that held before: one that is missing now shows a
-/// file that is not complete.
+/// Reads the file again. `RELAY_DISCOVERY` is ignored here, because the variable still has its value from the start of
+/// the process. `keys` are the keys of the previous file: if one of them is missing, the new file is taken to be
+/// incomplete.
 ///
 /// # Errors
-/// When the file can't be read, lacks a key, or has a value that makes no sense.
+/// Returns an error if the file cannot be read, lacks a key, or contains an invalid value; nothing of the file is used
+/// then.
 pub fn reload(path: &Path, keys: &ConfigKeys) -> Result<ReloadedConfig, ConfigError> {
     let value: Value = read(path)?;
-    if let Some(key) = keys.missing(&value) {
-        return Err(ConfigError::Missing(key));
+    if let Some(key) = keys.first_missing(&value) {
+        return Err(ConfigError::MissingKey(key));
     }
-    let file = File::deserialize(&value).map_err(|error| ConfigError::Json {
+    let file = ConfigFile::deserialize(&value).map_err(|error| ConfigError::Json {
         path: path.to_path_buf(),
         error,
     })?;
-    bytes_of("limits.disk_mb", file.limits.disk_mb)?;
-    bytes_of("limits.memory_mb", file.limits.memory_mb)?;
+    parse_megabytes("limits.disk_mb", file.limits.disk_mb)?;
+    parse_megabytes("limits.memory_mb", file.limits.memory_mb)?;
     let (settings, _) = settings_of(&file.settings)?;
     Ok(ReloadedConfig {
-        discovery_address: address("discovery", file.discovery)?,
+        discovery_address: parse_address("discovery", file.discovery)?,
         settings,
     })
 }
 
-/// Which keys a file has, by path. Lists count as one key: classes come and go.
+/// The keys of a configuration file, as paths. A list counts as one key, because its items may change.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigKeys(BTreeSet<String>);
 
@@ -172,25 +175,25 @@
         }
         if let Value::Object(fields) = value {
             for (name, value) in fields {
-                self.add(&below(path, name), value);
+                self.add(&join_path(path, name), value);
             }
         }
     }
 
-    /// The first key that the value lacks.
-    fn missing(&self, value: &Value) -> Option<String> {
+    /// The first of the keys that the value lacks.
+    fn first_missing(&self, value: &Value) -> Option<String> {
         let found = ConfigKeys::of(value);
         self.0.difference(&found.0).next().cloned()
     }
 }
 
-/// The settings of the decisions, in microseconds where the platform's are seconds, and the platform's names. Figures must
-/// stand as numbers: text that looks like one is a mistake.
+/// Converts the platform's settings to those of the decision module, from seconds to microseconds, and extracts the
+/// platform's names. A numeric setting must be a JSON number; a string that looks like a number is rejected.
 ///
 /// # Errors
-/// The first figure that is missing or makes no sense, by its name.
+/// Names the first setting that is missing or invalid.
 pub fn settings_of(value: &Value) -> Result<(Settings, SettingNames), ConfigError> {
-    let number = |name: &'static str, value: &Value| match value {
+    let require_number = |name: &'static str, value: &Value| match value {
         Value::Number(_) => Ok(()),
         other => Err(ConfigError::Value {
             name,
@@ -198,9 +201,9 @@
             wanted: "a number",
         }),
     };
-    number("settings.caps.mostTries", &value["caps"]["mostTries"])?;
+    require_number("settings.caps.mostTries", &value["caps"]["mostTries"])?;
     for class in value["classes"].as_array().into_iter().flatten() {
-        number("settings.classes.deadline", &class["deadline"])?;
+        require_number("settings.classes.deadline", &class["deadline"])?;
     }
     let mut flat = BTreeMap::new();
     flatten("", value, &mut flat);
@@ -227,7 +230,8 @@
 }
 
 impl Config {
-    /// The budget of descriptors and memory where so many descriptors more are used by other parts.
+    /// Divides file descriptors and memory, with the given number of descriptors reserved for other parts of the
+    /// process.
     #[must_use]
     pub fn budget_excluding(&self, descriptors: usize) -> ResourceBudget {
         ResourceBudget::new(
@@ -237,55 +241,56 @@
         )
     }
 
-    /// As the environment of this process has it, see [`from_variables`](Self::from_variables).
+    /// Reads the configuration that the environment of this process names, see
+    /// [`from_variables`](Self::from_variables).
     ///
     /// # Errors
-    /// When a variable is missing, the file can't be read or a value makes no sense.
+    /// Returns an error if a variable is missing, the file cannot be read, or a value is invalid.
     pub fn from_env() -> Result<Self, ConfigError> {
         Self::from_variables(|name| std::env::var(name).ok())
     }
 
-    /// Reads the file that the variable `RELAY_CONFIG` names; the other variables come before what stands in it.
-    /// Several senders of one process have variables of their own.
+    /// Reads the file that the variable `RELAY_CONFIG` names. The other variables take precedence over the values in
+    /// the file. `variable` looks a variable up, so that several senders in one process can have different ones.
     ///
     /// # Errors
-    /// When a variable is missing, the file can't be read or a value makes no sense.
+    /// Returns an error if a variable is missing, the file cannot be read, or a value is invalid.
     pub fn from_variables(
         variable: impl Fn(&'static str) -> Option<String>,
     ) -> Result<Self, ConfigError> {
-        let variable = |name| variable(name).ok_or(ConfigError::Variable(name));
+        let variable = |name| variable(name).ok_or(ConfigError::MissingVariable(name));
         let path = PathBuf::from(variable("RELAY_CONFIG")?);
         let value: Value = read(&path)?;
         let keys = ConfigKeys::of(&value);
-        let file = File::deserialize(value).map_err(|error| ConfigError::Json {
+        let file = ConfigFile::deserialize(value).map_err(|error| ConfigError::Json {
             path: path.clone(),
             error,
         })?;
         let state_dir = PathBuf::from(variable("RELAY_STATE")?);
         let name = variable("RELAY_NAME").unwrap_or(file.name);
-        let listen_address = address(
+        let listen_address = parse_address(
             "RELAY_LISTEN",
             variable("RELAY_LISTEN").unwrap_or(file.listen),
         )?;
-        let told = variable("RELAY_DISCOVERY").unwrap_or_else(|_| file.discovery.clone());
-        if told != file.discovery {
+        let discovery_text = variable("RELAY_DISCOVERY").unwrap_or_else(|_| file.discovery.clone());
+        if discovery_text != file.discovery {
             log(format_args!(
-                "{name}: RELAY_DISCOVERY is {told}, the file says {}",
+                "{name}: RELAY_DISCOVERY is {discovery_text}, which overrides {} from the file",
                 file.discovery
             ));
         }
-        let discovery_address = address("RELAY_DISCOVERY", told)?;
+        let discovery_address = parse_address("RELAY_DISCOVERY", discovery_text)?;
         let management_address = variable("RELAY_MANAGEMENT").ok().or(file.management);
         let management_address = management_address
-            .map(|text| address("RELAY_MANAGEMENT", text))
+            .map(|text| parse_address("RELAY_MANAGEMENT", text))
             .transpose()?;
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| ConfigError::Value {
             name: "seed",
             found: file.seed.clone(),
             wanted: "a hexadecimal number",
         })?;
-        let disk_bytes = bytes_of("limits.disk_mb", file.limits.disk_mb)?;
-        let memory_bytes = bytes_of("limits.memory_mb", file.limits.memory_mb)?;
+        let disk_bytes = parse_megabytes("limits.disk_mb", file.limits.disk_mb)?;
+        let memory_bytes = parse_megabytes("limits.memory_mb", file.limits.memory_mb)?;
         let (settings, names) = settings_of(&file.settings)?;
         Ok(Config {
             name,
@@ -300,9 +305,9 @@
             budget: ResourceBudget::new(file.limits.sockets, memory_bytes, settings.call_slots),
             path,
             keys,
-            // what of it can not be read is asked for with the whole list
-            cached_endpoints: parse_list(&file.known).map(|(list, unread)| EndpointListUpdate {
-                version: if unread > 0 { 0 } else { list.version },
+            // if an entry is malformed, version 0 makes the watch request the full list
+            cached_endpoints: parse_list(&file.known).map(|(list, malformed)| EndpointListUpdate {
+                version: if malformed > 0 { 0 } else { list.version },
                 ..list
             }),
             settings,
@@ -311,7 +316,7 @@
     }
 }
 
-fn bytes_of(name: &'static str, megabytes: f64) -> Result<u64, ConfigError> {
+fn parse_megabytes(name: &'static str, megabytes: f64) -> Result<u64, ConfigError> {
     if megabytes.is_finite() && megabytes >= 0.0 {
         return Ok((megabytes * 1e6) as u64);
     }
@@ -322,7 +327,7 @@
     })
 }
 
-fn address(name: &'static str, text: String) -> Result<SocketAddr, ConfigError> {
+fn parse_address(name: &'static str, text: String) -> Result<SocketAddr, ConfigError> {
     text.parse().map_err(|_| ConfigError::Value {
         name,
         found: text,
@@ -330,39 +335,40 @@
     })
 }
 
-/// Nested JSON to paths with text, as the wire's `setup` has them: a list of plain values is joined with
-/// commas, a list of objects has its length under `.count` and its items under their numbers.
+/// Flattens nested JSON to paths with text values, in the form of the `setup` message of the simulator's protocol. A
+/// list of plain values is joined with commas; a list of objects has its length under `.count` and its items under
+/// their numbers.
 fn flatten(path: &str, value: &Value, flat: &mut BTreeMap<String, String>) {
     match value {
         Value::Object(fields) => {
             fields
                 .iter()
-                .for_each(|(name, value)| flatten(&below(path, name), value, flat));
+                .for_each(|(name, value)| flatten(&join_path(path, name), value, flat));
         }
         Value::Array(items) if items.iter().any(Value::is_object) => {
-            flat.insert(below(path, "count"), items.len().to_string());
+            flat.insert(join_path(path, "count"), items.len().to_string());
             for (index, item) in items.iter().enumerate() {
-                flatten(&below(path, &index.to_string()), item, flat);
+                flatten(&join_path(path, &index.to_string()), item, flat);
             }
         }
         Value::Array(items) if items.is_empty() => {
-            flat.insert(below(path, "count"), "0".to_string());
+            flat.insert(join_path(path, "count"), "0".to_string());
             flat.insert(path.to_string(), String::new());
         }
         Value::Array(items) => {
             flat.insert(
                 path.to_string(),
-                items.iter().map(plain).collect::<Vec<_>>().join(","),
+                items.iter().map(plain_text).collect::<Vec<_>>().join(","),
             );
         }
         Value::Null => {}
         other => {
-            flat.insert(path.to_string(), plain(other));
+            flat.insert(path.to_string(), plain_text(other));
         }
     }
 }
 
-fn below(path: &str, name: &str) -> String {
+fn join_path(path: &str, name: &str) -> String {
     if path.is_empty() {
         name.to_string()
     } else {
@@ -370,7 +376,7 @@
     }
 }
 
-fn plain(value: &Value) -> String {
+fn plain_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.replace([' ', ','], "_"),
         other => other.to_string(),
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -1,7 +1,8 @@
-//! One connection to an endpoint: opened, kept between calls, and reported with a reason when it is closed.
+//! A connection to an endpoint, which may carry several calls one after the other. When it is closed, the reason is
+//! reported to the engine.
 
 use crate::attribution::ConnectionRecord;
-use crate::connection_monitor::{MonitoredStream, Wire};
+use crate::connection_monitor::{ConnectionMonitor, MonitoredStream};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -15,53 +16,53 @@
 use tokio::sync::{OwnedSemaphorePermit, mpsc};
 use tokio::task::AbortHandle;
 
-/// An open connection to an endpoint, with at most one call at a time. Dropping it closes it.
+/// An open connection to an endpoint, with at most one call at a time. Dropping the value closes the connection.
 pub(crate) struct Connection {
     pub(crate) sender: SendRequest<Full<Bytes>>,
-    pub(crate) wire: Rc<Wire>,
+    pub(crate) monitor: Rc<ConnectionMonitor>,
     endpoint: EndpointId,
     close_reason: CloseReason,
-    /// What it has carried.
+    /// The calls that the connection has carried.
     pub(crate) record: ConnectionRecord,
-    /// The task that reads and writes it.
+    /// The task that reads and writes the socket.
     driver: AbortHandle,
     inputs: mpsc::UnboundedSender<Input>,
 }
 
 impl Connection {
-    /// Connects to an endpoint. `number` is unique in this process, and `slot` is the descriptor's.
+    /// Connects to an endpoint. `number` is unique in this process; `descriptor` is the permit for the file descriptor.
     pub(crate) async fn open(
         number: u64,
         endpoint: EndpointId,
         address: SocketAddr,
-        slot: OwnedSemaphorePermit,
+        descriptor: OwnedSemaphorePermit,
         inputs: &mpsc::UnboundedSender<Input>,
     ) -> Result<Self, Box<dyn Error>> {
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
-        let told = inputs.clone();
-        let wire = Rc::new(Wire::new(number, move |wait| {
-            // nobody listens any more only when the process ends
-            let _ = told.send(Input::RetryAfter { endpoint, wait });
+        let retry_after_inputs = inputs.clone();
+        let monitor = Rc::new(ConnectionMonitor::new(number, move |wait| {
+            // sending fails only when the process ends
+            let _ = retry_after_inputs.send(Input::RetryAfter { endpoint, wait });
         }));
         let monitored = MonitoredStream {
             stream,
-            wire: wire.clone(),
-            _place: slot,
+            monitor: monitor.clone(),
+            _descriptor: descriptor,
         };
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_BODY_BYTES)
             .handshake(TokioIo::new(monitored))
             .await?;
-        let watched = wire.clone();
+        let driver_monitor = monitor.clone();
         let driver = tokio::task::spawn_local(async move {
-            // the call on it, if there is one, is told
+            // hyper reports the error to the call on the connection, if there is one
             let _ = connection.await;
-            watched.set_ended();
+            driver_monitor.set_ended();
         });
         Ok(Connection {
             sender,
-            wire,
+            monitor,
             endpoint,
             close_reason: CloseReason::CallFailed,
             record: ConnectionRecord::default(),
@@ -72,29 +73,29 @@
 
     /// Marks the connection as one that carries no call.
     pub(crate) fn set_idle(&mut self) {
-        self.wire.set_idle();
+        self.monitor.set_idle();
         self.close_reason = CloseReason::Evicted;
     }
 
-    /// Closes it after its call: no further one may be made on it.
+    /// Closes the connection after its call, because it may not carry another one.
     pub(crate) fn retire(mut self) {
         self.close_reason = CloseReason::NotReusable;
     }
 
-    /// Whether it can still carry a call. One that can't ended while it was idle.
+    /// Waits until the connection can carry the next call; false if it was closed while it was idle.
     pub(crate) async fn is_ready(&mut self) -> bool {
-        let ready = self.sender.ready().await.is_ok();
-        if ready {
+        let is_ready = self.sender.ready().await.is_ok();
+        if is_ready {
             self.close_reason = CloseReason::CallFailed;
         } else {
-            self.ended_idle();
+            self.set_closed_while_idle();
         }
-        ready
+        is_ready
     }
 
-    /// Records that it ended with no call on it, by what its bytes tell.
-    pub(crate) fn ended_idle(&mut self) {
-        self.close_reason = match self.wire.unsolicited_data().is_some() {
+    /// Records as close reason that the connection was closed while idle: after unsolicited data, or by the endpoint.
+    pub(crate) fn set_closed_while_idle(&mut self) {
+        self.close_reason = match self.monitor.unsolicited_data().is_some() {
             true => CloseReason::UnsolicitedData,
             false => CloseReason::ClosedByPeer,
         };
@@ -103,18 +104,19 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // a call that is given up ends at the endpoint with its connection, also one that waits for the endpoint to close
+        // Aborting the driver closes the socket, so that the endpoint notices an abandoned call. This also holds while
+        // the connection waits for the endpoint to close.
         self.driver.abort();
         if self.close_reason == CloseReason::Evicted && self.sender.is_closed() {
-            self.ended_idle();
+            self.set_closed_while_idle();
         }
-        // nobody listens any more only when the process ends
+        // sending fails only when the process ends
         let _ = self.inputs.send(Input::ConnectionClosed {
             endpoint: self.endpoint,
-            connection: self.wire.number(),
-            calls: self.wire.calls(),
+            connection: self.monitor.number(),
+            calls: self.monitor.calls(),
             reason: self.close_reason,
-            unsolicited: self.wire.unsolicited_data(),
+            unsolicited: self.monitor.unsolicited_data(),
         });
     }
 }
--- a/crates/platform/src/connection_monitor.rs
+++ b/crates/platform/src/connection_monitor.rs
@@ -1,6 +1,6 @@
-//! What the raw bytes on a connection to an endpoint tell, which hyper does not, or too late: how much of a call was
-//! written, the first line of an answer whose head is rejected, a told wait as soon as its line is there, and whether
-//! something came that nobody asked for.
+//! Observes the raw bytes on a connection to an endpoint for what hyper reports too late or not at all: how much of a
+//! request has been written, the first line of a response whose head hyper rejects, a `Retry-After` as soon as its line
+//! is complete, and data that no call has requested.
 
 mod first_line;
 mod stream;
@@ -10,7 +10,7 @@
 pub(crate) use self::stream::MonitoredStream;
 
 use self::first_line::FirstLine;
-use crate::call_codec::wait_in;
+use crate::call_codec::parse_retry_after;
 use milletturn_engine::{Attribution, ConnectionUse, MAX_BODY_BYTES, UnsolicitedData};
 use milletturn_policy::Micros;
 use std::cell::{Cell, RefCell};
@@ -21,163 +21,175 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Longest line of a head that is looked at: a wait takes far less.
-const LINE_MOST: usize = 256;
-/// The beginning of a status line; each `d` is a digit.
-const STATUS_LINE: &[u8] = b"HTTP/1.d ddd";
+/// Longest header line that is inspected, in bytes. A `Retry-After` line is far shorter.
+const MAX_HEADER_LINE_BYTES: usize = 256;
+/// The beginning of a status line; each `d` stands for a digit.
+const STATUS_LINE_PATTERN: &[u8] = b"HTTP/1.d ddd";
 
-/// What the raw bytes of a connection tell.
-pub(crate) struct Wire {
-    /// The connection's number, unique in this process.
+/// What has been observed on the raw bytes of a connection, mostly about the current call.
+pub(crate) struct ConnectionMonitor {
+    /// Number of the connection, unique in this process.
     number: u64,
-    /// Calls that were begun on it.
-    calls: Cell<u64>,
-    /// When the present call had been written whole.
-    written_at: Cell<Option<Instant>>,
-    /// When the first byte came behind the present call's beginning.
-    answered_at: Cell<Option<Instant>>,
-    /// No call is out.
-    idle: Cell<bool>,
-    /// What came while no call was out.
-    unsolicited: Cell<Option<UnsolicitedData>>,
-    /// What ties the present call's response to it.
+    /// Number of calls that were started on the connection.
+    call_count: Cell<u64>,
+    /// When the last byte of the current request was written.
+    request_written_at: Cell<Option<Instant>>,
+    /// When the first byte was received since the start of the current call.
+    first_byte_at: Cell<Option<Instant>>,
+    /// Whether no call is in flight.
+    is_idle: Cell<bool>,
+    /// The first data that was received while no call was in flight, or after the end of a response.
+    unsolicited_data: Cell<Option<UnsolicitedData>>,
+    /// The criterion by which the response was attributed to the current call.
     attributed_by: Cell<Option<Attribution>>,
-    /// The connection has ended.
-    ended: Cell<bool>,
-    /// Wakes who waits for what comes behind a response.
-    changed: Notify,
-    /// A call whose last byte was not written can't have run.
-    pub written: Cell<u64>,
-    /// Nothing may stand unread when the next call begins.
-    look: Cell<bool>,
-    answer: Cell<FirstLine>,
-    /// The line that is coming of the head behind the first one; none where its end has come.
-    line: RefCell<Option<Vec<u8>>>,
-    /// Hears of told waits, whatever becomes of answer, call and connection.
-    told: Box<dyn Fn(Micros)>,
-    /// Bytes of 1xx answers ahead of the present call's answer.
-    ahead: Cell<usize>,
-    /// Bytes of the body that are still to come; none where the head does not tell its length.
-    body_left: Cell<Option<u64>>,
-    /// The present call's answer has a body that tells its end itself, whatever length its head tells.
-    chunked: Cell<bool>,
-    /// Bytes have come behind the end of the present call's answer.
-    extra: Cell<bool>,
-    /// How much of a second status line has come.
-    second_status_line: Cell<usize>,
-    /// The endpoint was asked to close the connection behind the present call's answer.
-    closing: Cell<bool>,
-    /// The endpoint has ended its sending.
-    end_of_stream: Cell<bool>,
-    seen: Notify,
-    /// Where the present call counts its messages once it has been written whole.
-    whole: RefCell<Option<Whole>>,
+    /// Whether the connection has ended.
+    has_ended: Cell<bool>,
+    /// Wakes the task that waits for the end of the connection.
+    ended_notify: Notify,
+    /// Number of bytes written on the connection. A call whose last byte was not written cannot have run.
+    pub bytes_written: Cell<u64>,
+    /// Whether the next write must first check that no unread data has arrived while the connection was idle.
+    must_check_idle: Cell<bool>,
+    /// Parser state for the first line of the response.
+    first_line: Cell<FirstLine>,
+    /// The header line that is being received; `None` after the end of the head.
+    header_line: RefCell<Option<Vec<u8>>>,
+    /// Called for each `Retry-After`, even if the response, the call or the connection fails afterwards.
+    on_retry_after: Box<dyn Fn(Micros)>,
+    /// Number of bytes of interim (1xx) responses and of the first line in the current call.
+    interim_bytes: Cell<usize>,
+    /// Bytes of the body that are still to be received; `None` if the head does not state the length.
+    body_bytes_left: Cell<Option<u64>>,
+    /// Whether the response has a transfer coding, which determines the end of the body whatever `Content-Length`
+    /// states.
+    is_chunked: Cell<bool>,
+    /// Whether bytes were received after the end of the response.
+    has_extra_bytes: Cell<bool>,
+    /// How many bytes of a second status line have been matched.
+    matched_status_line_bytes: Cell<usize>,
+    /// Whether the current request asks the endpoint to close the connection after the response.
+    is_closing: Cell<bool>,
+    /// Whether the endpoint has closed its side of the connection.
+    has_end_of_stream: Cell<bool>,
+    /// Wakes the task that waits for the first line.
+    first_line_notify: Notify,
+    /// The request that is being written; `None` once it is complete.
+    request_in_progress: RefCell<Option<RequestInProgress>>,
 }
 
-/// The value of a `Content-Length`; none if it is no number.
-fn length_in(value: &[u8]) -> Option<u64> {
+/// Parses the value of a `Content-Length`; `None` if it is not a number.
+fn parse_content_length(value: &[u8]) -> Option<u64> {
     std::str::from_utf8(value).ok()?.trim().parse().ok()
 }
 
-/// The status in the status line that bytes begin with; none if they don't.
+/// The status code if the bytes begin with a status line.
 fn status_at_start(bytes: &[u8]) -> Option<u16> {
     let line = bytes.strip_prefix(b"HTTP/1.")?;
     let status = line.get(2..5)?;
     std::str::from_utf8(status).ok()?.parse().ok()
 }
 
-impl fmt::Debug for Wire {
+impl fmt::Debug for ConnectionMonitor {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_struct("Wire")
-            .field("written", &self.written)
-            .field("answer", &self.answer)
+        f.debug_struct("ConnectionMonitor")
+            .field("bytes_written", &self.bytes_written)
+            .field("first_line", &self.first_line)
             .finish()
     }
 }
 
-/// A call that is being written: the count of written bytes at which it is whole.
+/// A request that is being written.
 #[derive(Debug)]
-struct Whole {
-    at: u64,
-    messages: u64,
-    tries: Rc<Cell<u64>>,
+struct RequestInProgress {
+    /// The value of `bytes_written` from which on the request counts as complete.
+    complete_at: u64,
+    message_count: u64,
+    /// Counter that is increased by `message_count` when the request is complete.
+    attempts_written: Rc<Cell<u64>>,
 }
 
-impl Wire {
-    /// A new connection with this number. `told` hears of the waits that its answers tell.
-    pub(crate) fn new(number: u64, told: impl Fn(Micros) + 'static) -> Self {
-        Wire {
+impl ConnectionMonitor {
+    /// Creates the monitor of a new connection. `on_retry_after` is called for each `Retry-After` that a response
+    /// contains.
+    pub(crate) fn new(number: u64, on_retry_after: impl Fn(Micros) + 'static) -> Self {
+        ConnectionMonitor {
             number,
-            calls: Cell::default(),
-            written_at: Cell::default(),
-            answered_at: Cell::default(),
-            idle: Cell::default(),
-            unsolicited: Cell::default(),
+            call_count: Cell::default(),
+            request_written_at: Cell::default(),
+            first_byte_at: Cell::default(),
+            is_idle: Cell::default(),
+            unsolicited_data: Cell::default(),
             attributed_by: Cell::default(),
-            ended: Cell::default(),
-            changed: Notify::default(),
-            written: Cell::default(),
-            look: Cell::default(),
-            answer: Cell::default(),
-            line: RefCell::default(),
-            told: Box::new(told),
-            ahead: Cell::default(),
-            body_left: Cell::default(),
-            chunked: Cell::default(),
-            extra: Cell::default(),
-            second_status_line: Cell::default(),
-            closing: Cell::default(),
-            end_of_stream: Cell::default(),
-            seen: Notify::default(),
-            whole: RefCell::default(),
+            has_ended: Cell::default(),
+            ended_notify: Notify::default(),
+            bytes_written: Cell::default(),
+            must_check_idle: Cell::default(),
+            first_line: Cell::default(),
+            header_line: RefCell::default(),
+            on_retry_after: Box::new(on_retry_after),
+            interim_bytes: Cell::default(),
+            body_bytes_left: Cell::default(),
+            is_chunked: Cell::default(),
+            has_extra_bytes: Cell::default(),
+            matched_status_line_bytes: Cell::default(),
+            is_closing: Cell::default(),
+            has_end_of_stream: Cell::default(),
+            first_line_notify: Notify::default(),
+            request_in_progress: RefCell::default(),
         }
     }
 
-    /// A call of so many messages is about to be written, which takes `least` bytes at the very least; `tries`
-    /// counts its messages then.
-    pub(crate) fn begin(&self, reused: bool, least: u64, messages: u64, tries: &Rc<Cell<u64>>) {
-        let whole = Whole {
-            at: self.written.get() + least,
-            messages,
-            tries: tries.clone(),
+    /// Starts a call: resets the state of the previous one. The request takes at least `min_request_bytes`; once these
+    /// are written, `attempts_written` is increased by `message_count`.
+    pub(crate) fn begin_call(
+        &self,
+        is_reused: bool,
+        min_request_bytes: u64,
+        message_count: u64,
+        attempts_written: &Rc<Cell<u64>>,
+    ) {
+        let request = RequestInProgress {
+            complete_at: self.bytes_written.get() + min_request_bytes,
+            message_count,
+            attempts_written: attempts_written.clone(),
         };
-        self.whole.replace(Some(whole));
-        self.calls.set(self.calls.get() + 1);
-        self.written_at.set(None);
-        self.answered_at.set(None);
-        self.idle.set(false);
+        self.request_in_progress.replace(Some(request));
+        self.call_count.set(self.call_count.get() + 1);
+        self.request_written_at.set(None);
+        self.first_byte_at.set(None);
+        self.is_idle.set(false);
         self.attributed_by.set(None);
-        self.look.set(reused);
-        self.ahead.set(0);
-        self.body_left.set(None);
-        self.chunked.set(false);
-        self.extra.set(false);
-        self.second_status_line.set(0);
-        self.closing.set(false);
-        self.answer.set(FirstLine::Status(0, 0));
-        self.line.replace(Some(Vec::new()));
+        self.must_check_idle.set(is_reused);
+        self.interim_bytes.set(0);
+        self.body_bytes_left.set(None);
+        self.is_chunked.set(false);
+        self.has_extra_bytes.set(false);
+        self.matched_status_line_bytes.set(0);
+        self.is_closing.set(false);
+        self.first_line.set(FirstLine::Status(0, 0));
+        self.header_line.replace(Some(Vec::new()));
     }
 
-    /// The present call asks the endpoint to close the connection: it is read up to its end.
+    /// Records that the current request asks the endpoint to close the connection, which is then read up to its end.
     pub(crate) fn set_closing(&self) {
-        self.closing.set(true);
+        self.is_closing.set(true);
     }
 
-    /// Whether it is still open whether the present call's answer is the last one: its stream has not ended, nor has the head
-    /// of another answer.
+    /// Whether the end of the connection must still be awaited: the endpoint was asked to close it, has not done so,
+    /// and no second response has been received.
     fn awaits_end(&self) -> bool {
-        let is_answered_twice = self.has_extra_data() && self.line.borrow().is_none();
-        self.closing.get() && !self.end_of_stream.get() && !is_answered_twice
+        let has_second_response = self.has_extra_data() && self.header_line.borrow().is_none();
+        self.is_closing.get() && !self.has_end_of_stream.get() && !has_second_response
     }
 
-    /// Whether the present call asks the endpoint to close the connection.
+    /// Whether the current request asks the endpoint to close the connection.
     pub(crate) fn is_closing(&self) -> bool {
-        self.closing.get()
+        self.is_closing.get()
     }
 
-    /// The call is over and its answer read.
+    /// Records that the call is over and its response has been read.
     pub(crate) fn set_idle(&self) {
-        self.idle.set(true);
+        self.is_idle.set(true);
     }
 
     pub(crate) fn number(&self) -> u64 {
@@ -185,214 +197,225 @@
     }
 
     pub(crate) fn calls(&self) -> u64 {
-        self.calls.get()
+        self.call_count.get()
     }
 
-    /// Whether no call was made on it before the present one.
+    /// Whether the current call is the first one on the connection.
     pub(crate) fn is_first_call(&self) -> bool {
-        self.calls.get() == 1
+        self.call_count.get() == 1
     }
 
-    /// Whether the present call has been written whole.
+    /// Whether the current request has been written completely.
     pub(crate) fn is_request_complete(&self) -> bool {
-        self.written_at.get().is_some()
+        self.request_written_at.get().is_some()
     }
 
-    /// Time from the last byte of the present call's request to the first byte behind it; none for a response that
-    /// came before that last byte.
+    /// Time from the last byte of the request to the first byte of the response; `None` if the response began before
+    /// that last byte.
     pub(crate) fn response_time(&self) -> Option<Duration> {
-        let (written, answered) = self.written_at.get().zip(self.answered_at.get())?;
-        answered.checked_duration_since(written)
+        let (written_at, first_byte_at) = self
+            .request_written_at
+            .get()
+            .zip(self.first_byte_at.get())?;
+        first_byte_at.checked_duration_since(written_at)
     }
 
-    /// Whether the present call's answer is all that came behind its request, up to the end of the stream.
-    pub(crate) fn ended_behind_answer(&self) -> bool {
-        self.end_of_stream.get() && !self.has_extra_data()
+    /// Whether the endpoint has closed the connection and sent nothing but the response to the current call.
+    pub(crate) fn ended_after_response(&self) -> bool {
+        self.has_end_of_stream.get() && !self.has_extra_data()
     }
 
-    /// Whether more than one answer, or parts of several, came behind the present call's request.
+    /// Whether more than one response, or parts of several, were received in the current call.
     pub(crate) fn has_extra_data(&self) -> bool {
-        let has_second_status_line = self.second_status_line.get() == STATUS_LINE.len();
-        self.extra.get() || has_second_status_line
+        let has_second_status_line =
+            self.matched_status_line_bytes.get() == STATUS_LINE_PATTERN.len();
+        self.has_extra_bytes.get() || has_second_status_line
     }
 
-    /// One byte further in the search for a second status line.
-    fn look_for_status_line(&self, byte: u8) {
-        let found = self.second_status_line.get();
-        let Some(&expected) = STATUS_LINE.get(found) else {
+    /// Advances the search for a second status line by one byte.
+    fn match_status_line(&self, byte: u8) {
+        let matched = self.matched_status_line_bytes.get();
+        let Some(&expected) = STATUS_LINE_PATTERN.get(matched) else {
             return;
         };
-        let fits = match expected {
+        let is_match = match expected {
             b'd' => byte.is_ascii_digit(),
             _ => byte == expected,
         };
-        self.second_status_line.set(match fits {
-            true => found + 1,
-            false => usize::from(byte == STATUS_LINE[0]),
+        self.matched_status_line_bytes.set(match is_match {
+            true => matched + 1,
+            false => usize::from(byte == STATUS_LINE_PATTERN[0]),
         });
     }
 
-    /// These bytes stand behind the head of the present call's answer. What follows its body is another answer, whose
-    /// head may tell a wait.
-    fn pass_behind_head(&self, bytes: &[u8]) {
+    /// Processes bytes after the head of the response. Bytes after the end of the body belong to another response,
+    /// whose head may contain a `Retry-After`.
+    fn process_after_head(&self, bytes: &[u8]) {
         for (position, byte) in bytes.iter().enumerate() {
-            match self.body_left.get() {
-                Some(0) if !self.extra.replace(true) => {
+            match self.body_bytes_left.get() {
+                Some(0) if !self.has_extra_bytes.replace(true) => {
                     self.set_unsolicited(&bytes[position..]);
-                    self.line.replace(Some(Vec::new()));
-                    self.pass_header(*byte);
+                    self.header_line.replace(Some(Vec::new()));
+                    self.process_header_byte(*byte);
                 }
-                Some(0) => self.pass_header(*byte),
-                Some(left) => self.body_left.set(Some(left - 1)),
-                None => self.look_for_status_line(*byte),
+                Some(0) => self.process_header_byte(*byte),
+                Some(left) => self.body_bytes_left.set(Some(left - 1)),
+                None => self.match_status_line(*byte),
             }
         }
     }
 
-    /// Time since the last byte of the present call's request.
-    fn since_written(&self) -> Duration {
-        self.written_at
+    /// Time since the last byte of the current request was written.
+    fn time_since_request(&self) -> Duration {
+        self.request_written_at
             .get()
             .map_or(Duration::ZERO, |at| at.elapsed())
     }
 
-    /// The connection has ended.
+    /// Records that the connection has ended.
     pub(crate) fn set_ended(&self) {
-        self.ended.set(true);
-        self.changed.notify_one();
+        self.has_ended.set(true);
+        self.ended_notify.notify_one();
     }
 
-    /// Ends once the connection has ended, as it does when something comes behind an answer.
-    pub(crate) async fn ended(&self) {
-        while !self.ended.get() {
-            self.changed.notified().await;
+    /// Waits until the connection has ended. Data after a response ends the connection too.
+    pub(crate) async fn until_ended(&self) {
+        while !self.has_ended.get() {
+            self.ended_notify.notified().await;
         }
     }
 
-    /// What came while no call was out.
+    /// The first data that was received while no call was in flight, or after the end of a response.
     pub(crate) fn unsolicited_data(&self) -> Option<UnsolicitedData> {
-        self.unsolicited.get()
+        self.unsolicited_data.get()
     }
 
     fn set_unsolicited(&self, bytes: &[u8]) {
         let data = UnsolicitedData {
             status: status_at_start(bytes),
-            after_request: self.since_written(),
+            after_request: self.time_since_request(),
         };
-        self.unsolicited.set(self.unsolicited.get().or(Some(data)));
+        self.unsolicited_data
+            .set(self.unsolicited_data.get().or(Some(data)));
     }
 
-    /// Records what ties the present call's response to it.
+    /// Records the criterion by which the response was attributed to the current call.
     pub(crate) fn set_attribution(&self, attribution: Attribution) {
         self.attributed_by.set(Some(attribution));
     }
 
-    /// The present call's place on the connection, and how fast its answer came.
+    /// Details of the current call for logs: connection, position on the connection, response time, attribution.
     pub(crate) fn connection_use(&self) -> ConnectionUse {
         ConnectionUse {
             connection: self.number,
-            call_on_connection: self.calls.get(),
+            call_on_connection: self.call_count.get(),
             response_after: self.response_time(),
             attributed_by: self.attributed_by.get(),
         }
     }
 
-    /// True if a first line with 200 can only be that of the present call's answer: no other came before it, and the
-    /// call was whole by then.
-    pub(crate) fn says_200(&self) -> bool {
-        self.answer.get() == FirstLine::Whole(200)
+    /// Whether a status line with 200 has been received that can only belong to the current call: the call is the first
+    /// on the connection, and its request was complete before the response began.
+    pub(crate) fn has_unambiguous_200(&self) -> bool {
+        self.first_line.get() == FirstLine::Complete(200)
             && self.is_first_call()
             && self.response_time().is_some()
     }
 
-    /// Ends once the first line of an answer has come, or what can be none.
-    pub(crate) async fn first_line(&self) {
-        while !matches!(self.answer.get(), FirstLine::Whole(_) | FirstLine::Nothing) {
-            self.seen.notified().await;
+    /// Waits until the first line of the final response is complete or known to be invalid.
+    pub(crate) async fn until_first_line(&self) {
+        while !matches!(
+            self.first_line.get(),
+            FirstLine::Complete(_) | FirstLine::Invalid
+        ) {
+            self.first_line_notify.notified().await;
         }
     }
 
-    /// One byte further in the head behind the first line. Nothing of a body is taken for a header: a head ends with
-    /// its first empty line (RFC 9112).
-    fn pass_header(&self, byte: u8) {
-        let mut slot = self.line.borrow_mut();
-        let Some(line) = slot.as_mut() else { return };
+    /// Processes one byte of the head after the first line. The head ends at the first empty line (RFC 9112), so
+    /// nothing in a body is taken for a header.
+    fn process_header_byte(&self, byte: u8) {
+        let mut header_line = self.header_line.borrow_mut();
+        let Some(line) = header_line.as_mut() else {
+            return;
+        };
         if byte != b'\n' {
-            if line.len() < LINE_MOST {
+            if line.len() < MAX_HEADER_LINE_BYTES {
                 line.push(byte);
             }
             return;
         }
         let text = line.trim_ascii_end();
         if text.is_empty() {
-            *slot = None;
+            *header_line = None;
             return;
         }
         let colon = text
             .iter()
             .position(|&other| other == b':')
-            .filter(|_| text.len() < LINE_MOST);
+            .filter(|_| text.len() < MAX_HEADER_LINE_BYTES);
         let header = colon.map(|at| (&text[..at], &text[at + 1..]));
         let value_of = |wanted: &[u8]| {
             let named = header.filter(|(name, _)| name.eq_ignore_ascii_case(wanted));
             named.map(|(_, value)| value)
         };
-        let wait = value_of(b"retry-after").and_then(wait_in);
-        let length = value_of(b"content-length").and_then(length_in);
-        let is_chunked = self.chunked.get() || value_of(b"transfer-encoding").is_some();
-        if !self.extra.get() && (is_chunked || length.is_some()) {
-            self.chunked.set(is_chunked);
-            self.body_left.set(length.filter(|_| !is_chunked));
+        let wait = value_of(b"retry-after").and_then(parse_retry_after);
+        let length = value_of(b"content-length").and_then(parse_content_length);
+        let is_chunked = self.is_chunked.get() || value_of(b"transfer-encoding").is_some();
+        if !self.has_extra_bytes.get() && (is_chunked || length.is_some()) {
+            self.is_chunked.set(is_chunked);
+            self.body_bytes_left.set(length.filter(|_| !is_chunked));
         }
         line.clear();
-        drop(slot);
+        drop(header_line);
         if let Some(wait) = wait {
-            (self.told)(wait);
+            (self.on_retry_after)(wait);
         }
     }
 
-    fn pass(&self, bytes: &mut [u8]) -> io::Result<()> {
+    /// Processes received bytes before hyper sees them.
+    fn process(&self, bytes: &mut [u8]) -> io::Result<()> {
         if !bytes.is_empty() {
-            if self.idle.get() {
+            if self.is_idle.get() {
                 self.set_unsolicited(bytes);
             }
-            let answered_at = self.answered_at.get().or_else(|| Some(Instant::now()));
-            self.answered_at.set(answered_at);
+            let first_byte_at = self.first_byte_at.get().or_else(|| Some(Instant::now()));
+            self.first_byte_at.set(first_byte_at);
         }
-        let mut line = self.answer.get();
-        let mut ahead = self.ahead.get();
-        let mut behind_head = None;
-        for (number, byte) in bytes.iter_mut().enumerate() {
-            match line {
-                FirstLine::Whole(_) if self.line.borrow().is_some() => {
-                    self.look_for_status_line(*byte);
-                    self.pass_header(*byte);
+        let mut first_line = self.first_line.get();
+        let mut interim_bytes = self.interim_bytes.get();
+        let mut body_start = None;
+        for (position, byte) in bytes.iter_mut().enumerate() {
+            match first_line {
+                FirstLine::Complete(_) if self.header_line.borrow().is_some() => {
+                    self.match_status_line(*byte);
+                    self.process_header_byte(*byte);
                 }
-                FirstLine::Whole(_) => {
-                    behind_head = Some(number);
+                FirstLine::Complete(_) => {
+                    body_start = Some(position);
                     break;
                 }
-                FirstLine::Nothing => break,
+                FirstLine::Invalid => break,
                 _ => {
-                    if matches!(line, FirstLine::Rest(_)) {
-                        self.look_for_status_line(*byte);
+                    if matches!(first_line, FirstLine::ReasonPhrase(_)) {
+                        self.match_status_line(*byte);
                     }
-                    line = line.pass(byte);
-                    ahead += 1;
+                    first_line = first_line.advance(byte);
+                    interim_bytes += 1;
                 }
             }
         }
-        if let Some(rest) = behind_head.and_then(|number| bytes.get(number..)) {
-            self.pass_behind_head(rest);
+        if let Some(rest) = body_start.and_then(|position| bytes.get(position..)) {
+            self.process_after_head(rest);
         }
-        self.ahead.set(ahead);
-        self.answer.set(line);
-        if matches!(line, FirstLine::Whole(_) | FirstLine::Nothing) {
-            self.seen.notify_one();
-        } else if ahead > MAX_BODY_BYTES {
+        self.interim_bytes.set(interim_bytes);
+        self.first_line.set(first_line);
+        if matches!(first_line, FirstLine::Complete(_) | FirstLine::Invalid) {
+            self.first_line_notify.notify_one();
+        } else if interim_bytes > MAX_BODY_BYTES {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidData,
-                "no answer behind those ahead",
+                "no final response after too many interim responses",
             ));
         }
         Ok(())
--- a/crates/platform/src/connection_monitor/stream.rs
+++ b/crates/platform/src/connection_monitor/stream.rs
@@ -1,6 +1,6 @@
-//! An endpoint's socket, whose bytes are looked at on their way.
+//! The socket of a connection to an endpoint, whose bytes pass through a [`ConnectionMonitor`].
 
-use super::Wire;
+use super::ConnectionMonitor;
 use socket2::SockRef;
 use std::io::{self, Read};
 use std::mem::MaybeUninit;
@@ -12,25 +12,23 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// Bytes of an answer that are still looked at once nobody waits for it: more than a head has.
-const LAST_LOOK: usize = 4096;
+/// How many bytes of a response are still read when its call has been abandoned: more than a response head has.
+const MAX_FINAL_READ_BYTES: usize = 4096;
 
-/// An endpoint's stream, with an eye on the raw bytes.
+/// The stream of a connection to an endpoint. The monitor observes all bytes that are read and written.
 #[derive(Debug)]
 pub(crate) struct MonitoredStream {
-    /// The socket.
     pub stream: TcpStream,
-    /// What its bytes tell.
-    pub wire: Rc<Wire>,
-    /// Its descriptor; free again when this is dropped.
-    pub _place: OwnedSemaphorePermit,
+    pub monitor: Rc<ConnectionMonitor>,
+    /// The permit for the file descriptor, which is released when the stream is dropped.
+    pub _descriptor: OwnedSemaphorePermit,
 }
 
 impl MonitoredStream {
-    /// An error if something came behind the last answer, or the end: it must not be taken for the answer to
-    /// the call that is about to be written.
-    fn look(&self) -> io::Result<()> {
-        if !self.wire.look.take() {
+    /// Fails if data or the end of the stream has arrived since the last response: that data must not be taken for the
+    /// response to the call that is about to be written.
+    fn check_idle(&self) -> io::Result<()> {
+        if !self.monitor.must_check_idle.take() {
             return Ok(());
         }
         match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
@@ -38,25 +36,31 @@
             Err(error) => Err(error),
             Ok(bytes) => {
                 if bytes > 0 {
-                    self.wire.set_unsolicited(&[]);
+                    self.monitor.set_unsolicited(&[]);
                 }
-                Err(io::Error::new(io::ErrorKind::ConnectionAborted, "not idle"))
+                Err(io::Error::new(
+                    io::ErrorKind::ConnectionAborted,
+                    "data or end of stream on an idle connection",
+                ))
             }
         }
     }
 
-    fn count(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    /// Counts written bytes, and records when the current request is complete.
+    fn record_written(&self, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         if let Poll::Ready(Ok(bytes)) = &result {
-            let written = self.wire.written.get() + *bytes as u64;
-            self.wire.written.set(written);
-            if let Some(whole) = self
-                .wire
-                .whole
+            let bytes_written = self.monitor.bytes_written.get() + *bytes as u64;
+            self.monitor.bytes_written.set(bytes_written);
+            if let Some(request) = self
+                .monitor
+                .request_in_progress
                 .borrow_mut()
-                .take_if(|whole| written >= whole.at)
+                .take_if(|request| bytes_written >= request.complete_at)
             {
-                whole.tries.set(whole.tries.get() + whole.messages);
-                self.wire.written_at.set(Some(Instant::now()));
+                request
+                    .attempts_written
+                    .set(request.attempts_written.get() + request.message_count);
+                self.monitor.request_written_at.set(Some(Instant::now()));
             }
         }
         result
@@ -64,12 +68,15 @@
 }
 
 impl Drop for MonitoredStream {
-    /// Nobody waits for the answer any more, but what has come of it may tell a wait, and that binds.
+    /// Reads once more from the socket: a response that nobody waits for may still contain a `Retry-After`, which must
+    /// be respected.
     fn drop(&mut self) {
-        let mut bytes = [0; LAST_LOOK];
+        let mut bytes = [0; MAX_FINAL_READ_BYTES];
         if let Ok(count) = (&*SockRef::from(&self.stream)).read(&mut bytes) {
-            // an error is for who reads on
-            let _ = self.wire.pass(bytes.get_mut(..count).unwrap_or_default());
+            // an error matters only to a caller that reads on
+            let _ = self
+                .monitor
+                .process(bytes.get_mut(..count).unwrap_or_default());
         }
     }
 }
@@ -81,13 +88,13 @@
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let before = buffer.filled().len();
-        let room = buffer.remaining();
+        let capacity = buffer.remaining();
         ready!(Pin::new(&mut self.stream).poll_read(context, buffer))?;
-        let new = buffer.filled_mut().get_mut(before..).unwrap_or_default();
-        if new.is_empty() && room > 0 {
-            self.wire.end_of_stream.set(true);
+        let received = buffer.filled_mut().get_mut(before..).unwrap_or_default();
+        if received.is_empty() && capacity > 0 {
+            self.monitor.has_end_of_stream.set(true);
         }
-        Poll::Ready(self.wire.pass(new))
+        Poll::Ready(self.monitor.process(received))
     }
 }
 
@@ -97,9 +104,9 @@
         context: &mut Context<'_>,
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.look()?;
+        self.check_idle()?;
         let result = Pin::new(&mut self.stream).poll_write(context, buffer);
-        self.count(result)
+        self.record_written(result)
     }
 
     fn poll_write_vectored(
@@ -107,9 +114,9 @@
         context: &mut Context<'_>,
         buffers: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.look()?;
+        self.check_idle()?;
         let result = Pin::new(&mut self.stream).poll_write_vectored(context, buffers);
-        self.count(result)
+        self.record_written(result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -121,8 +128,8 @@
     }
 
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        while self.wire.awaits_end() {
-            let mut bytes = [0; LAST_LOOK];
+        while self.monitor.awaits_end() {
+            let mut bytes = [0; MAX_FINAL_READ_BYTES];
             ready!(
                 self.as_mut()
                     .poll_read(context, &mut ReadBuf::new(&mut bytes))
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -124,7 +124,8 @@
 }
 
 /// An earlier request whose response is awaited beside the newest one. Waiting for both means that a request that
-/// discovery never answers does not block further requests, and that one that is only queued does not lose its position.
+/// discovery never answers does not block further requests, and that one that is only queued does not lose its
+/// position.
 struct QueuedRequest {
     since: Instant,
     response: Pin<Box<dyn Future<Output = Result<Response<Incoming>, RequestError>>>>,
@@ -178,7 +179,8 @@
                 response = &mut newest => break response?,
                 () = sleep_until(since + MAX_SILENCE) => {
                     // Keep the request that has waited longest, because it is furthest ahead in discovery's queue.
-                    let keeps_earlier = progress.queued.as_ref().is_some_and(|queued| queued.since.elapsed() < max_queue_wait);
+                    let keeps_earlier =
+                        progress.queued.as_ref().is_some_and(|queued| queued.since.elapsed() < max_queue_wait);
                     if connected.get() && !keeps_earlier {
                         progress.queued = Some(QueuedRequest { since, response: newest });
                     }
--- a/crates/platform/src/discovery_backoff.rs
+++ b/crates/platform/src/discovery_backoff.rs
@@ -6,8 +6,8 @@
 //! rejection therefore grow with the number of senders, and each is random (M. Brooker, Exponential Backoff and Jitter,
 //! 2015).
 //!
-//! A discovery that can't be reached has no queue that a request could lengthen. Delays after such a failure stay short,
-//! so that changes are received in time once discovery is back.
+//! A discovery that can't be reached has no queue that a request could lengthen. Delays after such a failure stay
+//! short, so that changes are received in time once discovery is back.
 
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
--- a/crates/platform/src/drain_gate.rs
+++ b/crates/platform/src/drain_gate.rs
@@ -15,11 +15,11 @@
 
 /// Time from the start of a drain until idle client connections are closed. The load balancer polls `GET /ready` every
 /// 100 ms and sends no new connection 200 ms after a negative response; a connection that is used before the close is
-/// closed after its response. Larger values let more clients leave by themselves; smaller values leave more margin before
-/// the limit of 4 s, after which no connection may be idle.
+/// closed after its response. Larger values let more clients leave by themselves; smaller values leave more margin
+/// before the limit of 4 s, after which no connection may be idle.
 const DRAIN_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1000);
-/// Time from the start of a drain during which messages are still accepted. 4 s after the start, no connection may exist
-/// on which a message came within the last 2 s.
+/// Time from the start of a drain during which messages are still accepted. 4 s after the start, no connection may
+/// exist on which a message came within the last 2 s.
 const DRAIN_ACCEPT_PERIOD: Duration = Duration::from_millis(1800);
 /// Time from SIGTERM until idle client connections are closed. SIGKILL comes no sooner than 3.7 s after SIGTERM.
 const SHUTDOWN_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2500);
@@ -34,7 +34,8 @@
     Open,
     /// An operator started a drain at this time.
     Draining(Instant),
-    /// Another process has taken over. Clients that are still connected are served, and asked to close their connections.
+    /// Another process has taken over. Clients that are still connected are served, and asked to close their
+    /// connections.
     HandedOver,
     /// SIGTERM came at this time.
     ShuttingDown(Instant),
@@ -192,8 +193,8 @@
         ConnectionGuard(self.clone())
     }
 
-    /// Updates [`closing_idle`](Self::closing_idle) and [`closing_all`](Self::closing_all) as their times come, and resets
-    /// them when the gate is opened again.
+    /// Updates [`closing_idle`](Self::closing_idle) and [`closing_all`](Self::closing_all) as their times come, and
+    /// resets them when the gate is opened again.
     pub async fn run(self: Rc<Self>) {
         let mut phases = self.phase.subscribe();
         loop {
--- a/crates/platform/src/http_transport.rs
+++ b/crates/platform/src/http_transport.rs
@@ -1,17 +1,17 @@
-//! Calls to endpoints: connections, time-outs, and what each answer means.
+//! The transport to endpoints: connections, time limits, and the results of calls.
 //!
-//! Nothing here sends a call again by itself: a repeat that the decision module doesn't know of would be a
-//! duplicate. When it is unsure whether a call may have run, the outcome says that it may. What hyper does not
-//! tell, such as the first line of an answer whose head it rejects, is seen by `MonitoredStream` on the raw bytes.
+//! The transport never retries a call by itself, because a retry that the decision module does not know of would be a
+//! duplicate. If it is unclear whether a call has run, the outcome says that it may have. `MonitoredStream` extracts
+//! from the raw bytes what hyper does not report, such as the first line of a response whose head hyper rejects.
 
 mod response;
 
 use self::response::{READ_TIMEOUT, ResponseReader};
 use crate::attribution::CloseBehaviours;
-use crate::call_codec::{Persistence, bulk_size, request_of};
-use crate::call_result::Answer;
+use crate::call_codec::{Persistence, batch_item_bytes, build_request};
+use crate::call_result::CallResult;
 use crate::connection::Connection;
-use crate::connection_monitor::Wire;
+use crate::connection_monitor::ConnectionMonitor;
 use crate::pools::Pools;
 use crate::resource_budget::ResourceBudget;
 use milletturn_engine::{
@@ -27,69 +27,72 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Longest wait for the rest of the head behind a first line that says 200: the message is delivered, and only
-/// the load report would be missed.
-const HEAD_TIMEOUT_BEHIND_200: Duration = Duration::from_millis(200);
-/// A connection rests so long after an answer: what comes right behind that must not meet the next call.
+/// Longest wait for the rest of the response head after a status line with 200. The message is delivered by then;
+/// without the rest only the load report is lost.
+const HEAD_TIMEOUT_AFTER_200: Duration = Duration::from_millis(200);
+/// Time for which a connection stays unused after a response, so that unsolicited data right after the response is
+/// noticed before the next call.
 const MIN_IDLE_TIME: Duration = Duration::from_millis(5);
-/// Longest wait for the descriptor of an idle connection that gives way to a new one.
+/// Longest wait for a file descriptor when an idle connection is closed to make room for a new one.
 const DESCRIPTOR_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The connections to the endpoints and what calls have in common: the transport of the platform.
+/// The transport of the platform: makes calls over HTTP/1.1 and owns the connections to the endpoints.
 #[derive(Clone)]
 pub struct HttpTransport(Rc<Shared>);
 
 struct Shared {
     pools: RefCell<Pools<Connection>>,
-    /// Descriptors for connections.
+    /// A permit for each file descriptor that connections may use.
     descriptors: Arc<Semaphore>,
-    /// Connections are given up somewhat before the endpoint would close them.
+    /// Idle connections are closed after this time, somewhat before the endpoint would close them.
     max_idle_time: Duration,
     dial_timeout: Duration,
     report_fields: Vec<String>,
-    faults: RateLimitedLog,
+    fault_log: RateLimitedLog,
     inputs: mpsc::UnboundedSender<Input>,
-    /// Messages written whole to endpoints.
+    /// Number of messages whose requests have been written completely.
     attempts_written: Rc<Cell<u64>>,
-    /// Connections opened so far.
-    opened: Cell<u64>,
+    /// Number of connections opened so far.
+    opened_connections: Cell<u64>,
     close_behaviours: RefCell<CloseBehaviours>,
 }
 
 impl HttpTransport {
-    /// No connections yet. `idle` is when endpoints close idle ones, zero where that is not known. `attempts_written`
-    /// counts messages that have been written whole.
+    /// Creates a transport without connections. `idle_timeout` is the time after which endpoints close idle
+    /// connections; zero if that is unknown, which counts as 5 s. `attempts_written` is increased by the number of
+    /// messages of each request that has been written completely.
     pub fn new(
-        idle: Duration,
+        idle_timeout: Duration,
         dial_timeout: Duration,
         report_fields: Vec<String>,
         budget: &ResourceBudget,
         inputs: mpsc::UnboundedSender<Input>,
         attempts_written: Rc<Cell<u64>>,
     ) -> Self {
-        let idle = if idle.is_zero() {
+        let idle_timeout = if idle_timeout.is_zero() {
             Duration::from_secs(5)
         } else {
-            idle
+            idle_timeout
         };
-        let max_idle_time = (idle * 9 / 10).min(idle.saturating_sub(Duration::from_millis(300)));
+        let max_idle_time =
+            (idle_timeout * 9 / 10).min(idle_timeout.saturating_sub(Duration::from_millis(300)));
         HttpTransport(Rc::new(Shared {
             pools: RefCell::new(Pools::new(budget.idle_connections)),
             descriptors: Arc::new(Semaphore::new(budget.endpoint_connections)),
             max_idle_time,
             dial_timeout,
             report_fields,
-            faults: RateLimitedLog::default(),
+            fault_log: RateLimitedLog::default(),
             inputs,
             attempts_written,
-            opened: Cell::default(),
+            opened_connections: Cell::default(),
             close_behaviours: RefCell::default(),
         }))
     }
 }
 
 impl HttpTransport {
-    /// Descriptors for connections that are free.
+    /// The permits for connections: each one that is available is a free file descriptor.
     #[must_use]
     pub fn descriptors(&self) -> Arc<Semaphore> {
         self.0.descriptors.clone()
@@ -97,40 +100,40 @@
 }
 
 impl Transport for HttpTransport {
-    /// Starts a call; its messages' ends come as inputs. `cancels` has the positions that are called off.
+    /// Starts a call. The result of each message is sent to the engine as an input. `cancels` receives the positions of
+    /// messages that are cancelled.
     fn start(&self, call: Call, cancels: mpsc::UnboundedReceiver<usize>) {
         let shared = self.0.clone();
-        tokio::task::spawn_local(async move { run(shared, call, cancels).await });
+        tokio::task::spawn_local(async move { run_call(shared, call, cancels).await });
     }
 
-    /// Connections to the endpoint may be kept from now on; those to another address of it go.
+    /// Allows idle connections to the endpoint, and closes those to a previous address.
     fn add_endpoint(&self, endpoint: EndpointId, address: SocketAddr) {
-        self.0.pools.borrow_mut().admit(endpoint, address);
+        self.0.pools.borrow_mut().add_endpoint(endpoint, address);
     }
 
-    /// The endpoint gets no calls any more: its connections go, also those that a call still holds.
+    /// Closes the idle connections to the endpoint; one that carries a call is closed after the call.
     fn remove_endpoint(&self, endpoint: EndpointId) {
-        self.0.pools.borrow_mut().forget(endpoint);
-        self.0.close_behaviours.borrow_mut().forget(endpoint);
+        self.0.pools.borrow_mut().remove_endpoint(endpoint);
+        self.0.close_behaviours.borrow_mut().remove(endpoint);
     }
 
-    /// Gives back the connections to an endpoint that carry nothing now.
     fn close_idle_connections(&self, endpoint: EndpointId) {
-        self.0.pools.borrow_mut().clear(endpoint);
+        self.0.pools.borrow_mut().close_idle(endpoint);
     }
 
-    /// Closes connections that would soon be closed from the other side.
+    /// Closes idle connections that the endpoint has closed or would soon close.
     fn evict_idle(&self) {
-        let over = |connection: &Connection| connection.sender.is_closed();
+        let is_closed = |connection: &Connection| connection.sender.is_closed();
         self.0
             .pools
             .borrow_mut()
-            .sweep(Instant::now(), self.0.max_idle_time, over);
+            .evict_expired(Instant::now(), self.0.max_idle_time, is_closed);
         self.0.close_behaviours.borrow_mut().evict(Instant::now());
     }
 
     fn item_bytes(&self, item: &CallItem) -> usize {
-        bulk_size(item)
+        batch_item_bytes(item)
     }
 
     fn max_call_bytes(&self) -> usize {
@@ -138,178 +141,192 @@
     }
 }
 
-async fn run(shared: Rc<Shared>, call: Call, mut cancels: mpsc::UnboundedReceiver<usize>) {
-    // what is called off stays out while others need the call: the far side sees the connection open, and a further
-    // send would be a second copy there
+async fn run_call(shared: Rc<Shared>, call: Call, mut cancels: mpsc::UnboundedReceiver<usize>) {
+    // A cancelled message stays in flight while other messages need the call. The endpoint cannot see the cancellation
+    // while the connection is open, so another attempt would be a duplicate there.
     let mut wanted: Vec<bool> = vec![true; call.items.len()];
-    let wire = RefCell::new(None);
-    let answer = {
-        let exchange = exchange(&shared, &call, &wire);
+    let monitor = RefCell::new(None);
+    let result = {
+        let exchange = exchange(&shared, &call, &monitor);
         tokio::pin!(exchange);
         loop {
             tokio::select! {
-                // an answer that is there counts more than a cancel
+                // a response that has arrived takes precedence over a cancellation
                 biased;
-                answer = &mut exchange => break answer,
+                result = &mut exchange => break result,
                 () = sleep_until(call.expires) => {
-                    break without_response(&wire, call.items.len(), Outcome::TimedOut, EndCause::TimedOut);
+                    break without_response(&monitor, call.items.len(), Outcome::TimedOut, EndCause::TimedOut);
                 }
                 Some(item) = cancels.recv() => {
-                    if is_delivered(&wire, call.items.len()) {
-                        break Answer::all(Outcome::Success, EndCause::Response(200));
+                    if is_delivered(&monitor, call.items.len()) {
+                        break CallResult::uniform(Outcome::Success, EndCause::Response(200));
                     }
                     wanted.get_mut(item).map(std::mem::take);
                     if !wanted.contains(&true) {
-                        break Answer::all(Outcome::Cancelled, EndCause::Cancelled);
+                        break CallResult::uniform(Outcome::Cancelled, EndCause::Cancelled);
                     }
                 }
             }
         }
     };
-    let connection_use = wire.borrow().as_ref().map(|wire| wire.connection_use());
+    let connection_use = monitor
+        .borrow()
+        .as_ref()
+        .map(|monitor| monitor.connection_use());
     for position in 0..call.items.len() {
-        let (outcome, closed) = answer.end_at(position);
+        let (outcome, closed) = result.message_result(position);
         let end = AttemptEnd {
             call: call.number,
             position,
             outcome,
             closed,
-            report: answer.report.clone(),
-            cause: answer.cause,
-            ambiguous: answer.ambiguous,
+            report: result.load_report.clone(),
+            cause: result.cause,
+            ambiguous: result.may_be_duplicate,
             connection_use,
         };
-        // nobody listens any more only when the process ends
+        // sending fails only when the process ends
         let _ = shared.inputs.send(Input::AttemptEnded(end));
     }
 }
 
-type CurrentWire = RefCell<Option<Rc<Wire>>>;
+type CurrentMonitor = RefCell<Option<Rc<ConnectionMonitor>>>;
 
-/// True if the call's only message is delivered, whatever becomes of the rest of its answer.
-fn is_delivered(wire: &CurrentWire, messages: usize) -> bool {
-    messages == 1 && wire.borrow().as_ref().is_some_and(|wire| wire.says_200())
+/// Whether the only message of the call is delivered already, whatever the rest of the response contains.
+fn is_delivered(monitor: &CurrentMonitor, message_count: usize) -> bool {
+    message_count == 1
+        && monitor
+            .borrow()
+            .as_ref()
+            .is_some_and(|monitor| monitor.has_unambiguous_200())
 }
 
-/// What became of a call with no answer that can be read.
+/// The result of a call without a complete response.
 fn without_response(
-    wire: &CurrentWire,
-    messages: usize,
+    monitor: &CurrentMonitor,
+    message_count: usize,
     outcome: Outcome,
     cause: EndCause,
-) -> Answer {
-    match is_delivered(wire, messages) {
-        true => Answer::all(Outcome::Success, EndCause::Response(200)),
-        false => Answer::all(outcome, cause),
+) -> CallResult {
+    match is_delivered(monitor, message_count) {
+        true => CallResult::uniform(Outcome::Success, EndCause::Response(200)),
+        false => CallResult::uniform(outcome, cause),
     }
 }
 
 /// A connection that is ready for a call.
 struct ReadyConnection {
     connection: Connection,
-    /// It was idle before.
-    reused: bool,
-    /// By when the last byte of the request must be written.
-    write_by: Instant,
+    /// Whether the connection was idle before; otherwise it is new.
+    is_reused: bool,
+    /// Time limit for the last byte of the request.
+    write_deadline: Instant,
 }
 
-/// Makes the call on one connection and reads its answer. Dropping this closes the connection.
-async fn exchange(shared: &Rc<Shared>, call: &Call, wire: &CurrentWire) -> Answer {
+/// Makes the call on an idle or new connection and reads the response. Dropping the future closes the connection.
+async fn exchange(shared: &Rc<Shared>, call: &Call, monitor: &CurrentMonitor) -> CallResult {
     loop {
         let ready = match obtain_connection(shared, call).await {
             Ok(ready) => ready,
-            Err(answer) => return answer,
+            Err(result) => return result,
         };
-        if let Some(answer) = exchange_on(shared, call, wire, ready).await {
-            return answer;
+        if let Some(result) = exchange_on(shared, call, monitor, ready).await {
+            return result;
         }
     }
 }
 
-/// An idle connection, or a new one on which the call may still start; else how the call ends.
-async fn obtain_connection(shared: &Shared, call: &Call) -> Result<ReadyConnection, Answer> {
+/// Returns an idle connection, or a new one on which the call may still start; otherwise the result of the call.
+async fn obtain_connection(shared: &Shared, call: &Call) -> Result<ReadyConnection, CallResult> {
     if let Some(connection) = take_idle(shared, call).await {
         return Ok(ReadyConnection {
             connection,
-            reused: true,
-            write_by: call.expires,
+            is_reused: true,
+            write_deadline: call.expires,
         });
     }
     let connection = open_connection(shared, call).await?;
-    let Some(write_by) = ask_to_start(shared, call.number).await else {
-        give_back(shared, call.endpoint, call.address, connection);
+    let Some(write_deadline) = await_start_permission(shared, call.number).await else {
+        return_connection(shared, call.endpoint, call.address, connection);
         let unsent = Outcome::Unsent { no_slot: false };
-        return Err(Answer::all(unsent, EndCause::NotStarted));
+        return Err(CallResult::uniform(unsent, EndCause::NotStarted));
     };
     Ok(ReadyConnection {
         connection,
-        reused: false,
-        write_by: write_by.min(call.expires),
+        is_reused: false,
+        write_deadline: write_deadline.min(call.expires),
     })
 }
 
-async fn open_connection(shared: &Shared, call: &Call) -> Result<Connection, Answer> {
+async fn open_connection(shared: &Shared, call: &Call) -> Result<Connection, CallResult> {
     let Some(descriptor) = acquire_descriptor(shared).await else {
-        shared
-            .faults
-            .log(format_args!("calls: no descriptor left for a connection"));
+        shared.fault_log.log(format_args!(
+            "calls: no file descriptor available for a new connection"
+        ));
         let unsent = Outcome::Unsent { no_slot: false };
-        return Err(Answer::all(unsent, EndCause::NoConnection));
+        return Err(CallResult::uniform(unsent, EndCause::NoConnection));
     };
-    let number = shared.opened.get() + 1;
-    shared.opened.set(number);
+    let number = shared.opened_connections.get() + 1;
+    shared.opened_connections.set(number);
     let (endpoint, address) = (call.endpoint, call.address);
     let opening = Connection::open(number, endpoint, address, descriptor, &shared.inputs);
     match timeout(shared.dial_timeout, opening).await {
         Ok(Ok(connection)) => Ok(connection),
-        Ok(Err(_)) | Err(_) => Err(Answer::all(Outcome::NoConnection, EndCause::NoConnection)),
+        Ok(Err(_)) | Err(_) => Err(CallResult::uniform(
+            Outcome::NoConnection,
+            EndCause::NoConnection,
+        )),
     }
 }
 
-/// Makes the call on this connection; none if that had ended while it was idle, so that it carried no call at all.
+/// Makes the call on this connection. Returns `None` if the connection had been closed while it was idle, in which case
+/// nothing of the call was sent.
 async fn exchange_on(
     shared: &Rc<Shared>,
     call: &Call,
-    wire: &CurrentWire,
+    monitor: &CurrentMonitor,
     ready: ReadyConnection,
-) -> Option<Answer> {
+) -> Option<CallResult> {
     let ReadyConnection {
         mut connection,
-        reused,
-        write_by,
+        is_reused,
+        write_deadline,
     } = ready;
-    let messages = call.items.len();
+    let message_count = call.items.len();
     let attribution = connection.record.attribution(&call.items);
     let persistence = persistence_of(shared, call, attribution);
-    let request = request_of(call.address, &call.items, call.expires, persistence);
-    let Some((request, least)) = request else {
+    let request = build_request(call.address, &call.items, call.expires, persistence);
+    let Some((request, min_request_bytes)) = request else {
         let unsent = Outcome::Unsent { no_slot: false };
-        return Some(Answer::all(unsent, EndCause::RequestIncomplete));
+        return Some(CallResult::uniform(unsent, EndCause::RequestIncomplete));
     };
     let attempts_written = &shared.attempts_written;
-    connection
-        .wire
-        .begin(reused, least, messages as u64, attempts_written);
+    connection.monitor.begin_call(
+        is_reused,
+        min_request_bytes,
+        message_count as u64,
+        attempts_written,
+    );
     if persistence == Persistence::Close {
-        connection.wire.set_closing();
+        connection.monitor.set_closing();
     }
-    *wire.borrow_mut() = Some(connection.wire.clone());
-    let before = connection.wire.written.get();
+    *monitor.borrow_mut() = Some(connection.monitor.clone());
+    let written_before = connection.monitor.bytes_written.get();
     let response = {
         let response = connection.sender.try_send_request(request);
         tokio::pin!(response);
         tokio::select! {
             biased;
             response = &mut response => Some(response),
-            () = connection.wire.first_line() => {
-                let time = match is_delivered(wire, messages) {
-                    true => HEAD_TIMEOUT_BEHIND_200,
+            () = connection.monitor.until_first_line() => {
+                let head_timeout = match is_delivered(monitor, message_count) {
+                    true => HEAD_TIMEOUT_AFTER_200,
                     false => READ_TIMEOUT,
                 };
-                timeout(time, response).await.ok()
+                timeout(head_timeout, response).await.ok()
             }
-            () = write_timeout(&connection.wire, before + least, write_by) => {
-                return Some(Answer::all(Outcome::NoConnection, EndCause::RequestIncomplete));
+            () = write_timeout(&connection.monitor, written_before + min_request_bytes, write_deadline) => {
+                return Some(CallResult::uniform(Outcome::NoConnection, EndCause::RequestIncomplete));
             }
         }
     };
@@ -323,41 +340,43 @@
             return Some(reader.read(connection, response).await);
         }
         Some(Err(_)) => {
-            let written = connection.wire.written.get() - before;
-            if reused && written == 0 {
-                connection.ended_idle();
+            let written = connection.monitor.bytes_written.get() - written_before;
+            if is_reused && written == 0 {
+                connection.set_closed_while_idle();
                 return None;
             }
-            // `least` is what the call takes up on the wire at the very least
-            match written < least {
+            // with fewer bytes written, the endpoint cannot have received the complete request
+            match written < min_request_bytes {
                 true => (Outcome::NoConnection, EndCause::RequestIncomplete),
                 false => (Outcome::Reset, EndCause::NoResponseHead),
             }
         }
-        // a head without end
+        // the head was not complete in time
         None => (Outcome::Reset, EndCause::NoResponseHead),
     };
-    Some(without_response(wire, messages, outcome, cause))
+    Some(without_response(monitor, message_count, outcome, cause))
 }
 
-/// By when the last byte of a call must be written whose connection has come up; none if it may not begin any more.
-async fn ask_to_start(shared: &Shared, call: u64) -> Option<Instant> {
-    let (reply, answer) = oneshot::channel();
-    // nobody listens any more only when the process ends
+/// Asks the engine, once the connection is established, whether the call may start. Returns the time limit for the last
+/// byte of the request; `None` if the call may not start any more.
+async fn await_start_permission(shared: &Shared, call: u64) -> Option<Instant> {
+    let (reply, write_deadline) = oneshot::channel();
+    // sending fails only when the process ends
     let _ = shared.inputs.send(Input::RequestStart(call, reply));
-    answer.await.ok()
+    write_deadline.await.ok()
 }
 
-/// Ends at a time unless the call is whole by then.
-async fn write_timeout(wire: &Wire, whole: u64, by: Instant) {
-    sleep_until(by).await;
-    if wire.written.get() >= whole {
+/// Completes at `write_deadline` if the request has not been written completely by then, and never otherwise.
+async fn write_timeout(monitor: &ConnectionMonitor, complete_at: u64, write_deadline: Instant) {
+    sleep_until(write_deadline).await;
+    if monitor.bytes_written.get() >= complete_at {
         std::future::pending::<()>().await;
     }
 }
 
-/// What the connection is asked for. A run-once call that is the first of its connection also finds out whether the
-/// endpoint closes in order, where that is not known.
+/// Decides whether the endpoint is asked to close the connection after the call. The first call on a connection asks
+/// for it if it must run at most once and the close behaviour of the endpoint is unknown, in order to learn that
+/// behaviour.
 fn persistence_of(shared: &Shared, call: &Call, attribution: Attribution) -> Persistence {
     let is_unknown = || shared.close_behaviours.borrow().is_unknown(call.endpoint);
     match attribution {
@@ -367,10 +386,11 @@
     }
 }
 
-/// A descriptor for a new connection; the oldest idle one gives way if there is no other.
+/// Acquires a file descriptor for a new connection. If none is free, the connection that has been idle for longest is
+/// closed.
 async fn acquire_descriptor(shared: &Shared) -> Option<OwnedSemaphorePermit> {
     if shared.descriptors.available_permits() == 0 {
-        shared.pools.borrow_mut().give_way();
+        shared.pools.borrow_mut().evict_oldest();
     }
     timeout(
         DESCRIPTOR_TIMEOUT,
@@ -381,8 +401,8 @@
     .ok()
 }
 
-/// An idle connection whose next response can be tied to the call. One that can't serve it makes room for the connection
-/// that is opened in its place.
+/// Takes an idle connection on which the response can be attributed to the call. If there are only others, one of them
+/// is closed, because a new connection replaces it.
 async fn take_idle(shared: &Shared, call: &Call) -> Option<Connection> {
     let (endpoint, address) = (call.endpoint, call.address);
     let is_usable = |connection: &Connection| {
@@ -390,13 +410,13 @@
         let behaviours = shared.close_behaviours.borrow();
         behaviours.allow(endpoint, attribution, call.at_most_once)
     };
-    let take = |usable: &dyn Fn(&Connection) -> bool| {
+    let acquire = |is_usable: &dyn Fn(&Connection) -> bool| {
         let mut pools = shared.pools.borrow_mut();
-        pools.take(endpoint, address, Instant::now(), MIN_IDLE_TIME, usable)
+        pools.acquire(endpoint, address, Instant::now(), MIN_IDLE_TIME, is_usable)
     };
     loop {
-        let Some((since, mut connection)) = take(&is_usable) else {
-            if let Some((_, connection)) = take(&|_| true) {
+        let Some((since, mut connection)) = acquire(&is_usable) else {
+            if let Some((_, connection)) = acquire(&|_| true) {
                 connection.retire();
             }
             return None;
@@ -407,7 +427,8 @@
     }
 }
 
-fn give_back(
+/// Puts a connection without a call back into the idle pool, unless it has been closed.
+fn return_connection(
     shared: &Shared,
     endpoint: EndpointId,
     address: SocketAddr,
@@ -420,5 +441,5 @@
     shared
         .pools
         .borrow_mut()
-        .put(endpoint, address, Instant::now(), connection);
+        .release(endpoint, address, Instant::now(), connection);
 }
--- a/crates/platform/src/http_transport/response.rs
+++ b/crates/platform/src/http_transport/response.rs
@@ -1,8 +1,9 @@
-//! Reads the response to a call: what it says, what ties it to the call, and what becomes of its connection.
+//! Reads the response to a call, checks that the response belongs to the call, and decides whether the connection may
+//! be reused.
 
-use super::{Shared, give_back};
+use super::{Shared, return_connection};
 use crate::attribution::{CloseBehaviour, announces_close, names_messages};
-use crate::call_result::Answer;
+use crate::call_result::CallResult;
 use crate::connection::Connection;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Limited};
@@ -16,68 +17,73 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Longest time for the rest of a response whose first bytes have come: no response is large.
+/// Time limit for the rest of a response after its first line. Responses are small, so a longer time would not help.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest wait for an endpoint to close a connection behind its response.
+/// Longest wait for an endpoint to close a connection after its response.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// A connection carries no more calls, so that what it remembers of each stays small.
+/// Maximum number of calls on one connection. It bounds the memory for the message ids that each connection remembers.
 const MAX_CALLS_PER_CONNECTION: u64 = 256;
 
 /// Reads the response to one call.
 pub(super) struct ResponseReader<'a> {
     pub(super) shared: &'a Rc<Shared>,
     pub(super) call: &'a Call,
-    /// What has to tie the response to the call.
+    /// The criterion by which the response is attributed to the call.
     pub(super) attribution: Attribution,
 }
 
 impl ResponseReader<'_> {
-    /// Reads it to the end that it needs to count.
-    pub(super) async fn read(self, connection: Connection, response: Response<Incoming>) -> Answer {
+    /// Reads as much of the response as its evaluation needs. The rest is read in a task of its own, which then returns
+    /// the connection to the pool.
+    pub(super) async fn read(
+        self,
+        connection: Connection,
+        response: Response<Incoming>,
+    ) -> CallResult {
         let (head, body) = response.into_parts();
         let is_single_200 = head.status == StatusCode::OK && self.call.items.len() == 1;
         let is_first = self.attribution == Attribution::FirstCall;
-        if is_single_200 && is_first && connection.wire.is_request_complete() {
-            // the outcome is known; the rest of the response only frees the connection
-            connection.wire.set_attribution(self.attribution);
-            let answer = self.answer(&head, &[]);
+        if is_single_200 && is_first && connection.monitor.is_request_complete() {
+            // The outcome is known. The rest of the response is read only to reuse the connection.
+            connection.monitor.set_attribution(self.attribution);
+            let result = self.result(&head, &[]);
             let (shared, completed) = (self.shared.clone(), self.completed(head, true));
             tokio::task::spawn_local(async move {
                 if read_body(body).await.is_some() {
                     completed.keep(&shared, connection).await;
                 }
             });
-            return answer;
+            return result;
         }
-        // all else counts only when the response is complete: a spoilt one may stand for a call that has run
+        // Any other response must be complete to be evaluated: the call may have run although its response is damaged.
         let Some(body) = read_body(body).await else {
             let status = head.status.as_u16();
-            return Answer::all(Outcome::Reset, EndCause::ResponseIncomplete(status));
+            return CallResult::uniform(Outcome::Reset, EndCause::ResponseIncomplete(status));
         };
-        let answer = self.answer(&head, &body);
-        if !self.is_own(&connection, &head, &body).await {
-            return unattributed(&head, connection, answer);
+        let result = self.result(&head, &body);
+        if !self.is_attributable(&connection, &head, &body).await {
+            return unattributed(&head, connection, result);
         }
-        connection.wire.set_attribution(self.attribution);
-        let is_early = connection.wire.response_time().is_none();
+        connection.monitor.set_attribution(self.attribution);
+        let is_early = connection.monitor.response_time().is_none();
         if head.status == StatusCode::GONE || is_early {
-            // what is left of an early response's request must not be written: it never ran
+            // After an early response, the rest of the request must not be written, because the call counts as not run.
             connection.retire();
         } else {
-            let completed = self.completed(head, answer.is_all_delivered());
+            let completed = self.completed(head, result.is_all_delivered());
             let shared = self.shared.clone();
             tokio::task::spawn_local(async move { completed.keep(&shared, connection).await });
         }
-        answer
+        result
     }
 
-    fn answer(&self, head: &Parts, body: &[u8]) -> Answer {
+    fn result(&self, head: &Parts, body: &[u8]) -> CallResult {
         let Shared {
             report_fields,
-            faults,
+            fault_log,
             ..
         } = &**self.shared;
-        Answer::of_response(self.call, head, body, report_fields, faults)
+        CallResult::from_response(self.call, head, body, report_fields, fault_log)
     }
 
     fn completed(&self, head: Parts, is_all_delivered: bool) -> CompletedCall {
@@ -90,18 +96,18 @@
         }
     }
 
-    /// Whether a complete response can only be the one to this call.
-    async fn is_own(&self, connection: &Connection, head: &Parts, body: &[u8]) -> bool {
-        let wire = &connection.wire;
-        let is_early = wire.response_time().is_none();
+    /// Whether a complete response can only belong to this call.
+    async fn is_attributable(&self, connection: &Connection, head: &Parts, body: &[u8]) -> bool {
+        let monitor = &connection.monitor;
+        let is_early = monitor.response_time().is_none();
         match self.attribution {
             Attribution::FirstCall if is_early => {
-                head.status != StatusCode::OK && !wire.is_request_complete()
+                head.status != StatusCode::OK && !monitor.is_request_complete()
             }
             Attribution::FirstCall => true,
             Attribution::NamesMessages => {
                 let is_named = names_messages(&self.call.items, head, body);
-                !is_early && is_named && !wire.has_extra_data()
+                !is_early && is_named && !monitor.has_extra_data()
             }
             Attribution::LastCall => {
                 !is_early
@@ -111,7 +117,7 @@
     }
 }
 
-/// A call whose response counts.
+/// A call with a complete response that belongs to the call.
 struct CompletedCall {
     endpoint: EndpointId,
     address: SocketAddr,
@@ -121,49 +127,49 @@
 }
 
 impl CompletedCall {
-    /// Keeps the connection, if it may carry a further call.
+    /// Returns the connection to the pool if it may carry another call, and closes it otherwise.
     async fn keep(self, shared: &Shared, mut connection: Connection) {
         let record = &mut connection.record;
         record.record(&self.items, &self.head, self.is_all_delivered);
-        if connection.wire.is_closing() && connection.wire.is_first_call() {
+        if connection.monitor.is_closing() && connection.monitor.is_first_call() {
             ends_connection(shared, self.endpoint, &connection, &self.head).await;
         }
-        let is_full = connection.wire.calls() >= MAX_CALLS_PER_CONNECTION;
-        match connection.wire.is_closing() || is_full {
+        let is_full = connection.monitor.calls() >= MAX_CALLS_PER_CONNECTION;
+        match connection.monitor.is_closing() || is_full {
             true => connection.retire(),
-            false => give_back(shared, self.endpoint, self.address, connection),
+            false => return_connection(shared, self.endpoint, self.address, connection),
         }
     }
 }
 
-/// What a response means that nothing ties to the call: a 200 delivers nothing, and a rejection counts as one but the call
-/// may have run.
-fn unattributed(head: &Parts, connection: Connection, answer: Answer) -> Answer {
+/// The result of a call whose response cannot be attributed to the call. A 200 delivers nothing; a rejection counts as
+/// a rejection, but the call may have run.
+fn unattributed(head: &Parts, connection: Connection, result: CallResult) -> CallResult {
     connection.retire();
     let status = head.status.as_u16();
     match head.status {
-        StatusCode::OK => Answer::all(Outcome::Reset, EndCause::DuplicateResponse(status)),
-        _ => Answer {
-            ambiguous: true,
-            ..answer
+        StatusCode::OK => CallResult::uniform(Outcome::Reset, EndCause::DuplicateResponse(status)),
+        _ => CallResult {
+            may_be_duplicate: true,
+            ..result
         },
     }
 }
 
-/// Whether the endpoint closes the connection behind a response as it was asked to, with nothing else on it. What it does is
-/// remembered.
+/// Whether the endpoint closes the connection after the response as requested, with no further data. Records the
+/// behaviour of the endpoint.
 async fn ends_connection(
     shared: &Shared,
     endpoint: EndpointId,
     connection: &Connection,
     head: &Parts,
 ) -> bool {
-    let wire = &connection.wire;
-    let has_ended = timeout(CLOSE_TIMEOUT, wire.ended()).await.is_ok();
-    if wire.has_extra_data() {
+    let monitor = &connection.monitor;
+    let has_ended = timeout(CLOSE_TIMEOUT, monitor.until_ended()).await.is_ok();
+    if monitor.has_extra_data() {
         return false;
     }
-    let behaviour = match announces_close(head) && has_ended && wire.ended_behind_answer() {
+    let behaviour = match announces_close(head) && has_ended && monitor.ended_after_response() {
         true => CloseBehaviour::InOrder,
         false => CloseBehaviour::Other,
     };
@@ -172,7 +178,7 @@
     behaviour == CloseBehaviour::InOrder
 }
 
-/// The body, if it ends in time and is no larger than any may be.
+/// Reads the body; `None` if it is incomplete, exceeds the size limit, or takes longer than [`READ_TIMEOUT`].
 async fn read_body(body: Incoming) -> Option<Bytes> {
     let collected = timeout(READ_TIMEOUT, Limited::new(body, MAX_BODY_BYTES).collect())
         .await
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,5 +1,5 @@
-//! The sender's side of the platform's HTTP/1.1 interfaces, as the protocol and deployment pages define them: the server
-//! for clients, the transport to endpoints, the discovery client (endpoint list and notifications), and the
+//! The sender's side of the platform's HTTP/1.1 interfaces, as the protocol and deployment pages define them: the
+//! server for clients, the transport to endpoints, the discovery client (endpoint list and notifications), and the
 //! configuration.
 
 #![expect(
--- a/crates/platform/src/notifications.rs
+++ b/crates/platform/src/notifications.rs
@@ -20,8 +20,8 @@
 /// The platform counts a message as lost when its notification has not been accepted this long after the message's
 /// deadline.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_millis(300);
-/// When a request has had no response for this time, the next one is sent beside it, so that a request that hangs delays
-/// no notification any longer.
+/// When a request has had no response for this time, the next one is sent beside it, so that a request that hangs
+/// delays no notification any longer.
 const NEXT_POST_DELAY: Duration = Duration::from_millis(100);
 /// Longest delay between requests that fail.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -72,11 +72,12 @@
     }
 }
 
-/// Posts each notification until a request that carries it has been answered with 204, and reports it to `inputs`
-/// then. Requests go to the current value of `addresses`. Returns when `queue` is closed and every notification has been
+/// Posts each notification until a request that carries it has been answered with 204, and reports it to `inputs` then.
+/// Requests go to the current value of `addresses`. Returns when `queue` is closed and every notification has been
 /// accepted.
 ///
-/// The platform ignores duplicate notifications, so notifications of a request that hangs are sent again in another one.
+/// The platform ignores duplicate notifications, so notifications of a request that hangs are sent again in another
+/// one.
 pub async fn post_notifications(
     network: impl Network,
     mut addresses: watch::Receiver<SocketAddr>,
@@ -135,8 +136,8 @@
     }
 }
 
-/// Selects the notifications whose last request is the longest ago, and marks them as carried by request `post`. Returns
-/// their numbers and the body of the request.
+/// Selects the notifications whose last request is the longest ago, and marks them as carried by request `post`.
+/// Returns their numbers and the body of the request.
 fn next_batch(pending: &mut BTreeMap<u64, PendingNotification>, post: u64) -> (Vec<u64>, String) {
     let mut order: Vec<(u64, u64)> = pending
         .iter()
--- a/crates/platform/src/pools.rs
+++ b/crates/platform/src/pools.rs
@@ -1,5 +1,6 @@
-//! Idle connections by endpoint. What a step costs follows from the connections that are idle, not from the list of
-//! endpoints: thousands that are never called cost an entry each and no step. Free of I/O.
+//! Pools of idle connections, one for each endpoint. The cost of an operation depends on the number of idle
+//! connections, not on the number of endpoints: an endpoint that is never called costs one map entry and no time, even
+//! with thousands of them. Free of I/O.
 
 use milletturn_policy::EndpointId;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -7,47 +8,47 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Idle connections kept for one endpoint.
-pub(crate) const IDLE_EACH: usize = 16;
+/// Maximum number of idle connections for one endpoint.
+pub(crate) const MAX_IDLE_PER_ENDPOINT: usize = 16;
 
 #[derive(Debug)]
 struct Pool<C> {
     address: SocketAddr,
-    /// Since when, the oldest first.
+    /// Idle connections with the time at which each became idle, the oldest first.
     idle: VecDeque<(Instant, C)>,
 }
 
-/// Idle connections of the endpoints that may get calls.
+/// The idle connections of all endpoints that may be called.
 #[derive(Debug)]
 pub(crate) struct Pools<C> {
-    /// By endpoint, not by address: another endpoint may come to stand at the address of one that has gone.
+    /// Keyed by endpoint, not by address: a new endpoint may get the address of a removed one.
     pools: HashMap<EndpointId, Pool<C>>,
-    /// Of each pool that has any, since when its oldest is idle.
-    oldest: BTreeSet<(Instant, EndpointId)>,
-    count: usize,
-    /// Idle connections at most, those of all endpoints together.
-    most: usize,
+    /// For each pool that is not empty, the time at which its oldest connection became idle.
+    oldest_idle: BTreeSet<(Instant, EndpointId)>,
+    idle_count: usize,
+    /// Maximum number of idle connections of all endpoints together.
+    max_idle: usize,
 }
 
 impl<C> Pools<C> {
-    /// No endpoint may get calls yet.
-    pub(crate) fn new(most: usize) -> Self {
+    /// Creates an empty set of pools without endpoints.
+    pub(crate) fn new(max_idle: usize) -> Self {
         Pools {
             pools: HashMap::new(),
-            oldest: BTreeSet::new(),
-            count: 0,
-            most,
+            oldest_idle: BTreeSet::new(),
+            idle_count: 0,
+            max_idle,
         }
     }
 
-    /// Connections to the endpoint may be kept from now on; those to another address of it go.
-    pub(crate) fn admit(&mut self, endpoint: EndpointId, address: SocketAddr) {
+    /// Allows idle connections to the endpoint, and closes those to a previous address.
+    pub(crate) fn add_endpoint(&mut self, endpoint: EndpointId, address: SocketAddr) {
         if self
             .pools
             .get(&endpoint)
             .is_none_or(|pool| pool.address != address)
         {
-            self.forget(endpoint);
+            self.remove_endpoint(endpoint);
             self.pools.insert(
                 endpoint,
                 Pool {
@@ -58,82 +59,101 @@
         }
     }
 
-    /// The endpoint gets no calls any more.
-    pub(crate) fn forget(&mut self, endpoint: EndpointId) {
-        self.clear(endpoint);
+    /// Closes the idle connections to the endpoint, and accepts none from now on.
+    pub(crate) fn remove_endpoint(&mut self, endpoint: EndpointId) {
+        self.close_idle(endpoint);
         self.pools.remove(&endpoint);
     }
 
-    /// Gives up its idle connections.
-    pub(crate) fn clear(&mut self, endpoint: EndpointId) {
-        self.change(endpoint, std::collections::VecDeque::clear);
+    /// Closes the idle connections to the endpoint.
+    pub(crate) fn close_idle(&mut self, endpoint: EndpointId) {
+        self.update(endpoint, std::collections::VecDeque::clear);
     }
 
-    /// Keeps a connection that has become idle, where there is room; gives it up otherwise.
-    pub(crate) fn put(
+    /// Adds a connection that has become idle. Closes the connection if a limit is reached, or if the endpoint has been
+    /// removed or has another address now.
+    pub(crate) fn release(
         &mut self,
         endpoint: EndpointId,
         address: SocketAddr,
         now: Instant,
         connection: C,
     ) {
-        let room = self.count < self.most;
-        let here = |pool: &Pool<C>| pool.address == address && pool.idle.len() < IDLE_EACH;
-        if room && self.pools.get(&endpoint).is_some_and(here) {
-            self.change(endpoint, |idle| idle.push_back((now, connection)));
+        let has_room = self.idle_count < self.max_idle;
+        let is_acceptable =
+            |pool: &Pool<C>| pool.address == address && pool.idle.len() < MAX_IDLE_PER_ENDPOINT;
+        if has_room && self.pools.get(&endpoint).is_some_and(is_acceptable) {
+            self.update(endpoint, |idle| idle.push_back((now, connection)));
         }
     }
 
-    /// The last used of the usable ones that have rested for so long, so that those beyond need grow old.
-    pub(crate) fn take(
+    /// Takes the most recently used of the usable connections that have been idle for at least `min_idle_time`. The
+    /// others become older, so that connections beyond the need expire.
+    pub(crate) fn acquire(
         &mut self,
         endpoint: EndpointId,
         address: SocketAddr,
         now: Instant,
-        rest: Duration,
+        min_idle_time: Duration,
         is_usable: impl Fn(&C) -> bool,
     ) -> Option<(Instant, C)> {
         self.pools
             .get(&endpoint)
             .filter(|pool| pool.address == address)?;
-        self.change(endpoint, |idle| {
-            let rested = idle
-                .iter()
-                .rposition(|(since, c)| now - *since >= rest && is_usable(c))?;
-            idle.remove(rested)
+        self.update(endpoint, |idle| {
+            let position = idle.iter().rposition(|(since, connection)| {
+                now - *since >= min_idle_time && is_usable(connection)
+            })?;
+            idle.remove(position)
         })?
     }
 
-    /// Gives up the one that has been idle longest.
-    pub(crate) fn give_way(&mut self) {
-        if let Some(&(_, endpoint)) = self.oldest.first() {
-            self.change(endpoint, std::collections::VecDeque::pop_front);
+    /// Closes the connection that has been idle for longest.
+    pub(crate) fn evict_oldest(&mut self) {
+        if let Some(&(_, endpoint)) = self.oldest_idle.first() {
+            self.update(endpoint, std::collections::VecDeque::pop_front);
         }
     }
 
-    /// Gives up those that have been idle for `most`, or of which `is_over` says that they are.
-    pub(crate) fn sweep(&mut self, now: Instant, most: Duration, is_over: impl Fn(&C) -> bool) {
-        let used: Vec<EndpointId> = self.oldest.iter().map(|(_, endpoint)| *endpoint).collect();
-        for endpoint in used {
-            self.change(endpoint, |idle| {
-                idle.retain(|(since, c)| now - *since < most && !is_over(c));
+    /// Closes connections that have been idle for `max_idle_time`, and those for which `is_closed` returns true.
+    pub(crate) fn evict_expired(
+        &mut self,
+        now: Instant,
+        max_idle_time: Duration,
+        is_closed: impl Fn(&C) -> bool,
+    ) {
+        let endpoints: Vec<EndpointId> = self
+            .oldest_idle
+            .iter()
+            .map(|(_, endpoint)| *endpoint)
+            .collect();
+        for endpoint in endpoints {
+            self.update(endpoint, |idle| {
+                idle.retain(|(since, connection)| {
+                    now - *since < max_idle_time && !is_closed(connection)
+                });
             });
         }
     }
 
-    fn change<T>(
+    /// Changes the idle connections of an endpoint, and keeps the counters in step. `None` if the endpoint is unknown.
+    fn update<T>(
         &mut self,
         endpoint: EndpointId,
-        change: impl FnOnce(&mut VecDeque<(Instant, C)>) -> T,
+        update: impl FnOnce(&mut VecDeque<(Instant, C)>) -> T,
     ) -> Option<T> {
         let pool = self.pools.get_mut(&endpoint)?;
         let before = (pool.idle.front().map(|(since, _)| *since), pool.idle.len());
-        let value = change(&mut pool.idle);
+        let value = update(&mut pool.idle);
         let after = (pool.idle.front().map(|(since, _)| *since), pool.idle.len());
-        self.count = self.count + after.1 - before.1;
+        self.idle_count = self.idle_count + after.1 - before.1;
         if before.0 != after.0 {
-            before.0.map(|since| self.oldest.remove(&(since, endpoint)));
-            after.0.map(|since| self.oldest.insert((since, endpoint)));
+            before
+                .0
+                .map(|since| self.oldest_idle.remove(&(since, endpoint)));
+            after
+                .0
+                .map(|since| self.oldest_idle.insert((since, endpoint)));
         }
         if pool.idle.is_empty() {
             pool.idle = VecDeque::new();
@@ -150,60 +170,70 @@
     const TWO: EndpointId = EndpointId(2);
 
     #[test]
-    fn books_agree_with_what_is_idle() {
-        let (here, there) = (
+    fn pool_counters_match_the_idle_connections() {
+        let (address, other_address) = (
             "127.0.0.1:1".parse().expect("one"),
             "127.0.0.1:2".parse().expect("one"),
         );
-        let (begin, rest) = (Instant::now(), Duration::from_millis(5));
-        let at = |ms| begin + Duration::from_millis(ms);
+        let (start, min_idle_time) = (Instant::now(), Duration::from_millis(5));
+        let at = |ms| start + Duration::from_millis(ms);
         let mut pools = Pools::new(3);
-        pools.admit(ONE, here);
-        pools.admit(TWO, there);
+        pools.add_endpoint(ONE, address);
+        pools.add_endpoint(TWO, other_address);
         for (number, endpoint, address) in [
-            (1, ONE, here),
-            (2, TWO, there),
-            (3, ONE, here),
-            (4, ONE, here),
-            (5, TWO, here),
+            (1, ONE, address),
+            (2, TWO, other_address),
+            (3, ONE, address),
+            (4, ONE, address),
+            (5, TWO, address),
         ] {
-            pools.put(endpoint, address, at(number), number);
+            pools.release(endpoint, address, at(number), number);
         }
         assert_eq!(
-            pools.count, 3,
-            "no more than there is room for, none to another address"
+            pools.idle_count, 3,
+            "limit of 3, and none to another address"
         );
         assert_eq!(
             pools
-                .take(ONE, here, at(7), rest, |_| true)
+                .acquire(ONE, address, at(7), min_idle_time, |_| true)
                 .map(|found| found.1),
             Some(1),
-            "3 has not rested"
+            "3 has not been idle for long enough"
         );
         assert_eq!(
             pools
-                .take(ONE, here, at(9), rest, |_| true)
+                .acquire(ONE, address, at(9), min_idle_time, |_| true)
                 .map(|found| found.1),
             Some(3)
         );
-        assert!(pools.take(ONE, here, at(99), rest, |_| true).is_none());
-        pools.put(ONE, here, at(10), 6);
-        pools.give_way();
         assert!(
-            pools.take(TWO, there, at(99), rest, |_| true).is_none(),
+            pools
+                .acquire(ONE, address, at(99), min_idle_time, |_| true)
+                .is_none()
+        );
+        pools.release(ONE, address, at(10), 6);
+        pools.evict_oldest();
+        assert!(
+            pools
+                .acquire(TWO, other_address, at(99), min_idle_time, |_| true)
+                .is_none(),
             "2 had been idle longest"
         );
-        pools.put(TWO, there, at(20), 7);
-        pools.sweep(at(25), Duration::from_millis(10), |_| false);
-        assert_eq!((pools.count, pools.oldest.len()), (1, 1), "6 was too old");
-        pools.admit(TWO, here);
+        pools.release(TWO, other_address, at(20), 7);
+        pools.evict_expired(at(25), Duration::from_millis(10), |_| false);
+        assert_eq!(
+            (pools.idle_count, pools.oldest_idle.len()),
+            (1, 1),
+            "6 has expired"
+        );
+        pools.add_endpoint(TWO, address);
         assert_eq!(
-            (pools.count, pools.oldest.len()),
+            (pools.idle_count, pools.oldest_idle.len()),
             (0, 0),
             "its address has changed"
         );
-        pools.forget(ONE);
-        pools.put(ONE, here, at(30), 8);
-        assert_eq!(pools.count, 0);
+        pools.remove_endpoint(ONE);
+        pools.release(ONE, address, at(30), 8);
+        assert_eq!(pools.idle_count, 0);
     }
 }
--- a/crates/platform/src/resource_budget.rs
+++ b/crates/platform/src/resource_budget.rs
@@ -7,11 +7,11 @@
 /// body that is being read counts against one of these shares, so that no part can starve another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResourceBudget {
-    /// Maximum number of open connections from clients. Clients occupy up to a third of all descriptors with requests, so
-    /// the limit is larger than that.
+    /// Maximum number of open connections from clients. Clients occupy up to a third of all descriptors with requests,
+    /// so the limit is larger than that.
     pub client_connections: usize,
-    /// Maximum number of new client connections that wait for a slot, in addition to `client_connections`. The same number
-    /// again may be closing, with their remaining input being read.
+    /// Maximum number of new client connections that wait for a slot, in addition to `client_connections`. The same
+    /// number again may be closing, with their remaining input being read.
     pub extra_connections: usize,
     /// Maximum number of connections to endpoints: with a call, with a response that is still being read, or idle.
     pub endpoint_connections: usize,
@@ -24,8 +24,8 @@
 impl ResourceBudget {
     /// Descriptors for everything else: standard streams, the poll and its waker, signals, listener, journal (two files
     /// while it is compacted), configuration, the watch and a request that waits beside it, the requests with
-    /// notifications, and one connection that is being closed. They are reserved from the start, so that a server with all
-    /// its slots in use still leaves descriptors for discovery.
+    /// notifications, and one connection that is being closed. They are reserved from the start, so that a server with
+    /// all its slots in use still leaves descriptors for discovery.
     const RESERVED_DESCRIPTORS: usize = 18 + MAX_POSTS + 1;
 
     /// Divides the given limits, for a sender that makes at most `call_slots` calls at once.
@@ -35,8 +35,9 @@
         let client_connections = (available * 2 / 5).max(1);
         // half of a tenth, divided equally between waiting and closing connections
         let extra_connections = (available / 10 / 4).max(1);
-        // A tenth stays unassigned, because a closed socket counts until its task has run. With a small limit the reserve
-        // is larger: it covers the waiting and closing connections, and one that is accepted before it waits for a slot.
+        // A tenth stays unassigned, because a closed socket counts until its task has run. With a small limit the
+        // reserve is larger: it covers the waiting and closing connections, and one that is accepted before it waits
+        // for a slot.
         let reserve = (available / 10).max(2 * extra_connections + 1);
         let endpoint_connections = available
             .saturating_sub(reserve + client_connections)
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -40,8 +40,8 @@
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
 /// How many bytes are read and discarded in that time at most.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
-/// Longest time that a new connection waits for the slot of an idle one that is asked to close. After that the new one is
-/// rejected. Its client waits four times as long, so it still has time to connect to another sender.
+/// Longest time that a new connection waits for the slot of an idle one that is asked to close. After that the new one
+/// is rejected. Its client waits four times as long, so it still has time to connect to another sender.
 const SLOT_TIMEOUT: Duration = Duration::from_millis(100);
 /// Response to an incomplete request whose connection is closed: its message was not accepted.
 const REJECTION_RESPONSE: &[u8] =
@@ -53,8 +53,8 @@
 
 /// The configuration and state that all connections share.
 pub struct Server {
-    /// Message classes that clients may name, with their positions in the settings. The first segment of a request path is
-    /// the name of a class.
+    /// Message classes that clients may name, with their positions in the settings. The first segment of a request path
+    /// is the name of a class.
     pub classes: Rc<RefCell<Vec<(usize, Class)>>>,
     /// Inputs of the engine.
     pub inputs: mpsc::UnboundedSender<Input>,
@@ -143,9 +143,9 @@
         );
     }
 
-    /// Whether the request head may contain a `Content-Length`; false only if the raw head shows that it has none. hyper
-    /// removes that header if there is a `Transfer-Encoding` too, but both together can hide a second request in the body
-    /// (request smuggling).
+    /// Whether the request head may contain a `Content-Length`; false only if the raw head shows that it has none.
+    /// hyper removes that header if there is a `Transfer-Encoding` too, but both together can hide a second request in
+    /// the body (request smuggling).
     fn may_have_length(&self) -> bool {
         let head = self.head.borrow();
         let mut headers = [httparse::EMPTY_HEADER; 100];
@@ -308,7 +308,8 @@
         tokio::select! {
             // a request that has arrived takes precedence over the deadline
             biased;
-            // An error here is no fault of the sender; `DisconnectGuard` withdraws a message whose client has disconnected.
+            // An error here is no fault of the sender; `DisconnectGuard` withdraws a message whose client has
+            // disconnected.
             _ = &mut connection => return None,
             _ = closing_idle.wait_for(|closing| *closing), if is_keep_alive => {
                 is_keep_alive = false;
@@ -344,9 +345,9 @@
     Some(stream)
 }
 
-/// Processes all input that the system has received so far. The runtime learns of new bytes only at its next poll of the
-/// system, and a connection must not be closed when the last byte of its request has already arrived. Returns true if
-/// the connection has ended.
+/// Processes all input that the system has received so far. The runtime learns of new bytes only at its next poll of
+/// the system, and a connection must not be closed when the last byte of its request has already arrived. Returns true
+/// if the connection has ended.
 async fn read_available<C: Future + Unpin>(connection: &mut C, state: &ConnectionState) -> bool {
     loop {
         let before = state.bytes_read.get();
@@ -362,9 +363,9 @@
     }
 }
 
-/// Closes a connection without a reset, which would discard a response that the client has not read yet: ends the output,
-/// then reads remaining input for a limited time. `slot` is freed at once if a lingering slot is available instead, and
-/// otherwise when the connection is closed.
+/// Closes a connection without a reset, which would discard a response that the client has not read yet: ends the
+/// output, then reads remaining input for a limited time. `slot` is freed at once if a lingering slot is available
+/// instead, and otherwise when the connection is closed.
 async fn close_gracefully(
     mut stream: TcpStream,
     slot: Option<OwnedSemaphorePermit>,
@@ -696,8 +697,8 @@
     Ok(bytes.into())
 }
 
-/// Withdraws a message whose client disconnects before the response: hyper drops the request future then, and the client
-/// submits the message to another sender.
+/// Withdraws a message whose client disconnects before the response: hyper drops the request future then, and the
+/// client submits the message to another sender.
 struct DisconnectGuard<'a> {
     pending_id: Option<SharedStr>,
     inputs: &'a mpsc::UnboundedSender<Input>,
@@ -735,8 +736,8 @@
     value.map(read).transpose()
 }
 
-/// Parses the parameter `subject` of the query. Messages with the same subject are delivered in order; those without one
-/// are not ordered.
+/// Parses the parameter `subject` of the query. Messages with the same subject are delivered in order; those without
+/// one are not ordered.
 fn parse_subject(query: &str) -> Result<Option<SharedStr>, Rejection> {
     let mut values = query
         .split('&')
--- a/crates/platform/src/watch_stream.rs
+++ b/crates/platform/src/watch_stream.rs
@@ -42,8 +42,8 @@
     pub fn push(&mut self, bytes: &[u8]) -> Vec<WatchEvent> {
         let mut events = Vec::new();
         self.buffer.extend_from_slice(bytes);
-        // Only these characters can complete an event; without the check, an incomplete object would be parsed again for each
-        // chunk.
+        // Only these characters can complete an event; without the check, an incomplete object would be parsed again
+        // for each chunk.
         if bytes.contains(&b'}') || bytes.contains(&b'\n') || self.buffer.len() > MAX_OBJECT_BYTES {
             let mut position = 0;
             while let Some(length) = self.parse_next(position, &mut events) {
