--- a/crates/platform/tests/batch_calls.rs
+++ b/crates/platform/tests/batch_calls.rs
@@ -1,8 +1,8 @@
-//! Calls that carry several messages, of which some are called off.
+//! Batch calls of which some messages are cancelled.
 
 mod common;
 
-use common::{LONG, item, local};
+use common::{GENEROUS_TIMEOUT, item, run_local};
 use milletturn_engine::{Call, EndCause, Input, Transport};
 use milletturn_policy::{EndpointId, Outcome};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -10,24 +10,24 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-struct Out {
+struct CallInFlight {
     received: mpsc::UnboundedReceiver<Input>,
     cancel: mpsc::UnboundedSender<usize>,
     stream: TcpStream,
 }
 
-impl Out {
-    /// A call of two messages, written whole to an endpoint that has not answered yet.
+impl CallInFlight {
+    /// Starts a call with two messages, whose request has been written completely; the endpoint has not responded yet.
     async fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
-        let (calls, mut received) = common::calls(address);
+        let (transport, mut received) = common::start_transport(address);
         let (cancel, cancels) = mpsc::unbounded_channel();
-        let (endpoint, expires) = (EndpointId(1), Instant::now() + LONG);
+        let (endpoint, expires) = (EndpointId(1), Instant::now() + GENEROUS_TIMEOUT);
         let items = ["m0", "m1"]
             .map(|name| item(name, b"body".to_vec()))
             .to_vec();
-        calls.start(
+        transport.start(
             Call {
                 number: 7,
                 endpoint,
@@ -40,17 +40,23 @@
         );
         let (mut stream, _) = listener.accept().await.expect("a call");
         match received.recv().await {
-            Some(Input::RequestStart(_, reply)) => reply.send(expires).expect("it waits"),
-            other => panic!("it did not ask: {other:?}"),
+            Some(Input::RequestStart(_, reply)) => {
+                reply.send(expires).expect("the call waits for the reply");
+            }
+            other => panic!("no request to start: {other:?}"),
         }
-        let mut seen = Vec::new();
-        while !seen.ends_with(b"m1 m1 4\r\nbody\r\n") {
+        let mut received_bytes = Vec::new();
+        while !received_bytes.ends_with(b"m1 m1 4\r\nbody\r\n") {
             assert!(
-                stream.read_buf(&mut seen).await.expect("readable") > 0,
-                "the call comes whole"
+                stream
+                    .read_buf(&mut received_bytes)
+                    .await
+                    .expect("readable")
+                    > 0,
+                "the complete request arrives"
             );
         }
-        Out {
+        CallInFlight {
             received,
             cancel,
             stream,
@@ -66,39 +72,39 @@
 }
 
 #[test]
-fn what_is_called_off_is_out_for_as_long_as_the_call_and_fares_like_the_rest() {
-    local(async {
-        let mut out = Out::new().await;
-        out.cancel.send(0).expect("it listens");
-        let answer = "HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\nm0 ok\r\nm1 ok\r\n";
-        // the cancel is in the queue before a byte of the answer; an end told for it would be the first one
+fn a_cancelled_message_stays_in_flight_and_shares_the_outcome_of_the_call() {
+    run_local(async {
+        let mut call = CallInFlight::new().await;
+        call.cancel.send(0).expect("the call is in progress");
+        let response = "HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\nm0 ok\r\nm1 ok\r\n";
+        // The cancellation is queued before the response. If it ended the message, that end would be the first one.
         tokio::task::yield_now().await;
-        out.stream
-            .write_all(answer.as_bytes())
+        call.stream
+            .write_all(response.as_bytes())
             .await
             .expect("written");
-        let answered = EndCause::Response(200);
-        assert_eq!(out.end().await, (0, Outcome::Success, answered));
-        assert_eq!(out.end().await, (1, Outcome::Success, answered));
+        let cause = EndCause::Response(200);
+        assert_eq!(call.end().await, (0, Outcome::Success, cause));
+        assert_eq!(call.end().await, (1, Outcome::Success, cause));
     });
 }
 
 #[test]
-fn a_call_that_nobody_needs_is_left() {
-    local(async {
-        let mut out = Out::new().await;
-        out.cancel.send(1).expect("it listens");
-        out.cancel.send(0).expect("it listens");
+fn a_call_ends_when_all_its_messages_are_cancelled() {
+    run_local(async {
+        let mut call = CallInFlight::new().await;
+        call.cancel.send(1).expect("the call is in progress");
+        call.cancel.send(0).expect("the call is in progress");
         assert_eq!(
-            out.end().await,
+            call.end().await,
             (0, Outcome::Cancelled, EndCause::Cancelled)
         );
         assert_eq!(
-            out.end().await,
+            call.end().await,
             (1, Outcome::Cancelled, EndCause::Cancelled)
         );
         assert_eq!(
-            out.stream.read(&mut [0; 8]).await.expect("readable"),
+            call.stream.read(&mut [0; 8]).await.expect("readable"),
             0,
             "its connection is closed"
         );
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! The transport alone, on one thread as it runs in the sender.
+//! Helpers for tests of the transport alone, on one thread as in the sender.
 
 use milletturn_engine::{CallItem, Input, SharedStr, Transport};
 use milletturn_platform::{ResourceBudget, http_transport::HttpTransport};
@@ -9,11 +9,11 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// Far beyond what any call here takes.
-pub(crate) const LONG: Duration = Duration::from_secs(20);
+/// Much longer than any call in these tests takes.
+pub(crate) const GENEROUS_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a test on one thread, as the transport runs.
-pub(crate) fn local(test: impl Future<Output = ()>) {
+/// Runs a test on a single-threaded runtime, like the one of the transport.
+pub(crate) fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -21,26 +21,35 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// A transport that may call endpoint 1 at this address, and what it tells.
-pub(crate) fn calls(endpoint: SocketAddr) -> (HttpTransport, mpsc::UnboundedReceiver<Input>) {
+/// Creates a transport that may call endpoint 1 at this address; returns it with its inputs to the engine.
+pub(crate) fn start_transport(
+    endpoint: SocketAddr,
+) -> (HttpTransport, mpsc::UnboundedReceiver<Input>) {
     let (inputs, received) = mpsc::unbounded_channel();
     let budget = ResourceBudget::new(256, 32_000_000, 40);
-    let calls = HttpTransport::new(LONG, LONG, Vec::new(), &budget, inputs, Rc::default());
-    calls.add_endpoint(EndpointId(1), endpoint);
-    (calls, received)
+    let transport = HttpTransport::new(
+        GENEROUS_TIMEOUT,
+        GENEROUS_TIMEOUT,
+        Vec::new(),
+        &budget,
+        inputs,
+        Rc::default(),
+    );
+    transport.add_endpoint(EndpointId(1), endpoint);
+    (transport, received)
 }
 
-/// A message whose key is its name.
+/// A message with this name as id and key.
 pub(crate) fn item(name: &str, body: Vec<u8>) -> CallItem {
-    let word = SharedStr::new(name.as_bytes()).expect("a word");
+    let id = SharedStr::new(name.as_bytes()).expect("a valid id");
     CallItem {
-        id: word.clone(),
-        key: Some(word),
+        id: id.clone(),
+        key: Some(id),
         body: body.into(),
     }
 }
 
-/// The next input that is about a call; connections may be closed at any time and are passed over.
+/// The next input about a call. Inputs about closed connections are skipped, because they can come at any time.
 pub(crate) async fn next_input(received: &mut mpsc::UnboundedReceiver<Input>) -> Option<Input> {
     loop {
         match received.recv().await {
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -1,9 +1,9 @@
-//! The watch and the notices in virtual time, before an agent that can't be reached, hangs, refuses, breaks off or is
-//! slow, and comes back.
+//! The watch of the endpoint list and the notifications in virtual time, against a discovery agent that is unreachable,
+//! hangs, rejects requests, truncates responses or is slow, and recovers.
 
 #![expect(
     clippy::too_many_lines,
-    reason = "scenarios of this file have not had their turn yet"
+    reason = "long scenarios of this file have not been split yet"
 )]
 
 mod virtual_discovery;
@@ -18,12 +18,13 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use virtual_discovery::{State, VirtualDiscovery, virtual_time};
 
-/// What discovery has counts as told so long after it had it and could be reached.
-const TOLD: Duration = Duration::from_millis(6000);
-/// A message whose notice has not been taken so long after its time is lost.
-const LOST: Duration = Duration::from_millis(300);
-/// Of an agent that is well: as late as it may be.
-const ANSWER: Duration = Duration::from_millis(950);
+/// A change must be known to the sender within this time after discovery has it and can be reached.
+const MAX_UPDATE_DELAY: Duration = Duration::from_millis(6000);
+/// The platform counts a message as lost when its notification has not been accepted this long after the message's
+/// deadline.
+const NOTIFICATION_DEADLINE: Duration = Duration::from_millis(300);
+/// Response time of a healthy agent in the worst case.
+const RESPONSE_DELAY: Duration = Duration::from_millis(950);
 
 const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
@@ -33,25 +34,25 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-/// A watch of one of so many senders; what it hands on.
-fn watching(
+/// Starts a watch; returns the inputs that the watch sends.
+fn start_watch(
     agent: &VirtualDiscovery,
-    agents: watch::Receiver<SocketAddr>,
-    asking: DiscoveryBackoff,
+    addresses: watch::Receiver<SocketAddr>,
+    backoff: DiscoveryBackoff,
 ) -> mpsc::UnboundedReceiver<Input> {
     let (inputs, received) = mpsc::unbounded_channel();
     spawn_local(discovery::watch_endpoints(
         agent.clone(),
-        agents,
+        addresses,
         0,
-        asking,
+        backoff,
         inputs,
     ));
     received
 }
 
-/// Waits for a list of this version at least.
-async fn listed(received: &mut mpsc::UnboundedReceiver<Input>, version: u64) {
+/// Waits for a list with at least this version.
+async fn wait_for_version(received: &mut mpsc::UnboundedReceiver<Input>, version: u64) {
     loop {
         match received.recv().await {
             Some(Input::EndpointsListed(update)) if update.version >= version => return,
@@ -61,77 +62,88 @@
     }
 }
 
-/// How long after its return the agent's news is heard: it is well until `from`, if that is not zero, and again from
-/// `back` on.
-async fn heard_after(
+/// Time from the recovery of the agent until the sender receives the new list. The agent is healthy until
+/// `fault_start`, if that is not zero, then in `state`, and healthy again from `recovery` on.
+async fn update_delay(
     state: State,
-    from: Duration,
-    back: Duration,
-    asking: DiscoveryBackoff,
+    fault_start: Duration,
+    recovery: Duration,
+    backoff: DiscoveryBackoff,
 ) -> Duration {
-    let began = Instant::now();
+    let started_at = Instant::now();
     let agent = VirtualDiscovery::new(
-        vec![(ms(0), State::Well), (from, state), (back, State::Well)],
-        ANSWER,
+        vec![
+            (ms(0), State::Healthy),
+            (fault_start, state),
+            (recovery, State::Healthy),
+        ],
+        RESPONSE_DELAY,
     );
-    let (_address, agents) = watch::channel(address(1));
-    let mut received = watching(&agent, agents, asking);
-    let heard = timeout(back + ms(300_000), listed(&mut received, 3)).await;
+    let (_address_sender, addresses) = watch::channel(address(1));
+    let mut received = start_watch(&agent, addresses, backoff);
+    let received_in_time =
+        timeout(recovery + ms(300_000), wait_for_version(&mut received, 3)).await;
     assert!(
-        heard.is_ok(),
-        "{state:?} from {from:?} to {back:?}: never heard"
+        received_in_time.is_ok(),
+        "{state:?} from {fault_start:?} to {recovery:?}: no update received"
     );
-    (Instant::now() - began).saturating_sub(back)
+    (Instant::now() - started_at).saturating_sub(recovery)
 }
 
 #[test]
-fn what_discovery_has_when_it_comes_back_is_heard_in_time_whatever_the_watch_did_just_then() {
+fn updates_arrive_in_time_after_discovery_recovers_whatever_the_state_of_the_watch() {
     virtual_time(async {
         let mut worst = (ms(0), String::new());
         for state in [
-            State::Refused,
-            State::Lost,
-            State::Silent,
-            State::Cut,
-            State::Half,
+            State::ConnectionRefused,
+            State::Unreachable,
+            State::Unresponsive,
+            State::TruncatedResponse,
+            State::StalledResponse,
         ] {
-            for (senders, pushed) in [(300, false), (25, false), (3, false), (300, true)] {
-                // from zero on: the process has just begun
-                for from in [0, 5000, 5700, 6400] {
-                    for out in 0..60 {
-                        let (from, back) = (ms(from), ms(from + 50 + 230 * out));
-                        let asking = DiscoveryBackoff::new(
+            for (senders, is_pushed) in [(300, false), (25, false), (3, false), (300, true)] {
+                // zero: the agent is faulty from the start of the sender on
+                for fault_start in [0, 5000, 5700, 6400] {
+                    for step in 0..60 {
+                        let (fault_start, recovery) =
+                            (ms(fault_start), ms(fault_start + 50 + 230 * step));
+                        let backoff = DiscoveryBackoff::new(
                             senders,
-                            pushed,
-                            from.as_millis() as u64 * 100 + out,
+                            is_pushed,
+                            fault_start.as_millis() as u64 * 100 + step,
                         );
-                        let heard = heard_after(state, from, back, asking).await;
-                        let what =
-                            format!("{state:?} {from:?} {back:?} {senders} {pushed}: {heard:?}");
-                        worst = worst.max((heard, what));
+                        let delay = update_delay(state, fault_start, recovery, backoff).await;
+                        let description = format!(
+                            "{state:?} {fault_start:?} {recovery:?} {senders} {is_pushed}: {delay:?}"
+                        );
+                        worst = worst.max((delay, description));
                     }
                 }
             }
         }
-        assert!(worst.0 < TOLD, "{}", worst.1);
+        assert!(worst.0 < MAX_UPDATE_DELAY, "{}", worst.1);
     });
 }
 
 #[test]
-fn a_discovery_that_has_refused_one_call_is_asked_again_in_time() {
+fn a_watch_is_retried_in_time_after_one_rejection() {
     virtual_time(async {
         for seed in 0..200 {
-            for (senders, pushed) in [(300, false), (3, false), (300, true)] {
-                let agent = VirtualDiscovery::new(vec![(ms(0), State::Refusing(1))], ANSWER);
-                let (_address, agents) = watch::channel(address(1));
-                let began = Instant::now();
-                let mut received =
-                    watching(&agent, agents, DiscoveryBackoff::new(senders, pushed, seed));
-                listed(&mut received, 1).await;
-                // it has answered the first call with its refusal when that had been out for so long
+            for (senders, is_pushed) in [(300, false), (3, false), (300, true)] {
+                let agent =
+                    VirtualDiscovery::new(vec![(ms(0), State::Rejecting(1))], RESPONSE_DELAY);
+                let (_address_sender, addresses) = watch::channel(address(1));
+                let started_at = Instant::now();
+                let mut received = start_watch(
+                    &agent,
+                    addresses,
+                    DiscoveryBackoff::new(senders, is_pushed, seed),
+                );
+                wait_for_version(&mut received, 1).await;
+                // the rejection of the first request comes after `RESPONSE_DELAY`
                 assert!(
-                    Instant::now() - began < ANSWER + TOLD,
-                    "{senders} {pushed} {seed}"
+                    Instant::now() - started_at < RESPONSE_DELAY + MAX_UPDATE_DELAY,
+                    "{senders} {is_pushed} {seed}"
                 );
             }
         }
@@ -139,65 +151,72 @@
 }
 
 #[test]
-fn few_senders_hear_in_time_of_a_discovery_that_has_refused_for_long() {
+fn few_senders_receive_updates_in_time_after_many_rejections() {
     virtual_time(async {
-        for (senders, pushed) in [(1, false), (5, false), (300, true)] {
-            for out in 0..100 {
-                let back = ms(5050 + 230 * out);
-                let asking = DiscoveryBackoff::new(senders, pushed, out);
-                let heard = heard_after(State::Refusing(u32::MAX), ms(5000), back, asking).await;
-                assert!(heard < TOLD, "{senders} {pushed} {back:?}: {heard:?}");
+        for (senders, is_pushed) in [(1, false), (5, false), (300, true)] {
+            for step in 0..100 {
+                let recovery = ms(5050 + 230 * step);
+                let backoff = DiscoveryBackoff::new(senders, is_pushed, step);
+                let delay =
+                    update_delay(State::Rejecting(u32::MAX), ms(5000), recovery, backoff).await;
+                assert!(
+                    delay < MAX_UPDATE_DELAY,
+                    "{senders} {is_pushed} {recovery:?}: {delay:?}"
+                );
             }
         }
     });
 }
 
 #[test]
-fn a_moved_agent_is_asked_at_once_whatever_the_watch_is_at() {
+fn a_new_address_is_used_at_once_whatever_the_state_of_the_watch() {
     virtual_time(async {
         for state in [
-            State::Refused,
-            State::Lost,
-            State::Silent,
-            State::Refusing(u32::MAX),
-            State::Well,
+            State::ConnectionRefused,
+            State::Unreachable,
+            State::Unresponsive,
+            State::Rejecting(u32::MAX),
+            State::Healthy,
         ] {
-            for moved in 0..40 {
-                let moved = ms(5000 + 330 * moved);
-                let agent =
-                    VirtualDiscovery::new(vec![(ms(0), State::Well), (ms(5000), state)], ms(100));
-                agent.lies_at(address(2), vec![(ms(0), State::Well)]);
-                let (to, agents) = watch::channel(address(1));
-                let mut received = watching(&agent, agents, DiscoveryBackoff::new(300, false, 7));
-                listed(&mut received, 1).await;
-                sleep_until(agent.began() + moved).await;
+            for move_time in 0..40 {
+                let move_time = ms(5000 + 330 * move_time);
+                let agent = VirtualDiscovery::new(
+                    vec![(ms(0), State::Healthy), (ms(5000), state)],
+                    ms(100),
+                );
+                agent.add_address(address(2), vec![(ms(0), State::Healthy)]);
+                let (address_sender, addresses) = watch::channel(address(1));
+                let mut received =
+                    start_watch(&agent, addresses, DiscoveryBackoff::new(300, false, 7));
+                wait_for_version(&mut received, 1).await;
+                sleep_until(agent.started_at() + move_time).await;
                 while received.try_recv().is_ok() {}
-                to.send_replace(address(2));
-                listed(&mut received, 1).await;
-                let heard = Instant::now() - agent.began() - moved;
-                assert!(heard <= ms(200), "{state:?} {moved:?}: {heard:?}");
+                address_sender.send_replace(address(2));
+                wait_for_version(&mut received, 1).await;
+                let delay = Instant::now() - agent.started_at() - move_time;
+                assert!(delay <= ms(200), "{state:?} {move_time:?}: {delay:?}");
             }
         }
     });
 }
 
 #[test]
-fn calls_that_queue_at_a_slow_discovery_for_longer_than_a_watch_may_be_silent_are_answered() {
+fn requests_that_queue_longer_than_the_silence_limit_are_answered() {
     virtual_time(async {
-        // serves 12.5 calls a second in the order of their coming, also those that nobody waits for any more
+        // serves 12.5 requests per second in the order of their arrival, including those whose callers have gone
         let agent = VirtualDiscovery::new(vec![(ms(0), State::Queue(ms(80)))], ms(0));
-        let (_address, agents) = watch::channel(address(1));
-        let mut fleet: Vec<_> = (0..100)
+        let (_address_sender, addresses) = watch::channel(address(1));
+        let mut watches: Vec<_> = (0..100)
             .map(|seed| {
-                watching(
+                start_watch(
                     &agent,
-                    agents.clone(),
+                    addresses.clone(),
                     DiscoveryBackoff::new(100, false, seed),
                 )
             })
             .collect();
         sleep(ms(30_000)).await;
-        let served = fleet
+        let served = watches
             .iter_mut()
             .filter_map(|received| received.try_recv().ok())
             .count();
@@ -205,71 +224,75 @@
     });
 }
 
-/// The notices of a sender, and what it hears of them.
-struct Posting {
-    notices: mpsc::UnboundedSender<Notification>,
+/// A running task that posts notifications, and its inputs to the engine.
+struct NotificationSender {
+    notifications: mpsc::UnboundedSender<Notification>,
     inputs: mpsc::UnboundedReceiver<Input>,
-    agents: watch::Sender<SocketAddr>,
+    addresses: watch::Sender<SocketAddr>,
 }
 
-impl Posting {
-    fn at(agent: &VirtualDiscovery) -> Self {
-        let (notices, queue) = mpsc::unbounded_channel();
+impl NotificationSender {
+    fn start(agent: &VirtualDiscovery) -> Self {
+        let (notifications, queue) = mpsc::unbounded_channel();
         let (inputs, received) = mpsc::unbounded_channel();
-        let (to, agents) = watch::channel(address(1));
-        spawn_local(post_notifications(agent.clone(), agents, queue, inputs));
-        Posting {
-            notices,
+        let (address_sender, addresses) = watch::channel(address(1));
+        spawn_local(post_notifications(agent.clone(), addresses, queue, inputs));
+        NotificationSender {
+            notifications,
             inputs: received,
-            agents: to,
+            addresses: address_sender,
         }
     }
 
-    fn owe(&self, number: u64) {
-        let id = SharedStr::new(format!("m{number}").as_bytes()).expect("a word");
-        let notice = Notification {
+    fn submit(&self, number: u64) {
+        let id = SharedStr::new(format!("m{number}").as_bytes()).expect("a valid id");
+        let notification = Notification {
             number,
             id,
             class: 0,
             ending: Ending::Failed,
         };
-        self.notices.send(notice).expect("taken");
+        self.notifications
+            .send(notification)
+            .expect("the task runs");
     }
 
-    /// Waits until the agent has taken so many; the numbers in the order of their being told.
-    async fn told(&mut self, count: usize) -> Vec<u64> {
-        let mut told = Vec::new();
-        while told.len() < count {
+    /// Waits until this many notifications have been accepted; returns their numbers in the order of the reports.
+    async fn wait_for_accepted(&mut self, count: usize) -> Vec<u64> {
+        let mut accepted = Vec::new();
+        while accepted.len() < count {
             match self.inputs.recv().await {
-                Some(Input::Notified(numbers)) => told.extend(numbers),
+                Some(Input::Notified(numbers)) => accepted.extend(numbers),
                 other => panic!("{other:?}"),
             }
         }
-        told
+        accepted
     }
 }
 
 #[test]
-fn a_post_that_hangs_keeps_no_notice_beyond_the_time_at_which_its_message_is_lost() {
+fn a_request_that_hangs_delays_no_notification_beyond_its_deadline() {
     virtual_time(async {
-        for hanging in [State::Silent, State::Lost] {
-            for later in [0, 1, 30, 99, 100, 101, 250, 700] {
-                // the post that is begun first hangs, and so does none behind it
-                let agent =
-                    VirtualDiscovery::new(vec![(ms(0), hanging), (ms(1), State::Well)], ms(5));
-                let mut posting = Posting::at(&agent);
-                posting.owe(1);
-                sleep(ms(1 + later)).await;
-                posting.owe(2);
-                let owed = Instant::now();
-                let mut told = posting.told(2).await;
-                told.sort_unstable();
-                assert_eq!(told, [1, 2], "each is told once");
-                let first = agent.taken("m1") - agent.began();
-                let second = agent.taken("m2") - owed;
+        for hanging_state in [State::Unresponsive, State::Unreachable] {
+            for submit_offset_ms in [0, 1, 30, 99, 100, 101, 250, 700] {
+                // only the first request hangs
+                let agent = VirtualDiscovery::new(
+                    vec![(ms(0), hanging_state), (ms(1), State::Healthy)],
+                    ms(5),
+                );
+                let mut sender = NotificationSender::start(&agent);
+                sender.submit(1);
+                sleep(ms(1 + submit_offset_ms)).await;
+                sender.submit(2);
+                let submitted_at = Instant::now();
+                let mut accepted = sender.wait_for_accepted(2).await;
+                accepted.sort_unstable();
+                assert_eq!(accepted, [1, 2], "each is reported once");
+                let first_delay = agent.accepted_at("m1") - agent.started_at();
+                let second_delay = agent.accepted_at("m2") - submitted_at;
                 assert!(
-                    first < LOST && second < LOST,
-                    "{hanging:?} {later}: {first:?} {second:?}"
+                    first_delay < NOTIFICATION_DEADLINE && second_delay < NOTIFICATION_DEADLINE,
+                    "{hanging_state:?} {submit_offset_ms}: {first_delay:?} {second_delay:?}"
                 );
             }
         }
@@ -277,64 +300,71 @@
 }
 
 #[test]
-fn an_agent_that_answers_late_gets_to_answer_and_few_posts_are_out() {
+fn a_slow_agent_can_respond_and_few_requests_are_in_flight() {
     virtual_time(async {
-        for late in [5, 90, 150, 400, 950] {
-            let agent = VirtualDiscovery::new(vec![(ms(0), State::Well)], ms(late));
-            let mut posting = Posting::at(&agent);
+        for response_delay_ms in [5, 90, 150, 400, 950] {
+            let agent = VirtualDiscovery::new(vec![(ms(0), State::Healthy)], ms(response_delay_ms));
+            let mut sender = NotificationSender::start(&agent);
             for number in 1..=1000 {
-                posting.owe(number);
+                sender.submit(number);
                 sleep(ms(number % 7)).await;
             }
-            let mut told = timeout(ms(30_000), posting.told(1000))
+            let mut accepted = timeout(ms(30_000), sender.wait_for_accepted(1000))
                 .await
-                .expect("all are told");
-            told.sort_unstable();
-            told.dedup();
-            assert_eq!(told.len(), 1000, "each once");
+                .expect("all are accepted");
+            accepted.sort_unstable();
+            accepted.dedup();
+            assert_eq!(accepted.len(), 1000, "each once");
             assert!(
-                late > 100 || agent.posted() == 1000,
-                "one that answers at once gets each once"
+                response_delay_ms > 100 || agent.posted_lines() == 1000,
+                "a fast agent receives each notification once"
             );
-            // three, and one that is being closed
+            // three requests in flight, and one whose connection is being closed
             assert!(
-                agent.most_open() <= 4,
-                "{late}: {} at once",
-                agent.most_open()
+                agent.max_open_connections() <= 4,
+                "{response_delay_ms}: {} at once",
+                agent.max_open_connections()
             );
         }
     });
 }
 
 #[test]
-fn an_agent_that_comes_back_or_moves_hears_in_time_what_is_due_just_then() {
+fn notifications_arrive_in_time_after_the_agent_recovers_or_moves() {
     virtual_time(async {
         for state in [
-            State::Refused,
-            State::Lost,
-            State::Silent,
-            State::Cut,
-            State::Refusing(u32::MAX),
+            State::ConnectionRefused,
+            State::Unreachable,
+            State::Unresponsive,
+            State::TruncatedResponse,
+            State::Rejecting(u32::MAX),
         ] {
-            for back in 0..40 {
-                let back = ms(4000 + 70 * back);
-                let agent = VirtualDiscovery::new(vec![(ms(0), state), (back, State::Well)], ms(5));
-                let mut posting = Posting::at(&agent);
-                posting.owe(1);
-                sleep_until(agent.began() + back - ms(40)).await;
-                posting.owe(2);
-                posting.told(2).await;
-                let heard = agent.taken("m2") - agent.began() - back;
-                assert!(heard < LOST - ms(40), "{state:?} {back:?}: {heard:?}");
+            for recovery in 0..40 {
+                let recovery = ms(4000 + 70 * recovery);
+                let agent =
+                    VirtualDiscovery::new(vec![(ms(0), state), (recovery, State::Healthy)], ms(5));
+                let mut sender = NotificationSender::start(&agent);
+                sender.submit(1);
+                sleep_until(agent.started_at() + recovery - ms(40)).await;
+                sender.submit(2);
+                sender.wait_for_accepted(2).await;
+                let delay = agent.accepted_at("m2") - agent.started_at() - recovery;
+                assert!(
+                    delay < NOTIFICATION_DEADLINE - ms(40),
+                    "{state:?} {recovery:?}: {delay:?}"
+                );
             }
             let agent = VirtualDiscovery::new(vec![(ms(0), state)], ms(5));
-            agent.lies_at(address(2), vec![(ms(0), State::Well)]);
-            let mut posting = Posting::at(&agent);
-            posting.owe(1);
+            agent.add_address(address(2), vec![(ms(0), State::Healthy)]);
+            let mut sender = NotificationSender::start(&agent);
+            sender.submit(1);
             sleep(ms(3210)).await;
-            posting.agents.send_replace(address(2));
-            posting.told(1).await;
-            assert!(agent.taken("m1") - agent.began() < ms(3220), "{state:?}");
+            sender.addresses.send_replace(address(2));
+            sender.wait_for_accepted(1).await;
+            assert!(
+                agent.accepted_at("m1") - agent.started_at() < ms(3220),
+                "{state:?}"
+            );
         }
     });
 }
--- a/crates/platform/tests/server.rs
+++ b/crates/platform/tests/server.rs
@@ -1,5 +1,6 @@
-//! The clients' door alone, on one thread as it runs in the sender, under tokio's paused clock: what ends a connection,
-//! against the bytes that come at that instant. Clients are plain sockets, written and read in the same thread.
+//! The HTTP server for clients alone, on one thread as in the sender, with tokio's paused clock. The tests close
+//! connections at the same instant at which bytes arrive on them. Clients are plain sockets, written and read in the
+//! same thread.
 
 use milletturn_engine::{ArrivalOutcome, Input};
 use milletturn_platform::DrainGate;
@@ -19,104 +20,110 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, advance, sleep_until};
 
-/// More turns of the runtime than anything here takes.
-const TURNS: usize = 200_000;
+/// Limit on the polls of a condition; every condition in these tests is reached sooner.
+const MAX_TURNS: usize = 200_000;
 
-/// A door with so many places, and beside them so many for those that wait and as many for those that are closed.
-struct Door {
+/// A running server with `max_connections` slots, and `extra_connections` each for waiting and for lingering
+/// connections.
+struct ServerFixture {
     address: SocketAddr,
     server: Rc<Server>,
     gate: Rc<DrainGate>,
-    /// Ids of the messages that were handed in. All are taken on.
-    taken: Rc<RefCell<Vec<String>>>,
-    /// Nothing is answered meanwhile.
-    silent: Rc<Cell<bool>>,
-    /// Kept open: what the senders in the door are told.
+    /// Ids of the submitted messages. All are accepted.
+    accepted_ids: Rc<RefCell<Vec<String>>>,
+    /// While true, no message gets a response.
+    is_paused: Rc<Cell<bool>>,
+    /// Keeps the channel open on which the server learns that endpoints are known.
     _ready: watch::Sender<bool>,
 }
 
-impl Door {
-    async fn open(most: usize, beside: usize) -> Self {
+impl ServerFixture {
+    async fn open(max_connections: usize, extra_connections: usize) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
         let (inputs, mut received) = mpsc::unbounded_channel();
-        let (ready, seen) = watch::channel(true);
+        let (ready, ready_receiver) = watch::channel(true);
         let gate = Rc::new(DrainGate::new());
         let class = Class::new("order", Effect::Unsafe, 4_000_000, 20_000_000);
         let server = Rc::new(Server {
             classes: Rc::new(RefCell::new(vec![(0, class)])),
             inputs,
-            ready: seen,
+            ready: ready_receiver,
             drain_gate: gate.clone(),
-            max_connections: most,
-            connection_slots: Arc::new(Semaphore::new(most)),
-            waiting_slots: Arc::new(Semaphore::new(beside)),
-            lingering_slots: Arc::new(Semaphore::new(beside)),
+            max_connections,
+            connection_slots: Arc::new(Semaphore::new(max_connections)),
+            waiting_slots: Arc::new(Semaphore::new(extra_connections)),
+            lingering_slots: Arc::new(Semaphore::new(extra_connections)),
             body_bytes: Semaphore::new(1 << 20),
         });
-        let taken: Rc<RefCell<Vec<String>>> = Rc::default();
-        let silent: Rc<Cell<bool>> = Rc::default();
-        let (here, waits) = (taken.clone(), silent.clone());
+        let accepted_ids: Rc<RefCell<Vec<String>>> = Rc::default();
+        let is_paused: Rc<Cell<bool>> = Rc::default();
+        let (engine_accepted_ids, engine_is_paused) = (accepted_ids.clone(), is_paused.clone());
         spawn_local(async move {
             while let Some(input) = received.recv().await {
                 if let Input::Arrived(arrival) = input {
-                    here.borrow_mut().push(arrival.id.to_string());
-                    while waits.get() {
-                        turn().await;
+                    engine_accepted_ids
+                        .borrow_mut()
+                        .push(arrival.id.to_string());
+                    while engine_is_paused.get() {
+                        yield_to_other_tasks().await;
                     }
-                    // a client that is gone needs no answer
+                    // sending fails if the client has disconnected
                     let _ = arrival.reply.send(ArrivalOutcome::Accepted);
                 }
             }
         });
         spawn_local(gate.clone().run());
         spawn_local(serve(listener, server.clone()));
-        Door {
+        ServerFixture {
             address,
             server,
             gate,
-            taken,
-            silent,
+            accepted_ids,
+            is_paused,
             _ready: ready,
         }
     }
 
-    /// A client whose connection the door has accepted.
-    async fn client(&self) -> Client {
+    /// Connects a client, and waits until the server has accepted the connection.
+    async fn accepted_client(&self) -> Client {
         let before = self.gate.open_connections();
         let client = Client::connect(self.address);
-        turn_until("it is accepted", || self.gate.open_connections() > before).await;
+        wait_until("the connection is accepted", || {
+            self.gate.open_connections() > before
+        })
+        .await;
         client
     }
 
-    /// A client whose request is in the door but for its last bytes, which are given back.
-    async fn half(&self, id: &str) -> (Client, Vec<u8>) {
-        let mut client = self.client().await;
+    /// Connects a client and sends all but the last two bytes of a request. Returns the client and those bytes.
+    async fn incomplete_request(&self, id: &str) -> (Client, Vec<u8>) {
+        let mut client = self.accepted_client().await;
         let mut text = message("order", id, 7, 20_000, b"12345");
         let last = text.split_off(text.len() - 2);
         let before = self.server.body_bytes.available_permits();
         client.write(&text);
-        turn_until("its head is read", || {
+        wait_until("the head is read", || {
             self.server.body_bytes.available_permits() < before
         })
         .await;
         (client, last)
     }
 
-    /// A client whose first message has been answered.
-    async fn idle(&self, id: &str) -> Client {
-        let mut client = self.client().await;
+    /// Connects a client whose first message has got a response.
+    async fn idle_client(&self, id: &str) -> Client {
+        let mut client = self.accepted_client().await;
         client.write(&message("order", id, 7, 20_000, b"x"));
         assert_eq!(client.status().await, "202");
         client
     }
 }
 
-/// Lets every other task run once, with no step of the clock.
-async fn turn() {
-    let mut turned = false;
+/// Lets every other task run once, without advancing the clock.
+async fn yield_to_other_tasks() {
+    let mut has_yielded = false;
     poll_fn(|context| {
-        if std::mem::replace(&mut turned, true) {
+        if std::mem::replace(&mut has_yielded, true) {
             return Poll::Ready(());
         }
         context.waker().wake_by_ref();
@@ -125,30 +132,30 @@
     .await;
 }
 
-async fn turns(count: usize) {
+async fn yield_times(count: usize) {
     for _ in 0..count {
-        turn().await;
+        yield_to_other_tasks().await;
     }
 }
 
-async fn turn_until(what: &str, mut holds: impl FnMut() -> bool) {
-    for number in 0..TURNS {
-        if holds() {
+async fn wait_until(description: &str, mut is_satisfied: impl FnMut() -> bool) {
+    for number in 0..MAX_TURNS {
+        if is_satisfied() {
             return;
         }
         if number > 1000 {
-            // the system may need a moment to carry the bytes
+            // the system may need a moment to transfer the bytes
             std::thread::sleep(Duration::from_micros(50));
         }
-        turn().await;
+        yield_to_other_tasks().await;
     }
-    panic!("never came: {what}");
+    panic!("condition not reached: {description}");
 }
 
-/// A client's end.
+/// The client side of a connection.
 struct Client {
     stream: TcpStream,
-    got: Vec<u8>,
+    received: Vec<u8>,
     ended: Option<Result<(), ErrorKind>>,
 }
 
@@ -159,16 +166,16 @@
         stream.set_nonblocking(true).expect("set");
         Client {
             stream,
-            got: Vec::new(),
+            received: Vec::new(),
             ended: None,
         }
     }
 
-    /// Writes, and waits until the system has surely carried the bytes: the tasks stand still meanwhile.
+    /// Writes, and waits until the system has transferred the bytes. No task runs meanwhile.
     fn write(&mut self, bytes: &[u8]) {
         self.stream
             .write_all(bytes)
-            .expect("nothing has reset the connection");
+            .expect("the connection is not reset");
         std::thread::sleep(Duration::from_millis(5));
     }
 
@@ -177,35 +184,35 @@
         while self.ended.is_none() {
             match self.stream.read(&mut buffer) {
                 Ok(0) => self.ended = Some(Ok(())),
-                Ok(count) => self.got.extend_from_slice(&buffer[..count]),
+                Ok(count) => self.received.extend_from_slice(&buffer[..count]),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) => self.ended = Some(Err(error.kind())),
             }
         }
     }
 
-    /// The next answer's status; empty if the connection ends first, or "reset".
+    /// The status of the next response; empty if the connection is closed first, or "reset" if it is reset.
     async fn status(&mut self) -> String {
-        let whole = |got: &[u8]| got.windows(4).position(|four| four == b"\r\n\r\n");
-        turn_until("an answer or the end", || {
+        let head_end = |received: &[u8]| received.windows(4).position(|four| four == b"\r\n\r\n");
+        wait_until("a response or the end", || {
             self.read();
-            whole(&self.got).is_some() || self.ended.is_some()
+            head_end(&self.received).is_some() || self.ended.is_some()
         })
         .await;
-        let Some(end) = whole(&self.got) else {
+        let Some(end) = head_end(&self.received) else {
             return if self.ended == Some(Ok(())) {
                 String::new()
             } else {
                 "reset".into()
             };
         };
-        let head = String::from_utf8(self.got.drain(..end + 4).collect()).expect("text");
+        let head = String::from_utf8(self.received.drain(..end + 4).collect()).expect("text");
         head.split(' ').nth(1).expect("a status").to_string()
     }
 
     /// How the connection ends.
     async fn end(&mut self) -> Result<(), ErrorKind> {
-        turn_until("the end", || {
+        wait_until("the end", || {
             self.read();
             self.ended.is_some()
         })
@@ -215,211 +222,224 @@
 }
 
 /// Runs a test on one thread with a paused clock.
-fn paused(test: impl Future<Output = ()> + 'static) {
+fn with_paused_clock(test: impl Future<Output = ()> + 'static) {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder
         .enable_all()
         .start_paused(true)
         .build()
         .expect("a runtime");
-    // a task like the others, which take turns in the order in which they were woken
+    // spawned as a task like the others, so that all run in the order in which they were woken
     LocalSet::new().block_on(&runtime, async {
         spawn_local(test).await.expect("no panic");
     });
 }
 
-/// Writes these bytes in the turn before a time's own: the door is woken by that time with the bytes here, and has not
-/// heard of them.
+/// Writes bytes just before the runtime handles a timer: when the server is woken by the timer, the bytes have arrived,
+/// but the server has not been notified of them.
 async fn write_at(mut client: Client, bytes: Vec<u8>, time: Instant) -> Client {
     let writer = spawn_local(async move {
         sleep_until(time - Duration::from_millis(2)).await;
         client.write(&bytes);
         client
     });
-    turn().await;
-    // both times are over at once, and wake in their order
+    yield_to_other_tasks().await;
+    // both timers expire in one step of the clock, and wake their tasks in order
     advance(time + Duration::from_millis(1) - Instant::now()).await;
     writer.await.expect("written")
 }
 
 #[test]
-fn a_last_byte_that_comes_as_the_place_is_asked_for_gets_its_answer() {
-    paused(async {
-        let door = Door::open(1, 1).await;
-        let (mut half, last) = door.half("m1").await;
-        let mut new = Client::connect(door.address);
-        // accepted, and the place is about to be asked for
-        turn_until("it is accepted", || door.gate.open_connections() == 2).await;
-        half.write(&last);
-        assert_eq!(half.status().await, "202");
-        // which frees the place
-        new.write(&message("order", "m2", 7, 20_000, b"x"));
+fn a_request_completed_as_its_slot_is_requested_gets_a_response() {
+    with_paused_clock(async {
+        let fixture = ServerFixture::open(1, 1).await;
+        let (mut incomplete, last) = fixture.incomplete_request("m1").await;
+        let mut new_client = Client::connect(fixture.address);
+        // the new connection is accepted, and is about to request the slot
+        wait_until("the connection is accepted", || {
+            fixture.gate.open_connections() == 2
+        })
+        .await;
+        incomplete.write(&last);
+        assert_eq!(incomplete.status().await, "202");
+        // the response frees the slot
+        new_client.write(&message("order", "m2", 7, 20_000, b"x"));
         assert_eq!(
-            (half.end().await, new.status().await.as_str()),
+            (incomplete.end().await, new_client.status().await.as_str()),
             (Ok(()), "202")
         );
-        assert_eq!(*door.taken.borrow(), ["m1", "m2"]);
+        assert_eq!(*fixture.accepted_ids.borrow(), ["m1", "m2"]);
     });
 }
 
 #[test]
-fn a_last_byte_that_comes_as_the_time_is_up_gets_its_answer() {
-    paused(async {
-        // half a head: the door has 2 s for it
-        let door = Door::open(4, 1).await;
-        let began = Instant::now();
-        let mut client = door.client().await;
+fn a_request_completed_at_the_deadline_gets_a_response() {
+    with_paused_clock(async {
+        // an incomplete head: the time limit is 2 s
+        let fixture = ServerFixture::open(4, 1).await;
+        let started_at = Instant::now();
+        let mut client = fixture.accepted_client().await;
         let mut text = message("order", "m1", 7, 20_000, b"x");
         let last = text.split_off(30);
         client.write(&text);
-        let mut client = write_at(client, last, began + Duration::from_millis(2000)).await;
+        let mut client = write_at(client, last, started_at + Duration::from_millis(2000)).await;
         assert_eq!(client.status().await, "202");
-        // another request: the door has 2.5 s for it
+        // the next request: the time limit is 2.5 s
         let answered = Instant::now();
         let text = message("order", "m2", 7, 20_000, b"x");
         let mut client = write_at(client, text, answered + Duration::from_millis(2500)).await;
         assert_eq!(client.status().await, "202");
-        assert_eq!(*door.taken.borrow(), ["m1", "m2"]);
+        assert_eq!(*fixture.accepted_ids.borrow(), ["m1", "m2"]);
     });
 }
 
 #[test]
-fn a_half_request_that_has_to_go_is_told_and_not_reset() {
-    paused(async {
-        let door = Door::open(1, 1).await;
-        let (mut half, last) = door.half("m1").await;
-        let mut new = Client::connect(door.address);
-        new.write(&message("order", "m2", 7, 20_000, b"x"));
-        assert_eq!(half.status().await, "503");
-        // what it still writes is read and dropped
-        half.write(&last);
-        half.write(b"and more");
+fn an_incomplete_request_gets_a_503_and_no_reset_when_its_slot_is_needed() {
+    with_paused_clock(async {
+        let fixture = ServerFixture::open(1, 1).await;
+        let (mut incomplete, last) = fixture.incomplete_request("m1").await;
+        let mut new_client = Client::connect(fixture.address);
+        new_client.write(&message("order", "m2", 7, 20_000, b"x"));
+        assert_eq!(incomplete.status().await, "503");
+        // what the client still writes is read and discarded
+        incomplete.write(&last);
+        incomplete.write(b"and more");
         assert_eq!(
-            (half.end().await, new.status().await.as_str()),
+            (incomplete.end().await, new_client.status().await.as_str()),
             (Ok(()), "202")
         );
-        turn_until("the last byte is read", || {
-            door.gate.open_connections() <= 2
+        wait_until("the last byte is read", || {
+            fixture.gate.open_connections() <= 2
         })
         .await;
-        assert_eq!(*door.taken.borrow(), ["m2"]);
+        assert_eq!(*fixture.accepted_ids.borrow(), ["m2"]);
     });
 }
 
 #[test]
-fn a_request_that_crosses_the_close_of_its_idle_connection_is_not_reset() {
-    // nor is it sent on: its client hands it in once more
-    paused(async {
-        let door = Door::open(1, 1).await;
-        let mut idle = door.idle("m1").await;
-        let mut new = Client::connect(door.address);
-        new.write(&message("order", "m2", 7, 20_000, b"x"));
-        assert_eq!(new.status().await, "202");
+fn a_request_that_arrives_while_its_idle_connection_is_closed_is_not_reset() {
+    // The request is not accepted either; its client submits the message again.
+    with_paused_clock(async {
+        let fixture = ServerFixture::open(1, 1).await;
+        let mut idle = fixture.idle_client("m1").await;
+        let mut new_client = Client::connect(fixture.address);
+        new_client.write(&message("order", "m2", 7, 20_000, b"x"));
+        assert_eq!(new_client.status().await, "202");
         idle.write(&message("order", "m3", 7, 20_000, b"x"));
-        turns(200).await;
+        yield_times(200).await;
         assert_eq!(idle.end().await, Ok(()));
         idle.write(&[b'x'; 1000]);
-        turns(200).await;
+        yield_times(200).await;
         let error = idle.stream.take_error().expect("known");
         assert!(error.is_none(), "{error:?}");
-        assert_eq!(*door.taken.borrow(), ["m1", "m2"]);
+        assert_eq!(*fixture.accepted_ids.borrow(), ["m1", "m2"]);
     });
 }
 
 #[test]
-fn with_no_place_in_time_a_new_connection_is_told_and_those_behind_it_do_not_add_up() {
-    paused(async {
-        let door = Door::open(2, 4).await;
-        // both places have an open request: the engine is silent
-        let (first, second) = (
-            door.server.connection_slots.clone(),
-            door.server.connection_slots.clone(),
+fn connections_without_a_slot_get_a_503_and_their_waits_do_not_add_up() {
+    with_paused_clock(async {
+        let fixture = ServerFixture::open(2, 4).await;
+        // occupy both slots
+        let (first_slots, second_slots) = (
+            fixture.server.connection_slots.clone(),
+            fixture.server.connection_slots.clone(),
         );
-        let held = [
-            first.try_acquire_owned().expect("free"),
-            second.try_acquire_owned().expect("free"),
+        let slots = [
+            first_slots.try_acquire_owned().expect("free"),
+            second_slots.try_acquire_owned().expect("free"),
         ];
-        let began = Instant::now();
-        let mut new: Vec<Client> = (0..4).map(|_| Client::connect(door.address)).collect();
-        for (number, client) in new.iter_mut().enumerate() {
+        let started_at = Instant::now();
+        let mut clients: Vec<Client> = (0..4).map(|_| Client::connect(fixture.address)).collect();
+        for (number, client) in clients.iter_mut().enumerate() {
             client.write(&message("order", &format!("m{number}"), 7, 20_000, b"x"));
         }
-        turn_until("all are accepted", || door.gate.open_connections() == 4).await;
-        // and wait: their time begins with their first turn
-        turns(200).await;
+        wait_until("all are accepted", || fixture.gate.open_connections() == 4).await;
+        // their time limits start when their tasks run for the first time
+        yield_times(200).await;
         advance(Duration::from_millis(101)).await;
-        for client in &mut new {
+        for client in &mut clients {
             assert_eq!(client.status().await, "503");
             assert_eq!(client.end().await, Ok(()));
         }
-        // one that comes behind them finds a place as soon as there is one
-        let mut late = Client::connect(door.address);
+        // a later connection gets a slot as soon as one is free
+        let mut late = Client::connect(fixture.address);
         late.write(&message("order", "late", 7, 20_000, b"x"));
-        turn_until("it waits", || {
-            door.server.waiting_slots.available_permits() == 3
+        wait_until("the connection waits for a slot", || {
+            fixture.server.waiting_slots.available_permits() == 3
         })
         .await;
-        drop(held);
+        drop(slots);
         assert_eq!(late.status().await, "202");
         assert!(
-            began.elapsed() < Duration::from_millis(110),
+            started_at.elapsed() < Duration::from_millis(110),
             "{:?}",
-            began.elapsed()
+            started_at.elapsed()
         );
-        assert_eq!(*door.taken.borrow(), ["late"]);
+        assert_eq!(*fixture.accepted_ids.borrow(), ["late"]);
     });
 }
 
 #[test]
-fn a_place_that_is_answered_while_others_wait_goes_to_them() {
-    // guards against a wait for nothing behind connections that were all busy for a moment
-    paused(async {
-        let door = Door::open(1, 1).await;
-        let (mut half, last) = door.half("m1").await;
-        door.silent.set(true);
-        half.write(&last);
-        turn_until("it is with the engine", || door.taken.borrow().len() == 1).await;
-        let mut new = door.client().await;
-        new.write(&message("order", "m2", 7, 20_000, b"x"));
-        turn_until("it waits", || {
-            door.server.waiting_slots.available_permits() == 0
+fn a_slot_is_freed_after_the_response_while_others_wait() {
+    // Guards against connections that wait although a slot has become available, because all were busy at first.
+    with_paused_clock(async {
+        let fixture = ServerFixture::open(1, 1).await;
+        let (mut incomplete, last) = fixture.incomplete_request("m1").await;
+        fixture.is_paused.set(true);
+        incomplete.write(&last);
+        wait_until("the message is passed to the engine", || {
+            fixture.accepted_ids.borrow().len() == 1
         })
         .await;
-        turns(200).await;
-        door.silent.set(false);
+        let mut new_client = fixture.accepted_client().await;
+        new_client.write(&message("order", "m2", 7, 20_000, b"x"));
+        wait_until("the connection waits for a slot", || {
+            fixture.server.waiting_slots.available_permits() == 0
+        })
+        .await;
+        yield_times(200).await;
+        fixture.is_paused.set(false);
         assert_eq!(
-            (half.status().await.as_str(), new.status().await.as_str()),
+            (
+                incomplete.status().await.as_str(),
+                new_client.status().await.as_str()
+            ),
             ("202", "202")
         );
     });
 }
 
 #[test]
-fn near_the_end_of_the_process_half_requests_are_told_and_whole_ones_answered() {
-    paused(async {
-        let door = Door::open(8, 4).await;
-        let told = Instant::now();
-        door.gate.begin_shutdown();
+fn before_the_process_ends_incomplete_requests_get_a_503_and_complete_ones_a_response() {
+    with_paused_clock(async {
+        let fixture = ServerFixture::open(8, 4).await;
+        let shutdown_at = Instant::now();
+        fixture.gate.begin_shutdown();
         advance(Duration::from_millis(2600)).await;
-        let (mut half, _) = door.half("half").await;
-        let (whole, last) = door.half("whole").await;
+        let (mut incomplete, _) = fixture.incomplete_request("half").await;
+        let (complete, last) = fixture.incomplete_request("whole").await;
         // 300 ms before the process ends
-        let mut whole = write_at(whole, last, told + Duration::from_millis(3000)).await;
+        let mut complete =
+            write_at(complete, last, shutdown_at + Duration::from_millis(3000)).await;
         assert_eq!(
-            (whole.status().await.as_str(), whole.end().await),
+            (complete.status().await.as_str(), complete.end().await),
             ("202", Ok(()))
         );
         assert_eq!(
-            (half.status().await.as_str(), half.end().await),
+            (incomplete.status().await.as_str(), incomplete.end().await),
             ("503", Ok(()))
         );
-        assert_eq!(*door.taken.borrow(), ["whole"]);
-        for client in [&half, &whole] {
-            // one that has gone already has no end left to give
+        assert_eq!(*fixture.accepted_ids.borrow(), ["whole"]);
+        for client in [&incomplete, &complete] {
+            // this fails on a connection that is already closed
             let _ = client.stream.shutdown(Shutdown::Both);
         }
-        drop((half, whole));
-        turn_until("all have gone", || door.gate.open_connections() == 0).await;
-        assert!(told.elapsed() < Duration::from_millis(3300));
+        drop((incomplete, complete));
+        wait_until("all connections are closed", || {
+            fixture.gate.open_connections() == 0
+        })
+        .await;
+        assert!(shutdown_at.elapsed() < Duration::from_millis(3300));
     });
 }
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -1,11 +1,11 @@
-//! The platform's settings as the decisions get them.
+//! Conversion of the platform's settings to those of the decision module.
 
 use milletturn_platform::config::{SOCKET_SLACK, settings_of};
 use milletturn_policy::MILLISECOND;
 
 #[test]
-fn a_key_rests_until_the_far_side_can_have_seen_that_a_call_was_left() {
-    for (told, rest) in [
+fn the_wait_per_key_includes_the_time_until_an_endpoint_notices_an_abandoned_call() {
+    for (turn_gap, expected_ms) in [
         (serde_json::json!(0.0), 0),
         (serde_json::json!(0.7), 700),
         (serde_json::Value::Null, 0),
@@ -16,10 +16,13 @@
             "classes": [{"name": "a", "aim": 4.0, "deadline": 20.0, "effect": "idempotent"}],
             "specifics": {"callSlots": 8},
             "safety": {"stopSendingWithin": 1.0, "cold": 11.0, "startCapacity": 0.18, "fallMultiple": 2.0,
-                       "fall": 3.0, "turnGap": told}
+                       "fall": 3.0, "turnGap": turn_gap}
         });
-        let (settings, _) = settings_of(&value).expect("sound");
-        assert_eq!(settings.safety.key_rest, rest * MILLISECOND + SOCKET_SLACK);
-        assert!(settings.notices, "ends are told by notices");
+        let (settings, _) = settings_of(&value).expect("valid settings");
+        assert_eq!(
+            settings.safety.key_rest,
+            expected_ms * MILLISECOND + SOCKET_SLACK
+        );
+        assert!(settings.notices, "outcomes are reported by notifications");
     }
 }
--- a/crates/platform/tests/single_calls.rs
+++ b/crates/platform/tests/single_calls.rs
@@ -1,9 +1,10 @@
-//! Single calls: one on a new connection begins only once it is allowed, and by a stated time; a told wait is heard as
-//! soon as its line is there, whatever becomes of call, body and connection.
+//! Calls with a single message. A call on a new connection starts only with the permission of the engine and must be
+//! written by a deadline. A `Retry-After` counts as soon as its header line is complete, even if the call, the body or
+//! the connection fails.
 
 mod common;
 
-use common::{LONG, item, local};
+use common::{GENEROUS_TIMEOUT, item, run_local};
 use milletturn_engine::{AttemptEnd, Attribution, Call, EndCause, Input, Transport};
 use milletturn_platform::http_transport::HttpTransport;
 use milletturn_policy::{EndpointId, MILLISECOND, Micros, Outcome};
@@ -16,42 +17,47 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout};
 
-/// What a call brought: the waits that were heard, and its end.
+/// The result of a call: the waits that were reported, and how the call ended.
 #[derive(Debug, PartialEq)]
-struct Heard {
+struct CallReport {
     waits: Vec<Micros>,
     outcome: Outcome,
     cause: EndCause,
 }
 
-struct Rig {
-    calls: HttpTransport,
+struct TransportFixture {
+    transport: HttpTransport,
     received: mpsc::UnboundedReceiver<Input>,
-    next: u64,
-    /// Calls carry what must run once.
+    next_number: u64,
+    /// Whether the messages must run at most once.
     at_most_once: bool,
 }
 
-/// Longer than a connection rests behind a response.
-const REST: Duration = Duration::from_millis(10);
+/// Longer than the time for which a connection stays unused after a response.
+const IDLE_PAUSE: Duration = Duration::from_millis(10);
 
-impl Rig {
+impl TransportFixture {
     fn new(endpoint: SocketAddr) -> Self {
-        let (calls, received) = common::calls(endpoint);
-        Rig {
-            calls,
+        let (transport, received) = common::start_transport(endpoint);
+        TransportFixture {
+            transport,
             received,
-            next: 0,
+            next_number: 0,
             at_most_once: false,
         }
     }
 
-    /// Starts a call of one message, `m` and its number, and gives what calls it off.
-    fn start(&mut self, address: SocketAddr, body: usize) -> mpsc::UnboundedSender<usize> {
-        let item = item(&format!("m{}", self.next), vec![b'x'; body]);
+    /// Starts a call with one message, whose id is `m` and the number of the call. Returns the sender that cancels the
+    /// message.
+    fn start(&mut self, address: SocketAddr, body_bytes: usize) -> mpsc::UnboundedSender<usize> {
+        let item = item(&format!("m{}", self.next_number), vec![b'x'; body_bytes]);
         let (cancel, cancels) = mpsc::unbounded_channel();
-        let (number, endpoint, expires) = (self.next, EndpointId(1), Instant::now() + LONG);
-        self.calls.start(
+        let (number, endpoint, expires) = (
+            self.next_number,
+            EndpointId(1),
+            Instant::now() + GENEROUS_TIMEOUT,
+        );
+        self.transport.start(
             Call {
                 number,
                 endpoint,
@@ -62,12 +68,13 @@
             },
             cancels,
         );
-        self.next += 1;
+        self.next_number += 1;
         cancel
     }
 
-    /// Waits and end, and the waits that are heard until the connection is gone.
-    async fn heard(&mut self, mut stream: Option<TcpStream>) -> Heard {
+    /// Waits until the call has ended, and with `stream` also until its connection is closed, so that waits that are
+    /// reported late are included.
+    async fn next_report(&mut self, mut stream: Option<TcpStream>) -> CallReport {
         let mut waits = Vec::new();
         loop {
             match common::next_input(&mut self.received)
@@ -80,7 +87,7 @@
                 }
                 Input::AttemptEnded(ended) => {
                     if let Some(stream) = &mut stream {
-                        // it has looked at what had come when it lets the connection go
+                        // the transport has inspected all received bytes by the time it closes the connection
                         let _ = stream.read(&mut [0; 64]).await;
                     }
                     while let Ok(input) = self.received.try_recv() {
@@ -88,19 +95,19 @@
                             waits.push(wait);
                         }
                     }
-                    return Heard {
+                    return CallReport {
                         waits,
                         outcome: ended.outcome,
                         cause: ended.cause,
                     };
                 }
-                other => panic!("neither wait nor end: {other:?}"),
+                other => panic!("neither a wait nor an end: {other:?}"),
             }
         }
     }
 
     /// The end of the next call.
-    async fn end(&mut self) -> AttemptEnd {
+    async fn next_end(&mut self) -> AttemptEnd {
         loop {
             if let Some(Input::AttemptEnded(end)) = common::next_input(&mut self.received).await {
                 return end;
@@ -108,34 +115,34 @@
         }
     }
 
-    /// The question that a call on a new connection asks.
-    async fn asked(&mut self) -> oneshot::Sender<Instant> {
+    /// The request of a call on a new connection for permission to start.
+    async fn next_start_request(&mut self) -> oneshot::Sender<Instant> {
         match common::next_input(&mut self.received).await {
             Some(Input::RequestStart(_, reply)) => reply,
-            other => panic!("it did not ask: {other:?}"),
+            other => panic!("no request to start: {other:?}"),
         }
     }
 }
 
 #[test]
-fn what_may_not_begin_any_more_leaves_no_byte_and_keeps_its_connection() {
-    local(async {
+fn a_call_that_may_not_start_sends_nothing_and_keeps_its_connection() {
+    run_local(async {
         let endpoint = Endpoint::new(|_, _| OK);
-        let mut rig = Rig::new(endpoint.address);
-        let _cancel = rig.start(endpoint.address, 10);
-        drop(rig.asked().await);
-        let ended = rig.heard(None).await;
+        let mut fixture = TransportFixture::new(endpoint.address);
+        let _cancel = fixture.start(endpoint.address, 10);
+        drop(fixture.next_start_request().await);
+        let ended = fixture.next_report(None).await;
         assert_eq!(
             (ended.outcome, ended.cause),
             (Outcome::Unsent { no_slot: false }, EndCause::NotStarted)
         );
         assert_eq!(endpoint.count(), 0);
-        tokio::time::sleep(REST).await;
-        let _cancel = rig.start(endpoint.address, 10);
+        tokio::time::sleep(IDLE_PAUSE).await;
+        let _cancel = fixture.start(endpoint.address, 10);
         assert_eq!(
-            rig.heard(None).await.outcome,
+            fixture.next_report(None).await.outcome,
             Outcome::Success,
-            "an idle connection needs no question"
+            "a call on an idle connection needs no permission"
         );
         assert_eq!(endpoint.connections.load(Ordering::SeqCst), 1);
         assert_eq!((endpoint.times("m0"), endpoint.times("m1")), (0, 1));
@@ -143,18 +150,18 @@
 }
 
 #[test]
-fn a_call_that_is_not_whole_in_time_is_given_up_and_never_ran() {
-    local(async {
-        // nobody reads here: the kernel's buffers take a part of the call only
+fn a_request_that_is_incomplete_at_its_deadline_is_abandoned_and_never_ran() {
+    run_local(async {
+        // The endpoint does not read, so the kernel's buffers hold only a part of the request.
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("bound");
-        let mut rig = Rig::new(address);
-        let _cancel = rig.start(address, 30_000_000);
-        let reply = rig.asked().await;
+        let mut fixture = TransportFixture::new(address);
+        let _cancel = fixture.start(address, 30_000_000);
+        let reply = fixture.next_start_request().await;
         reply
             .send(Instant::now() + Duration::from_millis(50))
-            .expect("it waits for this");
-        let ended = rig.heard(None).await;
+            .expect("the call waits for the reply");
+        let ended = fixture.next_report(None).await;
         assert_eq!(
             (ended.outcome, ended.cause),
             (Outcome::NoConnection, EndCause::RequestIncomplete)
@@ -164,51 +171,54 @@
 
 const HEAD: &str = "HTTP/1.1 429 Later\r\nX-A: b\r\nretry-AFTER: 1.5\r\nContent-Length: 2\r\n\r\n";
 
-struct Listening {
-    rig: Rig,
+struct EndpointFixture {
+    calls: TransportFixture,
     listener: TcpListener,
 }
 
-impl Listening {
+impl EndpointFixture {
     async fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        Listening {
-            rig: Rig::new(listener.local_addr().expect("bound")),
+        EndpointFixture {
+            calls: TransportFixture::new(listener.local_addr().expect("bound")),
             listener,
         }
     }
 
-    /// A call on a connection that has brought this response to the call before, and what calls it off.
-    async fn call_behind(&mut self, first: &str) -> (TcpStream, mpsc::UnboundedSender<usize>) {
+    /// Starts a call on a connection whose previous call got the response `first`. Returns the stream with the sender
+    /// that cancels the message.
+    async fn call_after(&mut self, first: &str) -> (TcpStream, mpsc::UnboundedSender<usize>) {
         let (mut stream, _cancel) = self.call().await;
         stream.write_all(first.as_bytes()).await.expect("open");
-        self.rig.end().await;
-        tokio::time::sleep(REST).await;
+        self.calls.next_end().await;
+        tokio::time::sleep(IDLE_PAUSE).await;
         let address = self.listener.local_addr().expect("bound");
-        let cancel = self.rig.start(address, 1);
+        let cancel = self.calls.start(address, 1);
         read_request(&mut stream).await;
         (stream, cancel)
     }
 
-    /// A call that has come whole, on a connection of its own, and what calls it off.
+    /// Starts a call on a new connection and reads its request. Returns the stream with the sender that cancels the
+    /// message.
     async fn call(&mut self) -> (TcpStream, mpsc::UnboundedSender<usize>) {
         let cancel = self
-            .rig
+            .calls
             .start(self.listener.local_addr().expect("bound"), 1);
         let (mut stream, _) = self.listener.accept().await.expect("a connection");
-        self.rig
-            .asked()
+        self.calls
+            .next_start_request()
             .await
-            .send(Instant::now() + LONG)
-            .expect("it waits for this");
+            .send(Instant::now() + GENEROUS_TIMEOUT)
+            .expect("the call waits for the reply");
         read_request(&mut stream).await;
         (stream, cancel)
     }
 }
 
-fn told(prefix: &str) -> Vec<Micros> {
-    let line = HEAD.find("1.5\r\n").expect("it is there") + "1.5\r\n".len();
-    if prefix.len() >= line {
+/// The waits that must be reported for this beginning of [`HEAD`].
+fn expected_waits(prefix: &str) -> Vec<Micros> {
+    let line_end = HEAD.find("1.5\r\n").expect("the header is in the text") + "1.5\r\n".len();
+    if prefix.len() >= line_end {
         vec![1500 * MILLISECOND]
     } else {
         Vec::new()
@@ -216,21 +226,21 @@
 }
 
 #[test]
-fn an_answer_that_breaks_off_anywhere_has_told_its_wait_once_the_line_is_there() {
-    local(async {
-        let mut rig = Listening::new().await;
+fn retry_after_counts_once_its_line_is_complete_wherever_the_response_ends() {
+    run_local(async {
+        let mut fixture = EndpointFixture::new().await;
         let text = format!("{HEAD}no");
         for cut in 0..text.len() {
-            let (mut stream, _cancel) = rig.call().await;
+            let (mut stream, _cancel) = fixture.call().await;
             stream
                 .write_all(&text.as_bytes()[..cut])
                 .await
                 .expect("open");
             drop(stream);
-            let heard = rig.rig.heard(None).await;
-            assert_eq!(heard.waits, told(&text[..cut]), "cut at {cut}");
+            let report = fixture.calls.next_report(None).await;
+            assert_eq!(report.waits, expected_waits(&text[..cut]), "cut at {cut}");
             assert_eq!(
-                heard.outcome,
+                report.outcome,
                 Outcome::Reset,
                 "it may have run: cut at {cut}"
             );
@@ -239,21 +249,21 @@
 }
 
 #[test]
-fn a_call_that_is_called_off_still_hears_what_has_come() {
-    local(async {
-        let mut rig = Listening::new().await;
+fn retry_after_counts_even_if_the_call_is_cancelled_before_it_is_read() {
+    run_local(async {
+        let mut fixture = EndpointFixture::new().await;
         for cut in 0..=HEAD.len() {
-            let (mut stream, cancel) = rig.call().await;
+            let (mut stream, cancel) = fixture.call().await;
             stream
                 .write_all(&HEAD.as_bytes()[..cut])
                 .await
                 .expect("open");
-            // at once: nothing of it has been read
-            cancel.send(0).expect("the call is out");
-            let heard = rig.rig.heard(Some(stream)).await;
-            assert_eq!(heard.waits, told(&HEAD[..cut]), "cut at {cut}");
+            // cancel at once, before the transport has read the response
+            cancel.send(0).expect("the call is in flight");
+            let report = fixture.calls.next_report(Some(stream)).await;
+            assert_eq!(report.waits, expected_waits(&HEAD[..cut]), "cut at {cut}");
             assert_eq!(
-                (heard.outcome, heard.cause),
+                (report.outcome, report.cause),
                 (Outcome::Cancelled, EndCause::Cancelled)
             );
         }
@@ -261,34 +271,34 @@
 }
 
 #[test]
-fn a_wait_is_heard_before_the_body_that_never_comes() {
-    local(async {
-        let mut rig = Listening::new().await;
-        let (mut stream, _cancel) = rig.call().await;
+fn retry_after_is_reported_before_a_body_that_never_arrives() {
+    run_local(async {
+        let mut fixture = EndpointFixture::new().await;
+        let (mut stream, _cancel) = fixture.call().await;
         for byte in HEAD.as_bytes() {
             stream.write_all(&[*byte]).await.expect("open");
             tokio::task::yield_now().await;
         }
-        let first = common::next_input(&mut rig.rig.received).await;
+        let first = common::next_input(&mut fixture.calls.received).await;
         assert!(
             matches!(first, Some(Input::RetryAfter { wait, .. }) if wait == 1500 * MILLISECOND),
             "{first:?}"
         );
-        // the answer ends by a time-out only
-        let heard = rig.rig.heard(None).await;
+        // the response ends only by a time limit
+        let report = fixture.calls.next_report(None).await;
         assert_eq!(
-            (heard.outcome, heard.cause),
+            (report.outcome, report.cause),
             (Outcome::Reset, EndCause::ResponseIncomplete(429))
         );
-        assert!(heard.waits.is_empty());
+        assert!(report.waits.is_empty());
     });
 }
 
 #[test]
-fn odd_waits_are_bounded_or_nothing_and_bodies_tell_none() {
-    local(async {
+fn invalid_retry_after_is_ignored_and_long_ones_are_limited() {
+    run_local(async {
         let month = 31 * 86_400_000 * MILLISECOND;
-        let mut rig = Listening::new().await;
+        let mut fixture = EndpointFixture::new().await;
         for (headers, body, expected) in [
             ("Retry-After: 0", "", vec![]),
             ("Retry-After: -3", "", vec![]),
@@ -315,23 +325,26 @@
             ("X-A: Retry-After: 1", "", vec![]),
             ("X-A: b", "Retry-After: 1\r\n", vec![]),
         ] {
-            let (mut stream, _cancel) = rig.call().await;
+            let (mut stream, _cancel) = fixture.call().await;
             let length = body.len();
             let text =
                 format!("HTTP/1.1 503 No\r\n{headers}\r\nContent-Length: {length}\r\n\r\n{body}");
             stream.write_all(text.as_bytes()).await.expect("open");
-            let heard = rig.rig.heard(None).await;
-            assert_eq!(heard.waits, expected, "{headers}");
+            let report = fixture.calls.next_report(None).await;
+            assert_eq!(report.waits, expected, "{headers}");
             let wait = expected.into_iter().max();
-            assert_eq!(heard.outcome, Outcome::Refused { wait }, "{headers}");
+            assert_eq!(report.outcome, Outcome::Refused { wait }, "{headers}");
             drop(stream);
-            // the next call needs a connection of its own
-            rig.rig.calls.close_idle_connections(EndpointId(1));
+            // force a new connection for the next call
+            fixture
+                .calls
+                .transport
+                .close_idle_connections(EndpointId(1));
         }
     });
 }
 
-/// A response, whose body tells it from others.
+/// A response. Different bodies make responses with the same status distinguishable.
 fn response(status: &str, body: &str) -> String {
     let length = body.len();
     format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n\r\n{body}")
@@ -339,149 +352,160 @@
 
 /// Reads one request to its end.
 async fn read_request(stream: &mut TcpStream) {
-    let mut seen = Vec::new();
-    while !seen.ends_with(b"\r\n\r\nx") {
+    let mut received_bytes = Vec::new();
+    while !received_bytes.ends_with(b"\r\n\r\nx") {
         let mut bytes = [0; 1024];
         let count = stream.read(&mut bytes).await.expect("open");
-        assert!(count > 0, "the call breaks off");
-        seen.extend_from_slice(&bytes[..count]);
+        assert!(count > 0, "the request ended early");
+        received_bytes.extend_from_slice(&bytes[..count]);
     }
 }
 
-/// What an endpoint does behind its second response.
+/// What the endpoint does after its second response.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Then {
+enum AfterResponse {
     Close,
     StayOpen,
 }
 
-/// The ends of two calls on one connection, which is answered in this way.
-async fn two_calls(first: &str, second: &str, then: Then) -> [AttemptEnd; 2] {
-    let mut rig = Listening::new().await;
-    let address = rig.listener.local_addr().expect("bound");
-    let (mut stream, _cancel) = rig.call().await;
+/// Makes two calls on one connection, which get these responses; returns their ends.
+async fn two_calls(first: &str, second: &str, after_response: AfterResponse) -> [AttemptEnd; 2] {
+    let mut fixture = EndpointFixture::new().await;
+    let address = fixture.listener.local_addr().expect("bound");
+    let (mut stream, _cancel) = fixture.call().await;
     stream.write_all(first.as_bytes()).await.expect("open");
-    let first = rig.rig.end().await;
-    tokio::time::sleep(REST).await;
-    let _cancel = rig.rig.start(address, 1);
+    let first = fixture.calls.next_end().await;
+    tokio::time::sleep(IDLE_PAUSE).await;
+    let _cancel = fixture.calls.start(address, 1);
     read_request(&mut stream).await;
     stream.write_all(second.as_bytes()).await.expect("open");
-    if then == Then::Close {
+    if after_response == AfterResponse::Close {
         stream.shutdown().await.expect("open");
     }
-    [first, rig.rig.end().await]
+    [first, fixture.calls.next_end().await]
 }
 
-/// A response behind which the endpoint says that it closes the connection.
+/// A response that announces the close of the connection.
 fn last_response(status: &str, body: &str) -> String {
     response(status, body).replace("\r\n\r\n", "\r\nConnection: close\r\n\r\n")
 }
 
 #[test]
-fn a_rejection_that_does_not_end_its_connection_proves_nothing() {
-    local(async {
+fn a_rejection_that_does_not_close_its_connection_is_ambiguous() {
+    run_local(async {
         let first = response("503 No", "");
-        let refused = Outcome::Refused { wait: None };
-        for (second, then, ambiguous) in [
-            (first.clone(), Then::StayOpen, true),
-            (first.clone(), Then::Close, true),
-            (response("503 No", "other"), Then::Close, true),
-            (last_response("503 No", ""), Then::StayOpen, true),
-            (last_response("503 No", "") + &first, Then::Close, true),
-            (last_response("503 No", ""), Then::Close, false),
+        let rejected = Outcome::Refused { wait: None };
+        for (second, after_response, ambiguous) in [
+            (first.clone(), AfterResponse::StayOpen, true),
+            (first.clone(), AfterResponse::Close, true),
+            (response("503 No", "other"), AfterResponse::Close, true),
+            (last_response("503 No", ""), AfterResponse::StayOpen, true),
+            (
+                last_response("503 No", "") + &first,
+                AfterResponse::Close,
+                true,
+            ),
+            (last_response("503 No", ""), AfterResponse::Close, false),
         ] {
-            let [first, end] = two_calls(&first, &second, then).await;
-            assert_eq!((first.outcome, first.ambiguous), (refused, false));
-            let seen = (end.outcome, end.ambiguous);
-            assert_eq!(seen, (refused, ambiguous), "{second} {then:?}");
+            let [first, end] = two_calls(&first, &second, after_response).await;
+            assert_eq!((first.outcome, first.ambiguous), (rejected, false));
+            let actual = (end.outcome, end.ambiguous);
+            assert_eq!(actual, (rejected, ambiguous), "{second} {after_response:?}");
         }
     });
 }
 
 #[test]
-fn a_200_that_does_not_end_its_connection_delivers_nothing() {
-    local(async {
+fn a_200_that_does_not_close_its_connection_delivers_nothing() {
+    run_local(async {
         let first = response("200 OK", "first");
         let rejection = response("503 No", "");
         let duplicate = (Outcome::Reset, EndCause::DuplicateResponse(200));
-        for (second, then) in [
-            (first.clone(), Then::Close),
-            (response("200 OK", "other"), Then::StayOpen),
-            (response("200 OK", "other"), Then::Close),
-            (last_response("200 OK", "other"), Then::StayOpen),
-            (last_response("200 OK", "") + &rejection, Then::Close),
+        for (second, after_response) in [
+            (first.clone(), AfterResponse::Close),
+            (response("200 OK", "other"), AfterResponse::StayOpen),
+            (response("200 OK", "other"), AfterResponse::Close),
+            (last_response("200 OK", "other"), AfterResponse::StayOpen),
+            (
+                last_response("200 OK", "") + &rejection,
+                AfterResponse::Close,
+            ),
         ] {
-            let [_, end] = two_calls(&first, &second, then).await;
-            assert_eq!((end.outcome, end.cause), duplicate, "{second} {then:?}");
+            let [_, end] = two_calls(&first, &second, after_response).await;
+            assert_eq!(
+                (end.outcome, end.cause),
+                duplicate,
+                "{second} {after_response:?}"
+            );
         }
         let last = last_response("200 OK", "other");
-        let [_, end] = two_calls(&first, &last, Then::Close).await;
-        let used = end.connection_use.expect("on a connection");
+        let [_, end] = two_calls(&first, &last, AfterResponse::Close).await;
+        let used = end.connection_use.expect("the call used a connection");
         assert_eq!(end.outcome, Outcome::Success);
         assert_eq!(used.attributed_by, Some(Attribution::LastCall));
     });
 }
 
 #[test]
-fn a_last_call_that_is_given_up_closes_its_connection_at_once() {
-    // guards against a call that goes on at the endpoint beside the next attempt
-    local(async {
-        let mut rig = Listening::new().await;
+fn a_cancelled_last_call_closes_its_connection_at_once() {
+    // Guards against a cancelled call that continues at the endpoint while the next attempt runs.
+    run_local(async {
+        let mut fixture = EndpointFixture::new().await;
         let text = response("200 OK", "");
-        let (mut stream, cancel) = rig.call_behind(&text).await;
-        cancel.send(0).expect("it listens");
-        assert_eq!(rig.rig.end().await.outcome, Outcome::Cancelled);
-        let closed = timeout(LONG, stream.read(&mut [0; 8])).await;
+        let (mut stream, cancel) = fixture.call_after(&text).await;
+        cancel.send(0).expect("the call is in progress");
+        assert_eq!(fixture.calls.next_end().await.outcome, Outcome::Cancelled);
+        let closed = timeout(GENEROUS_TIMEOUT, stream.read(&mut [0; 8])).await;
         assert_eq!(closed.expect("in time").expect("readable"), 0);
     });
 }
 
 #[test]
-fn a_last_response_with_bytes_without_end_behind_it_is_given_up_at_once() {
-    // guards against an endpoint that keeps the sender reading
-    local(async {
-        let mut rig = Listening::new().await;
+fn a_last_response_followed_by_endless_data_is_abandoned_at_once() {
+    // Guards against an endpoint that sends without end and so occupies the connection.
+    run_local(async {
+        let mut fixture = EndpointFixture::new().await;
         let first = response("200 OK", "");
-        let (mut stream, _cancel) = rig.call_behind(&first).await;
+        let (mut stream, _cancel) = fixture.call_after(&first).await;
         let both = last_response("200 OK", "") + &first;
         stream.write_all(both.as_bytes()).await.expect("open");
         let filler = vec![b'x'; 1 << 16];
         let flood = async { while stream.write_all(&filler).await.is_ok() {} };
-        let begin = Instant::now();
-        let (end, ()) = tokio::join!(rig.rig.end(), flood);
+        let started_at = Instant::now();
+        let (end, ()) = tokio::join!(fixture.calls.next_end(), flood);
         assert_eq!(end.outcome, Outcome::Reset);
-        assert!(begin.elapsed() < Duration::from_millis(500));
+        assert!(started_at.elapsed() < Duration::from_millis(500));
     });
 }
 
 #[test]
-fn the_wait_of_a_response_behind_another_one_is_heard() {
-    local(async {
-        let mut rig = Listening::new().await;
+fn retry_after_of_a_response_after_another_one_counts() {
+    run_local(async {
+        let mut fixture = EndpointFixture::new().await;
         let first = response("200 OK", "");
-        let (mut stream, _cancel) = rig.call_behind(&first).await;
+        let (mut stream, _cancel) = fixture.call_after(&first).await;
         let both = first + HEAD + "no";
         stream.write_all(both.as_bytes()).await.expect("open");
         stream.shutdown().await.expect("open");
-        let heard = rig.rig.heard(None).await;
-        assert_eq!(heard.waits, vec![1500 * MILLISECOND]);
-        assert_eq!(heard.outcome, Outcome::Reset);
+        let report = fixture.calls.next_report(None).await;
+        assert_eq!(report.waits, vec![1500 * MILLISECOND]);
+        assert_eq!(report.outcome, Outcome::Reset);
     });
 }
 
 #[test]
 fn an_endpoint_that_does_not_close_gets_a_connection_for_each_call() {
-    local(async {
-        let mut rig = Listening::new().await;
+    run_local(async {
+        let mut fixture = EndpointFixture::new().await;
         let text = response("200 OK", "");
-        let (mut stream, _cancel) = rig.call_behind(&text).await;
+        let (mut stream, _cancel) = fixture.call_after(&text).await;
         stream.write_all(text.as_bytes()).await.expect("open");
-        assert_eq!(rig.rig.end().await.outcome, Outcome::Reset);
+        assert_eq!(fixture.calls.next_end().await.outcome, Outcome::Reset);
         for _ in 0..2 {
-            let (mut stream, _cancel) = rig.call().await;
+            let (mut stream, _cancel) = fixture.call().await;
             stream.write_all(text.as_bytes()).await.expect("open");
-            assert_eq!(rig.rig.end().await.outcome, Outcome::Success);
-            tokio::time::sleep(REST).await;
+            assert_eq!(fixture.calls.next_end().await.outcome, Outcome::Success);
+            tokio::time::sleep(IDLE_PAUSE).await;
         }
     });
 }
@@ -489,93 +513,94 @@
 #[test]
 fn responses_that_repeat_the_request_id_share_a_connection_and_one_that_does_not_delivers_nothing()
 {
-    local(async {
-        let mut rig = Listening::new().await;
-        let address = rig.listener.local_addr().expect("bound");
-        let naming = |number: usize| {
+    run_local(async {
+        let mut fixture = EndpointFixture::new().await;
+        let address = fixture.listener.local_addr().expect("bound");
+        let response_with_id = |number: usize| {
             let id = format!("\r\nX-Request-ID: m{number}\r\n\r\n");
             response("200 OK", "").replace("\r\n\r\n", &id)
         };
-        let (mut stream, _cancel) = rig.call().await;
+        let (mut stream, _cancel) = fixture.call().await;
         for number in 0..4 {
-            let text = naming(number);
+            let text = response_with_id(number);
             stream.write_all(text.as_bytes()).await.expect("open");
-            assert_eq!(rig.rig.end().await.outcome, Outcome::Success);
-            tokio::time::sleep(REST).await;
-            let _cancel = rig.rig.start(address, 1);
+            assert_eq!(fixture.calls.next_end().await.outcome, Outcome::Success);
+            tokio::time::sleep(IDLE_PAUSE).await;
+            let _cancel = fixture.calls.start(address, 1);
             read_request(&mut stream).await;
         }
-        let earlier = naming(1);
+        let earlier = response_with_id(1);
         stream.write_all(earlier.as_bytes()).await.expect("open");
-        let end = rig.rig.end().await;
+        let end = fixture.calls.next_end().await;
         let duplicate = (Outcome::Reset, EndCause::DuplicateResponse(200));
         assert_eq!((end.outcome, end.cause), duplicate);
     });
 }
 
 #[test]
-fn a_connection_behind_a_410_is_closed() {
-    // guards against a copy of it that ends the next message with nothing owed
-    local(async {
-        let mut rig = Listening::new().await;
-        let (mut stream, _cancel) = rig.call().await;
+fn a_connection_is_closed_after_a_410() {
+    // Guards against a duplicate of the 410 that would end the next message without a notification.
+    run_local(async {
+        let mut fixture = EndpointFixture::new().await;
+        let (mut stream, _cancel) = fixture.call().await;
         let gone = response("410 Gone", "");
         stream.write_all(gone.as_bytes()).await.expect("open");
         assert_eq!(
-            rig.rig.end().await.outcome,
+            fixture.calls.next_end().await.outcome,
             Outcome::Unsent { no_slot: false }
         );
-        let closed = timeout(LONG, stream.read(&mut [0; 8])).await;
+        let closed = timeout(GENEROUS_TIMEOUT, stream.read(&mut [0; 8])).await;
         assert_eq!(closed.expect("in time").expect("readable"), 0);
     });
 }
 
 #[test]
-fn what_must_run_once_gets_a_connection_of_its_own_where_nothing_is_known_of_the_endpoint() {
-    local(async {
-        let mut rig = Listening::new().await;
-        let address = rig.listener.local_addr().expect("bound");
-        let (mut stream, _cancel) = rig.call().await;
-        let bare = response("200 OK", "");
-        stream.write_all(bare.as_bytes()).await.expect("open");
-        rig.rig.end().await;
-        tokio::time::sleep(REST).await;
-        rig.rig.at_most_once = true;
-        let _cancel = rig.rig.start(address, 1);
-        let other = timeout(LONG, rig.listener.accept()).await;
-        let (_other, _) = other.expect("in time").expect("a connection of its own");
+fn an_at_most_once_call_uses_a_new_connection_if_the_close_behaviour_is_unknown() {
+    run_local(async {
+        let mut fixture = EndpointFixture::new().await;
+        let address = fixture.listener.local_addr().expect("bound");
+        let (mut stream, _cancel) = fixture.call().await;
+        let plain = response("200 OK", "");
+        stream.write_all(plain.as_bytes()).await.expect("open");
+        fixture.calls.next_end().await;
+        tokio::time::sleep(IDLE_PAUSE).await;
+        fixture.calls.at_most_once = true;
+        let _cancel = fixture.calls.start(address, 1);
+        let accepted = timeout(GENEROUS_TIMEOUT, fixture.listener.accept()).await;
+        let (_stream, _) = accepted.expect("in time").expect("a connection of its own");
         assert_eq!(
             stream.read(&mut [0; 8]).await.expect("readable"),
             0,
-            "the idle one made room"
+            "the idle connection is closed"
         );
     });
 }
 
 #[test]
 fn a_rejection_before_the_last_byte_of_its_request_stops_the_request() {
-    // guards against a request that goes on, and may run, behind a rejection that says that it never did
-    local(async {
+    // Guards against a request that is still written, and may run, after a rejection that says it did not run.
+    run_local(async {
         const BODY_BYTES: usize = 30_000_000;
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
-        let mut rig = Rig::new(address);
-        let _cancel = rig.start(address, BODY_BYTES);
+        let mut fixture = TransportFixture::new(address);
+        let _cancel = fixture.start(address, BODY_BYTES);
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        rig.asked()
+        fixture
+            .next_start_request()
             .await
-            .send(Instant::now() + LONG)
-            .expect("it waits for this");
-        assert!(stream.read(&mut [0; 64]).await.expect("it begins") > 0);
+            .send(Instant::now() + GENEROUS_TIMEOUT)
+            .expect("the call waits for the reply");
+        assert!(stream.read(&mut [0; 64]).await.expect("the request begins") > 0);
         let text = response("503 No", "");
         stream.write_all(text.as_bytes()).await.expect("open");
-        let end = rig.end().await;
+        let end = fixture.next_end().await;
         assert_eq!(end.outcome, Outcome::Refused { wait: None });
         assert!(!end.ambiguous);
         let (mut count, mut bytes) = (0, vec![0; 1 << 20]);
-        while let Ok(more) = timeout(LONG, stream.read(&mut bytes))
+        while let Ok(more) = timeout(GENEROUS_TIMEOUT, stream.read(&mut bytes))
             .await
-            .expect("an end")
+            .expect("the end of the request in time")
             && more > 0
         {
             count += more;
@@ -586,23 +611,24 @@
 
 #[test]
 fn a_response_before_the_last_byte_of_its_request_delivers_nothing() {
-    local(async {
+    run_local(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
-        let mut rig = Rig::new(address);
-        // more than the kernel's buffers take
-        let _cancel = rig.start(address, 30_000_000);
+        let mut fixture = TransportFixture::new(address);
+        // more than the kernel's buffers hold
+        let _cancel = fixture.start(address, 30_000_000);
         let (mut stream, _) = listener.accept().await.expect("a connection");
-        rig.asked()
+        fixture
+            .next_start_request()
             .await
-            .send(Instant::now() + LONG)
-            .expect("it waits for this");
-        assert!(stream.read(&mut [0; 64]).await.expect("it begins") > 0);
+            .send(Instant::now() + GENEROUS_TIMEOUT)
+            .expect("the call waits for the reply");
+        assert!(stream.read(&mut [0; 64]).await.expect("the request begins") > 0);
         let text = response("200 OK", "");
         stream.write_all(text.as_bytes()).await.expect("open");
-        let heard = rig.heard(None).await;
+        let report = fixture.next_report(None).await;
         assert_eq!(
-            (heard.outcome, heard.cause),
+            (report.outcome, report.cause),
             (Outcome::Reset, EndCause::DuplicateResponse(200))
         );
     });
--- a/crates/platform/tests/virtual_discovery/mod.rs
+++ b/crates/platform/tests/virtual_discovery/mod.rs
@@ -1,4 +1,4 @@
-//! An agent in virtual time, without sockets.
+//! A fake discovery agent in virtual time, without sockets.
 
 use milletturn_platform::discovery::Network;
 use std::cell::RefCell;
@@ -11,7 +11,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// Runs a test on one thread, on a clock that goes on when nobody has anything to do.
+/// Runs a test on one thread, with a clock that advances when all tasks are idle.
 pub(crate) fn virtual_time(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -20,159 +20,161 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-/// What the agent does with those who come.
+/// How the agent treats connections and requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum State {
-    /// Answers; watches bring the list and signs of life, notices are taken.
-    Well,
-    /// Refuses connections; those that were open end.
-    Refused,
-    /// Connections never come up.
-    Lost,
-    /// Takes calls and answers none of them, ever.
-    Silent,
-    /// Begins its answer, and ends the connection.
-    Cut,
-    /// Begins its answer, and says nothing more.
-    Half,
-    /// Answers so many calls with 503, and those behind them well.
-    Refusing(u32),
-    /// Serves one call after the other, each for so long, whether or not anybody still waits for it.
+    /// Responds to each request: a watch receives the list and keep-alives, and notifications are accepted.
+    Healthy,
+    /// Refuses connections, and closes those that were open.
+    ConnectionRefused,
+    /// Connection attempts never complete.
+    Unreachable,
+    /// Accepts requests and never responds.
+    Unresponsive,
+    /// Sends the beginning of a response, and closes the connection.
+    TruncatedResponse,
+    /// Sends the beginning of a response, and nothing more.
+    StalledResponse,
+    /// Responds to this many requests with 503, and to later ones like a healthy agent.
+    Rejecting(u32),
+    /// Serves requests one after the other, each taking this time, even if the caller has gone.
     Queue(Duration),
 }
 
-struct World {
-    began: Instant,
-    /// From when on the agent is in which state, by its address.
-    plans: BTreeMap<SocketAddr, Vec<(Duration, State)>>,
-    answer: Duration,
-    refused: u32,
-    queue_ends: Instant,
-    taken: BTreeMap<String, Instant>,
-    posted: usize,
-    open: usize,
-    most_open: usize,
+struct DiscoveryState {
+    started_at: Instant,
+    /// For each address of the agent, its states with the times at which they begin.
+    schedules: BTreeMap<SocketAddr, Vec<(Duration, State)>>,
+    response_delay: Duration,
+    rejected_requests: u32,
+    queue_ends_at: Instant,
+    accepted_at: BTreeMap<String, Instant>,
+    posted_lines: usize,
+    open_connections: usize,
+    max_open_connections: usize,
 }
 
-impl World {
-    /// The position in the plan, which is also the version of the list, and the state. Of two entries for one moment
-    /// the later one counts.
-    fn now(&self, at: SocketAddr) -> (u64, State) {
-        let plan = self
-            .plans
-            .get(&at)
-            .or(self.plans.values().next())
-            .expect("a plan");
-        let past = Instant::now() - self.began;
-        let position = plan
+impl DiscoveryState {
+    /// The version of the list, which is the number of the current state in the schedule, and that state. Of two
+    /// entries with the same time, the later one counts.
+    fn current_state(&self, address: SocketAddr) -> (u64, State) {
+        let schedule = self
+            .schedules
+            .get(&address)
+            .or(self.schedules.values().next())
+            .expect("a schedule");
+        let elapsed = Instant::now() - self.started_at;
+        let position = schedule
             .iter()
-            .rposition(|(from, _)| *from <= past)
-            .expect("a beginning");
-        (position as u64 + 1, plan[position].1)
+            .rposition(|(from, _)| *from <= elapsed)
+            .expect("a state at time zero");
+        (position as u64 + 1, schedule[position].1)
     }
 }
 
-/// The agent, and the network before it.
+/// The agent and the network to it.
 #[derive(Clone)]
-pub(crate) struct VirtualDiscovery(Rc<RefCell<World>>);
+pub(crate) struct VirtualDiscovery(Rc<RefCell<DiscoveryState>>);
 
 impl VirtualDiscovery {
-    /// In these states from these times on; when it answers, then so late. The list's version is the number of the
-    /// state.
-    pub(crate) fn new(plan: Vec<(Duration, State)>, answer: Duration) -> Self {
-        VirtualDiscovery(Rc::new(RefCell::new(World {
-            began: Instant::now(),
-            plans: BTreeMap::from([(SocketAddr::from(([127, 0, 0, 1], 1)), plan)]),
-            answer,
-            refused: 0,
-            queue_ends: Instant::now(),
-            taken: BTreeMap::new(),
-            posted: 0,
-            open: 0,
-            most_open: 0,
+    /// Creates an agent with these states from these times on, which responds after `response_delay`. The version of
+    /// the list is the number of the state.
+    pub(crate) fn new(schedule: Vec<(Duration, State)>, response_delay: Duration) -> Self {
+        VirtualDiscovery(Rc::new(RefCell::new(DiscoveryState {
+            started_at: Instant::now(),
+            schedules: BTreeMap::from([(SocketAddr::from(([127, 0, 0, 1], 1)), schedule)]),
+            response_delay,
+            rejected_requests: 0,
+            queue_ends_at: Instant::now(),
+            accepted_at: BTreeMap::new(),
+            posted_lines: 0,
+            open_connections: 0,
+            max_open_connections: 0,
         })))
     }
 
-    /// Another one lies at this address.
-    pub(crate) fn lies_at(&self, address: SocketAddr, plan: Vec<(Duration, State)>) {
-        self.0.borrow_mut().plans.insert(address, plan);
+    /// Adds another agent at this address.
+    pub(crate) fn add_address(&self, address: SocketAddr, schedule: Vec<(Duration, State)>) {
+        self.0.borrow_mut().schedules.insert(address, schedule);
     }
 
-    pub(crate) fn began(&self) -> Instant {
-        self.0.borrow().began
+    pub(crate) fn started_at(&self) -> Instant {
+        self.0.borrow().started_at
     }
 
-    /// When the notice for a message was first taken.
-    pub(crate) fn taken(&self, id: &str) -> Instant {
-        self.0.borrow().taken[id]
+    /// When the notification of a message was first accepted.
+    pub(crate) fn accepted_at(&self, id: &str) -> Instant {
+        self.0.borrow().accepted_at[id]
     }
 
-    /// Lines of notices, also such that came again.
-    pub(crate) fn posted(&self) -> usize {
-        self.0.borrow().posted
+    /// Number of notifications received, including duplicates.
+    pub(crate) fn posted_lines(&self) -> usize {
+        self.0.borrow().posted_lines
     }
 
-    /// Connections that have been open at once.
-    pub(crate) fn most_open(&self) -> usize {
-        self.0.borrow().most_open
+    /// Largest number of connections that were open at once.
+    pub(crate) fn max_open_connections(&self) -> usize {
+        self.0.borrow().max_open_connections
     }
 
-    async fn serve(self, at: SocketAddr, mut stream: DuplexStream) {
-        self.0.borrow_mut().open += 1;
-        let open = self.0.borrow().open;
-        let most = self.0.borrow().most_open.max(open);
-        self.0.borrow_mut().most_open = most;
-        let gone = self.answer(at, &mut stream).await;
-        if gone.is_some() {
-            // silent for good, until the other side leaves
+    async fn serve(self, address: SocketAddr, mut stream: DuplexStream) {
+        self.0.borrow_mut().open_connections += 1;
+        let open = self.0.borrow().open_connections;
+        let max_open = self.0.borrow().max_open_connections.max(open);
+        self.0.borrow_mut().max_open_connections = max_open;
+        let stays_open = self.respond(address, &mut stream).await;
+        if stays_open.is_some() {
+            // send nothing more, until the client closes the connection
             let _ = stream.read_to_end(&mut Vec::new()).await;
         }
-        self.0.borrow_mut().open -= 1;
+        self.0.borrow_mut().open_connections -= 1;
     }
 
-    /// Nothing if the connection ends.
-    async fn answer(&self, at: SocketAddr, stream: &mut DuplexStream) -> Option<()> {
+    /// Responds to one request; `None` if the connection must be closed, otherwise it stays open without further data.
+    async fn respond(&self, address: SocketAddr, stream: &mut DuplexStream) -> Option<()> {
         let request = read_request(stream).await?;
-        let posts = request.starts_with("POST /v1/outcomes ");
-        let (position, mut state) = self.0.borrow().now(at);
-        let answer = self.0.borrow().answer;
-        if let State::Refusing(most) = state {
-            if self.0.borrow().refused < most {
-                self.0.borrow_mut().refused += 1;
-                waited_for(stream, Instant::now() + answer).await?;
+        let is_post = request.starts_with("POST /v1/outcomes ");
+        let (position, mut state) = self.0.borrow().current_state(address);
+        let response_delay = self.0.borrow().response_delay;
+        if let State::Rejecting(limit) = state {
+            if self.0.borrow().rejected_requests < limit {
+                self.0.borrow_mut().rejected_requests += 1;
+                wait_until(stream, Instant::now() + response_delay).await?;
                 stream
                     .write_all(b"HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n")
                     .await
                     .ok()?;
                 return None;
             }
-            state = State::Well;
+            state = State::Healthy;
         }
         match state {
-            State::Silent | State::Lost => return Some(()),
-            State::Refused => return None,
-            State::Cut | State::Half => {
+            State::Unresponsive | State::Unreachable => return Some(()),
+            State::ConnectionRefused => return None,
+            State::TruncatedResponse | State::StalledResponse => {
                 stream
                     .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
                     .await
                     .ok()?;
-                return (state == State::Half).then_some(());
+                return (state == State::StalledResponse).then_some(());
             }
-            State::Queue(each) => {
-                let ends = self.0.borrow().queue_ends.max(Instant::now()) + each;
-                self.0.borrow_mut().queue_ends = ends;
-                waited_for(stream, ends).await?;
+            State::Queue(service_time) => {
+                let done_at = self.0.borrow().queue_ends_at.max(Instant::now()) + service_time;
+                self.0.borrow_mut().queue_ends_at = done_at;
+                wait_until(stream, done_at).await?;
+            }
+            State::Healthy | State::Rejecting(_) => {
+                wait_until(stream, Instant::now() + response_delay).await?;
             }
-            State::Well | State::Refusing(_) => waited_for(stream, Instant::now() + answer).await?,
         }
-        if posts {
+        if is_post {
             for line in request.split('\n').filter(|line| line.starts_with('{')) {
                 let line: serde_json::Value = serde_json::from_str(line).expect("JSON");
                 let id = line["id"].as_str().expect("an id").to_string();
-                self.0.borrow_mut().posted += 1;
+                self.0.borrow_mut().posted_lines += 1;
                 self.0
                     .borrow_mut()
-                    .taken
+                    .accepted_at
                     .entry(id)
                     .or_insert_with(Instant::now);
             }
@@ -192,25 +194,25 @@
             stream.write_all(chunk.as_bytes()).await.ok()?;
             line = String::new();
             sleep(Duration::from_secs(2)).await;
-            match self.0.borrow().now(at) {
-                (now, _) if now == position => {}
-                // what was open before is lost, whatever the agent does now
-                (_, State::Refused | State::Cut) => return None,
+            match self.0.borrow().current_state(address) {
+                (current, _) if current == position => {}
+                // a connection from an earlier state is useless, whatever the state is now
+                (_, State::ConnectionRefused | State::TruncatedResponse) => return None,
                 _ => return Some(()),
             }
         }
     }
 }
 
-/// Waits; nothing if the other side leaves meanwhile.
-async fn waited_for(stream: &mut DuplexStream, until: Instant) -> Option<()> {
+/// Waits until a time; `None` if the client closes the connection before.
+async fn wait_until(stream: &mut DuplexStream, until: Instant) -> Option<()> {
     tokio::select! {
         _ = stream.read_u8() => None,
         () = sleep_until(until) => Some(()),
     }
 }
 
-/// The request up to the end of its body; nothing if the other side leaves.
+/// Reads a request with its body; `None` if the client closes the connection before.
 async fn read_request(stream: &mut DuplexStream) -> Option<String> {
     let mut text = Vec::new();
     loop {
@@ -221,15 +223,15 @@
             .ok()
             .filter(|read| *read > 0)?;
         text.extend_from_slice(&buffer[..read]);
-        let shown = String::from_utf8(text.clone()).expect("text");
-        let Some((head, body)) = shown.split_once("\r\n\r\n") else {
+        let received = String::from_utf8(text.clone()).expect("text");
+        let Some((head, body)) = received.split_once("\r\n\r\n") else {
             continue;
         };
         let length = head
             .lines()
             .find_map(|line| line.strip_prefix("content-length: ")?.parse().ok());
         if body.len() >= length.unwrap_or(0) {
-            return Some(shown);
+            return Some(received);
         }
     }
 }
@@ -238,14 +240,14 @@
     type Stream = DuplexStream;
 
     async fn connect(&self, address: SocketAddr) -> io::Result<DuplexStream> {
-        let state = self.0.borrow().now(address).1;
+        let state = self.0.borrow().current_state(address).1;
         match state {
-            State::Refused => return Err(io::ErrorKind::ConnectionRefused.into()),
-            State::Lost => std::future::pending().await,
+            State::ConnectionRefused => return Err(io::ErrorKind::ConnectionRefused.into()),
+            State::Unreachable => std::future::pending().await,
             _ => {}
         }
-        let (near, far) = duplex(1 << 16);
-        spawn_local(self.clone().serve(address, far));
-        Ok(near)
+        let (local, remote) = duplex(1 << 16);
+        spawn_local(self.clone().serve(address, remote));
+        Ok(local)
     }
 }
