--- a/crates/platform/src/attribution.rs
+++ b/crates/platform/src/attribution.rs
@@ -1,4 +1,4 @@
-//! Attributes a response to the call that it belongs to. Free of I/O and clock.
+//! Attributes a response to the call that it belongs to. Performs no I/O and reads no clock.
 //!
 //! HTTP/1.1 matches responses to requests by order alone: nothing in a response names its request. Any other data that
 //! arrives on the connection while a call is in flight, such as a duplicate of an earlier response, looks like the
@@ -130,9 +130,9 @@
         !self.0.contains_key(&endpoint)
     }
 
-    /// Whether a call whose response would be attributed by this criterion may be made. A call that must run at most
-    /// once would have to fail if its response could not be attributed, so such a call does not rely on the close
-    /// behaviour of an endpoint for which that is unknown.
+    /// Whether a call whose response would be attributed by this criterion may be made on a connection to the endpoint.
+    /// A call that must run at most once fails if its response cannot be attributed, so such a call is not made as the
+    /// last one of a connection while the close behaviour of the endpoint is unknown.
     pub(crate) fn allow(
         &self,
         endpoint: EndpointId,
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -118,7 +118,7 @@
 /// because it could otherwise reach the endpoint while the abandoned call is still in progress there.
 pub const SOCKET_SLACK: Micros = 50 * MILLISECOND;
 
-/// Memory limit in megabytes if the file has none. The value only determines the share for request bodies, which is
+/// Memory limit in megabytes if the file has none. The limit determines only the share for request bodies, which is
 /// small compared to the memory of any machine.
 fn default_memory_mb() -> f64 {
     64.0
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -1,5 +1,5 @@
-//! A connection to an endpoint, which may carry several calls one after the other. When it is closed, the reason is
-//! reported to the engine.
+//! A connection to an endpoint, which may carry several calls one after the other. The reason for closing
+//! a connection is reported to the engine.
 
 use crate::attribution::ConnectionRecord;
 use crate::connection_monitor::{ConnectionMonitor, MonitoredStream};
--- a/crates/platform/src/discovery_backoff.rs
+++ b/crates/platform/src/discovery_backoff.rs
@@ -1,4 +1,4 @@
-//! How long a sender waits before it contacts discovery again. Free of I/O and clock.
+//! How long a sender waits before it contacts discovery again. Performs no I/O and reads no clock.
 //!
 //! All senders lose their watches at the same time, and with short delays all would retry together. Requests that queue
 //! for longer than their caller waits are answered in vain, so discovery would work at its limit without serving anyone
@@ -60,9 +60,12 @@
 #[derive(Debug)]
 pub struct DiscoveryBackoff {
     random: Pcg32,
-    round: Duration,
-    unreachable: u32,
-    rejected: u32,
+    /// Time in which every sender sends one request.
+    time_per_round: Duration,
+    /// Number of failures to reach discovery since the last success.
+    unreachable_failures: u32,
+    /// Number of rejections since the last success.
+    rejections: u32,
 }
 
 impl DiscoveryBackoff {
@@ -74,36 +77,36 @@
         let senders = if is_pushed { 1 } else { senders };
         DiscoveryBackoff {
             random: Pcg32::seed_from_u64(seed),
-            round: TIME_PER_SENDER * senders,
-            unreachable: 0,
-            rejected: 0,
+            time_per_round: TIME_PER_SENDER * senders,
+            unreachable_failures: 0,
+            rejections: 0,
         }
     }
 
     /// Records a success: the next failure counts as the first one.
     pub fn reset(&mut self) {
-        (self.unreachable, self.rejected) = (0, 0);
+        (self.unreachable_failures, self.rejections) = (0, 0);
     }
 
     /// How long an unanswered request is kept waiting in discovery's queue: as long as the longest delay.
     #[must_use]
     pub fn max_queue_wait(&self) -> Duration {
-        DEFAULT_MAX_DELAY.max(self.round * MAX_DELAY_ROUNDS)
+        DEFAULT_MAX_DELAY.max(self.time_per_round * MAX_DELAY_ROUNDS)
     }
 
     /// The random delay before the retry after a failure. The limit is two seconds; from the second rejection on the
     /// limit is one second or, if that is longer, the time in which every sender sends four requests.
     pub fn next_delay(&mut self, failure: Failure) -> Duration {
         let (failures, limit) = match failure {
-            Failure::Unreachable => (&mut self.unreachable, MAX_SHORT_DELAY),
-            Failure::Rejected if self.rejected == 0 => (&mut self.rejected, MAX_SHORT_DELAY),
-            Failure::Rejected => (&mut self.rejected, Duration::MAX),
+            Failure::Unreachable => (&mut self.unreachable_failures, MAX_SHORT_DELAY),
+            Failure::Rejected if self.rejections == 0 => (&mut self.rejections, MAX_SHORT_DELAY),
+            Failure::Rejected => (&mut self.rejections, Duration::MAX),
         };
         let backoff = self
-            .round
+            .time_per_round
             .saturating_mul(1 << failures.saturating_sub(1).min(16));
         let limit = backoff
-            .min(DEFAULT_MAX_DELAY.max(self.round * MAX_DELAY_ROUNDS))
+            .min(DEFAULT_MAX_DELAY.max(self.time_per_round * MAX_DELAY_ROUNDS))
             .min(limit);
         let fraction = f64::from(self.random.next_u32()) / f64::from(u32::MAX);
         // All senders lose their watches at the same moment, so the first delays are spread over the whole range.
--- a/crates/platform/src/http_transport.rs
+++ b/crates/platform/src/http_transport.rs
@@ -374,9 +374,9 @@
     }
 }
 
-/// Decides whether the endpoint is asked to close the connection after the call. The first call on a connection asks
-/// for it if it must run at most once and the close behaviour of the endpoint is unknown, in order to learn that
-/// behaviour.
+/// Decides whether the endpoint is asked to close the connection after the call. That is also the case for the first
+/// call on a connection if the call must run at most once and the close behaviour of the endpoint is unknown: the
+/// response shows the behaviour, which later calls depend on.
 fn persistence_of(shared: &Shared, call: &Call, attribution: Attribution) -> Persistence {
     let is_unknown = || shared.close_behaviours.borrow().is_unknown(call.endpoint);
     match attribution {
--- a/crates/platform/src/http_transport/response.rs
+++ b/crates/platform/src/http_transport/response.rs
@@ -17,11 +17,12 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Time limit for the rest of a response after its first line. Responses are small, so a longer time would not help.
+/// Time limit for the rest of a response after its first line. A short time is enough because all responses are small.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest wait for an endpoint to close a connection after its response.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Maximum number of calls on one connection. It bounds the memory for the message ids that each connection remembers.
+/// Maximum number of calls on one connection. The limit bounds the memory for the message ids that each connection
+/// keeps.
 const MAX_CALLS_PER_CONNECTION: u64 = 256;
 
 /// Reads the response to one call.
@@ -47,10 +48,10 @@
             // The outcome is known. The rest of the response is read only to reuse the connection.
             connection.monitor.set_attribution(self.attribution);
             let result = self.result(&head, &[]);
-            let (shared, completed) = (self.shared.clone(), self.completed(head, true));
+            let (shared, completed) = (self.shared.clone(), self.completed_call(head, true));
             tokio::task::spawn_local(async move {
                 if read_body(body).await.is_some() {
-                    completed.keep(&shared, connection).await;
+                    completed.finish(&shared, connection).await;
                 }
             });
             return result;
@@ -62,7 +63,7 @@
         };
         let result = self.result(&head, &body);
         if !self.is_attributable(&connection, &head, &body).await {
-            return unattributed(&head, connection, result);
+            return unattributed_result(&head, connection, result);
         }
         connection.monitor.set_attribution(self.attribution);
         let is_early = connection.monitor.response_time().is_none();
@@ -70,9 +71,9 @@
             // After an early response, the rest of the request must not be written, because the call counts as not run.
             connection.retire();
         } else {
-            let completed = self.completed(head, result.is_all_delivered());
+            let completed = self.completed_call(head, result.is_all_delivered());
             let shared = self.shared.clone();
-            tokio::task::spawn_local(async move { completed.keep(&shared, connection).await });
+            tokio::task::spawn_local(async move { completed.finish(&shared, connection).await });
         }
         result
     }
@@ -86,7 +87,7 @@
         CallResult::from_response(self.call, head, body, report_fields, fault_log)
     }
 
-    fn completed(&self, head: Parts, is_all_delivered: bool) -> CompletedCall {
+    fn completed_call(&self, head: Parts, is_all_delivered: bool) -> CompletedCall {
         CompletedCall {
             endpoint: self.call.endpoint,
             address: self.call.address,
@@ -111,7 +112,7 @@
             }
             Attribution::LastCall => {
                 !is_early
-                    && ends_connection(self.shared, self.call.endpoint, connection, head).await
+                    && await_orderly_close(self.shared, self.call.endpoint, connection, head).await
             }
         }
     }
@@ -128,11 +129,11 @@
 
 impl CompletedCall {
     /// Returns the connection to the pool if it may carry another call, and closes it otherwise.
-    async fn keep(self, shared: &Shared, mut connection: Connection) {
+    async fn finish(self, shared: &Shared, mut connection: Connection) {
         let record = &mut connection.record;
         record.record(&self.items, &self.head, self.is_all_delivered);
         if connection.monitor.is_closing() && connection.monitor.is_first_call() {
-            ends_connection(shared, self.endpoint, &connection, &self.head).await;
+            await_orderly_close(shared, self.endpoint, &connection, &self.head).await;
         }
         let is_full = connection.monitor.calls() >= MAX_CALLS_PER_CONNECTION;
         match connection.monitor.is_closing() || is_full {
@@ -144,7 +145,7 @@
 
 /// The result of a call whose response cannot be attributed to the call. A 200 delivers nothing; a rejection counts as
 /// a rejection, but the call may have run.
-fn unattributed(head: &Parts, connection: Connection, result: CallResult) -> CallResult {
+fn unattributed_result(head: &Parts, connection: Connection, result: CallResult) -> CallResult {
     connection.retire();
     let status = head.status.as_u16();
     match head.status {
@@ -158,7 +159,7 @@
 
 /// Whether the endpoint closes the connection after the response as requested, with no further data. Records the
 /// behaviour of the endpoint.
-async fn ends_connection(
+async fn await_orderly_close(
     shared: &Shared,
     endpoint: EndpointId,
     connection: &Connection,
--- a/crates/platform/src/notifications.rs
+++ b/crates/platform/src/notifications.rs
@@ -172,7 +172,7 @@
             milletturn_logging::log(format_args!("discovery: {count} notices answered {status}"));
         }
         Err(error) => milletturn_logging::log(format_args!(
-            "discovery: {count} notices not delivered: {error}"
+            "discovery: {count} notifications not delivered: {error}"
         )),
     }
 }
--- a/crates/platform/src/pools.rs
+++ b/crates/platform/src/pools.rs
@@ -1,6 +1,6 @@
 //! Pools of idle connections, one for each endpoint. The cost of an operation depends on the number of idle
-//! connections, not on the number of endpoints: an endpoint that is never called costs one map entry and no time, even
-//! with thousands of them. Free of I/O.
+//! connections, not on the number of endpoints: thousands of endpoints that are never called cost one map entry each
+//! and no time. Performs no I/O.
 
 use milletturn_policy::EndpointId;
 use std::collections::{BTreeSet, HashMap, VecDeque};
@@ -25,6 +25,7 @@
     pools: HashMap<EndpointId, Pool<C>>,
     /// For each pool that is not empty, the time at which its oldest connection became idle.
     oldest_idle: BTreeSet<(Instant, EndpointId)>,
+    /// Number of idle connections of all endpoints together.
     idle_count: usize,
     /// Maximum number of idle connections of all endpoints together.
     max_idle: usize,
@@ -136,7 +137,8 @@
         }
     }
 
-    /// Changes the idle connections of an endpoint, and keeps the counters in step. `None` if the endpoint is unknown.
+    /// Changes the idle connections of an endpoint, and keeps the counters consistent. `None` if the endpoint is
+    /// unknown.
     fn update<T>(
         &mut self,
         endpoint: EndpointId,
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -38,12 +38,13 @@
 /// How long input is still read and discarded after a response that closes the connection. Closing at once would reset
 /// the connection before the client has read the response.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(500);
-/// How many bytes are read and discarded in that time at most.
+/// Maximum number of bytes that are read and discarded after a response that closes the connection.
 const MAX_LINGER_BYTES: usize = 256 * 1024;
 /// Longest time that a new connection waits for the slot of an idle one that is asked to close. After that the new one
 /// is rejected. Its client waits four times as long, so it still has time to connect to another sender.
 const SLOT_TIMEOUT: Duration = Duration::from_millis(100);
-/// Response to an incomplete request whose connection is closed: its message was not accepted.
+/// Response to a connection that gets no slot, and to an incomplete request whose connection is closed. No message was
+/// accepted in either case.
 const REJECTION_RESPONSE: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
 /// Maximum size of a request head in bytes.
@@ -91,7 +92,7 @@
     first_body_deadline: Cell<Option<Instant>>,
     /// Whether a complete request has been passed to the engine and its response is still due.
     has_open_request: Cell<bool>,
-    /// Wakes the task that serves the connection when another client needs its slot.
+    /// Wakes the task that serves the connection when another client needs the slot.
     close_requested: Notify,
     is_close_requested: Cell<bool>,
     /// Raw bytes of the request head that is being read; empty between a response and the next request.
@@ -168,9 +169,9 @@
 }
 
 impl OpenConnections {
-    /// Asks the connection that has been idle for longest to close, if fewer connections are closing on request than
-    /// clients wait. Must be called whenever a client begins to wait, a connection stays open although it was asked to
-    /// close, or a connection has sent its response.
+    /// Asks the connection that has been idle for longest to close, unless as many connections as there are waiting
+    /// clients have been asked already. Must be called whenever a client begins to wait, a connection stays open
+    /// although it was asked to close, or a connection has sent its response.
     fn ask_longest_idle_to_close(&self) {
         if self.waiting_clients.get() == 0 {
             return;
@@ -219,7 +220,9 @@
         let stream = match accepted {
             Ok((stream, _)) => stream,
             Err(error) => {
-                fault_log.log(format_args!("clients: no connection accepted: {error}"));
+                fault_log.log(format_args!(
+                    "clients: accepting a connection failed: {error}"
+                ));
                 sleep(Duration::from_millis(50)).await;
                 continue;
             }
@@ -242,13 +245,14 @@
                 Some(slot) => Some(slot),
                 None => connections.acquire_slot(&server.connection_slots).await,
             };
-            // The descriptor holds one permit from its accept to its end: of a connection slot or of a waiting slot.
+            // From accept to close, each connection holds a permit for its file descriptor: a connection slot or a
+            // waiting slot.
             let (closing, slot) = match slot {
                 Some(slot) => {
                     drop(waiting_slot);
                     let state = Rc::new(ConnectionState::new());
                     connections.open.borrow_mut().insert(number, state.clone());
-                    let closing = serve_one(stream, &server, &connections, state).await;
+                    let closing = serve_connection(stream, &server, &connections, state).await;
                     connections.open.borrow_mut().remove(&number);
                     (closing, Some(slot))
                 }
@@ -257,7 +261,7 @@
                         "clients: all {} connections have an open request",
                         server.max_connections
                     ));
-                    // Best effort: the socket of a client that reads has buffer space for these few bytes.
+                    // Best effort: a client whose socket has no room for these few bytes is not reading.
                     let _ = stream.try_write(REJECTION_RESPONSE);
                     (Some(stream), waiting_slot)
                 }
@@ -270,8 +274,8 @@
     }
 }
 
-/// Serves a connection until it ends. Returns the stream if it must still be closed.
-async fn serve_one(
+/// Serves a connection until the connection ends. Returns the stream if the server still has to close it.
+async fn serve_connection(
     stream: TcpStream,
     server: &Rc<Server>,
     connections: &Rc<OpenConnections>,
@@ -308,7 +312,7 @@
         tokio::select! {
             // a request that has arrived takes precedence over the deadline
             biased;
-            // An error here is no fault of the sender; `DisconnectGuard` withdraws a message whose client has
+            // Errors of the connection are ignored. `DisconnectGuard` withdraws a message whose client has
             // disconnected.
             _ = &mut connection => return None,
             _ = closing_idle.wait_for(|closing| *closing), if is_keep_alive => {
@@ -339,7 +343,7 @@
     }
     let stream = connection.into_parts().io.into_inner().stream;
     if !state.head.borrow().is_empty() {
-        // Best effort: the socket of a client that reads has buffer space for these few bytes.
+        // Best effort: a client whose socket has no room for these few bytes is not reading.
         let _ = stream.try_write(REJECTION_RESPONSE);
     }
     Some(stream)
@@ -426,7 +430,8 @@
         let read = (buffer.filled().len() - before) as u64;
         self.state.bytes_read.update(|count| count + read);
         let mut head = self.state.head.borrow_mut();
-        // Only the head is needed, and its size is limited; what follows the head in the same read is kept too.
+        // Only the head is needed, and its size is limited. Bytes of the body that arrive in the same read are stored
+        // too, which does no harm.
         let is_head_complete = head.windows(4).any(|four| four == b"\r\n\r\n");
         if !is_head_complete && head.len() < MAX_HEAD_BYTES {
             let new = &buffer.filled()[before..];
@@ -487,7 +492,7 @@
     state: Rc<ConnectionState>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let body_deadline = state.begin_request();
-    let (response, close) = match handle(request, &server, &state, body_deadline).await {
+    let (response, close) = match handle_request(request, &server, &state, body_deadline).await {
         Ok(response) => (response, false),
         Err((status, message)) => {
             let mut response = Response::new(Full::from(format!("{message}\n")));
@@ -509,7 +514,7 @@
             .headers_mut()
             .insert(CONNECTION, HeaderValue::from_static("close"));
     }
-    // hyper writes the response before any other task runs, so the connection cannot be asked to close before that.
+    // hyper writes the response before any other task runs, so no task can ask the connection to close in between.
     state.finish_response(close);
     // This connection is idle now, so a client that waits while all connections are busy can have its slot.
     connections.ask_longest_idle_to_close();
@@ -518,14 +523,15 @@
 
 const ONLY_GET: &str = "only GET";
 
-async fn handle(
+async fn handle_request(
     request: Request<Incoming>,
     server: &Server,
     state: &ConnectionState,
     body_deadline: Instant,
 ) -> Result<Response<Full<Bytes>>, Rejection> {
     let received_at = Instant::now();
-    let transfer_encoding = single(request.headers(), "transfer-encoding", "Transfer-Encoding")?;
+    let transfer_encoding =
+        single_value(request.headers(), "transfer-encoding", "Transfer-Encoding")?;
     if transfer_encoding.is_some_and(|transfer_encoding| {
         !transfer_encoding
             .as_bytes()
@@ -548,7 +554,7 @@
     }
     let path_class = path.trim_start_matches('/').split('/').next().unwrap_or("");
     let headers = request.headers();
-    let class_header = single(headers, "x-priority-class", "X-Priority-Class")?;
+    let class_header = single_value(headers, "x-priority-class", "X-Priority-Class")?;
     let known_class = server
         .classes
         .borrow()
@@ -581,28 +587,28 @@
     } else {
         None
     };
-    let tenant = read_id(single(headers, "x-tenant-id", "X-Tenant-Id")?)?;
-    let id = read_id(single(headers, "x-request-id", "X-Request-ID")?)?
+    let tenant = read_id(single_value(headers, "x-tenant-id", "X-Tenant-Id")?)?;
+    let id = read_id(single_value(headers, "x-request-id", "X-Request-ID")?)?
         .ok_or(bad_request("X-Request-ID is missing"))?;
-    let key = read_id(single(headers, "idempotency-key", "Idempotency-Key")?)?;
+    let key = read_id(single_value(headers, "idempotency-key", "Idempotency-Key")?)?;
     if key.is_none() && matches!(effect, Effect::Keyed { .. }) {
         return Err(bad_request("Idempotency-Key is missing"));
     }
-    let time_to_live =
-        single(headers, "x-timeout", "X-Timeout")?.ok_or(bad_request("X-Timeout is missing"))?;
+    let time_to_live = single_value(headers, "x-timeout", "X-Timeout")?
+        .ok_or(bad_request("X-Timeout is missing"))?;
     let time_to_live = time_to_live
         .to_str()
         .ok()
         .and_then(parse_time_to_live)
         .ok_or(bad_request("X-Timeout can't be read"))?;
     let envelope =
-        single(headers, "envelope", "Envelope")?.ok_or(bad_request("Envelope is missing"))?;
+        single_value(headers, "envelope", "Envelope")?.ok_or(bad_request("Envelope is missing"))?;
     let destination = envelope
         .to_str()
         .ok()
         .and_then(parse_destination)
         .ok_or(bad_request("dest can't be read"))?;
-    let retried = single(headers, "x-retried", "X-Retried")?;
+    let retried = single_value(headers, "x-retried", "X-Retried")?;
     let (is_resubmitted, is_from_failed_sender) = (
         retried.is_some(),
         retried.is_some_and(|value| value == "again"),
@@ -714,7 +720,7 @@
 }
 
 /// The only value of a header. A repeated header is rejected because it is unclear which value is meant.
-fn single<'a>(
+fn single_value<'a>(
     headers: &'a HeaderMap,
     name: &str,
     display_name: &'static str,
--- a/crates/platform/src/watch_stream.rs
+++ b/crates/platform/src/watch_stream.rs
@@ -1,5 +1,5 @@
 //! Parses the byte stream of an endpoint list watch into events: list updates, keep-alives, and malformed input. Chunks
-//! may end anywhere. Free of I/O and clock.
+//! may end anywhere. Performs no I/O and reads no clock.
 
 use crate::endpoint_list::parse_list;
 use milletturn_engine::EndpointListUpdate;
