--- a/crates/engine/src/archive.rs
+++ b/crates/engine/src/archive.rs
@@ -1,10 +1,10 @@
 //! The archive port: stores messages that ended undelivered (dead letters), and requests their redrive.
 //!
 //! A message that ends undelivered stays in the journal until the archive has reported
-//! [`Input::Archived`](crate::Input::Archived) for its number, so that at every instant at least one of them has it.
-//! A redrive goes the other way, by [`Input::Redrive`](crate::Input::Redrive): the journal takes the message back
-//! under its old number by one entry, and that entry alone decides where the message is. When the redrive ends,
-//! delivered or not, the journal holds it again until the archive has stored that end.
+//! [`Input::Archived`](crate::Input::Archived) for its number, so that at every instant the message is in the journal
+//! or in the archive. [`Input::Redrive`](crate::Input::Redrive) moves a message back: a single journal entry records
+//! it under its old number, and from that entry on the journal owns the message. When the redrive ends, delivered or
+//! not, the journal keeps the message until the archive has stored that end.
 
 use crate::{Ending, SharedStr};
 use bytes::Bytes;
@@ -14,17 +14,17 @@
 /// Why a message ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndReason {
-    /// Not recorded: an older version wrote the end.
+    /// The reason was not recorded, because an older version wrote the end.
     Unknown,
-    /// Its deadline passed.
+    /// The message's deadline passed.
     DeadlineExceeded,
-    /// An attempt may have run, and its class allows no further one.
+    /// An attempt may have run, and the class of the message allows no retry.
     NotRetryable,
-    /// It used all the attempts that a message may have.
+    /// The message used all the attempts that the settings allow.
     AttemptsExhausted,
-    /// It was rejected before its deadline: no capacity, no such destination, or no route.
+    /// The message was rejected before its deadline: no capacity, no such destination, or no route.
     Rejected,
-    /// It was delivered. Only a redriven message is archived with this reason.
+    /// The message was delivered. Only a redriven message is archived with this reason.
     Delivered,
 }
 
@@ -33,108 +33,113 @@
 pub struct AttemptRecord {
     /// The endpoint's name; empty for an attempt that is presumed because the journal was damaged.
     pub uid: String,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// How it ended; `None` where the process ended first.
+    /// How the attempt ended; `None` if the process ended first.
     pub outcome: Option<Outcome>,
-    /// Time from its start to its end, in microseconds.
+    /// Time from the start of the attempt to its end, in microseconds.
     pub latency: Option<Micros>,
-    /// Nothing proves that it never ran.
+    /// The destination may have processed the attempt: nothing proves that it did not.
     pub may_have_run: bool,
 }
 
-/// A message that has ended, as the archive gets it. Times are Unix time in microseconds.
+/// A message that has ended, in the form in which the archive stores it. Times are Unix time in microseconds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ArchivedMessage {
-    /// Its number, never used for another message.
+    /// The message's number, never used for another message.
     pub number: u64,
-    /// The id that its client gave it.
+    /// The id that the client gave the message.
     pub id: SharedStr,
-    /// Its idempotency key, by which its destination drops repeats.
+    /// The idempotency key, by which the destination drops duplicates.
     pub key: Option<SharedStr>,
-    /// The name of its class.
+    /// The name of the message's class.
     pub class: String,
-    /// Its destination.
+    /// The message's destination.
     pub destination: u64,
-    /// The body.
+    /// The message's body.
     pub body: Bytes,
-    /// When it was handed in; for a redriven message, when the redrive was accepted.
+    /// When the client submitted the message; for a redriven message, when the redrive was accepted.
     pub accepted_at: Micros,
-    /// When it expired, or would have.
+    /// When the message expired, or would have expired.
     pub deadline: Micros,
-    /// When it ended.
+    /// When the message ended.
     pub ended_at: Micros,
-    /// How it ended.
+    /// How the message ended.
     pub ending: Ending,
-    /// Why it ended.
+    /// Why the message ended.
     pub reason: EndReason,
-    /// Its attempts in order; for a redriven message, those of this redrive only.
+    /// The message's attempts in order; for a redriven message, only those of the latest redrive.
     pub attempts: Vec<AttemptRecord>,
-    /// It was redriven from the archive.
+    /// The message was redriven from the archive.
     pub redriven: bool,
 }
 
-/// Stores messages that have ended. No method may block: an implementation writes to its medium elsewhere.
+/// Stores messages that have ended.
+///
+/// No method may block: an implementation writes to its storage on another thread or task.
 pub trait Archive {
-    /// Whether messages that end like this are to be stored.
+    /// Whether messages with this ending are to be stored.
     fn wants(&self, ending: Ending) -> bool;
-    /// Takes a message to store. [`Input::Archived`](crate::Input::Archived) follows once it is safe. The same
-    /// number may come again after a restart, and must be stored once.
+    /// Takes a message to store. [`Input::Archived`](crate::Input::Archived) follows once the message is stored
+    /// durably. The same number may be passed again after a restart, and must be stored only once.
     ///
     /// # Errors
-    /// Gives the message back while there is no room; it is offered again later.
+    /// Returns the message while the archive has no capacity; the engine offers it again later.
     fn store(&mut self, ended: Box<ArchivedMessage>) -> Result<(), Box<ArchivedMessage>>;
 }
 
-/// The earliest attempt of a message that may have run, from which the window of its key counts.
+/// The earliest attempt of a message that may have run: the destination's deduplication window for the message's
+/// idempotency key starts with it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UncertainAttempt {
     /// The endpoint's name.
     pub uid: String,
-    /// When it was sent, Unix time in microseconds.
+    /// When the attempt was sent, Unix time in microseconds.
     pub sent_at: Micros,
 }
 
 /// An archived message to redrive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RedriveOrder {
-    /// Its number.
+    /// The number under which the message was first accepted.
     pub number: u64,
-    /// The id that its client gave it.
+    /// The id that the client gave the message.
     pub id: SharedStr,
-    /// Its idempotency key, by which its destination drops repeats.
+    /// The idempotency key, by which the destination drops duplicates.
     pub key: Option<SharedStr>,
-    /// The name of its class.
+    /// The name of the message's class.
     pub class: String,
-    /// Its destination.
+    /// The message's destination.
     pub destination: u64,
-    /// The body.
+    /// The message's body.
     pub body: Bytes,
-    /// The attempt that a further one could repeat; `None` if the message never ran, may be repeated, or an operator
-    /// accepted the repeat.
+    /// The attempt that the redrive could duplicate; `None` if no attempt can have run, duplicates are harmless, or
+    /// an operator accepted the risk of a duplicate.
     pub uncertain_attempt: Option<UncertainAttempt>,
 }
 
-/// A redrive order with the way for its outcome.
+/// A redrive order, with the channel for its outcome.
 #[derive(Debug)]
 pub struct RedriveRequest {
     /// The message to redrive.
     pub order: RedriveOrder,
-    /// Gets the one outcome.
+    /// Receives exactly one outcome.
     pub reply: oneshot::Sender<RedriveOutcome>,
 }
 
 /// Whether a redrive was accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RedriveOutcome {
-    /// The journal holds the message; its end goes to [`Archive::store`].
+    /// The journal holds the message again; its end will be passed to [`Archive::store`].
     Accepted,
-    /// A call of the original, or of an earlier redrive, is in flight, or its end is not archived yet.
+    /// The message is not finished: a call of the original message or of an earlier redrive is in flight, or its end
+    /// is not notified or archived yet.
     InFlight,
-    /// Fresh messages, or other redrives, use the capacity; it may be requested again later.
+    /// New messages or other redrives use the capacity; the redrive may be requested again later.
     Busy,
-    /// The journal has no room; it may be requested again later.
+    /// The journal could not record the redrive; it may be requested again later.
     NoCapacity,
-    /// The key's window ends before anything could arrive, or the class is not known any more.
+    /// The deduplication window of the idempotency key ends before a call could arrive, or the settings no longer
+    /// have the class.
     TooLate,
 }
--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -1,4 +1,4 @@
-//! Messages that clients hand in: their admission, their journal entry, and the reply to their clients.
+//! Messages that clients submit: admission, the journal entry and the reply to the client.
 
 use crate::endings::EndOrigin;
 use crate::engine::Engine;
@@ -11,14 +11,14 @@
 use milletturn_policy::{Action, Event, MessageId, Micros, NewMessage};
 use tokio::sync::oneshot;
 
-/// A message that arrived since the last turn, whose client waits for the outcome.
+/// A message that arrived since the last turn; its client is waiting for the outcome.
 pub(crate) struct PendingArrival {
     arrival: Arrival,
-    /// When its client handed it in, module time in microseconds.
+    /// When the client submitted the message, in the decision module's time (microseconds).
     submitted_at: Micros,
 }
 
-/// A repeat of a message that is open already; its client waits for the outcome too.
+/// Another submission of a message that is already open; its client is waiting for the outcome too.
 pub(crate) struct DuplicateArrival {
     message_id: MessageId,
     id: SharedStr,
@@ -26,9 +26,11 @@
 }
 
 impl Engine {
-    /// Admits a message, or rejects it where there is no capacity. The decision module hears of it in the next turn.
+    /// Admits a message, or rejects it if too many messages are open. An admitted message is passed to the decision
+    /// module in the next turn.
     pub(crate) fn on_arrival(&mut self, arrival: Arrival) {
-        // a receiver that is dropped is a client that disconnected, which its guard reports too
+        // a dropped receiver means that the client disconnected: the server also reports that by
+        // `Input::ClientDisconnected`, so failures to send a reply are ignored below
         if let Some(message_id) = self.messages.find(&arrival.id) {
             if let Some(message) = self.messages.get_mut(message_id) {
                 message.clients += 1;
@@ -91,7 +93,8 @@
         self.arrivals.insert(message_id, pending);
     }
 
-    /// A client disconnected before the outcome of its message: without a client left, the message is dropped.
+    /// A client disconnected before it received the outcome of its message. The message is dropped when no other
+    /// client waits for it.
     pub(crate) fn on_client_disconnected(&mut self, id: &SharedStr) {
         let Some(message_id) = self.messages.find(id) else {
             return;
@@ -106,15 +109,16 @@
         }
     }
 
-    /// Replies to the clients whose messages arrived since the last turn. Acceptance is promised once the journal
-    /// holds the message; what the decision module ended at once was never promised.
-    pub(crate) fn answer_arrivals(&mut self, actions: &[Action]) {
+    /// Replies to the clients whose messages arrived since the last turn. A client is told that its message is
+    /// accepted once the journal holds the message. A message that the decision module ends in its first turn is not
+    /// accepted.
+    pub(crate) fn reply_to_arrivals(&mut self, actions: &[Action]) {
         for (message_id, pending) in std::mem::take(&mut self.arrivals) {
             let ended_at_once = outcome_in(actions, message_id);
-            // it is not open any more if its client has disconnected
+            // a message is no longer open if its client has disconnected
             if let Some(message) = self.messages.get_open(message_id) {
                 let ordering_key = message.ordering_key;
-                self.answer_arrival(message_id, ordering_key, pending, ended_at_once);
+                self.reply_to_arrival(message_id, ordering_key, pending, ended_at_once);
             }
         }
         for duplicate in std::mem::take(&mut self.duplicates) {
@@ -127,14 +131,14 @@
         }
     }
 
-    fn answer_arrival(
+    fn reply_to_arrival(
         &mut self,
         message_id: MessageId,
         ordering_key: Option<u64>,
         pending: PendingArrival,
         ended_at_once: Option<ArrivalOutcome>,
     ) {
-        // the client hears of this end by the reply: no notification is pending
+        // the reply itself reports this end to the client, so no notification will follow
         let notified_key = ordering_key.filter(|_| ended_at_once.is_some());
         self.events.extend(notified_key.map(|key| Event::Notice {
             message: message_id,
@@ -168,11 +172,11 @@
                 self.events.push(Event::Dropped(message_id));
             }
         }
-        // a client that disconnected is reported by its guard
+        // if this fails, the client has disconnected, which the server reports
         let _ = arrival.reply.send(outcome);
     }
 
-    /// Writes an arrival to the journal.
+    /// Records an arrival in the journal, and returns the reply for the client.
     fn record_accepted(
         &mut self,
         message_id: MessageId,
@@ -199,7 +203,7 @@
         }
     }
 
-    /// Reports a rejection that happens now.
+    /// Reports a rejection to the observer, with the current time.
     pub(crate) fn observe_rejected(
         &mut self,
         id: &str,
@@ -218,7 +222,7 @@
     }
 }
 
-/// How the decision module ended a message in the turn of its arrival, if it did.
+/// How the decision module ended a message in the turn of its arrival; `None` if the message stays open.
 fn outcome_in(actions: &[Action], message_id: MessageId) -> Option<ArrivalOutcome> {
     actions.iter().find_map(|action| match action {
         Action::Refuse { message, wait } if *message == message_id => {
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -1,4 +1,5 @@
-//! Calls to endpoints: attempts are gathered into bundles, and each bundle becomes one call of the transport.
+//! Calls to endpoints: the attempts of a turn are grouped into batches, and each batch becomes one call of the
+//! transport.
 
 use crate::engine::Engine;
 use crate::message::Attempt;
@@ -9,79 +10,81 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// One attempt of one message. A snapshot holds it in this form.
+/// Identifies one attempt of one message. Snapshots contain this type, so the order of its fields is part of their
+/// format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct AttemptRef {
-    /// The message.
     pub message_id: MessageId,
-    /// The attempt's place among those of the message.
+    /// The attempt's index among those of the message.
     pub attempt: usize,
 }
 
 /// A call in flight.
 pub(crate) struct OutstandingCall {
-    /// Takes the positions in the call that are cancelled.
+    /// Passes the positions of cancelled attempts to the transport.
     pub cancellations: mpsc::UnboundedSender<usize>,
-    /// The attempt at each position.
+    /// The attempt at each position of the call.
     pub attempts: Vec<AttemptRef>,
-    /// How many of them have not ended.
+    /// How many of the attempts have not ended.
     pub remaining: usize,
 }
 
-/// Attempts of one turn to one endpoint that share a call.
-pub(crate) struct Bundle {
+/// Attempts of one turn that go to one endpoint in one call.
+pub(crate) struct Batch {
     endpoint: EndpointId,
-    /// The earliest expiry among them: they share one fate, and an answer behind that counts for none.
+    /// The earliest expiry among the attempts. They share one response, and a response after this time counts for
+    /// none of them.
     expires: Micros,
     attempts: Vec<AttemptRef>,
     size_bytes: usize,
 }
 
-impl Bundle {
-    /// Joins the first bundle to the same endpoint that has room, or becomes the last of the bundles.
-    fn join(self, bundles: &mut Vec<Bundle>, max_attempts: usize, max_bytes: usize) {
-        let fitting = bundles.iter_mut().find(|bundle| {
-            bundle.endpoint == self.endpoint
-                && bundle.attempts.len() < max_attempts
-                && bundle.size_bytes + self.size_bytes <= max_bytes
+impl Batch {
+    /// Merges this batch into the first one to the same endpoint that stays within both limits, or appends it to
+    /// `batches`.
+    fn merge_into(self, batches: &mut Vec<Batch>, max_attempts: usize, max_bytes: usize) {
+        let fitting = batches.iter_mut().find(|batch| {
+            batch.endpoint == self.endpoint
+                && batch.attempts.len() < max_attempts
+                && batch.size_bytes + self.size_bytes <= max_bytes
         });
         match fitting {
-            Some(bundle) => {
-                bundle.attempts.extend(self.attempts);
-                bundle.expires = bundle.expires.min(self.expires);
-                bundle.size_bytes += self.size_bytes;
+            Some(batch) => {
+                batch.attempts.extend(self.attempts);
+                batch.expires = batch.expires.min(self.expires);
+                batch.size_bytes += self.size_bytes;
             }
-            None => bundles.push(self),
+            None => batches.push(self),
         }
     }
 }
 
 /// A call that asks whether it may still start.
 pub(crate) struct StartRequest {
-    /// The number of the call.
+    /// The call's number.
     pub call: u64,
-    /// Gets the time by which its last byte must be written.
+    /// Receives the time by which the last byte of the request must be written; dropped if the call must not start.
     pub reply: oneshot::Sender<Instant>,
 }
 
 impl Engine {
-    /// Starts an attempt: the journal gets it first, then it joins a bundle. One that the journal can't take, or
-    /// whose endpoint is not listed any more, ends as never sent.
+    /// Starts an attempt: records it in the journal, then adds it to a batch. The attempt ends as unsent if the
+    /// journal can't record it, or if its endpoint is no longer listed.
     pub(crate) fn send(
         &mut self,
         now: Micros,
         message_id: MessageId,
         endpoint: EndpointId,
         expires: Micros,
-        bundles: &mut Vec<Bundle>,
+        batches: &mut Vec<Batch>,
     ) {
         let Some(message) = self.messages.get_mut(message_id) else {
             return;
         };
         let attempt = message.attempts.len();
         let route = self.endpoints.route(endpoint);
-        let (uid, bundle_max) = route
-            .map(|route| (route.uid.clone(), route.bundle_max))
+        let (uid, max_batch_size) = route
+            .map(|route| (route.uid.clone(), route.max_batch_size))
             .unwrap_or_default();
         message
             .attempts
@@ -92,10 +95,10 @@
             message_id,
             attempt,
         };
-        if bundle_max == 0 {
+        if max_batch_size == 0 {
             return self.finish_unsent(attempt_ref, endpoint);
         }
-        // a message that is not open was dropped in this very turn
+        // a message that is not open was dropped in this turn: no journal entry, and no call
         let written = open.then(|| self.journal.record_attempt(message_id.0, &uid, now));
         if !written.is_some_and(|written| self.check_journal(written)) {
             return self.finish_unsent(attempt_ref, endpoint);
@@ -108,16 +111,16 @@
             attempt,
             at: now,
         });
-        let single = Bundle {
+        let single = Batch {
             endpoint,
             expires,
             attempts: vec![attempt_ref],
             size_bytes,
         };
-        single.join(bundles, bundle_max, max_call_bytes);
+        single.merge_into(batches, max_batch_size, max_call_bytes);
     }
 
-    /// Ends an attempt that never left: the decision module hears of it in a turn of its own.
+    /// Ends an attempt that was not sent, and queues the event for the decision module's next turn.
     fn finish_unsent(&mut self, attempt_ref: AttemptRef, endpoint: EndpointId) {
         let AttemptRef {
             message_id,
@@ -144,21 +147,22 @@
         self.remove_if_finished(message_id);
     }
 
-    /// Makes one call of a bundle.
-    pub(crate) fn start_call(&mut self, bundle: Bundle) {
+    /// Starts one call that carries all attempts of a batch.
+    pub(crate) fn start_call(&mut self, batch: Batch) {
         let number = self.next_call;
         self.next_call += 1;
-        let route = self.endpoints.route(bundle.endpoint);
+        let route = self.endpoints.route(batch.endpoint);
         let Some(address) = route.map(|route| route.address) else {
-            for attempt_ref in bundle.attempts {
-                self.finish_unsent(attempt_ref, bundle.endpoint);
+            for attempt_ref in batch.attempts {
+                self.finish_unsent(attempt_ref, batch.endpoint);
             }
             return;
         };
-        // positions in the call and in `attempts` must agree, or outcomes would go to other messages
+        // each message must have the same position in `items` and `attempts`, or outcomes would be assigned to the
+        // wrong messages
         let (mut items, mut attempts) = (Vec::new(), Vec::new());
         let mut at_most_once = false;
-        for attempt_ref in bundle.attempts {
+        for attempt_ref in batch.attempts {
             let Some(message) = self.messages.get_mut(attempt_ref.message_id) else {
                 continue;
             };
@@ -181,11 +185,11 @@
         self.calls.insert(number, outstanding);
         let call = Call {
             number,
-            endpoint: bundle.endpoint,
+            endpoint: batch.endpoint,
             address,
             items,
             at_most_once,
-            expires: self.clock.instant(bundle.expires),
+            expires: self.clock.instant(batch.expires),
         };
         self.transport.start(call, cancelled);
     }
@@ -201,19 +205,19 @@
             return;
         };
         if let Some(call) = self.calls.get(&attempt.call) {
-            // a call that has just ended reports its outcome anyway
+            // sending fails if the call has just ended; its outcome is reported anyway
             let _ = call.cancellations.send(attempt.position);
         }
     }
 
-    /// Tells the calls that ask whether they may still start. The attempts of a call start together: one that must
-    /// not start keeps the others from it.
-    pub(crate) fn answer_start_requests(&mut self, now: Micros) {
+    /// Replies to calls that ask whether they may still start. The attempts of a call start together, so a call must
+    /// not start if any one of its attempts must not.
+    pub(crate) fn reply_to_start_requests(&mut self, now: Micros) {
         for request in std::mem::take(&mut self.start_requests) {
             let Some(call) = self.calls.get(&request.call) else {
                 continue;
             };
-            let latest_ends = call
+            let write_deadlines = call
                 .attempts
                 .iter()
                 .map(|attempt_ref| {
@@ -221,8 +225,8 @@
                         .may_begin(now, attempt_ref.message_id, attempt_ref.attempt)
                 })
                 .collect::<Option<Vec<_>>>();
-            if let Some(write_by) = latest_ends.and_then(|times| times.into_iter().min()) {
-                // a call that has just ended needs no reply
+            if let Some(write_by) = write_deadlines.and_then(|times| times.into_iter().min()) {
+                // sending fails if the call has just ended, which needs no reply
                 let _ = request.reply.send(self.clock.instant(write_by));
             }
         }
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -1,24 +1,27 @@
-//! The classes of messages by position, through reloads: a position never changes its meaning while any message
-//! refers to it.
+//! The table of message classes by position. Across reloads of the settings, a position keeps its class as long as
+//! any message refers to it.
 
 use milletturn_policy::{Class, Effect, Micros};
 use serde::{Deserialize, Serialize};
 
-/// The table of classes. A class that a reload removes or changes keeps its position for the messages that carry
-/// it; a new or changed one gets a position of its own. Positions that nothing refers to any more are reused, so
-/// the table is no longer than the settings' classes and those of open messages together.
+/// The table of classes.
+///
+/// A class that a reload removes or changes keeps its position for the messages that refer to it; a new or changed
+/// class gets another position. Positions that no message refers to are reused, so the table is at most as long as
+/// the classes of the settings and those of open messages together. Snapshots contain this type, so the order of its
+/// fields is part of their format.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(crate) struct ClassTable {
     /// The class at each position.
     classes: Vec<Class>,
-    /// Whether the class at each position is one of the present settings.
+    /// Whether the class at each position is one of the current settings.
     current: Vec<bool>,
     /// The name of the class at each position.
     names: Vec<String>,
 }
 
 impl ClassTable {
-    /// The table of a new engine: positions are those in the settings.
+    /// Creates the table of a new engine, where classes have the same positions as in the settings.
     pub(crate) fn new(classes: &[Class]) -> Self {
         let names = classes.iter().map(|class| class.name.clone()).collect();
         ClassTable {
@@ -28,12 +31,12 @@
         }
     }
 
-    /// All classes by position, as the decision module has them.
+    /// All classes by position. The decision module uses the same positions.
     pub(crate) fn all(&self) -> &[Class] {
         &self.classes
     }
 
-    /// The names by position.
+    /// The names of all classes by position.
     pub(crate) fn names(&self) -> &[String] {
         &self.names
     }
@@ -43,25 +46,24 @@
         self.names.get(position).cloned().unwrap_or_default()
     }
 
-    /// The position of the present class of this name; `usize::MAX` if the settings have none.
+    /// The position of the class with this name in the current settings; `usize::MAX` if the settings have none.
     pub(crate) fn position(&self, name: &str) -> usize {
-        let is_present = |&at: &usize| self.current[at] && self.names[at] == name;
-        (0..self.classes.len())
-            .find(is_present)
-            .unwrap_or(usize::MAX)
+        let is_match = |&at: &usize| self.current[at] && self.names[at] == name;
+        (0..self.classes.len()).find(is_match).unwrap_or(usize::MAX)
     }
 
-    /// The longest time that a message of the class may take to be delivered, in microseconds.
+    /// The longest time that delivery of a message of the class may take, in microseconds.
     pub(crate) fn deadline(&self, position: usize) -> Option<Micros> {
         self.classes.get(position).map(|class| class.deadline)
     }
 
-    /// What a repeated delivery of the class's messages does.
+    /// What a duplicate delivery of a message of the class does.
     pub(crate) fn effect(&self, position: usize) -> Option<Effect> {
         self.classes.get(position).map(|class| class.effect)
     }
 
-    /// The position of a class that only messages of an earlier process have, and whether it is a new one.
+    /// Adds a class that only messages of an earlier process have. Returns the position of the class, and whether the
+    /// table did not contain it before.
     pub(crate) fn add_recovered(&mut self, class: &Class) -> (usize, bool) {
         if let Some(at) = self.classes.iter().position(|known| known == class) {
             return (at, false);
@@ -72,8 +74,8 @@
         (self.classes.len() - 1, true)
     }
 
-    /// How long a destination drops repeats by key, in microseconds: zero where a repeat is never allowed, `None`
-    /// where it always is.
+    /// How long the destination drops duplicates by idempotency key, in microseconds: zero if a duplicate is never
+    /// allowed, `None` if duplicates are always allowed.
     pub(crate) fn key_window(&self, position: usize) -> Option<Micros> {
         match self.classes.get(position)?.effect {
             Effect::Repeatable => None,
@@ -82,8 +84,8 @@
         }
     }
 
-    /// Takes over the classes of new settings. `in_use` tells whether an open message has the class at a position.
-    /// Returns the positions that mean something new.
+    /// Applies the classes of new settings. `in_use` tells whether an open message has the class at a position.
+    /// Returns the positions that now hold another class.
     pub(crate) fn replace(&mut self, new: &[Class], in_use: impl Fn(usize) -> bool) -> Vec<usize> {
         let was_current = std::mem::replace(&mut self.current, vec![false; self.classes.len()]);
         let changed: Vec<&Class> = new
@@ -100,7 +102,8 @@
             .collect();
         let mut positions = Vec::new();
         for class in changed {
-            // a message of a class that was current a moment ago may be on its way from a server
+            // a position of the previous settings is not free: a server may have submitted a message with it that has
+            // not arrived yet
             let is_free = |&at: &usize| {
                 !self.current[at] && !was_current.get(at).is_some_and(|&was| was) && !in_use(at)
             };
--- a/crates/engine/src/classes/tests.rs
+++ b/crates/engine/src/classes/tests.rs
@@ -5,9 +5,9 @@
 }
 
 #[test]
-fn a_position_in_use_keeps_its_meaning_and_a_free_one_is_reused() {
+fn a_position_in_use_keeps_its_class_and_a_free_one_is_reused() {
     let mut classes = ClassTable::new(&[class("a", 10), class("b", 20)]);
-    // b changes while a message of it is open; a stays
+    // class b changes while one of its messages is open, so the new b gets position 2; class a is unchanged
     assert_eq!(
         classes.replace(&[class("a", 10), class("b", 30)], |at| at == 1),
         [2]
@@ -20,7 +20,8 @@
         ),
         (2, Some(20), Some(30))
     );
-    // it still is open: its position is not reused for c; then it has ended, and its position is free
+    // the message of the old b is still open, so c gets a new position; once the message has ended, d can reuse a
+    // position
     assert_eq!(classes.replace(&[class("c", 5)], |at| at == 1), [3]);
     assert_eq!(
         (classes.position("a"), classes.position("b")),
@@ -31,7 +32,7 @@
         classes.replace(&[class("c", 5), class("d", 5)], |_| false),
         [0]
     );
-    // a class that comes back unchanged finds its old position, if that still has the meaning
+    // a class that is added back unchanged gets its old position, if that position still holds the class
     assert_eq!(
         classes.replace(&[class("c", 5), class("b", 30)], |_| false),
         []
@@ -40,7 +41,7 @@
 }
 
 #[test]
-fn reloads_without_end_do_not_grow_the_table() {
+fn repeated_reloads_do_not_grow_the_table() {
     let mut classes = ClassTable::new(&[class("a", 1)]);
     for deadline in 2..200 {
         classes.replace(&[class("a", deadline)], |_| false);
--- a/crates/engine/src/delivered.rs
+++ b/crates/engine/src/delivered.rs
@@ -1,14 +1,14 @@
-//! The ids of recently delivered messages: a client whose connection closed before the reply may hand its message
-//! in once more, and hears that it is delivered.
+//! The ids of recently delivered messages. A client whose connection closed before it received the reply may submit
+//! its message again, and is then told that the message was already delivered.
 
 use crate::shared_str::SharedStr;
 use std::collections::{HashSet, VecDeque};
 
-/// How many ids are remembered: at 120 messages a second those of the last half minute, longer than any such client
-/// waits.
+/// How many ids are remembered. At 120 messages per second this covers the last half minute, longer than a client
+/// waits before it resubmits.
 const MAX_REMEMBERED: usize = 4096;
 
-/// The ids of the last delivered messages, [`MAX_REMEMBERED`] at most.
+/// The ids of the most recently delivered messages, at most [`MAX_REMEMBERED`].
 #[derive(Debug, Default)]
 pub(crate) struct DeliveredIds {
     order: VecDeque<SharedStr>,
@@ -16,7 +16,8 @@
 }
 
 impl DeliveredIds {
-    /// Adds an id, and drops the oldest beyond the bound. An id that is there already keeps its age.
+    /// Adds an id, and removes the oldest one beyond [`MAX_REMEMBERED`]. An id that is already present keeps its
+    /// place in the order.
     pub(crate) fn push(&mut self, id: SharedStr) {
         if !self.ids.insert(id.clone()) {
             return;
@@ -34,7 +35,7 @@
         self.ids.contains(id)
     }
 
-    /// The ids, oldest first.
+    /// The remembered ids, oldest first.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &SharedStr> {
         self.order.iter()
     }
--- a/crates/engine/src/endings.rs
+++ b/crates/engine/src/endings.rs
@@ -1,4 +1,4 @@
-//! Ends of attempts and of messages: what the journal, the observer and the notifications get of each.
+//! Ends of attempts and messages: what is recorded in the journal, reported to the observer and notified to clients.
 
 use crate::archive::EndReason;
 use crate::calls::AttemptRef;
@@ -11,17 +11,18 @@
 use crate::transport::AttemptEnd;
 use milletturn_policy::{Event, MessageId, Micros, Outcome};
 
-/// What ended a message, where the decision module did not.
+/// What ended a message, other than the decision module.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum EndOrigin {
-    /// Its last client disconnected and needs no notification.
+    /// The last client of the message disconnected; no notification is needed.
     Client,
-    /// An endpoint's response; whoever handed the message in may have to be notified.
+    /// A response of an endpoint; the client may have to be notified.
     Endpoint,
 }
 
 impl Engine {
-    /// An attempt ended. Reports of unknown calls and second reports of an attempt are ignored.
+    /// Handles the end of an attempt. Reports about unknown calls, and repeated reports about one attempt, are
+    /// ignored.
     pub(crate) fn on_attempt_ended(&mut self, end: AttemptEnd) {
         let Some(attempt_ref) = self.finish_position(&end) else {
             return;
@@ -72,7 +73,7 @@
         self.remove_if_finished(message_id);
     }
 
-    /// Counts one position of a call as ended; `None` for a call or position that is not known.
+    /// Counts one attempt of a call as ended and identifies the attempt; `None` for an unknown call or position.
     fn finish_position(&mut self, end: &AttemptEnd) -> Option<AttemptRef> {
         let call = self.calls.get_mut(&end.call)?;
         let attempt_ref = *call.attempts.get(end.position)?;
@@ -83,7 +84,8 @@
         Some(attempt_ref)
     }
 
-    /// Remembers the id of a delivered message, and reports the delivery the first time.
+    /// Remembers the id of a delivered message, and reports the delivery to the observer if the message was still
+    /// open.
     fn on_delivered(&mut self, message_id: MessageId, now: Micros) {
         let Some(message) = self.messages.get(message_id) else {
             return;
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Ends a message of which nothing more is to be done. Its client may still have to be notified, where the
-    /// message ended by an endpoint's response.
+    /// Ends a message that needs no further attempt. If an endpoint's response ended the message and notifications of
+    /// delivered messages are enabled, the client is notified.
     pub(crate) fn end(&mut self, message_id: MessageId, origin: EndOrigin) {
         let Some(message) = self.messages.get_open_mut(message_id) else {
             return;
@@ -121,7 +123,8 @@
             let written = self.journal.record_end(message_id.0, end);
             self.check_journal(written);
             if !redriven {
-                // an endpoint's response ended it: the decision module knows that already and frees its key
+                // no ordering key: an endpoint's response ended the message, so the decision module already knows of
+                // the end and has freed the key
                 self.notify(message_id, id, class, ending, None);
             }
             self.close(message_id);
@@ -130,7 +133,7 @@
         }
     }
 
-    /// Marks the message as ended; `false` if it is not open.
+    /// Marks a message as ended; returns `false` if the message is not open.
     pub(crate) fn close(&mut self, message_id: MessageId) -> bool {
         let closed = self.messages.close(message_id);
         if closed {
@@ -139,7 +142,7 @@
         closed
     }
 
-    /// Takes the message out of the table once it and its attempts have ended; the archive may want it then.
+    /// Removes a message from the table if the message and its attempts have ended, and offers it to the archive.
     pub(crate) fn remove_if_finished(&mut self, message_id: MessageId) {
         if let Some(message) = self.messages.take_finished(message_id)
             && message.end.is_some()
@@ -149,7 +152,7 @@
         }
     }
 
-    /// The decision module gave the message up undelivered: its client is notified.
+    /// Ends a message that the decision module ended undelivered, and notifies the client.
     pub(crate) fn abandon(&mut self, message_id: MessageId, ending: Ending) {
         let (now, max_attempts) = (self.clock.now(), self.max_attempts);
         let Some(message) = self.messages.get_open_mut(message_id) else {
@@ -182,7 +185,8 @@
         self.close(message_id);
     }
 
-    /// Sends a notification. `ordering_key` is given where the next message of that key waits for its confirmation.
+    /// Sends a notification. `ordering_key` is given if the next message with that key must wait until this
+    /// notification is confirmed.
     pub(crate) fn notify(
         &mut self,
         message_id: MessageId,
@@ -194,7 +198,7 @@
         if let Some(key) = ordering_key {
             self.unconfirmed_keys.insert(message_id, key);
         }
-        // the receiver lives as long as the process
+        // sending can't fail: the receiver lives as long as the process
         let _ = self.notifications.send(Notification {
             number: message_id.0,
             id,
--- a/crates/engine/src/endpoint_list.rs
+++ b/crates/engine/src/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list port: which endpoints there are, as a source (service discovery, a file) reports them.
+//! The endpoint list port: which endpoints exist, as reported by a source such as service discovery or a file.
 
 use milletturn_policy::Status;
 use std::net::SocketAddr;
@@ -6,29 +6,29 @@
 /// One endpoint of a list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ListedEndpoint {
-    /// Its name, the same for as long as it exists.
+    /// The endpoint's name, which stays the same as long as the endpoint exists.
     pub uid: String,
-    /// Its address.
+    /// The endpoint's address.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// The name of the endpoint's zone.
     pub zone: String,
-    /// The name of its destination's kind.
+    /// The name of the kind of destination that the endpoint belongs to.
     pub kind: String,
-    /// Its destination.
+    /// The destination that the endpoint belongs to.
     pub destination: u64,
-    /// Whether it serves, drains or is removed; this says nothing of its health.
+    /// Whether the endpoint is serving, draining or removed; unrelated to its health.
     pub status: Status,
-    /// Calls per second that the list assigns to its destination.
+    /// Calls per second that the list assigns to the destination.
     pub weight: f64,
 }
 
 /// A complete endpoint list, or changes to one.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointListUpdate {
-    /// The source's version of the list with this update.
+    /// The source's version number of the list after this update.
     pub version: u64,
-    /// The list is complete: endpoints that are not in it are removed.
+    /// The update is a complete list: endpoints that it does not contain are removed.
     pub full: bool,
-    /// The endpoints that are listed or have changed.
+    /// All endpoints of a complete list, otherwise those that have changed.
     pub endpoints: Vec<ListedEndpoint>,
 }
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -1,4 +1,5 @@
-//! The table of listed endpoints, by the names that sources use and the numbers that the decision module uses.
+//! The table of listed endpoints. Sources of endpoint lists identify endpoints by name, the decision module by
+//! number.
 
 use crate::endpoint_list::ListedEndpoint;
 use milletturn_policy::EndpointId;
@@ -9,26 +10,31 @@
 /// How to reach an endpoint.
 #[derive(Clone)]
 pub(crate) struct Route {
-    /// Its name.
+    /// The endpoint's name.
     pub uid: Arc<str>,
-    /// Its address.
+    /// The endpoint's address.
     pub address: SocketAddr,
-    /// The most messages that one call to it may carry.
-    pub bundle_max: usize,
+    /// The maximum number of messages in one call to the endpoint.
+    pub max_batch_size: usize,
 }
 
-/// The listed endpoints. Removed ones leave nothing here, and come back under a new number: its size is that of the
-/// list.
+/// The listed endpoints.
+///
+/// Removed endpoints leave no entry, so the table is as large as the list. An endpoint that is listed again after its
+/// removal gets a new number.
 #[derive(Default)]
 pub(crate) struct EndpointTable {
     routes: BTreeMap<EndpointId, Route>,
     by_uid: BTreeMap<Arc<str>, EndpointId>,
-    last: u32,
+    last_number: u32,
 }
 
 impl EndpointTable {
-    /// The table of an earlier process, under the same numbers.
-    pub(crate) fn restore(routes: impl Iterator<Item = (EndpointId, Route)>, last: u32) -> Self {
+    /// Rebuilds the table of an earlier process, with the same numbers.
+    pub(crate) fn restore(
+        routes: impl Iterator<Item = (EndpointId, Route)>,
+        last_number: u32,
+    ) -> Self {
         let routes: BTreeMap<EndpointId, Route> = routes.collect();
         let by_uid = routes
             .iter()
@@ -37,20 +43,20 @@
         EndpointTable {
             routes,
             by_uid,
-            last,
+            last_number,
         }
     }
 
-    /// All endpoints, by number.
+    /// All endpoints with their numbers, in ascending order.
     pub(crate) fn all(&self) -> impl Iterator<Item = (EndpointId, &Route)> {
         self.routes
             .iter()
             .map(|(&endpoint, route)| (endpoint, route))
     }
 
-    /// The number of the last new endpoint.
-    pub(crate) fn last(&self) -> u32 {
-        self.last
+    /// The highest number that any endpoint has been given.
+    pub(crate) fn last_number(&self) -> u32 {
+        self.last_number
     }
 
     /// How many endpoints are listed.
@@ -58,7 +64,7 @@
         self.routes.len()
     }
 
-    /// How to reach an endpoint; `None` if it is not listed.
+    /// How to reach an endpoint; `None` for an endpoint that is not listed.
     pub(crate) fn route(&self, endpoint: EndpointId) -> Option<&Route> {
         self.routes.get(&endpoint)
     }
@@ -69,31 +75,31 @@
     }
 
     /// Adds an endpoint, or updates the one with the same name.
-    pub(crate) fn upsert(&mut self, listed: &ListedEndpoint, bundle_max: usize) -> EndpointId {
+    pub(crate) fn upsert(&mut self, listed: &ListedEndpoint, max_batch_size: usize) -> EndpointId {
         let uid: Arc<str> = listed.uid.as_str().into();
         let endpoint = *self.by_uid.entry(uid.clone()).or_insert_with(|| {
-            self.last += 1;
-            EndpointId(self.last)
+            self.last_number += 1;
+            EndpointId(self.last_number)
         });
         self.routes.insert(
             endpoint,
             Route {
                 uid,
                 address: listed.address,
-                bundle_max,
+                max_batch_size,
             },
         );
         endpoint
     }
 
-    /// Removes an endpoint, and returns its number if it was listed.
+    /// Removes an endpoint, and returns the endpoint's number; `None` if it was not listed.
     pub(crate) fn remove(&mut self, uid: &str) -> Option<EndpointId> {
         let endpoint = self.by_uid.remove(uid)?;
         self.routes.remove(&endpoint);
         Some(endpoint)
     }
 
-    /// Removes all endpoints that a complete list does not name, and returns their numbers.
+    /// Removes all endpoints that are missing from a complete list, and returns their numbers.
     pub(crate) fn remove_unlisted(&mut self, listed: &[ListedEndpoint]) -> Vec<EndpointId> {
         let names: HashSet<&str> = listed.iter().map(|listed| listed.uid.as_str()).collect();
         let unlisted: Vec<Arc<str>> = self
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,9 +1,9 @@
-//! The engine's state and its turns: all pending events go to the decision module at once, and its actions become
-//! calls, replies and notifications.
+//! The engine's state and its turns. In each turn the decision module handles all pending events in one call, and its
+//! actions become calls, replies and notifications.
 
 use crate::archive::Archive;
 use crate::arrivals::{DuplicateArrival, PendingArrival};
-use crate::calls::{Bundle, OutstandingCall, StartRequest};
+use crate::calls::{Batch, OutstandingCall, StartRequest};
 use crate::classes::ClassTable;
 use crate::clock::Clock;
 use crate::delivered::DeliveredIds;
@@ -23,23 +23,23 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// How often idle connections are evicted, and journal and archive are tried again.
+/// How often idle connections are evicted, and failed writes to the journal and the archive are retried.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Owner of the decision module and of the messages.
+/// Delivers messages: owns them and the decision module, and drives both by events from its ports.
 pub struct Engine {
-    /// Decides what is sent when; it does no I/O.
+    /// Decides which message is sent where and when, without I/O of its own.
     pub(crate) decision_module: Sender,
     pub(crate) clock: Clock,
     /// Names of the zones, in the order of their numbers.
     pub(crate) zones: Vec<String>,
     /// Names of the kinds of destination, in the order of their numbers.
     pub(crate) kinds: Vec<String>,
-    /// Most messages in one call, by kind of destination.
-    pub(crate) bundle_max: Vec<usize>,
-    /// Beyond so many open messages, arrivals are rejected.
+    /// The maximum number of messages in one call, by kind of destination.
+    pub(crate) max_batch_size: Vec<usize>,
+    /// While this many messages are open, arrivals are rejected.
     pub(crate) max_open_messages: usize,
-    /// The most attempts of one message.
+    /// The maximum number of attempts of one message.
     pub(crate) max_attempts: usize,
     pub(crate) classes: ClassTable,
     pub(crate) journal: Box<dyn Journal>,
@@ -51,30 +51,32 @@
     pub(crate) ready: watch::Sender<bool>,
     pub(crate) endpoints: EndpointTable,
     pub(crate) messages: MessageTable,
-    /// Ended messages that the journal can't release yet, where there is an archive. Its size is bounded by the
-    /// journal's room, as each of them is in the journal.
+    /// Ended messages that the journal must still hold, if there is an archive. Each of these messages is in the
+    /// journal, so the journal's capacity bounds the map's size.
     pub(crate) pending_release: BTreeMap<MessageId, PendingRelease>,
-    /// Ordering keys of ended messages whose notification is not confirmed: each is in the journal too.
+    /// Ordering keys of ended messages whose notification is not confirmed. Each of these messages is in the journal.
     pub(crate) unconfirmed_keys: BTreeMap<MessageId, u64>,
     /// Calls in flight, by number.
     pub(crate) calls: BTreeMap<u64, OutstandingCall>,
     pub(crate) next_call: u64,
-    /// Ids of recently delivered messages.
     pub(crate) delivered: DeliveredIds,
-    /// Messages that arrived since the last turn.
+    /// Messages that arrived since the last turn and whose clients have no reply yet.
     pub(crate) arrivals: BTreeMap<MessageId, PendingArrival>,
-    /// Messages that arrived again since the last turn: their clients hear of acceptance only behind the journal.
+    /// Submissions since the last turn of messages that were already open. Their clients are told of the acceptance
+    /// only once the message is in the journal.
     pub(crate) duplicates: Vec<DuplicateArrival>,
-    /// Calls that ask whether they may start: answered once the module knows of all events before.
+    /// Calls that ask whether they may start. They get their reply after the decision module has handled all earlier
+    /// events.
     pub(crate) start_requests: Vec<StartRequest>,
-    /// What the decision module hears in the next turn.
+    /// Events for the decision module's next turn.
     pub(crate) events: Vec<Event>,
-    /// When the decision module wants its next turn, module time.
+    /// When the decision module wants its next turn, in its own time (microseconds).
     pub(crate) alarm: Option<Micros>,
 }
 
 impl Engine {
-    /// Sets the decision module up, and gives it the cached endpoint list and the journal's unfinished messages.
+    /// Creates an engine whose decision module starts with the cached endpoint list and the journal's unfinished
+    /// messages.
     ///
     /// # Errors
     /// When the settings are invalid.
@@ -88,13 +90,13 @@
         Ok(engine)
     }
 
-    /// An engine with its ports, which knows neither endpoints nor messages.
+    /// Creates an engine without endpoints and messages.
     ///
     /// # Errors
     /// When the settings are invalid.
     pub(crate) fn assemble(ports: Ports) -> Result<Self, SettingsError> {
         let settings = ports.settings;
-        let bundle_max = settings.kinds.iter().map(|kind| kind.bundle_max).collect();
+        let max_batch_size = settings.kinds.iter().map(|kind| kind.bundle_max).collect();
         let classes = ClassTable::new(&settings.classes);
         let (max_open_messages, max_attempts) = (settings.max_held, settings.max_attempts);
         let mut engine = Engine {
@@ -102,7 +104,7 @@
             clock: ports.clock,
             zones: ports.zones,
             kinds: ports.kinds,
-            bundle_max,
+            max_batch_size,
             max_open_messages,
             max_attempts,
             classes,
@@ -132,8 +134,8 @@
         Ok(engine)
     }
 
-    /// Takes turns until the inputs end. The future may be dropped where it waits, and called for again: every
-    /// turn is complete then.
+    /// Handles inputs until their channel closes. The future may be dropped while it waits, and `run` called again: a
+    /// turn never spans an await point, so none is left incomplete.
     pub async fn run(&mut self, inputs: &mut mpsc::UnboundedReceiver<Input>) {
         let mut maintenance = tokio::time::interval(MAINTENANCE_INTERVAL);
         self.take_turns();
@@ -160,7 +162,7 @@
         }
     }
 
-    /// One turn, and further ones while its own actions lead to events for the decision module.
+    /// Runs one turn, and further turns while actions produce new events for the decision module.
     fn take_turns(&mut self) {
         self.take_turn();
         while !self.events.is_empty() {
@@ -176,25 +178,25 @@
         let events = std::mem::take(&mut self.events);
         let mut actions = Vec::new();
         self.decision_module.handle(now, &events, &mut actions);
-        self.answer_arrivals(&actions);
-        let mut bundles: Vec<Bundle> = Vec::new();
+        self.reply_to_arrivals(&actions);
+        let mut batches: Vec<Batch> = Vec::new();
         for action in actions {
-            self.perform(now, action, &mut bundles);
+            self.perform(now, action, &mut batches);
         }
-        for bundle in bundles {
-            self.start_call(bundle);
+        for batch in batches {
+            self.start_call(batch);
         }
-        self.answer_start_requests(now);
+        self.reply_to_start_requests(now);
     }
 
-    /// Performs one action of the decision module; sends are gathered into bundles.
-    fn perform(&mut self, now: Micros, action: Action, bundles: &mut Vec<Bundle>) {
+    /// Performs one action of the decision module, except that sends are collected in `batches`.
+    fn perform(&mut self, now: Micros, action: Action, batches: &mut Vec<Batch>) {
         match action {
             Action::Send {
                 message,
                 endpoint,
                 expires,
-            } => self.send(now, message, endpoint, expires, bundles),
+            } => self.send(now, message, endpoint, expires, batches),
             Action::Cancel { message, attempt } => self.cancel(message, attempt),
             Action::Refuse { message, wait } => {
                 let after_ms = wait.and_then(|wait| u64::try_from(wait / MILLISECOND).ok());
@@ -204,12 +206,12 @@
             Action::SetAlarm(at) => self.alarm = Some(at),
             Action::Disconnect(endpoint) => self.transport.close_idle_connections(endpoint),
             Action::Log(text) => self.observer.observe(&EngineEvent::PolicyLog(&text)),
-            // the watch is always on; sockets offer neither probes nor notes
+            // the endpoint list is always watched, and the transport supports neither probes nor gossip
             Action::Subscribe | Action::Probe(_) | Action::Note(_) => {}
         }
     }
 
-    /// Whether a journal entry was written; a failure goes to the observer.
+    /// Returns whether a journal entry was written, and reports a failure to the observer.
     pub(crate) fn check_journal(&mut self, written: Result<(), JournalError>) -> bool {
         written
             .inspect_err(|error| self.observer.observe(&EngineEvent::JournalFailed(error)))
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -1,10 +1,10 @@
-//! The ingress port: where messages come in, and where their outcomes go out.
+//! The ingress port: accepts messages from clients, and returns their outcomes.
 //!
 //! A server sends [`Input::Arrived`](crate::Input::Arrived) for each message and waits for its one
 //! [`ArrivalOutcome`]. If its client disconnects before that, the server sends
-//! [`Input::ClientDisconnected`](crate::Input::ClientDisconnected). A message that was answered with
-//! [`ArrivalOutcome::Accepted`] and is not delivered ends by one [`Notification`], which may come more than once
-//! after a restart, and is confirmed by [`Input::Notified`](crate::Input::Notified).
+//! [`Input::ClientDisconnected`](crate::Input::ClientDisconnected). A message whose client received
+//! [`ArrivalOutcome::Accepted`] and that is not delivered ends with one [`Notification`]. The receiver confirms it by
+//! [`Input::Notified`](crate::Input::Notified); after a restart, the same notification may be sent again.
 
 use crate::{Ending, SharedStr};
 use bytes::Bytes;
@@ -13,72 +13,78 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Whether a class is one of the sender's own: no client may name it, and its failures are not archived. The names
-/// of these hold a colon, which no name in a configuration does.
+/// Whether a class is internal to the sender.
+///
+/// Clients may not use an internal class, and its failed messages are not archived. The name of an internal class
+/// contains a colon, which a name in a configuration may not.
 #[must_use]
 pub fn is_internal_class(name: &str) -> bool {
     name.contains(':')
 }
 
-/// The largest body of a message in bytes, whichever server it comes through (the platform's protocol page).
+/// The largest body of a message in bytes, for every server that accepts messages. The platform's protocol sets this
+/// limit.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 
-/// A message that a client hands in.
+/// A message that a client submits.
 #[derive(Debug)]
 pub struct Arrival {
-    /// The client's id for it, new for each message.
+    /// The id that the client gave the message, unique to it.
     pub id: SharedStr,
-    /// Its idempotency key, by which its destination drops repeats, in a keyed class.
+    /// The idempotency key, by which the destination drops duplicates; only messages of a keyed class have one.
     pub key: Option<SharedStr>,
-    /// Position of its class in the settings.
+    /// Position of the message's class in the settings.
     pub class: usize,
-    /// Its subject: messages of one subject are delivered one at a time, where their class keeps order.
+    /// The message's subject: messages with the same subject are delivered one at a time if their class keeps order.
     pub subject: Option<SharedStr>,
-    /// The name of its tenant; one that the settings don't have counts as none.
+    /// The name of the message's tenant; a name that the settings don't contain counts as no tenant.
     pub tenant: Option<SharedStr>,
-    /// Its destination.
+    /// The message's destination.
     pub destination: u64,
-    /// How long it may take to be delivered, in microseconds from `submitted_at`.
+    /// How long delivery may take, in microseconds from `submitted_at`.
     pub time_to_live: Micros,
-    /// When the client handed it in.
+    /// When the client submitted the message.
     pub submitted_at: Instant,
-    /// The client has handed it in before.
+    /// The client has submitted the message before.
     pub resubmitted: bool,
-    /// It comes from a sender that failed.
+    /// The message was submitted before to a sender that has failed.
     pub from_failed_sender: bool,
-    /// The body, at most [`MAX_BODY_BYTES`] bytes.
+    /// The message's body, at most [`MAX_BODY_BYTES`] bytes.
     pub body: Bytes,
-    /// Gets the one outcome.
+    /// Receives exactly one outcome.
     pub reply: oneshot::Sender<ArrivalOutcome>,
 }
 
-/// The reply to the client of a message. Another process reads it by the order of its variants.
+/// The reply to the client that submitted a message.
+///
+/// In a hot restart, another process decodes the reply by the index of its variant, so the order of the variants is
+/// fixed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ArrivalOutcome {
-    /// The message is in the journal: it will be delivered, or its client notified.
+    /// The message is in the journal: it will be delivered, or its client will be notified.
     Accepted,
-    /// It has been delivered before.
+    /// The message was already delivered.
     AlreadyDelivered,
-    /// It was not accepted; handing it in again is harmless, best after the wait.
+    /// The message was not accepted; resubmitting it is harmless, preferably after the wait.
     Rejected {
-        /// The advised wait in microseconds.
+        /// How long the client is advised to wait, in microseconds; `None` without advice.
         wait: Option<Micros>,
     },
-    /// It could not be written to the journal; handing it in again is harmless.
+    /// The message could not be written to the journal; resubmitting it is harmless.
     NoCapacity,
-    /// It has ended undelivered; nothing is promised of a repeat.
+    /// The message has ended undelivered; resubmitting it may deliver it twice.
     Failed,
 }
 
-/// The final outcome of a message that was accepted, for its client.
+/// The final outcome of an accepted message, to be passed to its client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Notification {
-    /// Its number in the journal.
+    /// The message's number in the journal.
     pub number: u64,
-    /// The client's id for it.
+    /// The id that the client gave the message.
     pub id: SharedStr,
-    /// Position of its class in the settings; beyond them for a class that they no longer have.
+    /// Position of the message's class in the settings; beyond their last class if they no longer have the class.
     pub class: usize,
-    /// How it ended.
+    /// How the message ended.
     pub ending: Ending,
 }
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -1,4 +1,4 @@
-//! Everything that reaches the engine from its ports, and what each input sets off.
+//! The inputs that reach the engine from its ports, and how the engine handles each.
 
 use crate::archive::RedriveRequest;
 use crate::calls::StartRequest;
@@ -14,81 +14,85 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// One input of the engine. The channel that carries inputs needs no bound of its own: arrivals are bounded by the
-/// servers' connection limits, ends of attempts by the calls in flight, notifications by the messages held, and
-/// lists by their source.
+/// One input of the engine.
+///
+/// The channel that carries inputs needs no bound of its own: arrivals are bounded by the servers' connection limits,
+/// ends of attempts by the calls in flight, confirmed notifications by the unfinished messages, and endpoint lists by
+/// their source.
 #[derive(Debug)]
 pub enum Input {
-    /// A client handed a message in.
+    /// A client submitted a message.
     Arrived(Arrival),
-    /// The client of the message with this id disconnected before its outcome.
+    /// The client of the message with this id disconnected before it received an outcome.
     ClientDisconnected(SharedStr),
-    /// The process ends at this time.
+    /// The process is shutting down and will exit at this time.
     Stopping(Instant),
-    /// Asks whether a call may still start whose connection was slow to come up. The reply is the time by which
-    /// its last byte must be written; a dropped reply means that the call must not start.
+    /// Asks whether the call with this number may still start, because its connection took long to open. The reply is
+    /// the time by which the last byte of the request must be written; a dropped reply means that the call must not
+    /// start.
     RequestStart(u64, oneshot::Sender<Instant>),
-    /// An endpoint asked for a pause, such as by a `Retry-After` header.
+    /// An endpoint asked callers to wait, such as by a `Retry-After` header.
     RetryAfter {
-        /// The endpoint that asked.
+        /// The endpoint that asked callers to wait.
         endpoint: EndpointId,
-        /// The pause in microseconds, from now on.
+        /// How long to wait from now on, in microseconds.
         wait: Micros,
     },
     /// The attempt for one message of a call ended.
     AttemptEnded(AttemptEnd),
     /// A connection to an endpoint was closed.
     ConnectionClosed {
-        /// The endpoint.
+        /// The endpoint at the other end.
         endpoint: EndpointId,
         /// The connection's number, unique in this process.
         connection: u64,
-        /// How many calls it carried.
+        /// How many calls the connection carried.
         calls: u64,
-        /// Why.
+        /// Why it was closed.
         reason: CloseReason,
-        /// What came on it while no call was out.
+        /// Data that arrived while the connection had no call in flight.
         unsolicited: Option<UnsolicitedData>,
     },
-    /// The endpoint list, or a change of it.
+    /// A complete endpoint list, or changes to one.
     EndpointsListed(EndpointListUpdate),
-    /// Notifications that their receiver has confirmed, by number of message.
+    /// The numbers of messages whose notifications have been confirmed by their receiver.
     Notified(Vec<u64>),
-    /// Messages that the archive has stored, by number.
+    /// The numbers of messages that the archive has stored.
     Archived(Vec<u64>),
     /// An archived message is to be redriven.
     Redrive(RedriveRequest),
-    /// A server rejected a message by itself, for lack of capacity.
+    /// A server rejected a message for lack of capacity, without submitting it to the engine.
     Rejected {
-        /// Position of its class.
+        /// Position of the message's class.
         class: usize,
-        /// Its destination.
+        /// The message's destination.
         destination: u64,
     },
-    /// New settings; the reply has the positions of their classes.
+    /// New settings; the reply holds the position of each of their classes in the class table, in the order of the
+    /// settings.
     Reconfigure(
         Box<Settings>,
         oneshot::Sender<Result<Vec<usize>, SettingsError>>,
     ),
-    /// Asks for the engine's present status.
+    /// Asks for the engine's current status.
     GetStatus(oneshot::Sender<EngineStatus>),
-    /// Asks whether a message with this id is open, which is to say accepted without a final outcome.
+    /// Asks whether a message with this id is open: accepted, and without a final outcome.
     IsOpen(SharedStr, oneshot::Sender<bool>),
 }
 
-/// The engine's figures at one moment.
+/// Counts of the engine's messages and endpoints at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineStatus {
-    /// Messages that are accepted and have no final outcome.
+    /// Messages that have been accepted and have no final outcome yet.
     pub open_messages: usize,
     /// Endpoints in the list.
     pub listed_endpoints: usize,
-    /// Listed endpoints in service that the decision module has ejected.
+    /// Listed endpoints that are in service but ejected by the decision module because of failures.
     pub ejected_endpoints: usize,
 }
 
 impl Engine {
-    /// Handles one input; what the decision module must hear of it waits for the next turn.
+    /// Handles one input; events for the decision module are queued until the next turn.
     pub(crate) fn on_input(&mut self, input: Input) {
         match input {
             Input::Arrived(arrival) => self.on_arrival(arrival),
@@ -133,7 +137,7 @@
                 self.observe_rejected("", class, destination, ArrivalOutcome::NoCapacity);
             }
             Input::Reconfigure(settings, reply) => {
-                // new settings are in force even if nobody waits for the reply
+                // the new settings take effect even if the caller no longer waits for the reply
                 let _ = reply.send(self.reconfigure(*settings));
             }
             Input::GetStatus(reply) => {
@@ -154,7 +158,7 @@
         self.events.push(Event::ToldWait { endpoint, wait });
     }
 
-    /// The endpoint's name, empty if it is not listed any more.
+    /// The endpoint's name; empty if the endpoint is no longer listed.
     fn endpoint_name(&self, endpoint: EndpointId) -> Arc<str> {
         self.endpoints
             .route(endpoint)
--- a/crates/engine/src/journal.rs
+++ b/crates/engine/src/journal.rs
@@ -1,4 +1,4 @@
-//! The journal port: what must outlast the process.
+//! The journal port: a durable record of accepted messages, their attempts and their ends.
 
 use crate::EndReason;
 use crate::shared_str::stable_hash;
@@ -10,10 +10,10 @@
 /// Why a journal entry was not written.
 #[derive(Debug, Error)]
 pub enum JournalError {
-    /// Unfinished messages take up all the room that the settings give.
+    /// Unfinished messages use all the space that the settings give the journal.
     #[error("no room left in the journal")]
     Full,
-    /// The file or another medium failed.
+    /// Writing to the file or other storage failed.
     #[error("the journal can't be written: {0}")]
     Write(#[source] io::Error),
     /// The entry could not be encoded.
@@ -24,52 +24,52 @@
 /// How a message ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// Given up; nothing is promised of a repeat.
+    /// Not delivered; resubmitting the message may deliver it twice.
     Failed,
-    /// Returned to its client: handing it in again is harmless.
+    /// Returned to the client undelivered; resubmitting the message is harmless.
     Returned {
-        /// The wait that its client is advised, in milliseconds.
+        /// How long the client is advised to wait before it resubmits, in milliseconds; `None` without advice.
         after_ms: Option<u64>,
     },
-    /// Delivered. The journal holds this end of a redriven message until the archive has stored it, and of others
-    /// where delivered messages are notified too.
+    /// Delivered. The journal records this end for redriven messages, until the archive has stored the end, and for
+    /// all messages if notifications of delivered messages are enabled.
     Delivered,
 }
 
 /// How, why and when a message ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MessageEnd {
-    /// How it ended.
+    /// How the message ended.
     pub ending: Ending,
-    /// Why it ended.
+    /// Why the message ended.
     pub reason: EndReason,
-    /// When, Unix time in microseconds.
+    /// When the message ended, Unix time in microseconds.
     pub at: Micros,
 }
 
 /// A message as it was accepted. Times are Unix time in microseconds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Accepted {
-    /// The id that its client gave it.
+    /// The id that the client gave the message.
     pub id: String,
-    /// Its idempotency key, by which its destination drops repeats.
+    /// The idempotency key, by which the destination drops duplicates.
     pub key: Option<String>,
-    /// The name of its class: positions may differ in the next process.
+    /// The name of the message's class. The journal holds the name because positions may differ in the next process.
     pub class: String,
-    /// What a repeated delivery of it does, as its class said then: the message keeps that, whatever the name means
-    /// in the next process. `None` in a journal that did not record it.
+    /// What a duplicate delivery does, according to the class when the message was accepted. The message keeps this
+    /// effect even if the class has another one in the next process. `None` in a journal that did not record it.
     pub effect: Option<Effect>,
-    /// Its subject, where its class keeps order.
+    /// The message's subject, if its class delivers the messages of a subject in order.
     pub subject: Option<String>,
-    /// The name of its tenant.
+    /// The name of the message's tenant.
     pub tenant: Option<String>,
-    /// Its destination.
+    /// The message's destination.
     pub destination: u64,
-    /// When it was handed in; for a redriven message, when the redrive was accepted.
+    /// When the client submitted the message; for a redriven message, when the redrive was accepted.
     pub accepted_at: Micros,
-    /// When it expires.
+    /// When the message expires.
     pub deadline: Micros,
-    /// The body.
+    /// The message's body.
     pub body: Vec<u8>,
 }
 
@@ -78,39 +78,42 @@
 pub struct AttemptStarted {
     /// The endpoint's name.
     pub uid: String,
-    /// When it was sent, Unix time in microseconds.
+    /// When the attempt was sent, Unix time in microseconds.
     pub sent_at: Micros,
-    /// Its outcome has proved that it never ran.
+    /// The outcome proved that the destination did not process the attempt.
     pub never_ran: bool,
 }
 
-/// What the journal holds of a message that is not finished.
+/// The journal's record of a message that is not finished.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Unfinished {
     /// The message as it was accepted.
     pub accepted: Accepted,
-    /// Its attempts, in order.
+    /// The message's attempts, in order.
     pub attempts: Vec<AttemptStarted>,
-    /// Its end, while its notification is not confirmed or the archive has not stored it; `None` for an open one.
+    /// The end of a message whose notification is not confirmed or which the archive has not stored; `None` for an
+    /// open message.
     pub end: Option<MessageEnd>,
-    /// It was redriven from the archive.
+    /// The message was redriven from the archive.
     pub redriven: bool,
-    /// How many of the first attempts are from before that redrive.
+    /// How many of the first attempts were made before that redrive.
     pub prior_attempts: usize,
 }
 
-/// Records what the engine must know after a crash. An entry counts as written when it outlasts a SIGKILL at any
-/// later instant. Messages go by the numbers that the engine gives them.
+/// Records what the engine must know after a crash.
+///
+/// An entry counts as written when it survives a SIGKILL at any later instant. Messages are identified by the numbers
+/// that the engine assigns.
 pub trait Journal {
-    /// What earlier processes left unfinished, by number of message.
+    /// The messages that earlier processes left unfinished, by number.
     fn unfinished(&self) -> BTreeMap<u64, Unfinished>;
-    /// Records a message; its acceptance may be promised once this has succeeded.
+    /// Records a message; the client may be told that the message is accepted once this has succeeded.
     ///
     /// # Errors
-    /// When the entry is not written; nothing has changed then. The same holds for all the others.
+    /// When the entry is not written; the journal is unchanged then.
     fn record_accepted(&mut self, number: u64, accepted: Accepted) -> Result<(), JournalError>;
-    /// Records by one entry that a message came back from the archive, with the attempt that a further one could
-    /// repeat.
+    /// Records in a single entry that a message was redriven from the archive, with the earlier attempt that the
+    /// redrive could duplicate.
     ///
     /// # Errors
     /// As [`Journal::record_accepted`].
@@ -120,7 +123,7 @@
         accepted: Accepted,
         uncertain_attempt: Option<AttemptStarted>,
     ) -> Result<(), JournalError>;
-    /// Records an attempt; its call may start once this has succeeded.
+    /// Records an attempt; the call that carries the attempt may start once this has succeeded.
     ///
     /// # Errors
     /// As [`Journal::record_accepted`].
@@ -130,12 +133,13 @@
         uid: &str,
         sent_at: Micros,
     ) -> Result<(), JournalError>;
-    /// Records that an attempt never ran. An attempt without this entry may have run.
+    /// Records that the destination did not process an attempt. An attempt without this entry may have run.
     ///
     /// # Errors
     /// As [`Journal::record_accepted`].
     fn record_never_ran(&mut self, number: u64, attempt: usize) -> Result<(), JournalError>;
-    /// Records how a message ended; its notification, or its storing in the archive, is still due.
+    /// Records how a message ended, while the notification has yet to be confirmed or the archive has yet to store
+    /// the message.
     ///
     /// # Errors
     /// As [`Journal::record_accepted`].
@@ -143,17 +147,17 @@
     /// Records that a message is finished, so that the journal may drop it.
     ///
     /// # Errors
-    /// As [`Journal::record_accepted`]; the entry is written later by [`Journal::retry`].
+    /// As [`Journal::record_accepted`]; [`Journal::retry`] writes the entry later.
     fn record_finished(&mut self, number: u64) -> Result<(), JournalError>;
-    /// Tries again to record which messages are finished, where that failed.
+    /// Retries the [`Journal::record_finished`] entries that could not be written.
     ///
     /// # Errors
-    /// When that fails again.
+    /// When writing fails again.
     fn retry(&mut self) -> Result<(), JournalError>;
 }
 
 impl Accepted {
-    /// The key by which its class keeps order; `None` for a message without a subject.
+    /// Messages with the same ordering key are delivered one at a time; `None` for a message without a subject.
     pub(crate) fn ordering_key(&self) -> Option<u64> {
         self.subject
             .as_deref()
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,37 +1,38 @@
-//! The engine of the sender: it owns the messages and the decision module, and knows the world by ports only.
+//! The engine of the sender: owns the accepted messages and carries out what the decision module decides.
 //!
-//! The engine works in turns. All inputs that are ready become events, the decision module is asked once, and its
-//! actions become calls, replies and notifications. This package opens no sockets and no files, and reads no wall
-//! clock. Its ports are:
+//! The decision module (the package `milletturn-policy`) is deterministic and does no I/O: it receives events and
+//! returns actions. The engine works in turns. In each turn, all inputs that are ready become events, the decision
+//! module handles them in one call, and its actions become calls, replies and notifications. This package opens no
+//! sockets and no files, and reads no wall clock. It reaches everything outside through these ports:
 //!
 //! | port | what it does | module |
 //! | --- | --- | --- |
-//! | ingress | hands messages in ([`Arrival`]) and gets an [`ArrivalOutcome`] for each | [`ingress`] |
-//! | notifications | gets the one final outcome of each accepted message that is not delivered ([`Notification`]) | [`ingress`] |
+//! | ingress | submits messages ([`Arrival`]) and receives an [`ArrivalOutcome`] for each | [`ingress`] |
+//! | notifications | receives the final outcome of each accepted message that is not delivered ([`Notification`]) | [`ingress`] |
 //! | transport | makes calls to endpoints ([`Transport`], [`Call`], [`AttemptEnd`]) | [`transport`] |
-//! | endpoint list | says which endpoints there are ([`EndpointListUpdate`]) | [`endpoint_list`] |
-//! | journal | records what must outlast the process ([`Journal`]) | [`journal`] |
+//! | endpoint list | reports which endpoints exist ([`EndpointListUpdate`]) | [`endpoint_list`] |
+//! | journal | records what must survive the process ([`Journal`]) | [`journal`] |
 //! | archive | stores undelivered messages and requests redrives ([`Archive`], [`RedriveRequest`]) | [`archive`] |
-//! | observer | is told what happens ([`Observer`], [`EngineEvent`]) | [`observer`] |
+//! | observer | receives engine events for logs and metrics ([`Observer`], [`EngineEvent`]) | [`observer`] |
 //!
 //! Behind the ports, each module holds one part of the [`Engine`]'s work:
 //!
 //! | module | what it holds |
 //! | --- | --- |
-//! | `engine` | the state, and the order of a turn |
-//! | `input` | everything that reaches the engine, and where it goes |
-//! | `arrivals` | admission, the journal entry of a message, and the reply to its client |
-//! | `calls` | bundles of attempts, calls in flight, cancellations |
+//! | `engine` | the engine's state and the steps of a turn |
+//! | `input` | the inputs of the engine and their handlers |
+//! | `arrivals` | admission of a message, its journal entry and the reply to its client |
+//! | `calls` | batches of attempts, calls in flight, cancellations |
 //! | `endings` | ends of attempts and messages, and notifications |
-//! | `retention` | what the journal waits for before it releases an ended message |
-//! | `redrive` | messages that come back from the archive |
+//! | `retention` | when the journal may drop a message that has ended |
+//! | `redrive` | archived messages that are sent again |
 //! | `recovery` | the start from the journal of an earlier process |
 //! | `reconfiguration` | new settings and endpoint lists |
-//! | `snapshot` | the state that a hot restart hands on |
-//! | `message`, `message_table`, `classes`, `endpoints`, `delivered` | the records |
+//! | `snapshot` | the state that one process passes to the next in a hot restart |
+//! | `message`, `message_table`, `classes`, `endpoints`, `delivered` | tables of messages, classes, endpoints, delivered ids |
 //!
-//! All that reaches the engine is an [`Input`] on one channel. Under tokio's paused clock, with test doubles for the
-//! ports, it runs in virtual time and the same way each time.
+//! Every input reaches the engine as an [`Input`] on one channel. Under tokio's paused clock, with test doubles for
+//! the ports, the engine runs in virtual time and each run is the same.
 
 pub mod archive;
 mod arrivals;
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -1,4 +1,4 @@
-//! The engine's record of one message and of its attempts.
+//! The engine's state of one message and its attempts.
 
 use crate::archive::EndReason;
 use crate::journal::{Ending, MessageEnd};
@@ -6,29 +6,29 @@
 use milletturn_policy::{EndpointId, MILLISECOND, Micros, Outcome};
 use std::sync::Arc;
 
-/// The decision module ends a message at most this long before its deadline: an end that comes later than that
-/// counts as one by the deadline.
+/// The decision module ends an expiring message up to this long before its deadline, in microseconds. An end within
+/// this margin of the deadline counts as caused by the deadline.
 const DEADLINE_MARGIN: Micros = 50 * MILLISECOND;
 
 /// One attempt to deliver a message.
 pub(crate) struct Attempt {
-    /// Where it went.
+    /// The endpoint that the attempt goes to.
     pub endpoint: EndpointId,
     /// The endpoint's name.
     pub uid: Arc<str>,
-    /// When it started, module time in microseconds.
+    /// When the attempt started, in the decision module's time (microseconds).
     pub sent_at: Micros,
-    /// The number of the call that carries it; `u64::MAX` before the call starts.
+    /// The number of the call that carries the attempt; `u64::MAX` before the call starts.
     pub call: u64,
     /// The message's position in that call.
     pub position: usize,
-    /// It has no outcome yet.
+    /// The attempt has no outcome yet.
     pub in_flight: bool,
-    /// `None` while it is in flight, and for one made before this process started.
+    /// `None` while the attempt is in flight, and for an attempt made before this process started.
     pub outcome: Option<Outcome>,
-    /// Time from its start to its end, in microseconds.
+    /// Time from the start of the attempt to its end, in microseconds.
     pub latency: Option<Micros>,
-    /// Nothing proves that it never ran.
+    /// The destination may have processed the attempt: nothing proves that it did not.
     pub may_have_run: bool,
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// An attempt that was finished before this process started, or before the message was redriven.
+    /// An attempt that ended before this process started, or before the message was redriven.
     pub(crate) fn prior(
         endpoint: EndpointId,
         uid: &str,
@@ -62,17 +62,17 @@
         }
     }
 
-    /// The attempt at an index of a message's attempts, if it is in flight.
+    /// The attempt at an index, if that attempt is in flight.
     pub(crate) fn in_flight_at(attempts: &mut [Attempt], index: usize) -> Option<&mut Attempt> {
         attempts.get_mut(index).filter(|attempt| attempt.in_flight)
     }
 
-    /// Whether a call was started for it, as far as is known.
+    /// Whether a call was started for the attempt; true if that is not known.
     pub(crate) fn was_sent(&self) -> bool {
         !matches!(self.outcome, Some(Outcome::Unsent { .. }))
     }
 
-    /// Records its outcome.
+    /// Records the outcome of the attempt.
     pub(crate) fn finish(&mut self, outcome: Outcome, latency: Micros) {
         self.in_flight = false;
         self.may_have_run = !outcome.never_ran();
@@ -81,31 +81,31 @@
     }
 }
 
-/// A message, from its acceptance until it has ended and its last attempt has too.
+/// A message, from its acceptance until the message and all its attempts have ended.
 pub(crate) struct Message {
-    /// What calls carry of it.
+    /// The id, idempotency key and body, which calls carry.
     pub item: CallItem,
-    /// Position of its class.
+    /// Position of the message's class in the class table.
     pub class: usize,
-    /// Its destination.
     pub destination: u64,
-    /// Messages of one key are delivered one at a time, where their class keeps order; `None` for one without.
+    /// Messages with the same ordering key are delivered one at a time if their class keeps order; `None` for a
+    /// message without a subject.
     pub ordering_key: Option<u64>,
-    /// When it was handed in, or accepted for a redrive.
+    /// When the client submitted the message, or when its redrive was accepted.
     pub accepted_at: Micros,
-    /// When it expires, module time in microseconds.
+    /// When the message expires, in the decision module's time (microseconds).
     pub deadline: Micros,
-    /// It has no final outcome yet.
+    /// The message has no final outcome yet.
     pub open: bool,
-    /// Clients that were told, or are to be told, that it is accepted.
+    /// How many connected clients submitted the message and wait for, or have received, its acceptance.
     pub clients: usize,
-    /// Its attempts in order; those made before this process started count too.
+    /// The message's attempts in order, including those made before this process started.
     pub attempts: Vec<Attempt>,
-    /// It comes from the archive.
+    /// The message was redriven from the archive.
     pub redriven: bool,
-    /// How many of the first attempts are from before that redrive.
+    /// How many of the first attempts were made before that redrive.
     pub prior_attempts: usize,
-    /// How it ended, where the journal holds that.
+    /// The end of the message, if the journal records it.
     pub end: Option<MessageEnd>,
 }
 
@@ -134,19 +134,19 @@
         }
     }
 
-    /// Whether it has ended and no attempt is in flight.
+    /// Whether the message has ended and no attempt is in flight.
     pub(crate) fn is_finished(&self) -> bool {
         !self.open && self.attempts.iter().all(|attempt| !attempt.in_flight)
     }
 
-    /// Whether one of its attempts succeeded.
+    /// Whether an attempt of the message succeeded.
     pub(crate) fn is_delivered(&self) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.outcome == Some(Outcome::Success))
     }
 
-    /// Why the decision module ended it, inferred from what the engine knows.
+    /// Why the decision module ended the message, inferred from the deadline, the attempts and the ending.
     pub(crate) fn end_reason(&self, ending: Ending, now: Micros, max_attempts: usize) -> EndReason {
         if now + DEADLINE_MARGIN >= self.deadline {
             return EndReason::DeadlineExceeded;
--- a/crates/engine/src/message_table.rs
+++ b/crates/engine/src/message_table.rs
@@ -1,12 +1,14 @@
-//! The messages that the engine has accepted and not finished, by number and by their clients' id.
+//! The engine's unfinished messages, by number and by the id that their client gave them.
 
 use crate::message::Message;
 use crate::shared_str::SharedStr;
 use milletturn_policy::MessageId;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-/// The table of unfinished messages. A message stays in it until it has ended and its last attempt has too; its
-/// client's id finds it only while it is open.
+/// The table of unfinished messages.
+///
+/// A message stays in the table until the message and all its attempts have ended. Lookup by the client's id finds
+/// only open messages.
 #[derive(Default)]
 pub(crate) struct MessageTable {
     messages: BTreeMap<MessageId, Message>,
@@ -16,7 +18,7 @@
 }
 
 impl MessageTable {
-    /// An empty table that numbers messages from `next_number` on.
+    /// An empty table whose first new message gets `next_number`.
     pub(crate) fn new(next_number: u64) -> Self {
         MessageTable {
             next_number,
@@ -24,56 +26,56 @@
         }
     }
 
-    /// The number of the next message.
+    /// The number that the next new message will get.
     pub(crate) fn next_number(&self) -> u64 {
         self.next_number
     }
 
-    /// Numbers messages from `next_number` on.
+    /// Sets the number that the next new message will get.
     pub(crate) fn set_next_number(&mut self, next_number: u64) {
         self.next_number = next_number;
     }
 
-    /// Gives no number up to this one to a new message.
+    /// Ensures that new messages get numbers greater than `number`.
     pub(crate) fn advance_past(&mut self, number: u64) {
         self.next_number = self.next_number.max(number + 1);
     }
 
-    /// A number for a new message.
+    /// Allocates a number for a new message.
     pub(crate) fn allocate(&mut self) -> MessageId {
         let message_id = MessageId(self.next_number);
         self.next_number += 1;
         message_id
     }
 
-    /// Adds a message that its client's id does not find.
+    /// Adds a message without an entry for its client's id, so that lookups by id don't find the message.
     pub(crate) fn insert(&mut self, message_id: MessageId, message: Message) {
         self.open_count += usize::from(message.open);
         self.messages.insert(message_id, message);
     }
 
-    /// Adds an open message that its client's id finds.
+    /// Adds an open message that can be looked up by its client's id.
     pub(crate) fn insert_with_id(&mut self, message_id: MessageId, message: Message) {
         self.open_by_id.insert(message.item.id.clone(), message_id);
         self.insert(message_id, message);
     }
 
-    /// Whether the message is here, open or not.
+    /// Whether the table holds the message, open or not.
     pub(crate) fn contains(&self, message_id: MessageId) -> bool {
         self.messages.contains_key(&message_id)
     }
 
-    /// The open message with a client's id.
+    /// The open message with this client id.
     pub(crate) fn find(&self, id: &SharedStr) -> Option<MessageId> {
         self.open_by_id.get(id).copied()
     }
 
-    /// The message, open or not.
+    /// The message, whether open or not.
     pub(crate) fn get(&self, message_id: MessageId) -> Option<&Message> {
         self.messages.get(&message_id)
     }
 
-    /// The message, open or not, to change it.
+    /// The message for modification, whether open or not.
     pub(crate) fn get_mut(&mut self, message_id: MessageId) -> Option<&mut Message> {
         self.messages.get_mut(&message_id)
     }
@@ -83,12 +85,12 @@
         self.get(message_id).filter(|message| message.open)
     }
 
-    /// The message, if it is open, to change it.
+    /// The message for modification, if it is open.
     pub(crate) fn get_open_mut(&mut self, message_id: MessageId) -> Option<&mut Message> {
         self.get_mut(message_id).filter(|message| message.open)
     }
 
-    /// Marks an open message as ended; `false` if it is not open.
+    /// Marks an open message as ended; returns `false` if the message is not open.
     pub(crate) fn close(&mut self, message_id: MessageId) -> bool {
         let Some(message) = self
             .messages
@@ -105,7 +107,7 @@
         true
     }
 
-    /// Takes the message out once it has ended and no attempt of it is in flight.
+    /// Removes and returns the message if it has ended and none of its attempts is in flight.
     pub(crate) fn take_finished(&mut self, message_id: MessageId) -> Option<Message> {
         self.get(message_id)
             .is_some_and(Message::is_finished)
@@ -118,7 +120,7 @@
         self.open_count
     }
 
-    /// How many open messages come from the archive.
+    /// How many open messages were redriven from the archive.
     pub(crate) fn open_redrives(&self) -> usize {
         self.messages
             .values()
@@ -126,7 +128,7 @@
             .count()
     }
 
-    /// The positions of the classes that any message here has.
+    /// The positions of the classes of all messages in the table.
     pub(crate) fn classes_in_use(&self) -> HashSet<usize> {
         self.messages
             .values()
@@ -134,7 +136,7 @@
             .collect()
     }
 
-    /// All messages, by number.
+    /// All messages with their numbers, in ascending order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (MessageId, &Message)> {
         self.messages
             .iter()
--- a/crates/engine/src/observer.rs
+++ b/crates/engine/src/observer.rs
@@ -1,4 +1,4 @@
-//! The observer port: events of the engine for logs, metrics and tests. Observers change nothing.
+//! The observer port: events of the engine for logs, metrics and tests. Observers do not influence the engine.
 
 use crate::{
     ArrivalOutcome, CloseReason, ConnectionUse, EndCause, EndReason, Ending, JournalError,
@@ -6,33 +6,35 @@
 };
 use milletturn_policy::{Micros, Outcome};
 
-/// One event of the engine. Times are module time in microseconds, which is Unix time.
+/// One event of the engine. Times are Unix time in microseconds as shown by the engine's [`Clock`](crate::Clock).
 #[derive(Debug)]
 pub enum EngineEvent<'a> {
-    /// The names of the classes, by the positions that other events carry: at the start, and when they change.
+    /// The names of the classes, indexed by the class positions that other events carry. Reported at the start and
+    /// whenever the classes change.
     Classes(&'a [String]),
     /// A message was accepted.
     Accepted {
         /// The message's id.
         id: &'a str,
-        /// Position of its class.
+        /// Position of the message's class.
         class: usize,
-        /// Its destination.
+        /// The message's destination.
         destination: u64,
-        /// When its client handed it in.
+        /// When the client submitted the message.
         at: Micros,
     },
     /// A message was rejected at its arrival.
     Rejected {
-        /// The message's id; empty where a server rejected it before it was read.
+        /// The message's id; empty if a server rejected the message before the engine received it.
         id: &'a str,
-        /// Position of its class.
+        /// Position of the message's class.
         class: usize,
-        /// Its destination.
+        /// The message's destination.
         destination: u64,
-        /// When.
+        /// When the client submitted the message; for one rejected before the decision module received it, when it
+        /// was rejected.
         at: Micros,
-        /// The reply to its client.
+        /// The reply to the client.
         outcome: ArrivalOutcome,
     },
     /// An attempt started.
@@ -43,9 +45,9 @@
         destination: u64,
         /// The endpoint's name.
         uid: &'a str,
-        /// Its index among the message's attempts, from 0.
+        /// Index of the attempt among the message's attempts, from 0.
         attempt: usize,
-        /// When.
+        /// When the attempt started.
         at: Micros,
     },
     /// An attempt ended.
@@ -54,7 +56,7 @@
         id: &'a SharedStr,
         /// The endpoint's name.
         uid: &'a str,
-        /// Its index among the message's attempts, from 0.
+        /// Index of the attempt among the message's attempts, from 0.
         attempt: usize,
         /// The number of the call, unique in this process; several messages may share a call.
         call: u64,
@@ -62,66 +64,66 @@
         cause: EndCause,
         /// The message's destination.
         destination: u64,
-        /// The outcome that decisions go by.
+        /// The outcome as the decision module receives it.
         outcome: Outcome,
-        /// Time since its start.
+        /// Time since the start of the attempt.
         latency: Micros,
-        /// The endpoint's load report, or empty.
+        /// The load report in the endpoint's response; empty without one.
         report: &'a [f64],
-        /// Where on a connection its response came; `None` for an attempt that got no connection.
+        /// The connection that carried the attempt; `None` for an attempt that got no connection.
         connection_use: Option<ConnectionUse>,
     },
-    /// A connection to an endpoint was closed, or given up after it had been closed by the peer.
+    /// A connection to an endpoint was closed, by either side.
     ConnectionClosed {
-        /// The endpoint's name, empty if it is not listed any more.
+        /// The endpoint's name; empty if the endpoint is no longer listed.
         uid: &'a str,
         /// The connection's number, unique in this process.
         connection: u64,
-        /// How many calls it carried.
+        /// How many calls the connection carried.
         calls: u64,
-        /// Why.
+        /// Why the connection was closed.
         reason: CloseReason,
-        /// What came on it while no call was out.
+        /// Data that arrived while the connection had no call in flight.
         unsolicited: Option<UnsolicitedData>,
     },
-    /// An endpoint asked for a pause.
+    /// An endpoint asked callers to wait.
     RetryAfter {
-        /// The endpoint's name, empty if it is not listed any more.
+        /// The endpoint's name; empty if the endpoint is no longer listed.
         uid: &'a str,
-        /// The pause, from now on.
+        /// How long to wait from now on, in microseconds.
         wait: Micros,
     },
     /// A message was delivered.
     Delivered {
         /// The message's id.
         id: &'a str,
-        /// Position of its class.
+        /// Position of the message's class.
         class: usize,
-        /// Its destination.
+        /// The message's destination.
         destination: u64,
-        /// Time since it was handed in.
+        /// Time since the client submitted the message.
         age: Micros,
     },
-    /// An accepted message was given up.
+    /// The decision module ended an accepted message undelivered.
     Abandoned {
         /// The message's id.
         id: &'a str,
-        /// Position of its class.
+        /// Position of the message's class.
         class: usize,
-        /// Its destination.
+        /// The message's destination.
         destination: u64,
-        /// How it ended.
+        /// How the message ended.
         ending: Ending,
-        /// Why.
+        /// Why the message ended.
         reason: EndReason,
-        /// No call was ever started for it.
+        /// No call was ever started for the message.
         never_attempted: bool,
-        /// Time since it was handed in.
+        /// Time since the client submitted the message.
         age: Micros,
     },
     /// A log line of the decision module.
     PolicyLog(&'a str),
-    /// The journal could not be written.
+    /// A journal entry could not be written.
     JournalFailed(&'a JournalError),
 }
 
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -1,4 +1,4 @@
-//! What an engine is assembled from.
+//! The settings and port implementations that an engine is built from.
 
 use crate::archive::Archive;
 use crate::clock::Clock;
@@ -10,7 +10,7 @@
 use milletturn_policy::Settings;
 use tokio::sync::{mpsc, watch};
 
-/// The settings and ports of an engine.
+/// What [`Engine::new`](crate::Engine::new) needs: the settings and an implementation of each port.
 pub struct Ports {
     /// Settings of the decision module.
     pub settings: Settings,
@@ -20,24 +20,25 @@
     pub zones: Vec<String>,
     /// Names of the kinds of destination, in the order of their numbers.
     pub kinds: Vec<String>,
-    /// The clock of the decision module.
+    /// Source of the time that the decision module and the journal see.
     pub clock: Clock,
-    /// The endpoint list as cached by an earlier process; it may be stale.
+    /// The endpoint list that an earlier process cached, possibly stale; `None` without a cache.
     pub cached_endpoints: Option<EndpointListUpdate>,
-    /// What outlasts the process.
+    /// Records what must survive the process.
     pub journal: Box<dyn Journal>,
-    /// Stores undelivered messages; without one their bodies are dropped once their notification is confirmed.
+    /// Stores undelivered messages; without an archive their bodies are dropped once their notification is confirmed.
     pub archive: Option<Box<dyn Archive>>,
-    /// The number of the first message, greater than any number in the archive.
+    /// The number of the first new message, greater than any number in the archive.
     pub first_message_number: u64,
     /// Carries calls to endpoints.
     pub transport: Box<dyn Transport>,
-    /// Messages that end by an endpoint's response, delivered ones above all, get a notification too.
+    /// Also sends a notification for each message that an endpoint's response ended, which includes delivered
+    /// messages.
     pub notify_delivered: bool,
-    /// Gets the final outcomes of accepted messages that are not delivered.
+    /// Receives the final outcomes of accepted messages that are not delivered.
     pub notifications: mpsc::UnboundedSender<Notification>,
     /// Observes the engine's events.
     pub observer: Box<dyn Observer>,
-    /// Turns true once endpoints are known.
+    /// Set to true once at least one endpoint is known.
     pub ready: watch::Sender<bool>,
 }
--- a/crates/engine/src/reconfiguration.rs
+++ b/crates/engine/src/reconfiguration.rs
@@ -1,4 +1,4 @@
-//! Changes in service: new settings, and new states of the endpoint list.
+//! Changes at run time: new settings, and updates of the endpoint list.
 
 use crate::endpoint_list::{EndpointListUpdate, ListedEndpoint};
 use crate::engine::Engine;
@@ -8,17 +8,18 @@
 /// Where an endpoint list comes from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ListOrigin {
-    /// The cache of an earlier process: it may be stale.
+    /// The cache of an earlier process; the list may be stale.
     Cache,
-    /// The source of endpoint lists itself.
+    /// The source of endpoint lists, such as service discovery or a file.
     Source,
 }
 
 impl Engine {
-    /// Puts new settings in force and returns the positions of their classes. Open messages keep their class.
+    /// Applies new settings and returns the positions of their classes in the class table. Open messages keep their
+    /// class.
     ///
     /// # Errors
-    /// When the settings are invalid; nothing has changed then.
+    /// When the settings are invalid; the engine is unchanged then.
     pub fn reconfigure(&mut self, settings: Settings) -> Result<Vec<usize>, SettingsError> {
         settings.validate()?;
         let mut classes = self.classes.clone();
@@ -43,7 +44,7 @@
         Ok(positions)
     }
 
-    /// Takes over an endpoint list or a change of one; the decision module hears of it in the next turn.
+    /// Applies an endpoint list, or changes to one, and queues the event for the decision module's next turn.
     pub(crate) fn on_endpoints_listed(&mut self, update: EndpointListUpdate, origin: ListOrigin) {
         if update.full {
             for endpoint in self.endpoints.remove_unlisted(&update.endpoints) {
@@ -76,13 +77,13 @@
         self.events.push(Event::Listed { listing, entries });
     }
 
-    /// Applies one listed endpoint to the table and the transport; `None` for a removed one that was not known.
+    /// Applies one listed endpoint to the table and the transport; `None` for the removal of an unknown endpoint.
     fn apply_listed(&mut self, listed: &ListedEndpoint, kind: usize) -> Option<EndpointId> {
         let endpoint = match listed.status {
             Status::Gone => self.endpoints.remove(&listed.uid)?,
             Status::Serving | Status::Draining => {
-                let bundle_max = self.bundle_max.get(kind).copied().unwrap_or(1);
-                self.endpoints.upsert(listed, bundle_max)
+                let max_batch_size = self.max_batch_size.get(kind).copied().unwrap_or(1);
+                self.endpoints.upsert(listed, max_batch_size)
             }
         };
         match listed.status {
@@ -93,7 +94,7 @@
     }
 }
 
-/// The index of a name; `usize::MAX` for one that is not there, which the decision module takes for unknown.
+/// The index of a name; `usize::MAX`, which the decision module treats as unknown, for a name that is not listed.
 fn index_of(names: &[String], name: &str) -> usize {
     names
         .iter()
--- a/crates/engine/src/recovery.rs
+++ b/crates/engine/src/recovery.rs
@@ -1,4 +1,4 @@
-//! The start of an engine from its journal: unfinished messages of an earlier process go on.
+//! Recovery from the journal: a new engine resumes the unfinished messages of an earlier process.
 
 use crate::engine::Engine;
 use crate::journal::{Accepted, AttemptStarted, Unfinished};
@@ -9,13 +9,13 @@
     Class, EndpointId, Event, MessageId, Micros, NewMessage, PastAttempt, SECOND,
 };
 
-/// Latency objective and longest delivery of a class that the settings no longer have, in microseconds. They only
-/// order its messages among others, as each of them has a deadline of its own.
+/// Latency objective and deadline, in microseconds, of a class that the settings no longer have. They affect only the
+/// priority of the class's messages among others, because each message has its own deadline from the journal.
 const REMOVED_CLASS_TIME: Micros = 20 * SECOND;
 
 impl Engine {
-    /// Resumes what the journal holds: open messages go back to the decision module, and for ended ones the
-    /// notification and the archiving are pending again.
+    /// Resumes the messages in the journal: open messages are passed to the decision module, and ended messages are
+    /// notified and offered to the archive again.
     pub(crate) fn resume_unfinished(&mut self) {
         let unfinished = self.journal.unfinished();
         let now = self.clock.now();
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Resumes one message; one whose id or key is not valid is skipped.
+    /// Resumes one message; a message with an invalid id or key is skipped.
     fn resume_message(&mut self, message_id: MessageId, mut unfinished: Unfinished, now: Micros) {
         let Some(item) = recovered_item(&mut unfinished.accepted) else {
             return;
@@ -70,21 +70,22 @@
         }
     }
 
-    /// An attempt from the journal, as the decision module takes it.
+    /// Converts an attempt from the journal into the decision module's form.
     fn past_attempt(&self, sent: &AttemptStarted, now: Micros) -> PastAttempt {
         PastAttempt {
             endpoint: self
                 .endpoints
                 .by_uid(&sent.uid)
                 .unwrap_or(EndpointId(u32::MAX)),
-            // after a clock was set back, nothing is known of a key's window
+            // an attempt in the future means that the clock was set back: how much of the key's deduplication window
+            // has passed is unknown, and time 0 makes the window count as over
             sent: if sent.sent_at > now { 0 } else { sent.sent_at },
             may_have_run: !sent.never_ran,
         }
     }
 
-    /// The position of a recovered message's class. Where the class's name means another effect now, or nothing,
-    /// the message keeps the effect under which it was accepted.
+    /// The position of a recovered message's class. If the current settings lack the class, or give it another
+    /// effect, the message keeps the effect under which it was accepted.
     fn recovered_class(&mut self, accepted: &Accepted) -> usize {
         let position = self.classes.position(&accepted.class);
         let present = self.classes.all().get(position).cloned();
@@ -116,7 +117,7 @@
     }
 }
 
-/// What calls carry of a message from the journal, whose body is taken out; `None` if its id or key is not valid.
+/// Moves the id, key and body of a message from the journal into a call item; `None` if the id or key is invalid.
 fn recovered_item(accepted: &mut Accepted) -> Option<CallItem> {
     let id = SharedStr::new(accepted.id.as_bytes()).ok()?;
     let key = accepted
@@ -129,7 +130,7 @@
     Some(CallItem { id, key, body })
 }
 
-/// The engine's records of attempts from the journal, in the same order.
+/// The engine's form of the attempts from the journal, in the same order.
 fn prior_attempts(past: &[PastAttempt], sent: &[AttemptStarted]) -> Vec<Attempt> {
     past.iter()
         .zip(sent)
--- a/crates/engine/src/redrive.rs
+++ b/crates/engine/src/redrive.rs
@@ -1,4 +1,4 @@
-//! Redrives: archived messages that come back to be delivered once more.
+//! Redrives: archived messages whose delivery is attempted again.
 
 use crate::archive::{RedriveOrder, RedriveOutcome, RedriveRequest, UncertainAttempt};
 use crate::engine::Engine;
@@ -9,20 +9,21 @@
     EndpointId, Event, MILLISECOND, MessageId, Micros, NewMessage, PastAttempt,
 };
 
-/// Redrives take up at most this part of the messages that may be open: one in so many.
-const REDRIVE_SHARE: usize = 8;
-/// No redrive is accepted while more than this part of the messages that may be open is: one in so many. Fresh
-/// messages come first.
-const BUSY_SHARE: usize = 2;
-/// A redrive with less time than this before its key's window ends would arrive behind it: the decision module's
-/// own margin, and the way of a call. In microseconds.
+/// At most the limit on open messages divided by this number of redrives may be open at once, and always one.
+const REDRIVE_CAPACITY_DIVISOR: usize = 8;
+/// No redrive is accepted once the number of open messages reaches the limit on open messages divided by this number,
+/// so that new messages have precedence.
+const BUSY_DIVISOR: usize = 2;
+/// The least time, in microseconds, that must be left of the idempotency key's deduplication window for a redrive to
+/// be accepted. With less, the message could reach the destination after the window: the decision module keeps a
+/// safety margin, and the call takes time to arrive.
 const MIN_TIME_TO_DELIVER: Micros = 100 * MILLISECOND;
 
 impl Engine {
-    /// An archived message is to be redriven.
+    /// Handles a request to redrive an archived message, and replies to it.
     pub(crate) fn on_redrive(&mut self, request: RedriveRequest) {
         let outcome = self.redrive(request.order);
-        // a caller that no longer waits finds the message where the journal has it
+        // a caller that no longer waits needs no reply: the journal records whether the redrive was accepted
         let _ = request.reply.send(outcome);
     }
 
@@ -31,9 +32,10 @@
         if self.messages.contains(message_id) || self.pending_release.contains_key(&message_id) {
             return RedriveOutcome::InFlight;
         }
-        let max_redrives = (self.max_open_messages / REDRIVE_SHARE).max(1);
-        let busy_from = self.max_open_messages.div_ceil(BUSY_SHARE);
-        if self.messages.open_redrives() >= max_redrives || self.messages.open_count() >= busy_from
+        let max_redrives = (self.max_open_messages / REDRIVE_CAPACITY_DIVISOR).max(1);
+        let min_open_when_busy = self.max_open_messages.div_ceil(BUSY_DIVISOR);
+        if self.messages.open_redrives() >= max_redrives
+            || self.messages.open_count() >= min_open_when_busy
         {
             return RedriveOutcome::Busy;
         }
@@ -48,7 +50,7 @@
             key: order.key.as_ref().map(ToString::to_string),
             class: order.class,
             effect: self.classes.effect(class),
-            // redriven long after its turn: it stands in no other message's way
+            // a redrive happens long after the message's place in the order, so no other message waits for it
             subject: None,
             tenant: None,
             destination: order.destination,
@@ -77,7 +79,7 @@
         RedriveOutcome::Accepted
     }
 
-    /// Adds a message that the journal holds as redriven, and tells the decision module of it.
+    /// Adds a message whose redrive is recorded in the journal to the table, and passes it to the decision module.
     fn resume_redriven(
         &mut self,
         message_id: MessageId,
@@ -114,25 +116,25 @@
         });
     }
 
-    /// When a redrive would expire; `None` for a class that is not known any more, or where the key's window ends
-    /// before anything could arrive.
+    /// When a redrive would expire; `None` if the class is no longer known, or if the deduplication window of the
+    /// idempotency key ends before a call could arrive.
     fn redrive_deadline(
         &self,
         class: usize,
         uncertain_attempt: Option<&UncertainAttempt>,
         now: Micros,
     ) -> Option<Micros> {
-        let max_time = self.classes.deadline(class)?;
+        let max_delivery_time = self.classes.deadline(class)?;
         match self.key_window_left(class, uncertain_attempt, now) {
-            None => Some(now + max_time),
+            None => Some(now + max_delivery_time),
             Some(left) if left < MIN_TIME_TO_DELIVER => None,
-            Some(left) => Some(now + left.min(max_time)),
+            Some(left) => Some(now + left.min(max_delivery_time)),
         }
     }
 
-    /// What is left of a key's window, where an attempt may have run and the class has a window. A clock that
-    /// stands before that attempt has been set back: how much of the window has passed is unknown, and none counts
-    /// as left.
+    /// The time left, in microseconds, of the idempotency key's deduplication window; `None` if no attempt can have
+    /// run or the class has no window. If the current time is before that attempt, the clock was set back: how much
+    /// of the window has passed is unknown, so no time is left.
     fn key_window_left(
         &self,
         class: usize,
--- a/crates/engine/src/retention.rs
+++ b/crates/engine/src/retention.rs
@@ -1,4 +1,4 @@
-//! What becomes of a message behind its end: the journal holds it until its notification is confirmed and the
+//! Retention of messages that have ended: the journal holds each one until its notification is confirmed and the
 //! archive has stored it.
 
 use crate::archive::{ArchivedMessage, AttemptRecord};
@@ -8,18 +8,19 @@
 use crate::message::{Attempt, Message};
 use milletturn_policy::{Event, MessageId};
 
-/// What the journal waits for before it releases an ended message: both must be true.
+/// What must still happen before the journal may drop an ended message: `notified` and `archived` must both be true.
 pub(crate) struct PendingRelease {
-    /// Its notification is confirmed, or none is due.
+    /// The message's notification is confirmed, or none is needed.
     notified: bool,
-    /// The archive has stored it.
+    /// The archive has stored the message.
     archived: bool,
-    /// The message itself, while the archive has had no room for it.
+    /// The message itself, as long as the archive had no capacity to take it.
     unarchived: Option<Box<ArchivedMessage>>,
 }
 
 impl Engine {
-    /// A message that had ended before this process started: its notification and its archiving are pending again.
+    /// Resumes a message that had ended before this process started: notifies its client again and offers the message
+    /// to the archive again.
     pub(crate) fn resume_ended(
         &mut self,
         message_id: MessageId,
@@ -42,7 +43,7 @@
         self.archive_ended(message_id, class, message);
     }
 
-    /// Hands a message that has ended, as have its attempts, to the archive if that wants it.
+    /// Offers a message to the archive if the archive wants it. The message and its attempts must have ended.
     pub(crate) fn archive_ended(&mut self, message_id: MessageId, class: String, message: Message) {
         let Some(end) = message.end else { return };
         let wanted = !is_internal_class(&class)
@@ -72,21 +73,21 @@
         self.pending_release.insert(message_id, pending);
     }
 
-    /// Hands a message to the archive; gives it back while that has no room.
+    /// Passes a message to the archive; returns the message if the archive has no capacity.
     fn offer_to_archive(&mut self, message: Box<ArchivedMessage>) -> Option<Box<ArchivedMessage>> {
         let archive = self.archive.as_mut()?;
         archive.store(message).err()
     }
 
-    /// Offers the archive once more what it had no room for, the oldest first, until it has none again.
+    /// Offers the messages again that the archive had no capacity for, oldest first, until the archive rejects one.
     pub(crate) fn retry_archive(&mut self) {
-        let waiting: Vec<MessageId> = self
+        let unarchived_ids: Vec<MessageId> = self
             .pending_release
             .iter()
             .filter(|(_, pending)| pending.unarchived.is_some())
             .map(|(&message_id, _)| message_id)
             .collect();
-        for message_id in waiting {
+        for message_id in unarchived_ids {
             let Some(message) = self
                 .pending_release
                 .get_mut(&message_id)
@@ -105,7 +106,7 @@
         }
     }
 
-    /// The notification of a message is confirmed.
+    /// Handles the confirmation of a message's notification.
     pub(crate) fn on_notified(&mut self, message_id: MessageId) {
         let has_archive = self.archive.is_some();
         if let Some(key) = self.unconfirmed_keys.remove(&message_id) {
@@ -117,9 +118,9 @@
         }
         if let Some(pending) = self.pending_release.get_mut(&message_id) {
             pending.notified = true;
-            self.release_if_settled(message_id);
+            self.release_if_complete(message_id);
         } else if has_archive && self.messages.contains(message_id) {
-            // an attempt is in flight: the archive gets the message when that ends
+            // an attempt is in flight: the message is offered to the archive when that attempt ends
             let pending = PendingRelease {
                 notified: true,
                 archived: false,
@@ -131,15 +132,15 @@
         }
     }
 
-    /// The archive has stored a message.
+    /// Handles the archive's report that it has stored a message.
     pub(crate) fn on_archived(&mut self, message_id: MessageId) {
         if let Some(pending) = self.pending_release.get_mut(&message_id) {
             pending.archived = true;
-            self.release_if_settled(message_id);
+            self.release_if_complete(message_id);
         }
     }
 
-    fn release_if_settled(&mut self, message_id: MessageId) {
+    fn release_if_complete(&mut self, message_id: MessageId) {
         if self
             .pending_release
             .get(&message_id)
@@ -150,14 +151,15 @@
         }
     }
 
-    /// Lets the journal drop a message of which nothing is due any more; what can't be written is tried again.
+    /// Lets the journal drop a message that needs no further work. If the entry can't be written, the journal retries
+    /// it later.
     pub(crate) fn release(&mut self, message_id: MessageId) {
         let written = self.journal.record_finished(message_id.0);
         self.check_journal(written);
     }
 }
 
-/// A message as the archive gets it.
+/// Converts a message into the form in which the archive stores it.
 fn archived_message(
     message_id: MessageId,
     class: String,
--- a/crates/engine/src/snapshot.rs
+++ b/crates/engine/src/snapshot.rs
@@ -1,10 +1,11 @@
-//! The state that a process hands to the one that replaces it under load (hot restart).
+//! Snapshots: the state that a process passes to its replacement in a hot restart.
 //!
-//! A snapshot holds no message bodies: the next process reads these from the journal. Calls in flight stay with the
-//! process that made them, which reports their ends; the next process knows them as [`ForeignCall`]s.
+//! A snapshot holds no message bodies: the new process reads these from the journal. Calls in flight stay with the
+//! old process that made them, which reports their ends; to the new process they are [`ForeignCall`]s.
 //!
-//! The encoding is postcard's, which goes by the order of fields and variants alone: that order is the snapshot's
-//! form, and whoever carries a snapshot says which form it is.
+//! The encoding is postcard's, which depends only on the order and types of fields and variants, not on their names:
+//! that order is the snapshot's format. A snapshot carries no version of its format; whoever transfers a snapshot
+//! transfers the version too.
 
 use crate::archive::EndReason;
 use crate::calls::{AttemptRef, OutstandingCall};
@@ -24,11 +25,12 @@
 use std::net::SocketAddr;
 use tokio::sync::mpsc;
 
-/// The decoded state of another process's engine; see the module's page.
+/// The decoded state of another process's engine, from which [`Engine::restore`] builds a new one.
 #[derive(Debug)]
 pub struct Snapshot(StoredEngine<Sender>);
 
-/// What a snapshot holds: written from the decision module in use, read into a new one.
+/// The contents of a snapshot. `S` is a reference to the decision module when a snapshot is encoded, and an owned
+/// decision module when one is decoded.
 #[derive(Debug, Serialize, Deserialize)]
 struct StoredEngine<S> {
     now: Micros,
@@ -36,7 +38,7 @@
     classes: ClassTable,
     zones: Vec<String>,
     kinds: Vec<String>,
-    bundle_max: Vec<usize>,
+    max_batch_size: Vec<usize>,
     max_open_messages: usize,
     max_attempts: usize,
     routes: Vec<StoredRoute>,
@@ -55,7 +57,7 @@
     endpoint: EndpointId,
     uid: String,
     address: SocketAddr,
-    bundle_max: usize,
+    max_batch_size: usize,
 }
 
 #[derive(Debug, Serialize, Deserialize)]
@@ -70,7 +72,8 @@
     deadline: Micros,
     open: bool,
     clients: usize,
-    /// How it ended, where the journal holds that: when, and for one that was returned the advice to its client.
+    /// The end of the message, if the journal records it: when it ended and, for [`Ending::Returned`], the advised
+    /// wait `after_ms`.
     end: Option<(Micros, Option<Option<u64>>)>,
     attempts: Vec<StoredAttempt>,
 }
@@ -98,27 +101,28 @@
 /// A call that another process has in flight.
 #[derive(Debug)]
 pub struct ForeignCall {
-    /// Its number.
+    /// The call's number.
     pub call: u64,
-    /// How many messages it carries.
+    /// How many messages the call carries.
     pub items: usize,
-    /// Receives the positions that are cancelled.
+    /// Receives the positions in the call whose attempts are cancelled.
     pub cancels: mpsc::UnboundedReceiver<usize>,
 }
 
 /// An engine restored from a snapshot.
 pub struct RestoredEngine {
-    /// The engine.
+    /// The engine, ready to run.
     pub engine: Engine,
-    /// The calls whose ends must be reported to it as inputs.
+    /// The calls of the old process whose ends must be reported to the engine by
+    /// [`Input::AttemptEnded`](crate::Input::AttemptEnded).
     pub foreign_calls: Vec<ForeignCall>,
 }
 
 impl Snapshot {
-    /// Decodes what [`Engine::snapshot`] returned.
+    /// Decodes the bytes that [`Engine::snapshot`] returned.
     ///
     /// # Errors
-    /// When the bytes are not those of a snapshot of this form.
+    /// When the checksum is wrong, or the bytes are not a snapshot in this format.
     pub fn decode(bytes: &[u8]) -> Result<Self, postcard::Error> {
         let damaged = postcard::Error::DeserializeBadCrc;
         let (payload, checksum) = bytes.split_last_chunk::<4>().ok_or(damaged.clone())?;
@@ -130,12 +134,13 @@
 }
 
 impl Engine {
-    /// Encodes all that the next process must know, with a checksum behind it. It must be taken between two calls
-    /// of [`Engine::run`], and of an engine without an archive: what the archive still has to get can't be handed
-    /// on.
+    /// Encodes the state that the next process needs, followed by a CRC-32 checksum.
+    ///
+    /// Must be called between two calls of [`Engine::run`], and only on an engine without an archive: a snapshot does
+    /// not contain the messages that the archive has yet to store.
     ///
     /// # Errors
-    /// When it can't be encoded.
+    /// When the state can't be encoded.
     pub fn snapshot(&self) -> Result<Vec<u8>, postcard::Error> {
         let mut bytes = postcard::to_allocvec(&StoredEngine {
             now: self.clock.now(),
@@ -143,11 +148,11 @@
             classes: self.classes.clone(),
             zones: self.zones.clone(),
             kinds: self.kinds.clone(),
-            bundle_max: self.bundle_max.clone(),
+            max_batch_size: self.max_batch_size.clone(),
             max_open_messages: self.max_open_messages,
             max_attempts: self.max_attempts,
             routes: self.endpoints.all().map(stored_route).collect(),
-            last_endpoint: self.endpoints.last(),
+            last_endpoint: self.endpoints.last_number(),
             messages: self.messages.iter().map(stored_message).collect(),
             next_message: self.messages.next_number(),
             calls: self.calls.iter().map(stored_call).collect(),
@@ -161,7 +166,8 @@
         Ok(bytes)
     }
 
-    /// Drops all but the calls in flight: returns what cancels positions of each, by number of the call.
+    /// Drops the engine except for its calls in flight: returns, by call number, the channels on which positions in
+    /// each call can be cancelled.
     #[must_use]
     pub fn into_cancel_senders(self) -> BTreeMap<u64, mpsc::UnboundedSender<usize>> {
         self.calls
@@ -176,8 +182,8 @@
         self.calls.len()
     }
 
-    /// Restores the engine of another process. Of the ports, settings, cached endpoints, seed, zones and kinds are
-    /// not used: the snapshot has them.
+    /// Restores the engine of another process. The settings, cached endpoints, seed, zones and kinds in `ports` are
+    /// not used, because the snapshot contains them.
     ///
     /// # Errors
     /// When the settings among the ports are invalid.
@@ -191,7 +197,7 @@
         engine.classes = stored.classes;
         engine.zones = stored.zones;
         engine.kinds = stored.kinds;
-        engine.bundle_max = stored.bundle_max;
+        engine.max_batch_size = stored.max_batch_size;
         engine.max_open_messages = stored.max_open_messages;
         engine.max_attempts = stored.max_attempts;
         engine.messages.set_next_number(stored.next_message);
@@ -220,7 +226,7 @@
             let route = Route {
                 uid: stored.uid.as_str().into(),
                 address: stored.address,
-                bundle_max: stored.bundle_max,
+                max_batch_size: stored.max_batch_size,
             };
             (stored.endpoint, route)
         });
@@ -230,8 +236,8 @@
         }
     }
 
-    /// Restores the messages, with the bodies that the journal holds. Whether a notification that was sent has been
-    /// confirmed is not known: it is sent again, which receivers must expect anyway.
+    /// Restores the messages, with their bodies from the journal. The snapshot does not tell whether a notification
+    /// that was sent has been confirmed, so each is sent again; receivers must expect duplicates anyway.
     fn restore_messages(&mut self, stored: Vec<StoredMessage>) {
         let mut unfinished = self.journal.unfinished();
         for stored in stored {
@@ -265,7 +271,7 @@
                     let ordering_key = recorded.accepted.ordering_key();
                     self.notify(message_id, id, class, end.ending, ordering_key);
                 }
-                // it was finished, and that could not be written yet
+                // the message had finished, but the journal could not record that yet
                 _ => self.release(message_id),
             }
         }
@@ -301,7 +307,7 @@
         endpoint,
         uid: route.uid.to_string(),
         address: route.address,
-        bundle_max: route.bundle_max,
+        max_batch_size: route.max_batch_size,
     }
 }
 
@@ -348,7 +354,7 @@
     }
 }
 
-/// A message as it was, with its body; `None` if its id or key is not valid.
+/// Converts a message from a snapshot, and adds its body; `None` if the id or key is invalid.
 fn restored_message(stored: StoredMessage, body: Vec<u8>) -> Option<Message> {
     let id = SharedStr::new(stored.id.as_bytes()).ok()?;
     let key = stored
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -1,4 +1,4 @@
-//! The transport port: carries calls to endpoints.
+//! The transport port: makes calls to endpoints and reports how they end.
 
 use crate::SharedStr;
 use bytes::Bytes;
@@ -11,147 +11,153 @@
 /// One message in a call.
 #[derive(Debug, Clone)]
 pub struct CallItem {
-    /// The client's id for it.
+    /// The id that the client gave the message.
     pub id: SharedStr,
-    /// Its idempotency key, by which its destination drops repeats.
+    /// The idempotency key, by which the destination drops duplicates.
     pub key: Option<SharedStr>,
-    /// The body.
+    /// The message's body.
     pub body: Bytes,
 }
 
-/// What the transport observed at the end of an attempt. It is for people who investigate; decisions go by the
-/// [`Outcome`].
+/// What the transport observed at the end of an attempt.
+///
+/// The cause is for diagnosis only; decisions are based on the [`Outcome`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndCause {
-    /// A complete response with this status.
+    /// A complete response with this status arrived.
     Response(u16),
     /// No connection could be opened or reused.
     NoConnection,
     /// The connection ended before the request was written completely.
     RequestIncomplete,
-    /// The connection ended after that without a valid response head, or the head took too long.
+    /// The request was written completely, but the connection ended without a valid response head, or the head took
+    /// too long.
     NoResponseHead,
-    /// A response head with this status came, and its body did not end.
+    /// A response head with this status arrived, but the response body was incomplete.
     ResponseIncomplete(u16),
-    /// A response with this status came that nothing ties to the call, such as a second copy of an earlier one on its
-    /// connection, or that came before the request was written completely.
+    /// A response with this status arrived that can't be attributed to the call, such as a duplicate of an earlier
+    /// response on the connection, or one that arrived before the request was written completely.
     DuplicateResponse(u16),
-    /// The call's time was up.
+    /// The call expired.
     TimedOut,
-    /// The decision module cancelled it.
+    /// The decision module cancelled the attempt.
     Cancelled,
-    /// Its connection came up too late: it was not to start any more.
+    /// The connection took so long to open that the call was no longer allowed to start.
     NotStarted,
-    /// Another process made the call.
+    /// Another process made the call, so the cause is not known here.
     ForeignProcess,
 }
 
-/// Why a response is taken for the one to its call. It is for people who investigate.
+/// Why a response is attributed to its call. For diagnosis only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Attribution {
-    /// No response came before it on its connection.
+    /// The response is the first one on its connection.
     FirstCall,
-    /// It names the messages of the call, which the connection had not carried before.
+    /// The response names the messages of the call, which the connection had not carried before.
     NamesMessages,
-    /// The endpoint was asked to close the connection behind it, and did so with nothing else on it.
+    /// The endpoint was asked to close the connection after the response, and did so without sending anything else.
     LastCall,
 }
 
-/// Where on a connection a call was made. It is for people who investigate.
+/// The connection that carried a call, and the call's place on the connection. For diagnosis only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionUse {
     /// The connection's number, unique in this process.
     pub connection: u64,
-    /// The call's place among those of the connection, from 1.
+    /// The call's position among the calls on the connection, from 1.
     pub call_on_connection: u64,
-    /// Time from the last byte of the request to the first byte behind it; `None` if either is missing.
+    /// Time from the last byte of the request to the first byte received after it; `None` if the request was not
+    /// written completely or nothing was received.
     pub response_after: Option<Duration>,
-    /// What ties the response to the call; `None` without a response that counts.
+    /// Why the response is attributed to the call; `None` without a response that is.
     pub attributed_by: Option<Attribution>,
 }
 
-/// Bytes that came on a connection while no call was out. It is for people who investigate.
+/// Data that arrived on a connection while no call was in flight. For diagnosis only.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnsolicitedData {
-    /// The status of the response that they begin with, where they do.
+    /// The status of the response with which the data begins; `None` if the data does not begin with a response head.
     pub status: Option<u16>,
-    /// Time since the last byte of the request before.
+    /// Time since the last byte of the previous request on the connection.
     pub after_request: Duration,
 }
 
 /// Why a connection to an endpoint was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CloseReason {
-    /// Its call was given up, or ended without a complete response; the attempt's [`EndCause`] says which.
+    /// The connection's call was aborted, or ended without a complete response; the attempt's [`EndCause`] says
+    /// which.
     CallFailed,
-    /// It was idle for too long, there was no room for it, or its endpoint gets no calls any more.
+    /// The connection was idle for too long, exceeded the connection limit, or its endpoint no longer receives calls.
     Evicted,
-    /// It ended or broke while it was idle.
+    /// The peer closed the connection, or it failed, while it was idle.
     ClosedByPeer,
-    /// Bytes came that answer no call.
+    /// Data arrived that is not the response to any call.
     UnsolicitedData,
-    /// What it has carried allows no further call on it.
+    /// The responses that the connection has carried rule out another call on the connection.
     NotReusable,
 }
 
 /// The end of the attempt for one message of a call.
 #[derive(Debug)]
 pub struct AttemptEnd {
-    /// Number of the call.
+    /// The number of the call.
     pub call: u64,
     /// The message's position in the call.
     pub position: usize,
-    /// What became of it. An attempt that may have run is never reported as one that did not.
+    /// How the attempt ended. An attempt that may have run is never reported with an outcome that rules that out.
     pub outcome: Outcome,
     /// The message needs no further attempt.
     pub closed: bool,
-    /// The endpoint's load report in the order of the settings, or empty.
+    /// The load report in the endpoint's response, with its fields in the order of the settings; empty without one.
     pub report: Vec<f64>,
     /// What the transport observed.
     pub cause: EndCause,
-    /// Nothing ties the response to the call: whatever the outcome, the attempt may have run.
+    /// The response can't be attributed to the call: whatever the outcome, the attempt may have run.
     pub ambiguous: bool,
-    /// Where on a connection it was made; `None` for an attempt that got no connection.
+    /// The connection that carried the attempt; `None` for an attempt that got no connection.
     pub connection_use: Option<ConnectionUse>,
 }
 
 /// A call to make.
 #[derive(Debug)]
 pub struct Call {
-    /// Its number, unique in this process.
+    /// The call's number, unique in this process.
     pub number: u64,
-    /// The endpoint that it goes to.
+    /// The endpoint that the call goes to.
     pub endpoint: EndpointId,
     /// The endpoint's address.
     pub address: SocketAddr,
-    /// The messages that it carries, one at least.
+    /// The messages that the call carries, at least one.
     pub items: Vec<CallItem>,
-    /// One of them must never run twice: its response has to be beyond doubt.
+    /// At least one of the messages must never run twice, so the response must be attributed to the call with
+    /// certainty.
     pub at_most_once: bool,
-    /// When it times out.
+    /// When the call times out.
     pub expires: Instant,
 }
 
 /// Makes calls to endpoints.
 ///
-/// A call that can't start at once asks first, by [`Input::RequestStart`](crate::Input::RequestStart). A pause that
-/// a response asks for is reported by [`Input::RetryAfter`](crate::Input::RetryAfter) as soon as its bytes are there,
-/// whatever becomes of the call. Each message of a call ends exactly once, by an
-/// [`Input::AttemptEnded`](crate::Input::AttemptEnded). The transport retries nothing by itself: a repeat that the
-/// decision module does not know of would be a duplicate.
+/// A call that can't start at once first asks whether it still may, by
+/// [`Input::RequestStart`](crate::Input::RequestStart). If a response asks callers to wait, the transport reports
+/// [`Input::RetryAfter`](crate::Input::RetryAfter) as soon as the response's bytes arrive, however the call ends. For
+/// each message of a call, the transport reports exactly one [`Input::AttemptEnded`](crate::Input::AttemptEnded). The
+/// transport never retries by itself: a retry that the decision module does not know of could deliver a message
+/// twice.
 pub trait Transport {
-    /// Starts a call. `cancels` receives the positions that are cancelled.
+    /// Starts a call. `cancels` receives the positions in the call whose attempts are cancelled.
     fn start(&self, call: Call, cancels: mpsc::UnboundedReceiver<usize>);
-    /// The endpoint may get calls from now on, at this address.
+    /// Announces that calls may go to the endpoint, at this address, from now on.
     fn add_endpoint(&self, endpoint: EndpointId, address: SocketAddr);
-    /// The endpoint gets no calls any more.
+    /// Announces that no further calls go to the endpoint.
     fn remove_endpoint(&self, endpoint: EndpointId);
-    /// Closes the connections to an endpoint that are idle now.
+    /// Closes the currently idle connections to an endpoint.
     fn close_idle_connections(&self, endpoint: EndpointId);
-    /// Closes connections that have been idle for long. Called several times a second.
+    /// Closes connections that have been idle for too long. Called several times a second.
     fn evict_idle(&self);
-    /// The bytes that a message takes up in a call of several.
+    /// The size in bytes of a message in a call that carries several messages.
     fn item_bytes(&self, item: &CallItem) -> usize;
-    /// The most bytes of a call of several messages.
+    /// The maximum size in bytes of a call that carries several messages.
     fn max_call_bytes(&self) -> usize;
 }
