--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -1,5 +1,7 @@
-//! The platform's names of the settings. Real senders read them from nested JSON, the simulator adapter from a line
-//! of its wire protocol; both end up here, so that each name is in one place.
+//! Reads the decision module's settings under the names that the platform gives them.
+//!
+//! Real senders get the settings as nested JSON, the simulator adapter as a line of its protocol. Both convert them
+//! to [`RawSettings`], so that this package is the only one that contains the platform's names.
 
 use milletturn_policy::{
     Class, Effect, Fade, Kind, Micros, SECOND, Safety, Settings, SettingsError, Tenant,
@@ -10,23 +12,24 @@
     (seconds * 1e6).round() as Micros
 }
 
-/// Settings as text by their paths, such as `caps.maxOpen`: of a `begin` line, or of a real sender's configuration.
+/// Unparsed settings by their path, such as `caps.maxOpen`. They come from a `begin` line of the simulator's
+/// protocol, or from the configuration of a real sender.
 pub struct RawSettings<'a>(pub BTreeMap<&'a str, &'a str>);
 
 impl RawSettings<'_> {
-    /// None where it is missing or empty.
+    /// The text of a setting; `None` if the setting is missing or empty.
     fn text(&self, path: &str) -> Option<&str> {
         self.0.get(path).copied().filter(|text| !text.is_empty())
     }
 
-    /// Items between commas.
+    /// The items of a comma-separated list; empty if the setting is missing.
     fn list(&self, path: &str) -> Vec<&str> {
         self.text(path)
             .map(|text| text.split(',').collect())
             .unwrap_or_default()
     }
 
-    /// A finite number of zero or more.
+    /// A finite number of zero or more; `None` if the setting is missing.
     fn number(&self, path: &str) -> Result<Option<f64>, SettingsError> {
         let Some(text) = self.text(path) else {
             return Ok(None);
@@ -49,7 +52,7 @@
         Ok(self.number(path)?.unwrap_or(default))
     }
 
-    /// A duration, which is seconds as text.
+    /// A duration, which the setting gives in seconds.
     fn duration_or(&self, path: &str, default: Micros) -> Result<Micros, SettingsError> {
         Ok(self.number(path)?.map_or(default, to_micros))
     }
@@ -59,24 +62,25 @@
     }
 }
 
-/// What a host needs beside the policy's settings: the names by which it refers to their parts.
+/// What a program that runs the decision module needs besides its settings, above all the names behind the positions
+/// in them.
 #[derive(Debug, Default)]
 pub struct SettingNames {
-    /// Zones, in the order of their numbers.
+    /// Names of the zones, in the order of their numbers.
     pub zones: Vec<String>,
-    /// Classes of message.
+    /// Names of the message classes, by position.
     pub classes: Vec<String>,
-    /// Kinds of destination.
+    /// Names of the kinds of destination, by position.
     pub kinds: Vec<String>,
-    /// Tenants.
+    /// Names of the tenants, by position.
     pub tenants: Vec<String>,
-    /// Fields of a load report, in the order in which the policy reads them.
+    /// Names of the fields of a load report, in the order in which the decision module receives their values.
     pub report_fields: Vec<String>,
-    /// Limit of the time to connect, in microseconds.
+    /// The time limit for opening a connection, in microseconds.
     pub dial_timeout: Micros,
 }
 
-/// Position of a name among those of the settings; `usize::MAX` for a name that is not there.
+/// The position of a name in a list; `usize::MAX` for a name that the list does not contain.
 #[must_use]
 pub fn position(names: &[String], name: &str) -> usize {
     names
@@ -85,57 +89,57 @@
         .unwrap_or(usize::MAX)
 }
 
-/// Reads the settings, for the wire and for real senders alike.
+/// Reads the decision module's settings, and the names that go with them.
 ///
 /// # Errors
-/// Names the first setting that is missing or makes no sense.
-pub fn read_settings(texts: &RawSettings) -> Result<(Settings, SettingNames), SettingsError> {
+/// When a setting is missing or invalid; the error names the first such setting.
+pub fn read_settings(raw: &RawSettings) -> Result<(Settings, SettingNames), SettingsError> {
     let mut names = SettingNames {
-        zones: owned(&texts.list("zones")),
-        kinds: owned(&texts.list("machineTypes")),
-        report_fields: owned(&texts.list("report.fields")),
-        dial_timeout: texts.duration_or("caps.dialTimeout", SECOND)?,
+        zones: to_strings(&raw.list("zones")),
+        kinds: to_strings(&raw.list("machineTypes")),
+        report_fields: to_strings(&raw.list("report.fields")),
+        dial_timeout: raw.duration_or("caps.dialTimeout", SECOND)?,
         ..SettingNames::default()
     };
-    let mut settings = read_limits(texts, &names)?;
-    read_report(texts, &mut settings);
-    read_prices(texts, &mut settings)?;
-    settings.safety = read_safety(texts, &settings.safety)?;
-    for index in 0..texts.required("classes.count")? as usize {
-        let class = read_class(texts, index)?;
+    let mut settings = read_limits(raw, &names)?;
+    read_report(raw, &mut settings);
+    read_prices(raw, &mut settings)?;
+    settings.safety = read_safety(raw, &settings.safety)?;
+    for index in 0..raw.required("classes.count")? as usize {
+        let class = read_class(raw, index)?;
         names.classes.push(class.name.clone());
         settings.classes.push(class);
     }
-    settings.kinds = read_kinds(texts, &names.kinds)?;
-    for index in 0..texts.number_or("realms.count", 0.0)? as usize {
-        let tenant = read_tenant(texts, index)?;
+    settings.kinds = read_kinds(raw, &names.kinds)?;
+    for index in 0..raw.number_or("realms.count", 0.0)? as usize {
+        let tenant = read_tenant(raw, index)?;
         names.tenants.push(tenant.name.clone());
         settings.tenants.push(tenant);
     }
     Ok((settings, names))
 }
 
-fn owned(list: &[&str]) -> Vec<String> {
+fn to_strings(list: &[&str]) -> Vec<String> {
     list.iter().map(ToString::to_string).collect()
 }
 
-/// Settings with the limits and the abilities of the platform.
-fn read_limits(texts: &RawSettings, names: &SettingNames) -> Result<Settings, SettingsError> {
-    let slots = texts.required("specifics.callSlots")? as usize;
-    let mut settings = Settings::new(slots, texts.required("caps.maxOpen")? as usize);
-    settings.senders = texts.required("balancers")? as u32;
-    settings.zone = position(&names.zones, texts.text("az").unwrap_or("")) as u16;
-    settings.max_attempts = texts.required("caps.mostTries")? as usize;
-    settings.second_copies = texts.flag("caps.secondCopies");
-    settings.may_cancel = texts.flag("caps.mayCancel");
-    settings.may_probe = texts.flag("caps.mayProbe");
-    settings.may_note = texts.flag("caps.peers");
-    settings.connection_idle = texts.duration_or("caps.connIdle", 0)?;
-    if texts.flag("caps.retryAfter") {
-        settings.max_client_wait = texts.duration_or("caps.maxRetryAfter", 0)?;
+/// Creates settings with the platform's limits and with the features that the platform supports.
+fn read_limits(raw: &RawSettings, names: &SettingNames) -> Result<Settings, SettingsError> {
+    let slots = raw.required("specifics.callSlots")? as usize;
+    let mut settings = Settings::new(slots, raw.required("caps.maxOpen")? as usize);
+    settings.senders = raw.required("balancers")? as u32;
+    settings.zone = position(&names.zones, raw.text("az").unwrap_or("")) as u16;
+    settings.max_attempts = raw.required("caps.mostTries")? as usize;
+    settings.second_copies = raw.flag("caps.secondCopies");
+    settings.may_cancel = raw.flag("caps.mayCancel");
+    settings.may_probe = raw.flag("caps.mayProbe");
+    settings.may_note = raw.flag("caps.peers");
+    settings.connection_idle = raw.duration_or("caps.connIdle", 0)?;
+    if raw.flag("caps.retryAfter") {
+        settings.max_client_wait = raw.duration_or("caps.maxRetryAfter", 0)?;
     }
-    settings.list_on_request = texts.text("discovery") == Some("on_request");
-    settings.weight_trust = match texts.text("weights") {
+    settings.list_on_request = raw.text("discovery") == Some("on_request");
+    settings.weight_trust = match raw.text("weights") {
         Some("nominal") => 1.0,
         Some("rough") => 0.5,
         _ => 0.0,
@@ -143,56 +147,57 @@
     Ok(settings)
 }
 
-/// Which fields of load reports the policy reads.
-fn read_report(texts: &RawSettings, settings: &mut Settings) {
-    if texts.text("report.how").is_some_and(|how| how != "silent") {
-        let fields = texts.list("report.fields");
+/// Finds which fields of load reports hold the remaining share of the limit (`x0`) and the limit (`x1`). With
+/// `report.how` missing or `silent`, endpoints send no load reports.
+fn read_report(raw: &RawSettings, settings: &mut Settings) {
+    if raw.text("report.how").is_some_and(|how| how != "silent") {
+        let fields = raw.list("report.fields");
         settings.report_left = fields.iter().position(|&field| field == "x0");
         settings.report_limit = fields.iter().position(|&field| field == "x1");
     }
 }
 
-/// Prices, and how the worth of a message falls.
-fn read_prices(texts: &RawSettings, settings: &mut Settings) -> Result<(), SettingsError> {
-    settings.price_cross_zone = texts.number_or("prices.crossZone", 0.0)?;
-    settings.price_probe = texts.number_or("prices.probe", 0.0)?;
-    settings.price_waste = texts.number_or("prices.waste", 0.0)?;
-    settings.over_share_worth = texts.number_or("overShareWorth", 1.0)?;
-    for fee in texts.list("specifics.zoneFee") {
+/// Reads the prices, and how the value of a message decays after its latency objective.
+fn read_prices(raw: &RawSettings, settings: &mut Settings) -> Result<(), SettingsError> {
+    settings.price_cross_zone = raw.number_or("prices.crossZone", 0.0)?;
+    settings.price_probe = raw.number_or("prices.probe", 0.0)?;
+    settings.price_waste = raw.number_or("prices.waste", 0.0)?;
+    settings.over_share_worth = raw.number_or("overShareWorth", 1.0)?;
+    for fee in raw.list("specifics.zoneFee") {
         settings.zone_fees.push(
             fee.parse()
                 .map_err(|_| SettingsError::new("specifics.zoneFee", "is not a number"))?,
         );
     }
-    if texts.text("specifics.fades") == Some("by_half") {
+    if raw.text("specifics.fades") == Some("by_half") {
         settings.fade = Fade::Halving;
     }
     Ok(())
 }
 
-fn read_safety(texts: &RawSettings, default: &Safety) -> Result<Safety, SettingsError> {
+fn read_safety(raw: &RawSettings, default: &Safety) -> Result<Safety, SettingsError> {
     Ok(Safety {
-        drain_grace: to_micros(texts.required("safety.stopSendingWithin")?),
-        cold_time: to_micros(texts.required("safety.cold")?),
-        start_capacity: texts.required("safety.startCapacity")?,
-        fall_multiple: texts.required("safety.fallMultiple")?,
-        fall_span: to_micros(texts.required("safety.fall")?),
-        answer_grace: texts.duration_or("safety.graceToAnswer", default.answer_grace)?,
-        key_rest: texts.duration_or("safety.turnGap", 0)?,
-        ask_every: texts.duration_or("safety.askEvery", default.ask_every)?,
+        drain_grace: to_micros(raw.required("safety.stopSendingWithin")?),
+        cold_time: to_micros(raw.required("safety.cold")?),
+        start_capacity: raw.required("safety.startCapacity")?,
+        fall_multiple: raw.required("safety.fallMultiple")?,
+        fall_span: to_micros(raw.required("safety.fall")?),
+        answer_grace: raw.duration_or("safety.graceToAnswer", default.answer_grace)?,
+        key_rest: raw.duration_or("safety.turnGap", 0)?,
+        ask_every: raw.duration_or("safety.askEvery", default.ask_every)?,
     })
 }
 
-fn read_class(texts: &RawSettings, index: usize) -> Result<Class, SettingsError> {
+fn read_class(raw: &RawSettings, index: usize) -> Result<Class, SettingsError> {
     let path = |field: &str| format!("classes.{index}.{field}");
-    let name = texts
+    let name = raw
         .text(&path("name"))
         .ok_or_else(|| SettingsError::new(&path("name"), "is missing"))?;
-    let effect = match texts.text(&path("effect")) {
+    let effect = match raw.text(&path("effect")) {
         Some("idempotent") => Effect::Repeatable,
         Some("deduplicated") => Effect::Keyed {
-            window: to_micros(texts.required(&path("window"))?),
-            zone_only: texts.text(&path("group")) != Some("all"),
+            window: to_micros(raw.required(&path("window"))?),
+            zone_only: raw.text(&path("group")) != Some("all"),
         },
         Some("at_most_once") => Effect::Unsafe,
         other => {
@@ -205,21 +210,22 @@
     Ok(Class {
         name: name.to_string(),
         effect,
-        aim: to_micros(texts.required(&path("aim"))?),
-        deadline: to_micros(texts.required(&path("deadline"))?),
-        worth: texts.number_or(&path("worth"), 1.0)?,
-        late_share: texts.number_or(&path("lateShare"), 0.0)?,
-        ordered: texts.flag(&path("oneAtATime")),
+        aim: to_micros(raw.required(&path("aim"))?),
+        deadline: to_micros(raw.required(&path("deadline"))?),
+        worth: raw.number_or(&path("worth"), 1.0)?,
+        late_share: raw.number_or(&path("lateShare"), 0.0)?,
+        ordered: raw.flag(&path("oneAtATime")),
     })
 }
 
-/// The kinds of destination: lists beside that of their names, in the same order.
-fn read_kinds(texts: &RawSettings, names: &[String]) -> Result<Vec<Kind>, SettingsError> {
-    let separate = texts.list("specifics.routesApart");
-    let bundles = texts.list("specifics.bundleMax");
+/// Reads the kinds of destination. Their properties are lists in the same order as the list of names; a missing
+/// item means one message per call and no separate routes.
+fn read_kinds(raw: &RawSettings, names: &[String]) -> Result<Vec<Kind>, SettingsError> {
+    let separate_routes = raw.list("specifics.routesApart");
+    let max_batch_sizes = raw.list("specifics.bundleMax");
     let mut kinds = Vec::new();
     for (index, name) in names.iter().enumerate() {
-        let bundle_max = match bundles.get(index) {
+        let bundle_max = match max_batch_sizes.get(index) {
             Some(text) => text
                 .parse()
                 .map_err(|_| SettingsError::new("specifics.bundleMax", "is not a whole number"))?,
@@ -227,18 +233,18 @@
         };
         kinds.push(Kind {
             name: name.clone(),
-            separate_routes: separate.get(index) == Some(&"true"),
+            separate_routes: separate_routes.get(index) == Some(&"true"),
             bundle_max,
         });
     }
     Ok(kinds)
 }
 
-fn read_tenant(texts: &RawSettings, index: usize) -> Result<Tenant, SettingsError> {
-    let name = texts
+fn read_tenant(raw: &RawSettings, index: usize) -> Result<Tenant, SettingsError> {
+    let name = raw
         .text(&format!("realms.{index}.name"))
         .unwrap_or("")
         .to_string();
-    let allowance = texts.required(&format!("realms.{index}.allowancePerS"))?;
+    let allowance = raw.required(&format!("realms.{index}.allowancePerS"))?;
     Ok(Tenant { name, allowance })
 }
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,11 +1,11 @@
-//! The decision module's actions as lines of the simulator's text.
+//! Writes the decision module's actions as lines of the simulator's protocol.
 
 use crate::base64::encode;
 use crate::interner::Interner;
 use milletturn_policy::{Action, EndpointId, MessageId, Micros, SECOND};
 use std::fmt::{self, Write as _};
 
-/// A time in seconds with six digits behind the point.
+/// Displays a time in seconds with six decimal places.
 struct Seconds(Micros);
 
 impl fmt::Display for Seconds {
@@ -14,13 +14,13 @@
     }
 }
 
-/// Names of messages and endpoints, to write instead of their numbers.
+/// Names of one instance, its messages and its endpoints, which actions are written with.
 pub(crate) struct ActionNames<'a> {
-    /// The instance that acts.
+    /// The name of the instance whose actions are written.
     pub(crate) instance: &'a str,
-    /// Its messages.
+    /// The names of the instance's messages.
     pub(crate) messages: &'a Interner,
-    /// Its endpoints.
+    /// The names of the instance's endpoints.
     pub(crate) endpoints: &'a Interner,
 }
 
@@ -33,7 +33,7 @@
         self.endpoints.name(u64::from(id.0))
     }
 
-    /// Appends the line of one action to a reply.
+    /// Appends one action as a line to `reply`.
     pub(crate) fn write(&self, reply: &mut String, action: &Action) {
         let id = self.instance;
         let written = match action {
--- a/crates/simulator-adapter/src/base64.rs
+++ b/crates/simulator-adapter/src/base64.rs
@@ -1,10 +1,10 @@
-//! Base64 with `-` for no bytes, as the simulator's wire has it.
+//! Base64 as the simulator's protocol uses it, where `-` stands for an empty sequence of bytes.
 
 use crate::error::{Malformed, malformed};
 
 const ALPHABET: &[u8; 64] = b"ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789+/";
 
-/// The text of some bytes.
+/// Encodes bytes as base64 with padding, and an empty sequence as `-`.
 pub(crate) fn encode(bytes: &[u8]) -> String {
     if bytes.is_empty() {
         return "-".to_string();
@@ -27,14 +27,14 @@
     text
 }
 
-/// The bytes of a text.
+/// Decodes what [`encode`] returns.
 pub(crate) fn decode(text: &str) -> Result<Vec<u8>, Malformed> {
     if text == "-" {
         return Ok(Vec::new());
     }
     let body = text.trim_end_matches('=');
     let mut bytes = Vec::new();
-    // bits that have been read and do not fill a byte yet
+    // the bits that have been read and are not in `bytes` yet, and how many they are
     let (mut bits, mut bit_count) = (0u32, 0);
     for letter in body.bytes() {
         let Some(sextet) = ALPHABET.iter().position(|&known| known == letter) else {
--- a/crates/simulator-adapter/src/bin/milletturn-simulator-adapter.rs
+++ b/crates/simulator-adapter/src/bin/milletturn-simulator-adapter.rs
@@ -1,4 +1,5 @@
-//! The decision module on the simulator's wire: standard input to standard output, many instances in one process.
+//! Runs the decision module for the simulator: reads events from standard input and writes actions to standard
+//! output.
 
 use std::io;
 use std::process::ExitCode;
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,37 +1,37 @@
-//! What can be wrong with the simulator's text.
+//! Errors in the simulator's input.
 
 use std::io;
 
-/// Longest part of a wrong text that an error repeats, in characters.
+/// The maximum number of characters of a malformed field that an error quotes.
 const MAX_QUOTED_CHARS: usize = 80;
 
-/// Why the adapter stopped.
+/// Why the adapter stopped before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum ProtocolError {
-    /// A line that is not as it should be.
+    /// A line of the input is malformed.
     #[error("line {number}: expected {expected}, found '{found}'")]
     MalformedLine {
-        /// Its number, from 1.
+        /// The line's number, from 1.
         number: usize,
-        /// What should have stood there.
+        /// What the adapter expected.
         expected: String,
-        /// What did.
+        /// What the line contains instead.
         found: String,
     },
-    /// Reading or writing failed.
+    /// Reading the input or writing the output failed.
     #[error("input or output failed: {0}")]
     Io(#[from] io::Error),
 }
 
-/// A field that is not as it should be; the line's number is added where lines are counted.
+/// A malformed field; [`InputLines`](crate::input::InputLines) adds the line's number.
 pub(crate) struct Malformed {
-    /// What should have stood there.
+    /// What the adapter expected.
     pub(crate) expected: String,
-    /// What did, at most [`MAX_QUOTED_CHARS`] of it.
+    /// What the field contains instead, truncated to [`MAX_QUOTED_CHARS`] characters.
     pub(crate) found: String,
 }
 
-/// The error of a field.
+/// Returns an error about a malformed field.
 pub(crate) fn malformed<T>(expected: &str, found: &str) -> Result<T, Malformed> {
     Err(Malformed {
         expected: expected.to_string(),
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,4 +1,4 @@
-//! Lines of the simulator's text as events of the decision module.
+//! Parses lines of the simulator's protocol into events of the decision module.
 
 use crate::base64::decode;
 use crate::error::{Malformed, malformed};
@@ -10,22 +10,22 @@
 };
 use std::collections::BTreeMap;
 
-/// The bit of a demand that says that its client hands the message in once more.
+/// The bit of a `demand` line that marks a message which the client has submitted before.
 const RESUBMITTED_BIT: u64 = 2;
-/// The bit of a demand that says that the message comes from a sender that is gone.
+/// The bit of a `demand` line that marks a message which was submitted before to a sender that has failed.
 const FROM_FAILED_SENDER_BIT: u64 = 16;
 
-/// Lists of endpoints by their numbers, each row as its text.
+/// Endpoint lists by number; the rows of each list are unparsed text.
 pub(crate) type EndpointLists = BTreeMap<u64, Vec<String>>;
 
-/// What the lines of one instance name.
+/// The names that occur in the lines of one instance, with their numbers in the decision module.
 #[derive(Default)]
 pub(crate) struct EventNames {
-    /// Zones, kinds of machines, tenants and classes, from its settings.
+    /// Zones, kinds of destination, tenants and classes, from the instance's settings.
     pub(crate) settings: SettingNames,
-    /// Its messages.
+    /// The instance's messages.
     pub(crate) messages: Interner,
-    /// Its endpoints.
+    /// The instance's endpoints.
     pub(crate) endpoints: Interner,
 }
 
@@ -40,7 +40,7 @@
         Ok(EndpointId(self.endpoints.number(name) as u32))
     }
 
-    /// The event of a line whose kind and instance have been read.
+    /// Parses the rest of a line whose kind and instance have been read.
     pub(crate) fn event(
         &mut self,
         kind: &str,
@@ -113,7 +113,7 @@
         let id = self.message(fields)?;
         let time_left = fields.time("time left")?;
         let tenant = fields
-            .optional("an owner")?
+            .optional("a tenant")?
             .map(|name| position(&self.settings.tenants, name));
         let key = fields
             .optional("a key")?
@@ -155,7 +155,7 @@
         };
         let number = fields.integer("a list number")?;
         let Some(rows) = lists.get(&number) else {
-            return malformed("a list sent before", &number.to_string());
+            return malformed("the number of an earlier list", &number.to_string());
         };
         let mut entries = Vec::with_capacity(rows.len());
         for row in rows {
@@ -164,7 +164,7 @@
         Ok(Event::Listed { listing, entries })
     }
 
-    /// One endpoint of a list.
+    /// Parses one row of an endpoint list.
     pub(crate) fn endpoint_row(&mut self, row: &str) -> Result<Entry, Malformed> {
         let mut fields = Fields::new(row);
         let endpoint = self.endpoint(&mut fields)?;
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -1,16 +1,17 @@
-//! The fields of one line of the simulator's text, read one by one.
+//! Parser for the fields of one line of the simulator's protocol.
 
 use crate::error::{Malformed, malformed};
 use milletturn_policy::{Micros, Outcome};
 
-/// Largest whole number that is also taken when it is written with a point or an exponent.
+/// Whole numbers below this bound are also accepted when written with a decimal point or an exponent.
 const MAX_INTEGER: f64 = 9.1e15;
 
-/// The fields of one line, read from the left.
+/// The fields of one line, separated by spaces and read from left to right. In each method, `what` names the expected
+/// field in errors.
 pub(crate) struct Fields<'a>(std::str::Split<'a, char>);
 
 impl<'a> Fields<'a> {
-    /// The fields of a line.
+    /// Starts at the first field of a line.
     pub(crate) fn new(line: &'a str) -> Self {
         Fields(line.split(' '))
     }
@@ -29,7 +30,7 @@
         parse_number(text, what)
     }
 
-    /// The next field, in seconds, as microseconds.
+    /// The next field, a time in seconds, converted to microseconds.
     pub(crate) fn time(&mut self, what: &str) -> Result<Micros, Malformed> {
         Ok(to_micros(self.number(what)?))
     }
@@ -40,13 +41,13 @@
         parse_integer(text, what)
     }
 
-    /// The next field; `-` stands for none.
+    /// The next field; `None` if the field is `-`.
     pub(crate) fn optional(&mut self, what: &str) -> Result<Option<&'a str>, Malformed> {
         let text = self.text(what)?;
         Ok(if text == "-" { None } else { Some(text) })
     }
 
-    /// The next field as a flag: `1`, or `0` or `-`.
+    /// The next field as a flag: `1` is true, `0` and `-` are false.
     pub(crate) fn flag(&mut self, what: &str) -> Result<bool, Malformed> {
         match self.text(what)? {
             "1" => Ok(true),
@@ -55,7 +56,7 @@
         }
     }
 
-    /// The next field as the name of an attempt's outcome.
+    /// The next field as the name of an attempt's outcome, which [`outcome`] converts.
     pub(crate) fn outcome_name(&mut self) -> Result<&'a str, Malformed> {
         let text = self.text("an outcome")?;
         match text {
@@ -65,7 +66,8 @@
         }
     }
 
-    /// The next field as a load report: numbers between commas, `-` or nothing for none.
+    /// The next field as a load report: numbers separated by commas. The report is empty if the field is `-` or
+    /// missing.
     pub(crate) fn report(&mut self) -> Result<Vec<f64>, Malformed> {
         match self.0.next() {
             None | Some("" | "-") => Ok(Vec::new()),
@@ -77,7 +79,7 @@
     }
 }
 
-/// A finite number.
+/// Parses a finite number.
 pub(crate) fn parse_number(text: &str, what: &str) -> Result<f64, Malformed> {
     match text.parse::<f64>() {
         Ok(value) if value.is_finite() => Ok(value),
@@ -85,7 +87,7 @@
     }
 }
 
-/// A whole number of at least 0, also in the form of a decimal fraction.
+/// Parses a whole number of at least 0, which may be written as a decimal such as `5.0`.
 pub(crate) fn parse_integer(text: &str, what: &str) -> Result<u64, Malformed> {
     if let Ok(value) = text.parse::<u64>() {
         return Ok(value);
@@ -102,8 +104,8 @@
     (seconds * 1e6).round() as Micros
 }
 
-/// The outcome of a name and of the remark beside it: for `shed` the wait in milliseconds, for `unused` 1 if there
-/// was no slot.
+/// Converts an outcome's name and the remark that follows the name. For `shed`, the remark is the advised wait in
+/// milliseconds (0 for none); for `unused`, the remark is 1 if no call slot was free.
 pub(crate) fn outcome(name: &str, remark: f64) -> Outcome {
     match name {
         "delivered" => Outcome::Success,
--- a/crates/simulator-adapter/src/interner.rs
+++ b/crates/simulator-adapter/src/interner.rs
@@ -1,8 +1,8 @@
-//! Names of the simulator as numbers of the decision module.
+//! Maps the names that the simulator uses to the numbers that the decision module uses.
 
 use std::collections::BTreeMap;
 
-/// Gives each name a number, from 0 on in the order in which they are first seen.
+/// Assigns a number to each name, starting from 0, in the order in which the names first appear.
 #[derive(Default)]
 pub(crate) struct Interner {
     numbers: BTreeMap<String, u64>,
@@ -10,7 +10,7 @@
 }
 
 impl Interner {
-    /// The number of a name, a new one if it was never seen.
+    /// The number of a name; a name that is not known yet gets the next number.
     pub(crate) fn number(&mut self, name: &str) -> u64 {
         if let Some(&number) = self.numbers.get(name) {
             return number;
@@ -21,7 +21,7 @@
         number
     }
 
-    /// The name behind a number that [`number`](Self::number) gave.
+    /// The name for a number that [`number`](Self::number) returned.
     pub(crate) fn name(&self, number: u64) -> &str {
         &self.names[number as usize]
     }
--- a/crates/simulator-adapter/src/lib.rs
+++ b/crates/simulator-adapter/src/lib.rs
@@ -1,4 +1,7 @@
-//! The adapter to the simulator: the decision module on the simulator's text wire, many instances in one process.
+//! Adapter between the simulator and the decision module (`milletturn-policy`).
+//!
+//! The simulator sends events as lines of text and receives actions as lines of text; see [`protocol`]. One process
+//! runs many independent instances of the decision module.
 
 mod actions;
 mod base64;
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -1,6 +1,9 @@
-//! The simulator's text wire: reads batches of events, gives each to its instance, and writes their actions.
+//! The simulator's text protocol: reads batches of events, passes each event to its instance of the decision module,
+//! and writes the actions of the instances.
 //!
-//! Decides nothing. The instances of one process know nothing of each other.
+//! A batch is a line `batch TIME`, lines with endpoint lists and events, and the line `eof_batch`. The reply is one
+//! line for each action, followed by the line `ready`. All decisions are made by the instances, which are independent
+//! of each other.
 
 use crate::actions::ActionNames;
 pub use crate::error::ProtocolError;
@@ -17,8 +20,8 @@
 const END_OF_BATCH: &str = "eof_batch";
 /// The line that ends a reply.
 const END_OF_REPLY: &str = "ready\n";
-/// The kinds of lines that name an instance.
-const KINDS: [&str; 10] = [
+/// The kinds of lines that name an instance: the start and the crash of an instance, and its events.
+const INSTANCE_LINE_KINDS: [&str; 10] = [
     "begin",
     "crash_now",
     "announce",
@@ -31,34 +34,34 @@
     "heard",
 ];
 
-/// One instance: its module, its names and the events that wait for the end of the batch.
+/// One instance of the decision module, with its names and the events that it handles at the end of the batch.
 struct Instance {
     sender: Sender,
     names: EventNames,
     events: Vec<Event>,
 }
 
-/// Hosts the instances of one process and speaks the wire.
+/// Runs the instances of one process: reads events for them, and writes their actions.
 #[derive(Default)]
 pub struct Host {
     instances: BTreeMap<String, Instance>,
     lists: EndpointLists,
-    /// The instances with events in this batch, in the order of their first one.
-    order: Vec<String>,
+    /// The instances that take a turn at the end of the current batch, ordered by their first event or start in it.
+    turn_order: Vec<String>,
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// A host without instances.
+    /// Creates a host without instances; `begin` lines start them.
     #[must_use]
     pub fn new() -> Self {
         Host::default()
     }
 
-    /// Reads batches until the input ends, writing one reply to each.
+    /// Reads batches until the input ends, and writes one reply to each.
     ///
     /// # Errors
-    /// A malformed line, input that ends inside a batch, or a failed read or write.
+    /// When a line is malformed, the input ends inside a batch, or reading or writing fails.
     pub fn run(
         &mut self,
         input: impl BufRead,
@@ -70,10 +73,10 @@
             if lines.text().is_empty() {
                 continue;
             }
-            let now = lines.located(batch_time(lines.text()))?;
+            let now = lines.with_line_number(batch_time(lines.text()))?;
             self.read_batch(&mut lines)?;
             reply.clear();
-            self.reply(now, &mut reply);
+            self.take_turns(now, &mut reply);
             output.write_all(reply.as_bytes())?;
             output.flush()?;
         }
@@ -81,7 +84,7 @@
     }
 
     fn read_batch(&mut self, lines: &mut InputLines<impl BufRead>) -> Result<(), ProtocolError> {
-        self.order.clear();
+        self.turn_order.clear();
         loop {
             if !lines.advance()? {
                 return Err(lines.error_at_end(END_OF_BATCH));
@@ -93,14 +96,14 @@
                 self.read_list(lines)?;
             } else {
                 let read = self.read_event(lines.text());
-                lines.located(read)?;
+                lines.with_line_number(read)?;
             }
         }
     }
 
-    /// Reads a list of endpoints: its head, which is the last line read, and its rows.
+    /// Reads an endpoint list: its head, which is the current line, and its rows.
     fn read_list(&mut self, lines: &mut InputLines<impl BufRead>) -> Result<(), ProtocolError> {
-        let (number, row_count) = lines.located(list_head(lines.text()))?;
+        let (number, row_count) = lines.with_line_number(list_head(lines.text()))?;
         let mut rows = Vec::new();
         for _ in 0..row_count {
             if !lines.advance()? {
@@ -109,7 +112,7 @@
             let Some(row) = lines.text().strip_prefix("row ") else {
                 return Err(lines.error("a row", lines.text()));
             };
-            lines.located(EventNames::default().endpoint_row(row))?;
+            lines.with_line_number(EventNames::default().endpoint_row(row))?;
             rows.push(row.to_string());
         }
         self.lists.insert(number, rows);
@@ -118,45 +121,50 @@
 
     fn read_event(&mut self, line: &str) -> Result<(), Malformed> {
         let mut fields = Fields::new(line);
-        let kind = fields.text("a message")?;
-        if !KINDS.contains(&kind) {
-            return malformed("a known message", kind);
+        let kind = fields.text("a line kind")?;
+        if !INSTANCE_LINE_KINDS.contains(&kind) {
+            return malformed("a known line kind", kind);
         }
         let id = fields.text("an instance")?;
         if kind == "begin" {
-            return self.begin(id, &mut fields, line);
+            return self.start_instance(id, &mut fields, line);
         }
         let Some(instance) = self.instances.get_mut(id) else {
             return malformed("a running instance", id);
         };
         if kind == "crash_now" {
             self.instances.remove(id);
-            self.order.retain(|name| name != id);
+            self.turn_order.retain(|name| name != id);
             return Ok(());
         }
         let event = instance.names.event(kind, &mut fields, &self.lists)?;
         instance.events.push(event);
-        if !self.order.iter().any(|name| name == id) {
-            self.order.push(id.to_string());
+        if !self.turn_order.iter().any(|name| name == id) {
+            self.turn_order.push(id.to_string());
         }
         Ok(())
     }
 
-    fn begin(&mut self, id: &str, fields: &mut Fields, line: &str) -> Result<(), Malformed> {
+    fn start_instance(
+        &mut self,
+        id: &str,
+        fields: &mut Fields,
+        line: &str,
+    ) -> Result<(), Malformed> {
         let seed = fields.integer("a seed")?;
-        let setup = line.splitn(4, ' ').nth(3).unwrap_or("");
-        let texts = RawSettings(
-            setup
+        let settings_text = line.splitn(4, ' ').nth(3).unwrap_or("");
+        let raw = RawSettings(
+            settings_text
                 .split(' ')
                 .filter_map(|pair| pair.split_once('='))
                 .collect(),
         );
-        let unusable = |expected: String| Malformed {
+        let invalid_settings = |expected: String| Malformed {
             expected,
             found: "begin".to_string(),
         };
-        let (settings, names) = read_settings(&texts).map_err(|e| unusable(e.to_string()))?;
-        let sender = Sender::new(settings, seed).map_err(|e| unusable(e.to_string()))?;
+        let (settings, names) = read_settings(&raw).map_err(|e| invalid_settings(e.to_string()))?;
+        let sender = Sender::new(settings, seed).map_err(|e| invalid_settings(e.to_string()))?;
         let instance = Instance {
             sender,
             names: EventNames {
@@ -166,14 +174,14 @@
             events: Vec::new(),
         };
         self.instances.insert(id.to_string(), instance);
-        self.order.retain(|name| name != id);
-        self.order.push(id.to_string());
+        self.turn_order.retain(|name| name != id);
+        self.turn_order.push(id.to_string());
         Ok(())
     }
 
-    /// Lets each instance with events take its turn, and writes what it does.
-    fn reply(&mut self, now: Micros, reply: &mut String) {
-        for id in &self.order {
+    /// Runs a turn of each instance that has one in this batch, and appends the actions to `reply`.
+    fn take_turns(&mut self, now: Micros, reply: &mut String) {
+        for id in &self.turn_order {
             let Some(instance) = self.instances.get_mut(id) else {
                 continue;
             };
@@ -193,7 +201,7 @@
     }
 }
 
-/// The time of a batch, from its first line.
+/// Parses the first line of a batch, which holds its time.
 fn batch_time(line: &str) -> Result<Micros, Malformed> {
     let mut fields = Fields::new(line);
     match fields.text("batch")? {
@@ -202,7 +210,7 @@
     }
 }
 
-/// The number of a list and of its rows, from its first line.
+/// Parses the first line of an endpoint list into the list's number and its number of rows.
 fn list_head(line: &str) -> Result<(u64, u64), Malformed> {
     let mut fields = Fields::new(line.strip_prefix("manifest ").unwrap_or(line));
     let number = fields.integer("a list number")?;
--- a/crates/simulator-adapter/tests/protocol.rs
+++ b/crates/simulator-adapter/tests/protocol.rs
@@ -1,10 +1,11 @@
-//! The wire: bad input, restarts, instances together and apart.
+//! Tests of the simulator's text protocol: malformed input, restarts of an instance, and the independence of
+//! instances.
 
 use milletturn_simulator_adapter::protocol::Host;
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-const SETUP: &str = "az=a balancers=2 caps.maxOpen=50 caps.mostTries=6 caps.mayCancel=true \
+const SETTINGS: &str = "az=a balancers=2 caps.maxOpen=50 caps.mostTries=6 caps.mayCancel=true \
     caps.secondCopies=true classes.count=2 classes.0.aim=2.0 classes.0.deadline=10.0 \
     classes.0.effect=idempotent classes.0.name=notice classes.1.aim=2.0 classes.1.deadline=10.0 \
     classes.1.effect=deduplicated classes.1.group=zone classes.1.window=5.0 classes.1.name=order \
@@ -12,15 +13,15 @@
     safety.cold=10.0 safety.fall=2.0 safety.fallMultiple=2.0 safety.startCapacity=0.2 \
     safety.stopSendingWithin=1.0 zones=a,b colour=red";
 
-fn start(id: u32) -> String {
+fn start_lines(id: u32) -> String {
     format!(
         "begin sender/{id} 77 {}\nmanifest 0 2\nrow e1 a big 5 SERVING 1 -\nrow e2 a big 5 SERVING 1 -\n\
          announce sender/{id} cached 0 1\n",
-        SETUP.split_whitespace().collect::<Vec<_>>().join(" ")
+        SETTINGS.split_whitespace().collect::<Vec<_>>().join(" ")
     )
 }
 
-fn play(input: &str) -> String {
+fn run(input: &str) -> String {
     let mut output = Vec::new();
     Host::new()
         .run(input.as_bytes(), &mut output)
@@ -28,7 +29,7 @@
     String::from_utf8(output).expect("text")
 }
 
-fn drill(input: &str) -> Output {
+fn run_process(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_milletturn-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -45,12 +46,12 @@
 }
 
 #[test]
-fn a_message_goes_out_and_ends() {
+fn a_message_is_sent() {
     let input = format!(
         "batch 1.5\n{}eof_batch\n\nbatch 2\ndemand sender/3 m1 10.0 - - 0 5 - notice\neof_batch\n",
-        start(3)
+        start_lines(3)
     );
-    let reply = play(&input);
+    let reply = run(&input);
     let issue = reply
         .lines()
         .find(|line| line.starts_with("issue "))
@@ -62,7 +63,7 @@
 
 #[test]
 fn malformed_lines_stop_the_adapter_with_the_line_number() {
-    let good = format!("batch 1\n{}", start(3));
+    let good = format!("batch 1\n{}", start_lines(3));
     let cases = [
         (
             "batch x\n".to_string(),
@@ -74,7 +75,7 @@
         ),
         (
             format!("{good}gossip sender/3\n"),
-            "line 7: expected a known message, found 'gossip'",
+            "line 7: expected a known line kind, found 'gossip'",
         ),
         (
             format!("{good}tick_due sender/9 wake\n"),
@@ -82,7 +83,7 @@
         ),
         (
             format!("{good}announce sender/3 full 4 2\n"),
-            "line 7: expected a list sent before, found '4'",
+            "line 7: expected the number of an earlier list, found '4'",
         ),
         (
             format!("{good}demand sender/3 m1 soon - - 0 5 - notice\n"),
@@ -110,7 +111,7 @@
         ),
     ];
     for (input, expected) in cases {
-        let output = drill(&input);
+        let output = run_process(&input);
         assert_eq!(output.status.code(), Some(2), "{input}");
         assert!(output.stdout.is_empty());
         let error = String::from_utf8(output.stderr).expect("text");
@@ -123,16 +124,16 @@
     for input in [
         String::new(),
         "batch 1\neof_batch\n".into(),
-        format!("batch 1\n{}eof_batch\n\n", start(0)),
+        format!("batch 1\n{}eof_batch\n\n", start_lines(0)),
     ] {
-        let output = drill(&input);
+        let output = run_process(&input);
         assert_eq!(output.status.code(), Some(0));
         assert!(output.stderr.is_empty());
     }
 }
 
 #[test]
-fn senseless_settings_are_named() {
+fn errors_name_the_invalid_setting() {
     for (from, to, named) in [
         ("safety.fall=2.0", "safety.fall=-2", "safety.fall is '-2'"),
         ("safety.fall=2.0", "", "safety.fall is missing"),
@@ -157,9 +158,9 @@
             "call_slots must be above zero",
         ),
     ] {
-        let output = drill(&format!(
+        let output = run_process(&format!(
             "batch 1\n{}eof_batch\n",
-            start(3).replace(from, to)
+            start_lines(3).replace(from, to)
         ));
         assert_eq!(output.status.code(), Some(2), "{to}");
         let error = String::from_utf8(output.stderr).expect("text");
@@ -168,16 +169,16 @@
 }
 
 #[test]
-fn a_restart_in_the_batch_of_a_stop_forgets_the_old_life() {
+fn an_instance_restarted_in_the_batch_of_its_crash_has_no_earlier_messages() {
     let input = format!(
         "batch 1\n{}demand sender/3 m1 10.0 - - 0 5 - notice\neof_batch\n\
          batch 2\ndemand sender/3 m2 10.0 - - 0 5 - notice\ncrash_now sender/3\n{}\
          demand sender/3 m3 10.0 - - 0 5 - notice\neof_batch\n\
          batch 9\ntick_due sender/3 wake\neof_batch\nbatch 10\ncrash_now sender/3\neof_batch\n",
-        start(3),
-        start(3)
+        start_lines(3),
+        start_lines(3)
     );
-    let reply = play(&input);
+    let reply = run(&input);
     let turns: Vec<&str> = reply.split("ready\n").collect();
     assert!(turns[0].contains("issue sender/3 m1"));
     assert!(
@@ -186,23 +187,23 @@
             && !turns[1].contains("m2")
     );
     assert!(!turns[2].contains("m1") && !turns[2].contains("m2"));
-    assert_eq!(turns[3], "", "a stopped instance is silent");
+    assert_eq!(turns[3], "", "a crashed instance sends no actions");
 }
 
 #[test]
-fn a_reused_list_number_is_read_in_order() {
+fn a_list_with_a_reused_number_replaces_the_earlier_list() {
     let input = format!(
         "batch 1\n{}manifest 0 1\nrow e9 a big 5 SERVING 1 -\nannounce sender/3 full 0 2\n\
          demand sender/3 m1 10.0 - - 0 5 - notice\neof_batch\n",
-        start(3)
+        start_lines(3)
     );
-    assert!(play(&input).contains(" e9\n"));
+    assert!(run(&input).contains(" e9\n"));
 }
 
 fn traffic(ids: &[u32]) -> String {
     let mut text = String::from("batch 1\n");
     for id in ids {
-        text.push_str(&start(*id));
+        text.push_str(&start_lines(*id));
     }
     text.push_str("eof_batch\n");
     for n in 0..40 {
@@ -227,11 +228,11 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions_together_and_apart() {
-    let together = play(&traffic(&[1, 2]));
-    assert_eq!(together, play(&traffic(&[1, 2])));
+fn an_instance_acts_the_same_alone_and_beside_another() {
+    let together = run(&traffic(&[1, 2]));
+    assert_eq!(together, run(&traffic(&[1, 2])));
     for id in [1, 2] {
-        let apart = lines_of(&play(&traffic(&[id])), id);
+        let apart = lines_of(&run(&traffic(&[id])), id);
         assert!(apart.len() > 10, "{} lines", apart.len());
         assert_eq!(lines_of(&together, id), apart);
     }
