--- a/crates/engine/tests/ambiguous_responses.rs
+++ b/crates/engine/tests/ambiguous_responses.rs
@@ -1,4 +1,4 @@
-//! Responses that may be copies of earlier ones: what the journal and the next process know of their attempts.
+//! Ambiguous responses, which may be duplicates of earlier ones: what the journal records about their attempts.
 
 mod common;
 
@@ -11,7 +11,8 @@
 /// The position of the class whose messages must never run twice.
 const AT_MOST_ONCE: usize = 1;
 
-/// The attempt of a message that is rejected, as the journal holds it, and its call.
+/// Submits a message whose attempt is rejected. Returns the attempt as the journal holds it, and whether the call was
+/// marked `at_most_once`.
 async fn attempt_after_rejection(class: usize, ambiguous: bool) -> (AttemptStarted, bool) {
     let (calls, journal) = (RecordingTransport::default(), MemoryJournal::default());
     let mut settings = common::keyed_settings(40, 50, 1);
@@ -45,7 +46,7 @@
         connection_use: None,
     };
     inputs.send(Input::AttemptEnded(rejection)).expect("open");
-    // an answer to this comes behind the turn of the end
+    // the reply to this input shows that the engine has received the end of the attempt
     let (reply, status) = tokio::sync::oneshot::channel();
     inputs.send(Input::GetStatus(reply)).expect("open");
     status.await.expect("the engine runs");
@@ -68,7 +69,7 @@
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn a_call_says_whether_its_messages_must_run_once() {
+async fn a_call_is_marked_if_its_messages_must_not_run_twice() {
     LocalSet::new()
         .run_until(async {
             for (class, expected) in [(0, false), (AT_MOST_ONCE, true)] {
--- a/crates/engine/tests/bundles.rs
+++ b/crates/engine/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! Messages that share a call.
+//! Batches: messages that share a call.
 
 mod common;
 
@@ -12,7 +12,7 @@
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_shared_call_expires_with_the_first_of_its_messages() {
-    // an answer behind the first deadline counts as unanswered at the far side, for all messages of the call
+    // a response after the earliest deadline counts as no response, for all messages of the call
     LocalSet::new()
         .run_until(async {
             let calls = RecordingTransport::default();
--- a/crates/engine/tests/common/mod.rs
+++ b/crates/engine/tests/common/mod.rs
@@ -1,13 +1,13 @@
-//! Settings that the tests of the engine share.
+//! Settings shared by the engine's tests.
 
 use milletturn_policy::{Class, Effect, Kind, SECOND, Settings};
 
-/// Settings with one kind of destination, `one`, and a class `keyed` whose window is 12 s. Messages of all classes
-/// may take 20 s.
+/// Settings with one kind of destination, `one`, and one class, `keyed`, with a deduplication window of 12 s and a
+/// deadline of 20 s.
 pub(crate) fn keyed_settings(
     slots: usize,
     max_open_messages: usize,
-    bundle_max: usize,
+    max_batch_size: usize,
 ) -> Settings {
     let mut settings = Settings::new(slots, max_open_messages);
     let keyed = Effect::Keyed {
@@ -20,7 +20,7 @@
     settings.kinds.push(Kind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max,
+        bundle_max: max_batch_size,
     });
     settings
 }
--- a/crates/engine/tests/golden_snapshot/main.rs
+++ b/crates/engine/tests/golden_snapshot/main.rs
@@ -1,62 +1,63 @@
-//! The snapshot that one process hands to the next, byte for byte as earlier builds of this form wrote it. It is
-//! encoded by position: the order of fields and variants is its form, their names are not.
+//! Guards the format of the snapshot that one process passes to the next: a stored snapshot of an earlier build must
+//! be read, and written again byte for byte. The encoding depends on the order of fields and variants, not on their
+//! names.
 
 mod layout;
 mod scenario;
 
-use layout::{MILLISECOND, layout, messages, routes};
+use layout::{MILLISECOND, decode_layout, messages, routes};
 use milletturn_engine::{Engine, RestoredEngine, Snapshot};
 use milletturn_policy::{MessageId, Outcome};
 use milletturn_test_support::{MemoryJournal, RecordingTransport, START};
 use scenario::{engine, ports_of, settings};
 use tokio::task::LocalSet;
 
-/// A snapshot of form 7, see `engine`.
+/// A snapshot in version 7 of the format, of the engine that [`engine`] builds.
 const SNAPSHOT: &[u8] = include_bytes!("snapshot.bin");
 
-/// Numbers of the calls that are out, and how many messages are in each.
-const REMOTE: &[(u64, usize)] = &[(3, 1), (4, 1), (5, 1), (6, 2)];
+/// Numbers of the calls in flight, and how many messages are in each.
+const CALLS_IN_FLIGHT: &[(u64, usize)] = &[(3, 1), (4, 1), (5, 1), (6, 2)];
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn an_engine_is_written_and_restored_byte_for_byte() {
     LocalSet::new()
         .run_until(async {
             let journal = MemoryJournal::default();
-            let world = engine(&journal).await;
-            let written = world.engine.snapshot().expect("encoded");
+            let fixture = engine(&journal).await;
+            let written = fixture.engine.snapshot().expect("encoded");
             assert!(
                 written == SNAPSHOT,
-                "{} bytes are not the {} of before",
+                "{} bytes written, which are not the {} stored ones",
                 written.len(),
                 SNAPSHOT.len()
             );
-            drop(world);
-            let (ports, _notices) = ports_of(&journal, &RecordingTransport::default());
+            drop(fixture);
+            let (ports, _notifications) = ports_of(&journal, &RecordingTransport::default());
             let snapshot = Snapshot::decode(SNAPSHOT).expect("read");
             let RestoredEngine {
                 engine,
-                foreign_calls: remote,
+                foreign_calls,
             } = Engine::restore(snapshot, ports).expect("settings");
             let rewritten = engine.snapshot().expect("encoded");
             assert!(
                 rewritten == SNAPSHOT,
-                "{} bytes are not the {} of before",
+                "{} bytes written, which are not the {} stored ones",
                 rewritten.len(),
                 SNAPSHOT.len()
             );
-            let remote: Vec<(u64, usize)> = remote
+            let foreign_calls: Vec<(u64, usize)> = foreign_calls
                 .iter()
-                .map(|remote| (remote.call, remote.items))
+                .map(|foreign| (foreign.call, foreign.items))
                 .collect();
-            assert_eq!(remote, REMOTE);
-            assert_eq!(engine.calls_in_flight(), REMOTE.len());
+            assert_eq!(foreign_calls, CALLS_IN_FLIGHT);
+            assert_eq!(engine.calls_in_flight(), CALLS_IN_FLIGHT.len());
         })
         .await;
 }
 
 #[test]
 fn each_value_is_decoded_from_its_position() {
-    let found = layout(SNAPSHOT);
+    let found = decode_layout(SNAPSHOT);
     assert_eq!(found.now, START + 1062 * MILLISECOND);
     let names = ["unsafe", "keyed", "ordered"].map(String::from).to_vec();
     assert_eq!(found.classes, (settings().classes, vec![true; 3], names));
@@ -69,7 +70,7 @@
     );
     assert_eq!(
         (
-            &found.bundle_max[..],
+            &found.max_batch_size[..],
             found.max_open_messages,
             found.max_attempts
         ),
@@ -91,7 +92,7 @@
         (found.alarm, found.ready),
         (Some(START + 1578 * MILLISECOND), true)
     );
-    // nothing stands between these
+    // the values above are the whole payload: encoding them again gives the same bytes
     let rewritten = postcard::to_allocvec(&found).expect("encoded");
     assert_eq!(rewritten, SNAPSHOT[..SNAPSHOT.len() - 4]);
 }
@@ -114,13 +115,13 @@
             ];
             for (outcome, number) in outcomes {
                 assert_eq!(postcard::to_allocvec(&outcome).expect("encoded")[0], number);
-                let mut changed = layout(SNAPSHOT);
+                let mut changed = decode_layout(SNAPSHOT);
                 changed.messages[1].end =
                     Some((START, Some([None, Some(1500)][usize::from(number) % 2])));
                 changed.messages[0].attempts[0].outcome = Some(outcome);
                 let mut bytes = postcard::to_allocvec(&changed).expect("encoded");
                 bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
-                let (ports, _notices) = ports_of(&journal, &RecordingTransport::default());
+                let (ports, _notifications) = ports_of(&journal, &RecordingTransport::default());
                 let snapshot = Snapshot::decode(&bytes).expect("read");
                 let restored = Engine::restore(snapshot, ports).expect("settings");
                 assert_eq!(restored.engine.snapshot().expect("encoded"), bytes);
--- a/crates/engine/tests/golden_snapshot/scenario.rs
+++ b/crates/engine/tests/golden_snapshot/scenario.rs
@@ -1,4 +1,4 @@
-//! The engine whose snapshot is stored, and the steps that bring it there.
+//! The engine whose snapshot is stored, and the inputs that bring it into that state.
 
 use super::layout::MILLISECOND;
 use milletturn_engine::{
@@ -68,75 +68,78 @@
             ..listed(77)
         },
     ];
-    let (notice, notices) = mpsc::unbounded_channel();
+    let (notification_sender, notifications) = mpsc::unbounded_channel();
     let ports = Ports {
         zones: vec!["east".into(), "west".into()],
         kinds: vec!["one".into(), "many".into()],
-        notifications: notice,
+        notifications: notification_sender,
         ..ports(settings(), endpoints, journal, calls.clone())
     };
-    (ports, notices)
+    (ports, notifications)
 }
 
-pub(crate) struct World {
+pub(crate) struct Fixture {
     pub(crate) engine: Engine,
     pub(crate) inputs: mpsc::UnboundedSender<Input>,
-    pub(crate) received: mpsc::UnboundedReceiver<Input>,
+    pub(crate) received_inputs: mpsc::UnboundedReceiver<Input>,
     pub(crate) calls: RecordingTransport,
-    pub(crate) _notices: mpsc::UnboundedReceiver<Notification>,
+    pub(crate) _notifications: mpsc::UnboundedReceiver<Notification>,
 }
 
-impl World {
+impl Fixture {
     fn new(journal: &MemoryJournal) -> Self {
         let calls = RecordingTransport::default();
-        let (ports, notices) = ports_of(journal, &calls);
-        let (inputs, received) = mpsc::unbounded_channel();
+        let (ports, notifications) = ports_of(journal, &calls);
+        let (inputs, received_inputs) = mpsc::unbounded_channel();
         let engine = Engine::new(ports).expect("settings");
-        World {
+        Fixture {
             engine,
             inputs,
-            received,
+            received_inputs,
             calls,
-            _notices: notices,
+            _notifications: notifications,
         }
     }
 
-    fn hand_in(
+    fn submit(
         &self,
         id: &str,
         class: usize,
         destination: u64,
-        time: Micros,
-        of: (Option<&str>, Option<&str>),
+        time_to_live: Micros,
+        subject_and_tenant: (Option<&str>, Option<&str>),
     ) {
         let shared = |text: &str| SharedStr::new(text.as_bytes()).expect("a valid id");
         let (mut arrival, _) = arrival(id, class, class == 1);
-        (arrival.destination, arrival.time_to_live) = (destination, time);
-        (arrival.subject, arrival.tenant) = (of.0.map(shared), of.1.map(shared));
+        (arrival.destination, arrival.time_to_live) = (destination, time_to_live);
+        (arrival.subject, arrival.tenant) = (
+            subject_and_tenant.0.map(shared),
+            subject_and_tenant.1.map(shared),
+        );
         self.inputs.send(Input::Arrived(arrival)).expect("open");
     }
 
-    async fn run_for(&mut self, milliseconds: u64) {
+    async fn run_for_ms(&mut self, duration_ms: u64) {
         tokio::select! {
-            () = self.engine.run(&mut self.received) => unreachable!("its inputs are open"),
-            () = sleep(Duration::from_millis(milliseconds)) => {}
+            () = self.engine.run(&mut self.received_inputs) => unreachable!("its inputs are open"),
+            () = sleep(Duration::from_millis(duration_ms)) => {}
         }
     }
 
-    /// Ends the last call that carries the message.
-    fn end(&self, id: &str, outcome: Outcome, closed: bool) {
+    /// Ends the attempt for the message in the last call that carries the message.
+    fn end_attempt(&self, id: &str, outcome: Outcome, closed: bool) {
         let calls = self.calls.0.borrow();
         let carries = |call: &&Call| call.items.iter().any(|item| item.id.as_str() == id);
         let call = calls.iter().rev().find(carries).expect("a call");
-        let item = call
+        let position = call
             .items
             .iter()
             .position(|item| item.id.as_str() == id)
-            .expect("in it");
+            .expect("the call carries the message");
         let call = call.number;
         let ended = AttemptEnd {
             call,
-            position: item,
+            position,
             outcome,
             closed,
             report: Vec::new(),
@@ -148,41 +151,42 @@
     }
 }
 
-/// An engine with messages in each state that a snapshot can hold.
-pub(crate) async fn engine(journal: &MemoryJournal) -> World {
-    let mut world = World::new(journal);
-    world.hand_in("delivered", 1, 1, 20 * SECOND, (None, None));
-    world.hand_in("failed", 0, 2, 20 * SECOND, (None, Some("acme")));
-    world.hand_in("given-back", 1, 9, 30 * MILLISECOND, (None, None));
-    world.run_for(10).await;
-    world.end("delivered", Outcome::Success, true);
-    world.end("failed", Outcome::Reset, false);
-    world.run_for(40).await;
-    // one is out after a refusal, one has ended with its call still out, two travel together, two are of one subject, one waits for an endpoint
-    world.hand_in("refused-once", 1, 1, 20 * SECOND, (None, None));
-    world.run_for(5).await;
-    world.end(
+/// Builds an engine with messages in each state that a snapshot can hold.
+pub(crate) async fn engine(journal: &MemoryJournal) -> Fixture {
+    let mut fixture = Fixture::new(journal);
+    fixture.submit("delivered", 1, 1, 20 * SECOND, (None, None));
+    fixture.submit("failed", 0, 2, 20 * SECOND, (None, Some("acme")));
+    fixture.submit("given-back", 1, 9, 30 * MILLISECOND, (None, None));
+    fixture.run_for_ms(10).await;
+    fixture.end_attempt("delivered", Outcome::Success, true);
+    fixture.end_attempt("failed", Outcome::Reset, false);
+    fixture.run_for_ms(40).await;
+    // one message is in flight again after a rejection, one has ended while its call is in flight, two share a call,
+    // two have the same subject, and one waits for an endpoint
+    fixture.submit("refused-once", 1, 1, 20 * SECOND, (None, None));
+    fixture.run_for_ms(5).await;
+    fixture.end_attempt(
         "refused-once",
         Outcome::Refused {
             wait: Some(20 * MILLISECOND),
         },
         false,
     );
-    world.run_for(600).await;
-    world.hand_in("late", 1, 3, 300 * MILLISECOND, (None, None));
-    world.run_for(400).await;
-    world.hand_in("together-1", 0, 3, 9 * SECOND, (None, None));
-    world.hand_in("together-2", 0, 3, 8 * SECOND, (None, None));
-    world.hand_in(
+    fixture.run_for_ms(600).await;
+    fixture.submit("late", 1, 3, 300 * MILLISECOND, (None, None));
+    fixture.run_for_ms(400).await;
+    fixture.submit("together-1", 0, 3, 9 * SECOND, (None, None));
+    fixture.submit("together-2", 0, 3, 8 * SECOND, (None, None));
+    fixture.submit(
         "in-order-1",
         2,
         4,
         12 * SECOND,
         (Some("account-9"), Some("acme")),
     );
-    world.hand_in("in-order-2", 2, 4, 12 * SECOND, (Some("account-9"), None));
-    world.hand_in("no-endpoint", 1, 77, 5 * SECOND, (None, None));
-    world.hand_in("no-endpoint", 1, 77, 5 * SECOND, (None, None));
-    world.run_for(7).await;
-    world
+    fixture.submit("in-order-2", 2, 4, 12 * SECOND, (Some("account-9"), None));
+    fixture.submit("no-endpoint", 1, 77, 5 * SECOND, (None, None));
+    fixture.submit("no-endpoint", 1, 77, 5 * SECOND, (None, None));
+    fixture.run_for_ms(7).await;
+    fixture
 }
--- a/crates/engine/tests/redrives.rs
+++ b/crates/engine/tests/redrives.rs
@@ -1,4 +1,4 @@
-//! Redrives from the archive, with a whole engine in virtual time.
+//! Redrives from the archive, tested with a complete engine in virtual time.
 
 mod common;
 
@@ -17,7 +17,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
-/// An archive in memory that is full while a test wants it.
+/// An archive in memory that rejects messages while `full` is set.
 #[derive(Clone, Default)]
 struct MemoryArchive {
     stored: Rc<RefCell<VecDeque<ArchivedMessage>>>,
@@ -44,7 +44,7 @@
     journal: MemoryJournal,
     archive: MemoryArchive,
     outside: Outside,
-    /// What becomes of each call.
+    /// How each call ends.
     call_script: Rc<Cell<Fate>>,
 }
 
@@ -96,12 +96,12 @@
         }
     }
 
-    fn hand_in(&self, id: &str, class: usize) -> oneshot::Receiver<ArrivalOutcome> {
-        let (arrival, answer) = arrival(id, class, true);
+    fn submit(&self, id: &str, class: usize) -> oneshot::Receiver<ArrivalOutcome> {
+        let (arrival, reply) = arrival(id, class, true);
         self.inputs
             .send(Input::Arrived(arrival))
             .expect("the engine runs");
-        answer
+        reply
     }
 
     fn redrive(
@@ -109,11 +109,11 @@
         number: u64,
         id: &str,
         class: &str,
-        uncertain_attempt: Option<Micros>,
+        uncertain_sent_at: Option<Micros>,
     ) -> oneshot::Receiver<RedriveOutcome> {
-        let (reply, answer) = oneshot::channel();
+        let (reply_sender, reply) = oneshot::channel();
         let message_id = SharedStr::new(id.as_bytes()).expect("a valid id");
-        let uncertain_attempt = uncertain_attempt.map(|sent_at| UncertainAttempt {
+        let uncertain_attempt = uncertain_sent_at.map(|sent_at| UncertainAttempt {
             uid: "s-1".into(),
             sent_at,
         });
@@ -128,9 +128,12 @@
             uncertain_attempt,
         };
         self.inputs
-            .send(Input::Redrive(RedriveRequest { order, reply }))
+            .send(Input::Redrive(RedriveRequest {
+                order,
+                reply: reply_sender,
+            }))
             .expect("the engine runs");
-        answer
+        reply
     }
 
     fn calls(&self) -> Vec<String> {
@@ -143,32 +146,35 @@
     }
 }
 
-fn play<T>(scene: impl Future<Output = T>) -> T {
+fn run_in_virtual_time<T>(test: impl Future<Output = T>) -> T {
     let builder = &mut tokio::runtime::Builder::new_current_thread();
     let runtime = builder
         .enable_time()
         .start_paused(true)
         .build()
         .expect("a runtime");
-    LocalSet::new().block_on(&runtime, scene)
+    LocalSet::new().block_on(&runtime, test)
 }
 
-async fn wait(millis: u64) {
-    sleep(Duration::from_millis(millis)).await;
+async fn wait_ms(duration_ms: u64) {
+    sleep(Duration::from_millis(duration_ms)).await;
 }
 
-/// Fails message 1 of class `unsafe`, has it archived, and asks for its redrive at each step before that.
+/// Makes message 1 of class `unsafe` fail and get archived. Each redrive requested before that must be rejected.
 async fn fail_and_archive(engine: &mut TestEngine) {
     engine.archive.full.set(true);
-    assert_eq!(engine.hand_in("m1", 0).await, Ok(ArrivalOutcome::Accepted));
-    // its call is in flight
+    assert_eq!(engine.submit("m1", 0).await, Ok(ArrivalOutcome::Accepted));
+    // the message's call is in flight
     assert_eq!(
         engine.redrive(1, "m1", "unsafe", None).await,
         Ok(RedriveOutcome::InFlight)
     );
-    wait(100).await;
-    let notification = engine.notifications.try_recv().expect("it has failed");
-    // its notification is not confirmed, and the archive does not have it
+    wait_ms(100).await;
+    let notification = engine
+        .notifications
+        .try_recv()
+        .expect("the message has failed");
+    // the notification is not confirmed, and the archive does not have the message
     assert_eq!(
         engine.redrive(1, "m1", "unsafe", None).await,
         Ok(RedriveOutcome::InFlight)
@@ -183,30 +189,30 @@
     );
     assert!(
         engine.journal.unfinished.borrow().contains_key(&1),
-        "the journal has it while nothing else does"
+        "the journal must hold the message until the archive has it"
     );
     engine.archive.full.set(false);
-    wait(600).await;
+    wait_ms(600).await;
     assert_eq!(
         engine.archive.stored.borrow().len(),
         1,
-        "it is offered again"
+        "the message is offered to the archive again"
     );
     assert!(
         engine.journal.unfinished.borrow().contains_key(&1),
-        "until the archive reports that it is stored"
+        "the journal must hold the message until the archive reports it as stored"
     );
     engine.inputs.send(Input::Archived(vec![1])).expect("sent");
-    wait(10).await;
+    wait_ms(10).await;
     assert!(engine.journal.unfinished.borrow().is_empty());
 }
 
 #[test]
 fn a_redrive_waits_until_the_original_is_notified_and_archived() {
-    play(async {
+    run_in_virtual_time(async {
         let mut engine = TestEngine::start(8, 100);
         fail_and_archive(&mut engine).await;
-        // of two requests at once, one counts
+        // of two concurrent requests, only the first is accepted
         engine.call_script.set(SUCCESS);
         let (first, second) = (
             engine.redrive(1, "m1", "unsafe", None),
@@ -216,7 +222,7 @@
             (first.await, second.await),
             (Ok(RedriveOutcome::Accepted), Ok(RedriveOutcome::InFlight))
         );
-        wait(100).await;
+        wait_ms(100).await;
         assert_eq!(engine.calls(), ["m1", "m1"]);
         let ended = engine
             .archive
@@ -224,23 +230,23 @@
             .borrow()
             .back()
             .cloned()
-            .expect("its end is archived");
+            .expect("the end of the redrive is archived");
         assert_eq!(
             (ended.ending, ended.redriven, ended.attempts.len()),
             (Ending::Delivered, true, 1)
         );
         assert!(
             engine.notifications.try_recv().is_err(),
-            "its client has had its one final outcome"
+            "a redrive must not notify the client a second time"
         );
     });
 }
 
 #[test]
-fn a_redrive_ends_with_the_window_of_its_key() {
-    play(async {
+fn a_redrive_ends_with_the_deduplication_window_of_its_key() {
+    run_in_virtual_time(async {
         let engine = TestEngine::start(8, 100);
-        wait(15_000).await;
+        wait_ms(15_000).await;
         let now = START + 15 * SECOND;
         for (sent_at, expected) in [
             (now - 12 * SECOND, RedriveOutcome::TooLate),
@@ -248,7 +254,7 @@
                 now - 12 * SECOND + 50 * MILLISECOND,
                 RedriveOutcome::TooLate,
             ),
-            // the clock stands before the attempt
+            // the attempt is in the future: the clock was set back
             (now + SECOND, RedriveOutcome::TooLate),
             (now - 11 * SECOND, RedriveOutcome::Accepted),
         ] {
@@ -259,8 +265,8 @@
                 "{sent_at}"
             );
         }
-        // the accepted one fails until its window ends, and not a moment longer
-        wait(3_000).await;
+        // the accepted redrive is attempted until the deduplication window ends, and no longer
+        wait_ms(3_000).await;
         assert!(!engine.calls().is_empty());
         let calls = engine.outside.calls.borrow().clone();
         assert!(
@@ -273,7 +279,7 @@
             .borrow()
             .back()
             .cloned()
-            .expect("it ends in the archive");
+            .expect("the undelivered message is archived again");
         assert_eq!(
             (ended.redriven, ended.ending == Ending::Delivered),
             (true, false)
@@ -283,43 +289,43 @@
 }
 
 #[test]
-fn fresh_messages_go_before_redrives_which_take_up_a_share_only() {
-    play(async {
+fn new_messages_precede_redrives_whose_number_is_limited() {
+    run_in_virtual_time(async {
         let engine = TestEngine::start(1, 16);
-        // a silent call occupies the only slot
+        // a call without a response for 300 ms occupies the only slot
         engine.call_script.set(Fate {
             runs_after: None,
             tells: Some((Duration::from_millis(300), Outcome::Success)),
         });
         assert_eq!(
-            engine.hand_in("first", 1).await,
+            engine.submit("first", 1).await,
             Ok(ArrivalOutcome::Accepted)
         );
         let redrives: Vec<_> = (100..104)
             .map(|number| engine.redrive(number, "again", "keyed", None))
             .collect();
-        let mut answers = Vec::new();
+        let mut outcomes = Vec::new();
         for redrive in redrives {
-            answers.push(redrive.await.expect("answered"));
+            outcomes.push(redrive.await.expect("an outcome"));
         }
-        assert_eq!(answers[..2], [RedriveOutcome::Accepted; 2]);
+        assert_eq!(outcomes[..2], [RedriveOutcome::Accepted; 2]);
         assert_eq!(
-            answers[2..],
+            outcomes[2..],
             [RedriveOutcome::Busy; 2],
-            "an eighth of what may be open"
+            "redrives are limited to an eighth of the 16 messages that may be open"
         );
         assert_eq!(
-            engine.hand_in("fresh", 1).await,
+            engine.submit("fresh", 1).await,
             Ok(ArrivalOutcome::Accepted)
         );
-        wait(3_000).await;
+        wait_ms(3_000).await;
         assert_eq!(engine.calls(), ["first", "fresh", "again", "again"]);
     });
 }
 
 #[test]
-fn redrives_are_rejected_while_many_fresh_messages_are_open() {
-    play(async {
+fn redrives_are_rejected_while_half_of_the_allowed_messages_are_open() {
+    run_in_virtual_time(async {
         let engine = TestEngine::start(1, 16);
         engine.call_script.set(Fate {
             runs_after: None,
@@ -327,7 +333,7 @@
         });
         for number in 0..8 {
             assert_eq!(
-                engine.hand_in(&format!("m{number}"), 1).await,
+                engine.submit(&format!("m{number}"), 1).await,
                 Ok(ArrivalOutcome::Accepted)
             );
         }
--- a/crates/engine/tests/start_requests.rs
+++ b/crates/engine/tests/start_requests.rs
@@ -1,4 +1,4 @@
-//! Calls that ask whether they may still start, because their connection was slow to come up.
+//! Calls whose connection took long to open: they ask the engine whether they may still start.
 
 mod common;
 
@@ -44,15 +44,15 @@
 }
 
 fn request_start(inputs: &mpsc::UnboundedSender<Input>, call: u64) -> oneshot::Receiver<Instant> {
-    let (reply, answer) = oneshot::channel();
+    let (reply_sender, reply) = oneshot::channel();
     inputs
-        .send(Input::RequestStart(call, reply))
+        .send(Input::RequestStart(call, reply_sender))
         .expect("the engine runs");
-    answer
+    reply
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn a_call_must_not_start_after_its_destination_asked_for_a_pause() {
+async fn a_call_must_not_start_after_its_destination_asked_callers_to_wait() {
     LocalSet::new()
         .run_until(async {
             let calls = RecordingTransport::default();
@@ -71,17 +71,17 @@
             let (first, second) = (calls.0.borrow()[0].number, calls.0.borrow()[1].number);
             let write_by = request_start(&inputs, second)
                 .await
-                .expect("nothing speaks against it");
+                .expect("the call may start");
             assert!(
                 write_by > Instant::now()
                     && write_by <= Instant::now() + std::time::Duration::from_secs(20)
             );
-            // in one turn: the pause counts though the decision module hears of it together with the request
+            // both inputs are handled in one turn, and the wait must already apply to the request
             inputs.send(rejection(first, 3 * SECOND)).expect("open");
-            let answer = request_start(&inputs, second);
+            let reply = request_start(&inputs, second);
             assert!(
-                answer.await.is_err(),
-                "the destination has asked for a pause"
+                reply.await.is_err(),
+                "the destination has asked callers to wait"
             );
             assert!(
                 request_start(&inputs, 99).await.is_err(),
