--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -26,7 +26,7 @@
 /// How often idle connections are evicted, and failed writes to the journal and the archive are retried.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Delivers messages: owns them and the decision module, and drives both by events from its ports.
+/// Owns the messages and the decision module, and connects the decision module to the ports.
 pub struct Engine {
     /// Decides which message is sent where and when, without I/O of its own.
     pub(crate) decision_module: Sender,
@@ -189,7 +189,8 @@
         self.reply_to_start_requests(now);
     }
 
-    /// Performs one action of the decision module, except that sends are collected in `batches`.
+    /// Performs one action of the decision module. Sends are only added to `batches`, whose calls start at the end of
+    /// the turn.
     fn perform(&mut self, now: Micros, action: Action, batches: &mut Vec<Batch>) {
         match action {
             Action::Send {
--- a/crates/engine/src/redrive.rs
+++ b/crates/engine/src/redrive.rs
@@ -9,7 +9,7 @@
     EndpointId, Event, MILLISECOND, MessageId, Micros, NewMessage, PastAttempt,
 };
 
-/// At most the limit on open messages divided by this number of redrives may be open at once, and always one.
+/// Open redrives are limited to the limit on open messages divided by this number, but at least to one.
 const REDRIVE_CAPACITY_DIVISOR: usize = 8;
 /// No redrive is accepted once the number of open messages reaches the limit on open messages divided by this number,
 /// so that new messages have precedence.
@@ -50,7 +50,7 @@
             key: order.key.as_ref().map(ToString::to_string),
             class: order.class,
             effect: self.classes.effect(class),
-            // a redrive happens long after the message's place in the order, so no other message waits for it
+            // no subject: a redriven message has long lost its place in the order, and must not delay other messages
             subject: None,
             tenant: None,
             destination: order.destination,
--- a/crates/engine/src/retention.rs
+++ b/crates/engine/src/retention.rs
@@ -14,7 +14,7 @@
     notified: bool,
     /// The archive has stored the message.
     archived: bool,
-    /// The message itself, as long as the archive had no capacity to take it.
+    /// The message itself, until the archive has capacity to take it.
     unarchived: Option<Box<ArchivedMessage>>,
 }
 
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -25,11 +25,11 @@
 }
 
 impl ActionNames<'_> {
-    fn message(&self, id: MessageId) -> &str {
+    fn message_name(&self, id: MessageId) -> &str {
         self.messages.name(id.0)
     }
 
-    fn endpoint(&self, id: EndpointId) -> &str {
+    fn endpoint_name(&self, id: EndpointId) -> &str {
         self.endpoints.name(u64::from(id.0))
     }
 
@@ -42,29 +42,34 @@
                 endpoint,
                 expires,
             } => {
-                let (message, endpoint) = (self.message(*message), self.endpoint(*endpoint));
+                let (message, endpoint) =
+                    (self.message_name(*message), self.endpoint_name(*endpoint));
                 let expires = Seconds(*expires);
                 writeln!(reply, "issue {id} {message} {expires} {endpoint}")
             }
             Action::Cancel { message, attempt } => {
-                writeln!(reply, "withdraw {id} {} {attempt}", self.message(*message))
+                writeln!(
+                    reply,
+                    "withdraw {id} {} {attempt}",
+                    self.message_name(*message)
+                )
             }
             Action::Refuse { message, wait } => {
-                let message = self.message(*message);
+                let message = self.message_name(*message);
                 match wait {
                     Some(wait) => writeln!(reply, "shed {id} {message} {}", Seconds(*wait)),
                     None => writeln!(reply, "shed {id} {message} -"),
                 }
             }
             Action::Fail(message) => {
-                writeln!(reply, "report_failure {id} {}", self.message(*message))
+                writeln!(reply, "report_failure {id} {}", self.message_name(*message))
             }
             Action::SetAlarm(at) => writeln!(reply, "set_alarm {id} {} wake", Seconds(*at)),
             Action::Probe(endpoint) => {
-                writeln!(reply, "health_check {id} {}", self.endpoint(*endpoint))
+                writeln!(reply, "health_check {id} {}", self.endpoint_name(*endpoint))
             }
             Action::Disconnect(endpoint) => {
-                writeln!(reply, "disconnect {id} {}", self.endpoint(*endpoint))
+                writeln!(reply, "disconnect {id} {}", self.endpoint_name(*endpoint))
             }
             Action::Subscribe => writeln!(reply, "listen {id} 1"),
             Action::Note(bytes) => writeln!(reply, "publish {id} -1 {}", encode(bytes)),
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -2,7 +2,7 @@
 
 use crate::base64::decode;
 use crate::error::{Malformed, malformed};
-use crate::fields::{Fields, outcome, parse_integer, parse_number};
+use crate::fields::{Fields, outcome_from, parse_integer, parse_number};
 use crate::interner::Interner;
 use milletturn_platform_settings::{SettingNames, position};
 use milletturn_policy::{
@@ -30,30 +30,30 @@
 }
 
 impl EventNames {
-    fn message(&mut self, fields: &mut Fields) -> Result<MessageId, Malformed> {
+    fn parse_message(&mut self, fields: &mut Fields) -> Result<MessageId, Malformed> {
         let name = fields.text("a message id")?;
         Ok(MessageId(self.messages.number(name)))
     }
 
-    fn endpoint(&mut self, fields: &mut Fields) -> Result<EndpointId, Malformed> {
+    fn parse_endpoint(&mut self, fields: &mut Fields) -> Result<EndpointId, Malformed> {
         let name = fields.text("an endpoint")?;
         Ok(EndpointId(self.endpoints.number(name) as u32))
     }
 
     /// Parses the rest of a line whose kind and instance have been read.
-    pub(crate) fn event(
+    pub(crate) fn parse_event(
         &mut self,
         kind: &str,
         fields: &mut Fields,
         lists: &EndpointLists,
     ) -> Result<Event, Malformed> {
         match kind {
-            "announce" => self.endpoint_list(fields, lists),
-            "demand" => self.new_message(fields),
-            "first_byte" => self.started(fields),
-            "outcome" => self.ended(fields),
-            "dropped" => Ok(Event::Dropped(self.message(fields)?)),
-            "echo" => self.health_checked(fields),
+            "announce" => self.parse_endpoint_list(fields, lists),
+            "demand" => self.parse_new_message(fields),
+            "first_byte" => self.parse_attempt_started(fields),
+            "outcome" => self.parse_attempt_ended(fields),
+            "dropped" => Ok(Event::Dropped(self.parse_message(fields)?)),
+            "echo" => self.parse_health_check(fields),
             "heard" => {
                 let from = fields.integer("a sender's number")? as u32;
                 let bytes = decode(fields.text("bytes")?)?;
@@ -66,18 +66,18 @@
         }
     }
 
-    fn started(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
-        let message = self.message(fields)?;
+    fn parse_attempt_started(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
+        let message = self.parse_message(fields)?;
         fields.number("a latency")?;
         let attempt = fields.integer("an attempt")? as usize;
         fields.text("an endpoint")?;
         Ok(Event::Started { message, attempt })
     }
 
-    fn ended(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
-        let message = self.message(fields)?;
+    fn parse_attempt_ended(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
+        let message = self.parse_message(fields)?;
         let attempt = fields.integer("an attempt")? as usize;
-        let endpoint = self.endpoint(fields)?;
+        let endpoint = self.parse_endpoint(fields)?;
         let name = fields.outcome_name()?;
         let latency = fields.time("a latency")?;
         let closed = fields.flag("1 or 0")?;
@@ -89,7 +89,7 @@
             message,
             attempt,
             endpoint,
-            outcome: outcome(name, remark),
+            outcome: outcome_from(name, remark),
             latency,
             closed,
             report,
@@ -97,10 +97,10 @@
         })
     }
 
-    fn health_checked(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
+    fn parse_health_check(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
         fields.number("a latency")?;
-        let endpoint = self.endpoint(fields)?;
-        let outcome: Outcome = outcome(fields.outcome_name()?, 0.0);
+        let endpoint = self.parse_endpoint(fields)?;
+        let outcome: Outcome = outcome_from(fields.outcome_name()?, 0.0);
         let report = fields.report()?;
         Ok(Event::Probed {
             endpoint,
@@ -109,8 +109,8 @@
         })
     }
 
-    fn new_message(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
-        let id = self.message(fields)?;
+    fn parse_new_message(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
+        let id = self.parse_message(fields)?;
         let time_left = fields.time("time left")?;
         let tenant = fields
             .optional("a tenant")?
@@ -141,7 +141,7 @@
         }))
     }
 
-    fn endpoint_list(
+    fn parse_endpoint_list(
         &mut self,
         fields: &mut Fields,
         lists: &EndpointLists,
@@ -159,15 +159,15 @@
         };
         let mut entries = Vec::with_capacity(rows.len());
         for row in rows {
-            entries.push(self.endpoint_row(row)?);
+            entries.push(self.parse_endpoint_row(row)?);
         }
         Ok(Event::Listed { listing, entries })
     }
 
     /// Parses one row of an endpoint list.
-    pub(crate) fn endpoint_row(&mut self, row: &str) -> Result<Entry, Malformed> {
+    pub(crate) fn parse_endpoint_row(&mut self, row: &str) -> Result<Entry, Malformed> {
         let mut fields = Fields::new(row);
-        let endpoint = self.endpoint(&mut fields)?;
+        let endpoint = self.parse_endpoint(&mut fields)?;
         let zone = position(&self.settings.zones, fields.text("a zone")?) as u16;
         let kind = position(&self.settings.kinds, fields.text("a kind")?);
         let destination = fields.integer("a destination")?;
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -56,7 +56,7 @@
         }
     }
 
-    /// The next field as the name of an attempt's outcome, which [`outcome`] converts.
+    /// The next field as the name of an attempt's outcome, which [`outcome_from`] converts.
     pub(crate) fn outcome_name(&mut self) -> Result<&'a str, Malformed> {
         let text = self.text("an outcome")?;
         match text {
@@ -106,7 +106,7 @@
 
 /// Converts an outcome's name and the remark that follows the name. For `shed`, the remark is the advised wait in
 /// milliseconds (0 for none); for `unused`, the remark is 1 if no call slot was free.
-pub(crate) fn outcome(name: &str, remark: f64) -> Outcome {
+pub(crate) fn outcome_from(name: &str, remark: f64) -> Outcome {
     match name {
         "delivered" => Outcome::Success,
         "app_error" => Outcome::Error,
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -73,7 +73,7 @@
             if lines.text().is_empty() {
                 continue;
             }
-            let now = lines.with_line_number(batch_time(lines.text()))?;
+            let now = lines.with_line_number(parse_batch_time(lines.text()))?;
             self.read_batch(&mut lines)?;
             reply.clear();
             self.take_turns(now, &mut reply);
@@ -103,7 +103,7 @@
 
     /// Reads an endpoint list: its head, which is the current line, and its rows.
     fn read_list(&mut self, lines: &mut InputLines<impl BufRead>) -> Result<(), ProtocolError> {
-        let (number, row_count) = lines.with_line_number(list_head(lines.text()))?;
+        let (number, row_count) = lines.with_line_number(parse_list_head(lines.text()))?;
         let mut rows = Vec::new();
         for _ in 0..row_count {
             if !lines.advance()? {
@@ -112,7 +112,7 @@
             let Some(row) = lines.text().strip_prefix("row ") else {
                 return Err(lines.error("a row", lines.text()));
             };
-            lines.with_line_number(EventNames::default().endpoint_row(row))?;
+            lines.with_line_number(EventNames::default().parse_endpoint_row(row))?;
             rows.push(row.to_string());
         }
         self.lists.insert(number, rows);
@@ -137,7 +137,7 @@
             self.turn_order.retain(|name| name != id);
             return Ok(());
         }
-        let event = instance.names.event(kind, &mut fields, &self.lists)?;
+        let event = instance.names.parse_event(kind, &mut fields, &self.lists)?;
         instance.events.push(event);
         if !self.turn_order.iter().any(|name| name == id) {
             self.turn_order.push(id.to_string());
@@ -202,7 +202,7 @@
 }
 
 /// Parses the first line of a batch, which holds its time.
-fn batch_time(line: &str) -> Result<Micros, Malformed> {
+fn parse_batch_time(line: &str) -> Result<Micros, Malformed> {
     let mut fields = Fields::new(line);
     match fields.text("batch")? {
         "batch" => fields.time("a time"),
@@ -211,7 +211,7 @@
 }
 
 /// Parses the first line of an endpoint list into the list's number and its number of rows.
-fn list_head(line: &str) -> Result<(u64, u64), Malformed> {
+fn parse_list_head(line: &str) -> Result<(u64, u64), Malformed> {
     let mut fields = Fields::new(line.strip_prefix("manifest ").unwrap_or(line));
     let number = fields.integer("a list number")?;
     let row_count = fields.integer("a count of rows")?;
