--- a/crates/engine/tests/ambiguous_responses.rs
+++ b/crates/engine/tests/ambiguous_responses.rs
@@ -21,13 +21,13 @@
         .push(Class::new("once", Effect::Unsafe, 4 * SECOND, 20 * SECOND));
     let (inputs, mut received) = mpsc::unbounded_channel();
     let ports = ports(settings, vec![listed(1)], &journal, calls.clone());
-    let mut engine = Engine::new(ports).expect("settings");
+    let mut engine = Engine::new(ports).expect("valid settings");
     tokio::task::spawn_local(async move { engine.run(&mut received).await });
     inputs
         .send(Input::Arrived(
             arrival("m1", class, class != AT_MOST_ONCE).0,
         ))
-        .expect("open");
+        .expect("the input channel is open");
     while calls.0.borrow().is_empty() {
         yield_now().await;
     }
@@ -45,10 +45,14 @@
         ambiguous,
         connection_use: None,
     };
-    inputs.send(Input::AttemptEnded(rejection)).expect("open");
+    inputs
+        .send(Input::AttemptEnded(rejection))
+        .expect("the input channel is open");
     // the reply to this input shows that the engine has received the end of the attempt
     let (reply, status) = tokio::sync::oneshot::channel();
-    inputs.send(Input::GetStatus(reply)).expect("open");
+    inputs
+        .send(Input::GetStatus(reply))
+        .expect("the input channel is open");
     status.await.expect("the engine runs");
     yield_now().await;
     let unfinished = journal.unfinished();
--- a/crates/engine/tests/bundles.rs
+++ b/crates/engine/tests/bundles.rs
@@ -24,11 +24,13 @@
                 &MemoryJournal::default(),
                 calls.clone(),
             );
-            let mut engine = Engine::new(ports).expect("settings");
+            let mut engine = Engine::new(ports).expect("valid settings");
             for (id, seconds) in [("long", 9), ("short", 3), ("longer", 10)] {
                 let (mut arrival, _) = arrival(id, 0, true);
                 arrival.time_to_live = seconds * SECOND;
-                inputs.send(Input::Arrived(arrival)).expect("open");
+                inputs
+                    .send(Input::Arrived(arrival))
+                    .expect("the input channel is open");
             }
             tokio::task::spawn_local(async move { engine.run(&mut received).await });
             while calls.0.borrow().is_empty() {
--- a/crates/engine/tests/golden_snapshot/main.rs
+++ b/crates/engine/tests/golden_snapshot/main.rs
@@ -24,7 +24,7 @@
         .run_until(async {
             let journal = MemoryJournal::default();
             let fixture = engine(&journal).await;
-            let written = fixture.engine.snapshot().expect("encoded");
+            let written = fixture.engine.snapshot().expect("the snapshot is encoded");
             assert!(
                 written == SNAPSHOT,
                 "{} bytes written, which are not the {} stored ones",
@@ -33,12 +33,12 @@
             );
             drop(fixture);
             let (ports, _notifications) = ports_of(&journal, &RecordingTransport::default());
-            let snapshot = Snapshot::decode(SNAPSHOT).expect("read");
+            let snapshot = Snapshot::decode(SNAPSHOT).expect("the snapshot is decoded");
             let RestoredEngine {
                 engine,
                 foreign_calls,
-            } = Engine::restore(snapshot, ports).expect("settings");
-            let rewritten = engine.snapshot().expect("encoded");
+            } = Engine::restore(snapshot, ports).expect("valid settings");
+            let rewritten = engine.snapshot().expect("the snapshot is encoded");
             assert!(
                 rewritten == SNAPSHOT,
                 "{} bytes written, which are not the {} stored ones",
@@ -93,7 +93,7 @@
         (Some(START + 1578 * MILLISECOND), true)
     );
     // the values above are the whole payload: encoding them again gives the same bytes
-    let rewritten = postcard::to_allocvec(&found).expect("encoded");
+    let rewritten = postcard::to_allocvec(&found).expect("the snapshot is encoded");
     assert_eq!(rewritten, SNAPSHOT[..SNAPSHOT.len() - 4]);
 }
 
@@ -114,17 +114,23 @@
                 (Outcome::Unsent { no_slot: true }, 7),
             ];
             for (outcome, number) in outcomes {
-                assert_eq!(postcard::to_allocvec(&outcome).expect("encoded")[0], number);
+                assert_eq!(
+                    postcard::to_allocvec(&outcome).expect("the outcome is encoded")[0],
+                    number
+                );
                 let mut changed = decode_layout(SNAPSHOT);
                 changed.messages[1].end =
                     Some((START, Some([None, Some(1500)][usize::from(number) % 2])));
                 changed.messages[0].attempts[0].outcome = Some(outcome);
-                let mut bytes = postcard::to_allocvec(&changed).expect("encoded");
+                let mut bytes = postcard::to_allocvec(&changed).expect("the snapshot is encoded");
                 bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
                 let (ports, _notifications) = ports_of(&journal, &RecordingTransport::default());
-                let snapshot = Snapshot::decode(&bytes).expect("read");
-                let restored = Engine::restore(snapshot, ports).expect("settings");
-                assert_eq!(restored.engine.snapshot().expect("encoded"), bytes);
+                let snapshot = Snapshot::decode(&bytes).expect("the snapshot is decoded");
+                let restored = Engine::restore(snapshot, ports).expect("valid settings");
+                assert_eq!(
+                    restored.engine.snapshot().expect("the snapshot is encoded"),
+                    bytes
+                );
             }
         })
         .await;
--- a/crates/engine/tests/golden_snapshot/scenario.rs
+++ b/crates/engine/tests/golden_snapshot/scenario.rs
@@ -91,7 +91,7 @@
         let calls = RecordingTransport::default();
         let (ports, notifications) = ports_of(journal, &calls);
         let (inputs, received_inputs) = mpsc::unbounded_channel();
-        let engine = Engine::new(ports).expect("settings");
+        let engine = Engine::new(ports).expect("valid settings");
         Fixture {
             engine,
             inputs,
@@ -116,12 +116,14 @@
             subject_and_tenant.0.map(shared),
             subject_and_tenant.1.map(shared),
         );
-        self.inputs.send(Input::Arrived(arrival)).expect("open");
+        self.inputs
+            .send(Input::Arrived(arrival))
+            .expect("the input channel is open");
     }
 
     async fn run_for_ms(&mut self, duration_ms: u64) {
         tokio::select! {
-            () = self.engine.run(&mut self.received_inputs) => unreachable!("its inputs are open"),
+            () = self.engine.run(&mut self.received_inputs) => unreachable!("the input channel is open"),
             () = sleep(Duration::from_millis(duration_ms)) => {}
         }
     }
@@ -130,7 +132,11 @@
     fn end_attempt(&self, id: &str, outcome: Outcome, closed: bool) {
         let calls = self.calls.0.borrow();
         let carries = |call: &&Call| call.items.iter().any(|item| item.id.as_str() == id);
-        let call = calls.iter().rev().find(carries).expect("a call");
+        let call = calls
+            .iter()
+            .rev()
+            .find(carries)
+            .expect("a call carries the message");
         let position = call
             .items
             .iter()
@@ -147,7 +153,9 @@
             ambiguous: false,
             connection_use: None,
         };
-        self.inputs.send(Input::AttemptEnded(ended)).expect("open");
+        self.inputs
+            .send(Input::AttemptEnded(ended))
+            .expect("the input channel is open");
     }
 }
 
--- a/crates/engine/tests/redrives.rs
+++ b/crates/engine/tests/redrives.rs
@@ -83,7 +83,7 @@
             notifications: notification_sender,
             ..ports(settings, vec![listed(1), listed(2)], &journal, transport)
         })
-        .expect("settings");
+        .expect("valid settings");
         let (mut engine, mut received) = (engine, received);
         tokio::task::spawn_local(async move { engine.run(&mut received).await });
         TestEngine {
@@ -182,7 +182,7 @@
     engine
         .inputs
         .send(Input::Notified(vec![notification.number]))
-        .expect("sent");
+        .expect("the engine runs");
     assert_eq!(
         engine.redrive(1, "m1", "unsafe", None).await,
         Ok(RedriveOutcome::InFlight)
@@ -202,7 +202,10 @@
         engine.journal.unfinished.borrow().contains_key(&1),
         "the journal must hold the message until the archive reports it as stored"
     );
-    engine.inputs.send(Input::Archived(vec![1])).expect("sent");
+    engine
+        .inputs
+        .send(Input::Archived(vec![1]))
+        .expect("the engine runs");
     wait_ms(10).await;
     assert!(engine.journal.unfinished.borrow().is_empty());
 }
--- a/crates/engine/tests/start_requests.rs
+++ b/crates/engine/tests/start_requests.rs
@@ -23,7 +23,7 @@
         &MemoryJournal::default(),
         calls.clone(),
     ));
-    (engine.expect("settings"), Inputs { sender, receiver })
+    (engine.expect("valid settings"), Inputs { sender, receiver })
 }
 
 fn rejection(call: u64, wait: Micros) -> Input {
@@ -61,10 +61,10 @@
             tokio::task::spawn_local(async move { engine.run(&mut received).await });
             inputs
                 .send(Input::Arrived(arrival("m1", 0, true).0))
-                .expect("open");
+                .expect("the input channel is open");
             inputs
                 .send(Input::Arrived(arrival("m2", 0, true).0))
-                .expect("open");
+                .expect("the input channel is open");
             while calls.0.borrow().len() < 2 {
                 yield_now().await;
             }
@@ -77,7 +77,9 @@
                     && write_by <= Instant::now() + std::time::Duration::from_secs(20)
             );
             // both inputs are handled in one turn, and the wait must already apply to the request
-            inputs.send(rejection(first, 3 * SECOND)).expect("open");
+            inputs
+                .send(rejection(first, 3 * SECOND))
+                .expect("the input channel is open");
             let reply = request_start(&inputs, second);
             assert!(
                 reply.await.is_err(),
--- a/crates/simulator-adapter/tests/protocol.rs
+++ b/crates/simulator-adapter/tests/protocol.rs
@@ -25,8 +25,8 @@
     let mut output = Vec::new();
     Host::new()
         .run(input.as_bytes(), &mut output)
-        .expect("well formed");
-    String::from_utf8(output).expect("text")
+        .expect("well-formed input");
+    String::from_utf8(output).expect("UTF-8 text")
 }
 
 fn run_process(input: &str) -> Output {
@@ -39,10 +39,10 @@
     child
         .stdin
         .take()
-        .expect("piped")
+        .expect("standard input is piped")
         .write_all(input.as_bytes())
-        .expect("written");
-    child.wait_with_output().expect("it ends")
+        .expect("the adapter reads its input");
+    child.wait_with_output().expect("the adapter exits")
 }
 
 #[test]
@@ -55,7 +55,7 @@
     let issue = reply
         .lines()
         .find(|line| line.starts_with("issue "))
-        .expect("sent");
+        .expect("the message is sent");
     let fields: Vec<&str> = issue.split(' ').collect();
     assert_eq!(fields[..3], ["issue", "sender/3", "m1"]);
     assert_eq!(reply.lines().filter(|line| *line == "ready").count(), 2);
@@ -114,7 +114,7 @@
         let output = run_process(&input);
         assert_eq!(output.status.code(), Some(2), "{input}");
         assert!(output.stdout.is_empty());
-        let error = String::from_utf8(output.stderr).expect("text");
+        let error = String::from_utf8(output.stderr).expect("UTF-8 text");
         assert_eq!(error, format!("milletturn-simulator-adapter: {expected}\n"));
     }
 }
@@ -163,7 +163,7 @@
             start_lines(3).replace(from, to)
         ));
         assert_eq!(output.status.code(), Some(2), "{to}");
-        let error = String::from_utf8(output.stderr).expect("text");
+        let error = String::from_utf8(output.stderr).expect("UTF-8 text");
         assert!(error.contains("line 2") && error.contains(named), "{error}");
     }
 }
