--- a/crates/engine/tests/bundles.rs
+++ b/crates/engine/tests/bundles.rs
@@ -1,4 +1,4 @@
-//! Messages that share a call.
+//! Batches: messages that share a call.
 
 mod common;
 
@@ -14,7 +14,7 @@
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
 async fn a_shared_call_expires_with_the_first_of_its_messages() {
-    // an answer behind the first deadline counts as unanswered at the far side, for all messages of the call
+    // a response after the earliest deadline counts as no response, for all messages of the call
     LocalSet::new()
         .run_until(async {
             let calls = RecordingTransport::default();
@@ -26,11 +26,13 @@
                 &MemoryJournal::default(),
                 calls.clone(),
             );
-            let mut engine = Engine::new(ports).expect("settings");
+            let mut engine = Engine::new(ports).expect("valid settings");
             for (id, seconds) in [("long", 9), ("short", 3), ("longer", 10)] {
                 let (mut arrival, _) = new_arrival(id, 0, true);
                 arrival.time_to_live = seconds * SECOND;
-                inputs.send(Input::Arrived(arrival)).expect("open");
+                inputs
+                    .send(Input::Arrived(arrival))
+                    .expect("the input channel is open");
             }
             tokio::task::spawn_local(async move { engine.run(&mut received).await });
             while calls.0.borrow().is_empty() {
