--- a/crates/policy/src/attempt_end.rs
+++ b/crates/policy/src/attempt_end.rs
@@ -11,7 +11,7 @@
             attempt,
             outcome,
             latency,
-            message_closed: closed,
+            message_closed,
             report,
             ambiguous,
             ..
@@ -24,7 +24,7 @@
             self.mark_may_have_run(*message, *attempt);
         }
         self.agenda.touch(*message);
-        if *outcome == Outcome::Success || *closed {
+        if *outcome == Outcome::Success || *message_closed {
             self.close(*message, actions);
         }
         self.forget_if_done(*message);
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -183,10 +183,7 @@
 
     fn learn(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList {
-                kind: listing,
-                entries,
-            } => self.learn_list(*listing, entries),
+            Event::EndpointList { kind, entries } => self.learn_list(*kind, entries),
             Event::EndpointListFailed => {
                 let jitter = Micros::from(self.random.next_u32()) % self.list_rest;
                 self.list_retry = Some(self.now + self.list_rest / 2 + jitter);
@@ -205,18 +202,18 @@
                 self.agenda.touch(message.id);
             }
             Event::Resumed { message, attempts } => self.resume(message, attempts),
-            Event::Stopping { ends_at: ends } => self.ends = Some(*ends),
+            Event::Stopping { ends_at } => self.ends = Some(*ends_at),
             Event::Notification {
                 message,
                 key,
-                acknowledged: taken,
-            } => self.learn_notice(*message, *key, *taken),
+                acknowledged,
+            } => self.learn_notice(*message, *key, *acknowledged),
             Event::RetryAfter {
                 endpoint,
-                retry_after: wait,
+                retry_after,
             } => {
                 let id = self.unit_of(*endpoint);
-                self.heed(id, *wait, actions);
+                self.heed(id, *retry_after, actions);
             }
             Event::AttemptEnded { .. } => self.on_attempt_ended(event, actions),
             Event::Cancelled(message) => {
@@ -343,7 +340,10 @@
             message.retry_rest = (rest * 2).min(RETRY_MOST);
             // where a limit or a wait is told, the pace holds it back
             let told = unit.is_some_and(|unit| unit.told_limit.is_some() || unit.pace.is_finite());
-            let paced = matches!(outcome, Outcome::Rejected { retry_after: wait } if told && !full || wait.is_some());
+            let paced = matches!(
+                outcome,
+                Outcome::Rejected { retry_after } if told && !full || retry_after.is_some()
+            );
             message.retry_at = self.now + if paced { 0 } else { rest };
         }
         let rests = matches!(
@@ -522,7 +522,7 @@
                     _ => {}
                 }
             }
-            Outcome::Rejected { retry_after: wait } => {
+            Outcome::Rejected { retry_after } => {
                 unit.bad_sent = unit.bad_sent.max(sent);
                 unit.refused_since = if unit.refused_run == 0 {
                     now
@@ -531,7 +531,7 @@
                 };
                 unit.refused_run += 1;
                 let rate = unit.served_rate(now, span);
-                let told = wait.is_some() || tells;
+                let told = retry_after.is_some() || tells;
                 let usual = if told {
                     0.0
                 } else {
@@ -1238,7 +1238,7 @@
         let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
-        let expires = match effect {
+        let expires_at = match effect {
             Effect::Unsafe => message.deadline,
             Effect::Keyed { window, .. } => message.deadline.min(now + window),
             Effect::Repeatable => message.deadline.min(now + offset * 10),
@@ -1274,7 +1274,7 @@
         actions.push(Action::Send {
             message: id,
             endpoint,
-            expires_at: expires,
+            expires_at,
         });
     }
 
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -60,11 +60,11 @@
 impl Class {
     /// A class of worth 1 that keeps none of it after the aim and asks for no order.
     #[must_use]
-    pub fn new(name: &str, effect: Effect, aim: Micros, deadline: Micros) -> Self {
+    pub fn new(name: &str, effect: Effect, latency_objective: Micros, deadline: Micros) -> Self {
         Class {
             name: name.to_string(),
             effect,
-            latency_objective: aim,
+            latency_objective,
             deadline,
             priority_weight: 1.0,
             late_value_share: 0.0,
@@ -199,12 +199,12 @@
 impl Settings {
     /// Settings for a lone sender, with no classes yet and the mildest assumption for all else.
     #[must_use]
-    pub fn new(call_slots: usize, max_held: usize) -> Self {
+    pub fn new(call_slots: usize, max_pending: usize) -> Self {
         Settings {
             senders: 1,
             zone: 0,
             call_slots,
-            max_pending: max_held,
+            max_pending,
             max_attempts: 8,
             hedging_enabled: true,
             cancellation_enabled: true,
