--- a/crates/policy/src/attempt_end.rs
+++ b/crates/policy/src/attempt_end.rs
@@ -1,10 +1,10 @@
-//! The end of an attempt: what it teaches, and what becomes of its message.
+//! Handles the end of an attempt.
 
 use crate::interface::{Action, Event, MessageId, Outcome};
 use crate::state::Sender;
 
 impl Sender {
-    /// An attempt ended; other events are ignored.
+    /// Applies the outcome of an attempt to health scopes and to its message. Ignores other events.
     pub(crate) fn on_attempt_ended(&mut self, event: &Event, actions: &mut Vec<Action>) {
         let Event::AttemptEnded {
             message,
@@ -19,18 +19,18 @@
         else {
             return;
         };
-        self.learn_outcome(*message, *attempt, *outcome, *latency, report, actions);
+        self.on_outcome(*message, *attempt, *outcome, *latency, report, actions);
         if *ambiguous {
             self.mark_may_have_run(*message, *attempt);
         }
-        self.agenda.touch(*message);
+        self.scheduler.mark_changed(*message);
         if *outcome == Outcome::Success || *message_closed {
-            self.close(*message, actions);
+            self.close_message(*message, actions);
         }
-        self.forget_if_done(*message);
+        self.remove_if_finished(*message);
     }
 
-    /// Nothing proves that an attempt never ran, whatever its outcome says.
+    /// Records that an attempt may have run, whatever its outcome says.
     fn mark_may_have_run(&mut self, id: MessageId, attempt_index: usize) {
         let message = self.messages.get_mut(&id);
         if let Some(attempt) = message.and_then(|message| message.attempts.get_mut(attempt_index)) {
--- a/crates/policy/src/cleanup.rs
+++ b/crates/policy/src/cleanup.rs
@@ -1,22 +1,23 @@
-//! What the module's books still hold of what is gone.
+//! Removes what is no longer needed of messages and ordering keys, and restores messages after a restart.
 
 use crate::interface::{Action, Effect, MessageId, Micros, NewMessage, PastAttempt};
 use crate::state::Attempt;
 use crate::state::Sender;
 
 impl Sender {
-    /// Forgets keys that no message has and that need no rest.
-    pub(crate) fn forget_keys(&mut self) {
+    /// Removes ordering keys that have no message and are not blocked.
+    pub(crate) fn remove_idle_key_queues(&mut self) {
         let now = self.now;
-        self.keys
-            .retain(|_, line| !line.turn.is_empty() || line.rest_until > now);
+        self.key_queues
+            .retain(|_, key_queue| !key_queue.messages.is_empty() || key_queue.blocked_until > now);
     }
 
-    /// Takes a message back after a restart. Its calls ended with the old process; those with no known
-    /// outcome may have run. All count as overlapped: nobody knows the order of their ends, and a window of a
-    /// key must count from the first.
-    pub(crate) fn resume(&mut self, message: &NewMessage, attempts: &[PastAttempt]) {
-        // what may go again only while its key is known has no longer to rest than that
+    /// Restores a message after a restart. Its calls ended with the old process, and those without a known
+    /// outcome may have run. All its attempts count as overlapped: the order in which they ended is unknown,
+    /// and the window in which the destination drops repeats must count from the first.
+    pub(crate) fn on_resumed(&mut self, message: &NewMessage, attempts: &[PastAttempt]) {
+        // A message that may be repeated only while the destination remembers its key must not be delayed
+        // beyond that.
         let window = match self
             .settings
             .classes
@@ -26,101 +27,107 @@
             Some(Effect::Keyed { window, .. }) => window,
             _ => Micros::MAX / 2,
         };
-        let first = attempts
+        let first_sent = attempts
             .iter()
             .filter(|past| past.may_have_run)
             .map(|past| past.sent)
             .min();
-        let left = first
+        let time_left = first_sent
             .map_or(Micros::MAX, |sent| sent + window - self.now)
             .min(message.time_left);
-        if left > 0 {
-            self.begin_apart(message.class, message.destination, left);
+        if time_left > 0 {
+            self.stagger_after_restart(message.class, message.destination, time_left);
         }
-        self.accept(message);
-        let Some(held) = self.messages.get_mut(&message.id) else {
+        self.on_accepted(message);
+        let Some(pending) = self.messages.get_mut(&message.id) else {
             return;
         };
-        held.owed = !message.deferred && attempts.is_empty();
-        held.attempts.extend(attempts.iter().map(|past| Attempt {
+        pending.unattempted_before_restart = !message.deferred && attempts.is_empty();
+        pending.attempts.extend(attempts.iter().map(|past| Attempt {
             endpoint: past.endpoint,
-            sent: past.sent,
-            call: u64::MAX,
-            out: false,
+            sent_at: past.sent,
+            call_id: u64::MAX,
+            in_flight: false,
             may_have_run: past.may_have_run,
             overlapped: true,
             cancelled: false,
         }));
-        let rest_until = self.now + self.settings.safety.ordered_key_backoff;
-        let unsure = attempts.iter().any(|past| past.may_have_run);
-        if let Some(line) = held
+        let blocked_until = self.now + self.settings.safety.ordered_key_backoff;
+        let any_may_have_run = attempts.iter().any(|past| past.may_have_run);
+        if let Some(key_queue) = pending
             .key
-            .filter(|_| unsure)
-            .and_then(|key| self.keys.get_mut(&key))
+            .filter(|_| any_may_have_run)
+            .and_then(|key| self.key_queues.get_mut(&key))
         {
-            line.rest_until = line.rest_until.max(rest_until);
-            line.turn
+            key_queue.blocked_until = key_queue.blocked_until.max(blocked_until);
+            key_queue
+                .messages
                 .front()
                 .into_iter()
-                .for_each(|&first| self.agenda.touch(first));
+                .for_each(|&head| self.scheduler.mark_changed(head));
         }
     }
 
-    /// Forgets a message that has ended, with all its attempts.
-    pub(crate) fn forget_if_done(&mut self, id: MessageId) {
+    /// Removes a message that has ended, once none of its attempts is in flight.
+    pub(crate) fn remove_if_finished(&mut self, id: MessageId) {
         let Some(message) = self
             .messages
             .get(&id)
-            .filter(|held| !held.open && !held.is_out())
+            .filter(|message| !message.open && !message.has_attempt_in_flight())
         else {
             return;
         };
         let key = message.key;
         self.messages.remove(&id);
-        self.agenda.touch(id);
-        key.into_iter().for_each(|key| self.leave_line(key, id));
+        self.scheduler.mark_changed(id);
+        key.into_iter()
+            .for_each(|key| self.leave_key_queue(key, id));
     }
 
-    /// Ends a message by the module's own word. Where a notice tells that, whoever watches the order knows of it only
-    /// once the notice has been taken: until then the message keeps its place.
-    pub(crate) fn end(&mut self, id: MessageId, actions: &mut Vec<Action>) {
+    /// Ends a message by the sender's own decision. If the host reports such ends by notifications, whoever
+    /// observes the order learns of the end only from the notification: until that is acknowledged, the
+    /// message keeps its position in the queue of its key.
+    pub(crate) fn end_message(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let key = self
             .messages
             .get(&id)
             .and_then(|message| message.key)
             .filter(|_| self.settings.notifications_enabled);
-        if let Some(line) = key.and_then(|key| self.keys.get_mut(&key)) {
-            line.untold.insert(id);
+        if let Some(key_queue) = key.and_then(|key| self.key_queues.get_mut(&key)) {
+            key_queue.pending_notifications.insert(id);
         }
-        self.close(id, actions);
-        self.forget_if_done(id);
+        self.close_message(id, actions);
+        self.remove_if_finished(id);
     }
 
-    pub(crate) fn learn_notice(&mut self, id: MessageId, key: u64, taken: bool) {
-        let line = self.keys.entry(key).or_default();
-        if !taken {
-            line.turn.push_back(id);
-            line.untold.insert(id);
-        } else if line.untold.remove(&id) {
-            self.leave_line(key, id);
+    /// Records a pending notification from before a restart, or the acknowledgement of one.
+    pub(crate) fn on_notification(&mut self, id: MessageId, key: u64, acknowledged: bool) {
+        let key_queue = self.key_queues.entry(key).or_default();
+        if !acknowledged {
+            key_queue.messages.push_back(id);
+            key_queue.pending_notifications.insert(id);
+        } else if key_queue.pending_notifications.remove(&id) {
+            self.leave_key_queue(key, id);
         }
     }
 
-    /// The message's place is the next one's, unless an attempt of it is still out or its notice not taken.
-    fn leave_line(&mut self, key: u64, id: MessageId) {
-        let Some(line) = self
-            .keys
+    /// Removes a message from the queue of its ordering key, unless one of its attempts is in flight or its
+    /// notification is not acknowledged.
+    fn leave_key_queue(&mut self, key: u64, id: MessageId) {
+        let Some(key_queue) = self
+            .key_queues
             .get_mut(&key)
-            .filter(|line| !line.untold.contains(&id))
+            .filter(|key_queue| !key_queue.pending_notifications.contains(&id))
         else {
             return;
         };
         if !self.messages.contains_key(&id) {
-            line.turn.retain(|&other| other != id);
-            line.turn
+            key_queue.messages.retain(|&other| other != id);
+            key_queue
+                .messages
                 .front()
                 .into_iter()
-                .for_each(|&first| self.agenda.touch(first));
+                .for_each(|&head| self.scheduler.mark_changed(head));
         }
     }
 }
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -1,8 +1,8 @@
-//! Every decision of the delivery service. The types, events and actions are in `interface.rs`, the records
-//! of messages, attempts, calls and endpoints (plain data) in `state.rs`.
+//! Decides what the sender does. The types, events and actions are in `interface.rs`; the records of
+//! messages, attempts, calls and endpoints are plain data in `state.rs`.
 //!
-//! Order of reading: constants, state, `handle` (one turn), what is learned from events, the legality gate
-//! (only it knows the rules), then the proposals: sends, copies, probes, ends.
+//! Reading order: the constants, `handle` (one turn), the handlers of events, the checks of what the delivery
+//! rules allow, and then the choices within those rules: sends, hedged requests and the end of messages.
 
 use crate::interface::{
     Action, DestinationId, Effect, EndpointId, Event, MILLISECOND, MessageId, Micros, NewMessage,
@@ -10,123 +10,187 @@
 };
 use crate::outage_evidence::{EJECTION_THRESHOLD, OutageEvidence};
 use crate::rejection_correlation::RateAdvice;
-use crate::scheduler::{Agenda, Closed, Lane, Shed, Stage};
+use crate::scheduler::{BlockedUntil, QueueKey, SendScheduler, SheddingOrder, UrgencyPhase};
 use crate::state::{
-    Attempt, Call, ClassRecord, Endpoint, Flow, Health, Held, Sender, Unit, UnitId, seconds,
-    share_of,
+    Attempt, Call, ClassHealth, Endpoint, Health, HealthScope, HealthScopeId, PendingMessage,
+    RefillRate, Sender, seconds, slot_share,
 };
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Copy offset before any latency is known. Shorter finds trouble sooner, longer wastes less.
-const FIRST_COPY_DELAY: Micros = SECOND;
-/// Latencies remembered per unit, and the rank among them that sets the copy offset (20ths).
-const LATENCIES: usize = 40;
-const COPY_RANK: usize = 19;
-/// Window of calls in flight per destination, as shares of the slots: at start, at most, and when sick.
-const WINDOW_START: f64 = 0.25;
-const WINDOW_MOST: f64 = 0.75;
-const WINDOW_SICK: f64 = 0.5;
-const COPY_SHARE: f64 = 0.5; // of the slots: more rescues more, less leaves slots to first attempts
-const WINDOW_CUT: f64 = 0.7; // by a congestion event: lower drains queues sooner, costs more throughput
-/// What a refusal leaves of the pace amid successes, and when nothing succeeded since the last cut. A lower
-/// cut draws fewer refusals, a higher one keeps more of a shared limit.
-const PACE_CUT: f64 = 0.8;
-const PACE_HALVED: f64 = 0.5;
-/// Growth of the pace with each success, calls a second, at most this part of the pace. Growth by successes,
-/// not by time, keeps the refused share the same however few calls a sender makes.
-const PACE_GROWTH: f64 = 0.25;
-const PACE_GROWTH_MOST: f64 = 0.5;
-/// Pace that a first refusal leaves at least, calls a second, and that any leaves to all senders together.
-/// Higher retries sooner, lower spares a destination that hundreds of senders share.
-const PACE_FIRST: f64 = 0.35;
-const PACE_LEAST: f64 = 1.5;
-/// Pace to one that may yet tell a limit, by the square of the senders: all begin at once, each hears less.
-/// No less than an even part of this sender's load, which fills the places for messages in so many seconds.
-const PACE_START: f64 = 5000.0;
-const PLACES_LAST: f64 = 6.0;
-const RESUMED_REST: f64 = 0.75; // of its aim or time left: longest wait for a first call after a start
-/// An unused pace says nothing (RFC 7661). With no message waiting it is at most so many times what was
-/// served of late, or so many even shares: more follows demand sooner, less lets no clump of all through.
-const PACE_USED: f64 = 2.0;
-const PACE_UNUSED: f64 = 1.1;
-/// Burst of the pace, as a span of it. Longer takes clumps faster, shorter draws fewer refusals.
-const PACE_BURST: f64 = 0.3;
-const CHANCE: f64 = 2.0; // deviations of what comes by chance: of independent senders they cancel in the sum
-/// Evidence above which a unit is not trusted, and what is left of it on return.
-const TRUST: f64 = 4.5;
-const RETURNING: f64 = 11.0;
-/// A unit that has just failed may be in doubt, for a fall span and up to this evidence: so many calls at
-/// once show whether it is gone. More end a false alarm sooner, fewer waste less on an outage.
-const GONE: f64 = 2.0 * EJECTION_THRESHOLD;
-const DOUBT_CALLS: usize = 2;
-const NOISY: f64 = 0.15; // usual share of failures from which on there is a doubt
-const KNOWN: f64 = 50.0; // a unit of fewer calls that serves so many a second may be noisy and not yet known
-const BUSY: f64 = 20.0;
-const ILL_TIMES: i64 = 3; // what succeeds now and then for so many times the cold time is noisy, not away
-const CLASS_WEIGHT: f64 = 0.05; // of one more call, in the share of a class's calls that fail
-/// A unit is silent when a call is out for this many copy offsets, and no shorter than this.
-const SILENT_OFFSETS: i64 = 2;
-const SILENT_LEAST: Micros = SECOND;
-/// A silent unit's calls are called off after this many limits: lower frees slots sooner, higher waits.
-const RECLAIM_LIMITS: i64 = 2;
-/// So many times longer where only the one class at the one endpoint is without a sign of life.
-const CLASS_LIMITS: i64 = 2;
-/// Half limits, for each attempt so far, after which a call that later ones overtook is called off.
-const OVERTAKEN: i64 = 3;
-/// Slots in use above which unsafe calls are called off too: lower gives up more, higher frees less.
-const SLOTS_SCARCE: f64 = 0.7;
-const YOUNG: f64 = 0.9; // of the aim: the oldest come first; beyond, those that have most to lose by waiting
-/// A unit lags while a call is out for this many usual latencies; all lagging and sick units share the sick
-/// window. Lower isolates sooner, higher leaves room to long but healthy calls.
-const LAG_USUAL: i64 = 4;
-/// The usual latency follows the last by one part in so many: slow enough to outlast an episode.
-const USUAL_SLOWNESS: i64 = 50;
-/// Latencies seen before they are believed: fewer finds trouble sooner, more spares small destinations.
-const LATENCIES_LEAST: usize = 8;
-/// Weight of a reset beside other failures: connections break under calls for reasons of their own, and a
-/// process that has died shows by those refused next. Higher finds it sooner, lower spares those behind
-/// bad connections.
-const RESET_WEIGHT: f64 = 0.3;
-/// Refusals in a row, over at least this long, that mean shut rather than throttled.
-const SHUT_RUN: u32 = 4;
-const SHUT_SPAN: Micros = SECOND;
-/// Part of the fail-back budget that is used. Higher returns sooner, lower leaves room for other senders.
-const BUDGET_SHARE: f64 = 0.7;
-/// Calls in a fall span that all senders together may try at a sick unit, however little each knows of it.
-/// Higher finds the return sooner, lower spares a small destination.
-const TRIALS: f64 = 3.0;
-/// Weight of one failed connection, and the score of a kind above which idle connections are given back.
-/// Lower frees crowded endpoints sooner, higher saves handshakes.
-const CROWDED_WEIGHT: f64 = 0.2;
-const CROWDED: f64 = 0.1;
-const LEFT_SLACK: f64 = 0.2; // a told share may lie so far above 1, by noise, and still count
-/// Most of a told limit that counts as left: two even shares. With more, all overrun it before they hear.
-const LEFT_MOST: f64 = 0.3;
-/// Growth of the pace with each report, by how much more than this is left: higher follows sooner and swings.
-const LEFT_GAIN: f64 = 0.15;
-const LEFT_AIM: f64 = 0.5;
-const SHARE_LEAST: f64 = 0.7; // part of its even share that it always has: below the limit, and none starves
-/// Rest before a message is tried again: first, and at most. Longer spares attempts, shorter saves time.
-const RETRY_FIRST: Micros = 150 * MILLISECOND;
-const RETRY_MOST: Micros = 2 * SECOND;
-pub(crate) const MARGIN: Micros = 30 * MILLISECOND; // kept before a deadline, and before a keyed window ends
-const HELD_FULL: f64 = 0.85; // share of the places above which messages that cannot go are refused
-/// Backoff of a failed subscription: first and most.
-pub(crate) const LIST_FIRST: Micros = 300 * MILLISECOND;
-const LIST_MOST: Micros = 4 * SECOND;
-const LIMIT_MOST: f64 = 1e5; // a told limit beyond this, in calls a second, is no report
-const TENANT_BURST: f64 = 2.0; // span of a tenant's token bucket, seconds of its share
+/// Delay before a hedged request while no latency is known. Shorter values find slow calls sooner, longer
+/// ones send fewer hedged requests in vain.
+const DEFAULT_HEDGE_DELAY: Micros = SECOND;
+/// Latencies remembered per health scope.
+const LATENCY_SAMPLES: usize = 40;
+/// Rank, in 20ths, of the remembered latency that sets the hedge delay: 19 is the 95th percentile.
+const HEDGE_DELAY_RANK: usize = 19;
+/// Initial concurrency window of a health scope, as a share of the call slots.
+const INITIAL_WINDOW_SHARE: f64 = 0.25;
+/// Largest concurrency window of a health scope, as a share of the call slots.
+const MAX_WINDOW_SHARE: f64 = 0.75;
+/// Largest concurrency window of an ejected scope, and the slots that all slow and ejected scopes may use
+/// together, as a share of the call slots.
+const MAX_DEGRADED_SHARE: f64 = 0.5;
+/// Share of the call slots that hedged requests may use. Larger values rescue more slow messages, smaller
+/// ones leave more slots to first attempts.
+const MAX_HEDGE_SHARE: f64 = 0.5;
+/// Factor by which congestion reduces the concurrency window. Smaller values drain queues sooner but cost
+/// more throughput.
+const WINDOW_REDUCTION: f64 = 0.7;
+/// Factor by which a rejection reduces the rate limit if calls have succeeded since the last reduction.
+/// Smaller values cause fewer rejections, larger ones keep more of a shared limit.
+const RATE_REDUCTION: f64 = 0.8;
+/// Factor by which a rejection or failure reduces the rate limit if no call has succeeded since the last
+/// reduction. The trade-off is the same as for `RATE_REDUCTION`.
+const RATE_REDUCTION_WITHOUT_SUCCESS: f64 = 0.5;
+/// Increase of the rate limit with each success, in calls per second. Because the increase follows successes
+/// rather than time, the share of rejected calls does not depend on how many calls a sender makes.
+const RATE_INCREASE_PER_SUCCESS: f64 = 0.25;
+/// Largest increase of the rate limit with one success, as a share of the rate limit.
+const MAX_RATE_INCREASE_SHARE: f64 = 0.5;
+/// Smallest rate limit that the first rejection leaves, in calls per second. Larger values retry sooner,
+/// smaller ones put less load on a destination that hundreds of senders share.
+const MIN_RATE_AFTER_FIRST_REJECTION: f64 = 0.35;
+/// Smallest rate limit of all senders together, in calls per second. Larger values retry sooner, smaller ones
+/// put less load on a destination that hundreds of senders share.
+const MIN_FLEET_RATE: f64 = 1.5;
+/// Initial rate limit, in calls per second, to a destination that may still announce a limit, divided by the
+/// square of the number of senders: all senders begin at once, and each receives fewer responses the more
+/// they are.
+const INITIAL_RATE_FACTOR: f64 = 5000.0;
+/// Seconds in which this sender's load is assumed to fill its capacity for pending messages. The initial rate
+/// limit is never below an equal part of that load for each listed destination.
+const CAPACITY_FILL_SECONDS: f64 = 6.0;
+/// Longest delay of the first call after a restart, as a share of the latency objective or of the time left,
+/// whichever is shorter.
+const MAX_RESUME_DELAY_SHARE: f64 = 0.75;
+/// Bound of an application-limited rate, as a multiple of the recent success rate. A rate that the sender
+/// does not use tells nothing about the destination's capacity (RFC 7661). Larger values follow demand
+/// sooner, smaller ones let fewer simultaneous bursts of all senders through.
+const APPLICATION_LIMITED_MULTIPLE: f64 = 2.0;
+/// Lowest bound of an application-limited rate, as a multiple of the fair share. The trade-off is the same as
+/// for `APPLICATION_LIMITED_MULTIPLE`.
+const APPLICATION_LIMITED_FAIR_SHARES: f64 = 1.1;
+/// Burst that the rate limit allows, in seconds of the rate. Longer bursts send queued messages faster,
+/// shorter ones cause fewer rejections.
+const BURST_SECONDS: f64 = 0.3;
+/// Standard deviations of chance arrivals that may be saved up as a burst: those of independent senders
+/// cancel out in the sum.
+const BURST_DEVIATIONS: f64 = 2.0;
+/// Outage evidence above which a health scope is not trusted.
+const MAX_TRUSTED_EVIDENCE: f64 = 4.5;
+/// Upper bound of the outage evidence when an ejected scope starts to recover.
+const MAX_RECOVERY_EVIDENCE: f64 = 11.0;
+/// Outage evidence from which on an outage counts as confirmed. Below it, an outage that has just been
+/// detected may stay unconfirmed for one overload window.
+const CONFIRMED_OUTAGE_EVIDENCE: f64 = 2.0 * EJECTION_THRESHOLD;
+/// Maximum number of concurrent calls to a scope with an unconfirmed outage; these calls show whether the
+/// scope is down. More calls end a false alarm sooner, fewer waste less on an outage.
+const MAX_UNCONFIRMED_OUTAGE_CALLS: usize = 2;
+/// Baseline failure rate from which on a newly detected outage is unconfirmed.
+const NOISY_BASELINE_RATE: f64 = 0.15;
+/// Number of observed calls below which the baseline failure rate of a busy scope counts as unknown: the
+/// scope may be noisy.
+const MIN_KNOWN_CALLS: f64 = 50.0;
+/// Calls per second from which on a scope counts as busy.
+const BUSY_CALLS_PER_S: f64 = 20.0;
+/// Number of slow-start times after which an unhealthy scope that still has occasional successes counts as
+/// noisy rather than down.
+const MAX_OUTAGE_SLOW_STARTS: i64 = 3;
+/// Weight of one more call in the moving average of a class's failure rate at an endpoint.
+const CLASS_FAILURE_WEIGHT: f64 = 0.05;
+/// Number of hedge delays after which a call without a sign of life counts as unresponsive; this time is the
+/// unresponsive limit.
+const UNRESPONSIVE_HEDGE_DELAYS: i64 = 2;
+/// Smallest age at which a call counts as unresponsive or slow.
+const MIN_UNRESPONSIVE_AGE: Micros = SECOND;
+/// Number of unresponsive limits after which a call to an unresponsive scope is cancelled. Smaller values
+/// free slots sooner, larger ones wait longer for a response.
+const CANCEL_AFTER_LIMITS: i64 = 2;
+/// Factor of the time before cancellation if only one class at one endpoint shows no sign of life.
+const CLASS_CANCEL_FACTOR: i64 = 2;
+/// Number of half unresponsive limits, for each attempt so far, after which a call is cancelled if calls that
+/// were sent later have succeeded.
+const OVERTAKEN_HALF_LIMITS: i64 = 3;
+/// Share of the slots in use from which on unsafe calls are cancelled too. Smaller values give up more
+/// messages, larger ones free fewer slots.
+const SCARCE_SLOTS_SHARE: f64 = 0.7;
+/// Share of the latency objective up to which the oldest message comes first. Beyond it, the messages that
+/// lose most by waiting come first.
+const OLDEST_FIRST_SHARE: f64 = 0.9;
+/// A call that has been in flight for more than this many typical latencies makes its scope slow. Slow and
+/// ejected scopes share a bounded part of the slots. Smaller values isolate slow scopes sooner, larger ones
+/// leave room for long but healthy calls.
+const SLOW_CALL_MULTIPLE: i64 = 4;
+/// The typical latency moves towards each new latency by one part in this many of the difference: slowly
+/// enough to outlast a short disturbance.
+const TYPICAL_LATENCY_DIVISOR: i64 = 50;
+/// Number of latencies needed before the hedge delay may fall below its default. Smaller values find slow
+/// calls sooner, larger ones send fewer hedged requests to destinations with little traffic.
+const MIN_LATENCY_SAMPLES: usize = 8;
+/// Weight of a connection reset relative to other failures. Connections break under calls for reasons of
+/// their own, and a process that has died also rejects the connections that follow. Larger values detect a
+/// dead process sooner, smaller ones avoid ejecting destinations behind unreliable connections.
+const RESET_FAILURE_WEIGHT: f64 = 0.3;
+/// Number of consecutive rejections that mean an open circuit rather than throttling, if they last for
+/// `MIN_CIRCUIT_OPEN_SPAN`.
+const MIN_CIRCUIT_OPEN_REJECTIONS: u32 = 4;
+/// Shortest time over which consecutive rejections mean an open circuit.
+const MIN_CIRCUIT_OPEN_SPAN: Micros = SECOND;
+/// Share of the recovery budget that is used. Larger values recover sooner, smaller ones leave room for other
+/// senders.
+const RECOVERY_BUDGET_SHARE: f64 = 0.7;
+/// Number of probes of an ejected scope per overload window by all senders together, however little each of
+/// them knows about the scope. Larger values detect recovery sooner, smaller ones put less load on a small
+/// destination.
+const MAX_FLEET_PROBES: f64 = 3.0;
+/// Weight of one rejected connection in the moving average of connection rejections.
+const CONNECTION_REJECTION_WEIGHT: f64 = 0.2;
+/// Connection rejection score above which idle connections are closed. Smaller values relieve busy endpoints
+/// sooner, larger ones save handshakes.
+const CONNECTION_REJECTION_THRESHOLD: f64 = 0.1;
+/// How far a reported remaining share may lie above 1, because of noise, and still be accepted.
+const REMAINING_SHARE_TOLERANCE: f64 = 0.2;
+/// Largest remaining share that raises the rate above the fair share: 0.3 allows two fair shares. With more,
+/// all senders would exceed the limit before they receive the next report.
+const MAX_COUNTED_REMAINING_SHARE: f64 = 0.3;
+/// Relative increase of the rate limit with each report, per remaining share above the target. Larger values
+/// follow the demand sooner but oscillate.
+const REMAINING_SHARE_GAIN: f64 = 0.15;
+/// Remaining share of an announced limit at which the rate limit neither rises nor falls.
+const TARGET_REMAINING_SHARE: f64 = 0.5;
+/// Part of the fair share that a sender always keeps, so that no sender starves. The sum over all senders
+/// stays below the limit.
+const MIN_FAIR_SHARE: f64 = 0.7;
+/// Backoff before the first retry of a message. Longer values save attempts, shorter ones save time.
+const INITIAL_RETRY_BACKOFF: Micros = 150 * MILLISECOND;
+/// Longest backoff before a retry. Longer values save attempts, shorter ones save time.
+const MAX_RETRY_BACKOFF: Micros = 2 * SECOND;
+/// Time that is left before a deadline, and before the end of a window in which the destination drops
+/// repeats.
+pub(crate) const DEADLINE_MARGIN: Micros = 30 * MILLISECOND;
+/// Share of the capacity for pending messages above which messages of unavailable destinations are shed.
+const SHEDDING_THRESHOLD: f64 = 0.85;
+/// Initial backoff of a failed subscription to the endpoint list.
+pub(crate) const INITIAL_LIST_BACKOFF: Micros = 300 * MILLISECOND;
+/// Longest backoff of a failed subscription to the endpoint list.
+const MAX_LIST_BACKOFF: Micros = 4 * SECOND;
+/// Largest announced limit, in calls per second, that is accepted from a load report.
+const MAX_ANNOUNCED_LIMIT: f64 = 1e5;
+/// Seconds of a tenant's rate that its token bucket holds.
+const TENANT_BURST_SECONDS: f64 = 2.0;
 
 impl Sender {
-    /// A sender that knows nothing yet.
+    /// Creates a sender that knows no endpoints and holds no messages. The same `seed` gives the same
+    /// decisions.
     ///
     /// # Errors
-    /// When the settings make no sense.
+    /// When the settings are invalid.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.validate()?;
-        let list_retry = settings.list_requires_subscription.then_some(Micros::MIN);
+        let list_retry_at = settings.list_requires_subscription.then_some(Micros::MIN);
         let tenant_tokens = settings.tenants.iter().map(|_| (f64::MAX, 0)).collect();
         Ok(Sender {
             settings,
@@ -134,91 +198,92 @@
             now: 0,
             alarm: Micros::MAX,
             endpoints: BTreeMap::new(),
-            routes: BTreeMap::new(),
-            listed: BTreeMap::new(),
-            units: BTreeMap::new(),
-            dormant: BTreeMap::new(),
-            rested: None,
-            leaving: BTreeSet::new(),
-            unlisted: BTreeSet::new(),
-            unused: BTreeSet::new(),
+            endpoints_by_destination: BTreeMap::new(),
+            last_listed_at: BTreeMap::new(),
+            scopes: BTreeMap::new(),
+            idle_scopes: BTreeMap::new(),
+            idle_scan_position: None,
+            removable_endpoints: BTreeSet::new(),
+            unlisted_destinations: BTreeSet::new(),
+            removable_scopes: BTreeSet::new(),
             messages: BTreeMap::new(),
-            keys: BTreeMap::new(),
+            key_queues: BTreeMap::new(),
             calls: BTreeMap::new(),
             next_call: 0,
-            copies_out: 0,
-            crowded: BTreeMap::new(),
+            hedges_in_flight: 0,
+            connection_rejection_scores: BTreeMap::new(),
             tenant_tokens,
-            list_retry,
-            list_rest: LIST_FIRST,
-            ends: None,
-            due: Micros::MAX,
-            agenda: Agenda::default(),
-            burdens: 0,
-            shortcuts: true,
+            list_retry_at,
+            list_retry_backoff: INITIAL_LIST_BACKOFF,
+            shutdown_at: None,
+            next_due_at: Micros::MAX,
+            scheduler: SendScheduler::default(),
+            degraded_calls: 0,
+            incremental_scheduling: true,
         })
     }
 
-    /// One turn: takes in all events, then appends what to do. The time never goes backwards.
+    /// Runs one turn: applies all events in order, then appends the resulting actions. A `now` earlier than
+    /// that of the previous turn counts as the previous one, so time never goes backwards.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.alarm <= self.now {
             self.alarm = Micros::MAX;
         }
-        self.make_books();
+        self.rebuild_schedule();
         for event in events {
-            self.learn(event, actions);
+            self.on_event(event, actions);
         }
-        self.due = Micros::MAX;
-        if self.list_retry.take_if(|at| *at <= self.now).is_some() {
+        self.next_due_at = Micros::MAX;
+        if self.list_retry_at.take_if(|at| *at <= self.now).is_some() {
             actions.push(Action::Subscribe);
         }
-        self.file_touched();
-        self.look_for_silence(actions);
-        self.end_hopeless(actions);
-        self.send_due(actions);
+        self.update_changed_entries();
+        self.detect_unresponsive_calls(actions);
+        self.end_undeliverable(actions);
+        self.dispatch_due(actions);
         self.set_alarm(actions);
-        self.rest_idle();
+        self.compact_idle_scopes();
     }
 
-    fn learn(&mut self, event: &Event, actions: &mut Vec<Action>) {
+    fn on_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList { kind, entries } => self.learn_list(*kind, entries),
+            Event::EndpointList { kind, entries } => self.on_endpoint_list(*kind, entries),
             Event::EndpointListFailed => {
-                let jitter = Micros::from(self.random.next_u32()) % self.list_rest;
-                self.list_retry = Some(self.now + self.list_rest / 2 + jitter);
-                self.list_rest = (self.list_rest * 2).min(LIST_MOST);
+                let jitter = Micros::from(self.random.next_u32()) % self.list_retry_backoff;
+                self.list_retry_at = Some(self.now + self.list_retry_backoff / 2 + jitter);
+                self.list_retry_backoff = (self.list_retry_backoff * 2).min(MAX_LIST_BACKOFF);
             }
             Event::Accepted(message) => {
-                self.accept(message);
-                // no list ever named its destination: the client is told at once, and may come again, since
-                // the list may be late
-                let unknown =
-                    !self.listed.is_empty() && !self.listed.contains_key(&message.destination);
-                let turned_away = unknown || self.comes_too_late(message);
-                if let Some(held) = self.messages.get_mut(&message.id).filter(|_| turned_away) {
-                    held.turned_away = true;
+                self.on_accepted(message);
+                // No list has named the destination. The message is rejected at once, and the client may
+                // retry, because the list may be late.
+                let destination_unknown = !self.last_listed_at.is_empty()
+                    && !self.last_listed_at.contains_key(&message.destination);
+                let is_rejected = destination_unknown || self.would_wait_too_long(message);
+                if let Some(pending) = self.messages.get_mut(&message.id).filter(|_| is_rejected) {
+                    pending.rejected_on_arrival = true;
                 }
-                self.agenda.touch(message.id);
+                self.scheduler.mark_changed(message.id);
             }
-            Event::Resumed { message, attempts } => self.resume(message, attempts),
-            Event::Stopping { ends_at } => self.ends = Some(*ends_at),
+            Event::Resumed { message, attempts } => self.on_resumed(message, attempts),
+            Event::Stopping { ends_at } => self.shutdown_at = Some(*ends_at),
             Event::Notification {
                 message,
                 key,
                 acknowledged,
-            } => self.learn_notice(*message, *key, *acknowledged),
+            } => self.on_notification(*message, *key, *acknowledged),
             Event::RetryAfter {
                 endpoint,
                 retry_after,
             } => {
-                let id = self.unit_of(*endpoint);
-                self.heed(id, *retry_after, actions);
+                let scope_id = self.scope_of(*endpoint);
+                self.apply_retry_after(scope_id, *retry_after, actions);
             }
             Event::AttemptEnded { .. } => self.on_attempt_ended(event, actions),
             Event::Cancelled(message) => {
-                self.close(*message, actions);
-                self.forget_if_done(*message);
+                self.close_message(*message, actions);
+                self.remove_if_finished(*message);
             }
             Event::ResponseStarted { .. }
             | Event::Probed { .. }
@@ -227,24 +292,25 @@
         }
     }
 
-    pub(crate) fn accept(&mut self, new: &NewMessage) {
+    /// Adds an accepted message. Messages beyond the share of their tenant get a lower priority weight.
+    pub(crate) fn on_accepted(&mut self, new: &NewMessage) {
         let deadline = self.now + new.time_left;
         let class = self.settings.classes.get(new.class);
-        let (mut worth, ordered) =
+        let (mut priority_weight, ordered) =
             class.map_or((1.0, false), |class| (class.priority_weight, class.ordered));
-        let born = class.map_or(self.now, |class| deadline - class.deadline);
+        let accepted_at = class.map_or(self.now, |class| deadline - class.deadline);
         if let Some(tenant) = new
             .tenant
             .and_then(|index| self.settings.tenants.get(index))
         {
             let rate = tenant.allowance / f64::from(self.settings.senders);
-            let (tokens, at) = &mut self.tenant_tokens[new.tenant.unwrap_or_default()];
-            *tokens =
-                (*tokens + rate * seconds(self.now - *at)).min((rate * TENANT_BURST).max(1.0));
-            *at = self.now;
-            let within = *tokens >= 1.0;
-            *tokens -= f64::from(u8::from(within));
-            worth *= if within {
+            let (tokens, updated_at) = &mut self.tenant_tokens[new.tenant.unwrap_or_default()];
+            *tokens = (*tokens + rate * seconds(self.now - *updated_at))
+                .min((rate * TENANT_BURST_SECONDS).max(1.0));
+            *updated_at = self.now;
+            let within_share = *tokens >= 1.0;
+            *tokens -= f64::from(u8::from(within_share));
+            priority_weight *= if within_share {
                 1.0
             } else {
                 self.settings.over_share_weight
@@ -252,54 +318,75 @@
         }
         let key = new.key.filter(|_| ordered);
         if let Some(key) = key {
-            self.keys.entry(key).or_default().turn.push_back(new.id);
-            if self.keys.len() > 2 * self.settings.max_pending {
-                self.forget_keys();
+            self.key_queues
+                .entry(key)
+                .or_default()
+                .messages
+                .push_back(new.id);
+            if self.key_queues.len() > 2 * self.settings.max_pending {
+                self.remove_idle_key_queues();
             }
         }
-        let mut held = Held {
+        let mut message = PendingMessage {
             key,
-            born,
+            accepted_at,
             deadline,
-            worth,
+            priority_weight,
             open: true,
-            ..Held::default()
+            ..PendingMessage::default()
         };
-        (held.class, held.destination, held.retry_rest) = (new.class, new.destination, RETRY_FIRST);
-        (held.later, held.most) = (new.deferred, self.settings.max_attempts);
-        self.messages.insert(new.id, held);
-        self.agenda.touch(new.id);
-        self.rouse_all(new.destination);
+        (message.class, message.destination, message.retry_backoff) =
+            (new.class, new.destination, INITIAL_RETRY_BACKOFF);
+        (message.deferred, message.max_attempts) = (new.deferred, self.settings.max_attempts);
+        self.messages.insert(new.id, message);
+        self.scheduler.mark_changed(new.id);
+        self.expand_scopes_of(new.destination);
     }
 
-    /// Messages that come back with their process begin their calls at a random part of an interval. Guards
-    /// against all senders restarted at once: each begins with a whole call, and none knows a limit. Could
-    /// cost worth where this sender alone was restarted. A later one with less time shortens the rest.
-    pub(crate) fn begin_apart(&mut self, class: usize, destination: DestinationId, left: Micros) {
-        let span = self
+    /// Delays the first calls to a destination after a restart by a random part of an interval. If all
+    /// senders restart at once, each would otherwise begin with a whole call before any of them knows a
+    /// limit. The cost is some delay where this sender alone was restarted. A later message with less time
+    /// left shortens the delay.
+    pub(crate) fn stagger_after_restart(
+        &mut self,
+        class: usize,
+        destination: DestinationId,
+        time_left: Micros,
+    ) {
+        let time_available = self
             .settings
             .classes
             .get(class)
-            .map_or(0, |class| class.latency_objective.min(left));
-        for endpoint in self.routes.get(&destination).cloned().unwrap_or_default() {
-            let (id, phase) = (self.unit_of(endpoint), self.phase());
-            let (known, unit) = (self.units.contains_key(&id), self.unit(id));
-            let most = (unit.pace * RESUMED_REST * seconds(span)).min(1.0);
-            let least = if unit.last_sent == 0 {
-                1.0 - most
+            .map_or(0, |class| class.latency_objective.min(time_left));
+        for endpoint in self
+            .endpoints_by_destination
+            .get(&destination)
+            .cloned()
+            .unwrap_or_default()
+        {
+            let (scope_id, phase) = (self.scope_of(endpoint), self.random_phase());
+            let (is_known, scope) = (
+                self.scopes.contains_key(&scope_id),
+                self.scope_mut(scope_id),
+            );
+            let max_delay_tokens =
+                (scope.rate_limit * MAX_RESUME_DELAY_SHARE * seconds(time_available)).min(1.0);
+            let min_tokens = if scope.last_sent_at == 0 {
+                1.0 - max_delay_tokens
             } else {
                 f64::MIN
             };
-            unit.tokens = if known {
-                unit.tokens.max(least)
+            scope.tokens = if is_known {
+                scope.tokens.max(min_tokens)
             } else {
-                unit.tokens - phase * most
+                scope.tokens - phase * max_delay_tokens
             };
         }
-        self.agenda.stir(destination);
+        self.scheduler.activate_destination(destination);
     }
 
-    pub(crate) fn learn_outcome(
+    /// Applies the outcome of an attempt to its message, its call and its health scope.
+    pub(crate) fn on_outcome(
         &mut self,
         id: MessageId,
         index: usize,
@@ -314,100 +401,112 @@
         let Some(attempt) = message
             .attempts
             .get_mut(index)
-            .filter(|attempt| attempt.out)
+            .filter(|attempt| attempt.in_flight)
         else {
             return;
         };
-        attempt.out = false;
+        attempt.in_flight = false;
         attempt.may_have_run = !outcome.never_ran();
-        let (call_id, endpoint_id, sent) = (attempt.call, attempt.endpoint, attempt.sent);
+        let (call_id, endpoint_id, sent_at) = (attempt.call_id, attempt.endpoint, attempt.sent_at);
         let class = message.class;
-        let unit = self
+        let scope = self
             .calls
             .get(&call_id)
-            .and_then(|call| self.units.get(&call.unit));
-        // told nothing where a limit is told: not the load's refusal, but that of a full table of connections
-        let limit = unit
-            .and_then(|unit| unit.told_limit)
+            .and_then(|call| self.scopes.get(&call.scope));
+        // A destination that announces its limit reports it in every response of its application. A rejection
+        // without a report comes from a full connection table, not from the load limit.
+        let announced_limit = scope
+            .and_then(|scope| scope.announced_limit)
             .filter(|_| report.is_empty());
-        let full = limit.is_some() && outcome == Outcome::Rejected { retry_after: None };
-        // what the host could not send rests too, or a lasting fault there would use up all attempts at once
+        let connections_full =
+            announced_limit.is_some() && outcome == Outcome::Rejected { retry_after: None };
+        // An attempt that the host could not send backs off too: otherwise a lasting fault on the host would
+        // use up all attempts at once.
         if !matches!(
             outcome,
             Outcome::Success | Outcome::Unsent { no_slot: true }
         ) {
-            let rest = message.retry_rest;
-            message.retry_rest = (rest * 2).min(RETRY_MOST);
-            // where a limit or a wait is told, the pace holds it back
-            let told = unit.is_some_and(|unit| unit.told_limit.is_some() || unit.pace.is_finite());
-            let paced = matches!(
+            let backoff = message.retry_backoff;
+            message.retry_backoff = (backoff * 2).min(MAX_RETRY_BACKOFF);
+            // With an announced limit or Retry-After, the rate limit already delays the retry.
+            let is_rate_limited = scope.is_some_and(|scope| {
+                scope.announced_limit.is_some() || scope.rate_limit.is_finite()
+            });
+            let delayed_by_rate = matches!(
                 outcome,
-                Outcome::Rejected { retry_after } if told && !full || retry_after.is_some()
+                Outcome::Rejected { retry_after }
+                    if is_rate_limited && !connections_full || retry_after.is_some()
             );
-            message.retry_at = self.now + if paced { 0 } else { rest };
+            message.retry_at = self.now + if delayed_by_rate { 0 } else { backoff };
         }
-        let rests = matches!(
+        let may_still_run = matches!(
             outcome,
             Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled
         );
-        if let Some(line) = message
+        if let Some(key_queue) = message
             .key
-            .filter(|_| rests)
-            .and_then(|key| self.keys.get_mut(&key))
+            .filter(|_| may_still_run)
+            .and_then(|key| self.key_queues.get_mut(&key))
         {
-            line.rest_until = line
-                .rest_until
+            key_queue.blocked_until = key_queue
+                .blocked_until
                 .max(self.now + self.settings.safety.ordered_key_backoff);
-            line.turn
+            key_queue
+                .messages
                 .front()
                 .into_iter()
-                .for_each(|&first| self.agenda.touch(first));
+                .for_each(|&head| self.scheduler.mark_changed(head));
         }
         let Some(call) = self.calls.get_mut(&call_id) else {
             return;
         };
-        let (unit_id, first, copy) = (call.unit, call.left == call.size, call.copy);
-        call.left -= 1;
-        let over = call.left == 0;
-        self.agenda.stir(unit_id.0);
-        if over {
+        let (scope_id, is_first_outcome, is_hedge) = (
+            call.scope,
+            call.pending_outcomes == call.batch_size,
+            call.is_hedge,
+        );
+        call.pending_outcomes -= 1;
+        let is_finished = call.pending_outcomes == 0;
+        self.scheduler.activate_destination(scope_id.0);
+        if is_finished {
             self.calls.remove(&call_id);
-            self.agenda.call_ended(endpoint_id);
-            self.copies_out -= usize::from(copy);
-            let unit = self.unit(unit_id);
-            unit.in_flight = unit.in_flight.saturating_sub(1);
-            unit.look_anew();
-            self.close_idle(unit_id, endpoint_id, actions);
+            self.scheduler.call_ended(endpoint_id);
+            self.hedges_in_flight -= usize::from(is_hedge);
+            let scope = self.scope_mut(scope_id);
+            scope.in_flight = scope.in_flight.saturating_sub(1);
+            scope.reset_responsiveness();
+            self.release_idle_connections(scope_id, endpoint_id, actions);
         }
         if let Outcome::Rejected {
             retry_after: Some(wait),
         } = outcome
         {
-            self.heed(unit_id, wait, actions);
+            self.apply_retry_after(scope_id, wait, actions);
         }
-        if first {
-            self.learn_report(unit_id, report);
-            self.learn_call(
-                unit_id,
-                (endpoint_id, class, sent),
-                (outcome, full),
+        if is_first_outcome {
+            self.on_load_report(scope_id, report);
+            self.on_call_result(
+                scope_id,
+                (endpoint_id, class, sent_at),
+                (outcome, connections_full),
                 latency,
                 actions,
             );
         }
-        self.settle(unit_id);
+        self.settle_scope_tokens(scope_id);
     }
 
-    /// What a call's first outcome tells of endpoint and unit.
-    fn learn_call(
+    /// Updates the health of the endpoint and its health scope from the first outcome of a call.
+    /// `connections_full`: the rejection came from a full connection table.
+    fn on_call_result(
         &mut self,
-        unit_id: UnitId,
-        (endpoint_id, class, sent): (EndpointId, usize, Micros),
-        (outcome, full): (Outcome, bool),
+        scope_id: HealthScopeId,
+        (endpoint_id, class, sent_at): (EndpointId, usize, Micros),
+        (outcome, connections_full): (Outcome, bool),
         latency: Micros,
         actions: &mut Vec<Action>,
     ) {
-        let (now, span, cold) = (
+        let (now, overload_window, slow_start) = (
             self.now,
             self.settings.safety.overload_window,
             self.settings.safety.slow_start,
@@ -416,364 +515,463 @@
             self.settings.call_slots as f64,
             f64::from(self.settings.senders),
         );
-        let phase = self.phase();
-        let silence = self.unit(unit_id).silence_limit();
-        // the usual share of failures of a class that fails where others fare well
-        let mut class_fails = 0.0;
+        let phase = self.random_phase();
+        let unresponsive_after = self.scope_mut(scope_id).unresponsive_after();
+        // Failure rate of this class at this endpoint if another class has succeeded there since; otherwise
+        // 0.
+        let mut class_failure_rate = 0.0;
         if let Some(endpoint) = self.endpoints.get_mut(&endpoint_id) {
             for score in [
-                self.crowded.entry(endpoint.kind).or_default(),
-                &mut endpoint.crowded,
+                self.connection_rejection_scores
+                    .entry(endpoint.kind)
+                    .or_default(),
+                &mut endpoint.connection_rejection_score,
             ] {
-                if full || outcome == Outcome::NoConnection {
-                    *score += CROWDED_WEIGHT * (1.0 - *score);
+                if connections_full || outcome == Outcome::NoConnection {
+                    *score += CONNECTION_REJECTION_WEIGHT * (1.0 - *score);
                 } else if outcome == Outcome::Success {
-                    *score -= CROWDED_WEIGHT * CROWDED * *score;
+                    *score -= CONNECTION_REJECTION_WEIGHT * CONNECTION_REJECTION_THRESHOLD * *score;
                 }
             }
-            // one class may fail or go unanswered where others fare well: a late called-off attempt counts
-            let record = endpoint.classes.entry(class).or_default();
+            // A single class may fail or get no response where others succeed. A cancelled attempt counts as
+            // a failure if it had run for longer than the unresponsive limit.
+            let record = endpoint.class_health.entry(class).or_default();
             if outcome == Outcome::Success {
-                (record.strikes, record.alive_at) = (0, now);
-                record.alive_sent = record.alive_sent.max(sent);
-                record.fails -= CLASS_WEIGHT * record.fails;
-            } else if outcome.is_failure() || outcome == Outcome::Cancelled && latency > silence {
-                record.strikes += 1;
-                record.struck_until = now + ((span / 4) << record.strikes.min(3));
-                record.fails += CLASS_WEIGHT * (1.0 - record.fails);
-                record.first_strike = if record.strikes == 1 {
-                    sent
+                (record.consecutive_failures, record.last_success_at) = (0, now);
+                record.last_success_sent_at = record.last_success_sent_at.max(sent_at);
+                record.failure_rate -= CLASS_FAILURE_WEIGHT * record.failure_rate;
+            } else if outcome.is_failure()
+                || outcome == Outcome::Cancelled && latency > unresponsive_after
+            {
+                record.consecutive_failures += 1;
+                record.avoided_until =
+                    now + ((overload_window / 4) << record.consecutive_failures.min(3));
+                record.failure_rate += CLASS_FAILURE_WEIGHT * (1.0 - record.failure_rate);
+                record.first_failure_sent_at = if record.consecutive_failures == 1 {
+                    sent_at
                 } else {
-                    record.first_strike
+                    record.first_failure_sent_at
                 };
-                let (begun, fails) = (record.first_strike, record.fails);
-                let fares = |(&other, known): (&usize, &ClassRecord)| {
-                    other != class && known.alive_at > begun
+                let (first_failure_sent_at, failure_rate) =
+                    (record.first_failure_sent_at, record.failure_rate);
+                let succeeded_since = |(&other, health): (&usize, &ClassHealth)| {
+                    other != class && health.last_success_at > first_failure_sent_at
                 };
-                class_fails = if endpoint.classes.iter().any(fares) {
-                    fails
+                class_failure_rate = if endpoint.class_health.iter().any(succeeded_since) {
+                    failure_rate
                 } else {
                     0.0
                 };
             }
         }
-        let tells_left = self.settings.report_remaining_index.is_some();
-        let tells = self
-            .units
-            .get(&unit_id)
-            .is_some_and(|unit| unit.tells(&self.settings, now));
-        let unit = self.unit(unit_id);
+        let reports_remaining = self.settings.report_remaining_index.is_some();
+        let implies_limit = self
+            .scopes
+            .get(&scope_id)
+            .is_some_and(|scope| scope.rejections_imply_limit(&self.settings, now));
+        let scope = self.scope_mut(scope_id);
         if matches!(
             outcome,
             Outcome::Success | Outcome::Error | Outcome::Rejected { .. }
         ) {
-            unit.alive_at = now;
+            scope.last_alive_at = now;
         }
         match outcome {
             Outcome::Success => {
-                unit.remember_latency(latency);
-                unit.refused_run = 0;
-                unit.succeeded = true;
-                // what succeeds now and then for longer than an outage with its return lasts is only noisy
-                let unknown =
-                    unit.odds.observed_calls() < KNOWN && unit.usual_rate(now, span / 30) >= BUSY;
-                let away =
-                    now - unit.ill_since > ILL_TIMES * cold || now < unit.doubt_until && unknown;
-                let learns = unit.health == Health::Healthy || away;
-                unit.odds.record_success(learns, GONE);
-                unit.served.push(now, usize::MAX);
-                let rate = unit.served_rate(now, span);
-                if !tells {
-                    let lately = unit.served_lately(now, span);
-                    let advice = unit
-                        .refusals
-                        .on_response(false, sent, now, unit.pace, lately);
-                    unit.heed_refusals(advice, lately);
+                scope.record_latency(latency);
+                scope.consecutive_rejections = 0;
+                scope.succeeded_since_reduction = true;
+                // Successes that continue for longer than an outage and its recovery last mean that the scope
+                // is only noisy.
+                let baseline_unknown = scope.outage_evidence.observed_calls() < MIN_KNOWN_CALLS
+                    && scope.average_send_rate(now, overload_window / 30) >= BUSY_CALLS_PER_S;
+                let is_noise = now - scope.unhealthy_since > MAX_OUTAGE_SLOW_STARTS * slow_start
+                    || now < scope.outage_unconfirmed_until && baseline_unknown;
+                let updates_baseline = scope.health == Health::Healthy || is_noise;
+                scope
+                    .outage_evidence
+                    .record_success(updates_baseline, CONFIRMED_OUTAGE_EVIDENCE);
+                scope.success_times.push(now, usize::MAX);
+                let success_rate = scope.success_rate(now, overload_window);
+                if !implies_limit {
+                    let recent_rate = scope.recent_success_rate(now, overload_window);
+                    let advice = scope.rejections.on_response(
+                        false,
+                        sent_at,
+                        now,
+                        scope.rate_limit,
+                        recent_rate,
+                    );
+                    scope.apply_rate_advice(advice, recent_rate);
                 }
-                if !(unit.refusals.is_probing_rate() || tells_left && unit.told_limit.is_some()) {
-                    unit.grow();
+                if !(scope.rejections.is_probing_rate()
+                    || reports_remaining && scope.announced_limit.is_some())
+                {
+                    scope.increase_rate();
                 }
-                // what is served while returning must not raise the budget of the return itself
-                unit.best_rate = unit.best_rate.max(if unit.health == Health::Healthy {
-                    rate
+                // Calls served during recovery must not raise the budget of that recovery.
+                scope.best_rate = scope.best_rate.max(if scope.health == Health::Healthy {
+                    success_rate
                 } else {
                     0.0
                 });
-                unit.window = (unit.window + 1.0 / unit.window).min(WINDOW_MOST * slots);
-                match unit.health {
-                    // answers at the first trial after refusals or silence alone: throttled or slow, not out
+                scope.window = (scope.window + 1.0 / scope.window).min(MAX_WINDOW_SHARE * slots);
+                match scope.health {
+                    // A scope that answers the first probe after nothing but rejections or missing responses
+                    // was throttled or slow, not down.
                     Health::Ejected {
-                        unresponsive: silent,
+                        unresponsive,
                         since,
-                    } if unit.odds.evidence() < TRUST && (silent || now - since < 2 * span) => {
-                        unit.health = Health::Healthy;
+                    } if scope.outage_evidence.evidence() < MAX_TRUSTED_EVIDENCE
+                        && (unresponsive || now - since < 2 * overload_window) =>
+                    {
+                        scope.health = Health::Healthy;
                     }
-                    Health::Ejected { .. } if now < unit.doubt_until => {}
+                    Health::Ejected { .. } if now < scope.outage_unconfirmed_until => {}
                     Health::Ejected { .. } => {
-                        unit.odds.set_evidence(unit.odds.evidence().min(RETURNING));
-                        // between the last trial that failed and this one; seldom tried, it has long begun
-                        let since = sent - (sent - unit.bad_sent).clamp(0, cold) / 2;
-                        (unit.health, unit.warm_at) = (Health::Recovering { since }, now + cold);
-                        actions.push(Action::Log(format!("destination {} returns", unit_id.0)));
+                        scope.outage_evidence.set_evidence(
+                            scope.outage_evidence.evidence().min(MAX_RECOVERY_EVIDENCE),
+                        );
+                        // The recovery began between the last failed call and this one; the middle is
+                        // assumed, at most half a slow start before this call was sent.
+                        let since = sent_at
+                            - (sent_at - scope.last_failed_sent_at).clamp(0, slow_start) / 2;
+                        (scope.health, scope.slow_start_ends_at) =
+                            (Health::Recovering { since }, now + slow_start);
+                        actions.push(Action::Log(format!("destination {} returns", scope_id.0)));
                     }
-                    Health::Recovering { .. } if now > unit.warm_at => {
-                        unit.health = Health::Healthy;
+                    Health::Recovering { .. } if now > scope.slow_start_ends_at => {
+                        scope.health = Health::Healthy;
                     }
                     _ => {}
                 }
             }
             Outcome::Rejected { retry_after } => {
-                unit.bad_sent = unit.bad_sent.max(sent);
-                unit.refused_since = if unit.refused_run == 0 {
+                scope.last_failed_sent_at = scope.last_failed_sent_at.max(sent_at);
+                scope.rejected_since = if scope.consecutive_rejections == 0 {
                     now
                 } else {
-                    unit.refused_since
+                    scope.rejected_since
                 };
-                unit.refused_run += 1;
-                let rate = unit.served_rate(now, span);
-                let told = retry_after.is_some() || tells;
-                let usual = if told {
+                scope.consecutive_rejections += 1;
+                let success_rate = scope.success_rate(now, overload_window);
+                let limit_known = retry_after.is_some() || implies_limit;
+                let baseline_rate = if limit_known {
                     0.0
                 } else {
-                    unit.refusals.baseline_rate()
+                    scope.rejections.baseline_rate()
                 };
-                let run = SHUT_RUN.max(if told {
+                let min_rejections = MIN_CIRCUIT_OPEN_REJECTIONS.max(if limit_known {
                     0
                 } else {
-                    (EJECTION_THRESHOLD / OutageEvidence::failure_log_likelihood_ratio(usual))
-                        .ceil() as u32
+                    (EJECTION_THRESHOLD
+                        / OutageEvidence::failure_log_likelihood_ratio(baseline_rate))
+                    .ceil() as u32
                 });
-                let shut = unit.refused_run >= run && now - unit.refused_since >= SHUT_SPAN;
-                let lately = unit.served_lately(now, span);
-                let advice = match told {
-                    true if full => RateAdvice::Keep,
+                let circuit_open = scope.consecutive_rejections >= min_rejections
+                    && now - scope.rejected_since >= MIN_CIRCUIT_OPEN_SPAN;
+                let recent_rate = scope.recent_success_rate(now, overload_window);
+                let advice = match limit_known {
+                    true if connections_full => RateAdvice::Keep,
                     true => RateAdvice::Reduce,
-                    false => unit
-                        .refusals
-                        .on_response(true, sent, now, unit.pace, lately),
+                    false => scope.rejections.on_response(
+                        true,
+                        sent_at,
+                        now,
+                        scope.rate_limit,
+                        recent_rate,
+                    ),
                 };
-                unit.heed_refusals(advice, lately);
-                // what opens again is found out by its pace, too
-                let opens_slowly = shut && !told && unit.pace.is_infinite();
-                if (advice == RateAdvice::Reduce && unit.cut(sent, now)) || opens_slowly {
-                    unit.slow_down(rate, senders, phase);
-                    unit.limited = true;
+                scope.apply_rate_advice(advice, recent_rate);
+                // A finite rate limit makes the sender probe whether the circuit has closed again.
+                let needs_rate_limit =
+                    circuit_open && !limit_known && scope.rate_limit.is_infinite();
+                if (advice == RateAdvice::Reduce && scope.reduce_window(sent_at, now))
+                    || needs_rate_limit
+                {
+                    scope.reduce_rate(success_rate, senders, phase);
+                    scope.limited_by_rejection = true;
                 }
-                if shut {
-                    self.fall_sick(unit_id, false, "shut", actions);
+                if circuit_open {
+                    self.eject(scope_id, false, "shut", actions);
                 }
             }
             _ if outcome.is_failure() => {
-                unit.bad_sent = unit.bad_sent.max(sent);
-                let reset = outcome == Outcome::Reset;
-                let evidence = unit
-                    .odds
-                    .record_failure(if reset { RESET_WEIGHT } else { 1.0 }, class_fails);
-                let (rate, lone) = (unit.served_rate(now, span), !unit.succeeded);
-                let congested =
-                    outcome != Outcome::Error || lone && evidence > EJECTION_THRESHOLD / 2.0;
-                let fresh = !reset && congested && unit.cut(sent, now);
-                // with a call or more in a span the failure score is soon sure
-                let rare = unit.usual_rate(now, cold) * seconds(span) < 1.0;
-                if fresh && lone && rare {
-                    unit.slow_down(rate, senders, phase);
+                scope.last_failed_sent_at = scope.last_failed_sent_at.max(sent_at);
+                let is_reset = outcome == Outcome::Reset;
+                let evidence = scope.outage_evidence.record_failure(
+                    if is_reset { RESET_FAILURE_WEIGHT } else { 1.0 },
+                    class_failure_rate,
+                );
+                let (success_rate, without_success) = (
+                    scope.success_rate(now, overload_window),
+                    !scope.succeeded_since_reduction,
+                );
+                let congested = outcome != Outcome::Error
+                    || without_success && evidence > EJECTION_THRESHOLD / 2.0;
+                let window_reduced = !is_reset && congested && scope.reduce_window(sent_at, now);
+                // With at least one call per overload window, the outage evidence soon ejects the scope, so
+                // the rate need not be reduced before.
+                let is_rarely_called =
+                    scope.average_send_rate(now, slow_start) * seconds(overload_window) < 1.0;
+                if window_reduced && without_success && is_rarely_called {
+                    scope.reduce_rate(success_rate, senders, phase);
                 }
-                unit.succeeded &= reset;
-                if evidence >= GONE {
-                    unit.doubt_until = now;
+                scope.succeeded_since_reduction &= is_reset;
+                if evidence >= CONFIRMED_OUTAGE_EVIDENCE {
+                    scope.outage_unconfirmed_until = now;
                 }
                 if evidence >= EJECTION_THRESHOLD {
-                    self.fall_sick(unit_id, false, "fails", actions);
+                    self.eject(scope_id, false, "fails", actions);
                 }
             }
             _ => {}
         }
     }
 
-    fn heed(&mut self, id: UnitId, wait: Micros, actions: &mut Vec<Action>) {
-        if wait > 2 * self.settings.safety.overload_window {
-            self.fall_sick(id, false, "shut", actions); // closed, not throttled: it opens cold
+    /// Blocks a health scope for an announced wait, and ejects the scope if the wait is long.
+    fn apply_retry_after(
+        &mut self,
+        scope_id: HealthScopeId,
+        retry_after: Micros,
+        actions: &mut Vec<Action>,
+    ) {
+        if retry_after > 2 * self.settings.safety.overload_window {
+            self.eject(scope_id, false, "shut", actions); // closed, not throttled: needs a slow start
         }
-        let until = self.now + wait + MILLISECOND;
-        self.settle(id);
-        self.unit(id).wait_until = self.unit(id).wait_until.max(until);
-        self.agenda.stir(id.0);
+        let until = self.now + retry_after + MILLISECOND;
+        self.settle_scope_tokens(scope_id);
+        self.scope_mut(scope_id).retry_after_until =
+            self.scope_mut(scope_id).retry_after_until.max(until);
+        self.scheduler.activate_destination(scope_id.0);
     }
 
-    /// Paces by what a unit tells of its shared limit, the only sign of all senders' load: up while much is
-    /// left, down while little is, at most the even share while nothing is, more by the square of what is.
-    /// Guards limits that refused calls use up; could hold back a sender that has most of the traffic.
-    fn learn_report(&mut self, id: UnitId, report: &[f64]) {
-        let read = |at: Option<usize>| at.and_then(|index| report.get(index).copied());
-        let (limit, left) = (
-            read(self.settings.report_limit_index),
-            read(self.settings.report_remaining_index),
+    /// Adjusts the rate limit to a load report of the limit that all senders share, the only sign of their
+    /// total load. The rate rises while much of the limit remains and falls while little does. It is at most
+    /// the fair share while nothing remains, and more by the square of the used share otherwise. This
+    /// protects limits that count rejected calls too; it can hold back a sender that has most of the traffic.
+    fn on_load_report(&mut self, scope_id: HealthScopeId, report: &[f64]) {
+        let read_field =
+            |position: Option<usize>| position.and_then(|index| report.get(index).copied());
+        let (limit, remaining) = (
+            read_field(self.settings.report_limit_index),
+            read_field(self.settings.report_remaining_index),
         );
-        let share = limit.unwrap_or(0.0) / f64::from(self.settings.senders);
-        let Some(limit) = limit.filter(|&limit| limit > 0.0 && limit <= LIMIT_MOST) else {
+        let fair_share = limit.unwrap_or(0.0) / f64::from(self.settings.senders);
+        let Some(limit) = limit.filter(|&limit| limit > 0.0 && limit <= MAX_ANNOUNCED_LIMIT) else {
             return;
         };
-        if left.is_some_and(|left| !(0.0..=1.0 + LEFT_SLACK).contains(&left)) {
-            return; // what tells an absurd share tells no limit either
+        if remaining
+            .is_some_and(|remaining| !(0.0..=1.0 + REMAINING_SHARE_TOLERANCE).contains(&remaining))
+        {
+            return; // a report with an impossible remaining share is not trusted for the limit either
         }
-        let (now, span) = (self.now, self.settings.safety.overload_window);
-        let waiting = self.agenda.held_for(id.0) / self.call_room(id.0);
-        let unit = self.unit(id);
-        let proven = (PACE_USED * unit.served_rate(now, span)).max(PACE_UNUSED * share);
-        let pace = if unit.told_limit.is_none() && !unit.limited {
+        let (now, overload_window) = (self.now, self.settings.safety.overload_window);
+        let waiting_calls =
+            self.scheduler.pending_count(scope_id.0) / self.batch_size_for(scope_id.0);
+        let scope = self.scope_mut(scope_id);
+        let application_limited_rate = (APPLICATION_LIMITED_MULTIPLE
+            * scope.success_rate(now, overload_window))
+        .max(APPLICATION_LIMITED_FAIR_SHARES * fair_share);
+        let rate_limit = if scope.announced_limit.is_none() && !scope.limited_by_rejection {
             f64::INFINITY
         } else {
-            unit.pace
+            scope.rate_limit
         };
-        let most = if pace.is_finite() && waiting > unit.in_flight + 1 {
+        let max_rate = if rate_limit.is_finite() && waiting_calls > scope.in_flight + 1 {
             limit
         } else {
-            proven
+            application_limited_rate
         };
-        (unit.told_limit, unit.share) = (Some(limit), share);
-        unit.best_rate = unit.best_rate.max(share);
-        let paced = match left.map(|left| left.clamp(0.0, 1.0)) {
-            Some(left) => {
-                let used = 1.0 - left.min(LEFT_MOST);
-                (pace * (LEFT_GAIN * (left - LEFT_AIM)).exp())
-                    .min(share / (used * used))
-                    .min(most)
+        (scope.announced_limit, scope.fair_share) = (Some(limit), fair_share);
+        scope.best_rate = scope.best_rate.max(fair_share);
+        let adjusted_rate = match remaining.map(|remaining| remaining.clamp(0.0, 1.0)) {
+            Some(remaining) => {
+                let used_share = 1.0 - remaining.min(MAX_COUNTED_REMAINING_SHARE);
+                (rate_limit * (REMAINING_SHARE_GAIN * (remaining - TARGET_REMAINING_SHARE)).exp())
+                    .min(fair_share / (used_share * used_share))
+                    .min(max_rate)
             }
-            None if pace.is_infinite() => share.max(PACE_FIRST),
-            None => pace,
+            None if rate_limit.is_infinite() => fair_share.max(MIN_RATE_AFTER_FIRST_REJECTION),
+            None => rate_limit,
         };
-        (unit.pace, unit.limited) = (paced.max(share * SHARE_LEAST).min(limit), true);
+        (scope.rate_limit, scope.limited_by_rejection) = (
+            adjusted_rate.max(fair_share * MIN_FAIR_SHARE).min(limit),
+            true,
+        );
     }
 
-    /// Gives back a connection that would sooner close by itself than be used again.
-    /// Guards endpoints that take few connections against hundreds of senders that each keep one idle. Could
-    /// harm where traffic comes in bursts with long pauses: the next call pays a handshake.
-    fn close_idle(&mut self, id: UnitId, endpoint: EndpointId, actions: &mut Vec<Action>) {
-        let (now, idle) = (self.now, self.settings.idle_connection_timeout);
-        let unit = self.unit(id);
-        let usual = unit.usual_rate(now, idle);
-        let Some(known) = self.endpoints.get(&endpoint) else {
+    /// Closes an idle connection that would time out before it is used again, where connections were
+    /// rejected. This protects endpoints that accept few connections from hundreds of senders that each keep
+    /// one idle. Where traffic comes in bursts with long pauses, the next call pays for a handshake.
+    fn release_idle_connections(
+        &mut self,
+        scope_id: HealthScopeId,
+        endpoint: EndpointId,
+        actions: &mut Vec<Action>,
+    ) {
+        let (now, idle_timeout) = (self.now, self.settings.idle_connection_timeout);
+        let scope = self.scope_mut(scope_id);
+        let send_rate = scope.average_send_rate(now, idle_timeout);
+        let Some(endpoint_state) = self.endpoints.get(&endpoint) else {
             return;
         };
-        let rare = usual * seconds(idle) < 1.0;
-        let kind = self.crowded.get(&known.kind).copied().unwrap_or(0.0);
-        let crowded = known.crowded > CROWDED || rare && kind > CROWDED;
-        if crowded && self.agenda.load(endpoint) == 0 {
+        let is_rarely_called = send_rate * seconds(idle_timeout) < 1.0;
+        let kind_score = self
+            .connection_rejection_scores
+            .get(&endpoint_state.kind)
+            .copied()
+            .unwrap_or(0.0);
+        let is_rejecting_connections = endpoint_state.connection_rejection_score
+            > CONNECTION_REJECTION_THRESHOLD
+            || is_rarely_called && kind_score > CONNECTION_REJECTION_THRESHOLD;
+        if is_rejecting_connections && self.scheduler.calls_to(endpoint) == 0 {
             actions.push(Action::CloseIdleConnections(endpoint));
         }
     }
 
-    fn fall_sick(&mut self, id: UnitId, silent: bool, why: &str, actions: &mut Vec<Action>) {
-        let (most, now) = (
-            share_of(self.settings.call_slots, WINDOW_SICK) as f64,
+    /// Ejects a health scope: it gets only probes until one succeeds. A scope that is already ejected keeps
+    /// its start time; only its concurrency window is bounded.
+    fn eject(
+        &mut self,
+        scope_id: HealthScopeId,
+        unresponsive: bool,
+        reason: &str,
+        actions: &mut Vec<Action>,
+    ) {
+        let (max_window, now) = (
+            slot_share(self.settings.call_slots, MAX_DEGRADED_SHARE) as f64,
             self.now,
         );
-        let (phase, span) = (self.phase(), self.settings.safety.overload_window);
-        let cold = self.settings.safety.slow_start;
-        self.agenda.stir(id.0);
-        let unit = self.unit(id);
-        if !matches!(unit.health, Health::Ejected { .. }) {
-            unit.tokens = phase;
-            // from here on the fail-back budget sets the rate, not what failures made of the pace
-            unit.pace = if why == "shut" {
-                unit.pace
+        let (phase, overload_window) = (self.random_phase(), self.settings.safety.overload_window);
+        let slow_start = self.settings.safety.slow_start;
+        self.scheduler.activate_destination(scope_id.0);
+        let scope = self.scope_mut(scope_id);
+        if !matches!(scope.health, Health::Ejected { .. }) {
+            scope.tokens = phase;
+            // While the scope is ejected or recovering, the recovery budget sets the rate, so what failures
+            // alone took off the rate limit is undone.
+            scope.rate_limit = if reason == "shut" {
+                scope.rate_limit
             } else {
-                unit.pace.max(unit.best_rate)
+                scope.rate_limit.max(scope.best_rate)
             };
-            actions.push(Action::Log(format!("destination {} sick: {why}", id.0)));
-            if unit.health == Health::Healthy {
-                (unit.ill_since, unit.well_rate) = (now, unit.usual_rate(now, cold));
+            actions.push(Action::Log(format!(
+                "destination {} sick: {reason}",
+                scope_id.0
+            )));
+            if scope.health == Health::Healthy {
+                (scope.unhealthy_since, scope.healthy_rate) =
+                    (now, scope.average_send_rate(now, slow_start));
             }
-            let unknown =
-                unit.odds.observed_calls() < KNOWN && unit.usual_rate(now, span / 30) >= BUSY;
-            let noisy = unknown || unit.odds.baseline_rate() >= NOISY;
-            let doubted = noisy && unit.health == Health::Healthy && why == "fails";
-            unit.doubt_until = if doubted { now + span } else { now };
-            if !doubted && now - unit.ill_since <= ILL_TIMES * cold {
-                unit.odds.exclude_outage_from_baseline();
+            let baseline_unknown = scope.outage_evidence.observed_calls() < MIN_KNOWN_CALLS
+                && scope.average_send_rate(now, overload_window / 30) >= BUSY_CALLS_PER_S;
+            let is_noisy =
+                baseline_unknown || scope.outage_evidence.baseline_rate() >= NOISY_BASELINE_RATE;
+            let is_unconfirmed = is_noisy && scope.health == Health::Healthy && reason == "fails";
+            scope.outage_unconfirmed_until = if is_unconfirmed {
+                now + overload_window
+            } else {
+                now
+            };
+            if !is_unconfirmed && now - scope.unhealthy_since <= MAX_OUTAGE_SLOW_STARTS * slow_start
+            {
+                scope.outage_evidence.exclude_outage_from_baseline();
             }
-            unit.health = Health::Ejected {
-                unresponsive: silent,
+            scope.health = Health::Ejected {
+                unresponsive,
                 since: now,
             };
         }
-        unit.window = unit.window.min(most);
-        self.settle(id);
+        scope.window = scope.window.min(max_window);
+        self.settle_scope_tokens(scope_id);
     }
 
-    /// A unit that answers nothing while calls wait far beyond its usual latency is taken for silent; its
-    /// calls are called off after a while longer, where that is safe.
-    /// Guards against hung, vanished or crawling destinations that would fill the slots of healthy ones.
-    /// Could harm where one long call is the unit's only traffic, so a lone call gets twice the time.
-    fn look_for_silence(&mut self, actions: &mut Vec<Action>) {
+    /// Ejects scopes that answer nothing while calls wait far beyond their typical latency, and cancels their
+    /// calls some time later where that is safe. This keeps hung, vanished or crawling destinations from
+    /// filling the slots of healthy ones. A single long call may be the only traffic of a scope, so a lone
+    /// call gets twice the time.
+    fn detect_unresponsive_calls(&mut self, actions: &mut Vec<Action>) {
         for call in self.calls.values() {
-            if let Some(unit) = self.units.get_mut(&call.unit) {
-                unit.look_anew();
+            if let Some(scope) = self.scopes.get_mut(&call.scope) {
+                scope.reset_responsiveness();
             }
         }
         for call in self.calls.values() {
-            let Some(unit) = self.units.get_mut(&call.unit) else {
+            let Some(scope) = self.scopes.get_mut(&call.scope) else {
                 continue;
             };
-            let age = self.now - call.sent;
-            let limit = unit.silence_limit();
-            for at in [1, 2, 4].map(|limits| call.sent + limits * limit + MILLISECOND) {
-                self.due = if at > self.now {
-                    self.due.min(at)
+            let age = self.now - call.sent_at;
+            let unresponsive_after = scope.unresponsive_after();
+            for check_at in
+                [1, 2, 4].map(|limits| call.sent_at + limits * unresponsive_after + MILLISECOND)
+            {
+                self.next_due_at = if check_at > self.now {
+                    self.next_due_at.min(check_at)
                 } else {
-                    self.due
+                    self.next_due_at
                 };
             }
-            unit.lags |= age > SILENT_LEAST.max(unit.usual.unwrap_or(FIRST_COPY_DELAY) * LAG_USUAL);
-            if unit.alive_at < call.sent {
-                unit.quiet += usize::from(age > unit.silence_limit() && !call.copy);
-                unit.quiet_age = unit.quiet_age.max(age);
+            scope.is_slow |= age
+                > MIN_UNRESPONSIVE_AGE
+                    .max(scope.typical_latency.unwrap_or(DEFAULT_HEDGE_DELAY) * SLOW_CALL_MULTIPLE);
+            if scope.last_alive_at < call.sent_at {
+                scope.unresponsive_calls +=
+                    usize::from(age > scope.unresponsive_after() && !call.is_hedge);
+                scope.unresponsive_age = scope.unresponsive_age.max(age);
             }
         }
-        let silent = |unit: &Unit| {
-            let lone = unit.quiet_age > 2 * unit.silence_limit();
-            unit.health == Health::Healthy && unit.quiet > 0 && (unit.quiet > 1 || lone)
+        let is_unresponsive = |scope: &HealthScope| {
+            let lone_call_overdue = scope.unresponsive_age > 2 * scope.unresponsive_after();
+            scope.health == Health::Healthy
+                && scope.unresponsive_calls > 0
+                && (scope.unresponsive_calls > 1 || lone_call_overdue)
         };
-        let busy: BTreeSet<UnitId> = self.calls.values().map(|call| call.unit).collect();
-        let ids: Vec<_> = busy
+        let scopes_in_use: BTreeSet<HealthScopeId> =
+            self.calls.values().map(|call| call.scope).collect();
+        let ids: Vec<_> = scopes_in_use
             .into_iter()
-            .filter(|id| self.units.get(id).is_some_and(silent))
+            .filter(|id| self.scopes.get(id).is_some_and(is_unresponsive))
             .collect();
         ids.into_iter()
-            .for_each(|id| self.fall_sick(id, true, "silent", actions));
-        let scarce = self.calls.len() >= share_of(self.settings.call_slots, SLOTS_SCARCE);
-        for &message in &self.agenda.out {
-            let Some(held) = self.messages.get_mut(&message) else {
+            .for_each(|id| self.eject(id, true, "silent", actions));
+        let slots_scarce =
+            self.calls.len() >= slot_share(self.settings.call_slots, SCARCE_SLOTS_SHARE);
+        for &message in &self.scheduler.in_flight {
+            let Some(pending) = self.messages.get_mut(&message) else {
                 continue;
             };
-            let class = self.settings.classes.get(held.class);
+            let class = self.settings.classes.get(pending.class);
             let repeatable = class.is_some_and(|class| class.effect != Effect::Unsafe);
-            let free = self.settings.cancellation_enabled && (scarce || repeatable);
-            for (index, attempt) in held.attempts.iter_mut().enumerate() {
+            let may_cancel = self.settings.cancellation_enabled && (slots_scarce || repeatable);
+            for (index, attempt) in pending.attempts.iter_mut().enumerate() {
                 let call = self
                     .calls
-                    .get(&attempt.call)
-                    .filter(|_| free && attempt.out && !attempt.cancelled);
-                let Some(unit) = call.and_then(|call| self.units.get(&call.unit)) else {
+                    .get(&attempt.call_id)
+                    .filter(|_| may_cancel && attempt.in_flight && !attempt.cancelled);
+                let Some(scope) = call.and_then(|call| self.scopes.get(&call.scope)) else {
                     continue;
                 };
-                let sick =
-                    unit.alive_at < attempt.sent && matches!(unit.health, Health::Ejected { .. });
-                let record = self
+                let is_ejected = scope.last_alive_at < attempt.sent_at
+                    && matches!(scope.health, Health::Ejected { .. });
+                let class_records = self
                     .endpoints
                     .get(&attempt.endpoint)
-                    .map(|known| &known.classes);
-                let class = record.and_then(|classes| classes.get(&held.class));
-                let (alive, later) =
-                    class.map_or((0, 0), |class| (class.alive_at, class.alive_sent));
-                let limits =
-                    (if scarce { 1 } else { RECLAIM_LIMITS }) * if sick { 1 } else { CLASS_LIMITS };
-                let (age, limit) = (self.now - attempt.sent, unit.silence_limit());
-                let over = age > limits * limit && (sick || alive < attempt.sent);
-                // what calls sent well behind it have overtaken hangs on a connection that is dead
-                let overtaken = later > attempt.sent + limit / 2
-                    && 2 * age > OVERTAKEN * limit * (index as i64 + 1);
-                if over || overtaken {
+                    .map(|endpoint| &endpoint.class_health);
+                let class = class_records.and_then(|classes| classes.get(&pending.class));
+                let (last_success_at, last_success_sent_at) = class.map_or((0, 0), |class| {
+                    (class.last_success_at, class.last_success_sent_at)
+                });
+                let limits = (if slots_scarce { 1 } else { CANCEL_AFTER_LIMITS })
+                    * if is_ejected { 1 } else { CLASS_CANCEL_FACTOR };
+                let (age, unresponsive_after) =
+                    (self.now - attempt.sent_at, scope.unresponsive_after());
+                let is_overdue = age > limits * unresponsive_after
+                    && (is_ejected || last_success_at < attempt.sent_at);
+                // If calls that were sent much later have succeeded, the connection of this one is dead.
+                let is_overtaken = last_success_sent_at > attempt.sent_at + unresponsive_after / 2
+                    && 2 * age > OVERTAKEN_HALF_LIMITS * unresponsive_after * (index as i64 + 1);
+                if is_overdue || is_overtaken {
                     attempt.cancelled = true;
                     actions.push(Action::Cancel {
                         message,
@@ -784,204 +982,253 @@
         }
     }
 
-    // ---- the legality gate -------------------------------------------------------------------
+    // ---- what the delivery rules allow --------------------------------------------------------
 
-    /// True if the rules allow this message such a send now, whatever else is out.
-    fn may_send(&self, id: MessageId, message: &Held, target: &Endpoint) -> bool {
-        let out = message.attempts.iter().any(|attempt| attempt.out);
+    /// Whether the delivery rules allow an attempt of the message at this endpoint now. Load and health are
+    /// checked elsewhere.
+    fn is_send_allowed(&self, id: MessageId, message: &PendingMessage, target: &Endpoint) -> bool {
+        let has_attempt_in_flight = message.attempts.iter().any(|attempt| attempt.in_flight);
         if !message.open
             || !target.serving
             || target.destination != message.destination
-            || message.attempts.len() >= message.most
-            || self.now + MARGIN >= message.deadline
-            || (out && !self.settings.hedging_enabled)
+            || message.attempts.len() >= message.max_attempts
+            || self.now + DEADLINE_MARGIN >= message.deadline
+            || (has_attempt_in_flight && !self.settings.hedging_enabled)
         {
             return false;
         }
-        let turn = message
+        let is_next_of_key = message
             .key
-            .and_then(|key| self.keys.get(&key))
-            .is_none_or(|line| {
-                line.turn.front() == Some(&id)
-                    && (self.now >= line.rest_until || !message.attempts.is_empty())
+            .and_then(|key| self.key_queues.get(&key))
+            .is_none_or(|key_queue| {
+                key_queue.messages.front() == Some(&id)
+                    && (self.now >= key_queue.blocked_until || !message.attempts.is_empty())
             });
-        turn && self.now < self.repeats_until(message, usize::MAX, Some(target.zone))
+        is_next_of_key && self.now < self.repeatable_until(message, usize::MAX, Some(target.zone))
     }
 
-    /// Until when a message may go to a zone beside its attempts but one: as long as its key is known.
-    fn repeats_until(&self, message: &Held, besides: usize, zone: Option<u16>) -> Micros {
-        let effect = self.effect(message.class);
+    /// Until when a message may be sent to a zone, given its attempts except the one at `excluded_index`: as
+    /// long as the destination remembers its idempotency key. `Micros::MAX` means without limit,
+    /// `Micros::MIN` never.
+    fn repeatable_until(
+        &self,
+        message: &PendingMessage,
+        excluded_index: usize,
+        zone: Option<u16>,
+    ) -> Micros {
+        let effect = self.effect_of(message.class);
         let until = |attempt: &Attempt| match effect {
             Effect::Repeatable => Micros::MAX,
             Effect::Keyed {
                 zone_only: true, ..
-            } if !self.lies_in(attempt.endpoint, zone) => Micros::MIN,
-            Effect::Keyed { window, .. } => attempt.sent + window - MARGIN,
+            } if !self.is_in_zone(attempt.endpoint, zone) => Micros::MIN,
+            Effect::Keyed { window, .. } => attempt.sent_at + window - DEADLINE_MARGIN,
             Effect::Unsafe => Micros::MIN,
         };
         message
-            .at_risk(besides)
+            .possibly_executed_attempts(excluded_index)
             .map(until)
             .min()
             .unwrap_or(Micros::MAX)
     }
 
-    /// By when the last byte of an attempt that has not begun must be written; none: it may not begin.
-    /// Guards against what came while its connection did: a told wait, a drain, the end of a key's window.
+    /// By when the last byte of an attempt that has not begun must be written; `None` if it must not begin.
+    /// This covers what happened while its connection was opened: a Retry-After, a drain, or the end of the
+    /// window in which the destination drops repeats of a key.
     #[must_use]
     pub fn write_deadline(&self, now: Micros, id: MessageId, index: usize) -> Option<Micros> {
         let message = self.messages.get(&id).filter(|message| message.open)?;
         let attempt = message
             .attempts
             .get(index)
-            .filter(|attempt| attempt.out && !attempt.cancelled)?;
+            .filter(|attempt| attempt.in_flight && !attempt.cancelled)?;
         let target = self
             .endpoints
             .get(&attempt.endpoint)
-            .filter(|known| known.serving)?;
+            .filter(|endpoint_state| endpoint_state.serving)?;
         let until = self
-            .repeats_until(message, index, Some(target.zone))
-            .min(message.deadline - MARGIN);
-        let waits = self
-            .units
-            .get(&self.unit_of(attempt.endpoint))
-            .map_or(0, |unit| unit.wait_until);
-        (now >= waits && now < until).then_some(until)
+            .repeatable_until(message, index, Some(target.zone))
+            .min(message.deadline - DEADLINE_MARGIN);
+        let retry_after_until = self
+            .scopes
+            .get(&self.scope_of(attempt.endpoint))
+            .map_or(0, |scope| scope.retry_after_until);
+        (now >= retry_after_until && now < until).then_some(until)
     }
 
-    /// Whether a call may start at a unit: its waits, the slots, and what window, pace and health advise.
-    fn admits(
+    /// Whether a call may start at a health scope: checks Retry-After, free slots, a pending shutdown, and
+    /// then the window, rate limit and health. `joins_call`: the message would join a call that this turn has
+    /// opened.
+    fn check_admission(
         &self,
-        id: UnitId,
+        scope_id: HealthScopeId,
         unsafe_class: bool,
-        copy: bool,
-        joins: bool,
-    ) -> Result<(), Closed> {
-        let waits = self.units.get(&id).map_or(0, |unit| unit.wait_until);
-        if self.now < waits {
-            return Err(Closed {
-                until: waits,
-                burden: false,
+        is_hedge: bool,
+        joins_call: bool,
+    ) -> Result<(), BlockedUntil> {
+        let retry_after_until = self
+            .scopes
+            .get(&scope_id)
+            .map_or(0, |scope| scope.retry_after_until);
+        if self.now < retry_after_until {
+            return Err(BlockedUntil {
+                until: retry_after_until,
+                by_degraded_load: false,
             });
         }
-        let here = self
-            .units
-            .range((id.0, None)..=(id.0, Some(EndpointId(u32::MAX))));
-        let in_flight: usize = here.map(|(_, unit)| unit.in_flight).sum();
+        let destination_scopes = self
+            .scopes
+            .range((scope_id.0, None)..=(scope_id.0, Some(EndpointId(u32::MAX))));
+        let in_flight: usize = destination_scopes.map(|(_, scope)| scope.in_flight).sum();
         let slots = self.settings.call_slots;
-        let full = self.calls.len() >= slots || in_flight >= share_of(slots, WINDOW_MOST);
-        if full && !joins {
-            return Err(Closed {
+        let slots_used_up =
+            self.calls.len() >= slots || in_flight >= slot_share(slots, MAX_WINDOW_SHARE);
+        if slots_used_up && !joins_call {
+            return Err(BlockedUntil {
                 until: Micros::MAX,
-                burden: false,
+                by_degraded_load: false,
             });
         }
-        // a call cut off by the end of the process may have run; the next life makes a whole one
-        let slowest = self
-            .units
-            .get(&id)
-            .and_then(|unit| unit.offset)
-            .unwrap_or(FIRST_COPY_DELAY);
-        if self.ends.is_some_and(|ends| self.now + slowest > ends) {
-            return Err(Closed {
+        // A call that the end of the process cuts off may have run. A message whose call would probably not
+        // end in time is left to the next process.
+        let hedge_delay = self
+            .scopes
+            .get(&scope_id)
+            .and_then(|scope| scope.hedge_delay)
+            .unwrap_or(DEFAULT_HEDGE_DELAY);
+        if self
+            .shutdown_at
+            .is_some_and(|shutdown_at| self.now + hedge_delay > shutdown_at)
+        {
+            return Err(BlockedUntil {
                 until: Micros::MAX,
-                burden: false,
+                by_degraded_load: false,
             });
         }
-        self.is_wise(id, unsafe_class, copy, joins)
+        self.check_scope_limits(scope_id, unsafe_class, is_hedge, joins_call)
     }
 
-    /// Why no message of a lane can go now, if that is so whichever it is.
-    pub(crate) fn closed(&self, lane: &Lane) -> Option<Closed> {
-        let unsafe_class = self.effect(lane.class) == Effect::Unsafe;
-        let mut all = Closed {
+    /// Until when no message of a queue can be sent, whichever it is; `None` if some endpoint admits a call.
+    pub(crate) fn blocked_until(&self, queue: &QueueKey) -> Option<BlockedUntil> {
+        let unsafe_class = self.effect_of(queue.class) == Effect::Unsafe;
+        let mut combined = BlockedUntil {
             until: Micros::MAX,
-            burden: false,
+            by_degraded_load: false,
         };
-        for endpoint in self.routes.get(&lane.destination).into_iter().flatten() {
-            let Some(known) = self.endpoints.get(endpoint).filter(|known| known.serving) else {
+        for endpoint in self
+            .endpoints_by_destination
+            .get(&queue.destination)
+            .into_iter()
+            .flatten()
+        {
+            let Some(endpoint_state) = self
+                .endpoints
+                .get(endpoint)
+                .filter(|endpoint_state| endpoint_state.serving)
+            else {
                 continue;
             };
-            if lane.bound.is_some_and(|zone| zone != Some(known.zone)) {
+            if queue
+                .required_zone
+                .is_some_and(|zone| zone != Some(endpoint_state.zone))
+            {
                 continue;
             }
-            let closed = self
-                .admits(self.unit_of(*endpoint), unsafe_class, lane.copy, false)
+            let blocked = self
+                .check_admission(
+                    self.scope_of(*endpoint),
+                    unsafe_class,
+                    queue.is_hedge,
+                    false,
+                )
                 .err()?;
-            all = Closed {
-                until: all.until.min(closed.until),
-                burden: all.burden || closed.burden,
+            combined = BlockedUntil {
+                until: combined.until.min(blocked.until),
+                by_degraded_load: combined.by_degraded_load || blocked.by_degraded_load,
             };
         }
-        Some(all)
+        Some(combined)
     }
 
-    /// True if the message may be refused: it is certain that a retry does no harm.
-    fn may_refuse(&self, message: &Held) -> bool {
-        self.now < self.repeats_until(message, usize::MAX, None)
+    /// Whether the message may be rejected, which invites the client to retry: a retry must be certain to do
+    /// no harm.
+    fn may_reject(&self, message: &PendingMessage) -> bool {
+        self.now < self.repeatable_until(message, usize::MAX, None)
     }
 
-    // ---- proposals ---------------------------------------------------------------------------
+    // ---- choices within the rules -------------------------------------------------------------
 
-    /// Ends messages that cannot be delivered any more, and makes room when too many are held.
-    fn end_hopeless(&mut self, actions: &mut Vec<Action>) {
+    /// Ends messages that cannot be delivered any more, and sheds messages of unavailable destinations when
+    /// too many are pending.
+    fn end_undeliverable(&mut self, actions: &mut Vec<Action>) {
         let excess = self
-            .agenda
-            .open
-            .saturating_sub(share_of(self.settings.max_pending, HELD_FULL));
-        let over: BTreeSet<MessageId> = self.agenda.over(self.now + MARGIN, self.now).collect();
-        let mut stuck = Vec::new();
-        for (&destination, here) in self.agenda.shed().filter(|_| excess > 0) {
-            if self.is_stuck(destination) {
-                let goes = |shed: &&Shed| {
-                    let held = self.messages.get(&shed.3);
-                    !over.contains(&shed.3)
-                        && held.is_some_and(|held| {
-                            !held.is_out() && !held.owes_call() && self.may_refuse(held)
+            .scheduler
+            .open_count
+            .saturating_sub(slot_share(self.settings.max_pending, SHEDDING_THRESHOLD));
+        let undeliverable: BTreeSet<MessageId> = self
+            .scheduler
+            .undeliverable(self.now + DEADLINE_MARGIN, self.now)
+            .collect();
+        let mut sheddable = Vec::new();
+        for (&destination, candidates) in
+            self.scheduler.shedding_candidates().filter(|_| excess > 0)
+        {
+            if self.has_no_healthy_scope(destination) {
+                let may_be_shed = |candidate: &&SheddingOrder| {
+                    let message = self.messages.get(&candidate.3);
+                    !undeliverable.contains(&candidate.3)
+                        && message.is_some_and(|message| {
+                            !message.has_attempt_in_flight()
+                                && !message.awaits_first_attempt()
+                                && self.may_reject(message)
                         })
                 };
-                stuck.extend(here.iter().filter(goes).take(excess));
+                sheddable.extend(candidates.iter().filter(may_be_shed).take(excess));
             }
         }
-        stuck.sort_unstable();
-        let shed = stuck.iter().take(excess).map(|&(_, _, _, id)| id);
-        let ends: Vec<MessageId> = over.into_iter().chain(shed).collect();
-        for id in ends {
+        sheddable.sort_unstable();
+        let shed = sheddable.iter().take(excess).map(|&(_, _, _, id)| id);
+        let ended: Vec<MessageId> = undeliverable.into_iter().chain(shed).collect();
+        for id in ended {
             let Some(message) = self.messages.get(&id) else {
                 continue;
             };
-            actions.push(if self.may_refuse(message) {
-                let wait = self.settings.max_client_retry_after / 2;
+            actions.push(if self.may_reject(message) {
+                let retry_after = self.settings.max_client_retry_after / 2;
                 Action::Reject {
                     message: id,
-                    retry_after: (wait > 0).then_some(wait),
+                    retry_after: (retry_after > 0).then_some(retry_after),
                 }
             } else {
                 Action::Fail(id)
             });
-            self.end(id, actions);
+            self.end_message(id, actions);
         }
     }
 
-    /// From when on no send can be legal: it may have run and cannot be repeated, or no attempt is left.
-    pub(crate) fn spent_at(&self, message: &Held) -> Micros {
-        if message.turned_away || message.attempts.len() >= message.most && !message.is_out() {
+    /// From when on no attempt of the message can be allowed, because it may have run and must not be
+    /// repeated or no attempt is left. `Micros::MIN` means already now, `Micros::MAX` never.
+    pub(crate) fn unsendable_from(&self, message: &PendingMessage) -> Micros {
+        if message.rejected_on_arrival
+            || message.attempts.len() >= message.max_attempts && !message.has_attempt_in_flight()
+        {
             return Micros::MIN;
         }
-        if message.is_out() {
+        if message.has_attempt_in_flight() {
             return Micros::MAX;
         }
-        let first = message
-            .at_risk(usize::MAX)
+        let bound_zone = message
+            .possibly_executed_attempts(usize::MAX)
             .next()
             .and_then(|attempt| self.zone_of(attempt.endpoint));
-        self.repeats_until(message, usize::MAX, first)
+        self.repeatable_until(message, usize::MAX, bound_zone)
     }
 
-    /// True if a message would have its turn beyond its aim, or beyond its time if it comes again or late.
-    /// Guards what waits at a told limit from growing older than it is worth, and hands it to senders that
-    /// have less before them. Could refuse what a rising pace would have served in time.
-    fn comes_too_late(&self, new: &NewMessage) -> bool {
+    /// Whether a new message would be sent only after its latency objective, or after its deadline if it was
+    /// resubmitted or is already past the objective. Rejecting it keeps queues at an announced limit short
+    /// and lets the client use a sender with a shorter queue. A rising rate limit might have served it in
+    /// time.
+    fn would_wait_too_long(&self, new: &NewMessage) -> bool {
         let Some(class) = self
             .settings
             .classes
@@ -990,283 +1237,329 @@
         else {
             return false;
         };
-        let early = new.time_left + class.latency_objective - class.deadline;
-        let room = if new.resubmitted || early <= 0 {
+        let time_to_objective = new.time_left + class.latency_objective - class.deadline;
+        let time_available = if new.resubmitted || time_to_objective <= 0 {
             new.time_left
         } else {
-            early
+            time_to_objective
         };
-        let (ahead, each) = (
-            self.agenda.held_for(new.destination),
-            self.call_room(new.destination),
+        let (messages_ahead, batch_size) = (
+            self.scheduler.pending_count(new.destination),
+            self.batch_size_for(new.destination),
         );
-        let late = |unit: &Unit| {
-            let calls = 1.0 + (ahead.saturating_sub(unit.in_flight) / each) as f64
-                - unit.tokens_by(self.now);
-            let paced = unit.health == Health::Healthy && unit.told_limit.is_some();
-            paced && calls > unit.flow.rate * seconds(room)
+        let is_late = |scope: &HealthScope| {
+            let calls_ahead = 1.0
+                + (messages_ahead.saturating_sub(scope.in_flight) / batch_size) as f64
+                - scope.tokens_available_at(self.now);
+            let is_rate_limited =
+                scope.health == Health::Healthy && scope.announced_limit.is_some();
+            is_rate_limited && calls_ahead > scope.refill.rate * seconds(time_available)
         };
-        let mut units = self.units_at(new.destination).peekable();
-        units.peek().is_some() && units.all(|unit| unit.is_some_and(late))
+        let mut scopes = self.scopes_of(new.destination).peekable();
+        scopes.peek().is_some() && scopes.all(|scope| scope.is_some_and(is_late))
     }
 
-    /// True if every unit of the destination is sick, returning or has failed of late.
-    fn is_stuck(&self, destination: DestinationId) -> bool {
-        let goes = |unit: &Unit| unit.health == Health::Healthy && unit.odds.evidence() < TRUST;
-        self.units_at(destination)
-            .all(|unit| unit.is_some_and(|unit| !goes(unit)))
+    /// Whether every health scope of the destination is ejected, recovering or under suspicion.
+    fn has_no_healthy_scope(&self, destination: DestinationId) -> bool {
+        let is_reliable = |scope: &HealthScope| {
+            scope.health == Health::Healthy
+                && scope.outage_evidence.evidence() < MAX_TRUSTED_EVIDENCE
+        };
+        self.scopes_of(destination)
+            .all(|scope| scope.is_some_and(|scope| !is_reliable(scope)))
     }
 
-    pub(crate) fn copies_full(&self) -> bool {
-        self.copies_out >= share_of(self.settings.call_slots, COPY_SHARE)
+    pub(crate) fn hedge_slots_full(&self) -> bool {
+        self.hedges_in_flight >= slot_share(self.settings.call_slots, MAX_HEDGE_SHARE)
     }
 
-    pub(crate) fn burden_full(&self) -> bool {
-        self.burdens >= share_of(self.settings.call_slots, WINDOW_SICK)
+    pub(crate) fn degraded_slots_full(&self) -> bool {
+        self.degraded_calls >= slot_share(self.settings.call_slots, MAX_DEGRADED_SHARE)
     }
 
-    /// Worth still to be won per second of a slot; within the aim the oldest come first.
-    pub(crate) fn urgency(&self, message: &Held) -> f64 {
-        let age = self.now - message.born;
+    /// The value that sending the message now would still gain. Within the latency objective the oldest
+    /// message comes first. Messages with a higher urgency are sent first.
+    pub(crate) fn urgency(&self, message: &PendingMessage) -> f64 {
+        let age = self.now - message.accepted_at;
         let Some(class) = self.settings.classes.get(message.class) else {
             return 0.0;
         };
-        let aims = age as f64 / class.latency_objective as f64;
-        let left = if aims <= YOUNG {
-            1.0 + aims
+        let age_in_objectives = age as f64 / class.latency_objective as f64;
+        let remaining = if age_in_objectives <= OLDEST_FIRST_SHARE {
+            1.0 + age_in_objectives
         } else {
             0.8 * class.remaining_value(age, self.settings.value_decay)
         };
-        message.worth * left
+        message.priority_weight * remaining
     }
 
-    /// Where a message of a lane that was born then stands in the order of urgency.
-    pub(crate) fn stage(&self, lane: &Lane, born: Micros) -> Stage {
-        let (age, fade) = (self.now - born, self.settings.value_decay);
-        match self.settings.classes.get(lane.class) {
-            _ if lane.owed => Stage::Floor,
+    /// The phase of urgency of a message that was accepted at the given time and waits in the given queue.
+    pub(crate) fn urgency_phase(&self, queue: &QueueKey, accepted_at: Micros) -> UrgencyPhase {
+        let (age, value_decay) = (self.now - accepted_at, self.settings.value_decay);
+        match self.settings.classes.get(queue.class) {
+            _ if queue.awaits_first_attempt => UrgencyPhase::MinimumValue,
             Some(class)
-                if lane.worth > 0 && age as f64 / class.latency_objective as f64 > YOUNG =>
+                if queue.priority_weight_bits > 0
+                    && age as f64 / class.latency_objective as f64 > OLDEST_FIRST_SHARE =>
             {
-                match class.remaining_value(age, fade) {
-                    left if left <= class.late_value_share => Stage::Floor,
-                    left if left >= 1.0 => Stage::Full,
-                    _ => Stage::Late,
+                match class.remaining_value(age, value_decay) {
+                    remaining if remaining <= class.late_value_share => UrgencyPhase::MinimumValue,
+                    remaining if remaining >= 1.0 => UrgencyPhase::FullValue,
+                    _ => UrgencyPhase::Decaying,
                 }
             }
-            _ => Stage::Young,
+            _ => UrgencyPhase::WithinObjective,
         }
     }
 
-    /// The best legal endpoint for the message, and the call of this turn that it can join.
-    pub(crate) fn pick(
+    /// The best endpoint that admits the message, and the call of this turn that it can join, if any. Prefers
+    /// healthy scopes, then endpoints where the class does not fail, with fewer attempts of this message,
+    /// with fewer calls and in the sender's own zone; ties are broken at random.
+    pub(crate) fn select_endpoint(
         &mut self,
         id: MessageId,
-        opened: &BTreeMap<EndpointId, u64>,
+        open_calls: &BTreeMap<EndpointId, u64>,
     ) -> Option<(EndpointId, Option<u64>)> {
         let mut options = Vec::new();
         let message = self.messages.get(&id)?;
-        let copy = message.is_out();
-        let unsafe_class = self.effect(message.class) == Effect::Unsafe;
-        for &endpoint in self.routes.get(&message.destination)? {
-            let Some(known) = self.endpoints.get(&endpoint) else {
+        let is_hedge = message.has_attempt_in_flight();
+        let unsafe_class = self.effect_of(message.class) == Effect::Unsafe;
+        for &endpoint in self.endpoints_by_destination.get(&message.destination)? {
+            let Some(endpoint_state) = self.endpoints.get(&endpoint) else {
                 continue;
             };
-            let joined = opened
+            let joined = open_calls
                 .get(&endpoint)
                 .copied()
-                .filter(|call| self.has_room(*call));
-            let tries = message
+                .filter(|call| self.has_batch_room(*call));
+            let attempts_there = message
                 .attempts
                 .iter()
                 .filter(|attempt| attempt.endpoint == endpoint)
                 .count();
-            let unit_id = self.unit_of(endpoint);
-            let usual = self
-                .units
-                .get(&unit_id)
-                .and_then(|unit| unit.usual)
+            let scope_id = self.scope_of(endpoint);
+            let typical_latency = self
+                .scopes
+                .get(&scope_id)
+                .and_then(|scope| scope.typical_latency)
                 .unwrap_or(0);
-            if copy && (tries > 0 || self.now + usual > message.deadline)
-                || !self.may_send(id, message, known)
+            if is_hedge && (attempts_there > 0 || self.now + typical_latency > message.deadline)
+                || !self.is_send_allowed(id, message, endpoint_state)
                 || self
-                    .admits(unit_id, unsafe_class, copy, joined.is_some())
+                    .check_admission(scope_id, unsafe_class, is_hedge, joined.is_some())
                     .is_err()
             {
                 continue;
             }
-            let record = known.classes.get(&message.class);
-            let struck =
-                record.is_some_and(|class| class.struck_until > self.now && class.strikes > 0);
+            let class_health = endpoint_state.class_health.get(&message.class);
+            let recently_failed = class_health.is_some_and(|class| {
+                class.avoided_until > self.now && class.consecutive_failures > 0
+            });
             let health = match self
-                .units
-                .get(&unit_id)
-                .map(|unit| unit.health)
+                .scopes
+                .get(&scope_id)
+                .map(|scope| scope.health)
                 .unwrap_or_default()
             {
                 Health::Healthy => 0,
                 Health::Recovering { .. } => 1,
                 Health::Ejected { .. } => 2,
             };
-            let load = self.agenda.load(endpoint);
-            // filling a call spends nothing; another route has a limit of its own, a shared one has not
+            let load = self.scheduler.calls_to(endpoint);
+            // Joining a call adds no load. A new call counts against endpoints that share a limit with
+            // others; a separate route has a limit of its own.
             let load = if joined.is_some() {
                 0
             } else {
-                load + usize::from(unit_id.1.is_none())
+                load + usize::from(scope_id.1.is_none())
             };
-            let far = known.zone != self.settings.zone;
-            options.push((health, struck, tries, load, far, endpoint, joined));
+            let in_other_zone = endpoint_state.zone != self.settings.zone;
+            options.push((
+                health,
+                recently_failed,
+                attempts_there,
+                load,
+                in_other_zone,
+                endpoint,
+                joined,
+            ));
         }
         let random = &mut self.random;
-        let ranked = options
-            .into_iter()
-            .map(|o| ((o.0, o.1, o.2, o.3, o.4, random.next_u32()), o.5, o.6));
+        let ranked = options.into_iter().map(|option| {
+            (
+                (
+                    option.0,
+                    option.1,
+                    option.2,
+                    option.3,
+                    option.4,
+                    random.next_u32(),
+                ),
+                option.5,
+                option.6,
+            )
+        });
         ranked.min().map(|(_, endpoint, joined)| (endpoint, joined))
     }
 
-    /// Whether window, pace and health advise the call.
-    fn is_wise(
+    /// Whether the window, rate limit and health of a scope allow a call now, or until when they block it.
+    fn check_scope_limits(
         &self,
-        id: UnitId,
+        scope_id: HealthScopeId,
         unsafe_class: bool,
-        copy: bool,
-        joins: bool,
-    ) -> Result<(), Closed> {
-        let (now, burden) = (self.now, self.burden_full());
-        let Some(unit) = self.units.get(&id) else {
+        is_hedge: bool,
+        joins_call: bool,
+    ) -> Result<(), BlockedUntil> {
+        let (now, degraded_full) = (self.now, self.degraded_slots_full());
+        let Some(scope) = self.scopes.get(&scope_id) else {
             return Ok(());
         };
-        let needed = match unit.health {
-            // an unsafe message is risked only if calls are refused, or if none else goes
-            Health::Ejected { .. } if now < unit.doubt_until && !unsafe_class => 0.0,
-            Health::Ejected { .. } if unsafe_class && unit.refused_run == 0 => 2.0,
-            Health::Healthy if copy => 2.0,
+        let tokens_needed = match scope.health {
+            // An unsafe message is sent to an ejected scope only if calls are rejected there, or else with
+            // two tokens saved up, when no other message uses them.
+            Health::Ejected { .. } if now < scope.outage_unconfirmed_until && !unsafe_class => 0.0,
+            Health::Ejected { .. } if unsafe_class && scope.consecutive_rejections == 0 => 2.0,
+            Health::Healthy if is_hedge => 2.0,
             _ => 1.0,
         };
-        let rest = if unit.tokens_by(now) >= needed {
+        let ready_at = if scope.tokens_available_at(now) >= tokens_needed {
             0
         } else {
-            unit.ready_at(needed)
+            scope.tokens_ready_at(tokens_needed)
         };
-        let rested =
-            unit.last_sent.max(unit.since_return()) + self.settings.safety.slow_start + MILLISECOND;
-        let within = unit.in_flight < unit.window.floor().max(1.0) as usize;
-        let (open, until) = match unit.health {
-            Health::Ejected { .. } | Health::Recovering { .. } if copy => (false, Micros::MAX),
-            Health::Ejected { .. } if needed == 0.0 => {
-                (joins || unit.in_flight < DOUBT_CALLS, unit.doubt_until)
-            }
-            // one is risked once nothing has been tried for long: else unsafe messages alone would never go
-            Health::Recovering { .. } if unsafe_class && unit.odds.evidence() > TRUST => {
-                let until = rested.max(rest);
+        let idle_probe_at = scope.last_sent_at.max(scope.recovering_since())
+            + self.settings.safety.slow_start
+            + MILLISECOND;
+        let within_window = scope.in_flight < scope.window.floor().max(1.0) as usize;
+        let (allowed, until) = match scope.health {
+            Health::Ejected { .. } | Health::Recovering { .. } if is_hedge => (false, Micros::MAX),
+            Health::Ejected { .. } if tokens_needed == 0.0 => (
+                joins_call || scope.in_flight < MAX_UNCONFIRMED_OUTAGE_CALLS,
+                scope.outage_unconfirmed_until,
+            ),
+            // After a slow start without any call, one unsafe message is sent: a destination that gets only
+            // unsafe messages would otherwise never be tried again.
+            Health::Recovering { .. }
+                if unsafe_class && scope.outage_evidence.evidence() > MAX_TRUSTED_EVIDENCE =>
+            {
+                let until = idle_probe_at.max(ready_at);
                 (
-                    now >= until && unit.in_flight == 0,
+                    now >= until && scope.in_flight == 0,
                     if now < until { until } else { Micros::MAX },
                 )
             }
-            // what is sent to a unit that may be about to fail cannot be sent again
+            // An unsafe message cannot be retried, so it does not go to a scope with a call that is overdue.
             Health::Healthy
-                if unsafe_class && unit.quiet_age > unit.offset.unwrap_or(FIRST_COPY_DELAY) =>
+                if unsafe_class
+                    && scope.unresponsive_age
+                        > scope.hedge_delay.unwrap_or(DEFAULT_HEDGE_DELAY) =>
             {
-                (false, if rest > 0 { rest } else { Micros::MAX })
+                (false, if ready_at > 0 { ready_at } else { Micros::MAX })
             }
-            Health::Healthy | Health::Recovering { .. } if joins && !copy => (true, Micros::MAX),
-            Health::Ejected { .. } => (rest == 0, rest),
+            Health::Healthy | Health::Recovering { .. } if joins_call && !is_hedge => {
+                (true, Micros::MAX)
+            }
+            Health::Ejected { .. } => (ready_at == 0, ready_at),
             _ => (
-                rest == 0 && (joins || within),
-                if rest > 0 { rest } else { Micros::MAX },
+                ready_at == 0 && (joins_call || within_window),
+                if ready_at > 0 { ready_at } else { Micros::MAX },
             ),
         };
-        let sick = matches!(unit.health, Health::Ejected { .. }) || unit.lags && !joins;
-        match open && !(sick && burden) {
+        let is_degraded =
+            matches!(scope.health, Health::Ejected { .. }) || scope.is_slow && !joins_call;
+        match allowed && !(is_degraded && degraded_full) {
             true => Ok(()),
-            false => Err(Closed {
-                until: if open { Micros::MAX } else { until },
-                burden: sick && burden,
+            false => Err(BlockedUntil {
+                until: if allowed { Micros::MAX } else { until },
+                by_degraded_load: is_degraded && degraded_full,
             }),
         }
     }
 
+    /// Starts an attempt of a message, in a new call or in one that this turn has opened.
     pub(crate) fn send(
         &mut self,
         id: MessageId,
         endpoint: EndpointId,
         joined: Option<u64>,
-        copy: bool,
-        opened: &mut BTreeMap<EndpointId, u64>,
+        is_hedge: bool,
+        open_calls: &mut BTreeMap<EndpointId, u64>,
         actions: &mut Vec<Action>,
     ) {
         let now = self.now;
-        let unit_id = self.unit_of(endpoint);
+        let scope_id = self.scope_of(endpoint);
         let call_id = joined.unwrap_or(self.next_call);
         if joined.is_none() {
             self.next_call += 1;
             let call = Call {
-                unit: unit_id,
+                scope: scope_id,
                 endpoint,
-                sent: now,
-                left: 0,
-                size: 0,
-                copy,
+                sent_at: now,
+                pending_outcomes: 0,
+                batch_size: 0,
+                is_hedge,
             };
             self.calls.insert(call_id, call);
-            self.copies_out += usize::from(copy);
-            opened.insert(endpoint, call_id);
-            self.agenda.call_began(endpoint);
-            self.settle(unit_id);
-            let unit = self.unit(unit_id);
-            unit.tokens -= 1.0;
-            unit.in_flight += 1;
-            unit.sent += 1;
-            unit.last_sent = now;
-            let burden = unit.is_burden();
-            self.burdens += usize::from(burden);
-            self.settle(unit_id);
+            self.hedges_in_flight += usize::from(is_hedge);
+            open_calls.insert(endpoint, call_id);
+            self.scheduler.call_started(endpoint);
+            self.settle_scope_tokens(scope_id);
+            let scope = self.scope_mut(scope_id);
+            scope.tokens -= 1.0;
+            scope.in_flight += 1;
+            scope.calls_sent += 1;
+            scope.last_sent_at = now;
+            let is_degraded = scope.is_degraded();
+            self.degraded_calls += usize::from(is_degraded);
+            self.settle_scope_tokens(scope_id);
         }
-        self.agenda.touch(id);
-        self.agenda.stir(unit_id.0);
-        let silence = self.unit(unit_id).silence_limit();
-        let offset = self.unit(unit_id).offset.unwrap_or(FIRST_COPY_DELAY);
-        self.calls
-            .entry(call_id)
-            .and_modify(|call| (call.left, call.size) = (call.left + 1, call.size + 1));
+        self.scheduler.mark_changed(id);
+        self.scheduler.activate_destination(scope_id.0);
+        let unresponsive_after = self.scope_mut(scope_id).unresponsive_after();
+        let hedge_delay = self
+            .scope_mut(scope_id)
+            .hedge_delay
+            .unwrap_or(DEFAULT_HEDGE_DELAY);
+        self.calls.entry(call_id).and_modify(|call| {
+            (call.pending_outcomes, call.batch_size) =
+                (call.pending_outcomes + 1, call.batch_size + 1);
+        });
         let effect = self
             .messages
             .get(&id)
-            .map_or(Effect::Unsafe, |message| self.effect(message.class));
+            .map_or(Effect::Unsafe, |message| self.effect_of(message.class));
         let Some(message) = self.messages.get_mut(&id) else {
             return;
         };
         let expires_at = match effect {
             Effect::Unsafe => message.deadline,
             Effect::Keyed { window, .. } => message.deadline.min(now + window),
-            Effect::Repeatable => message.deadline.min(now + offset * 10),
+            Effect::Repeatable => message.deadline.min(now + hedge_delay * 10),
         };
-        if copy {
-            message.copy_at = now + message.copy_step;
-            message.copy_step *= 2;
+        if is_hedge {
+            message.hedge_at = now + message.hedge_delay;
+            message.hedge_delay *= 2;
         } else {
-            message.copy_at = if effect == Effect::Unsafe {
+            message.hedge_at = if effect == Effect::Unsafe {
                 Micros::MAX
             } else {
-                now + offset
+                now + hedge_delay
             };
-            message.copy_step = offset;
+            message.hedge_delay = hedge_delay;
         }
-        self.due = self
-            .due
-            .min(message.copy_at)
-            .min(now + silence + MILLISECOND);
+        self.next_due_at = self
+            .next_due_at
+            .min(message.hedge_at)
+            .min(now + unresponsive_after + MILLISECOND);
         message
             .attempts
             .iter_mut()
-            .for_each(|attempt| attempt.overlapped |= attempt.out);
+            .for_each(|attempt| attempt.overlapped |= attempt.in_flight);
         message.attempts.push(Attempt {
             endpoint,
-            sent: now,
-            call: call_id,
-            out: true,
+            sent_at: now,
+            call_id,
+            in_flight: true,
             may_have_run: false,
             overlapped: false,
             cancelled: false,
@@ -1278,19 +1571,19 @@
         });
     }
 
-    /// Marks a message as ended and calls off what is still out.
-    pub(crate) fn close(&mut self, id: MessageId, actions: &mut Vec<Action>) {
+    /// Marks a message as ended and cancels its attempts in flight.
+    pub(crate) fn close_message(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get_mut(&id).filter(|message| message.open) else {
             return;
         };
         message.open = false;
-        self.agenda.touch(id);
+        self.scheduler.mark_changed(id);
         if self.settings.cancellation_enabled {
             for (attempt, _) in message
                 .attempts
                 .iter()
                 .enumerate()
-                .filter(|(_, attempt)| attempt.out)
+                .filter(|(_, attempt)| attempt.in_flight)
             {
                 actions.push(Action::Cancel {
                     message: id,
@@ -1300,194 +1593,231 @@
         }
     }
 
-    // ---- small lookups -----------------------------------------------------------------------
+    // ---- small helpers ------------------------------------------------------------------------
 
-    fn effect(&self, class: usize) -> Effect {
+    fn effect_of(&self, class: usize) -> Effect {
         self.settings
             .classes
             .get(class)
             .map_or(Effect::Unsafe, |class| class.effect)
     }
 
-    /// Counts the tokens of a unit's pace up to now, at the rate that is allowed now and from here on.
-    pub(crate) fn settle(&mut self, id: UnitId) {
+    /// Credits a scope's rate-limit tokens up to now and sets how they are refilled from now on.
+    pub(crate) fn settle_scope_tokens(&mut self, scope_id: HealthScopeId) {
         let (now, senders) = (self.now, f64::from(self.settings.senders));
-        let Some(unit) = self.units.get_mut(&id) else {
+        let Some(scope) = self.scopes.get_mut(&scope_id) else {
             return;
         };
-        let flow = unit.allowed(&self.settings.safety, senders, now);
-        let aim = self
+        let refill = scope.allowed_refill(&self.settings.safety, senders, now);
+        let shortest_objective = self
             .settings
             .classes
             .iter()
             .map(|class| class.latency_objective)
             .min()
             .unwrap_or(0);
-        let steered = self
+        let follows_reports = self
             .settings
             .report_remaining_index
-            .and(unit.told_limit)
+            .and(scope.announced_limit)
             .is_some()
-            && unit.health == Health::Healthy;
-        // what the pace has above its floor is told as left; what may wait within its aim is not saved up
-        let spare = if steered {
-            (flow.rate - SHARE_LEAST * unit.share).max(0.0)
+            && scope.health == Health::Healthy;
+        // The part of the rate above the minimum share is reported as remaining, so it may be saved up for
+        // chance bursts, except for what can wait within the shortest latency objective.
+        let spare_rate = if follows_reports {
+            (refill.rate - MIN_FAIR_SHARE * scope.fair_share).max(0.0)
         } else {
             0.0
         };
-        let chance = (CHANCE * spare.sqrt() - flow.rate * seconds(aim)).max(0.0);
-        let sick = matches!(unit.health, Health::Ejected { .. });
-        unit.settle(
+        let burst_allowance = (BURST_DEVIATIONS * spare_rate.sqrt()
+            - refill.rate * seconds(shortest_objective))
+        .max(0.0);
+        let is_ejected = matches!(scope.health, Health::Ejected { .. });
+        scope.settle_tokens(
             now,
-            flow,
-            if sick {
+            refill,
+            if is_ejected {
                 2.0
             } else {
-                (flow.rate * PACE_BURST).max(1.0 + chance)
+                (refill.rate * BURST_SECONDS).max(1.0 + burst_allowance)
             },
         );
     }
 
-    /// A random part of one token, so that senders do not all start at once.
-    fn phase(&mut self) -> f64 {
+    /// A random number from 0 to 1, used as a part of one token so that senders do not all start at once.
+    fn random_phase(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
 
-    pub(crate) fn unit(&mut self, id: UnitId) -> &mut Unit {
-        if !self.units.contains_key(&id) {
-            let mut new = Unit::fresh(share_of(self.settings.call_slots, WINDOW_START) as f64);
+    /// The state of a health scope, created or expanded from its compact form where needed.
+    pub(crate) fn scope_mut(&mut self, scope_id: HealthScopeId) -> &mut HealthScope {
+        if !self.scopes.contains_key(&scope_id) {
+            let mut scope =
+                HealthScope::new(slot_share(self.settings.call_slots, INITIAL_WINDOW_SHARE) as f64);
             if self.settings.report_limit_index.is_some() {
-                let even = self.settings.max_pending as f64
-                    / PLACES_LAST
-                    / self.routes.len().max(1) as f64;
-                new.pace = even.max(PACE_START / f64::from(self.settings.senders).powi(2));
-                new.tokens = 1.0;
+                let even_rate = self.settings.max_pending as f64
+                    / CAPACITY_FILL_SECONDS
+                    / self.endpoints_by_destination.len().max(1) as f64;
+                scope.rate_limit =
+                    even_rate.max(INITIAL_RATE_FACTOR / f64::from(self.settings.senders).powi(2));
+                scope.tokens = 1.0;
             }
-            self.rouse(id, new);
+            self.expand_scope(scope_id, scope);
         }
-        self.units.entry(id).or_default()
+        self.scopes.entry(scope_id).or_default()
     }
 }
 
-impl Unit {
-    /// Cuts the window, once for all calls that were out when the congestion showed.
-    fn cut(&mut self, sent: Micros, now: Micros) -> bool {
-        let fresh = sent > self.last_cut;
-        if fresh {
-            self.last_cut = now;
-            self.window = (self.window * WINDOW_CUT).max(1.0);
+impl HealthScope {
+    /// Reduces the concurrency window on congestion, only once for all calls that were in flight at that
+    /// time. Returns whether the window was reduced.
+    fn reduce_window(&mut self, sent_at: Micros, now: Micros) -> bool {
+        let is_new_congestion = sent_at > self.window_reduced_at;
+        if is_new_congestion {
+            self.window_reduced_at = now;
+            self.window = (self.window * WINDOW_REDUCTION).max(1.0);
         }
-        fresh
+        is_new_congestion
     }
 
-    fn remember_latency(&mut self, latency: Micros) {
-        self.usual = Some(
-            self.usual
-                .map_or(latency, |usual| usual + (latency - usual) / USUAL_SLOWNESS),
-        );
-        self.latencies.push(latency, LATENCIES);
-        let least = if self.latencies.len() < LATENCIES_LEAST {
-            FIRST_COPY_DELAY
+    /// Adds the latency of a successful call and derives the typical latency and the hedge delay.
+    fn record_latency(&mut self, latency: Micros) {
+        self.typical_latency = Some(self.typical_latency.map_or(latency, |typical| {
+            typical + (latency - typical) / TYPICAL_LATENCY_DIVISOR
+        }));
+        self.latencies.push(latency, LATENCY_SAMPLES);
+        let min_delay = if self.latencies.len() < MIN_LATENCY_SAMPLES {
+            DEFAULT_HEDGE_DELAY
         } else {
             MILLISECOND
         };
-        self.offset = Some(self.latencies.ranked(COPY_RANK, 20).unwrap_or(0).max(least));
+        self.hedge_delay = Some(
+            self.latencies
+                .quantile(HEDGE_DELAY_RANK, 20)
+                .unwrap_or(0)
+                .max(min_delay),
+        );
     }
 
-    fn silence_limit(&self) -> Micros {
-        (self.offset.unwrap_or(FIRST_COPY_DELAY) * SILENT_OFFSETS).max(SILENT_LEAST)
+    /// The age from which on a call without any sign of life counts as unresponsive.
+    fn unresponsive_after(&self) -> Micros {
+        (self.hedge_delay.unwrap_or(DEFAULT_HEDGE_DELAY) * UNRESPONSIVE_HEDGE_DELAYS)
+            .max(MIN_UNRESPONSIVE_AGE)
     }
 
-    /// A refusal is taken for a limit's: one is told, or many senders meet a unit that each seldom calls.
-    fn tells(&self, settings: &Settings, now: Micros) -> bool {
-        let busy = self.usual_rate(now, settings.safety.overload_window / 30) >= BUSY;
-        self.told_limit.is_some() || settings.senders > 1 && !busy
+    /// Whether a rejection is attributed to a limit: one is announced, or many senders share a scope that
+    /// each of them calls rarely.
+    fn rejections_imply_limit(&self, settings: &Settings, now: Micros) -> bool {
+        let is_busy =
+            self.average_send_rate(now, settings.safety.overload_window / 30) >= BUSY_CALLS_PER_S;
+        self.announced_limit.is_some() || settings.senders > 1 && !is_busy
     }
 
-    /// A refusal, or a failure with no success since the last cut, slows the pace down: to a told limit's
-    /// even share at once, as all who are refused have used it up, and little below, which a sender of few
-    /// calls would take ten of them to make good.
-    fn slow_down(&mut self, served: f64, senders: f64, phase: f64) {
-        let pace = if self.pace.is_finite() {
-            self.pace
+    /// Reduces the rate limit after a rejection, or after a failure with no success since the last reduction.
+    /// With an announced limit the rate falls to the fair share at once, because the rejected senders have
+    /// used up the limit together. It falls only a little below that share, because a sender with few calls
+    /// would need ten of them to regain more.
+    fn reduce_rate(&mut self, success_rate: f64, senders: f64, phase: f64) {
+        let rate = if self.rate_limit.is_finite() {
+            self.rate_limit
         } else {
-            self.best_rate.max(PACE_FIRST / PACE_CUT)
+            self.best_rate
+                .max(MIN_RATE_AFTER_FIRST_REJECTION / RATE_REDUCTION)
         };
-        let factor = if self.succeeded {
-            PACE_CUT
+        let factor = if self.succeeded_since_reduction {
+            RATE_REDUCTION
         } else {
-            PACE_HALVED
+            RATE_REDUCTION_WITHOUT_SUCCESS
         };
-        self.pace = match self.told_limit {
-            Some(_) => (pace.min(self.share) * PACE_CUT).max(self.share * SHARE_LEAST),
-            None => (pace * factor)
-                .max(served * PACE_CUT)
-                .max(PACE_LEAST / senders),
+        self.rate_limit = match self.announced_limit {
+            Some(_) => {
+                (rate.min(self.fair_share) * RATE_REDUCTION).max(self.fair_share * MIN_FAIR_SHARE)
+            }
+            None => (rate * factor)
+                .max(success_rate * RATE_REDUCTION)
+                .max(MIN_FLEET_RATE / senders),
         };
-        self.tokens = match self.told_limit {
+        self.tokens = match self.announced_limit {
             _ if self.tokens == f64::MAX => phase,
-            // half a call sooner or later, or all who were refused together come again together
+            // Shifted by up to half a call either way: senders that were rejected together would otherwise
+            // also retry together.
             Some(_) => self.tokens.min(0.0) + phase - 0.5,
             None => self.tokens.min(phase.max(self.tokens - 1.0)),
         };
-        self.succeeded = false;
+        self.succeeded_since_reduction = false;
     }
 
-    /// See `rejection_correlation.rs`.
-    fn heed_refusals(&mut self, advice: RateAdvice, rate: f64) {
+    /// Applies the rate advice of `rejection_correlation.rs`; a reduction is left to the caller.
+    fn apply_rate_advice(&mut self, advice: RateAdvice, rate: f64) {
         match advice {
             RateAdvice::HalveForProbe => {
-                self.pace = (self.pace.min(rate) / 2.0).max(PACE_LEAST);
+                self.rate_limit = (self.rate_limit.min(rate) / 2.0).max(MIN_FLEET_RATE);
                 self.tokens = self.tokens.min(1.0);
             }
-            RateAdvice::Restore(pace) => self.pace = pace,
+            RateAdvice::Restore(rate_limit) => self.rate_limit = rate_limit,
             RateAdvice::Keep | RateAdvice::Reduce => {}
         }
     }
 
-    fn grow(&mut self) {
-        // what failures alone slowed down has met no limit
-        let slow = if self.limited {
-            PACE_GROWTH
+    /// Raises the rate limit after a success, up to the announced limit if there is one.
+    fn increase_rate(&mut self) {
+        // A rate that only failures have reduced has not met a limit and may rise faster.
+        let base_increase = if self.limited_by_rejection {
+            RATE_INCREASE_PER_SUCCESS
         } else {
             f64::INFINITY
         };
-        let growth = slow * (self.best_rate / self.pace).max(1.0);
-        let most = self.told_limit.unwrap_or(f64::INFINITY);
-        self.pace = (self.pace + growth.min(PACE_GROWTH_MOST * self.pace)).min(most);
+        let increase = base_increase * (self.best_rate / self.rate_limit).max(1.0);
+        let max_rate = self.announced_limit.unwrap_or(f64::INFINITY);
+        self.rate_limit = (self.rate_limit
+            + increase.min(MAX_RATE_INCREASE_SHARE * self.rate_limit))
+        .min(max_rate);
     }
 
-    /// Calls a second that may start now. A sick unit gets a trickle and a returning one slow start: this
-    /// sender's usual rate, with which all together were served, or its even share of a told limit. What its
-    /// best has beyond that cancels in the sum by the root of the senders; told, reports steer it. Guards a
-    /// return against the sum of hundreds; could starve one seldom called: no rest is above two cold times.
-    fn allowed(&self, safety: &Safety, senders: f64, now: Micros) -> Flow {
-        let span = seconds(safety.overload_window.max(1));
-        let (since, most) = match self.health {
-            Health::Healthy => return Flow::even(self.pace),
-            Health::Ejected { .. } => (now, 1.0 / span),
-            Health::Recovering { since } => (since, self.pace),
+    /// Calls per second that may start now. A healthy scope gets its rate limit, an ejected one a few probes,
+    /// and a recovering one a slow start towards its recovery budget: this sender's usual rate, which was
+    /// served together with that of all other senders, or its fair share of an announced limit. The peak rate
+    /// above the usual rate counts divided by the square root of the number of senders, because the peaks of
+    /// independent senders rarely coincide; with an announced limit it counts in full, because load reports
+    /// correct the rate. This protects a recovering destination from hundreds of senders. So that rarely
+    /// called scopes are not starved, probes are never more than two slow starts apart.
+    fn allowed_refill(&self, safety: &Safety, senders: f64, now: Micros) -> RefillRate {
+        let overload_seconds = seconds(safety.overload_window.max(1));
+        let (since, max_rate) = match self.health {
+            Health::Healthy => return RefillRate::constant(self.rate_limit),
+            Health::Ejected { .. } => (now, 1.0 / overload_seconds),
+            Health::Recovering { since } => (since, self.rate_limit),
         };
-        let (cold, first) = (safety.slow_start.max(1), safety.initial_capacity);
-        let level = first + (1.0 - first) * ((now - since) as f64 / cold as f64).min(1.0);
-        let usual = self.usual_rate(now, cold).max(self.well_rate);
-        let cancels = if self.told_limit.is_some() {
+        let (slow_start, initial_share) = (safety.slow_start.max(1), safety.initial_capacity);
+        let slow_start_share = initial_share
+            + (1.0 - initial_share) * ((now - since) as f64 / slow_start as f64).min(1.0);
+        let usual_rate = self
+            .average_send_rate(now, slow_start)
+            .max(self.healthy_rate);
+        let peak_divisor = if self.announced_limit.is_some() {
             1.0
         } else {
             senders.sqrt()
         };
-        let budget = (usual + (self.best_rate - usual).clamp(0.0, usual) / cancels).max(self.share);
-        let trials = (TRIALS / senders / span)
-            .max(0.5 / seconds(cold))
-            .min(1.0 / span);
-        let whole =
-            (budget * safety.overload_multiple * BUDGET_SHARE).max(trials / first.max(0.01));
-        let rate = whole * level;
-        if rate >= most || matches!(self.health, Health::Ejected { .. }) {
-            return Flow::even(rate.min(most));
+        let budget = (usual_rate
+            + (self.best_rate - usual_rate).clamp(0.0, usual_rate) / peak_divisor)
+            .max(self.fair_share);
+        let probe_rate = (MAX_FLEET_PROBES / senders / overload_seconds)
+            .max(0.5 / seconds(slow_start))
+            .min(1.0 / overload_seconds);
+        let full_rate = (budget * safety.overload_multiple * RECOVERY_BUDGET_SHARE)
+            .max(probe_rate / initial_share.max(0.01));
+        let rate = full_rate * slow_start_share;
+        if rate >= max_rate || matches!(self.health, Health::Ejected { .. }) {
+            return RefillRate::constant(rate.min(max_rate));
+        }
+        let slope = full_rate * (1.0 - initial_share) / seconds(slow_start);
+        let ramp_seconds =
+            seconds((slow_start - (now - since)).max(0)).min((max_rate - rate) / slope.max(1e-9));
+        RefillRate {
+            rate,
+            slope,
+            ramp_seconds,
         }
-        let slope = whole * (1.0 - first) / seconds(cold);
-        let rises = seconds((cold - (now - since)).max(0)).min((most - rate) / slope.max(1e-9));
-        Flow { rate, slope, rises }
     }
 }
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -1,250 +1,293 @@
-//! One way through all that may be sent, and how the agenda follows the messages. It decides nothing: which endpoint,
-//! whether at all and in which order is asked of `decide.rs`.
+//! Dispatches the messages that may be sent, and keeps the schedule up to date. Which endpoint a message goes
+//! to, and whether and in which order messages are sent, is decided in `decide.rs`.
 
-use crate::decide::MARGIN;
+use crate::decide::DEADLINE_MARGIN;
 use crate::interface::Action;
 use crate::interface::{DestinationId, Effect, EndpointId, MILLISECOND, MessageId, Micros};
-use crate::scheduler::{Head, LATE, Lane, Pass, Place, Stand};
+use crate::scheduler::{
+    DispatchPass, QUEUE_WAKE_DELAY, QueueHead, QueueKey, Readiness, ScheduleEntry,
+};
 use crate::state::Sender;
-use crate::state::{Held, Unit};
+use crate::state::{HealthScope, PendingMessage};
 use std::collections::BTreeMap;
 
-type Opened = BTreeMap<EndpointId, u64>;
+/// Calls that the present turn has opened, by endpoint.
+type OpenCalls = BTreeMap<EndpointId, u64>;
 
 impl Sender {
-    /// Makes the agenda anew where it does not follow the messages.
-    pub(crate) fn make_books(&mut self) {
-        if self.agenda.built && self.shortcuts {
-            return self.file_touched();
+    /// Rebuilds the schedule if it does not follow the messages; otherwise only updates changed entries.
+    pub(crate) fn rebuild_schedule(&mut self) {
+        if self.scheduler.is_current && self.incremental_scheduling {
+            return self.update_changed_entries();
         }
-        let old = std::mem::take(&mut self.agenda);
-        (self.agenda.built, self.agenda.steps) = (true, old.steps);
+        let previous = std::mem::take(&mut self.scheduler);
+        (self.scheduler.is_current, self.scheduler.work_steps) = (true, previous.work_steps);
         self.calls
             .values()
-            .for_each(|call| self.agenda.call_began(call.endpoint));
-        self.messages.keys().for_each(|&id| self.agenda.touch(id));
-        self.file_touched();
+            .for_each(|call| self.scheduler.call_started(call.endpoint));
+        self.messages
+            .keys()
+            .for_each(|&id| self.scheduler.mark_changed(id));
+        self.update_changed_entries();
     }
 
-    /// Files the messages about which something has changed.
-    pub(crate) fn file_touched(&mut self) {
-        for id in self.agenda.touched() {
-            let place = self.messages.get(&id).map(|held| self.place(id, held));
-            self.agenda.file(id, place);
+    /// Updates the schedule entries of changed messages.
+    pub(crate) fn update_changed_entries(&mut self) {
+        for id in self.scheduler.take_changed() {
+            let entry = self
+                .messages
+                .get(&id)
+                .map(|message| self.schedule_entry(id, message));
+            self.scheduler.update_entry(id, entry);
         }
     }
 
-    fn place(&self, id: MessageId, held: &Held) -> Place {
-        let line = held.key.and_then(|key| self.keys.get(&key));
-        let turn = line.is_none_or(|line| line.turn.front() == Some(&id));
-        let out = held.is_out();
-        let rest = line
-            .filter(|_| held.attempts.is_empty())
-            .map_or(0, |line| line.rest_until);
-        let at = if out {
-            held.copy_at
+    /// The entry of a message in the schedule.
+    fn schedule_entry(&self, id: MessageId, message: &PendingMessage) -> ScheduleEntry {
+        let key_queue = message.key.and_then(|key| self.key_queues.get(&key));
+        let is_next_of_key =
+            key_queue.is_none_or(|key_queue| key_queue.messages.front() == Some(&id));
+        let in_flight = message.has_attempt_in_flight();
+        let key_blocked_until = key_queue
+            .filter(|_| message.attempts.is_empty())
+            .map_or(0, |key_queue| key_queue.blocked_until);
+        let send_at = if in_flight {
+            message.hedge_at
         } else {
-            held.retry_at.max(rest)
+            message.retry_at.max(key_blocked_until)
         };
-        let (class, destination, later, worth) = (
-            held.class,
-            held.destination,
-            held.later,
-            held.worth.to_bits(),
+        let (class, destination, deferred, priority_weight_bits) = (
+            message.class,
+            message.destination,
+            message.deferred,
+            message.priority_weight.to_bits(),
         );
-        let lane = || {
-            let (owed, bound) = (held.owes_call(), self.bound(held));
-            Lane {
+        let queue_key = || {
+            let (awaits_first_attempt, required_zone) =
+                (message.awaits_first_attempt(), self.required_zone(message));
+            QueueKey {
                 destination,
                 class,
-                copy: out,
-                later,
-                owed,
-                worth,
-                bound,
+                is_hedge: in_flight,
+                deferred,
+                awaits_first_attempt,
+                priority_weight_bits,
+                required_zone,
             }
         };
-        let stand = match at {
-            _ if !held.open || !turn || at == Micros::MAX => Stand::Nowhere,
-            at if at > self.now => Stand::At(at),
-            _ => Stand::Lane(lane()),
+        let readiness = match send_at {
+            _ if !message.open || !is_next_of_key || send_at == Micros::MAX => Readiness::Blocked,
+            send_at if send_at > self.now => Readiness::NotBefore(send_at),
+            _ => Readiness::Ready(queue_key()),
         };
-        let ends = held.open.then(|| (held.deadline, self.spent_at(held)));
-        Place {
-            stand,
-            born: held.born,
-            ends,
-            out,
+        let expiry = message
+            .open
+            .then(|| (message.deadline, self.unsendable_from(message)));
+        ScheduleEntry {
+            readiness,
+            accepted_at: message.accepted_at,
+            expiry,
+            in_flight,
             destination,
-            shed: (!later, worth, held.born, id),
+            shedding_order: (!deferred, priority_weight_bits, message.accepted_at, id),
         }
     }
 
-    /// The only zone to which attempts of a message may still go.
-    fn bound(&self, held: &Held) -> Option<Option<u16>> {
+    /// The only zone to which attempts of a message may still go, if there is one: a repeat must go to
+    /// endpoints that know the idempotency key of the earlier attempt.
+    fn required_zone(&self, message: &PendingMessage) -> Option<Option<u16>> {
         match self
             .settings
             .classes
-            .get(held.class)
+            .get(message.class)
             .map(|class| class.effect)
         {
             Some(Effect::Keyed {
                 zone_only: true, ..
             }) => {
-                let risky = held.at_risk(usize::MAX).next()?;
-                Some(self.zone_of(risky.endpoint))
+                let attempt = message.possibly_executed_attempts(usize::MAX).next()?;
+                Some(self.zone_of(attempt.endpoint))
             }
             _ => None,
         }
     }
 
-    /// What is known of each endpoint's unit, of those at a destination that take calls.
-    pub(crate) fn units_at(
+    /// The health scope of each serving endpoint of a destination; `None` where nothing is known of the scope
+    /// yet.
+    pub(crate) fn scopes_of(
         &self,
         destination: DestinationId,
-    ) -> impl Iterator<Item = Option<&Unit>> {
-        let ids = self.routes.get(&destination).into_iter().flatten();
-        let serving = ids.filter(|id| self.endpoints.get(id).is_some_and(|known| known.serving));
-        serving.map(|id| self.units.get(&self.unit_of(*id)))
+    ) -> impl Iterator<Item = Option<&HealthScope>> {
+        let ids = self
+            .endpoints_by_destination
+            .get(&destination)
+            .into_iter()
+            .flatten();
+        let serving = ids.filter(|id| {
+            self.endpoints
+                .get(id)
+                .is_some_and(|endpoint| endpoint.serving)
+        });
+        serving.map(|id| self.scopes.get(&self.scope_of(*id)))
     }
 
     /// Messages that one call to a destination may carry.
-    pub(crate) fn call_room(&self, destination: DestinationId) -> usize {
-        let first = self.routes.get(&destination).and_then(|ids| ids.first());
+    pub(crate) fn batch_size_for(&self, destination: DestinationId) -> usize {
+        let first = self
+            .endpoints_by_destination
+            .get(&destination)
+            .and_then(|ids| ids.first());
         let kind = first
             .and_then(|id| self.endpoints.get(id))
-            .and_then(|known| self.settings.kinds.get(known.kind));
+            .and_then(|endpoint| self.settings.kinds.get(endpoint.kind));
         kind.map_or(1, |kind| kind.max_batch_size.max(1))
     }
 
     /// Whether an endpoint is known to be in a zone.
-    pub(crate) fn lies_in(&self, endpoint: EndpointId, zone: Option<u16>) -> bool {
+    pub(crate) fn is_in_zone(&self, endpoint: EndpointId, zone: Option<u16>) -> bool {
         zone.is_some() && zone == self.zone_of(endpoint)
     }
 
     /// The zone of an endpoint, if it is listed.
     pub(crate) fn zone_of(&self, endpoint: EndpointId) -> Option<u16> {
-        self.endpoints.get(&endpoint).map(|known| known.zone)
+        self.endpoints
+            .get(&endpoint)
+            .map(|endpoint_state| endpoint_state.zone)
     }
 
-    pub(crate) fn send_due(&mut self, actions: &mut Vec<Action>) {
-        for id in self.agenda.come_due(self.now) {
-            self.agenda.touch(id);
+    /// Sends what is due, and computes when something is due next.
+    pub(crate) fn dispatch_due(&mut self, actions: &mut Vec<Action>) {
+        for id in self.scheduler.due_messages(self.now) {
+            self.scheduler.mark_changed(id);
         }
-        self.file_touched();
-        let burdens = self
-            .calls
-            .values()
-            .filter(|call| self.units.get(&call.unit).is_some_and(Unit::is_burden));
-        self.burdens = burdens.count();
-        self.agenda.steps += (self.calls.len() + self.agenda.out.len()) as u64;
-        self.agenda.wake_due(self.now, !self.burden_full());
-        if self.shortcuts {
-            self.send_by_lanes(actions);
+        self.update_changed_entries();
+        let degraded_calls = self.calls.values().filter(|call| {
+            self.scopes
+                .get(&call.scope)
+                .is_some_and(HealthScope::is_degraded)
+        });
+        self.degraded_calls = degraded_calls.count();
+        self.scheduler.work_steps += (self.calls.len() + self.scheduler.in_flight.len()) as u64;
+        self.scheduler
+            .activate_due(self.now, !self.degraded_slots_full());
+        if self.incremental_scheduling {
+            self.dispatch_from_queues(actions);
         } else {
-            self.send_by_walk(actions);
+            self.dispatch_by_full_scan(actions);
         }
-        self.file_touched();
-        self.due = self.due.min(self.agenda.next(!self.slots_full()));
-        if let Some(deadline) = self.agenda.first_deadline() {
-            self.due = self.due.min(deadline - MARGIN);
+        self.update_changed_entries();
+        self.next_due_at = self
+            .next_due_at
+            .min(self.scheduler.next_due(!self.all_slots_used()));
+        if let Some(deadline) = self.scheduler.first_deadline() {
+            self.next_due_at = self.next_due_at.min(deadline - DEADLINE_MARGIN);
         }
     }
 
-    /// Sends what the lanes that are awake have, the most urgent first, and lets those sleep that are closed.
-    fn send_by_lanes(&mut self, actions: &mut Vec<Action>) {
-        let (mut opened, mut pass) = (Opened::new(), Pass::default());
-        for lane in self.agenda.awake() {
-            self.push(&mut pass, lane, None);
+    /// Sends messages of the queues that are to be checked, the most urgent first, and blocks queues that no
+    /// endpoint admits.
+    fn dispatch_from_queues(&mut self, actions: &mut Vec<Action>) {
+        let (mut open_calls, mut pass) = (OpenCalls::new(), DispatchPass::default());
+        for queue in self.scheduler.active_queues() {
+            self.push_head(&mut pass, queue, None);
         }
         while let Some(head) = pass.pop() {
-            let lane = head.lane;
-            self.agenda.steps += 1;
-            if lane.copy && self.copies_full() {
+            let queue = head.queue;
+            self.scheduler.work_steps += 1;
+            if queue.is_hedge && self.hedge_slots_full() {
                 continue;
             }
-            if self.slots_full() && !opened.values().any(|&call| self.has_room(call)) {
+            if self.all_slots_used() && !open_calls.values().any(|&call| self.has_batch_room(call))
+            {
                 break;
             }
-            if let Some((endpoint, joined)) = self.pick(head.id, &opened) {
-                self.send(head.id, endpoint, joined, lane.copy, &mut opened, actions);
+            if let Some((endpoint, joined)) = self.select_endpoint(head.id, &open_calls) {
+                self.send(
+                    head.id,
+                    endpoint,
+                    joined,
+                    queue.is_hedge,
+                    &mut open_calls,
+                    actions,
+                );
                 if joined.is_none() {
-                    // a call that is open may take more
-                    for other in self.agenda.lanes_of(lane.destination) {
-                        self.push(&mut pass, other, Some(&head));
+                    // The new call may take more messages, also of queues that were passed over.
+                    for other in self.scheduler.queues_of(queue.destination) {
+                        self.push_head(&mut pass, other, Some(&head));
                     }
                 }
-            } else if !self.joins(lane.destination, &opened) && self.closed(&lane).is_some() {
+            } else if !self.can_join_open_call(queue.destination, &open_calls)
+                && self.blocked_until(&queue).is_some()
+            {
                 continue;
             }
-            self.push(&mut pass, lane, None);
+            self.push_head(&mut pass, queue, None);
         }
-        if !self.slots_full() {
-            self.file_touched();
-            for lane in self.agenda.awake() {
-                self.agenda.steps += 1;
-                if let Some(closed) = self.closed(&lane) {
-                    self.agenda.sleep(lane, closed);
+        if !self.all_slots_used() {
+            self.update_changed_entries();
+            for queue in self.scheduler.active_queues() {
+                self.scheduler.work_steps += 1;
+                if let Some(blocked) = self.blocked_until(&queue) {
+                    self.scheduler.block(queue, blocked);
                 }
             }
         }
     }
 
-    /// The same by a look at each message: what `send_by_lanes` must do, action for action.
-    fn send_by_walk(&mut self, actions: &mut Vec<Action>) {
-        let mut opened = Opened::new();
-        let ready =
-            self.messages
-                .iter()
-                .filter_map(|(&id, held)| match self.place(id, held).stand {
-                    Stand::Lane(lane) => Some(Head {
-                        urgency: self.order(held),
-                        born: held.born,
-                        id,
-                        lane,
-                    }),
-                    _ => None,
-                });
-        let mut ready: Vec<Head> = ready.collect();
+    /// Sends what `dispatch_from_queues` sends, with exactly the same actions, by checking each message.
+    fn dispatch_by_full_scan(&mut self, actions: &mut Vec<Action>) {
+        let mut open_calls = OpenCalls::new();
+        let ready = self.messages.iter().filter_map(|(&id, message)| {
+            match self.schedule_entry(id, message).readiness {
+                Readiness::Ready(queue) => Some(QueueHead {
+                    urgency: self.dispatch_order(message),
+                    accepted_at: message.accepted_at,
+                    id,
+                    queue,
+                }),
+                _ => None,
+            }
+        });
+        let mut ready: Vec<QueueHead> = ready.collect();
         ready.sort_by(|a, b| b.cmp(a));
-        let mut left = Vec::new();
+        let mut unsent = Vec::new();
         for head in ready {
-            let full = head.lane.copy && self.copies_full();
-            let found = if full {
+            let hedge_slots_full = head.queue.is_hedge && self.hedge_slots_full();
+            let endpoint_and_call = if hedge_slots_full {
                 None
             } else {
-                self.pick(head.id, &opened)
+                self.select_endpoint(head.id, &open_calls)
             };
-            match found {
+            match endpoint_and_call {
                 Some((endpoint, joined)) => {
                     self.send(
                         head.id,
                         endpoint,
                         joined,
-                        head.lane.copy,
-                        &mut opened,
+                        head.queue.is_hedge,
+                        &mut open_calls,
                         actions,
                     );
                 }
-                None => left.push(head),
+                None => unsent.push(head),
             }
         }
-        if self.slots_full() {
+        if self.all_slots_used() {
             return;
         }
-        for head in left {
+        for head in unsent {
             let until = self
-                .closed(&head.lane)
-                .map_or(Micros::MAX, |closed| closed.until);
-            self.due = self.due.min(until.saturating_add(LATE));
+                .blocked_until(&head.queue)
+                .map_or(Micros::MAX, |blocked| blocked.until);
+            self.next_due_at = self.next_due_at.min(until.saturating_add(QUEUE_WAKE_DELAY));
         }
     }
 
-    /// Asks for an alarm when something may be due.
+    /// Requests an alarm for the next time at which something may be due.
     pub(crate) fn set_alarm(&mut self, actions: &mut Vec<Action>) {
         let at = self
-            .due
-            .min(self.list_retry.unwrap_or(Micros::MAX))
+            .next_due_at
+            .min(self.list_retry_at.unwrap_or(Micros::MAX))
             .max(self.now + MILLISECOND);
         if at < self.alarm {
             self.alarm = at;
@@ -252,41 +295,52 @@
         }
     }
 
-    fn push(&self, pass: &mut Pass, lane: Lane, after: Option<&Head>) {
-        let stage = |born| self.stage(&lane, born);
-        let urgency = |id| self.messages.get(&id).map_or(0.0, |held| self.order(held));
-        pass.push(&self.agenda, lane, after, stage, urgency);
+    /// Adds the next message of a queue to the pass.
+    fn push_head(&self, pass: &mut DispatchPass, queue: QueueKey, after: Option<&QueueHead>) {
+        let phase_of = |accepted_at| self.urgency_phase(&queue, accepted_at);
+        let urgency = |id| {
+            self.messages
+                .get(&id)
+                .map_or(0.0, |message| self.dispatch_order(message))
+        };
+        pass.push(&self.scheduler, queue, after, phase_of, urgency);
     }
 
-    /// What comes first within its kind: of those that are owed a call, the one whose time is up first.
-    fn order(&self, held: &Held) -> f64 {
-        if held.owes_call() {
-            -(held.deadline as f64)
+    /// Sort key among messages of equal rank, the largest first. Messages that wait for their first attempt
+    /// since a restart are sorted by deadline, all others by urgency.
+    fn dispatch_order(&self, message: &PendingMessage) -> f64 {
+        if message.awaits_first_attempt() {
+            -(message.deadline as f64)
         } else {
-            self.urgency(held)
+            self.urgency(message)
         }
     }
 
-    /// True if a call may take one more message.
-    pub(crate) fn has_room(&self, call: u64) -> bool {
+    /// Whether a call may carry one more message.
+    pub(crate) fn has_batch_room(&self, call: u64) -> bool {
         let Some(call) = self.calls.get(&call) else {
             return false;
         };
         let kind = self
             .endpoints
             .get(&call.endpoint)
-            .and_then(|known| self.settings.kinds.get(known.kind));
-        call.size < kind.map_or(1, |kind| kind.max_batch_size)
+            .and_then(|endpoint| self.settings.kinds.get(endpoint.kind));
+        call.batch_size < kind.map_or(1, |kind| kind.max_batch_size)
     }
 
-    fn slots_full(&self) -> bool {
+    /// Whether the calls in flight use all call slots.
+    fn all_slots_used(&self) -> bool {
         self.calls.len() >= self.settings.call_slots
     }
 
-    /// True if a call of this turn to the destination may take more.
-    fn joins(&self, destination: DestinationId, opened: &Opened) -> bool {
-        let ids = self.routes.get(&destination).into_iter().flatten();
-        ids.filter_map(|id| opened.get(id))
-            .any(|&call| self.has_room(call))
+    /// Whether a call that this turn has opened to the destination may carry more messages.
+    fn can_join_open_call(&self, destination: DestinationId, open_calls: &OpenCalls) -> bool {
+        let ids = self
+            .endpoints_by_destination
+            .get(&destination)
+            .into_iter()
+            .flatten();
+        ids.filter_map(|id| open_calls.get(id))
+            .any(|&call| self.has_batch_room(call))
     }
 }
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -1,29 +1,34 @@
-//! The list of endpoints, and what is forgotten when it drops some. It decides nothing.
+//! Applies updates of the endpoint list, and removes the state of what is no longer listed.
 
-use crate::decide::LIST_FIRST;
+use crate::decide::INITIAL_LIST_BACKOFF;
 use crate::interface::{
     DestinationId, EndpointEntry, EndpointId, EndpointListKind, EndpointStatus, Micros, SECOND,
 };
 use crate::state::Sender;
-use crate::state::{Endpoint, Unit};
+use crate::state::{Endpoint, HealthScope};
 use std::collections::BTreeSet;
 
-/// A destination is known for so long after its last endpoint has gone: longer bridges replacements of all
-/// endpoints at once, shorter tells clients sooner.
-const LISTED_KEPT: Micros = 60 * SECOND;
+/// How long a destination stays known after its last endpoint was removed. Longer values bridge a replacement
+/// of all endpoints at once, shorter ones reject messages for removed destinations sooner.
+const DESTINATION_RETENTION: Micros = 60 * SECOND;
 
 impl Sender {
-    /// Takes news of the list in. It costs what they name, a whole list what it holds.
-    pub(crate) fn learn_list(&mut self, listing: EndpointListKind, entries: &[EndpointEntry]) {
-        if listing != EndpointListKind::Cached {
-            self.list_rest = LIST_FIRST;
+    /// Applies an update of the endpoint list. The cost depends on the number of entries; a full list also
+    /// costs a pass over the known endpoints.
+    pub(crate) fn on_endpoint_list(
+        &mut self,
+        update_kind: EndpointListKind,
+        entries: &[EndpointEntry],
+    ) {
+        if update_kind != EndpointListKind::Cached {
+            self.list_retry_backoff = INITIAL_LIST_BACKOFF;
         }
-        if listing != EndpointListKind::Changes {
-            self.agenda.built = false;
+        if update_kind != EndpointListKind::Changes {
+            self.scheduler.is_current = false;
             self.endpoints
                 .values_mut()
-                .for_each(|known| known.serving = false);
-            self.leaving.extend(self.endpoints.keys());
+                .for_each(|endpoint_state| endpoint_state.serving = false);
+            self.removable_endpoints.extend(self.endpoints.keys());
         }
         for entry in entries {
             let (destination, zone, kind) = (entry.destination, entry.zone, entry.kind);
@@ -31,104 +36,117 @@
                 destination,
                 zone,
                 kind,
-                since: self.now,
+                first_listed_at: self.now,
                 ..Endpoint::default()
             };
-            let known = self.endpoints.entry(entry.endpoint).or_insert_with(new);
-            let moved = (known.destination, known.kind) != (entry.destination, entry.kind);
-            let old = known.destination;
-            // what keyed messages are bound to may have changed
-            self.agenda.built &= known.zone == entry.zone;
-            self.agenda.stir(entry.destination);
-            (known.destination, known.zone, known.kind) = (destination, zone, kind);
-            known.serving = entry.status == EndpointStatus::Serving;
-            if !known.serving {
-                self.leaving.insert(entry.endpoint);
+            let endpoint_state = self.endpoints.entry(entry.endpoint).or_insert_with(new);
+            let moved = (endpoint_state.destination, endpoint_state.kind)
+                != (entry.destination, entry.kind);
+            let old_destination = endpoint_state.destination;
+            // The zone to which keyed messages are bound may have changed.
+            self.scheduler.is_current &= endpoint_state.zone == entry.zone;
+            self.scheduler.activate_destination(entry.destination);
+            (
+                endpoint_state.destination,
+                endpoint_state.zone,
+                endpoint_state.kind,
+            ) = (destination, zone, kind);
+            endpoint_state.serving = entry.status == EndpointStatus::Serving;
+            if !endpoint_state.serving {
+                self.removable_endpoints.insert(entry.endpoint);
             }
             if moved {
-                self.leave(old, entry.endpoint);
+                self.remove_route(old_destination, entry.endpoint);
             }
-            self.routes
+            self.endpoints_by_destination
                 .entry(entry.destination)
                 .or_default()
                 .insert(entry.endpoint);
-            self.listed.insert(entry.destination, self.now);
-            let id = self.unit_of(entry.endpoint);
-            let told = self.settings.weight_trust * entry.weight / f64::from(self.settings.senders);
-            self.rouse_held(destination);
-            // of one that is never called there is nothing to know
-            if told > 0.0 || self.units.contains_key(&id) {
-                let unit = self.unit(id);
-                (unit.share, unit.best_rate) = (told, unit.best_rate.max(told));
-                self.settle(id);
+            self.last_listed_at.insert(entry.destination, self.now);
+            let scope_id = self.scope_of(entry.endpoint);
+            let announced_rate =
+                self.settings.weight_trust * entry.weight / f64::from(self.settings.senders);
+            self.expand_scopes_if_pending(destination);
+            // Nothing needs to be recorded for scopes that are never called.
+            if announced_rate > 0.0 || self.scopes.contains_key(&scope_id) {
+                let scope = self.scope_mut(scope_id);
+                (scope.fair_share, scope.best_rate) =
+                    (announced_rate, scope.best_rate.max(announced_rate));
+                self.settle_scope_tokens(scope_id);
             }
         }
-        self.forget_gone();
-        self.make_books();
+        self.remove_stale_state();
+        self.rebuild_schedule();
     }
 
-    /// An endpoint is no way to the destination any more.
-    fn leave(&mut self, destination: DestinationId, id: EndpointId) {
-        let routes = self.routes.get_mut(&destination);
-        if routes.is_some_and(|routes| routes.remove(&id) && routes.is_empty()) {
-            self.routes.remove(&destination);
-            self.listed.insert(destination, self.now);
-            self.unlisted.insert((self.now, destination));
+    /// Removes an endpoint from the endpoints of a destination.
+    fn remove_route(&mut self, destination: DestinationId, id: EndpointId) {
+        let endpoints = self.endpoints_by_destination.get_mut(&destination);
+        if endpoints.is_some_and(|endpoints| endpoints.remove(&id) && endpoints.is_empty()) {
+            self.endpoints_by_destination.remove(&destination);
+            self.last_listed_at.insert(destination, self.now);
+            self.unlisted_destinations.insert((self.now, destination));
         }
-        self.unused
+        self.removable_scopes
             .extend([(destination, Some(id)), (destination, None)]);
-        self.agenda.stir(destination);
+        self.scheduler.activate_destination(destination);
     }
 
-    /// Forgets endpoints that are gone and that no held message tried, then destinations and units that have none left. It
-    /// costs what has gone, not what is listed.
-    pub(crate) fn forget_gone(&mut self) {
-        let (now, leaving) = (self.now, std::mem::take(&mut self.leaving));
-        let tried: BTreeSet<EndpointId> = match leaving.is_empty() {
+    /// Removes endpoints that are no longer served and that no pending message has tried, then destinations
+    /// and health scopes without endpoints. The cost depends on what has been removed, not on what is listed.
+    pub(crate) fn remove_stale_state(&mut self) {
+        let (now, candidates) = (self.now, std::mem::take(&mut self.removable_endpoints));
+        let attempted: BTreeSet<EndpointId> = match candidates.is_empty() {
             true => BTreeSet::new(),
             false => {
                 let attempts = self.messages.values().flat_map(|message| &message.attempts);
                 attempts.map(|attempt| attempt.endpoint).collect()
             }
         };
-        for id in leaving {
-            let Some(known) = self.endpoints.get(&id).filter(|known| !known.serving) else {
+        for id in candidates {
+            let Some(endpoint_state) = self
+                .endpoints
+                .get(&id)
+                .filter(|endpoint_state| !endpoint_state.serving)
+            else {
                 continue;
             };
-            if tried.contains(&id) {
-                self.leaving.insert(id);
+            if attempted.contains(&id) {
+                self.removable_endpoints.insert(id);
                 continue;
             }
-            let destination = known.destination;
+            let destination = endpoint_state.destination;
             self.endpoints.remove(&id);
-            self.leave(destination, id);
+            self.remove_route(destination, id);
         }
-        while let Some((at, destination)) = self.unlisted.first().copied() {
-            if now - at < LISTED_KEPT {
+        while let Some((since, destination)) = self.unlisted_destinations.first().copied() {
+            if now - since < DESTINATION_RETENTION {
                 break;
             }
-            self.unlisted.pop_first();
-            if !self.routes.contains_key(&destination) && self.listed.get(&destination) == Some(&at)
+            self.unlisted_destinations.pop_first();
+            if !self.endpoints_by_destination.contains_key(&destination)
+                && self.last_listed_at.get(&destination) == Some(&since)
             {
-                self.listed.remove(&destination);
+                self.last_listed_at.remove(&destination);
             }
         }
-        for id in std::mem::take(&mut self.unused) {
-            let routes = self.routes.get(&id.0);
-            if routes.is_some_and(|ids| id.1.is_none_or(|endpoint| ids.contains(&endpoint))) {
+        for id in std::mem::take(&mut self.removable_scopes) {
+            let listed = self.endpoints_by_destination.get(&id.0);
+            if listed.is_some_and(|ids| id.1.is_none_or(|endpoint| ids.contains(&endpoint))) {
                 continue;
             }
-            let bound = |unit: &Unit| unit.in_flight > 0 || unit.wait_until > now;
-            if self.units.get(&id).is_some_and(bound)
+            let is_in_use =
+                |scope: &HealthScope| scope.in_flight > 0 || scope.retry_after_until > now;
+            if self.scopes.get(&id).is_some_and(is_in_use)
                 || self
-                    .dormant
+                    .idle_scopes
                     .get(&id)
-                    .is_some_and(|packed| packed.wait_until() > now)
+                    .is_some_and(|compact| compact.wait_until() > now)
             {
-                self.unused.insert(id);
+                self.removable_scopes.insert(id);
             } else {
-                self.units.remove(&id);
-                self.dormant.remove(&id);
+                self.scopes.remove(&id);
+                self.idle_scopes.remove(&id);
             }
         }
     }
--- a/crates/policy/src/idle.rs
+++ b/crates/policy/src/idle.rs
@@ -1,92 +1,111 @@
-//! Units that have had no call for long are packed, and unpacked before anything asks for them: one that is packed has
-//! neither a call out nor an open message. How far old knowledge holds is decided in the package `idle-state`.
+//! Compacts health scopes that have had no call for a long time, and expands them before they are used: a
+//! compacted scope has neither a call in flight nor an open message. How long old observations remain valid
+//! is decided in the package `idle-state`.
 
 use crate::interface::{DestinationId, EndpointId, Micros, SECOND};
 use crate::state::Sender;
-use crate::state::{Flow, Health, Unit, UnitId};
+use crate::state::{Health, HealthScope, HealthScopeId, RefillRate};
 use milletturn_idle_state::{CompactState, DestinationState, initial_limits};
 use std::ops::Bound;
 
-/// A unit is packed when its last call was so long ago: far beyond all spans by which single latencies and times of
-/// service count. Shorter saves memory after a wave of calls, longer keeps their detail.
-const IDLE: Micros = 300 * SECOND;
-/// Units looked at in a turn. Two follow a list that grows by one a turn, and cost no turn a pause.
-const LOOKS: usize = 2;
+/// A scope is compacted this long after its last call: far beyond all spans for which single latencies and
+/// successes matter. Shorter values save memory after a wave of calls, longer ones keep the details.
+const IDLE_AFTER: Micros = 300 * SECOND;
+/// Scopes checked per turn. Two keep up with a list that grows by one endpoint per turn, and cost little in
+/// each turn.
+const SCOPES_CHECKED_PER_TURN: usize = 2;
 
 impl Sender {
-    /// What an endpoint's health, waits and limits belong to.
-    pub(crate) fn unit_of(&self, endpoint: EndpointId) -> UnitId {
-        let Some(known) = self.endpoints.get(&endpoint) else {
+    /// The health scope of an endpoint.
+    pub(crate) fn scope_of(&self, endpoint: EndpointId) -> HealthScopeId {
+        let Some(endpoint_state) = self.endpoints.get(&endpoint) else {
             return (0, Some(endpoint));
         };
-        let apart = self
+        let has_separate_routes = self
             .settings
             .kinds
-            .get(known.kind)
+            .get(endpoint_state.kind)
             .is_some_and(|kind| kind.separate_routes);
-        (known.destination, apart.then_some(endpoint))
+        (
+            endpoint_state.destination,
+            has_separate_routes.then_some(endpoint),
+        )
     }
 
-    /// Packs units that have been idle for long: a few are looked at in each turn, in a circle.
-    pub(crate) fn rest_idle(&mut self) {
-        for _ in 0..LOOKS {
-            let from = self.rested.map_or(Bound::Unbounded, Bound::Excluded);
-            let Some((&id, unit)) = self.units.range((from, Bound::Unbounded)).next() else {
-                self.rested = None;
+    /// Compacts idle scopes. Each turn checks the next few scopes, in a cycle.
+    pub(crate) fn compact_idle_scopes(&mut self) {
+        for _ in 0..SCOPES_CHECKED_PER_TURN {
+            let after = self
+                .idle_scan_position
+                .map_or(Bound::Unbounded, Bound::Excluded);
+            let Some((&id, scope)) = self.scopes.range((after, Bound::Unbounded)).next() else {
+                self.idle_scan_position = None;
                 return;
             };
-            self.rested = Some(id);
-            let idle = unit.in_flight == 0 && self.now - unit.last_sent.max(unit.since) > IDLE;
-            if idle && !self.agenda.holds(id.0) {
-                self.dormant
-                    .insert(id, CompactState::from(&knowledge(unit)));
-                self.units.remove(&id);
+            self.idle_scan_position = Some(id);
+            let is_idle = scope.in_flight == 0
+                && self.now - scope.last_sent_at.max(scope.first_seen_at) > IDLE_AFTER;
+            if is_idle && !self.scheduler.has_messages_for(id.0) {
+                self.idle_scopes
+                    .insert(id, CompactState::from(&to_destination_state(scope)));
+                self.scopes.remove(&id);
             }
         }
     }
 
-    /// Makes a unit ready for use, with what was packed or as `new`.
-    pub(crate) fn rouse(&mut self, id: UnitId, new: Unit) {
-        if self.units.contains_key(&id) {
+    /// Expands a compacted scope, or adds `new` if nothing is known of the scope.
+    pub(crate) fn expand_scope(&mut self, id: HealthScopeId, new: HealthScope) {
+        if self.scopes.contains_key(&id) {
             return;
         }
-        let unit = match self.dormant.remove(&id) {
-            Some(packed) => unpacked(&packed.expand(), self.now, self.settings.safety.slow_start),
+        let scope = match self.idle_scopes.remove(&id) {
+            Some(compact) => {
+                from_destination_state(&compact.expand(), self.now, self.settings.safety.slow_start)
+            }
             None => {
-                // an answer may come from what the list has dropped meanwhile
-                self.unused.insert(id);
-                Unit {
-                    since: self.first_listed(id),
-                    tokens_at: self.now,
+                // A response may come from an endpoint that the list has removed meanwhile.
+                self.removable_scopes.insert(id);
+                HealthScope {
+                    first_seen_at: self.first_listed_at(id),
+                    tokens_updated_at: self.now,
                     ..new
                 }
             }
         };
-        self.units.insert(id, unit);
-        self.settle(id);
+        self.scopes.insert(id, scope);
+        self.settle_scope_tokens(id);
     }
 
-    /// Unpacks what is known of a destination, which may be called now.
-    pub(crate) fn rouse_all(&mut self, destination: DestinationId) {
-        let ends = (destination, None)..=(destination, Some(EndpointId(u32::MAX)));
-        let ids: Vec<UnitId> = self.dormant.range(ends).map(|(id, _)| *id).collect();
+    /// Expands the compacted scopes of a destination before it is called.
+    pub(crate) fn expand_scopes_of(&mut self, destination: DestinationId) {
+        let scope_range = (destination, None)..=(destination, Some(EndpointId(u32::MAX)));
+        let ids: Vec<HealthScopeId> = self
+            .idle_scopes
+            .range(scope_range)
+            .map(|(id, _)| *id)
+            .collect();
         ids.into_iter()
-            .for_each(|id| self.rouse(id, Unit::fresh(1.0)));
+            .for_each(|id| self.expand_scope(id, HealthScope::new(1.0)));
     }
 
-    /// The same, if it has messages.
-    pub(crate) fn rouse_held(&mut self, destination: DestinationId) {
-        if self.agenda.holds(destination) {
-            self.rouse_all(destination);
+    /// Expands the compacted scopes of a destination that has open messages.
+    pub(crate) fn expand_scopes_if_pending(&mut self, destination: DestinationId) {
+        if self.scheduler.has_messages_for(destination) {
+            self.expand_scopes_of(destination);
         }
     }
 
-    fn first_listed(&self, (destination, route): UnitId) -> Micros {
-        let since = |id: &EndpointId| self.endpoints.get(id).map(|known| known.since);
+    /// When the list first named an endpoint of a scope.
+    fn first_listed_at(&self, (destination, route): HealthScopeId) -> Micros {
+        let since = |id: &EndpointId| {
+            self.endpoints
+                .get(id)
+                .map(|endpoint_state| endpoint_state.first_listed_at)
+        };
         let first = match route {
             Some(id) => since(&id),
             None => self
-                .routes
+                .endpoints_by_destination
                 .get(&destination)
                 .into_iter()
                 .flatten()
@@ -97,56 +116,64 @@
     }
 }
 
-fn knowledge(unit: &Unit) -> DestinationState {
+/// What is kept of an idle scope.
+fn to_destination_state(scope: &HealthScope) -> DestinationState {
     DestinationState {
-        wait_until: unit.wait_until,
-        health: unit.health,
-        unhealthy_since: unit.ill_since,
-        first_seen: unit.since,
-        last_sent: unit.last_sent,
-        sent: unit.sent,
-        announced_limit: unit.told_limit,
-        share: unit.share,
-        rate: unit.pace,
-        best_rate: unit.best_rate,
-        window: unit.window,
-        typical_latency: unit.usual,
-        hedge_after: unit.offset,
-        failures: unit.odds.observed_counts(),
-        rejections: unit.refusals.observed_counts(),
-        outage_evidence: unit.odds.evidence(),
+        wait_until: scope.retry_after_until,
+        health: scope.health,
+        unhealthy_since: scope.unhealthy_since,
+        first_seen: scope.first_seen_at,
+        last_sent: scope.last_sent_at,
+        sent: scope.calls_sent,
+        announced_limit: scope.announced_limit,
+        share: scope.fair_share,
+        rate: scope.rate_limit,
+        best_rate: scope.best_rate,
+        window: scope.window,
+        typical_latency: scope.typical_latency,
+        hedge_after: scope.hedge_delay,
+        failures: scope.outage_evidence.observed_counts(),
+        rejections: scope.rejections.observed_counts(),
+        outage_evidence: scope.outage_evidence.evidence(),
     }
 }
 
-fn unpacked(known: &DestinationState, now: Micros, cold: Micros) -> Unit {
-    let limits = initial_limits(known, now);
-    let mut unit = Unit {
-        health: known.health,
-        wait_until: known.wait_until,
-        // dated half a cold time before its first answer at the most
-        warm_at: match known.health {
-            Health::Recovering { since } => since + cold * 3 / 2,
+/// A scope with what was kept of it.
+fn from_destination_state(
+    state: &DestinationState,
+    now: Micros,
+    slow_start: Micros,
+) -> HealthScope {
+    let limits = initial_limits(state, now);
+    let mut scope = HealthScope {
+        health: state.health,
+        retry_after_until: state.wait_until,
+        // At most half a slow start lies between the assumed start of the recovery and its first success.
+        slow_start_ends_at: match state.health {
+            Health::Recovering { since } => since + slow_start * 3 / 2,
             _ => 0,
         },
-        ill_since: known.unhealthy_since,
-        since: known.first_seen,
-        last_sent: known.last_sent,
-        sent: known.sent,
-        told_limit: known.announced_limit,
-        share: known.share,
-        pace: limits.rate,
-        // what is old is found again as fast as successes allow
-        limited: limits.is_fresh && limits.rate.is_finite(),
-        best_rate: known.best_rate,
-        usual: known.typical_latency,
-        offset: known.hedge_after,
-        tokens_at: now,
-        ..Unit::fresh(limits.window.max(1.0))
+        unhealthy_since: state.unhealthy_since,
+        first_seen_at: state.first_seen,
+        last_sent_at: state.last_sent,
+        calls_sent: state.sent,
+        announced_limit: state.announced_limit,
+        fair_share: state.share,
+        rate_limit: limits.rate,
+        // An outdated rate limit may rise as fast as calls succeed.
+        limited_by_rejection: limits.is_fresh && limits.rate.is_finite(),
+        best_rate: state.best_rate,
+        typical_latency: state.typical_latency,
+        hedge_delay: state.hedge_after,
+        tokens_updated_at: now,
+        ..HealthScope::new(limits.window.max(1.0))
     };
     if limits.rate.is_finite() {
-        (unit.tokens, unit.flow, unit.burst) = (1.0, Flow::even(limits.rate), 1.0);
+        (scope.tokens, scope.refill, scope.burst) = (1.0, RefillRate::constant(limits.rate), 1.0);
     }
-    unit.odds.restore(known.failures, known.outage_evidence);
-    unit.refusals.restore(known.rejections);
-    unit
+    scope
+        .outage_evidence
+        .restore(state.failures, state.outage_evidence);
+    scope.rejections.restore(state.rejections);
+    scope
 }
