--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,64 +1,66 @@
-//! The module's types: settings, ids, time, events, outcomes and actions. Validates, decides nothing.
+//! Types of the policy's interface: settings, ids, time, events, outcomes and actions. They are validated
+//! here, but nothing is decided.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// A point in time or a span, in integer microseconds.
+/// A point in time or a span, in integer microseconds. Points in time are on the host's clock.
 pub type Micros = i64;
-/// One second.
+/// One second in microseconds.
 pub const SECOND: Micros = 1_000_000;
-/// One millisecond.
+/// One millisecond in microseconds.
 pub const MILLISECOND: Micros = 1_000;
 
-/// A message, numbered by the host; used again after its end only if the same message is sent again.
+/// Number that the host gives a message. The host may use the number again after the message has ended only
+/// if the same message is redriven.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MessageId(pub u64);
 
-/// An endpoint, numbered by the host.
+/// Number that the host gives an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointId(pub u32);
 
-/// A destination's number.
+/// Number of a destination in the host's configuration.
 pub type DestinationId = u64;
 
-/// What a repeat of a message does.
+/// What happens if the same message is delivered more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
-    /// May be sent any number of times.
+    /// Nothing: the message may be sent any number of times.
     Repeatable,
-    /// The destination drops a repeat inside `window`, counted from the first send that may have run.
+    /// The destination drops repeats within `window`, counted from the first attempt that may have run.
     Keyed {
-        /// How long the key is remembered.
+        /// How long the destination remembers the idempotency key.
         window: Micros,
-        /// Only endpoints of the same zone know of each other's keys.
+        /// Endpoints know only the keys that endpoints of their own zone have received.
         zone_only: bool,
     },
-    /// Must never run twice.
+    /// A repeat does harm: the message must never run twice.
     Unsafe,
 }
 
-/// A class of message.
+/// A class of messages, with the same delivery rules and value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Its name, unique among the classes.
+    /// Unique among the classes, except after a reload.
     pub name: String,
-    /// What a repeat does.
+    /// What a repeated delivery does.
     pub effect: Effect,
-    /// Full worth when delivered within this time.
+    /// Age up to which a delivery has its full value, in microseconds.
     pub latency_objective: Micros,
-    /// No longer delivered after this time.
+    /// Age from which on a message is no longer delivered, in microseconds.
     pub deadline: Micros,
-    /// Worth of one message.
+    /// Value of one message relative to messages of other classes; zero or more.
     pub priority_weight: f64,
-    /// Share of the worth that is left at the deadline.
+    /// Share of the value that is left at the deadline.
     pub late_value_share: f64,
-    /// Messages of one key go one at a time, in order.
+    /// Messages with the same ordering key are sent one at a time, in order.
     pub ordered: bool,
 }
 
 impl Class {
-    /// A class of worth 1 that keeps none of it after the aim and asks for no order.
+    /// A class with priority weight 1, no value after the latency objective, and no order.
     #[must_use]
     pub fn new(name: &str, effect: Effect, latency_objective: Micros, deadline: Micros) -> Self {
         Class {
@@ -74,130 +76,132 @@
 }
 
 impl Class {
-    /// Share of the worth that a delivery at this age still has.
+    /// Share of its value that a delivery at this age still has, from `late_value_share` to 1.
     #[must_use]
-    pub fn remaining_value(&self, age: Micros, fade: ValueDecay) -> f64 {
-        let late = (age - self.latency_objective) as f64;
-        let left = match fade {
-            ValueDecay::Halving => 0.5f64.powf(late / self.latency_objective as f64),
+    pub fn remaining_value(&self, age: Micros, value_decay: ValueDecay) -> f64 {
+        let time_past_objective = (age - self.latency_objective) as f64;
+        let remaining = match value_decay {
+            ValueDecay::Halving => 0.5f64.powf(time_past_objective / self.latency_objective as f64),
             ValueDecay::Linear => {
-                1.0 - (1.0 - self.late_value_share) * late
+                1.0 - (1.0 - self.late_value_share) * time_past_objective
                     / (self.deadline - self.latency_objective).max(1) as f64
             }
         };
-        left.min(1.0).max(self.late_value_share)
+        remaining.min(1.0).max(self.late_value_share)
     }
 }
 
-/// A kind of destination.
+/// A kind of destination, with the same rules for routes and batches.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DestinationKind {
-    /// Its name.
+    /// Name of the kind in the host's configuration.
     pub name: String,
-    /// Each endpoint is a route of its own, with its own limit, waits and outages.
+    /// Each endpoint is a health scope of its own, with its own limit, Retry-After and outages.
     pub separate_routes: bool,
-    /// Messages that one call may carry.
+    /// Maximum number of messages in one call; at least one.
     pub max_batch_size: usize,
 }
 
-/// A tenant.
+/// A tenant, whose messages beyond its allowance get a lower priority weight.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant in the host's configuration.
     pub name: String,
-    /// Messages a second within its share, over all senders.
+    /// Messages per second, over all senders, that keep their full priority weight.
     pub allowance: f64,
 }
 
-/// How worth falls after the aim.
+/// How the value of a message decays after its latency objective.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ValueDecay {
-    /// Evenly, down to the late share at the deadline.
+    /// Linearly, down to the late value share at the deadline.
     Linear,
-    /// By half with each further aim, not under the late share.
+    /// By half with each further latency objective, but not below the late value share.
     Halving,
 }
 
-/// Figures of the rules.
+/// Times and limits of the delivery rules and of the destinations' behaviour.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Safety {
-    /// Sends to a draining endpoint end within this time.
+    /// Attempts at a draining endpoint end within this time.
     pub drain_grace: Micros,
-    /// A returning destination is warm after this time.
+    /// How long the slow start of a recovering destination takes.
     pub slow_start: Micros,
-    /// It starts with this share of its capacity.
+    /// Share of its capacity with which a recovering destination starts.
     pub initial_capacity: f64,
-    /// It falls over when sent this multiple of what it can do ...
+    /// A destination collapses if it gets more than this multiple of its capacity for an overload window.
     pub overload_multiple: f64,
-    /// ... for this long.
+    /// How long a destination withstands overload before it collapses.
     pub overload_window: Micros,
-    /// A final answer still counts this long after the deadline.
+    /// A final response still counts this long after the deadline.
     pub response_grace: Micros,
-    /// Rest of a key after an attempt whose end is not sure.
+    /// How long an ordering key is blocked after an attempt that may still run.
     pub ordered_key_backoff: Micros,
-    /// An unsubscribed sender must ask for the list this often.
+    /// How often a sender without a subscription must poll the endpoint list.
     pub list_poll_interval: Micros,
 }
 
-/// All that a sender is told at start-up.
+/// All settings of a sender. Classes, kinds and tenants are referred to by position.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Senders of this group, this one counted.
+    /// Number of senders that share the destinations' limits, including this sender; at least one.
     pub senders: u32,
-    /// This sender's zone, as a number into the host's list.
+    /// This sender's zone, as an index into the host's list of zones.
     pub zone: u16,
-    /// Calls that may be out at once.
+    /// Maximum number of calls in flight at once; at least one.
     pub call_slots: usize,
-    /// Messages that may be held.
+    /// Maximum number of messages pending at once; at least one.
     pub max_pending: usize,
-    /// Attempts for one message.
+    /// Maximum number of attempts for one message; at least one.
     pub max_attempts: usize,
-    /// Two attempts of one message may be out together.
+    /// A second attempt of a message may start while the first is in flight.
     pub hedging_enabled: bool,
     /// Attempts may be cancelled.
     pub cancellation_enabled: bool,
-    /// The host tells the ends that the module gives by notices, which may come later; else they are known at once.
+    /// The host reports the end of messages by notifications, which may arrive later than the decision. If
+    /// false, ends are known at once.
     pub notifications_enabled: bool,
-    /// Endpoints may be probed.
+    /// Endpoints may be probed. No decision uses probes at present.
     pub probing_enabled: bool,
-    /// Senders may write to each other.
+    /// Senders may send each other gossip. No decision uses gossip at present.
     pub gossip_enabled: bool,
-    /// Idle connections close by themselves after this time; 0 where that is not known.
+    /// Time after which idle connections are closed by the host or the endpoint; 0 if unknown.
     pub idle_connection_timeout: Micros,
-    /// Longest wait that a client heeds; 0 where clients are told none.
+    /// Longest Retry-After that clients respect; 0 if rejections carry none.
     pub max_client_retry_after: Micros,
-    /// The endpoint list must be asked for.
+    /// The endpoint list must be requested by a subscription.
     pub list_requires_subscription: bool,
-    /// The list gives each destination's rate: 0 no, 1 exactly, 0.5 up to half off.
+    /// How exactly the list states each destination's rate: 0 not at all, 1 exactly, 0.5 up to half off.
     pub weight_trust: f64,
-    /// Position of the remaining share of the limit in a load report.
+    /// Index of the remaining share of the limit in a load report.
     pub report_remaining_index: Option<usize>,
-    /// Position of the limit, in calls a second, in a load report.
+    /// Index of the limit, in calls per second, in a load report.
     pub report_limit_index: Option<usize>,
-    /// Price of a call to another zone, as a share of a first try.
+    /// Price of a call to another zone, relative to a first attempt.
     pub price_cross_zone: f64,
-    /// Price of a probe, as a share of a first try.
+    /// Price of a probe, relative to a first attempt.
     pub price_probe: f64,
-    /// Price of the destinations' wasted work, as a share of the work asked for.
+    /// Price of work that destinations do in vain, relative to the work requested.
     pub price_waste: f64,
-    /// Price of a message that a separate route takes on, by zone.
+    /// Price of a message that a separate route accepts, by zone.
     pub zone_fees: Vec<f64>,
-    /// Worth of a message beyond its tenant's share.
+    /// Factor of the priority weight of messages beyond their tenant's allowance.
     pub over_share_weight: f64,
-    /// How worth falls after the aim.
+    /// How the value of messages decays after their latency objective.
     pub value_decay: ValueDecay,
-    /// Figures of the rules.
+    /// Times and limits of the delivery rules.
     pub safety: Safety,
-    /// Classes; events name them by position.
+    /// Classes; messages refer to them by position.
     pub classes: Vec<Class>,
-    /// Kinds of destination; list entries name them by position.
+    /// Kinds of destination; list entries refer to them by position.
     pub kinds: Vec<DestinationKind>,
-    /// Tenants; messages name them by position.
+    /// Tenants; messages refer to them by position.
     pub tenants: Vec<Tenant>,
 }
 
 impl Settings {
-    /// Settings for a lone sender, with no classes yet and the mildest assumption for all else.
+    /// Settings for a single sender without classes. Optional features are off, except hedging and
+    /// cancellation.
     #[must_use]
     pub fn new(call_slots: usize, max_pending: usize) -> Self {
         Settings {
@@ -239,10 +243,10 @@
         }
     }
 
-    /// Checks that the settings make sense.
+    /// Checks all settings.
     ///
     /// # Errors
-    /// Names the first setting that does not.
+    /// Names the first invalid setting.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let mut names = BTreeSet::new();
         for class in &self.classes {
@@ -256,7 +260,7 @@
         self.validate_figures()
     }
 
-    /// Checks all but the names of classes: after a reload one name may stand at two positions.
+    /// Checks everything but the names of classes: after a reload, one name may stand at two positions.
     pub(crate) fn validate_figures(&self) -> Result<(), SettingsError> {
         let positive = |name: &str, ok: bool| {
             if ok {
@@ -330,17 +334,17 @@
     }
 }
 
-/// A setting that makes no sense.
+/// A setting that is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError {
-    /// The setting's name.
+    /// Outer name of the setting, which may differ from the name of the field.
     pub setting: String,
-    /// What is wrong with it.
+    /// What is wrong with the setting.
     pub problem: String,
 }
 
 impl SettingsError {
-    /// An error about `setting`.
+    /// Creates an error about `setting`.
     #[must_use]
     pub fn new(setting: &str, problem: &str) -> Self {
         SettingsError {
@@ -358,47 +362,48 @@
 
 impl std::error::Error for SettingsError {}
 
-/// What a listing event holds.
+/// How the entries of an endpoint list update relate to the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// Changed entries only.
+    /// Only the entries that have changed.
     Changes,
-    /// The whole list; what is not in it is gone.
+    /// The whole list: endpoints that are not named are removed.
     Full,
-    /// The whole list as last known before a restart, maybe old.
+    /// The whole list as it was known before a restart; it may be outdated.
     Cached,
 }
 
-/// An endpoint's state in the list; it says nothing of health.
+/// Status of an endpoint in the list; independent of its health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// Listed.
+    /// New messages may be sent to the endpoint.
     Serving,
-    /// Nothing new may be sent there.
+    /// No new messages may be sent to the endpoint.
     Draining,
-    /// Removed.
+    /// The endpoint no longer exists.
     Removed,
 }
 
-/// One endpoint in a listing.
+/// One endpoint in an endpoint list update.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
-    /// Which endpoint.
+    /// The endpoint's number.
     pub endpoint: EndpointId,
-    /// Its destination.
+    /// The destination that the endpoint belongs to.
     pub destination: DestinationId,
-    /// Its zone, as a number into the host's list.
+    /// The endpoint's zone, as an index into the host's list of zones.
     pub zone: u16,
-    /// Its destination's kind, by position in the settings.
+    /// Kind of the destination, by position in the settings.
     pub kind: usize,
-    /// Its state.
+    /// Whether the endpoint accepts new messages.
     pub status: EndpointStatus,
-    /// Calls a second that the list gives its destination (or route); used where `weight_trust` is above 0.
+    /// Calls per second that the list allows the destination (or the separate route); used only if
+    /// `weight_trust` is above 0.
     pub weight: f64,
 }
 
 impl EndpointEntry {
-    /// A serving endpoint of the first kind and zone.
+    /// A serving endpoint of the first kind in the first zone.
     #[must_use]
     pub fn new(endpoint: EndpointId, destination: DestinationId) -> Self {
         EndpointEntry {
@@ -412,31 +417,31 @@
     }
 }
 
-/// A message that the sender now holds.
+/// A message that the host has accepted for delivery.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NewMessage {
-    /// Its id.
+    /// Number of the message.
     pub id: MessageId,
-    /// Its class, by position; an unknown class is treated as unsafe.
+    /// Position of its class in the settings; an unknown class is treated as unsafe.
     pub class: usize,
-    /// Where it goes.
+    /// The destination that the message goes to.
     pub destination: DestinationId,
-    /// How long it may still be delivered.
+    /// Time until its deadline, in microseconds.
     pub time_left: Micros,
-    /// Its key, where the class keeps order.
+    /// Ordering key; used only if the class is ordered.
     pub key: Option<u64>,
-    /// Its tenant, by position.
+    /// Position of its tenant in the settings.
     pub tenant: Option<usize>,
-    /// The client has handed it in before.
+    /// The client has submitted the message before.
     pub resubmitted: bool,
-    /// It comes from a sender that died.
+    /// The message was submitted to a sender that has died.
     pub from_lost_sender: bool,
-    /// It is sent again long after its first end: all others come first.
+    /// The message is redriven long after its first end; all messages that are not deferred are sent first.
     pub deferred: bool,
 }
 
 impl NewMessage {
-    /// A message without key or tenant, handed in for the first time.
+    /// A message without key or tenant that is submitted for the first time.
     #[must_use]
     pub fn new(id: MessageId, class: usize, destination: DestinationId, time_left: Micros) -> Self {
         NewMessage {
@@ -453,46 +458,46 @@
     }
 }
 
-/// An attempt from before a restart, as the host's journal has it.
+/// An attempt from before a restart, as the host's journal recorded it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PastAttempt {
-    /// Where it went; an endpoint that the list no longer has counts as one of no known zone.
+    /// The endpoint of the attempt. If the list no longer names the endpoint, its zone is unknown.
     pub endpoint: EndpointId,
-    /// When it was sent, on the clock of this life.
+    /// When the attempt was sent, on the clock of the present process.
     pub sent: Micros,
-    /// Nothing proves that it never ran.
+    /// Nothing proves that the attempt never ran.
     pub may_have_run: bool,
 }
 
-/// How a call ended.
+/// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Delivered.
+    /// The message was delivered.
     Success,
-    /// The destination answered with an error; it may have run.
+    /// The destination returned an error; the attempt may have run.
     Error,
-    /// Turned away unseen, perhaps with a wait; it never ran.
+    /// The destination rejected the attempt before processing; the attempt never ran.
     Rejected {
-        /// How long to keep away.
+        /// How long to wait before the next call, if the response says so.
         retry_after: Option<Micros>,
     },
-    /// No answer in time; it may have run or still run.
+    /// No response arrived in time; the attempt may have run or may still run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be opened; the attempt never ran.
     NoConnection,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Called off; it may have run.
+    /// The sender cancelled the attempt; it may have run.
     Cancelled,
-    /// Never left the sender.
+    /// The attempt never left the sender.
     Unsent {
-        /// No slot was free.
+        /// The reason was that no connection slot was free.
         no_slot: bool,
     },
 }
 
 impl Outcome {
-    /// True if the destination, or the way to it, failed the attempt.
+    /// Whether the destination, or the network on the way to it, failed the attempt.
     #[must_use]
     pub fn is_failure(self) -> bool {
         matches!(
@@ -501,7 +506,7 @@
         )
     }
 
-    /// True if the attempt certainly never ran.
+    /// Whether the attempt certainly never ran.
     #[must_use]
     pub fn never_ran(self) -> bool {
         matches!(
@@ -511,135 +516,139 @@
     }
 }
 
-/// What the sender is told.
+/// What the host reports to the sender.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// News of the endpoint list.
+    /// The endpoint list was read or has changed.
     EndpointList {
-        /// What the entries are.
+        /// How the entries relate to the list.
         kind: EndpointListKind,
-        /// The entries.
+        /// The entries of the update.
         entries: Vec<EndpointEntry>,
     },
-    /// Asking for the list failed, or the subscription broke.
+    /// The request for the endpoint list failed, or the subscription broke.
     EndpointListFailed,
-    /// A message came in.
+    /// The host has accepted a message.
     Accepted(NewMessage),
-    /// A message taken before a restart is back, with all attempts that it had. Its time may be up.
+    /// A message that was accepted before a restart has been restored with all its attempts. Its deadline may
+    /// have passed.
     Resumed {
-        /// The message; a time left below zero says how long its time has been up.
+        /// The message. A negative `time_left` says how long ago the deadline passed.
         message: NewMessage,
-        /// Its attempts, in the order of their sending; later ones are numbered on from them.
+        /// Its attempts in the order of sending. Attempts after the restart are numbered on from these.
         attempts: Vec<PastAttempt>,
     },
-    /// The process has been asked to stop: calls that are out then are cut off.
+    /// The process is to shut down. Calls that are still in flight when it ends are cut off.
     Stopping {
-        /// When it ends.
+        /// When the process ends.
         ends_at: Micros,
     },
-    /// A destination told a wait in an answer that turned no message away.
+    /// A response that rejected no message announced a Retry-After.
     RetryAfter {
-        /// The endpoint that told it.
+        /// The endpoint that announced the wait.
         endpoint: EndpointId,
-        /// How long to keep away.
+        /// How long to wait before the next call.
         retry_after: Micros,
     },
-    /// What became of the notice of an ended message's end, where the settings say that ends are told by notices: its
-    /// key's next message waits for it, in this life and in the next.
+    /// State of the notification about the end of a message, if `notifications_enabled` is set. The next
+    /// message of the key waits until the notification is acknowledged, also across a restart.
     Notification {
-        /// Which message.
+        /// The message that has ended.
         message: MessageId,
-        /// Its key.
+        /// The ordering key of the message.
         key: u64,
-        /// It has been taken; else it is owed from an earlier life.
+        /// The notification has been acknowledged. If false, the notification is pending since before a
+        /// restart.
         acknowledged: bool,
     },
-    /// An attempt ended.
+    /// An attempt has ended.
     AttemptEnded {
-        /// Which message.
+        /// The message of the attempt.
         message: MessageId,
-        /// Which attempt, from 0.
+        /// Index of the attempt, from 0.
         attempt: usize,
-        /// Where it went.
+        /// The endpoint of the attempt.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Time since the send.
+        /// Time since the attempt was sent, in microseconds.
         latency: Micros,
-        /// Nothing more is owed for the message.
+        /// The message has reached its end: no further attempt is needed.
         message_closed: bool,
-        /// Load report, if any.
+        /// Load report of the response; empty if there is none.
         report: Vec<f64>,
-        /// The response may be a copy of an earlier one: whatever the outcome, this attempt may have run.
+        /// The response may be a duplicate of an earlier one. Whatever the outcome, this attempt may have
+        /// run.
         ambiguous: bool,
     },
-    /// The answer has started; the client owns this attempt now.
+    /// The response to an attempt has started to arrive, and is passed on to the client.
     ResponseStarted {
-        /// Which message.
+        /// The message of the attempt.
         message: MessageId,
-        /// Which attempt.
+        /// Index of the attempt, from 0.
         attempt: usize,
     },
-    /// Nobody wants this message any more.
+    /// The message is no longer wanted; its attempts are cancelled.
     Cancelled(MessageId),
-    /// A probe was answered or failed.
+    /// A probe has ended.
     Probed {
-        /// Which endpoint.
+        /// The probed endpoint.
         endpoint: EndpointId,
-        /// How it ended.
+        /// How the probe ended.
         outcome: Outcome,
-        /// Load report, if any.
+        /// Load report of the response; empty if there is none.
         report: Vec<f64>,
     },
-    /// Another sender wrote.
+    /// Gossip from another sender has arrived.
     GossipReceived {
-        /// Its number.
+        /// Number of the other sender.
         from: u32,
-        /// What it wrote.
+        /// Content of the gossip.
         bytes: Vec<u8>,
     },
-    /// The alarm rang.
+    /// The time of the latest [`Action::SetAlarm`] has come.
     Alarm,
 }
 
-/// What the sender wants done.
+/// What the sender asks the host to do.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Call an endpoint. Sends to one endpoint in one turn share a call as far as its kind allows.
+    /// Sends an attempt. Attempts at one endpoint in one turn share a call as far as the kind's batch size
+    /// allows.
     Send {
-        /// Which message.
+        /// The message to send.
         message: MessageId,
-        /// Where to.
+        /// The endpoint to call.
         endpoint: EndpointId,
         /// When the attempt times out.
         expires_at: Micros,
     },
-    /// Call off an attempt.
+    /// Cancels an attempt.
     Cancel {
-        /// Which message.
+        /// The message of the attempt.
         message: MessageId,
-        /// Which attempt.
+        /// Index of the attempt, from 0.
         attempt: usize,
     },
-    /// End a message undelivered; a retry does no harm.
+    /// Ends a message undelivered. The client may retry, because a repeat does no harm.
     Reject {
-        /// Which message.
+        /// The message to reject.
         message: MessageId,
-        /// Advice to the client.
+        /// Retry-After for the client.
         retry_after: Option<Micros>,
     },
-    /// End a message as failed.
+    /// Ends a message as failed.
     Fail(MessageId),
-    /// Ring at this time.
+    /// Requests an [`Event::Alarm`] at this time.
     SetAlarm(Micros),
-    /// Probe an endpoint.
+    /// Probes an endpoint.
     Probe(EndpointId),
-    /// Give back the connections to an endpoint that carry nothing now.
+    /// Closes the idle connections to an endpoint.
     CloseIdleConnections(EndpointId),
-    /// Subscribe to the endpoint list.
+    /// Subscribes to the endpoint list.
     Subscribe,
-    /// Write to all other senders.
+    /// Sends gossip to all other senders.
     Gossip(Vec<u8>),
-    /// A line for the log.
+    /// Writes a line to the log.
     Log(String),
 }
--- a/crates/policy/src/introspection.rs
+++ b/crates/policy/src/introspection.rs
@@ -1,41 +1,42 @@
-//! What the module shows of itself. It decides nothing.
+//! Figures about the sender's state, for tests and operators.
 
 use crate::state::Health;
 use crate::state::Sender;
 
 impl Sender {
-    /// One that makes its books anew in each turn and looks at each message: the same actions, at more cost. For tests.
+    /// A sender that rebuilds its schedule in each turn and checks each message: the same actions, at a
+    /// higher cost. Tests compare both.
     #[must_use]
     pub fn without_incremental_scheduling(mut self) -> Self {
-        self.shortcuts = false;
+        self.incremental_scheduling = false;
         self
     }
 
-    /// Looks that all turns so far have taken, at messages, calls and groups of messages.
+    /// Work done by all turns so far, in messages, queues and calls handled.
     #[must_use]
     pub fn work_steps(&self) -> u64 {
-        self.agenda.steps
+        self.scheduler.work_steps
     }
 
-    /// Destinations (routes, where they are apart) that are known in full, and packed.
+    /// Number of health scopes with full state, and of idle scopes with compact state.
     #[must_use]
     pub fn scope_counts(&self) -> (usize, usize) {
-        (self.units.len(), self.dormant.len())
+        (self.scopes.len(), self.idle_scopes.len())
     }
 
-    /// Listed endpoints that take calls, of units that are taken for gone: they get trials only.
+    /// Number of serving endpoints that belong to ejected health scopes, which get only probes.
     #[must_use]
     pub fn ejected_endpoint_count(&self) -> usize {
-        let sick = |id| match self.units.get(&id) {
-            Some(unit) => matches!(unit.health, Health::Ejected { .. }),
+        let is_ejected = |id| match self.scopes.get(&id) {
+            Some(scope) => matches!(scope.health, Health::Ejected { .. }),
             None => self
-                .dormant
+                .idle_scopes
                 .get(&id)
                 .is_some_and(milletturn_idle_state::CompactState::is_ejected),
         };
         self.endpoints
             .iter()
-            .filter(|(id, known)| known.serving && sick(self.unit_of(**id)))
+            .filter(|(id, endpoint)| endpoint.serving && is_ejected(self.scope_of(**id)))
             .count()
     }
 }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,19 +1,22 @@
-//! Delivery decisions for outbound messages to other firms' systems.
+//! Delivery decisions for outbound messages to other companies' systems.
 //!
-//! A [`Sender`] is told what happens (messages handed in, outcomes of calls, news of the endpoint
-//! list, alarms) and answers with what to do (send, cancel, refuse, fail). It opens no sockets and
-//! reads no clock: the program that hosts it does both. The same events always give the same actions.
+//! The host passes [`Event`]s to a [`Sender`] (accepted messages, outcomes of attempts, updates of the endpoint
+//! list, alarms) and carries out the [`Action`]s that it returns (send, cancel, reject, fail). The sender opens no
+//! sockets and reads no clock. The same events always result in the same actions.
 //!
 //! ```
-//! use milletturn_policy::{Action, Class, Effect, EndpointEntry, Event, EndpointId, EndpointListKind, MessageId, NewMessage,
-//!     Sender, Settings};
+//! use milletturn_policy::{Action, Class, Effect, EndpointEntry, EndpointId, EndpointListKind, Event, MessageId,
+//!     NewMessage, Sender, Settings};
 //!
 //! let mut settings = Settings::new(8, 100);
 //! settings.classes.push(Class::new("notice", Effect::Repeatable, 2_000_000, 10_000_000));
 //! let mut sender = Sender::new(settings, 7)?;
 //! let mut actions = Vec::new();
 //! let events = [
-//!     Event::EndpointList { kind: EndpointListKind::Full, entries: vec![EndpointEntry::new(EndpointId(1), 40)] },
+//!     Event::EndpointList {
+//!         kind: EndpointListKind::Full,
+//!         entries: vec![EndpointEntry::new(EndpointId(1), 40)],
+//!     },
 //!     Event::Accepted(NewMessage::new(MessageId(5), 0, 40, 10_000_000)),
 //! ];
 //! sender.handle(1_000_000, &events, &mut actions);
@@ -26,7 +29,7 @@
     clippy::needless_pass_by_value,
     clippy::struct_excessive_bools,
     clippy::too_many_lines,
-    reason = "names and shape of this package have not had their turn yet"
+    reason = "the shape of this package has not been reworked yet: long functions, records with many flags"
 )]
 
 mod attempt_end;
--- a/crates/policy/src/outage_evidence.rs
+++ b/crates/policy/src/outage_evidence.rs
@@ -1,151 +1,158 @@
-//! How likely it is that a unit is gone, against that it only has its usual share of bad calls. Free of
-//! clock and I/O.
-//!
-//! A sequential test (Page's CUSUM of log-likelihood ratios, E. S. Page, Continuous Inspection Schemes,
-//! Biometrika 41, 1954): each bad call adds what it speaks for an outage, each good one takes away what
-//! it speaks against it. False alarms then come less often than once in exp(threshold) calls, whatever
-//! the usual share is.
-
-/// Prior of the usual share, as bad calls among calls: weak, so that some dozen calls outweigh it. A
-/// higher one finds the first outage of an unknown unit later, a lower one takes first noise for an
-/// outage.
-const PRIOR_BAD: f64 = 0.1;
-const PRIOR_ALL: f64 = 10.0;
-/// Calls that the share remembers: more is steadier, fewer follows a change sooner.
-const MEMORY: f64 = 200.0;
-/// Bounds of the usual share. Below, one stray failure would speak too loud; above, most calls fail.
-const USUAL_LEAST: f64 = 0.005;
-/// See [`OutageEvidence::baseline_rate`].
+//! Evidence that a health scope is down, rather than having its baseline share of failed calls. Uses neither
+//! clock nor I/O.  This is a sequential test (Page's CUSUM of log-likelihood ratios, E. S. Page, Continuous
+//! Inspection Schemes, Biometrika 41, 1954). Each call adds the log-likelihood ratio of its result under an
+//! outage against the baseline: positive for a failure, negative for a success. The sum does not fall below
+//! zero. False alarms then occur less often than once in exp(threshold) calls, whatever the baseline failure
+//! rate is.
+
+/// Failures and calls of the prior of the baseline failure rate. The prior is weak, so that a few dozen calls
+/// outweigh it. A higher prior rate detects the first outage of an unknown scope later, a lower one takes its
+/// first noise for an outage.
+const PRIOR_FAILURES: f64 = 0.1;
+/// See [`PRIOR_FAILURES`].
+const PRIOR_CALLS: f64 = 10.0;
+/// Calls that the baseline remembers. More calls make the baseline steadier, fewer follow a change sooner.
+const DEFAULT_MAX_CALLS: f64 = 200.0;
+/// Lower bound of the baseline failure rate: below it, a single stray failure would count too much.
+const MIN_BASELINE_RATE: f64 = 0.005;
+/// Upper bound of [`OutageEvidence::baseline_rate`]: above it, most calls fail.
 pub const MAX_BASELINE_RATE: f64 = 0.4;
-/// Of a unit that is gone, at least this share of calls is bad: outages fail half of them or more.
-const GONE: f64 = 0.5;
-/// And of one that answers nothing at all.
-const SILENT: f64 = 0.98;
-
-/// Evidence for an outage at which a unit is taken for gone: a chance of about one in 10^6 a call. Higher
-/// spares noisy units, lower finds outages sooner: this is three failures in a row where they are rare,
-/// six where one in ten is usual.
+/// Smallest failure rate during an outage: half of all calls or more fail.
+const MIN_OUTAGE_FAILURE_RATE: f64 = 0.5;
+/// Failure rate of a scope that answers nothing at all.
+const TOTAL_OUTAGE_FAILURE_RATE: f64 = 0.98;
+
+/// Evidence at which a scope is ejected; the chance of a false alarm is about one in 10^6 per call. Higher
+/// values spare noisy scopes, lower ones detect outages sooner. The threshold is reached by three failures in
+/// a row where failures are rare, and by six where one call in ten fails.
 pub const EJECTION_THRESHOLD: f64 = 13.5;
 
-/// The usual share of bad calls, and the evidence that it no longer holds.
+/// The baseline failure rate of a health scope, and the evidence that calls now fail more often.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct OutageEvidence {
-    /// Calls remembered at most; bad ones and all.
-    memory: f64,
-    bad: f64,
-    all: f64,
-    /// Bad calls with no good one since: they are noise only if a good one follows.
-    pending: f64,
-    /// Evidence for an outage, natural logarithm of the odds, zero or more.
+    /// Maximum number of calls that the baseline remembers.
+    max_calls: f64,
+    /// Remembered failures and calls of the baseline.
+    failures: f64,
+    calls: f64,
+    /// Failures since the last success. They are noise, and join the baseline, only if a success follows.
+    pending_failures: f64,
+    /// The CUSUM: a natural logarithm of the likelihood ratio, zero or more.
     evidence: f64,
 }
 
 impl Default for OutageEvidence {
     fn default() -> Self {
-        OutageEvidence::with_memory(MEMORY)
+        OutageEvidence::with_memory(DEFAULT_MAX_CALLS)
     }
 }
 
 impl OutageEvidence {
-    /// Odds of which nothing is known, with a memory of so many calls.
+    /// Creates a state without observations whose baseline remembers at most this many calls.
     #[must_use]
-    pub fn with_memory(memory: f64) -> Self {
+    pub fn with_memory(max_calls: f64) -> Self {
         OutageEvidence {
-            memory,
-            bad: 0.0,
-            all: 0.0,
-            pending: 0.0,
+            max_calls,
+            failures: 0.0,
+            calls: 0.0,
+            pending_failures: 0.0,
             evidence: 0.0,
         }
     }
 
-    /// Share of calls that are usually bad.
+    /// Share of calls that fail when there is no outage.
     #[must_use]
     pub fn baseline_rate(&self) -> f64 {
-        let share = (self.bad + PRIOR_BAD) / (self.all + PRIOR_ALL);
-        share.clamp(USUAL_LEAST, MAX_BASELINE_RATE)
+        let rate = (self.failures + PRIOR_FAILURES) / (self.calls + PRIOR_CALLS);
+        rate.clamp(MIN_BASELINE_RATE, MAX_BASELINE_RATE)
     }
 
-    /// Bad calls among all that are remembered.
+    /// The remembered failures and calls of the baseline.
     #[must_use]
     pub fn observed_counts(&self) -> (f64, f64) {
-        (self.bad, self.all)
+        (self.failures, self.calls)
     }
 
-    /// Odds as they were: of so many bad calls among so many, with so much evidence.
-    pub fn restore(&mut self, (bad, all): (f64, f64), evidence: f64) {
-        (self.bad, self.all, self.evidence) = (bad.min(all), all, evidence);
+    /// Restores a state from the counts that [`OutageEvidence::observed_counts`] returned, and from its
+    /// evidence.
+    pub fn restore(&mut self, (failures, calls): (f64, f64), evidence: f64) {
+        (self.failures, self.calls, self.evidence) = (failures.min(calls), calls, evidence);
     }
 
-    /// Calls that are remembered.
+    /// Number of calls that the baseline remembers.
     #[must_use]
     pub fn observed_calls(&self) -> f64 {
-        self.all
+        self.calls
     }
 
-    /// What a bad call speaks for an outage where such a share is usual.
+    /// Log-likelihood ratio that a failed call contributes at the given baseline failure rate.
     #[must_use]
-    pub fn failure_log_likelihood_ratio(usual: f64) -> f64 {
-        (gone(usual) / usual).ln()
+    pub fn failure_log_likelihood_ratio(baseline_rate: f64) -> f64 {
+        (outage_failure_rate(baseline_rate) / baseline_rate).ln()
     }
 
-    /// The evidence so far: of the sum, or of the present run alone, which speaks louder for one that
-    /// is wholly gone.
+    /// The present evidence: the larger of the CUSUM and the evidence of the present run of failures for a
+    /// total outage, which grows faster if nothing is answered at all.
     #[must_use]
     pub fn evidence(&self) -> f64 {
         self.evidence
-            .max(self.pending * (SILENT / self.baseline_rate()).ln())
+            .max(self.pending_failures * (TOTAL_OUTAGE_FAILURE_RATE / self.baseline_rate()).ln())
     }
 
-    /// Sets the evidence: what is known from elsewhere.
+    /// Sets the CUSUM to evidence that is known from elsewhere.
     pub fn set_evidence(&mut self, evidence: f64) {
         self.evidence = evidence;
     }
 
-    /// A call went well. `learn`: what was bad before it counts as usual.
-    pub fn record_success(&mut self, learn: bool, most: f64) {
-        let usual = self.baseline_rate();
-        let speaks = ((1.0 - gone(usual)) / (1.0 - usual)).ln();
-        self.evidence = (self.evidence.min(most) + speaks).max(0.0);
-        if learn {
-            self.add(self.pending, self.pending + 1.0);
+    /// Records a successful call. `updates_baseline`: the success and the failures before it join the
+    /// baseline. `max_evidence` bounds the evidence before the success is subtracted.
+    pub fn record_success(&mut self, updates_baseline: bool, max_evidence: f64) {
+        let baseline_rate = self.baseline_rate();
+        let log_likelihood_ratio =
+            ((1.0 - outage_failure_rate(baseline_rate)) / (1.0 - baseline_rate)).ln();
+        self.evidence = (self.evidence.min(max_evidence) + log_likelihood_ratio).max(0.0);
+        if updates_baseline {
+            self.add_to_baseline(self.pending_failures, self.pending_failures + 1.0);
         }
-        self.pending = 0.0;
+        self.pending_failures = 0.0;
     }
 
-    /// A call went badly, of such a weight. `usual`: the share that is usual for its like, where that
-    /// fares worse than the rest; it says nothing of the unit then. Gives the evidence that is
-    /// reached.
-    pub fn record_failure(&mut self, weight: f64, usual: f64) -> f64 {
-        self.pending += if usual > self.baseline_rate() {
+    /// Records a failed call with the given weight and returns the resulting evidence. `baseline_rate` is the
+    /// failure rate of a class that fails while other classes succeed, or 0. If that rate is above the
+    /// baseline of the scope, the failure adds less evidence and does not count in the present run of
+    /// failures.
+    pub fn record_failure(&mut self, weight: f64, baseline_rate: f64) -> f64 {
+        self.pending_failures += if baseline_rate > self.baseline_rate() {
             0.0
         } else {
             weight
         };
-        self.evidence +=
-            weight * OutageEvidence::failure_log_likelihood_ratio(self.baseline_rate().max(usual));
+        self.evidence += weight
+            * OutageEvidence::failure_log_likelihood_ratio(self.baseline_rate().max(baseline_rate));
         self.evidence()
     }
 
-    /// What was bad of late was an outage: it says nothing of what is usual.
+    /// Excludes the failures since the last success from the baseline, because an outage caused them.
     pub fn exclude_outage_from_baseline(&mut self) {
-        (self.evidence, self.pending) = (self.evidence(), 0.0);
+        (self.evidence, self.pending_failures) = (self.evidence(), 0.0);
     }
 
-    /// Takes a share over that was found by a trial of calls.
-    pub fn adopt_measured_rate(&mut self, bad: f64, all: f64) {
-        self.add(bad, all);
-        (self.pending, self.evidence) = (0.0, 0.0);
+    /// Adds a failure rate that was measured with the given calls to the baseline and resets the evidence.
+    pub fn adopt_measured_rate(&mut self, failures: f64, calls: f64) {
+        self.add_to_baseline(failures, calls);
+        (self.pending_failures, self.evidence) = (0.0, 0.0);
     }
 
-    fn add(&mut self, bad: f64, all: f64) {
-        (self.bad, self.all) = (self.bad + bad, self.all + all);
-        let part = (self.memory / self.all).min(1.0);
-        (self.bad, self.all) = (self.bad * part, self.all * part);
+    /// Adds failures and calls to the baseline, and scales both down if there are more calls than it
+    /// remembers.
+    fn add_to_baseline(&mut self, failures: f64, calls: f64) {
+        (self.failures, self.calls) = (self.failures + failures, self.calls + calls);
+        let kept_part = (self.max_calls / self.calls).min(1.0);
+        (self.failures, self.calls) = (self.failures * kept_part, self.calls * kept_part);
     }
 }
 
-/// Share of bad calls of a unit that is gone.
-fn gone(usual: f64) -> f64 {
-    GONE + (1.0 - GONE) * usual
+/// Failure rate during an outage of a scope with the given baseline failure rate.
+fn outage_failure_rate(baseline_rate: f64) -> f64 {
+    MIN_OUTAGE_FAILURE_RATE + (1.0 - MIN_OUTAGE_FAILURE_RATE) * baseline_rate
 }
--- a/crates/policy/src/reconfigure.rs
+++ b/crates/policy/src/reconfigure.rs
@@ -1,16 +1,16 @@
-//! New settings in the middle of a life. It decides nothing: it only says from when on which figure holds.
+//! Replaces settings while the sender runs.
 
 use crate::interface::{Class, Settings, SettingsError};
 use crate::state::Sender;
 
 impl Sender {
-    /// A class that messages of an earlier life have, at the next position.
+    /// Adds a class at the next position, for messages that were accepted under earlier settings.
     pub fn add_class(&mut self, class: Class) {
         self.settings.classes.push(class);
-        self.agenda.built = false;
+        self.scheduler.is_current = false;
     }
 
-    /// Position of a tenant; none for one that the settings don't name.
+    /// Position of a tenant; `None` if the settings do not name it.
     #[must_use]
     pub fn tenant_index(&self, name: &str) -> Option<usize> {
         self.settings
@@ -19,17 +19,18 @@
             .position(|tenant| tenant.name == name)
     }
 
-    /// Takes new settings over. Classes stand at positions as before: what an open message carries must stand there
-    /// unchanged; `renewed` are the positions that mean something new. A message that is open keeps its class, and
-    /// never gets more attempts than it might have had. Kinds, zones, tenants and the way to the list are those of
-    /// the start: entries and messages carry their positions.
+    /// Replaces the settings. Classes keep their positions: the class of an open message must stand at its
+    /// position unchanged. `reused_positions` lists the positions that now stand for another class. An open
+    /// message keeps its class and never gets more attempts than it was allowed before. Kinds, zones, tenants
+    /// and the way to obtain the endpoint list stay as they were at start-up, because entries and messages
+    /// refer to them by position.
     ///
     /// # Errors
-    /// When the settings make no sense; nothing has changed then.
+    /// When the settings are invalid; nothing has changed then.
     pub fn reconfigure(
         &mut self,
         mut settings: Settings,
-        renewed: &[usize],
+        reused_positions: &[usize],
     ) -> Result<(), SettingsError> {
         settings.validate_figures()?;
         settings.zone = self.settings.zone;
@@ -37,14 +38,16 @@
         settings.kinds = std::mem::take(&mut self.settings.kinds);
         settings.tenants = std::mem::take(&mut self.settings.tenants);
         self.settings = settings;
-        self.agenda.built = false;
+        self.scheduler.is_current = false;
         for endpoint in self.endpoints.values_mut() {
-            endpoint.classes.retain(|class, _| !renewed.contains(class));
+            endpoint
+                .class_health
+                .retain(|class, _| !reused_positions.contains(class));
         }
-        let most = self.settings.max_attempts;
+        let max_attempts = self.settings.max_attempts;
         self.messages
             .values_mut()
-            .for_each(|held| held.most = held.most.min(most));
+            .for_each(|message| message.max_attempts = message.max_attempts.min(max_attempts));
         Ok(())
     }
 }
--- a/crates/policy/src/rejection_correlation.rs
+++ b/crates/policy/src/rejection_correlation.rs
@@ -1,241 +1,308 @@
-//! Refusals that tell neither limit nor wait: whether they follow the load, and what that asks of the pace.
+//! Decides whether rejections that announce neither a limit nor a Retry-After follow the load.
+//!
+//! If rejections become more frequent than their baseline, a rate probe measures the rejection rate first at
+//! the present rate limit and then at half of it. If the rejection rate falls with the rate limit, the
+//! destination has a limit; otherwise the rejections are noise that does not depend on the load.
 
 use crate::interface::{Micros, SECOND};
 use crate::outage_evidence::{MAX_BASELINE_RATE, OutageEvidence};
 
-/// Answers that the usual share remembers: more than that of failures, so that a pace which creeps up to
-/// a limit does not make its refusals usual.
-const MEMORY: f64 = 1000.0;
-/// Evidence for more refusals than usual at which the pace is looked at: two or three close together
-/// where none are usual, six in a row at 10%. Where a limit is known: at about each one that is not
-/// usual.
-const EXCESS: f64 = 9.0;
-const EXCESS_LIMITED: f64 = 3.5;
-/// Calls that tell the refused share at the present pace.
-const SAMPLE: f64 = 80.0;
-/// A refused share from which on it is looked at whether it follows the load, now and then also where it
-/// is usual and so many answers are known.
-const DOUBTFUL: f64 = 0.03;
-const KNOWN: f64 = 200.0;
-const LOOK_EVERY: Micros = 10 * SECOND;
-/// A part of a look ends by this time: undecided, it counts as a limit. Few calls a second tell nothing.
-const LOOK_MOST: Micros = 5 * SECOND;
-const LOOK_RATE: f64 = 20.0;
-/// At half the pace a limit refuses less than this part of what it did, as long as it did not refuse more
-/// than [`MAX_BASELINE_RATE`]; the odds at which that is decided.
-const FALLS_TO: f64 = 0.35;
-const DECIDED: f64 = 3.0;
-/// A limit is remembered for so long after a refusal that it explains. It lies above half the rate at which
-/// it was found: more refusals than usual below this part of that rate show that there was none.
-const LIMITED: Micros = 30 * SECOND;
-const LIMITED_LEAST: f64 = 0.6;
-const BELOW: f64 = 0.85;
+/// Responses that the baseline remembers. The number is larger than for failures, so that a rate limit which
+/// slowly approaches a limit does not make that limit's rejections part of the baseline.
+const MAX_CALLS: f64 = 1000.0;
+/// Evidence for more rejections than the baseline at which a rate probe starts: two or three close together
+/// where the baseline is zero, six in a row where it is 10%.
+const EXCESS_THRESHOLD: f64 = 9.0;
+/// Evidence for more rejections than the baseline that confirms a known limit: about one rejection above the
+/// baseline is enough.
+const EXCESS_THRESHOLD_AT_LIMIT: f64 = 3.5;
+/// Calls that measure the rejection rate at the present rate limit.
+const MEASURED_CALLS: f64 = 80.0;
+/// Smallest rejection rate that is worth a probe of whether it follows the load. At or above this rate, a
+/// baseline is probed too, from time to time.
+const MIN_PROBED_REJECTION_RATE: f64 = 0.03;
+/// Remembered responses from which on a baseline is probed.
+const MIN_BASELINE_CALLS: f64 = 200.0;
+/// Shortest time between two probes of a baseline.
+const PROBE_INTERVAL: Micros = 10 * SECOND;
+/// Longest time that each of the two phases of a rate probe takes. A second phase without a decision by then
+/// counts as a limit.
+const MAX_PROBE_PHASE: Micros = 5 * SECOND;
+/// Successful calls per second that a probe at half the rate limit needs: fewer calls show nothing in the
+/// time of a phase.
+const MIN_PROBE_CALL_RATE: f64 = 20.0;
+/// At half the rate limit, a destination with a limit rejects less than this part of its earlier rejection
+/// rate, provided that the earlier rate was not above [`MAX_BASELINE_RATE`].
+const MAX_REJECTION_RATIO_AT_LIMIT: f64 = 0.35;
+/// Log-likelihood ratio at which the second phase of a rate probe decides between noise and a limit.
+const PROBE_DECISION_THRESHOLD: f64 = 3.0;
+/// How long a limit is remembered after the last rejection that it explains.
+const LIMIT_MEMORY: Micros = 30 * SECOND;
+/// A limit lies above half the rate at which it was found. More rejections than the baseline below this part
+/// of that rate show that there is no limit.
+const MIN_LIMITED_RATE_SHARE: f64 = 0.6;
+/// Part of the rate at the limit below which rejections belong to the baseline.
+const BELOW_LIMIT_SHARE: f64 = 0.85;
 
-/// What refusals ask of the pace.
+/// What the rejections mean for the rate limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum RateAdvice {
-    /// Nothing.
+    /// No change.
     Keep,
-    /// There is a limit: the usual cut.
+    /// The destination has a limit: reduce the rate limit as for any rejection.
     Reduce,
-    /// Half the pace for a while, to see whether refusals follow it.
+    /// Halve the rate limit for a while, to measure whether rejections follow the load.
     HalveForProbe,
-    /// They did not: this was the pace before.
+    /// Rejections did not follow the load: set the rate limit to this value, which it had before.
     Restore(f64),
 }
 
-/// Refusals that tell no limit and no wait: whether they follow the load.
+/// Correlation of rejections with load, for rejections that announce neither a limit nor a Retry-After.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct RejectionCorrelation {
-    odds: OutageEvidence,
-    look: Option<Look>,
-    looked_at: Option<Micros>,
+    evidence: OutageEvidence,
+    probe: Option<RateProbe>,
+    /// When the rate limit was last halved for a probe.
+    last_probe_at: Option<Micros>,
+    /// Until when a limit is assumed.
     limited_until: Micros,
-    /// The rate at which the limit was found, and pace and odds as they were before.
-    limited_at: f64,
-    pace_before: f64,
-    before: OutageEvidence,
+    /// Rate of successful calls, per second, at which the limit was found.
+    rate_at_limit: f64,
+    /// Rate limit and baseline evidence before the limit was found; the rate limit is infinite if no probe
+    /// found it.
+    rate_limit_before: f64,
+    evidence_before: OutageEvidence,
 }
 
-/// A look at the refused share: first as things are, then at half the pace.
+/// A measurement of the rejection rate: first at the present rate limit, then at half of it.
 #[derive(Debug, Clone, Default, serde::Serialize, serde::Deserialize)]
-struct Look {
-    halved: bool,
-    from: Micros,
-    until: Micros,
-    bad: f64,
-    all: f64,
-    /// Before the pace was halved: pace, rate and refused share.
-    pace: f64,
-    rate: f64,
-    share: f64,
-    /// For noise against a limit.
-    odds: f64,
+struct RateProbe {
+    /// Whether the second phase, at half the rate limit, has begun.
+    is_halved: bool,
+    /// Start and latest end of the present phase.
+    started_at: Micros,
+    ends_at: Micros,
+    /// Rejections and all responses to calls sent in this phase.
+    rejections: f64,
+    calls: f64,
+    /// Rate limit, rate of successful calls and rejection rate before the rate limit was halved.
+    rate_limit_before: f64,
+    call_rate_before: f64,
+    rejection_rate_before: f64,
+    /// Evidence for noise (positive) against a limit (negative).
+    log_likelihood_ratio: f64,
 }
 
 impl Default for RejectionCorrelation {
     fn default() -> Self {
-        let odds = OutageEvidence::with_memory(MEMORY);
-        let before = odds.clone();
+        let evidence = OutageEvidence::with_memory(MAX_CALLS);
+        let evidence_before = evidence.clone();
         RejectionCorrelation {
-            odds,
-            look: None,
-            looked_at: None,
+            evidence,
+            probe: None,
+            last_probe_at: None,
             limited_until: 0,
-            limited_at: 0.0,
-            pace_before: 0.0,
-            before,
+            rate_at_limit: 0.0,
+            rate_limit_before: 0.0,
+            evidence_before,
         }
     }
 }
 
 impl RejectionCorrelation {
-    /// Refusals among the answers that are remembered.
+    /// The remembered rejections and responses of the baseline.
     #[must_use]
     pub fn observed_counts(&self) -> (f64, f64) {
-        self.odds.observed_counts()
+        self.evidence.observed_counts()
     }
 
-    /// What was usual, as it was.
-    pub fn restore(&mut self, known: (f64, f64)) {
-        self.odds.restore(known, 0.0);
+    /// Restores a baseline from the counts that [`RejectionCorrelation::observed_counts`] returned.
+    pub fn restore(&mut self, counts: (f64, f64)) {
+        self.evidence.restore(counts, 0.0);
     }
 
-    /// Share of calls that are refused whatever the load.
+    /// Share of calls that are rejected regardless of the load.
     #[must_use]
     pub fn baseline_rate(&self) -> f64 {
-        self.odds.baseline_rate()
+        self.evidence.baseline_rate()
     }
 
-    /// The pace is held down to be looked at.
+    /// Whether the rate limit is halved at present by a rate probe.
     #[must_use]
     pub fn is_probing_rate(&self) -> bool {
-        self.look.as_ref().is_some_and(|look| look.halved)
+        self.probe.as_ref().is_some_and(|probe| probe.is_halved)
     }
 
-    /// An answer to a call that was sent at a time. `pace` is the present one, `rate` that of calls
-    /// served of late.
+    /// Records a response to a call that was sent at `sent_at`. `rate_limit` is the present one;
+    /// `success_rate` is the recent rate of successful calls. Both are in calls per second.
     pub fn on_response(
         &mut self,
-        refused: bool,
-        sent: Micros,
+        is_rejected: bool,
+        sent_at: Micros,
         now: Micros,
-        pace: f64,
-        rate: f64,
+        rate_limit: f64,
+        success_rate: f64,
     ) -> RateAdvice {
-        if let Some(look) = self.look.take() {
-            return self.look_on(look, refused, sent, now, pace, rate);
+        if let Some(probe) = self.probe.take() {
+            return self.continue_probe(probe, is_rejected, sent_at, now, rate_limit, success_rate);
         }
-        let limited = now < self.limited_until;
-        if !refused {
-            // what is refused well below the limit is usual
-            self.odds
-                .record_success(!limited || rate < BELOW * self.limited_at, 2.0 * EXCESS);
+        let is_limited = now < self.limited_until;
+        if !is_rejected {
+            // Rejections well below the known limit belong to the baseline.
+            self.evidence.record_success(
+                !is_limited || success_rate < BELOW_LIMIT_SHARE * self.rate_at_limit,
+                2.0 * EXCESS_THRESHOLD,
+            );
             return RateAdvice::Keep;
         }
-        let excess =
-            self.odds.record_failure(1.0, 0.0) >= if limited { EXCESS_LIMITED } else { EXCESS };
-        let known = self.odds.observed_calls() >= KNOWN;
-        let doubtful = known
-            && self.baseline_rate() >= DOUBTFUL
-            && self.looked_at.is_none_or(|at| now - at > LOOK_EVERY);
-        if excess {
-            self.odds.set_evidence(0.0);
+        let exceeds_baseline = self.evidence.record_failure(1.0, 0.0)
+            >= if is_limited {
+                EXCESS_THRESHOLD_AT_LIMIT
+            } else {
+                EXCESS_THRESHOLD
+            };
+        let baseline_known = self.evidence.observed_calls() >= MIN_BASELINE_CALLS;
+        let is_doubtful = baseline_known
+            && self.baseline_rate() >= MIN_PROBED_REJECTION_RATE
+            && self
+                .last_probe_at
+                .is_none_or(|at| now - at > PROBE_INTERVAL);
+        if exceeds_baseline {
+            self.evidence.set_evidence(0.0);
         }
-        if excess && limited && rate < LIMITED_LEAST * self.limited_at {
+        if exceeds_baseline
+            && is_limited
+            && success_rate < MIN_LIMITED_RATE_SHARE * self.rate_at_limit
+        {
             self.limited_until = now;
-            self.odds = self.before.clone();
-            return RateAdvice::Restore(self.pace_before);
+            self.evidence = self.evidence_before.clone();
+            return RateAdvice::Restore(self.rate_limit_before);
         }
-        if excess && limited {
-            return self.limit(now, rate);
+        if exceeds_baseline && is_limited {
+            return self.assume_limit(now, success_rate);
         }
-        if !limited && (excess || doubtful && rate >= LOOK_RATE) {
-            let look = Look {
-                halved: false,
-                from: now,
-                until: now + LOOK_MOST,
-                ..Look::default()
+        if !is_limited && (exceeds_baseline || is_doubtful && success_rate >= MIN_PROBE_CALL_RATE) {
+            let probe = RateProbe {
+                is_halved: false,
+                started_at: now,
+                ends_at: now + MAX_PROBE_PHASE,
+                ..RateProbe::default()
             };
-            if doubtful && !excess {
-                return self.halve(look, now, self.baseline_rate(), pace, rate);
+            if is_doubtful && !exceeds_baseline {
+                return self.start_halved_phase(
+                    probe,
+                    now,
+                    self.baseline_rate(),
+                    rate_limit,
+                    success_rate,
+                );
             }
-            self.look = Some(look);
+            self.probe = Some(probe);
         }
         RateAdvice::Keep
     }
 
-    fn look_on(
+    /// Records a response during a rate probe.
+    fn continue_probe(
         &mut self,
-        mut look: Look,
-        refused: bool,
-        sent: Micros,
+        mut probe: RateProbe,
+        is_rejected: bool,
+        sent_at: Micros,
         now: Micros,
-        pace: f64,
-        rate: f64,
+        rate_limit: f64,
+        success_rate: f64,
     ) -> RateAdvice {
-        if sent >= look.from {
-            look.all += 1.0;
-            look.bad += f64::from(u8::from(refused));
+        if sent_at >= probe.started_at {
+            probe.calls += 1.0;
+            probe.rejections += f64::from(u8::from(is_rejected));
         }
-        if !look.halved {
-            let share = look.bad / look.all.max(1.0);
-            if look.all < SAMPLE && now < look.until {
-                self.look = Some(look);
-            } else if share >= DOUBTFUL {
-                return match share > MAX_BASELINE_RATE || rate < LOOK_RATE {
-                    true => self.limit(now, rate),
-                    false => self.halve(look, now, share, pace, rate),
+        if !probe.is_halved {
+            let rejection_rate = probe.rejections / probe.calls.max(1.0);
+            if probe.calls < MEASURED_CALLS && now < probe.ends_at {
+                self.probe = Some(probe);
+            } else if rejection_rate >= MIN_PROBED_REJECTION_RATE {
+                return match rejection_rate > MAX_BASELINE_RATE
+                    || success_rate < MIN_PROBE_CALL_RATE
+                {
+                    true => self.assume_limit(now, success_rate),
+                    false => self.start_halved_phase(
+                        probe,
+                        now,
+                        rejection_rate,
+                        rate_limit,
+                        success_rate,
+                    ),
                 };
             } else {
-                self.odds.adopt_measured_rate(look.bad, look.all);
+                self.evidence
+                    .adopt_measured_rate(probe.rejections, probe.calls);
             }
             return RateAdvice::Keep;
         }
-        if sent >= look.from {
-            let good = ((1.0 - look.share) / (1.0 - FALLS_TO * look.share)).ln();
-            look.odds += if refused { -FALLS_TO.ln() } else { good };
+        if sent_at >= probe.started_at {
+            let success_ratio = ((1.0 - probe.rejection_rate_before)
+                / (1.0 - MAX_REJECTION_RATIO_AT_LIMIT * probe.rejection_rate_before))
+                .ln();
+            probe.log_likelihood_ratio += if is_rejected {
+                -MAX_REJECTION_RATIO_AT_LIMIT.ln()
+            } else {
+                success_ratio
+            };
         }
-        if look.odds >= DECIDED {
-            self.odds.adopt_measured_rate(look.bad, look.all);
-            return RateAdvice::Restore(look.pace);
+        if probe.log_likelihood_ratio >= PROBE_DECISION_THRESHOLD {
+            self.evidence
+                .adopt_measured_rate(probe.rejections, probe.calls);
+            return RateAdvice::Restore(probe.rate_limit_before);
         }
-        if look.odds <= -DECIDED || now > look.until {
-            // what is refused at half the pace is usual, the rest was the limit's
-            (self.before, self.pace_before) = (self.odds.clone(), look.pace);
-            self.before.adopt_measured_rate(look.share * SAMPLE, SAMPLE);
-            self.odds = OutageEvidence::with_memory(MEMORY);
-            self.odds.adopt_measured_rate(look.bad, look.all);
-            (self.limited_at, self.limited_until) = (look.rate, now + LIMITED);
+        if probe.log_likelihood_ratio <= -PROBE_DECISION_THRESHOLD || now > probe.ends_at {
+            // Rejections at half the rate limit belong to the baseline; the rest came from the limit.
+            (self.evidence_before, self.rate_limit_before) =
+                (self.evidence.clone(), probe.rate_limit_before);
+            self.evidence_before
+                .adopt_measured_rate(probe.rejection_rate_before * MEASURED_CALLS, MEASURED_CALLS);
+            self.evidence = OutageEvidence::with_memory(MAX_CALLS);
+            self.evidence
+                .adopt_measured_rate(probe.rejections, probe.calls);
+            (self.rate_at_limit, self.limited_until) = (probe.call_rate_before, now + LIMIT_MEMORY);
         } else {
-            self.look = Some(look);
+            self.probe = Some(probe);
         }
         RateAdvice::Keep
     }
 
-    fn halve(&mut self, look: Look, now: Micros, share: f64, pace: f64, rate: f64) -> RateAdvice {
-        self.looked_at = Some(now);
-        let (from, until, bad, all) = (now, now + LOOK_MOST, 0.0, 0.0);
-        self.look = Some(Look {
-            halved: true,
-            from,
-            until,
-            bad,
-            all,
-            pace,
-            rate,
-            share,
-            ..look
+    /// Starts the second phase of a rate probe, at half the rate limit.
+    fn start_halved_phase(
+        &mut self,
+        probe: RateProbe,
+        now: Micros,
+        rejection_rate_before: f64,
+        rate_limit_before: f64,
+        call_rate_before: f64,
+    ) -> RateAdvice {
+        self.last_probe_at = Some(now);
+        let (started_at, ends_at, rejections, calls) = (now, now + MAX_PROBE_PHASE, 0.0, 0.0);
+        self.probe = Some(RateProbe {
+            is_halved: true,
+            started_at,
+            ends_at,
+            rejections,
+            calls,
+            rate_limit_before,
+            call_rate_before,
+            rejection_rate_before,
+            ..probe
         });
         RateAdvice::HalveForProbe
     }
 
-    fn limit(&mut self, now: Micros, rate: f64) -> RateAdvice {
+    /// Assumes a limit at the given rate from now on, or prolongs a known one.
+    fn assume_limit(&mut self, now: Micros, success_rate: f64) -> RateAdvice {
         if now >= self.limited_until {
-            (self.limited_at, self.pace_before) = (rate, f64::INFINITY);
-            self.before = std::mem::replace(&mut self.odds, OutageEvidence::with_memory(MEMORY));
+            (self.rate_at_limit, self.rate_limit_before) = (success_rate, f64::INFINITY);
+            self.evidence_before =
+                std::mem::replace(&mut self.evidence, OutageEvidence::with_memory(MAX_CALLS));
         }
-        self.limited_until = now + LIMITED;
+        self.limited_until = now + LIMIT_MEMORY;
         RateAdvice::Reduce
     }
 }
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,419 +1,489 @@
-//! Where each held message stands, so that a turn touches only what has an event or is due. Books only: what may
-//! go and in which order is decided in `decide.rs`.
+//! Schedule of the pending messages, so that a turn handles only messages that have an event or are due. What
+//! may be sent, and in which order, is decided in `decide.rs`.
 //!
-//! A message that may be sent now stands in a *lane* with others like it; one that may later stands at its time. A lane
-//! whose gate was found closed sleeps until something happens at its destination, or until the time that the gate named.
+//! A message that may be sent now waits in a *queue* with others like it; one that may be sent later waits
+//! for its time. A queue without an endpoint that admits a call is blocked until something happens at its
+//! destination, or until the time that the check named.
 
 use crate::interface::{DestinationId, EndpointId, MILLISECOND, MessageId, Micros};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// A lane is looked at so long after its gate may open: several tokens that come close together are then taken in one turn.
-pub(crate) const LATE: Micros = MILLISECOND;
+/// Delay between the time at which a blocked queue may be sent again and the check of the queue: one turn
+/// then uses several tokens that become available close together.
+pub(crate) const QUEUE_WAKE_DELAY: Micros = MILLISECOND;
 
-/// Messages that meet the same gate, and among which age alone sets the order.
+/// Identifies a queue: its messages pass the same checks, and only their age sets the order among them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Lane {
+pub(crate) struct QueueKey {
     pub destination: DestinationId,
     pub class: usize,
-    /// An attempt is out: this would be a copy.
-    pub copy: bool,
-    /// All others come first.
-    pub later: bool,
-    /// A call is owed since before a restart: it comes before all that is not.
-    pub owed: bool,
-    /// Worth, zero or more, as bits: those of such numbers have their order.
-    pub worth: u64,
-    /// The only zone where an attempt may go; the inner none is that of an endpoint which is gone.
-    pub bound: Option<Option<u16>>,
+    /// The messages have an attempt in flight, so the next one is a hedged request.
+    pub is_hedge: bool,
+    /// All messages that are not deferred come first.
+    pub deferred: bool,
+    /// The messages were accepted before a restart and never attempted; they come before all others.
+    pub awaits_first_attempt: bool,
+    /// Bits of the priority weight, which is zero or more: the bits of such numbers sort like the numbers.
+    pub priority_weight_bits: u64,
+    /// The only zone to which an attempt may go, if there is one. The inner `None` is the zone of a removed
+    /// endpoint.
+    pub required_zone: Option<Option<u16>>,
 }
 
 /// When a message may be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) enum Stand {
-    /// Not before something happens.
-    Nowhere,
-    At(Micros),
-    Lane(Lane),
+pub(crate) enum Readiness {
+    /// Not before something changes.
+    Blocked,
+    /// At this time.
+    NotBefore(Micros),
+    /// Now, in this queue.
+    Ready(QueueKey),
 }
 
-/// Where a message stands in all books.
+/// Everything that the schedule records about one message.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Place {
-    pub stand: Stand,
-    pub born: Micros,
-    /// While it is open: when its time is up, and from when on no send can be legal.
-    pub ends: Option<(Micros, Micros)>,
-    /// An attempt is out.
-    pub out: bool,
+pub(crate) struct ScheduleEntry {
+    pub readiness: Readiness,
+    pub accepted_at: Micros,
+    /// For an open message: its deadline, and the time from which on no attempt of the message can be
+    /// allowed.
+    pub expiry: Option<(Micros, Micros)>,
+    /// An attempt is in flight.
+    pub in_flight: bool,
     pub destination: DestinationId,
-    /// Its place among those that are refused first: not resent late, then by worth and age.
-    pub shed: Shed,
+    /// Position of the message in the order of shedding.
+    pub shedding_order: SheddingOrder,
 }
 
-pub(crate) type Shed = (bool, u64, Micros, MessageId);
+/// Whether a message is not deferred, the bits of its priority weight, its time of acceptance, and its id.
+/// Messages are shed in ascending order.
+pub(crate) type SheddingOrder = (bool, u64, Micros, MessageId);
 
-/// Which part of a lane an age lies in, and how the order goes there.
+/// Phase of a message's urgency by its age; sets the order within a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Stage {
-    /// The oldest comes first.
-    Young,
-    /// All are alike, just before their aim: the oldest comes first.
-    Full,
-    /// The youngest comes first.
-    Late,
-    /// All are alike: the oldest comes first.
-    Floor,
+pub(crate) enum UrgencyPhase {
+    /// Within the latency objective: the oldest message comes first.
+    WithinObjective,
+    /// Just before the latency objective, with full value: the oldest message comes first.
+    FullValue,
+    /// The value decays: the youngest message comes first.
+    Decaying,
+    /// The value is at its minimum: the oldest message comes first.
+    MinimumValue,
 }
 
-/// A gate that was found closed: until when at the longest, and whether it opens when fewer calls are out at units that
-/// fare badly.
+/// Until when a queue is blocked at the longest, and whether the queue must be checked sooner if fewer calls
+/// are in flight at slow or ejected scopes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Closed {
+pub(crate) struct BlockedUntil {
     pub until: Micros,
-    pub burden: bool,
+    pub by_degraded_load: bool,
 }
 
+/// The schedule of all pending messages.
 #[derive(Debug, Default)]
-pub(crate) struct Agenda {
-    /// All books are as the messages are, but for those touched.
-    pub built: bool,
-    touched: BTreeSet<MessageId>,
-    places: BTreeMap<MessageId, Place>,
-    pub open: usize,
+pub(crate) struct SendScheduler {
+    /// The entries follow all messages but those in `changed`.
+    pub is_current: bool,
+    /// Messages whose entry must be updated.
+    changed: BTreeSet<MessageId>,
+    /// The entry of each message, by which the message is found in the other indexes.
+    entries: BTreeMap<MessageId, ScheduleEntry>,
+    /// Number of open messages.
+    pub open_count: usize,
+    /// Deadlines of open messages.
     deadlines: BTreeSet<(Micros, MessageId)>,
-    spent: BTreeSet<(Micros, MessageId)>,
-    timed: BTreeSet<(Micros, MessageId)>,
-    pub out: BTreeSet<MessageId>,
-    shed: BTreeMap<DestinationId, BTreeSet<Shed>>,
-    lanes: BTreeMap<Lane, BTreeSet<(Micros, MessageId)>>,
-    awake: BTreeSet<Lane>,
-    asleep: BTreeMap<Lane, Closed>,
-    wakes: BTreeSet<(Micros, Lane)>,
-    burdened: BTreeSet<Lane>,
-    /// Looks taken so far, at messages, lanes and calls: what turns cost, told by no clock.
-    pub steps: u64,
+    /// Times from which on open messages cannot be sent any more.
+    unsendable_times: BTreeSet<(Micros, MessageId)>,
+    /// Messages that may be sent later, by time.
+    delayed: BTreeSet<(Micros, MessageId)>,
+    /// Messages with an attempt in flight.
+    pub in_flight: BTreeSet<MessageId>,
+    /// Open messages of each destination in the order of shedding.
+    shedding: BTreeMap<DestinationId, BTreeSet<SheddingOrder>>,
+    /// Messages that may be sent now, by time of acceptance.
+    queues: BTreeMap<QueueKey, BTreeSet<(Micros, MessageId)>>,
+    /// Queues to be checked; all others are in `blocked_queues`.
+    active_queues: BTreeSet<QueueKey>,
+    /// Queues that no endpoint admits at present.
+    blocked_queues: BTreeMap<QueueKey, BlockedUntil>,
+    /// Times at which blocked queues must be checked again.
+    wake_times: BTreeSet<(Micros, QueueKey)>,
+    /// Blocked queues that must be checked when the degraded load falls.
+    blocked_by_degraded_load: BTreeSet<QueueKey>,
+    /// Work done so far, in messages, queues and calls handled: a measure of cost that needs no clock.
+    pub work_steps: u64,
     /// Calls in flight at each endpoint that has any.
-    pub loads: BTreeMap<EndpointId, usize>,
+    pub calls_by_endpoint: BTreeMap<EndpointId, usize>,
 }
 
-impl Agenda {
-    /// Something about the message has changed.
-    pub(crate) fn touch(&mut self, id: MessageId) {
-        self.touched.insert(id);
+impl SendScheduler {
+    /// Marks a message whose entry must be updated.
+    pub(crate) fn mark_changed(&mut self, id: MessageId) {
+        self.changed.insert(id);
     }
 
-    pub(crate) fn touched(&mut self) -> BTreeSet<MessageId> {
-        std::mem::take(&mut self.touched)
+    /// Returns the messages whose entry must be updated, and resets the set.
+    pub(crate) fn take_changed(&mut self) -> BTreeSet<MessageId> {
+        std::mem::take(&mut self.changed)
     }
 
     /// Messages whose time to be sent has come.
-    pub(crate) fn come_due(&mut self, now: Micros) -> Vec<MessageId> {
-        self.timed
+    pub(crate) fn due_messages(&mut self, now: Micros) -> Vec<MessageId> {
+        self.delayed
             .iter()
             .take_while(|(at, _)| *at <= now)
             .map(|(_, id)| *id)
             .collect()
     }
 
-    /// The next time at which a message comes due or, `with_wakes`, a lane wakes.
-    pub(crate) fn next(&self, with_wakes: bool) -> Micros {
-        let timed = self.timed.first().map_or(Micros::MAX, |(at, _)| *at);
-        let wakes = self.wakes.first().map_or(Micros::MAX, |(at, _)| *at + LATE);
-        if with_wakes { timed.min(wakes) } else { timed }
+    /// The next time at which a message is due or, if `with_wakes`, a blocked queue is checked again.
+    pub(crate) fn next_due(&self, with_wakes: bool) -> Micros {
+        let next_delayed = self.delayed.first().map_or(Micros::MAX, |(at, _)| *at);
+        let next_wake = self
+            .wake_times
+            .first()
+            .map_or(Micros::MAX, |(at, _)| *at + QUEUE_WAKE_DELAY);
+        if with_wakes {
+            next_delayed.min(next_wake)
+        } else {
+            next_delayed
+        }
     }
 
-    /// The first deadline of an open message.
+    /// The earliest deadline of an open message.
     pub(crate) fn first_deadline(&self) -> Option<Micros> {
         self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Open messages whose deadline is `deadline` or before, or that are spent by `now`.
-    pub(crate) fn over(&self, deadline: Micros, now: Micros) -> impl Iterator<Item = MessageId> {
-        let until = |set: &BTreeSet<(Micros, MessageId)>, most| {
+    /// Open messages with a deadline up to `deadline`, or that cannot be sent any more from a time up to
+    /// `now` on.
+    pub(crate) fn undeliverable(
+        &self,
+        deadline: Micros,
+        now: Micros,
+    ) -> impl Iterator<Item = MessageId> {
+        let until = |set: &BTreeSet<(Micros, MessageId)>, max_time| {
             set.iter()
-                .take_while(move |(at, _)| *at <= most)
+                .take_while(move |(at, _)| *at <= max_time)
                 .map(|(_, id)| *id)
                 .collect::<Vec<_>>()
         };
         until(&self.deadlines, deadline)
             .into_iter()
-            .chain(until(&self.spent, now))
+            .chain(until(&self.unsendable_times, now))
     }
 
-    /// True while an open message is for the destination.
-    pub(crate) fn holds(&self, destination: DestinationId) -> bool {
-        self.shed.contains_key(&destination)
+    /// Whether the destination has open messages.
+    pub(crate) fn has_messages_for(&self, destination: DestinationId) -> bool {
+        self.shedding.contains_key(&destination)
     }
 
-    /// Open messages for the destination.
-    pub(crate) fn held_for(&self, destination: DestinationId) -> usize {
-        self.shed.get(&destination).map_or(0, BTreeSet::len)
+    /// Number of open messages for the destination.
+    pub(crate) fn pending_count(&self, destination: DestinationId) -> usize {
+        self.shedding.get(&destination).map_or(0, BTreeSet::len)
     }
 
-    /// Destinations with open messages, and these in the order in which they are refused.
-    pub(crate) fn shed(&self) -> impl Iterator<Item = (&DestinationId, &BTreeSet<Shed>)> {
-        self.shed.iter()
+    /// Destinations with open messages, and their messages in the order of shedding.
+    pub(crate) fn shedding_candidates(
+        &self,
+    ) -> impl Iterator<Item = (&DestinationId, &BTreeSet<SheddingOrder>)> {
+        self.shedding.iter()
     }
 
-    /// Moves a message from where it stood to where it stands, or out of the books.
-    pub(crate) fn file(&mut self, id: MessageId, place: Option<Place>) {
-        self.steps += 1;
-        if let Some(old) = self.places.remove(&id) {
-            self.unfile(id, &old);
+    /// Replaces the entry of a message, or removes it.
+    pub(crate) fn update_entry(&mut self, id: MessageId, entry: Option<ScheduleEntry>) {
+        self.work_steps += 1;
+        if let Some(old) = self.entries.remove(&id) {
+            self.remove_entry(id, &old);
         }
-        let Some(new) = place else { return };
-        match new.stand {
-            Stand::Nowhere => {}
-            Stand::At(at) => _ = self.timed.insert((at, id)),
-            Stand::Lane(lane) => {
-                self.lanes.entry(lane).or_default().insert((new.born, id));
-                if !self.asleep.contains_key(&lane) {
-                    self.awake.insert(lane);
+        let Some(new) = entry else { return };
+        match new.readiness {
+            Readiness::Blocked => {}
+            Readiness::NotBefore(at) => _ = self.delayed.insert((at, id)),
+            Readiness::Ready(queue) => {
+                self.queues
+                    .entry(queue)
+                    .or_default()
+                    .insert((new.accepted_at, id));
+                if !self.blocked_queues.contains_key(&queue) {
+                    self.active_queues.insert(queue);
                 }
             }
         }
-        if let Some((deadline, spent)) = new.ends {
-            self.open += 1;
+        if let Some((deadline, unsendable_from)) = new.expiry {
+            self.open_count += 1;
             self.deadlines.insert((deadline, id));
-            self.shed
+            self.shedding
                 .entry(new.destination)
                 .or_default()
-                .insert(new.shed);
-            if spent < Micros::MAX {
-                self.spent.insert((spent, id));
+                .insert(new.shedding_order);
+            if unsendable_from < Micros::MAX {
+                self.unsendable_times.insert((unsendable_from, id));
             }
         }
-        if new.out {
-            self.out.insert(id);
+        if new.in_flight {
+            self.in_flight.insert(id);
         }
-        self.places.insert(id, new);
+        self.entries.insert(id, new);
     }
 
-    fn unfile(&mut self, id: MessageId, old: &Place) {
-        match old.stand {
-            Stand::Nowhere => {}
-            Stand::At(at) => _ = self.timed.remove(&(at, id)),
-            Stand::Lane(lane) => {
-                if let Some(members) = self.lanes.get_mut(&lane) {
-                    members.remove(&(old.born, id));
+    /// Removes a message from all indexes.
+    fn remove_entry(&mut self, id: MessageId, old: &ScheduleEntry) {
+        match old.readiness {
+            Readiness::Blocked => {}
+            Readiness::NotBefore(at) => _ = self.delayed.remove(&(at, id)),
+            Readiness::Ready(queue) => {
+                if let Some(members) = self.queues.get_mut(&queue) {
+                    members.remove(&(old.accepted_at, id));
                     if members.is_empty() {
-                        self.lanes.remove(&lane);
-                        self.wake(&lane);
-                        self.awake.remove(&lane);
+                        self.queues.remove(&queue);
+                        self.activate(&queue);
+                        self.active_queues.remove(&queue);
                     }
                 }
             }
         }
-        if let Some((deadline, spent)) = old.ends {
-            self.open -= 1;
+        if let Some((deadline, unsendable_from)) = old.expiry {
+            self.open_count -= 1;
             self.deadlines.remove(&(deadline, id));
-            self.spent.remove(&(spent, id));
-            if let Some(here) = self.shed.get_mut(&old.destination) {
-                here.remove(&old.shed);
-                if here.is_empty() {
-                    self.shed.remove(&old.destination);
+            self.unsendable_times.remove(&(unsendable_from, id));
+            if let Some(candidates) = self.shedding.get_mut(&old.destination) {
+                candidates.remove(&old.shedding_order);
+                if candidates.is_empty() {
+                    self.shedding.remove(&old.destination);
                 }
             }
         }
-        self.out.remove(&id);
+        self.in_flight.remove(&id);
     }
 
-    fn wake(&mut self, lane: &Lane) {
-        if let Some(closed) = self.asleep.remove(lane) {
-            self.wakes.remove(&(closed.until, *lane));
-            self.burdened.remove(lane);
+    /// Marks a queue to be checked.
+    fn activate(&mut self, queue: &QueueKey) {
+        if let Some(blocked) = self.blocked_queues.remove(queue) {
+            self.wake_times.remove(&(blocked.until, *queue));
+            self.blocked_by_degraded_load.remove(queue);
         }
-        self.awake.insert(*lane);
+        self.active_queues.insert(*queue);
     }
 
-    /// Something has happened at a destination: its lanes are looked at again.
-    pub(crate) fn stir(&mut self, destination: DestinationId) {
-        for lane in self.lanes_of(destination) {
-            self.wake(&lane);
+    /// Marks all queues of a destination to be checked, because something has changed there.
+    pub(crate) fn activate_destination(&mut self, destination: DestinationId) {
+        for queue in self.queues_of(destination) {
+            self.activate(&queue);
         }
     }
 
-    /// All lanes of a destination.
-    pub(crate) fn lanes_of(&self, destination: DestinationId) -> Vec<Lane> {
-        let first = Lane {
+    /// All queues of a destination.
+    pub(crate) fn queues_of(&self, destination: DestinationId) -> Vec<QueueKey> {
+        let first = QueueKey {
             destination,
             class: 0,
-            copy: false,
-            later: false,
-            owed: false,
-            worth: 0,
-            bound: None,
+            is_hedge: false,
+            deferred: false,
+            awaits_first_attempt: false,
+            priority_weight_bits: 0,
+            required_zone: None,
         };
-        let of = |lane: &&Lane| lane.destination == destination;
-        self.lanes
+        let belongs_to_destination = |queue: &&QueueKey| queue.destination == destination;
+        self.queues
             .range(first..)
-            .map(|(lane, _)| lane)
-            .take_while(of)
+            .map(|(queue, _)| queue)
+            .take_while(belongs_to_destination)
             .copied()
             .collect()
     }
 
-    /// Wakes the lanes whose time has come, and with `relieved` those that wait for fewer burdens.
-    pub(crate) fn wake_due(&mut self, now: Micros, relieved: bool) {
-        let mut due: Vec<Lane> = self
-            .wakes
+    /// Marks the queues to be checked whose time has come and, if `load_relieved`, those blocked by degraded
+    /// load.
+    pub(crate) fn activate_due(&mut self, now: Micros, load_relieved: bool) {
+        let mut due_queues: Vec<QueueKey> = self
+            .wake_times
             .iter()
             .take_while(|(at, _)| *at <= now)
-            .map(|(_, lane)| *lane)
+            .map(|(_, queue)| *queue)
             .collect();
-        if relieved {
-            due.extend(&self.burdened);
+        if load_relieved {
+            due_queues.extend(&self.blocked_by_degraded_load);
         }
-        due.iter().for_each(|lane| self.wake(lane));
+        due_queues.iter().for_each(|queue| self.activate(queue));
     }
 
-    /// The lanes that are to be looked at.
-    pub(crate) fn awake(&self) -> Vec<Lane> {
-        self.awake.iter().copied().collect()
+    /// The queues that are to be checked.
+    pub(crate) fn active_queues(&self) -> Vec<QueueKey> {
+        self.active_queues.iter().copied().collect()
     }
 
-    /// A lane's gate was found closed.
-    pub(crate) fn sleep(&mut self, lane: Lane, closed: Closed) {
-        self.awake.remove(&lane);
-        self.asleep.insert(lane, closed);
-        if closed.until < Micros::MAX {
-            self.wakes.insert((closed.until, lane));
+    /// Blocks a queue that no endpoint admits at present.
+    pub(crate) fn block(&mut self, queue: QueueKey, blocked: BlockedUntil) {
+        self.active_queues.remove(&queue);
+        self.blocked_queues.insert(queue, blocked);
+        if blocked.until < Micros::MAX {
+            self.wake_times.insert((blocked.until, queue));
         }
-        if closed.burden {
-            self.burdened.insert(lane);
+        if blocked.by_degraded_load {
+            self.blocked_by_degraded_load.insert(queue);
         }
     }
 
-    pub(crate) fn call_began(&mut self, endpoint: EndpointId) {
-        *self.loads.entry(endpoint).or_default() += 1;
+    pub(crate) fn call_started(&mut self, endpoint: EndpointId) {
+        *self.calls_by_endpoint.entry(endpoint).or_default() += 1;
     }
 
     pub(crate) fn call_ended(&mut self, endpoint: EndpointId) {
-        if let Some(load) = self.loads.get_mut(&endpoint) {
+        if let Some(load) = self.calls_by_endpoint.get_mut(&endpoint) {
             *load -= 1;
             if *load == 0 {
-                self.loads.remove(&endpoint);
+                self.calls_by_endpoint.remove(&endpoint);
             }
         }
     }
 
     /// Calls in flight at an endpoint.
-    pub(crate) fn load(&self, endpoint: EndpointId) -> usize {
-        self.loads.get(&endpoint).copied().unwrap_or(0)
+    pub(crate) fn calls_to(&self, endpoint: EndpointId) -> usize {
+        self.calls_by_endpoint.get(&endpoint).copied().unwrap_or(0)
     }
 }
 
-/// The most urgent message of a lane that a pass has not given yet.
+/// The most urgent message of a queue that the present pass has not returned yet.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Head {
+pub(crate) struct QueueHead {
     pub urgency: f64,
-    pub born: Micros,
+    pub accepted_at: Micros,
     pub id: MessageId,
-    pub lane: Lane,
+    pub queue: QueueKey,
 }
 
-impl Eq for Head {}
+impl Eq for QueueHead {}
 
-impl Ord for Head {
-    /// The one that comes first is the greatest.
+impl Ord for QueueHead {
+    /// The message to be sent first is the greatest.
     fn cmp(&self, other: &Self) -> Ordering {
-        let rank = |head: &Head| (head.lane.owed, !head.lane.later);
+        let rank = |head: &QueueHead| (head.queue.awaits_first_attempt, !head.queue.deferred);
         rank(self)
             .cmp(&rank(other))
             .then(self.urgency.total_cmp(&other.urgency))
-            .then((other.born, other.id).cmp(&(self.born, self.id)))
+            .then((other.accepted_at, other.id).cmp(&(self.accepted_at, self.id)))
     }
 }
 
-impl PartialOrd for Head {
+impl PartialOrd for QueueHead {
     fn partial_cmp(&self, other: &Self) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-/// A way through a lane in the order of urgency: the young, those past their aim, those worth no less for waiting.
+/// Iterates over a queue in the order of urgency: messages within their latency objective, then those with
+/// decaying value, then those at their minimum value.
 #[derive(Debug, Clone, Copy)]
-struct Cursor {
-    stage: Stage,
-    last: Option<(Micros, MessageId)>,
-    /// Born from here on they are young; before that at their full worth; born up to here they are at the floor.
-    young_from: Micros,
-    full_from: Micros,
-    floor_to: Micros,
+struct QueueCursor {
+    phase: UrgencyPhase,
+    last_returned: Option<(Micros, MessageId)>,
+    /// Messages accepted from this time on are within their latency objective.
+    within_objective_from: Micros,
+    /// Messages accepted from this time on have their full value.
+    full_value_from: Micros,
+    /// Messages accepted up to this time are at their minimum value.
+    minimum_value_until: Micros,
 }
 
-impl Cursor {
-    fn new(members: &BTreeSet<(Micros, MessageId)>, stage: impl Fn(Micros) -> Stage) -> Self {
-        let (first, last) = (
-            members.first().map_or(0, |m| m.0),
-            members.last().map_or(0, |m| m.0),
+impl QueueCursor {
+    fn new(
+        members: &BTreeSet<(Micros, MessageId)>,
+        phase_of: impl Fn(Micros) -> UrgencyPhase,
+    ) -> Self {
+        let (oldest, newest) = (
+            members.first().map_or(0, |message| message.0),
+            members.last().map_or(0, |message| message.0),
         );
-        let young_from = turning(first, last + 1, |born| stage(born) == Stage::Young);
-        let full_from = turning(first, young_from, |born| stage(born) <= Stage::Full);
-        let floor_to = turning(first, last + 1, |born| stage(born) != Stage::Floor) - 1;
-        Cursor {
-            stage: Stage::Young,
-            last: None,
-            young_from,
-            full_from,
-            floor_to,
+        let within_objective_from = first_accepted_where(oldest, newest + 1, |accepted_at| {
+            phase_of(accepted_at) == UrgencyPhase::WithinObjective
+        });
+        let full_value_from = first_accepted_where(oldest, within_objective_from, |accepted_at| {
+            phase_of(accepted_at) <= UrgencyPhase::FullValue
+        });
+        let minimum_value_until = first_accepted_where(oldest, newest + 1, |accepted_at| {
+            phase_of(accepted_at) != UrgencyPhase::MinimumValue
+        }) - 1;
+        QueueCursor {
+            phase: UrgencyPhase::WithinObjective,
+            last_returned: None,
+            within_objective_from,
+            full_value_from,
+            minimum_value_until,
         }
     }
 
     fn next(&mut self, members: &BTreeSet<(Micros, MessageId)>) -> Option<(Micros, MessageId)> {
-        const LEAST: MessageId = MessageId(0);
-        const MOST: MessageId = MessageId(u64::MAX);
-        let after = |from: (Micros, MessageId)| {
+        const MIN_ID: MessageId = MessageId(0);
+        const MAX_ID: MessageId = MessageId(u64::MAX);
+        let after = |entry: (Micros, MessageId)| {
             (
-                std::ops::Bound::Excluded(from),
+                std::ops::Bound::Excluded(entry),
                 std::ops::Bound::<(Micros, MessageId)>::Unbounded,
             )
         };
-        let found = match (self.stage, self.last) {
-            (Stage::Young, None) => members.range((self.young_from, LEAST)..).next(),
-            (Stage::Young, Some(last)) => members.range(after(last)).next(),
-            (Stage::Full, None) => members.range((self.full_from, LEAST)..).next(),
-            (Stage::Full, Some(last)) => members.range(after(last)).next(),
-            (Stage::Late, last) => {
-                let same = last
-                    .and_then(|last| members.range(after(last)).next().filter(|m| m.0 == last.0));
-                let end = last.map_or(self.full_from, |last| last.0);
+        let next = match (self.phase, self.last_returned) {
+            (UrgencyPhase::WithinObjective, None) => {
+                members.range((self.within_objective_from, MIN_ID)..).next()
+            }
+            (UrgencyPhase::WithinObjective, Some(previous)) => {
+                members.range(after(previous)).next()
+            }
+            (UrgencyPhase::FullValue, None) => {
+                members.range((self.full_value_from, MIN_ID)..).next()
+            }
+            (UrgencyPhase::FullValue, Some(previous)) => members.range(after(previous)).next(),
+            (UrgencyPhase::Decaying, previous) => {
+                let same_time = previous.and_then(|previous| {
+                    members
+                        .range(after(previous))
+                        .next()
+                        .filter(|message| message.0 == previous.0)
+                });
+                let end = previous.map_or(self.full_value_from, |previous| previous.0);
                 let earlier = || {
-                    let born = members.range(..(end, LEAST)).next_back()?.0;
+                    let accepted_at = members.range(..(end, MIN_ID)).next_back()?.0;
                     members
-                        .range((born, LEAST)..)
+                        .range((accepted_at, MIN_ID)..)
                         .next()
-                        .filter(|m| m.0 > self.floor_to)
+                        .filter(|message| message.0 > self.minimum_value_until)
                 };
-                same.or_else(earlier)
+                same_time.or_else(earlier)
             }
-            (Stage::Floor, None) => members.first(),
-            (Stage::Floor, Some(last)) => members.range(after(last)).next(),
+            (UrgencyPhase::MinimumValue, None) => members.first(),
+            (UrgencyPhase::MinimumValue, Some(previous)) => members.range(after(previous)).next(),
         };
-        let end = match self.stage {
-            Stage::Young | Stage::Late => (Micros::MAX, MOST),
-            Stage::Full => (self.young_from - 1, MOST),
-            Stage::Floor => (self.floor_to, MOST),
+        let end = match self.phase {
+            UrgencyPhase::WithinObjective | UrgencyPhase::Decaying => (Micros::MAX, MAX_ID),
+            UrgencyPhase::FullValue => (self.within_objective_from - 1, MAX_ID),
+            UrgencyPhase::MinimumValue => (self.minimum_value_until, MAX_ID),
         };
-        let found = found.copied().filter(|m| *m <= end);
-        if found.is_some() {
-            self.last = found;
-            return found;
+        let next = next.copied().filter(|message| *message <= end);
+        if next.is_some() {
+            self.last_returned = next;
+            return next;
         }
-        self.stage = match self.stage {
-            Stage::Young => Stage::Full,
-            Stage::Full => Stage::Late,
-            Stage::Late => Stage::Floor,
-            Stage::Floor => return None,
+        self.phase = match self.phase {
+            UrgencyPhase::WithinObjective => UrgencyPhase::FullValue,
+            UrgencyPhase::FullValue => UrgencyPhase::Decaying,
+            UrgencyPhase::Decaying => UrgencyPhase::MinimumValue,
+            UrgencyPhase::MinimumValue => return None,
         };
-        self.last = None;
+        self.last_returned = None;
         self.next(members)
     }
 }
 
-/// The first point from `low` on at which `holds` is true, as it is from there on; `high` where it is nowhere.
-fn turning(mut low: Micros, mut high: Micros, holds: impl Fn(Micros) -> bool) -> Micros {
+/// The earliest time from `low` on at which `holds` is true, by binary search; `high` if there is none.
+/// `holds` must stay true once it is.
+fn first_accepted_where(
+    mut low: Micros,
+    mut high: Micros,
+    holds: impl Fn(Micros) -> bool,
+) -> Micros {
     while low < high {
         let middle = low + (high - low) / 2;
         if holds(middle) {
@@ -425,53 +495,53 @@
     low
 }
 
-/// One pass over the lanes that are awake, the most urgent message first.
+/// One pass over the queues that are to be checked, the most urgent message first.
 #[derive(Debug, Default)]
-pub(crate) struct Pass {
-    heads: BinaryHeap<Head>,
-    /// Lanes with a head.
-    waiting: BTreeSet<Lane>,
-    cursors: BTreeMap<Lane, Cursor>,
+pub(crate) struct DispatchPass {
+    heads: BinaryHeap<QueueHead>,
+    /// Queues that have a message in `heads`.
+    queues_with_head: BTreeSet<QueueKey>,
+    cursors: BTreeMap<QueueKey, QueueCursor>,
 }
 
-impl Pass {
-    /// The next message.
-    pub(crate) fn pop(&mut self) -> Option<Head> {
+impl DispatchPass {
+    /// Removes and returns the most urgent message.
+    pub(crate) fn pop(&mut self) -> Option<QueueHead> {
         let head = self.heads.pop()?;
-        self.waiting.remove(&head.lane);
+        self.queues_with_head.remove(&head.queue);
         Some(head)
     }
 
-    /// Puts a lane's next message among the heads, as far as it comes behind `after`.
+    /// Adds the next message of a queue that is less urgent than `after`.
     pub(crate) fn push(
         &mut self,
-        agenda: &Agenda,
-        lane: Lane,
-        after: Option<&Head>,
-        stage: impl Fn(Micros) -> Stage,
+        scheduler: &SendScheduler,
+        queue: QueueKey,
+        after: Option<&QueueHead>,
+        phase_of: impl Fn(Micros) -> UrgencyPhase,
         urgency: impl Fn(MessageId) -> f64,
     ) {
-        let Some(members) = agenda
-            .lanes
-            .get(&lane)
-            .filter(|_| !self.waiting.contains(&lane))
+        let Some(members) = scheduler
+            .queues
+            .get(&queue)
+            .filter(|_| !self.queues_with_head.contains(&queue))
         else {
             return;
         };
         let cursor = self
             .cursors
-            .entry(lane)
-            .or_insert_with(|| Cursor::new(members, stage));
-        while let Some((born, id)) = cursor.next(members) {
-            let head = Head {
+            .entry(queue)
+            .or_insert_with(|| QueueCursor::new(members, phase_of));
+        while let Some((accepted_at, id)) = cursor.next(members) {
+            let head = QueueHead {
                 urgency: urgency(id),
-                born,
+                accepted_at,
                 id,
-                lane,
+                queue,
             };
             if after.is_none_or(|after| head < *after) {
                 self.heads.push(head);
-                self.waiting.insert(lane);
+                self.queues_with_head.insert(queue);
                 return;
             }
         }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,394 +1,449 @@
-//! Plain records that the decisions keep. No rule, table or tuned value is here: those are in `decide.rs`.
+//! Plain records behind the decisions. The rules and tuned values are in `decide.rs`.
 
 use crate::interface::{DestinationId, EndpointId, MessageId, Micros, SECOND, Settings};
 use crate::outage_evidence::OutageEvidence;
 use crate::rejection_correlation::RejectionCorrelation;
-use crate::scheduler::Agenda;
+use crate::scheduler::SendScheduler;
 use milletturn_idle_state::CompactState;
-/// How a unit seems to be.
+/// Health of a health scope: healthy, ejected or recovering.
 pub(crate) use milletturn_idle_state::Health;
 use rand_pcg::Pcg32;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The decisions of one sender.
+/// All decisions of one sender. The host passes events to [`Sender::handle`] and carries out the resulting
+/// actions.
+///
+/// A hot restart writes the state by position: the order and types of fields are part of the stored form.
 #[derive(Debug, serde::Serialize, serde::Deserialize)]
 pub struct Sender {
     pub(crate) settings: Settings,
     pub(crate) random: Pcg32,
+    /// Time of the present turn.
     pub(crate) now: Micros,
+    /// Time of the alarm that was requested last; `Micros::MAX` if none is pending.
     pub(crate) alarm: Micros,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
-    pub(crate) routes: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
-    /// When the list last had something at a destination.
-    pub(crate) listed: BTreeMap<DestinationId, Micros>,
-    pub(crate) units: BTreeMap<UnitId, Unit>,
-    /// Units that have had no call for long, and the last unit that was looked at for that.
-    pub(crate) dormant: BTreeMap<UnitId, CompactState>,
-    pub(crate) rested: Option<UnitId>,
-    /// What may be forgotten: endpoints, destinations without any and since when, units.
-    pub(crate) leaving: BTreeSet<EndpointId>,
-    pub(crate) unlisted: BTreeSet<(Micros, DestinationId)>,
-    pub(crate) unused: BTreeSet<UnitId>,
-    pub(crate) messages: BTreeMap<MessageId, Held>,
-    pub(crate) keys: BTreeMap<u64, KeyLine>,
+    pub(crate) endpoints_by_destination: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
+    /// When the list last named an endpoint of a destination.
+    pub(crate) last_listed_at: BTreeMap<DestinationId, Micros>,
+    pub(crate) scopes: BTreeMap<HealthScopeId, HealthScope>,
+    /// Compact state of scopes that have had no call for a long time.
+    pub(crate) idle_scopes: BTreeMap<HealthScopeId, CompactState>,
+    /// The scope that the scan for idle scopes checked last.
+    pub(crate) idle_scan_position: Option<HealthScopeId>,
+    /// Endpoints that are no longer served and may be removed.
+    pub(crate) removable_endpoints: BTreeSet<EndpointId>,
+    /// Destinations without endpoints, and since when; removed after a retention period.
+    pub(crate) unlisted_destinations: BTreeSet<(Micros, DestinationId)>,
+    /// Health scopes that may have lost their last endpoint.
+    pub(crate) removable_scopes: BTreeSet<HealthScopeId>,
+    pub(crate) messages: BTreeMap<MessageId, PendingMessage>,
+    /// Queues of the ordering keys.
+    pub(crate) key_queues: BTreeMap<u64, OrderedKeyQueue>,
+    /// Calls in flight.
     pub(crate) calls: BTreeMap<u64, Call>,
     pub(crate) next_call: u64,
-    pub(crate) copies_out: usize,
-    /// For each kind of destination, how often calls lately found no connection.
-    pub(crate) crowded: BTreeMap<usize, f64>,
+    pub(crate) hedges_in_flight: usize,
+    /// Connection rejection score for each destination kind: a moving average of the calls that found no
+    /// connection.
+    pub(crate) connection_rejection_scores: BTreeMap<usize, f64>,
+    /// Tokens of each tenant's bucket, and when they were counted.
     pub(crate) tenant_tokens: Vec<(f64, Micros)>,
-    pub(crate) list_retry: Option<Micros>,
-    pub(crate) list_rest: Micros,
-    /// When the process will end, once that is known.
-    pub(crate) ends: Option<Micros>,
-    /// The next time at which something may be due; the alarm is set by it.
-    pub(crate) due: Micros,
-    /// Where each message stands; made anew where a sender is read from its written form.
+    /// When to subscribe to the endpoint list again.
+    pub(crate) list_retry_at: Option<Micros>,
+    pub(crate) list_retry_backoff: Micros,
+    /// When the process will end, once a shutdown was requested.
+    pub(crate) shutdown_at: Option<Micros>,
+    /// The next time at which something may be due. The alarm is set to this time.
+    pub(crate) next_due_at: Micros,
+    /// Schedule of the messages. It is not stored, but rebuilt from the messages after reading a stored
+    /// state.
     #[serde(skip)]
-    pub(crate) agenda: Agenda,
-    /// Calls out at units that fare badly, in this turn.
-    pub(crate) burdens: usize,
-    /// See `without_shortcuts`.
-    pub(crate) shortcuts: bool,
+    pub(crate) scheduler: SendScheduler,
+    /// Calls in flight at slow or ejected scopes, counted anew in each turn.
+    pub(crate) degraded_calls: usize,
+    /// False after [`Sender::without_incremental_scheduling`].
+    pub(crate) incremental_scheduling: bool,
 }
 
-/// What shares health, waits and limits: a destination, or one endpoint where routes are apart.
-pub(crate) type UnitId = (DestinationId, Option<EndpointId>);
+/// Identifies a health scope, which shares health, Retry-After and limits: a destination, or one endpoint of
+/// a kind with separate routes.
+pub(crate) type HealthScopeId = (DestinationId, Option<EndpointId>);
 
-/// What is known of one endpoint.
+/// State of one endpoint.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Endpoint {
-    /// Its destination, zone and kind, as listed last.
+    /// Destination, zone and kind of the latest list entry for the endpoint.
     pub destination: DestinationId,
     pub zone: u16,
     pub kind: usize,
-    /// When the list first had it.
-    pub since: Micros,
-    /// Listed, neither draining nor gone.
+    /// When the list first named the endpoint.
+    pub first_listed_at: Micros,
+    /// The list names the endpoint as serving, neither draining nor removed.
     pub serving: bool,
-    /// For each class, by position: failures in a row, until when they count against it, last answer.
-    pub classes: BTreeMap<usize, ClassRecord>,
-    /// How often calls lately found no connection.
-    pub crowded: f64,
+    /// Health of each class at this endpoint, by the position of the class in the settings.
+    pub class_health: BTreeMap<usize, ClassHealth>,
+    /// Moving average of the calls that found no connection.
+    pub connection_rejection_score: f64,
 }
 
-/// How one class fares at one endpoint.
+/// Health of one class at one endpoint.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct ClassRecord {
-    pub strikes: u32,
-    pub first_strike: Micros,
-    /// Share of its calls that fail, of late.
-    pub fails: f64,
-    pub struck_until: Micros,
-    pub alive_at: Micros,
-    /// When the last call that it answered was sent.
-    pub alive_sent: Micros,
+pub(crate) struct ClassHealth {
+    /// Failures since the last success, and when the first of them was sent.
+    pub consecutive_failures: u32,
+    pub first_failure_sent_at: Micros,
+    /// Moving average of the share of calls that fail.
+    pub failure_rate: f64,
+    /// Until this time, other endpoints are preferred for the class.
+    pub avoided_until: Micros,
+    pub last_success_at: Micros,
+    /// When the latest call that succeeded was sent.
+    pub last_success_sent_at: Micros,
 }
 
-/// One send of a message.
+/// One attempt to deliver a message.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Attempt {
-    /// Where it went and when.
     pub endpoint: EndpointId,
-    pub sent: Micros,
-    /// The call that carries it.
-    pub call: u64,
-    /// Its outcome has not come.
-    pub out: bool,
-    /// Its outcome does not prove that it never ran.
+    pub sent_at: Micros,
+    /// The call that carries the attempt; `u64::MAX` for an attempt from before a restart.
+    pub call_id: u64,
+    /// The outcome is not known yet.
+    pub in_flight: bool,
+    /// The outcome does not prove that the attempt never ran.
     pub may_have_run: bool,
-    /// A later attempt started while this one was out.
+    /// A later attempt started while this attempt was in flight.
     pub overlapped: bool,
-    /// It was called off.
+    /// The host was asked to cancel the attempt.
     pub cancelled: bool,
 }
 
-/// A message until its end and the end of its attempts.
+/// A message that has not ended, or that still has attempts in flight.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Held {
-    /// Position of its class.
+pub(crate) struct PendingMessage {
+    /// Position of the class in the settings.
     pub class: usize,
     pub destination: DestinationId,
-    /// Its key, if its class keeps order.
+    /// The ordering key, if the class is ordered.
     pub key: Option<u64>,
-    /// When it was first handed in, and when its time is up.
-    pub born: Micros,
+    /// When the message was first accepted.
+    pub accepted_at: Micros,
+    /// When the message expires.
     pub deadline: Micros,
-    /// What its delivery is worth.
-    pub worth: f64,
-    /// No final answer yet.
+    /// Value of a delivery relative to other messages.
+    pub priority_weight: f64,
+    /// The message has no final response yet.
     pub open: bool,
-    /// Attempts that it may have.
-    pub most: usize,
-    /// All others come first.
-    pub later: bool,
-    /// It was taken on before a restart, and has had no call yet.
-    pub owed: bool,
-    /// It is handed back as it comes: to a destination that is not known, or too late to be of worth.
-    pub turned_away: bool,
+    /// Maximum number of attempts for the message.
+    pub max_attempts: usize,
+    /// All messages that are not deferred are sent first.
+    pub deferred: bool,
+    /// The message was accepted before a restart and not attempted until then.
+    pub unattempted_before_restart: bool,
+    /// The message is rejected in the turn of its arrival, because its destination is unknown or an attempt
+    /// would come too late.
+    pub rejected_on_arrival: bool,
     pub attempts: Vec<Attempt>,
-    /// Earliest next attempt, and the rest after the one that fails then.
+    /// Earliest time of the next attempt.
     pub retry_at: Micros,
-    pub retry_rest: Micros,
-    /// When the next copy is due, and the offset after it.
-    pub copy_at: Micros,
-    pub copy_step: Micros,
+    /// Backoff after the next failed attempt.
+    pub retry_backoff: Micros,
+    /// When the next hedged request is due.
+    pub hedge_at: Micros,
+    /// Delay of the hedged request after that one.
+    pub hedge_delay: Micros,
 }
 
-impl Held {
-    pub(crate) fn is_out(&self) -> bool {
-        self.attempts.iter().any(|attempt| attempt.out)
+impl PendingMessage {
+    pub(crate) fn has_attempt_in_flight(&self) -> bool {
+        self.attempts.iter().any(|attempt| attempt.in_flight)
     }
 
-    /// A restart found it taken on and untried, and it is so still.
-    pub(crate) fn owes_call(&self) -> bool {
-        self.owed && self.attempts.is_empty()
+    /// Whether the message was accepted before a restart and has still not been attempted.
+    pub(crate) fn awaits_first_attempt(&self) -> bool {
+        self.unattempted_before_restart && self.attempts.is_empty()
     }
 
-    /// Attempts that may run or have run. While there are any, also those that a later one overlapped: a key's
-    /// window counts from the first, even if that one turns out never to have run.
-    /// The attempt `besides` does not count.
-    pub(crate) fn at_risk(&self, besides: usize) -> impl Iterator<Item = &Attempt> {
+    /// Attempts that may run or have run, except the one at `excluded_index`. If there are any, the result
+    /// includes attempts that a later one overlapped: the window in which the destination drops repeats
+    /// counts from the first of them, even if that one turns out never to have run.
+    pub(crate) fn possibly_executed_attempts(
+        &self,
+        excluded_index: usize,
+    ) -> impl Iterator<Item = &Attempt> {
         let others = || {
             self.attempts
                 .iter()
                 .enumerate()
-                .filter(move |(at, _)| *at != besides)
+                .filter(move |(index, _)| *index != excluded_index)
         };
-        let any = others().any(|(_, attempt)| attempt.out || attempt.may_have_run);
-        let risky = move |a: &&Attempt| any && (a.out || a.may_have_run || a.overlapped);
-        others().map(|(_, attempt)| attempt).filter(risky)
+        let any_possibly_executed =
+            others().any(|(_, attempt)| attempt.in_flight || attempt.may_have_run);
+        let is_included = move |attempt: &&Attempt| {
+            any_possibly_executed
+                && (attempt.in_flight || attempt.may_have_run || attempt.overlapped)
+        };
+        others().map(|(_, attempt)| attempt).filter(is_included)
     }
 }
 
-/// One call in flight, with one message or a bundle.
+/// One call in flight, with one message or a batch.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct Call {
-    /// Whose window and limit it counts for.
-    pub unit: UnitId,
+    /// The health scope whose window and rate limit the call uses.
+    pub scope: HealthScopeId,
     pub endpoint: EndpointId,
-    pub sent: Micros,
-    /// Messages in it whose outcome has not come, and all of them.
-    pub left: usize,
-    pub size: usize,
-    /// It carries copies.
-    pub copy: bool,
+    pub sent_at: Micros,
+    /// Messages of the call whose outcome is not known yet.
+    pub pending_outcomes: usize,
+    /// All messages of the call.
+    pub batch_size: usize,
+    /// The call carries hedged requests.
+    pub is_hedge: bool,
 }
 
-/// Messages that take turns.
+/// Messages of one ordering key, which are sent one at a time.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct KeyLine {
-    /// Messages of the key, in the order of arrival.
-    pub turn: VecDeque<MessageId>,
-    /// Nothing of the key starts before.
-    pub rest_until: Micros,
-    /// Those among them that have ended by a notice that has not been taken yet.
-    pub untold: BTreeSet<MessageId>,
+pub(crate) struct OrderedKeyQueue {
+    /// Messages of the key in the order of arrival.
+    pub messages: VecDeque<MessageId>,
+    /// No first attempt of a message of the key starts before this time.
+    pub blocked_until: Micros,
+    /// Messages of the queue that have ended with a notification that is not acknowledged yet.
+    pub pending_notifications: BTreeSet<MessageId>,
 }
 
-/// What is known of a unit.
+/// State of a health scope.
 #[derive(Debug, Default, Serialize, Deserialize)]
-pub(crate) struct Unit {
+pub(crate) struct HealthScope {
     pub health: Health,
-    /// Calls that may be in flight, and when that was cut last.
+    /// Maximum number of concurrent calls.
     pub window: f64,
-    pub last_cut: Micros,
-    /// End of the last told wait.
-    pub wait_until: Micros,
-    /// Latencies of the last successes, and the copy offset that follows from them.
+    /// When congestion last reduced the window.
+    pub window_reduced_at: Micros,
+    /// End of the latest Retry-After.
+    pub retry_after_until: Micros,
+    /// Latencies of the latest successful calls.
     pub latencies: Samples,
-    pub offset: Option<Micros>,
-    /// The latency as it is over a long time.
-    pub usual: Option<Micros>,
-    /// The evidence that it is gone, and that refusals which tell nothing follow the load.
-    pub odds: OutageEvidence,
-    pub refusals: RejectionCorrelation,
-    /// Until then a unit that has just fallen sick by failures may only have been noisy.
-    pub doubt_until: Micros,
-    /// From when on it is surely warm: a cold time behind the first answer of a return.
-    pub warm_at: Micros,
-    /// When it was well last.
-    pub ill_since: Micros,
-    /// Calls sent a second up to then: the outage takes nothing off it.
-    pub well_rate: f64,
-    /// Last answer that shows life, and when the last call went that failed or was refused.
-    pub alive_at: Micros,
-    pub bad_sent: Micros,
-    /// First refusal of the present run, and its length.
-    pub refused_since: Micros,
-    pub refused_run: u32,
+    /// High percentile of the latencies, after which a hedged request is sent.
+    pub hedge_delay: Option<Micros>,
+    /// Slowly moving average of the latency of successful calls.
+    pub typical_latency: Option<Micros>,
+    /// Evidence that the scope is down.
+    pub outage_evidence: OutageEvidence,
+    /// Whether rejections that announce no limit follow the load.
+    pub rejections: RejectionCorrelation,
+    /// Until this time, a scope that was ejected because of failures may only have been noisy.
+    pub outage_unconfirmed_until: Micros,
+    /// When a recovering scope becomes healthy at the earliest: one slow start after its first success.
+    pub slow_start_ends_at: Micros,
+    /// When the scope was last healthy before its latest ejection.
+    pub unhealthy_since: Micros,
+    /// Calls sent per second up to `unhealthy_since`: the outage that follows does not lower this rate.
+    pub healthy_rate: f64,
+    /// Time of the latest success, error response or rejection, which all show that the scope is alive.
+    pub last_alive_at: Micros,
+    /// When the latest call that failed or was rejected was sent.
+    pub last_failed_sent_at: Micros,
+    /// Start of the present run of consecutive rejections.
+    pub rejected_since: Micros,
+    /// Length of that run.
+    pub consecutive_rejections: u32,
     pub in_flight: usize,
-    /// Calls in flight that are quiet beyond the silence limit; oldest age with no sign of life since;
-    /// whether a call is out far beyond the usual latency. Taken anew in each turn.
-    pub quiet: usize,
-    pub quiet_age: Micros,
-    pub lags: bool,
-    /// When calls were served over the last fall span, and the highest rate served, calls a second.
-    pub served: Samples,
+    /// Calls in flight that are older than the unresponsive limit, without a sign of life since they were
+    /// sent. This field and the next two are computed anew in each turn.
+    pub unresponsive_calls: usize,
+    /// Age of the oldest call without a sign of life since it was sent.
+    pub unresponsive_age: Micros,
+    /// A call has been in flight for far longer than the typical latency.
+    pub is_slow: bool,
+    /// When calls succeeded during the last overload window.
+    pub success_times: Samples,
+    /// Highest rate of successful calls so far, or the rate known from the list or a load report if that is
+    /// higher; in calls per second.
     pub best_rate: f64,
-    /// Calls sent since the unit was first seen, and when the last one went.
-    pub sent: u64,
-    pub last_sent: Micros,
-    pub since: Micros,
-    /// The limit that answers report, and this sender's even share of what list or answers tell, or 0.
-    pub told_limit: Option<f64>,
-    pub share: f64,
-    /// Calls a second allowed, infinite before any refusal; whether a call succeeded since its last cut.
-    pub pace: f64,
-    /// The pace was cut by a refusal.
-    pub limited: bool,
-    pub succeeded: bool,
-    /// The token bucket of the pace.
+    /// Calls sent since the scope was first seen.
+    pub calls_sent: u64,
+    /// When the latest call was sent.
+    pub last_sent_at: Micros,
+    pub first_seen_at: Micros,
+    /// Limit that load reports announce, in calls per second.
+    pub announced_limit: Option<f64>,
+    /// This sender's equal share of the limit from the list or load reports, in calls per second; 0 if
+    /// unknown.
+    pub fair_share: f64,
+    /// Calls allowed per second; infinite until something limits the rate.
+    pub rate_limit: f64,
+    /// A rejection or a load report has limited the rate, rather than failures alone.
+    pub limited_by_rejection: bool,
+    /// A call has succeeded since the rate limit was last reduced.
+    pub succeeded_since_reduction: bool,
+    /// Tokens of the rate limit's token bucket.
     pub tokens: f64,
-    pub tokens_at: Micros,
-    /// How they come since then, and how many are saved up at most.
-    pub flow: Flow,
+    pub tokens_updated_at: Micros,
+    /// How tokens are refilled since `tokens_updated_at`.
+    pub refill: RefillRate,
+    /// Maximum number of tokens in the bucket.
     pub burst: f64,
 }
 
-/// Tokens a second over time: a rate that rises evenly for a while and stays then.
+/// Refill rate of a token bucket: it rises linearly for a while and then stays constant.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
-pub(crate) struct Flow {
-    /// At first.
+pub(crate) struct RefillRate {
+    /// Initial rate, in tokens per second.
     pub rate: f64,
-    /// Added to the rate each second, and for so many seconds.
+    /// Increase of the rate per second.
     pub slope: f64,
-    pub rises: f64,
+    /// Seconds for which the rate increases.
+    pub ramp_seconds: f64,
 }
 
-impl Flow {
-    /// Always the same.
-    pub(crate) fn even(rate: f64) -> Self {
-        Flow {
+impl RefillRate {
+    /// A rate that does not change.
+    pub(crate) fn constant(rate: f64) -> Self {
+        RefillRate {
             rate,
             slope: 0.0,
-            rises: 0.0,
+            ramp_seconds: 0.0,
         }
     }
 
-    /// Tokens that have come after a span.
-    pub(crate) fn sum(&self, span: Micros) -> f64 {
+    /// Tokens refilled after a span.
+    pub(crate) fn tokens_after(&self, span: Micros) -> f64 {
         let span = seconds(span);
-        let rising = span.min(self.rises);
-        self.rate * span + self.slope * rising * (span - rising / 2.0)
+        let ramp = span.min(self.ramp_seconds);
+        self.rate * span + self.slope * ramp * (span - ramp / 2.0)
     }
 
-    /// The span after which so many have come, for a year at the longest.
-    pub(crate) fn reaches(&self, sum: f64) -> Micros {
+    /// The span after which the given number of tokens has been refilled, at most one year.
+    pub(crate) fn time_until(&self, tokens: f64) -> Micros {
         const YEAR: f64 = 366.0 * 86_400.0;
-        let risen = self.sum((self.rises * SECOND as f64) as Micros);
-        let span = if self.slope > 0.0 && sum < risen {
-            // the positive root of slope/2 x^2 + rate x = sum
-            let root = (self.rate * self.rate + 2.0 * self.slope * sum.max(0.0)).sqrt();
+        let ramp_tokens = self.tokens_after((self.ramp_seconds * SECOND as f64) as Micros);
+        let span = if self.slope > 0.0 && tokens < ramp_tokens {
+            // The positive root of slope/2 x^2 + rate x = tokens.
+            let root = (self.rate * self.rate + 2.0 * self.slope * tokens.max(0.0)).sqrt();
             (root - self.rate) / self.slope
         } else {
-            self.rises + (sum - risen) / (self.rate + self.slope * self.rises).max(0.001)
+            self.ramp_seconds
+                + (tokens - ramp_tokens) / (self.rate + self.slope * self.ramp_seconds).max(0.001)
         };
         (span.clamp(0.0, YEAR) * SECOND as f64) as Micros
     }
 }
 
-impl Unit {
-    /// One of which nothing is known.
-    pub(crate) fn fresh(window: f64) -> Self {
-        let (pace, tokens, succeeded) = (f64::INFINITY, f64::MAX, true);
-        Unit {
+impl HealthScope {
+    /// A scope without any observations, with the given concurrency window and no rate limit.
+    pub(crate) fn new(window: f64) -> Self {
+        let (rate_limit, tokens, succeeded_since_reduction) = (f64::INFINITY, f64::MAX, true);
+        HealthScope {
             window,
-            pace,
+            rate_limit,
             tokens,
-            succeeded,
-            flow: Flow::even(pace),
-            burst: pace,
-            ..Unit::default()
+            succeeded_since_reduction,
+            refill: RefillRate::constant(rate_limit),
+            burst: rate_limit,
+            ..HealthScope::default()
         }
     }
 
-    /// Forgets what one look at the calls in flight has shown, before the next.
-    pub(crate) fn look_anew(&mut self) {
-        (self.quiet, self.quiet_age, self.lags) = (0, 0, false);
+    /// Resets what is computed anew from the calls in flight in each turn.
+    pub(crate) fn reset_responsiveness(&mut self) {
+        (self.unresponsive_calls, self.unresponsive_age, self.is_slow) = (0, 0, false);
     }
 
-    /// True if its calls together with those of other such units may hold only a part of the slots.
-    pub(crate) fn is_burden(&self) -> bool {
-        self.lags || matches!(self.health, Health::Ejected { .. })
+    /// Whether the scope is slow or ejected. The calls of all such scopes together may use only a part of the
+    /// slots.
+    pub(crate) fn is_degraded(&self) -> bool {
+        self.is_slow || matches!(self.health, Health::Ejected { .. })
     }
 
-    /// Calls served a second since the first of the last span: of one that has just begun to serve, too.
-    pub(crate) fn served_lately(&self, now: Micros, span: Micros) -> f64 {
-        let since = now - self.served.first().unwrap_or(now);
-        self.served.len() as f64 / seconds(since.clamp(span / 60, span))
+    /// Successful calls per second since the first success in the window. Unlike
+    /// [`HealthScope::success_rate`], this rate is not too low for a scope that has just begun to succeed.
+    pub(crate) fn recent_success_rate(&self, now: Micros, span: Micros) -> f64 {
+        let elapsed = now - self.success_times.oldest().unwrap_or(now);
+        self.success_times.len() as f64 / seconds(elapsed.clamp(span / 60, span))
     }
 
-    /// Tokens of the pace by a time, as they come since the last event. Nothing is saved up during a told wait: all who
-    /// were told would start at its end.
-    pub(crate) fn tokens_by(&self, now: Micros) -> f64 {
-        let from = self.tokens_at.max(self.wait_until);
-        if now <= from {
+    /// Tokens of the rate limit at a given time, if nothing happens until then. None are saved up during a
+    /// Retry-After: otherwise all senders that received it would send bursts when it ends.
+    pub(crate) fn tokens_available_at(&self, now: Micros) -> f64 {
+        let refill_from = self.tokens_updated_at.max(self.retry_after_until);
+        if now <= refill_from {
             return self.tokens;
         }
-        let came = self.flow.sum(now - self.tokens_at) - self.flow.sum(from - self.tokens_at);
-        let came = if self.flow.rate.is_finite() {
-            came
+        let refilled = self.refill.tokens_after(now - self.tokens_updated_at)
+            - self
+                .refill
+                .tokens_after(refill_from - self.tokens_updated_at);
+        let refilled = if self.refill.rate.is_finite() {
+            refilled
         } else {
             f64::MAX
         };
-        (self.tokens + came).min(self.burst.max(self.tokens))
+        (self.tokens + refilled).min(self.burst.max(self.tokens))
     }
 
-    /// When so many tokens will be there.
-    pub(crate) fn ready_at(&self, needed: f64) -> Micros {
-        if self.burst < needed {
+    /// When the given number of tokens will be available; `Micros::MAX` if the bucket never holds that many.
+    pub(crate) fn tokens_ready_at(&self, tokens_needed: f64) -> Micros {
+        if self.burst < tokens_needed {
             return Micros::MAX;
         }
-        let from = self.tokens_at.max(self.wait_until);
-        let sum = self.flow.sum(from - self.tokens_at) + needed - self.tokens;
-        let near = (self.tokens_at + self.flow.reaches(sum)).max(from);
-        // to the microsecond, however the figures were rounded
-        let exact = (near - 2..=near + 2).find(|&at| self.tokens_by(at) >= needed);
-        exact.unwrap_or(near + 3)
+        let refill_from = self.tokens_updated_at.max(self.retry_after_until);
+        let refill_needed = self
+            .refill
+            .tokens_after(refill_from - self.tokens_updated_at)
+            + tokens_needed
+            - self.tokens;
+        let estimate =
+            (self.tokens_updated_at + self.refill.time_until(refill_needed)).max(refill_from);
+        // Finds the exact microsecond, however the figures were rounded.
+        let exact =
+            (estimate - 2..=estimate + 2).find(|&at| self.tokens_available_at(at) >= tokens_needed);
+        exact.unwrap_or(estimate + 3)
     }
 
-    /// Counts the tokens up to now; from here on they come like this, up to so many.
-    pub(crate) fn settle(&mut self, now: Micros, flow: Flow, burst: f64) {
-        (self.flow, self.burst) = (Flow::even(flow.rate), burst);
-        self.tokens = if flow.rate.is_finite() {
-            self.tokens_by(now).min(burst)
+    /// Credits the tokens up to now and sets the refill rate and the bucket's size from now on.
+    pub(crate) fn settle_tokens(&mut self, now: Micros, refill: RefillRate, burst: f64) {
+        (self.refill, self.burst) = (RefillRate::constant(refill.rate), burst);
+        self.tokens = if refill.rate.is_finite() {
+            self.tokens_available_at(now).min(burst)
         } else {
             f64::MAX
         };
-        (self.tokens_at, self.flow, self.burst) = (now, flow, burst);
+        (self.tokens_updated_at, self.refill, self.burst) = (now, refill, burst);
     }
 
-    /// When it came back, of one that returns.
-    pub(crate) fn since_return(&self) -> Micros {
+    /// When a recovering scope began to recover; long ago for any other.
+    pub(crate) fn recovering_since(&self) -> Micros {
         match self.health {
             Health::Recovering { since } => since,
             _ => Micros::MIN / 2,
         }
     }
 
-    /// Calls sent a second since it was first seen, over `least` at the least.
-    pub(crate) fn usual_rate(&self, now: Micros, least: Micros) -> f64 {
-        self.sent as f64 / seconds((now - self.since).max(least).max(1))
+    /// Calls sent per second since the scope was first seen, averaged over at least `min_span`.
+    pub(crate) fn average_send_rate(&self, now: Micros, min_span: Micros) -> f64 {
+        self.calls_sent as f64 / seconds((now - self.first_seen_at).max(min_span).max(1))
     }
 
-    /// Calls served a second over the last span.
-    pub(crate) fn served_rate(&mut self, now: Micros, span: Micros) -> f64 {
-        self.served.drop_until(now - span);
-        self.served.len() as f64 / seconds(span)
+    /// Successful calls per second over the last `span`.
+    pub(crate) fn success_rate(&mut self, now: Micros, span: Micros) -> f64 {
+        self.success_times.drop_until(now - span);
+        self.success_times.len() as f64 / seconds(span)
     }
 }
 
-/// The last values of something, oldest first.
+/// A bounded history of values, oldest first.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Samples(VecDeque<Micros>);
 
 impl Samples {
-    /// Adds a value and keeps `most`.
-    pub(crate) fn push(&mut self, value: Micros, most: usize) {
+    /// Adds a value and keeps the latest `max_len`.
+    pub(crate) fn push(&mut self, value: Micros, max_len: usize) {
         self.0.push_back(value);
-        while self.0.len() > most {
+        while self.0.len() > max_len {
             self.0.pop_front();
         }
     }
@@ -401,7 +456,7 @@
     }
 
     /// The oldest value.
-    pub(crate) fn first(&self) -> Option<Micros> {
+    pub(crate) fn oldest(&self) -> Option<Micros> {
         self.0.front().copied()
     }
 
@@ -409,8 +464,8 @@
         self.0.len()
     }
 
-    /// The value below which `part` of `whole` parts lie; none while there are no values.
-    pub(crate) fn ranked(&self, part: usize, whole: usize) -> Option<Micros> {
+    /// The value below which `part` of `whole` parts of the values lie; `None` if there are no values.
+    pub(crate) fn quantile(&self, part: usize, whole: usize) -> Option<Micros> {
         let mut sorted: Vec<Micros> = self.0.iter().copied().collect();
         sorted.sort_unstable();
         sorted
@@ -419,11 +474,12 @@
     }
 }
 
+/// A span in seconds.
 pub(crate) fn seconds(span: Micros) -> f64 {
     span as f64 / SECOND as f64
 }
 
-/// A share of the slots, one at least.
-pub(crate) fn share_of(slots: usize, share: f64) -> usize {
+/// A share of the call slots, at least one slot.
+pub(crate) fn slot_share(slots: usize, share: f64) -> usize {
     ((slots as f64 * share).floor() as usize).max(1)
 }
