--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -210,7 +210,7 @@
             Action::Fail(message) => self.give_up(message, Ending::Failed),
             Action::SetAlarm(at) => self.alarm = Some(at),
             Action::CloseIdleConnections(endpoint) => {
-                self.transport.close_idle_connections(endpoint)
+                self.transport.close_idle_connections(endpoint);
             }
             Action::Log(text) => self.observer.observe(&EngineEvent::PolicyLog(&text)),
             // the watch is always on; sockets offer neither probes nor notes
--- a/crates/engine/src/reconfiguration.rs
+++ b/crates/engine/src/reconfiguration.rs
@@ -94,7 +94,7 @@
         match listed.status {
             EndpointStatus::Serving => self.transport.add_endpoint(endpoint, listed.address),
             EndpointStatus::Draining | EndpointStatus::Removed => {
-                self.transport.remove_endpoint(endpoint)
+                self.transport.remove_endpoint(endpoint);
             }
         }
         Some(endpoint)
