--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -615,7 +615,9 @@
                 } else {
                     0.0
                 });
-                scope.window = (scope.window + 1.0 / scope.window).min(MAX_WINDOW_SHARE * slots);
+                scope.concurrency_window = (scope.concurrency_window
+                    + 1.0 / scope.concurrency_window)
+                    .min(MAX_WINDOW_SHARE * slots);
                 match scope.health {
                     // A scope that answers the first probe after nothing but rejections or missing responses
                     // was throttled or slow, not down.
@@ -883,7 +885,7 @@
                 since: now,
             };
         }
-        scope.window = scope.window.min(max_window);
+        scope.concurrency_window = scope.concurrency_window.min(max_window);
         self.settle_scope_tokens(scope_id);
     }
 
@@ -1430,7 +1432,7 @@
         let idle_probe_at = scope.last_sent_at.max(scope.recovering_since())
             + self.settings.safety.slow_start
             + MILLISECOND;
-        let within_window = scope.in_flight < scope.window.floor().max(1.0) as usize;
+        let within_window = scope.in_flight < scope.concurrency_window.floor().max(1.0) as usize;
         let (allowed, until) = match scope.health {
             Health::Ejected { .. } | Health::Recovering { .. } if is_hedge => (false, Micros::MAX),
             Health::Ejected { .. } if tokens_needed == 0.0 => (
@@ -1675,7 +1677,7 @@
         let is_new_congestion = sent_at > self.window_reduced_at;
         if is_new_congestion {
             self.window_reduced_at = now;
-            self.window = (self.window * WINDOW_REDUCTION).max(1.0);
+            self.concurrency_window = (self.concurrency_window * WINDOW_REDUCTION).max(1.0);
         }
         is_new_congestion
     }
--- a/crates/policy/src/idle.rs
+++ b/crates/policy/src/idle.rs
@@ -129,7 +129,7 @@
         share: scope.fair_share,
         rate: scope.rate_limit,
         best_rate: scope.best_rate,
-        window: scope.window,
+        window: scope.concurrency_window,
         typical_latency: scope.typical_latency,
         hedge_after: scope.hedge_delay,
         failures: scope.outage_evidence.observed_counts(),
--- a/crates/policy/src/rejection_correlation.rs
+++ b/crates/policy/src/rejection_correlation.rs
@@ -60,7 +60,9 @@
 /// Correlation of rejections with load, for rejections that announce neither a limit nor a Retry-After.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct RejectionCorrelation {
+    /// Baseline rejection rate, and the evidence that calls are now rejected more often.
     evidence: OutageEvidence,
+    /// The rate probe in progress.
     probe: Option<RateProbe>,
     /// When the rate limit was last halved for a probe.
     last_probe_at: Option<Micros>,
@@ -85,11 +87,13 @@
     /// Rejections and all responses to calls sent in this phase.
     rejections: f64,
     calls: f64,
-    /// Rate limit, rate of successful calls and rejection rate before the rate limit was halved.
+    /// Rate limit, in calls per second, before it was halved.
     rate_limit_before: f64,
+    /// Rate of successful calls, per second, before the rate limit was halved.
     call_rate_before: f64,
+    /// Share of rejected calls before the rate limit was halved.
     rejection_rate_before: f64,
-    /// Evidence for noise (positive) against a limit (negative).
+    /// Log-likelihood ratio of noise against a limit: positive for noise, negative for a limit.
     log_likelihood_ratio: f64,
 }
 
@@ -162,7 +166,7 @@
                 EXCESS_THRESHOLD
             };
         let baseline_known = self.evidence.observed_calls() >= MIN_BASELINE_CALLS;
-        let is_doubtful = baseline_known
+        let baseline_probe_due = baseline_known
             && self.baseline_rate() >= MIN_PROBED_REJECTION_RATE
             && self
                 .last_probe_at
@@ -181,14 +185,16 @@
         if exceeds_baseline && is_limited {
             return self.assume_limit(now, success_rate);
         }
-        if !is_limited && (exceeds_baseline || is_doubtful && success_rate >= MIN_PROBE_CALL_RATE) {
+        if !is_limited
+            && (exceeds_baseline || baseline_probe_due && success_rate >= MIN_PROBE_CALL_RATE)
+        {
             let probe = RateProbe {
                 is_halved: false,
                 started_at: now,
                 ends_at: now + MAX_PROBE_PHASE,
                 ..RateProbe::default()
             };
-            if is_doubtful && !exceeds_baseline {
+            if baseline_probe_due && !exceeds_baseline {
                 return self.start_halved_phase(
                     probe,
                     now,
@@ -240,13 +246,13 @@
             return RateAdvice::Keep;
         }
         if sent_at >= probe.started_at {
-            let success_ratio = ((1.0 - probe.rejection_rate_before)
+            let success_log_likelihood_ratio = ((1.0 - probe.rejection_rate_before)
                 / (1.0 - MAX_REJECTION_RATIO_AT_LIMIT * probe.rejection_rate_before))
                 .ln();
             probe.log_likelihood_ratio += if is_rejected {
                 -MAX_REJECTION_RATIO_AT_LIMIT.ln()
             } else {
-                success_ratio
+                success_log_likelihood_ratio
             };
         }
         if probe.log_likelihood_ratio >= PROBE_DECISION_THRESHOLD {
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -36,9 +36,9 @@
 pub(crate) enum Readiness {
     /// Not before something changes.
     Blocked,
-    /// At this time.
+    /// From this time on.
     NotBefore(Micros),
-    /// Now, in this queue.
+    /// Now; the message waits in this queue.
     Ready(QueueKey),
 }
 
@@ -85,7 +85,7 @@
 /// The schedule of all pending messages.
 #[derive(Debug, Default)]
 pub(crate) struct SendScheduler {
-    /// The entries follow all messages but those in `changed`.
+    /// All entries are up to date, except those of the messages in `changed`.
     pub is_current: bool,
     /// Messages whose entry must be updated.
     changed: BTreeSet<MessageId>,
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -220,7 +220,7 @@
 pub(crate) struct HealthScope {
     pub health: Health,
     /// Maximum number of concurrent calls.
-    pub window: f64,
+    pub concurrency_window: f64,
     /// When congestion last reduced the window.
     pub window_reduced_at: Micros,
     /// End of the latest Retry-After.
@@ -335,10 +335,10 @@
 
 impl HealthScope {
     /// A scope without any observations, with the given concurrency window and no rate limit.
-    pub(crate) fn new(window: f64) -> Self {
+    pub(crate) fn new(concurrency_window: f64) -> Self {
         let (rate_limit, tokens, succeeded_since_reduction) = (f64::INFINITY, f64::MAX, true);
         HealthScope {
-            window,
+            concurrency_window,
             rate_limit,
             tokens,
             succeeded_since_reduction,
@@ -435,7 +435,7 @@
     }
 }
 
-/// A bounded history of values, oldest first.
+/// A history of values, oldest first.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct Samples(VecDeque<Micros>);
 
