--- a/crates/platform/tests/server.rs
+++ b/crates/platform/tests/server.rs
@@ -394,12 +394,12 @@
         let (mut incomplete, last) = fixture.incomplete_request("m1").await;
         fixture.is_paused.set(true);
         incomplete.write(&last);
-        wait_until("the message_request is passed to the engine", || {
+        wait_until("the message is passed to the engine", || {
             fixture.accepted_ids.borrow().len() == 1
         })
         .await;
         let mut new_client = fixture.accepted_client().await;
-        new_client.write(&message("order", "m2", 7, 20_000, b"x"));
+        new_client.write(&message_request("order", "m2", 7, 20_000, b"x"));
         wait_until("the connection waits for a slot", || {
             fixture.server.waiting_slots.available_permits() == 0
         })
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -55,13 +55,13 @@
                 )
             }
             Action::Reject {
-                message_name,
+                message,
                 retry_after: wait,
             } => {
-                let message_name = self.message_name(*message_name);
+                let message_name = self.message_name(*message);
                 match wait {
-                    Some(wait) => writeln!(reply, "shed {id} {message} {}", Seconds(*wait)),
-                    None => writeln!(reply, "shed {id} {message} -"),
+                    Some(wait) => writeln!(reply, "shed {id} {message_name} {}", Seconds(*wait)),
+                    None => writeln!(reply, "shed {id} {message_name} -"),
                 }
             }
             Action::Fail(message) => {
