--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -2,8 +2,8 @@
 
 use crate::codes::Code;
 use crate::document::Document;
-use crate::neighbours::{LISTENERS, same_port};
-use crate::units::{size_text, time_text};
+use crate::neighbours::{LISTENERS, ports_overlap};
+use crate::units::{format_size, format_time};
 use std::collections::BTreeMap;
 
 /// Rest before a message is tried again, at first and at most: the decision module's.
@@ -13,7 +13,7 @@
 /// endpoints' file, outcomes, the store and its commands.
 const SOCKETS_REST: u64 = 34;
 /// Those of the operators' door, where it is open.
-pub const SOCKETS_OPERATORS: u64 = 14;
+pub const ADMIN_DESCRIPTORS: u64 = 14;
 /// Parts of the descriptors: clients get two fifths, and a tenth stays free.
 const CLIENT_PART: f64 = 0.4;
 const FREE_PART: f64 = 0.1;
@@ -33,13 +33,13 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Budget {
     /// What is shared out.
-    pub what: &'static str,
+    pub setting: &'static str,
     /// Its parts, with their sizes.
     pub parts: Vec<(&'static str, u64)>,
     /// What there is.
-    pub most: u64,
+    pub limit: u64,
     /// Bytes, not things.
-    pub bytes: bool,
+    pub is_bytes: bool,
 }
 
 impl Budget {
@@ -54,9 +54,9 @@
 
     /// In words.
     #[must_use]
-    pub fn words(&self) -> String {
+    pub fn description(&self) -> String {
         let text = |size: u64| {
-            if self.bytes {
+            if self.is_bytes {
                 mega(size)
             } else {
                 size.to_string()
@@ -71,7 +71,7 @@
             "{} = {} of {}",
             parts.join(" + "),
             text(self.sum()),
-            text(self.most)
+            text(self.limit)
         )
     }
 }
@@ -100,14 +100,14 @@
     };
     let outcomes = document.size(&["outcomes", "size"]);
     let operators = document
-        .given(&["listen", "operators"])
-        .map(|_| ("operators", SOCKETS_OPERATORS));
+        .explicit_value(&["listen", "operators"])
+        .map(|_| ("operators", ADMIN_DESCRIPTORS));
     let journal = held
         .saturating_mul(body.saturating_add(JOURNAL_MESSAGE))
         .saturating_mul(JOURNAL_FILES);
     [
         Budget {
-            what: "limits.sockets",
+            setting: "limits.sockets",
             parts: [
                 ("calls", calls),
                 ("application", clients),
@@ -117,11 +117,11 @@
             .into_iter()
             .chain(operators)
             .collect(),
-            most: sockets,
-            bytes: false,
+            limit: sockets,
+            is_bytes: false,
         },
         Budget {
-            what: "limits.memory",
+            setting: "limits.memory",
             parts: vec![
                 ("process", MEMORY_BASE),
                 (
@@ -134,18 +134,18 @@
                 ),
                 ("outcomes", outcomes / 2),
             ],
-            most: document.size(&["limits", "memory"]),
-            bytes: true,
+            limit: document.size(&["limits", "memory"]),
+            is_bytes: true,
         },
         Budget {
-            what: "limits.disk",
+            setting: "limits.disk",
             parts: vec![
                 ("journal", journal),
                 ("outcomes", outcomes.saturating_mul(2)),
                 ("undelivered", store.saturating_mul(STORE_SIZES)),
             ],
-            most: document.size(&["limits", "disk"]),
-            bytes: true,
+            limit: document.size(&["limits", "disk"]),
+            is_bytes: true,
         },
     ]
 }
@@ -162,9 +162,9 @@
             let [Some(first), Some(other)] = texts else {
                 continue;
             };
-            if same_port(&first, &other) {
+            if ports_overlap(&first, &other) {
                 let span = document.span(&["listen", later]);
-                document.add(Code::SamePort, span, label.into(), None);
+                document.add(Code::PortConflict, span, label.into(), None);
             }
         }
     }
@@ -175,25 +175,30 @@
 }
 
 fn resends(document: &mut Document) {
-    let classes = document.names("class");
+    let classes = document.table_names("class");
     let numbers: Vec<u64> = document
-        .names("destination")
+        .table_names("destination")
         .iter()
         .map(|name| document.count(&["destination", name, "id"]))
         .collect();
-    let file = document.given(&["endpoints", "file"]).is_some();
-    for rule in document.names("resend") {
+    let file = document.explicit_value(&["endpoints", "file"]).is_some();
+    for rule in document.table_names("resend") {
         let at = |field: &'static str| ["resend", rule.as_str(), field];
         if !document.flag(&["undelivered", "keep"]) {
             let help = Some("[undelivered]\nkeep = true".to_string());
             let label = "nothing is kept that it could send again".to_string();
-            document.add(Code::ResendUnused, document.span(&at("class")), label, help);
+            document.add(
+                Code::UnusedRedriveRule,
+                document.span(&at("class")),
+                label,
+                help,
+            );
         }
         if let Some(class) = document.text_of(&at("class")) {
             unknown_class(document, &at("class"), &class, &classes);
         }
         let number = document
-            .given(&at("destination"))
+            .explicit_value(&at("destination"))
             .map(|_| document.count(&at("destination")));
         if let Some(number) = number.filter(|number| !file && !numbers.contains(number)) {
             let label = format!("no destination has the number {number}");
@@ -223,7 +228,7 @@
 }
 
 fn classes(document: &mut Document) {
-    let names = document.names("class");
+    let names = document.table_names("class");
     if names.is_empty() {
         document.add(
             Code::NoClass,
@@ -249,21 +254,21 @@
         shortest = shortest.min(deadline);
         most_possible = most_possible.max(attempts_in(deadline, call));
         if aim > deadline {
-            let help = format!("aim = \"{}\" at most", time_text(deadline));
-            let label = format!("the deadline is {}", time_text(deadline));
+            let help = format!("aim = \"{}\" at most", format_time(deadline));
+            let label = format!("the deadline is {}", format_time(deadline));
             document.add(
-                Code::AimPastDeadline,
+                Code::ObjectiveAfterDeadline,
                 document.span(&at("aim")),
                 label,
                 Some(help),
             );
-        } else if aim == deadline && document.given(&at("late_worth")).is_some() {
+        } else if aim == deadline && document.explicit_value(&at("late_worth")).is_some() {
             let label = format!(
                 "nothing can be late: aim and deadline are {}",
-                time_text(aim)
+                format_time(aim)
             );
             document.add(
-                Code::LateWorthless,
+                Code::UnusedLateValue,
                 document.span(&at("late_worth")),
                 label,
                 None,
@@ -271,39 +276,46 @@
         }
         let worthless = document.time(&at("worthless_after"));
         if worthless > 0 && deadline > worthless {
-            let label = format!("worth nothing from {} on", time_text(worthless));
-            let help = format!("deadline = \"{}\"", time_text(worthless));
+            let label = format!("worth nothing from {} on", format_time(worthless));
+            let help = format!("deadline = \"{}\"", format_time(worthless));
             document.add(
-                Code::PastWorth,
+                Code::DeadlineAfterZeroValue,
                 document.span(&at("deadline")),
                 label,
                 Some(help),
             );
         }
         match effect.as_deref() {
-            Some("keyed") if document.given(&at("window")).is_none() => {
+            Some("keyed") if document.explicit_value(&at("window")).is_none() => {
                 let help =
                     Some("window = \"12s\"  # as long as destinations drop repeats".to_string());
                 let label = "it is keyed, and has no window".to_string();
-                document.add(Code::NoWindow, document.span(&at("effect")), label, help);
+                document.add(
+                    Code::MissingWindow,
+                    document.span(&at("effect")),
+                    label,
+                    help,
+                );
             }
             Some("keyed") if deadline > window && window > 0 => {
-                let label = format!("the window is {}", time_text(window));
+                let label = format!("the window is {}", format_time(window));
                 let help = format!(
                     "deadline = \"{}\" at most, or a longer window",
-                    time_text(window)
+                    format_time(window)
                 );
                 document.add(
-                    Code::WindowOutlasted,
+                    Code::DeadlineExceedsWindow,
                     document.span(&at("deadline")),
                     label,
                     Some(help),
                 );
             }
-            Some(effect @ ("repeatable" | "unsafe")) if document.given(&at("window")).is_some() => {
+            Some(effect @ ("repeatable" | "unsafe"))
+                if document.explicit_value(&at("window")).is_some() =>
+            {
                 let label = format!("the class is {effect}");
                 document.add(
-                    Code::WindowUnused,
+                    Code::UnusedWindow,
                     document.span(&at("window")),
                     label,
                     None,
@@ -321,13 +333,13 @@
             .or_else(|| document.span(&["class", &names[0], "effect"]));
         let help = Some("[retry]\ncopies = false".to_string());
         document.add(
-            Code::UnsafeCopies,
+            Code::HedgingUnsafeClasses,
             span,
             "every class is unsafe".into(),
             help,
         );
     }
-    if attempts > most_possible && document.given(&["retry", "attempts"]).is_some() {
+    if attempts > most_possible && document.explicit_value(&["retry", "attempts"]).is_some() {
         let label = format!("at most {most_possible} can start before the longest deadline");
         let span = document.span(&["retry", "attempts"]);
         document.add(
@@ -339,9 +351,9 @@
     }
     let dial = document.time(&["connections", "dial"]);
     if dial >= shortest {
-        let label = format!("the shortest deadline is {}", time_text(shortest));
+        let label = format!("the shortest deadline is {}", format_time(shortest));
         document.add(
-            Code::IdleConnections,
+            Code::ConnectTimeoutTooLong,
             document.span(&["connections", "dial"]),
             label,
             None,
@@ -361,8 +373,8 @@
 }
 
 fn destinations(document: &mut Document) {
-    let names = document.names("destination");
-    let file = document.given(&["endpoints", "file"]).is_some();
+    let names = document.table_names("destination");
+    let file = document.explicit_value(&["endpoints", "file"]).is_some();
     if names.is_empty() && !file {
         let help = Some("[destination.acme]\nid = 7\nendpoints = [\"127.0.0.1:9001\"]".to_string());
         document.add(
@@ -372,27 +384,27 @@
             help,
         );
     }
-    let classes = document.names("class");
+    let classes = document.table_names("class");
     let mut ids: BTreeMap<u64, String> = BTreeMap::new();
     let mut endpoints: BTreeMap<String, (String, std::ops::Range<usize>)> = BTreeMap::new();
     for name in &names {
         let at = |field: &'static str| ["destination", name.as_str(), field];
-        if document.given(&at("id")).is_some() {
+        if document.explicit_value(&at("id")).is_some() {
             let id = document.count(&at("id"));
             if let Some(other) = ids.insert(id, name.clone()) {
                 let first = document.span(&["destination", &other, "id"]);
-                let places = vec![
-                    document.place(document.span(&at("id")), "the same number"),
-                    document.place(first, format!("the number of `{other}`")),
+                let locations = vec![
+                    document.location(document.span(&at("id")), "the same number"),
+                    document.location(first, format!("the number of `{other}`")),
                 ];
                 document.findings.push(crate::finding::Finding {
-                    code: Code::SameId,
-                    places,
+                    code: Code::DuplicateDestinationId,
+                    locations,
                     help: None,
                 });
             }
         }
-        if document.given(&at("endpoints")).is_none() && !file {
+        if document.explicit_value(&at("endpoints")).is_none() && !file {
             let label = "nothing can be delivered here".to_string();
             let help = Some("endpoints = [\"127.0.0.1:9001\"]".to_string());
             document.add(
@@ -405,13 +417,13 @@
         let list: Vec<_> = document.list(&at("endpoints")).to_vec();
         for (address, span) in list {
             if let Some((other, first)) = endpoints.insert(address, (name.clone(), span.clone())) {
-                let places = vec![
-                    document.place(Some(span), "here again"),
-                    document.place(Some(first), format!("an endpoint of `{other}`")),
+                let locations = vec![
+                    document.location(Some(span), "here again"),
+                    document.location(Some(first), format!("an endpoint of `{other}`")),
                 ];
                 document.findings.push(crate::finding::Finding {
-                    code: Code::SameEndpoint,
-                    places,
+                    code: Code::DuplicateEndpoint,
+                    locations,
                     help: None,
                 });
             }
@@ -426,20 +438,20 @@
                 .text_of(&at("classes"))
                 .is_none_or(|only| only == *class);
             if kept > 0 && goes && window > kept {
-                let places = vec![
-                    document.place(
+                let locations = vec![
+                    document.location(
                         document.span(&["class", class, "window"]),
                         "longer than a destination remembers",
                     ),
-                    document.place(
+                    document.location(
                         document.span(&at("window")),
-                        format!("`{name}` drops repeats for {}", time_text(kept)),
+                        format!("`{name}` drops repeats for {}", format_time(kept)),
                     ),
                 ];
-                let help = Some(format!("window = \"{}\"", time_text(kept)));
+                let help = Some(format!("window = \"{}\"", format_time(kept)));
                 document.findings.push(crate::finding::Finding {
-                    code: Code::DestinationWindow,
-                    places,
+                    code: Code::WindowExceedsDestination,
+                    locations,
                     help,
                 });
             }
@@ -456,9 +468,9 @@
         document.count(&["limits", "calls"]),
         document.count(&["limits", "held"]),
     );
-    let names = document.names("destination");
+    let names = document.table_names("destination");
     let limits = names.iter().map(|name| {
-        let limit = document.given(&["destination", name, "limit"]);
+        let limit = document.explicit_value(&["destination", name, "limit"]);
         let share = document.number_of(&["destination", name, "share"]);
         limit.map(|_| document.number_of(&["destination", name, "limit"]) * share)
     });
@@ -477,13 +489,13 @@
     if calls < needed {
         let label = format!(
             "{rate} a second of {} each keep {needed} busy",
-            time_text(call)
+            format_time(call)
         );
         let span = document
             .span(&["limits", "calls"])
             .or_else(|| document.span(&["load", "rate"]));
         document.add(
-            Code::CallsTooFew,
+            Code::TooFewCalls,
             span,
             label,
             Some(format!("calls = {needed} or more")),
@@ -495,29 +507,29 @@
             .or_else(|| document.span(&["limits", "calls"]));
         let label = format!("{calls} calls and {held} held messages");
         document.add(
-            Code::HeldTooFew,
+            Code::PendingLimitTooLow,
             span,
             label,
             Some(format!("held = {calls} or more")),
         );
     }
     let codes = [
-        Code::SocketsTooFew,
-        Code::MemoryTooSmall,
-        Code::DiskTooSmall,
+        Code::DescriptorBudgetExceeded,
+        Code::MemoryBudgetExceeded,
+        Code::DiskBudgetExceeded,
     ];
     for (budget, code) in budgets(document).into_iter().zip(codes) {
-        if budget.sum() > budget.most {
-            let name = budget.what.rsplit('.').next().unwrap_or(budget.what);
-            let help = match budget.bytes {
+        if budget.sum() > budget.limit {
+            let name = budget.setting.rsplit('.').next().unwrap_or(budget.setting);
+            let help = match budget.is_bytes {
                 true => format!(
                     "{name} = \"{}\" or more",
-                    size_text(budget.sum().div_ceil(1_000_000) * 1_000_000)
+                    format_size(budget.sum().div_ceil(1_000_000) * 1_000_000)
                 ),
                 false => format!("{name} = {} or more, or fewer calls", budget.sum()),
             };
             let span = document.span(&["limits", name]);
-            document.add(code, span, budget.words(), Some(help));
+            document.add(code, span, budget.description(), Some(help));
         }
     }
 }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,9 +1,9 @@
-//! A file read against the table of settings: values with their places, and all that is wrong with each by itself.
+//! A file read against the table of settings: values with their locations, and all that is wrong with each by itself.
 
 use crate::codes::Code;
-use crate::fields::{Field, Kind, Table};
-use crate::finding::{Finding, Place};
-use crate::units::{UnitError, size, size_text, time, time_text};
+use crate::fields::{Field, Kind, SettingsTable};
+use crate::finding::{Finding, Location};
+use crate::units::{UnitError, format_size, format_time, parse_size, parse_time};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::Read;
 use std::ops::Range;
@@ -39,7 +39,7 @@
 
 /// A value and where it stands.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Found {
+pub struct SpannedValue {
     /// The value.
     pub value: Value,
     /// Its place in bytes.
@@ -53,8 +53,8 @@
     pub path: PathBuf,
     /// Its text.
     pub text: String,
-    settings: Table,
-    values: BTreeMap<String, Found>,
+    settings: SettingsTable,
+    values: BTreeMap<String, SpannedValue>,
     /// Tables by their path, with the places of their names.
     tables: BTreeMap<String, Range<usize>>,
     /// What is wrong so far.
@@ -67,7 +67,7 @@
 
 /// A path as people write it.
 #[must_use]
-pub fn shown(path: &str) -> String {
+pub fn display_path(path: &str) -> String {
     path.replace(SEPARATOR, ".")
 }
 
@@ -75,12 +75,12 @@
     /// Reads a sidecar's file.
     #[must_use]
     pub fn read(path: &Path) -> Self {
-        Document::read_by(path, Table::default())
+        Document::read_with(path, SettingsTable::default())
     }
 
     /// Reads a file with these settings.
     #[must_use]
-    pub fn read_by(path: &Path, settings: Table) -> Self {
+    pub fn read_with(path: &Path, settings: SettingsTable) -> Self {
         let mut document = Document {
             path: path.to_path_buf(),
             settings,
@@ -108,10 +108,10 @@
             return document;
         }
         match String::from_utf8(bytes) {
-            Ok(text) => Document::parse_by(path, text, settings),
+            Ok(text) => Document::parse_with(path, text, settings),
             Err(error) => {
                 let at = error.utf8_error().valid_up_to();
-                document.add(Code::NotText, None, format!("byte {at} is not UTF-8"), None);
+                document.add(Code::NotUtf8, None, format!("byte {at} is not UTF-8"), None);
                 document
             }
         }
@@ -120,12 +120,12 @@
     /// Reads the text of a sidecar's file. A byte order mark and lines that end in CRLF are as good as others.
     #[must_use]
     pub fn parse(path: &Path, text: String) -> Self {
-        Document::parse_by(path, text, Table::default())
+        Document::parse_with(path, text, SettingsTable::default())
     }
 
     /// Reads the text of a file with these settings.
     #[must_use]
-    pub fn parse_by(path: &Path, text: String, settings: Table) -> Self {
+    pub fn parse_with(path: &Path, text: String, settings: SettingsTable) -> Self {
         let mut document = Document {
             path: path.to_path_buf(),
             text,
@@ -136,7 +136,7 @@
         let (table, errors) = DeTable::parse_recoverable(&text);
         for error in errors.iter().take(FINDINGS_MOST) {
             let code = if error.message().contains("duplicate") {
-                Code::Twice
+                Code::Duplicate
             } else {
                 Code::Syntax
             };
@@ -158,18 +158,18 @@
         help: Option<String>,
     ) {
         if self.findings.len() < FINDINGS_MOST {
-            let place = self.place(span, label);
+            let place = self.location(span, label);
             self.findings.push(Finding {
                 code,
-                places: vec![place],
+                locations: vec![place],
                 help,
             });
         }
     }
 
     /// A place in this file.
-    pub fn place(&self, span: Option<Range<usize>>, label: impl Into<String>) -> Place {
-        Place {
+    pub fn location(&self, span: Option<Range<usize>>, label: impl Into<String>) -> Location {
+        Location {
             path: self.path.clone(),
             span,
             label: label.into(),
@@ -183,9 +183,9 @@
             let full = joined(&here);
             if let DeValue::Table(inner) = value.get_ref() {
                 if self.is_table(&here) {
-                    if here.len() == 2 && !is_name(name.get_ref()) {
+                    if here.len() == 2 && !is_valid_name(name.get_ref()) {
                         let label = "letters, digits, '-', '_' and '.' only".to_string();
-                        self.add(Code::BadName, Some(name.span()), label, None);
+                        self.add(Code::InvalidName, Some(name.span()), label, None);
                     }
                     self.tables.insert(full, name.span());
                     self.walk(inner, &here);
@@ -207,7 +207,7 @@
                         Code::WrongType,
                         Some(value.span()),
                         label,
-                        Some(format!("[{}]", shown(&full))),
+                        Some(format!("[{}]", display_path(&full))),
                     );
                 }
                 None => self.unknown(&here, name),
@@ -266,7 +266,10 @@
     }
 
     fn wrong(&mut self, field: &Field, value: &Spanned<DeValue<'_>>, found: &str) {
-        let label = format!("this is {found}, and {} is wanted", field.kind.words());
+        let label = format!(
+            "this is {found}, and {} is wanted",
+            field.kind.description()
+        );
         self.add(Code::WrongType, Some(value.span()), label, None);
     }
 
@@ -301,22 +304,22 @@
                 let number = text.replace('_', "").parse::<f64>().unwrap_or(f64::NAN);
                 self.number(&span, number, least, most)
             }
-            (Kind::Time(least, most), DeValue::String(text)) => match time(text) {
+            (Kind::Time(least, most), DeValue::String(text)) => match parse_time(text) {
                 Ok(micros) => self.bounded(
                     &span,
                     micros,
                     (least, most),
-                    |micros| format!("\"{}\"", time_text(micros)),
+                    |micros| format!("\"{}\"", format_time(micros)),
                     Value::Time,
                 ),
                 Err(error) => self.unit(&span, error, text, "ms, s, m or h", "\"5s\""),
             },
-            (Kind::Size(least, most), DeValue::String(text)) => match size(text) {
+            (Kind::Size(least, most), DeValue::String(text)) => match parse_size(text) {
                 Ok(bytes) => self.bounded(
                     &span,
                     bytes,
                     (least, most),
-                    |bytes| format!("\"{}\"", size_text(bytes)),
+                    |bytes| format!("\"{}\"", format_size(bytes)),
                     Value::Size,
                 ),
                 Err(error) => self.unit(&span, error, text, "KB, MB, KiB or MiB", "\"64KiB\""),
@@ -354,7 +357,7 @@
                 }
                 if items.is_empty() {
                     self.add(
-                        Code::Empty,
+                        Code::EmptyValue,
                         Some(span.clone()),
                         "an empty list".into(),
                         None,
@@ -369,7 +372,7 @@
                         if text.trim().is_empty() =>
                     {
                         self.add(
-                            Code::Empty,
+                            Code::EmptyValue,
                             Some(span.clone()),
                             "an empty text".into(),
                             None,
@@ -377,10 +380,10 @@
                         None
                     }
                     Kind::Text | Kind::Path => Some(Value::Text(text)),
-                    Kind::Name if is_name(&text) => Some(Value::Text(text)),
+                    Kind::Name if is_valid_name(&text) => Some(Value::Text(text)),
                     Kind::Name => {
                         let label = "letters, digits, '-', '_' and '.' only".to_string();
-                        self.add(Code::BadName, Some(span.clone()), label, None);
+                        self.add(Code::InvalidName, Some(span.clone()), label, None);
                         None
                     }
                     Kind::Address if is_address(&text) => Some(Value::Text(text)),
@@ -399,7 +402,7 @@
                             format!("did you mean \"{word}\"? Allowed: {}", words.join(", "))
                         });
                         self.add(
-                            Code::UnknownWord,
+                            Code::InvalidChoice,
                             Some(span.clone()),
                             "not one of the words".into(),
                             help,
@@ -418,7 +421,7 @@
             }
         };
         if let Some(value) = read {
-            self.values.insert(path, Found { value, span });
+            self.values.insert(path, SpannedValue { value, span });
         }
     }
 
@@ -478,7 +481,10 @@
         example: &str,
     ) -> Option<Value> {
         let (code, label) = match error {
-            UnitError::NoUnit => (Code::NoUnit, format!("{text} of what? Units are {units}")),
+            UnitError::NoUnit => (
+                Code::MissingUnit,
+                format!("{text} of what? Units are {units}"),
+            ),
             UnitError::UnknownUnit => (Code::UnknownUnit, format!("units are {units}")),
             UnitError::NoNumber => (
                 Code::NotANumber,
@@ -498,7 +504,7 @@
     fn address(&mut self, span: Range<usize>) {
         let label = "a host or IP address, a colon and a port from 1 to 65535".to_string();
         self.add(
-            Code::BadAddress,
+            Code::InvalidAddress,
             Some(span),
             label,
             Some("such as \"127.0.0.1:7001\"".into()),
@@ -524,7 +530,12 @@
                             if !self.values.contains_key(&full) && !self.tried(&full) {
                                 let label = format!("`{name}` is missing here");
                                 let help = format!("{name} = ...  # {}", field.doc);
-                                self.add(Code::Missing, Some(span.clone()), label, Some(help));
+                                self.add(
+                                    Code::MissingSetting,
+                                    Some(span.clone()),
+                                    label,
+                                    Some(help),
+                                );
                             }
                         }
                     }
@@ -538,7 +549,7 @@
                             .cloned();
                         let label = format!("`{}` is missing", field.path);
                         let help = format!("{}: {}", field.path, field.doc);
-                        self.add(Code::Missing, span, label, Some(help));
+                        self.add(Code::MissingSetting, span, label, Some(help));
                     }
                 }
             }
@@ -550,7 +561,7 @@
         let name = path.rsplit(SEPARATOR).next().unwrap_or(path);
         self.findings
             .iter()
-            .flat_map(|finding| &finding.places)
+            .flat_map(|finding| &finding.locations)
             .any(|place| {
                 let line = place.span.as_ref().map(|span| {
                     let start = self.text[..span.start.min(self.text.len())]
@@ -564,14 +575,14 @@
 
     /// A value that the file gives.
     #[must_use]
-    pub fn given(&self, path: &[&str]) -> Option<&Found> {
+    pub fn explicit_value(&self, path: &[&str]) -> Option<&SpannedValue> {
         self.values.get(&joined(path))
     }
 
     /// Where a value stands, or the name of its table, or nothing.
     #[must_use]
     pub fn span(&self, path: &[&str]) -> Option<Range<usize>> {
-        let given = self.given(path).map(|found| found.span.clone());
+        let given = self.explicit_value(path).map(|found| found.span.clone());
         given.or_else(|| {
             (1..path.len())
                 .rev()
@@ -581,7 +592,7 @@
 
     /// Names of the tables below a group, such as the classes, in alphabetical order.
     #[must_use]
-    pub fn names(&self, group: &str) -> Vec<String> {
+    pub fn table_names(&self, group: &str) -> Vec<String> {
         let below = |path: &String| {
             let mut parts = path.split(SEPARATOR);
             match (parts.next(), parts.next(), parts.next()) {
@@ -595,7 +606,7 @@
     /// A value in force: the file's, or the default; none where there is neither.
     #[must_use]
     pub fn value(&self, path: &[&str]) -> Option<Value> {
-        if let Some(found) = self.given(path) {
+        if let Some(found) = self.explicit_value(path) {
             return Some(found.value.clone());
         }
         let field = self
@@ -604,8 +615,8 @@
             .filter(|field| !field.default.is_empty())?;
         let text = field.default.trim_matches('"');
         Some(match field.kind {
-            Kind::Time(..) => Value::Time(time(text).ok()?),
-            Kind::Size(..) => Value::Size(size(text).ok()?),
+            Kind::Time(..) => Value::Time(parse_time(text).ok()?),
+            Kind::Size(..) => Value::Size(parse_size(text).ok()?),
             Kind::Count(..) => Value::Count(text.parse().ok()?),
             Kind::Number(..) => Value::Number(text.parse().ok()?),
             Kind::Flag => Value::Flag(text == "true"),
@@ -679,8 +690,8 @@
     /// A list that the file gives.
     #[must_use]
     pub fn list(&self, path: &[&str]) -> &[(String, Range<usize>)] {
-        match self.given(path) {
-            Some(Found {
+        match self.explicit_value(path) {
+            Some(SpannedValue {
                 value: Value::List(list),
                 ..
             }) => list,
@@ -699,7 +710,7 @@
 
 /// True for names that can stand in paths and headers.
 #[must_use]
-pub fn is_name(text: &str) -> bool {
+pub fn is_valid_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     (1..=64).contains(&text.len()) && text.chars().all(allowed) && !text.starts_with('.')
 }
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -30,7 +30,7 @@
 impl Kind {
     /// The kind in words, for people.
     #[must_use]
-    pub fn words(self) -> String {
+    pub fn description(self) -> String {
         match self {
             Kind::Text => "a text".to_string(),
             Kind::Name => "a name of letters, digits, '-', '_' and '.'".to_string(),
@@ -42,15 +42,15 @@
             Kind::Time(least, most) => {
                 format!(
                     "a time from {} to {}",
-                    crate::units::time_text(least),
-                    crate::units::time_text(most)
+                    crate::units::format_time(least),
+                    crate::units::format_time(most)
                 )
             }
             Kind::Size(least, most) => {
                 format!(
                     "a size from {} to {}",
-                    crate::units::size_text(least),
-                    crate::units::size_text(most)
+                    crate::units::format_size(least),
+                    crate::units::format_size(most)
                 )
             }
             Kind::Count(least, most) => format!("a whole number from {least} to {most}"),
@@ -446,16 +446,16 @@
 
 /// The settings that a kind of file may have.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Table(pub &'static [Field]);
+pub struct SettingsTable(pub &'static [Field]);
 
-impl Default for Table {
+impl Default for SettingsTable {
     /// A sidecar's.
     fn default() -> Self {
-        Table(FIELDS)
+        SettingsTable(FIELDS)
     }
 }
 
-impl Table {
+impl SettingsTable {
     /// The field of a path as a file writes it, with `*` in place of the names that files give.
     #[must_use]
     pub fn find(self, path: &str) -> Option<&'static Field> {
--- a/crates/config/src/finding.rs
+++ b/crates/config/src/finding.rs
@@ -7,7 +7,7 @@
 
 /// A place in a file, in bytes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// Which file.
     pub path: PathBuf,
     /// The very text that it is about; none: the file as a whole.
@@ -22,22 +22,23 @@
     /// What kind of thing.
     pub code: Code,
     /// Where, the main place first.
-    pub places: Vec<Place>,
+    pub locations: Vec<Location>,
     /// What to write instead.
     pub help: Option<String>,
 }
 
 /// A finding for programs: positions as lines and columns from 1, columns in characters.
 #[derive(Debug, Serialize)]
-pub struct Plain {
+pub struct JsonFinding {
     code: &'static str,
     title: &'static str,
-    places: Vec<PlainPlace>,
+    #[serde(rename = "places")]
+    locations: Vec<JsonLocation>,
     help: Option<String>,
 }
 
 #[derive(Debug, Serialize)]
-struct PlainPlace {
+struct JsonLocation {
     file: String,
     line: Option<usize>,
     column: Option<usize>,
@@ -62,26 +63,26 @@
 
 impl Finding {
     /// For programs. `text_of` gives the text of a file.
-    pub fn plain(&self, text_of: impl Fn(&PathBuf) -> Option<String>) -> Plain {
-        let place = |place: &Place| {
-            let text = text_of(&place.path).unwrap_or_default();
-            let span = place.span.clone();
+    pub fn to_json_form(&self, text_of: impl Fn(&PathBuf) -> Option<String>) -> JsonFinding {
+        let location = |location: &Location| {
+            let text = text_of(&location.path).unwrap_or_default();
+            let span = location.span.clone();
             let from = span.as_ref().map(|span| position(&text, span.start));
             let to = span.as_ref().map(|span| position(&text, span.end));
-            PlainPlace {
-                file: place.path.display().to_string(),
+            JsonLocation {
+                file: location.path.display().to_string(),
                 line: from.map(|from| from.0),
                 column: from.map(|from| from.1),
                 end_line: to.map(|to| to.0),
                 end_column: to.map(|to| to.1),
                 text: span.and_then(|span| text.get(span).map(str::to_string)),
-                label: place.label.clone(),
+                label: location.label.clone(),
             }
         };
-        Plain {
+        JsonFinding {
             code: self.code.text(),
             title: self.code.title(),
-            places: self.places.iter().map(place).collect(),
+            locations: self.locations.iter().map(location).collect(),
             help: self.help.clone(),
         }
     }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -59,7 +59,7 @@
 }
 
 /// The text of a file among those read.
-pub fn text_of(documents: &[Document]) -> impl Fn(&PathBuf) -> Option<String> + '_ {
+pub fn text_by_path(documents: &[Document]) -> impl Fn(&PathBuf) -> Option<String> + '_ {
     |path| {
         documents
             .iter()
--- a/crates/config/src/neighbours.rs
+++ b/crates/config/src/neighbours.rs
@@ -3,7 +3,7 @@
 use crate::codes::Code;
 use crate::document::{Document, host_and_port};
 use crate::finding::Finding;
-use crate::units::time_text;
+use crate::units::format_time;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, ToSocketAddrs};
 use std::path::{Component, Path, PathBuf};
@@ -13,7 +13,7 @@
 
 /// True if two listeners can't both be had.
 #[must_use]
-pub fn same_port(left: &str, right: &str) -> bool {
+pub fn ports_overlap(left: &str, right: &str) -> bool {
     match (host_and_port(left), host_and_port(right)) {
         (Some((left_host, left_port)), Some((right_host, right_port))) => {
             left_port == right_port && overlap(left_host, right_host)
@@ -69,12 +69,12 @@
 
 /// Where a path leads: links followed as far as it exists, the rest by its words.
 #[must_use]
-pub fn real(path: &Path) -> PathBuf {
+pub fn resolve_links(path: &Path) -> PathBuf {
     if let Ok(real) = path.canonicalize() {
         return real;
     }
     match (path.parent(), path.file_name()) {
-        (Some(parent), Some(name)) if parent != Path::new("") => real(parent).join(name),
+        (Some(parent), Some(name)) if parent != Path::new("") => resolve_links(parent).join(name),
         _ => {
             let mut plain = std::env::current_dir().unwrap_or_default();
             for part in path.components() {
@@ -99,36 +99,36 @@
         let (Some(right), Some(left)) = (after.text_of(&path), before.text_of(&other)) else {
             continue;
         };
-        if same_port(&left, &right) {
+        if ports_overlap(&left, &right) {
             let here = if left == right {
                 "the same port".to_string()
             } else {
                 format!("the same port as {left}")
             };
-            let places = vec![
-                after.place(after.span(&path), here),
-                before.place(before.span(&other), "claimed first here"),
+            let locations = vec![
+                after.location(after.span(&path), here),
+                before.location(before.span(&other), "claimed first here"),
             ];
             findings.push(Finding {
-                code: Code::SamePort,
-                places,
+                code: Code::PortConflict,
+                locations,
                 help: None,
             });
         }
     }
     let mut add = |code, path: &[&str], here: String, there: String| {
-        let places = vec![
-            after.place(after.span(path), here),
-            before.place(before.span(path), there),
+        let locations = vec![
+            after.location(after.span(path), here),
+            before.location(before.span(path), there),
         ];
         findings.push(Finding {
             code,
-            places,
+            locations,
             help: None,
         });
     };
     if let (Some(left), Some(right)) = (before.path_of(&["state"]), after.path_of(&["state"]))
-        && real(&left) == real(&right)
+        && resolve_links(&left) == resolve_links(&right)
     {
         let written = |document: &Document| document.text_of(&["state"]).unwrap_or_default();
         let here = match written(before) == written(after) {
@@ -136,7 +136,7 @@
             false => format!("the same folder as {}", written(before)),
         };
         add(
-            Code::SameState,
+            Code::SharedStateFolder,
             &["state"],
             here,
             "claimed first here".into(),
@@ -145,15 +145,15 @@
     let name = |document: &Document| document.text_of(&["name"]);
     if name(before).is_some() && name(before) == name(after) {
         add(
-            Code::SameName,
+            Code::DuplicateName,
             &["name"],
             "the same name".into(),
             "given first here".into(),
         );
     }
-    let classes: Vec<String> = after.names("class");
+    let classes: Vec<String> = after.table_names("class");
     for class in before
-        .names("class")
+        .table_names("class")
         .iter()
         .filter(|class| classes.contains(class))
     {
@@ -173,17 +173,17 @@
             ["destination", &right, "window"],
             ["destination", &left, "window"],
         );
-        if before.given(&there).is_some()
-            && after.given(&at).is_some()
+        if before.explicit_value(&there).is_some()
+            && after.explicit_value(&at).is_some()
             && before.time(&there) != after.time(&at)
         {
-            let places = vec![
-                after.place(after.span(&at), time_text(after.time(&at))),
-                before.place(before.span(&there), time_text(before.time(&there))),
+            let locations = vec![
+                after.location(after.span(&at), format_time(after.time(&at))),
+                before.location(before.span(&there), format_time(before.time(&there))),
             ];
             findings.push(Finding {
                 code: Code::WindowsDiffer,
-                places,
+                locations,
                 help: None,
             });
         }
@@ -192,17 +192,17 @@
             ["destination", &left, "limit"],
         );
         let (limit, other) = (after.number_of(&at), before.number_of(&there));
-        if before.given(&there).is_some()
-            && after.given(&at).is_some()
+        if before.explicit_value(&there).is_some()
+            && after.explicit_value(&at).is_some()
             && (limit - other).abs() > 1e-9
         {
-            let places = vec![
-                after.place(after.span(&at), format!("{limit} a second")),
-                before.place(before.span(&there), format!("{other} a second")),
+            let locations = vec![
+                after.location(after.span(&at), format!("{limit} a second")),
+                before.location(before.span(&there), format!("{other} a second")),
             ];
             findings.push(Finding {
                 code: Code::LimitsDiffer,
-                places,
+                locations,
                 help: None,
             });
         }
@@ -219,13 +219,13 @@
         if !here.is_empty() && !other.is_empty() && here != other {
             let differ: Vec<&String> = here.symmetric_difference(&other).take(3).collect();
             let label = differ.into_iter().cloned().collect::<Vec<_>>().join(", ");
-            let places = vec![
-                after.place(after.span(&at), format!("in one list only: {label}")),
-                before.place(before.span(&there), "the other list"),
+            let locations = vec![
+                after.location(after.span(&at), format!("in one list only: {label}")),
+                before.location(before.span(&there), "the other list"),
             ];
             findings.push(Finding {
-                code: Code::AddressesDiffer,
-                places,
+                code: Code::EndpointsDiffer,
+                locations,
                 help: None,
             });
         }
@@ -233,7 +233,7 @@
     let stated = |document: &Document| {
         let given = |name: &'static str| {
             document
-                .given(&["machine", name])
+                .explicit_value(&["machine", name])
                 .map(|found| found.value.clone())
         };
         ["memory", "sockets", "cores"].map(given)
@@ -245,13 +245,13 @@
     {
         if left.is_some() && right.is_some() && left != right {
             let path = ["machine", name];
-            let places = vec![
-                after.place(after.span(&path), "another machine"),
-                before.place(before.span(&path), "than this one"),
+            let locations = vec![
+                after.location(after.span(&path), "another machine"),
+                before.location(before.span(&path), "than this one"),
             ];
             findings.push(Finding {
                 code: Code::MachineDiffers,
-                places,
+                locations,
                 help: None,
             });
         }
@@ -264,12 +264,12 @@
     let ids = |document: &Document| {
         let with_id = |name: String| {
             let id = document
-                .given(&["destination", &name, "id"])
+                .explicit_value(&["destination", &name, "id"])
                 .map(|_| document.count(&["destination", &name, "id"]))?;
             Some((id, name))
         };
         document
-            .names("destination")
+            .table_names("destination")
             .into_iter()
             .filter_map(with_id)
             .collect::<BTreeMap<u64, String>>()
@@ -284,8 +284,11 @@
 fn shares(documents: &mut [Document]) {
     let mut sums: BTreeMap<u64, (f64, Vec<(usize, String)>)> = BTreeMap::new();
     for (index, document) in documents.iter().enumerate() {
-        for name in document.names("destination") {
-            if document.given(&["destination", &name, "limit"]).is_some() {
+        for name in document.table_names("destination") {
+            if document
+                .explicit_value(&["destination", &name, "limit"])
+                .is_some()
+            {
                 let id = document.count(&["destination", &name, "id"]);
                 let entry = sums.entry(id).or_default();
                 entry.0 += document.number_of(&["destination", &name, "share"]);
@@ -297,13 +300,13 @@
         .into_values()
         .filter(|(sum, users)| *sum > 1.0 + 1e-9 && users.len() > 1)
     {
-        let places: Vec<_> = users
+        let locations: Vec<_> = users
             .iter()
             .rev()
             .map(|(index, name)| {
                 let document = &documents[*index];
                 let share = document.number_of(&["destination", name, "share"]);
-                document.place(
+                document.location(
                     document.span(&["destination", name, "share"]),
                     format!("a share of {share}"),
                 )
@@ -314,8 +317,8 @@
         ));
         if let Some((last, _)) = users.last() {
             documents[*last].findings.push(Finding {
-                code: Code::ShareOver,
-                places,
+                code: Code::SharesExceedLimit,
+                locations,
                 help,
             });
         }
@@ -331,9 +334,9 @@
         }
     };
     for (name, code) in [
-        ("memory", Code::MachineMemory),
-        ("sockets", Code::MachineSockets),
-        ("cores", Code::MachineCores),
+        ("memory", Code::MachineMemoryExceeded),
+        ("sockets", Code::MachineDescriptorsExceeded),
+        ("cores", Code::MachineCoresExceeded),
     ] {
         let of = |document: &Document, group: &'static str| match name {
             "memory" => document.size(&[group, name]) as f64,
@@ -350,10 +353,10 @@
             .sum();
         if most > 0.0 && sum > most + 1e-9 {
             let bytes = name == "memory";
-            let places: Vec<_> = documents
+            let locations: Vec<_> = documents
                 .iter()
                 .map(|document| {
-                    document.place(
+                    document.location(
                         document.span(&["limits", name]),
                         text(of(document, "limits"), bytes),
                     )
@@ -365,7 +368,11 @@
                 text(most, bytes)
             ));
             if let Some(last) = documents.last_mut() {
-                last.findings.push(Finding { code, places, help });
+                last.findings.push(Finding {
+                    code,
+                    locations,
+                    help,
+                });
             }
         }
     }
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -67,13 +67,13 @@
 }
 
 /// Draws a finding. `text_of` gives the text of a file, and `color` asks for colours.
-pub fn draw(
+pub fn to_text(
     finding: &Finding,
     text_of: impl Fn(&PathBuf) -> Option<String>,
     color: bool,
 ) -> String {
     let mut drawn: Vec<Drawn> = Vec::new();
-    for place in &finding.places {
+    for place in &finding.locations {
         let name = place.path.display().to_string();
         let text = text_of(&place.path).unwrap_or_default();
         let label = place.span.as_ref().map(|span| {
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -22,7 +22,7 @@
         Kind::Flag => json!({ "type": "boolean" }),
         Kind::Choice(words) => json!({ "enum": words }),
     };
-    schema["description"] = format!("{} ({})", field.doc, field.kind.words()).into();
+    schema["description"] = format!("{} ({})", field.doc, field.kind.description()).into();
     if !field.default.is_empty() {
         // defaults stand as a file writes them; those of numbers and flags are JSON too
         schema["default"] = serde_json::from_str(field.default)
@@ -105,7 +105,7 @@
         };
         text.push_str(&format!(
             "| `{name}` | {} | {default} | {} |\n",
-            field.kind.words(),
+            field.kind.description(),
             field.doc
         ));
     }
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -50,7 +50,7 @@
 ///
 /// # Errors
 /// Says what is wrong with the text.
-pub fn time(text: &str) -> Result<i64, UnitError> {
+pub fn parse_time(text: &str) -> Result<i64, UnitError> {
     let (number, unit) = split(text)?;
     let (_, size) = TIMES
         .iter()
@@ -68,7 +68,7 @@
 ///
 /// # Errors
 /// Says what is wrong with the text.
-pub fn size(text: &str) -> Result<u64, UnitError> {
+pub fn parse_size(text: &str) -> Result<u64, UnitError> {
     let (number, unit) = split(text)?;
     let (_, size) = SIZES
         .iter()
@@ -84,7 +84,7 @@
 
 /// A time as files write it.
 #[must_use]
-pub fn time_text(micros: i64) -> String {
+pub fn format_time(micros: i64) -> String {
     let (name, size) = TIMES
         .iter()
         .rev()
@@ -95,7 +95,7 @@
 
 /// A size as files write it.
 #[must_use]
-pub fn size_text(bytes: u64) -> String {
+pub fn format_size(bytes: u64) -> String {
     for (name, size) in [("GB", 1_000_000_000), ("MB", 1_000_000), ("KB", 1_000)] {
         if bytes >= size && bytes.is_multiple_of(size) {
             return format!("{}{name}", bytes / size);
@@ -111,35 +111,41 @@
     #[test]
     fn units_are_read_and_written() {
         assert_eq!(
-            (time("4s"), time("1.5h"), time("250 ms")),
+            (parse_time("4s"), parse_time("1.5h"), parse_time("250 ms")),
             (Ok(4_000_000), Ok(5_400_000_000), Ok(250_000))
         );
         assert_eq!(
-            (size("64KiB"), size("3MB"), size("7B")),
+            (parse_size("64KiB"), parse_size("3MB"), parse_size("7B")),
             (Ok(65_536), Ok(3_000_000), Ok(7))
         );
         for text in ["4s", "90s", "2m", "1d", "1500us"] {
             assert_eq!(
-                time(&time_text(time(text).expect("a time"))),
-                time(text),
+                parse_time(&format_time(parse_time(text).expect("a time"))),
+                parse_time(text),
                 "{text}"
             );
         }
         assert_eq!(
-            (size_text(3_000_000), size_text(65_536)),
+            (format_size(3_000_000), format_size(65_536)),
             ("3MB".into(), "65536B".into())
         );
     }
 
     #[test]
     fn what_is_wrong_is_told() {
-        assert_eq!(time("4"), Err(UnitError::NoUnit));
-        assert_eq!(time("4 parsecs"), Err(UnitError::UnknownUnit));
-        assert_eq!(time("s"), Err(UnitError::NoNumber));
-        assert_eq!(time("-4s"), Err(UnitError::NoNumber));
-        assert_eq!(time("1.2.3s"), Err(UnitError::NoNumber));
-        assert_eq!(time("99999999999999999999d"), Err(UnitError::Overflow));
-        assert_eq!(size("99999999999999999999GB"), Err(UnitError::Overflow));
-        assert_eq!(size("4mb"), Err(UnitError::UnknownUnit));
+        assert_eq!(parse_time("4"), Err(UnitError::NoUnit));
+        assert_eq!(parse_time("4 parsecs"), Err(UnitError::UnknownUnit));
+        assert_eq!(parse_time("s"), Err(UnitError::NoNumber));
+        assert_eq!(parse_time("-4s"), Err(UnitError::NoNumber));
+        assert_eq!(parse_time("1.2.3s"), Err(UnitError::NoNumber));
+        assert_eq!(
+            parse_time("99999999999999999999d"),
+            Err(UnitError::Overflow)
+        );
+        assert_eq!(
+            parse_size("99999999999999999999GB"),
+            Err(UnitError::Overflow)
+        );
+        assert_eq!(parse_size("4mb"), Err(UnitError::UnknownUnit));
     }
 }
--- a/crates/config/tests/broken.rs
+++ b/crates/config/tests/broken.rs
@@ -3,7 +3,7 @@
 
 use milletturn_config::codes::Code;
 use milletturn_config::document::Document;
-use milletturn_config::{check_documents, findings, render, text_of};
+use milletturn_config::{check_documents, findings, render, text_by_path};
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 
@@ -30,7 +30,7 @@
             ("keep = true", "keep = false"),
             ("[undelivered]", "[resend.all]\nmost = 2\n[undelivered]"),
         ],
-        Code::ResendUnused,
+        Code::UnusedRedriveRule,
         "all",
     ),
     (
@@ -66,13 +66,13 @@
     (
         "twice-setting",
         &[("sockets = 256", "sockets = 256\nsockets = 512")],
-        Code::Twice,
+        Code::Duplicate,
         "sockets",
     ),
     (
         "twice-table",
         &[("[load]", "[limits]\n[load]")],
-        Code::Twice,
+        Code::Duplicate,
         "",
     ),
     (
@@ -180,17 +180,22 @@
         Code::WrongType,
         "\"ten\"",
     ),
-    ("unit-none-integer", &[("\"4s\"", "4")], Code::NoUnit, "4"),
+    (
+        "unit-none-integer",
+        &[("\"4s\"", "4")],
+        Code::MissingUnit,
+        "4",
+    ),
     (
         "unit-none-text",
         &[("\"4s\"", "\"4\"")],
-        Code::NoUnit,
+        Code::MissingUnit,
         "\"4\"",
     ),
     (
         "unit-none-size",
         &[("\"64MB\"", "64000000")],
-        Code::NoUnit,
+        Code::MissingUnit,
         "64000000",
     ),
     (
@@ -301,85 +306,85 @@
     (
         "word-effect",
         &[("\"keyed\"", "\"keyd\"")],
-        Code::UnknownWord,
+        Code::InvalidChoice,
         "\"keyd\"",
     ),
     (
         "word-effect-other",
         &[("\"keyed\"", "\"at_most_once\"")],
-        Code::UnknownWord,
+        Code::InvalidChoice,
         "\"at_most_once\"",
     ),
     (
         "name-space",
         &[("\"billing\"", "\"our billing\"")],
-        Code::BadName,
+        Code::InvalidName,
         "\"our billing\"",
     ),
     (
         "name-slash",
         &[("\"billing\"", "\"a/b\"")],
-        Code::BadName,
+        Code::InvalidName,
         "\"a/b\"",
     ),
     (
         "name-class",
         &[("[class.notice]", "[class.\"a notice\"]")],
-        Code::BadName,
+        Code::InvalidName,
         "\"a notice\"",
     ),
     (
         "name-destination",
         &[("[destination.lab]", "[destination.\"l\u{e4}b\"]")],
-        Code::BadName,
+        Code::InvalidName,
         "\"l\u{e4}b\"",
     ),
     (
         "address-no-port",
         &[("\"127.0.0.1:7003\"", "\"127.0.0.1\"")],
-        Code::BadAddress,
+        Code::InvalidAddress,
         "\"127.0.0.1\"",
     ),
     (
         "address-port-zero",
         &[("\"127.0.0.1:7003\"", "\"127.0.0.1:0\"")],
-        Code::BadAddress,
+        Code::InvalidAddress,
         "\"127.0.0.1:0\"",
     ),
     (
         "address-port-large",
         &[("\"127.0.0.1:7003\"", "\"127.0.0.1:70030\"")],
-        Code::BadAddress,
+        Code::InvalidAddress,
         "\"127.0.0.1:70030\"",
     ),
     (
         "address-number",
         &[("\"127.0.0.1:7003\"", "\"127.0.0.256:7003\"")],
-        Code::BadAddress,
+        Code::InvalidAddress,
         "\"127.0.0.256:7003\"",
     ),
     (
         "address-url",
         &[("\"127.0.0.1:9003\"", "\"http://127.0.0.1:9003\"")],
-        Code::BadAddress,
+        Code::InvalidAddress,
         "\"http://127.0.0.1:9003\"",
     ),
     (
         "address-v6-bare",
         &[("\"127.0.0.1:7003\"", "\"::1:7003\"")],
-        Code::BadAddress,
+        Code::InvalidAddress,
         "\"::1:7003\"",
     ),
     (
         "missing-name",
         &[("name = \"billing\"\n", "")],
-        Code::Missing,
+        Code::MissingSetting,
         "",
     ),
     (
         "missing-state",
         &[("state = \"billing.state\"\n", "")],
-        Code::Missing,
+        Code::MissingSetting,
         "",
     ),
     (
@@ -388,32 +393,37 @@
             "[listen]\nhttp = \"127.0.0.1:7003\"\noutcomes = \"127.0.0.1:7103\"\n",
             "",
         )],
-        Code::Missing,
+        Code::MissingSetting,
         "",
     ),
     (
         "missing-effect",
         &[("effect = \"keyed\"\n", "")],
-        Code::Missing,
+        Code::MissingSetting,
         "notice",
     ),
-    ("missing-id", &[("id = 9\n", "")], Code::Missing, "lab"),
+    (
+        "missing-id",
+        &[("id = 9\n", "")],
+        Code::MissingSetting,
+        "lab",
+    ),
     (
         "empty-name",
         &[("\"billing\"", "\"\"")],
-        Code::Empty,
+        Code::EmptyValue,
         "\"\"",
     ),
     (
         "empty-endpoints",
         &[("[\"127.0.0.1:9003\"]", "[]")],
-        Code::Empty,
+        Code::EmptyValue,
         "[]",
     ),
     (
         "empty-state",
         &[("\"billing.state\"", "\" \"")],
-        Code::Empty,
+        Code::EmptyValue,
         "\" \"",
     ),
     (
@@ -440,17 +450,22 @@
         Code::NoEndpoint,
         "lab",
     ),
-    ("same-id", &[("id = 9", "id = 7")], Code::SameId, "7"),
+    (
+        "same-id",
+        &[("id = 9", "id = 7")],
+        Code::DuplicateDestinationId,
+        "7",
+    ),
     (
         "same-endpoint",
         &[("127.0.0.1:9003", "127.0.0.1:9002")],
-        Code::SameEndpoint,
+        Code::DuplicateEndpoint,
         "\"127.0.0.1:9002\"",
     ),
     (
         "same-endpoint-twice",
         &[("127.0.0.1:9002", "127.0.0.1:9001")],
-        Code::SameEndpoint,
+        Code::DuplicateEndpoint,
         "\"127.0.0.1:9001\"",
     ),
     (
@@ -462,37 +477,37 @@
     (
         "aim-past-deadline",
         &[("aim = \"4s\"", "aim = \"13s\"")],
-        Code::AimPastDeadline,
+        Code::ObjectiveAfterDeadline,
         "\"13s\"",
     ),
     (
         "past-worth",
         &[("aim = \"4s\"", "aim = \"4s\"\nworthless_after = \"10s\"")],
-        Code::PastWorth,
+        Code::DeadlineAfterZeroValue,
         "\"12s\"",
     ),
     (
         "window-none",
         &[("effect = \"keyed\"\nwindow = \"12s\"", "effect = \"keyed\"")],
-        Code::NoWindow,
+        Code::MissingWindow,
         "\"keyed\"",
     ),
     (
         "window-unused",
         &[("\"keyed\"", "\"repeatable\"")],
-        Code::WindowUnused,
+        Code::UnusedWindow,
         "\"12s\"",
     ),
     (
         "unsafe-copies",
         &[("\"keyed\"\nwindow = \"12s\"", "\"unsafe\"")],
-        Code::UnsafeCopies,
+        Code::HedgingUnsafeClasses,
         "\"unsafe\"",
     ),
     (
         "window-outlasted",
         &[("deadline = \"12s\"", "deadline = \"20s\"")],
-        Code::WindowOutlasted,
+        Code::DeadlineExceedsWindow,
         "\"20s\"",
     ),
     (
@@ -504,7 +519,7 @@
     (
         "late-worthless",
         &[("aim = \"4s\"", "aim = \"12s\"\nlate_worth = 0.5")],
-        Code::LateWorthless,
+        Code::UnusedLateValue,
         "0.5",
     ),
     (
@@ -513,13 +528,13 @@
             "share = 0.4\nwindow = \"12s\"",
             "share = 0.4\nwindow = \"5s\"",
         )],
-        Code::DestinationWindow,
+        Code::WindowExceedsDestination,
         "\"12s\"",
     ),
     (
         "own-port",
         &[("127.0.0.1:7103", "0.0.0.0:7003")],
-        Code::SamePort,
+        Code::PortConflict,
         "\"0.0.0.0:7003\"",
     ),
     (
@@ -528,7 +543,7 @@
             "127.0.0.1:7103\"",
             "127.0.0.1:7103\"\noperators = \"[::]:7103\"",
         )],
-        Code::SamePort,
+        Code::PortConflict,
         "\"[::]:7103\"",
     ),
     (
@@ -540,37 +555,37 @@
     (
         "calls-few",
         &[("sockets = 256", "sockets = 256\ncalls = 2")],
-        Code::CallsTooFew,
+        Code::TooFewCalls,
         "2",
     ),
     (
         "held-few",
         &[("sockets = 256", "sockets = 256\nheld = 20")],
-        Code::HeldTooFew,
+        Code::PendingLimitTooLow,
         "20",
     ),
     (
         "sockets-few",
         &[("sockets = 256", "sockets = 128\ncalls = 80")],
-        Code::SocketsTooFew,
+        Code::DescriptorBudgetExceeded,
         "128",
     ),
     (
         "memory-small",
         &[("sockets = 256", "sockets = 256\nheld = 20000")],
-        Code::MemoryTooSmall,
+        Code::MemoryBudgetExceeded,
         "\"64MB\"",
     ),
     (
         "disk-small",
         &[("size = \"4MB\"", "size = \"40MB\"")],
-        Code::DiskTooSmall,
+        Code::DiskBudgetExceeded,
         "\"30MB\"",
     ),
     (
         "dial-long",
         &[("[load]", "[connections]\ndial = \"12s\"\n[load]")],
-        Code::IdleConnections,
+        Code::ConnectTimeoutTooLong,
         "\"12s\"",
     ),
 ];
@@ -580,7 +595,7 @@
     (
         "pair-port",
         &[("\"billing\"", "\"b\""), ("billing.state", "b.state")],
-        Code::SamePort,
+        Code::PortConflict,
         "\"127.0.0.1:7003\"",
     ),
     (
@@ -590,7 +605,7 @@
             ("billing.state", "b.state"),
             ("127.0.0.1:7003", "0.0.0.0:7003"),
         ],
-        Code::SamePort,
+        Code::PortConflict,
         "\"0.0.0.0:7003\"",
     ),
     (
@@ -600,7 +615,7 @@
             ("billing.state", "b.state"),
             ("127.0.0.1:7003", "[::]:7003"),
         ],
-        Code::SamePort,
+        Code::PortConflict,
         "\"[::]:7003\"",
     ),
     (
@@ -610,13 +625,13 @@
             ("billing.state", "b.state"),
             ("127.0.0.1:7003", "localhost:7003"),
         ],
-        Code::SamePort,
+        Code::PortConflict,
         "\"localhost:7003\"",
     ),
     (
         "pair-state",
         &[("\"billing\"", "\"b\""), ("7003", "7004"), ("7103", "7104")],
-        Code::SameState,
+        Code::SharedStateFolder,
         "\"billing.state\"",
     ),
     (
@@ -627,7 +642,7 @@
             ("7103", "7104"),
             ("billing.state", "x/../billing.state"),
         ],
-        Code::SameState,
+        Code::SharedStateFolder,
         "\"x/../billing.state\"",
     ),
     (
@@ -637,7 +652,7 @@
             ("7003", "7004"),
             ("7103", "7104"),
         ],
-        Code::SameName,
+        Code::DuplicateName,
         "\"billing\"",
     ),
     (
@@ -649,7 +664,7 @@
             ("7103", "7104"),
             ("share = 0.4", "share = 0.7"),
         ],
-        Code::ShareOver,
+        Code::SharesExceedLimit,
         "0.7",
     ),
     (
@@ -688,7 +703,7 @@
             ("7103", "7104"),
             ("9002", "9102"),
         ],
-        Code::AddressesDiffer,
+        Code::EndpointsDiffer,
         "[\"127.0.0.1:9001\", \"127.0.0.1:9102\"]",
     ),
     (
@@ -713,7 +728,7 @@
             ("7103", "7104"),
             ("[load]", "[machine]\nmemory = \"100MB\"\n[load]"),
         ],
-        Code::MachineMemory,
+        Code::MachineMemoryExceeded,
         "\"64MB\"",
     ),
     (
@@ -725,7 +740,7 @@
             ("7103", "7104"),
             ("[load]", "[machine]\nsockets = 500\n[load]"),
         ],
-        Code::MachineSockets,
+        Code::MachineDescriptorsExceeded,
         "256",
     ),
     (
@@ -737,7 +752,7 @@
             ("7103", "7104"),
             ("[load]", "[machine]\ncores = 1.0\n[load]"),
         ],
-        Code::MachineCores,
+        Code::MachineCoresExceeded,
         "",
     ),
 ];
@@ -765,7 +780,7 @@
 fn golden(name: &str, documents: &[Document]) {
     let drawn: Vec<String> = findings(documents)
         .iter()
-        .map(|finding| render::draw(finding, text_of(documents), false))
+        .map(|finding| render::to_text(finding, text_by_path(documents), false))
         .collect();
     let text = drawn.join("\n");
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
@@ -784,7 +799,7 @@
     let main: Vec<(Code, String)> = found
         .iter()
         .map(|finding| {
-            let place = &finding.places[0];
+            let place = &finding.locations[0];
             let text = documents
                 .iter()
                 .find(|one| one.path == place.path)
@@ -876,8 +891,8 @@
     let wanted = [
         Code::WrongType,
         Code::UnknownName,
-        Code::Missing,
-        Code::NoUnit,
+        Code::MissingSetting,
+        Code::MissingUnit,
     ];
     assert_eq!(codes, wanted.into_iter().collect());
 }
@@ -885,17 +900,21 @@
 #[test]
 fn each_code_has_a_case_or_needs_a_machine_to_show() {
     let environment = [
-        Code::StateNotWritable,
-        Code::StateTemporary,
-        Code::StateForeign,
-        Code::StateLocked,
+        Code::StateFolderNotWritable,
+        Code::StateFolderTemporary,
+        Code::StateFolderNotOwned,
+        Code::StateFolderLocked,
         Code::PortTaken,
-        Code::EndpointsFile,
-        Code::PlacesPastDescriptors,
+        Code::InvalidEndpointsFile,
+        Code::DescriptorLimitTooLow,
     ];
     // a relay's file has settings of its own: crates/session-proxy/tests/settings.rs shows each of these
-    let relays = [Code::SameSteward, Code::StewardsEven, Code::RelayIsSteward];
-    let files = [Code::Unreadable, Code::NotText, Code::MachineDiffers];
+    let relays = [
+        Code::DuplicateCoordinator,
+        Code::InvalidCoordinatorCount,
+        Code::ProxyIsCoordinator,
+    ];
+    let files = [Code::Unreadable, Code::NotUtf8, Code::MachineDiffers];
     let covered: BTreeSet<Code> = CASES
         .iter()
         .chain(PAIRS)
@@ -932,7 +951,7 @@
             .map(|finding| finding.code)
             .collect()
     };
-    assert_eq!(codes(&[first.clone(), second]), [Code::SameState]);
+    assert_eq!(codes(&[first.clone(), second]), [Code::SharedStateFolder]);
     let third = write("third.toml", "third", &other);
     assert_eq!(codes(&[first, third]), []);
 }
@@ -991,7 +1010,7 @@
         assert_eq!(
             codes,
             if faulty {
-                vec![Code::BadAddress]
+                vec![Code::InvalidAddress]
             } else {
                 vec![]
             }
@@ -1012,7 +1031,7 @@
     assert_eq!(codes(folder.path().join("none.toml")), [Code::Unreadable]);
     let bytes = folder.path().join("bytes.toml");
     std::fs::write(&bytes, b"name = \"\xff\"").expect("written");
-    assert_eq!(codes(bytes), [Code::NotText]);
+    assert_eq!(codes(bytes), [Code::NotUtf8]);
     let huge = folder.path().join("huge.toml");
     let file = std::fs::File::create(&huge).expect("made");
     file.set_len(50_000_000).expect("long");
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -5,7 +5,7 @@
 use milletturn_config::codes::Code;
 use milletturn_config::document::{Document, Value};
 use milletturn_config::fields::FIELDS;
-use milletturn_config::{findings, schema, text_of};
+use milletturn_config::{findings, schema, text_by_path};
 use std::path::Path;
 
 fn golden(name: &str) -> String {
@@ -48,7 +48,7 @@
     assert!(document.findings.is_empty(), "{:?}", document.findings);
     let mut lines = String::new();
     let mut line = |path: &[&str]| {
-        let given = document.given(path).is_some();
+        let given = document.explicit_value(path).is_some();
         let value = document
             .value(path)
             .map_or("none".to_string(), |value| words(&value));
@@ -59,7 +59,7 @@
         let parts: Vec<&str> = field.path.split('.').collect();
         match parts[..] {
             [group, "*", name] => {
-                for table in document.names(group) {
+                for table in document.table_names(group) {
                     line(&[group, &table, name]);
                 }
             }
@@ -87,7 +87,7 @@
         let found = findings(documents);
         let plain = found
             .iter()
-            .map(|finding| finding.plain(text_of(documents)));
+            .map(|finding| finding.to_json_form(text_by_path(documents)));
         plain
             .map(|finding| serde_json::to_string(&finding).expect("JSON") + "\n")
             .collect()
--- a/crates/coordinator/src/settings/file.rs
+++ b/crates/coordinator/src/settings/file.rs
@@ -115,12 +115,12 @@
     range: &RangeInclusive<i64>,
     problems: &mut Vec<String>,
 ) -> u64 {
-    match units::time(text) {
+    match units::parse_time(text) {
         Ok(micros) if range.contains(&micros) => micros.unsigned_abs(),
         Ok(_) => {
             let (min, max) = (
-                units::time_text(*range.start()),
-                units::time_text(*range.end()),
+                units::format_time(*range.start()),
+                units::format_time(*range.end()),
             );
             problems.push(format!("{key} = {text:?}: from {min} to {max} are allowed"));
             0
--- a/crates/session-proxy/src/settings.rs
+++ b/crates/session-proxy/src/settings.rs
@@ -3,8 +3,8 @@
 
 use milletturn_config::codes::Code;
 use milletturn_config::document::{Document, host_and_port};
-use milletturn_config::fields::{Field, Kind, Table};
-use milletturn_config::neighbours::same_port;
+use milletturn_config::fields::{Field, Kind, SettingsTable};
+use milletturn_config::neighbours::ports_overlap;
 use milletturn_coordination::{Micros, bounds};
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::path::Path;
@@ -87,13 +87,17 @@
 /// Reads a file. There are settings if nothing was found wrong with it.
 #[must_use]
 pub fn read(path: &Path) -> (Document, Option<Settings>) {
-    checked(Document::read_by(path, Table(FIELDS)))
+    checked(Document::read_with(path, SettingsTable(FIELDS)))
 }
 
 /// Reads a file's text; as [`read`].
 #[must_use]
 pub fn parse(path: &Path, text: &str) -> (Document, Option<Settings>) {
-    checked(Document::parse_by(path, text.to_string(), Table(FIELDS)))
+    checked(Document::parse_with(
+        path,
+        text.to_string(),
+        SettingsTable(FIELDS),
+    ))
 }
 
 fn checked(mut document: Document) -> (Document, Option<Settings>) {
@@ -124,7 +128,12 @@
     if host_and_port(&settings.listen).is_none() && !settings.listen.ends_with(":0") {
         let label = "a host or IP address, a colon and a port".to_string();
         let help = Some("such as \"10.0.0.9:7401\"".to_string());
-        document.add(Code::BadAddress, document.span(&["listen"]), label, help);
+        document.add(
+            Code::InvalidAddress,
+            document.span(&["listen"]),
+            label,
+            help,
+        );
     }
 }
 
@@ -133,18 +142,18 @@
     for (index, (address, span)) in listed.iter().enumerate() {
         if listed[..index].iter().any(|(before, _)| before == address) {
             let label = "named before".to_string();
-            document.add(Code::SameSteward, Some(span.clone()), label, None);
+            document.add(Code::DuplicateCoordinator, Some(span.clone()), label, None);
         }
-        if same_port(address, &settings.listen) {
+        if ports_overlap(address, &settings.listen) {
             let label = format!("`listen` is {}", settings.listen);
-            document.add(Code::RelayIsSteward, Some(span.clone()), label, None);
+            document.add(Code::ProxyIsCoordinator, Some(span.clone()), label, None);
         }
     }
     if !matches!(listed.len(), 1 | 3 | 5 | 7) {
         let label = format!("{} are named", listed.len());
         let help = Some("name all stewards of the group".to_string());
         let span = document.span(&["stewards"]);
-        document.add(Code::StewardsEven, span, label, help);
+        document.add(Code::InvalidCoordinatorCount, span, label, help);
     }
 }
 
@@ -156,7 +165,7 @@
     if let Some(allowed) = maximum.filter(|maximum| *maximum < needed) {
         let label = format!("{needed} descriptors in all, {allowed} are allowed");
         let span = document.span(&["places"]);
-        document.add(Code::PlacesPastDescriptors, span, label, None);
+        document.add(Code::DescriptorLimitTooLow, span, label, None);
     } else if current.is_some_and(|current| current < needed) {
         let raised = Rlimit {
             current: Some(needed),
--- a/crates/session-proxy/tests/settings.rs
+++ b/crates/session-proxy/tests/settings.rs
@@ -15,7 +15,7 @@
         "used only if sound"
     );
     let at = |finding: &milletturn_config::finding::Finding| {
-        finding.places[0]
+        finding.locations[0]
             .span
             .clone()
             .map(|span| document.text[span].to_string())
@@ -57,29 +57,32 @@
     assert!(
         with("name = \"r1\"\n", "")
             .iter()
-            .any(|(code, _)| *code == Code::Missing)
+            .any(|(code, _)| *code == Code::MissingSetting)
     );
     assert_eq!(
         with("10.0.0.2", "10.0.0.1"),
-        [(Code::SameSteward, text("\"10.0.0.1:7301\""))]
+        [(Code::DuplicateCoordinator, text("\"10.0.0.1:7301\""))]
     );
     assert_eq!(
         with("10.0.0.9:7401", "10.0.0.2:7301"),
-        [(Code::RelayIsSteward, text("\"10.0.0.2:7301\""))]
+        [(Code::ProxyIsCoordinator, text("\"10.0.0.2:7301\""))]
+    );
+    assert_eq!(
+        with(", \"10.0.0.3:7301\"", "")[0].0,
+        Code::InvalidCoordinatorCount
     );
-    assert_eq!(with(", \"10.0.0.3:7301\"", "")[0].0, Code::StewardsEven);
     assert_eq!(
         with("10.0.0.9:7401", "nowhere")[0],
-        (Code::BadAddress, text("\"nowhere\""))
+        (Code::InvalidAddress, text("\"nowhere\""))
     );
     for (line, code) in [
         ("gather = \"1ms\"", Code::TooSmall),
         ("gather = \"2s\"", Code::TooLarge),
-        ("gather = 100", Code::NoUnit),
+        ("gather = 100", Code::MissingUnit),
         ("places = 5000", Code::TooLarge),
         ("places = 1", Code::TooSmall),
         ("places = \"many\"", Code::WrongType),
-        ("group = \"twice\"", Code::Twice),
+        ("group = \"twice\"", Code::Duplicate),
         ("places =", Code::Syntax),
     ] {
         let codes: Vec<Code> = found(&format!("{SOUND}{line}\n"))
--- a/crates/sidecar/src/endpoints/check.rs
+++ b/crates/sidecar/src/endpoints/check.rs
@@ -3,7 +3,7 @@
 use super::read;
 use milletturn_config::codes::Code;
 use milletturn_config::document::Document;
-use milletturn_config::neighbours::real;
+use milletturn_config::neighbours::resolve_links;
 use milletturn_engine::ListedEndpoint;
 use std::path::Path;
 
@@ -13,13 +13,13 @@
     list.findings.clear();
     let listed = match read(&list.path) {
         Ok(listed) => listed,
-        Err(error) => return list.add(Code::EndpointsFile, None, error.to_string(), None),
+        Err(error) => return list.add(Code::InvalidEndpointsFile, None, error.to_string(), None),
     };
-    let real_path = real(&list.path);
+    let real_path = resolve_links(&list.path);
     for sidecar in sidecars.iter_mut() {
         let names_list = sidecar
             .path_of(&["endpoints", "file"])
-            .is_some_and(|path| real(&path) == real_path);
+            .is_some_and(|path| resolve_links(&path) == real_path);
         if names_list {
             check_destinations(sidecar, &list.path, &listed);
         }
@@ -27,10 +27,10 @@
 }
 
 fn check_destinations(sidecar: &mut Document, list_path: &Path, listed: &[ListedEndpoint]) {
-    for name in sidecar.names("destination") {
+    for name in sidecar.table_names("destination") {
         let id = sidecar.count(&["destination", &name, "id"]);
         let has_own_endpoints = sidecar
-            .given(&["destination", &name, "endpoints"])
+            .explicit_value(&["destination", &name, "endpoints"])
             .is_some();
         if !has_own_endpoints && listed.iter().all(|endpoint| endpoint.destination != id) {
             let span = sidecar.span(&["destination", &name, "id"]);
--- a/crates/sidecar/src/environment.rs
+++ b/crates/sidecar/src/environment.rs
@@ -43,7 +43,7 @@
     };
     if let Some(file_system) = state_folder::temporary_file_system(&folder) {
         document.add(
-            Code::StateTemporary,
+            Code::StateFolderTemporary,
             document.span(&["state"]),
             format!("it lies on {file_system}"),
             None,
@@ -57,7 +57,7 @@
         && let Err(error) = endpoints::read(&path)
     {
         document.add(
-            Code::EndpointsFile,
+            Code::InvalidEndpointsFile,
             document.span(&["endpoints", "file"]),
             error.to_string(),
             None,
--- a/crates/sidecar/src/environment/state_folder.rs
+++ b/crates/sidecar/src/environment/state_folder.rs
@@ -49,10 +49,10 @@
     pub(super) fn code(&self) -> Code {
         match self {
             StateFolderError::Io(_) | StateFolderError::ParentNotWritable(_) => {
-                Code::StateNotWritable
+                Code::StateFolderNotWritable
             }
-            StateFolderError::ForeignFile(_) => Code::StateForeign,
-            StateFolderError::Locked => Code::StateLocked,
+            StateFolderError::ForeignFile(_) => Code::StateFolderNotOwned,
+            StateFolderError::Locked => Code::StateFolderLocked,
         }
     }
 }
@@ -113,7 +113,7 @@
 
 /// The type of a folder's file system, if that is a temporary one (proc(5), mountinfo).
 pub(super) fn temporary_file_system(folder: &Path) -> Option<String> {
-    let real_path = milletturn_config::neighbours::real(folder);
+    let real_path = milletturn_config::neighbours::resolve_links(folder);
     let mounts = fs::read_to_string("/proc/self/mountinfo").ok()?;
     let mounts_above = mounts.lines().filter_map(|mount| {
         let mut fields = mount.split(' ');
--- a/crates/sidecar/src/plan.rs
+++ b/crates/sidecar/src/plan.rs
@@ -6,7 +6,7 @@
 
 use crate::callback::Callback;
 use destinations::Destinations;
-use milletturn_config::check::SOCKETS_OPERATORS;
+use milletturn_config::check::ADMIN_DESCRIPTORS;
 use milletturn_config::document::{Document, host_and_port};
 use milletturn_dead_letter::config::{Config as StoreConfig, RESERVED_STORE_SIZES};
 use milletturn_engine::ListedEndpoint;
@@ -35,7 +35,7 @@
     /// Address where the application reads outcomes.
     pub outcomes_address: SocketAddr,
     /// Address for operators' commands, if there is one.
-    pub operators_address: Option<SocketAddr>,
+    pub admin_address: Option<SocketAddr>,
     /// The decision module's settings.
     pub settings: Settings,
     /// Kinds of destination, named by the messages that one call may carry.
@@ -127,7 +127,7 @@
         let store_reserved_bytes = dead_letter_store
             .as_ref()
             .map_or(0, |store| RESERVED_STORE_SIZES * store.max_bytes);
-        let operators_address = document
+        let admin_address = document
             .text_of(&["listen", "operators"])
             .map(|address| resolve(&address))
             .transpose()?;
@@ -136,8 +136,8 @@
             state_folder: document.path_of(&["state"]).unwrap_or_default(),
             ingress_address: resolve(&text(&["listen", "http"]))?,
             outcomes_address: resolve(&text(&["listen", "outcomes"]))?,
-            operators_address,
-            budget: budget_from(document, operators_address.is_some()),
+            admin_address,
+            budget: budget_from(document, admin_address.is_some()),
             journal_max_bytes: document
                 .size(&["limits", "disk"])
                 .saturating_sub(store_reserved_bytes)
@@ -159,7 +159,7 @@
 /// Divides descriptors and memory; what the sidecar itself has open is subtracted first.
 fn budget_from(document: &Document, has_operators: bool) -> ResourceBudget {
     let operators_descriptors = if has_operators {
-        SOCKETS_OPERATORS as usize
+        ADMIN_DESCRIPTORS as usize
     } else {
         0
     };
--- a/crates/sidecar/src/plan/dead_letters.rs
+++ b/crates/sidecar/src/plan/dead_letters.rs
@@ -15,7 +15,7 @@
         store_returned: document.flag(&["undelivered", "returned"]),
         clients_retry: document.flag(&["undelivered", "application_retries"]),
         rules: document
-            .names("resend")
+            .table_names("resend")
             .iter()
             .map(|name| rule_from(document, name))
             .collect(),
@@ -30,7 +30,7 @@
         name: name.to_string(),
         classes: text("class").into_iter().collect(),
         destinations: document
-            .given(&setting("destination"))
+            .explicit_value(&setting("destination"))
             .map(|_| document.count(&setting("destination")))
             .into_iter()
             .collect(),
--- a/crates/sidecar/src/plan/decision_settings.rs
+++ b/crates/sidecar/src/plan/decision_settings.rs
@@ -24,7 +24,7 @@
         overload_window: document.time(&["safety", "fall_time"]),
         ..settings.safety.clone()
     };
-    for name in document.names("class") {
+    for name in document.table_names("class") {
         settings.classes.push(class_from(document, &name));
     }
     settings
--- a/crates/sidecar/src/plan/destinations.rs
+++ b/crates/sidecar/src/plan/destinations.rs
@@ -25,7 +25,7 @@
             endpoints: Vec::new(),
             kinds: vec![SINGLE_MESSAGE_KIND.to_string()],
         };
-        for name in document.names("destination") {
+        for name in document.table_names("destination") {
             destinations.add_destination(document, &name)?;
         }
         Ok(destinations)
@@ -38,7 +38,7 @@
             self.kinds.push(kind.clone());
         }
         let limit = document
-            .given(&setting("limit"))
+            .explicit_value(&setting("limit"))
             .map(|_| document.number_of(&setting("limit")));
         let weight = limit.map_or(0.0, |limit| limit * document.number_of(&setting("share")));
         for (address, _) in document.list(&setting("endpoints")) {
--- a/crates/sidecar/tests/golden/plan.rs
+++ b/crates/sidecar/tests/golden/plan.rs
@@ -39,7 +39,7 @@
         (plan.ingress_address, plan.outcomes_address),
         (address("127.0.0.1:7003"), address("127.0.0.1:7103"))
     );
-    assert_eq!(plan.operators_address, Some(address("127.0.0.1:7203")));
+    assert_eq!(plan.admin_address, Some(address("127.0.0.1:7203")));
     assert_eq!(plan.kinds, ["1", "5"]);
     assert_eq!(
         (
--- a/crates/sidecar/tests/variants.rs
+++ b/crates/sidecar/tests/variants.rs
@@ -39,7 +39,7 @@
                     document
                         .findings
                         .iter()
-                        .all(|finding| !finding.places.is_empty())
+                        .all(|finding| !finding.locations.is_empty())
                 );
             }
         }
@@ -75,9 +75,9 @@
         let documents = check_documents(vec![Document::parse(path, text)]);
         for finding in milletturn_config::findings(&documents) {
             assert!(
-                !milletturn_config::render::draw(
+                !milletturn_config::render::to_text(
                     finding,
-                    milletturn_config::text_of(&documents),
+                    milletturn_config::text_by_path(&documents),
                     false
                 )
                 .is_empty()
--- a/src/config.rs
+++ b/src/config.rs
@@ -7,8 +7,8 @@
 use milletturn_config::codes::Code;
 use milletturn_config::document::{Document, Value};
 use milletturn_config::fields::{FIELDS, Field, Kind};
-use milletturn_config::units::{size_text, time_text};
-use milletturn_config::{check_documents, check_files, render, schema, template, text_of};
+use milletturn_config::units::{format_size, format_time};
+use milletturn_config::{check_documents, check_files, render, schema, template, text_by_path};
 use milletturn_sidecar::{endpoints, environment};
 use std::fmt::Display;
 use std::io::{IsTerminal, Write};
@@ -85,11 +85,11 @@
         // a reader that has gone away has seen enough
         match format {
             Format::Json => {
-                let plain = finding.plain(text_of(documents));
+                let plain = finding.to_json_form(text_by_path(documents));
                 let _ = output::print_line(serde_json::to_string(&plain).unwrap_or_default());
             }
             Format::Text => {
-                let text = render::draw(finding, text_of(documents), color);
+                let text = render::to_text(finding, text_by_path(documents), color);
                 let _ = write!(std::io::stderr(), "{text}");
             }
         }
@@ -253,7 +253,7 @@
         let parts: Vec<&str> = field.path.split('.').collect();
         match parts[..] {
             [group, "*", name] => {
-                for table in document.names(group) {
+                for table in document.table_names(group) {
                     lines.extend(format_value(document, field, &[group, &table, name]));
                 }
             }
@@ -262,7 +262,7 @@
     }
     lines.push(format!("# undelivered: {}", describe_store(document)));
     for budget in budgets(document) {
-        lines.push(format!("# {}: {}", budget.what, budget.words()));
+        lines.push(format!("# {}: {}", budget.setting, budget.description()));
     }
     let _ = output::print_lines(lines);
 }
@@ -270,7 +270,7 @@
 /// A value in force, with the line that gives it; none where it has none.
 fn format_value(document: &Document, field: &Field, path: &[&str]) -> Option<String> {
     let value = document.value(path)?;
-    let from = match document.given(path) {
+    let from = match document.explicit_value(path) {
         Some(found) => {
             let (line, _) = milletturn_config::finding::position(&document.text, found.span.start);
             format!("{}:{line}", document.path.display())
@@ -292,7 +292,7 @@
     } else {
         "what failed is kept, not what was returned"
     };
-    let rules = document.names("resend");
+    let rules = document.table_names("resend");
     if rules.is_empty() {
         return format!("{what}; nothing is sent again by rule (no [resend.NAME])");
     }
@@ -312,8 +312,8 @@
             "{:?}",
             list.iter().map(|(text, _)| text).collect::<Vec<_>>()
         ),
-        Value::Time(micros) => format!("\"{}\"", time_text(*micros)),
-        Value::Size(bytes) => format!("\"{}\"", size_text(*bytes)),
+        Value::Time(micros) => format!("\"{}\"", format_time(*micros)),
+        Value::Size(bytes) => format!("\"{}\"", format_size(*bytes)),
         Value::Count(count) => count.to_string(),
         Value::Number(number) if matches!(kind, Kind::Number(..)) => format!("{number:?}"),
         Value::Number(number) => number.to_string(),
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -98,7 +98,7 @@
         listener.local_addr()?
     ));
     tokio::task::spawn_local(shared.clone().serve(listener));
-    if let Some(address) = plan.operators_address {
+    if let Some(address) = plan.admin_address {
         operators::open(&name, address, &running).await?;
     }
     store_outcomes(shared, plan.callback, seed, &mut running);
