--- a/crates/sidecar/src/callback.rs
+++ b/crates/sidecar/src/callback.rs
@@ -1,6 +1,6 @@
-//! Outcomes sent to the application's callback address: each is a message of its own, of an idempotent class, and goes
-//! through the engine and the decision module as any other. An outcome that the callback has answered with 200 counts
-//! as acknowledged, in the order of the cursors.
+//! Sends outcomes to the application's callback address. Each outcome is carried by a separate message of an idempotent
+//! class, which passes through the engine and the decision module like any other message. An outcome counts as
+//! acknowledged once the callback has responded with 200 to it and to all outcomes before it in cursor order.
 
 #[cfg(test)]
 mod tests;
@@ -18,26 +18,27 @@
 
 /// Name of the class of callback messages; see [`milletturn_engine::ingress::is_internal_class`].
 pub const CLASS: &str = "outcome:callback";
-/// Outcomes in flight at once. A slow one must not delay the rest, and together they take up few of the messages that
-/// the sender may have.
+/// Maximum number of outcomes in flight. Several are sent in parallel so that a slow one does not delay the others; the
+/// limit keeps them a small share of the messages that the sender may have pending.
 const MAX_IN_FLIGHT: usize = 16;
-/// Pause before an outcome that was not accepted is submitted again.
+/// Delay before an outcome that was not accepted or not delivered is resubmitted.
 const RESUBMIT_DELAY: Duration = Duration::from_secs(1);
 
-/// Where outcomes are sent.
+/// The class and the destination of the messages that carry outcomes to the application's callback.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Callback {
     /// Index of the callback messages' class in the settings.
     pub class: usize,
     /// The destination whose endpoint is the callback's address.
     pub destination: u64,
-    /// How long one message may be attempted; the outcome itself is kept until the callback has taken it.
+    /// How long a single message may be attempted, in microseconds. The outcome itself is kept until the callback has
+    /// accepted it.
     pub time_to_live: Micros,
 }
 
 impl Callback {
-    /// Sends outcomes until the engine stops. `incarnation` is another number in each process; `endings` brings the
-    /// endings of the messages that carry outcomes.
+    /// Sends outcomes until the engine stops. `incarnation` differs for each process; `endings` delivers the endings of
+    /// the messages that carry outcomes.
     pub async fn run(
         self,
         shared: SharedOutcomeLog,
@@ -69,7 +70,7 @@
     }
 }
 
-/// What it takes to submit outcomes.
+/// Submits outcomes to the engine.
 struct CallbackSender {
     callback: Callback,
     shared: SharedOutcomeLog,
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Acknowledges what a delivered message carried; submits it again after any other ending.
+    /// Acknowledges the outcome that a delivered message carried; resubmits the outcome after any other ending.
     fn on_ending(&self, window: &mut DeliveryWindow, ending: &Notification) {
         let Some(cursor) = cursor_of(&ending.id) else {
             return;
@@ -104,12 +105,12 @@
             }
         } else if window.in_flight.contains(&cursor) {
             let Some(outcome) = self.shared.at(cursor) else {
-                // a reader has acknowledged it in the meantime
+                // an HTTP reader has acknowledged the outcome in the meantime
                 window.mark_delivered(cursor);
                 return;
             };
             self.faults.log(format_args!(
-                "callback: answer {cursor} was not taken; it is sent again"
+                "callback: outcome {cursor} was not delivered; resubmitting it"
             ));
             let (callback, shared, incarnation) =
                 (self.callback, self.shared.clone(), self.incarnation);
@@ -121,19 +122,19 @@
     }
 }
 
-/// Outcomes in flight, and how far they have been delivered without a gap.
+/// Outcomes in flight, and the cursor up to which all have been delivered.
 #[derive(Debug, Default)]
 struct DeliveryWindow {
     /// Cursor of the last outcome submitted.
     submitted_cursor: u64,
-    /// Cursors of the outcomes submitted and not delivered.
+    /// Cursors of the outcomes that were submitted and are not delivered yet.
     in_flight: BTreeSet<u64>,
     /// The greatest cursor delivered.
     last_delivered: u64,
 }
 
 impl DeliveryWindow {
-    /// Marks an outcome as delivered. Returns the cursor up to which all have been, if that has advanced.
+    /// Marks an outcome as delivered. Returns the cursor up to which all outcomes are delivered, if it has advanced.
     fn mark_delivered(&mut self, cursor: u64) -> Option<u64> {
         let first = self.in_flight.first().copied();
         if !self.in_flight.remove(&cursor) {
@@ -148,8 +149,8 @@
     }
 }
 
-/// The id of the message that carries an outcome. It is new in each incarnation of the process, so that no client can
-/// have submitted it before; the callback recognizes repeats by the cursor in the body.
+/// The id of the message that carries an outcome. The id differs for each incarnation of the process, so that no client
+/// can have submitted a message with the same id. The callback recognizes repeats by the cursor in the body.
 fn message_id(incarnation: u64, cursor: u64) -> String {
     format!("outcome:{incarnation:016x}:{cursor}")
 }
@@ -197,7 +198,7 @@
                 | ArrivalOutcome::Failed,
             ) => sleep(RESUBMIT_DELAY).await,
             Err(_) => {
-                log(format_args!("callback: the engine has ended"));
+                log(format_args!("callback: the engine has stopped"));
                 return;
             }
         }
--- a/crates/sidecar/src/callback/tests.rs
+++ b/crates/sidecar/src/callback/tests.rs
@@ -4,16 +4,20 @@
 use milletturn_engine::SharedStr;
 
 #[test]
-fn only_what_arrived_without_a_gap_is_acknowledged() {
+fn only_outcomes_delivered_without_a_gap_are_acknowledged() {
     let mut window = DeliveryWindow {
         submitted_cursor: 7,
         in_flight: [4, 5, 7].into(),
         last_delivered: 3,
     };
     assert_eq!(window.mark_delivered(5), None);
-    assert_eq!(window.mark_delivered(5), None, "its end is told once more");
+    assert_eq!(window.mark_delivered(5), None, "a repeated notification");
     assert_eq!(window.mark_delivered(4), Some(6));
-    assert_eq!(window.mark_delivered(9), None, "of an earlier life");
+    assert_eq!(
+        window.mark_delivered(9),
+        None,
+        "a message of an earlier process"
+    );
     assert_eq!(window.mark_delivered(7), Some(7));
 }
 
--- a/crates/sidecar/src/endpoints.rs
+++ b/crates/sidecar/src/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints of a sidecar's destinations: a file that lists them, its check, and its watcher.
+//! The endpoints file, which lists the endpoints of a sidecar's destinations: its reader, its check and its watcher.
 
 mod check;
 mod watcher;
@@ -15,7 +15,7 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// A larger file isn't read. 100,000 endpoints take about 3 MB.
+/// Largest endpoints file that is read, in bytes; 100,000 endpoints take about 3 MB.
 const MAX_FILE_BYTES: u64 = 16 << 20;
 
 /// Why an endpoints file can't be used.
@@ -26,11 +26,11 @@
     Read {
         /// The file.
         path: PathBuf,
-        /// What the operating system says.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The file is larger than 16 MiB.
-    #[error("{path}: it is larger than 16 MiB", path = path.display())]
+    #[error("{path}: larger than 16 MiB", path = path.display())]
     TooLarge {
         /// The file.
         path: PathBuf,
@@ -40,7 +40,7 @@
     Syntax {
         /// The file.
         path: PathBuf,
-        /// What is wrong, with line and column.
+        /// The parser's error, with line and column.
         source: Box<toml::de::Error>,
     },
     /// A destination of the file is invalid.
@@ -48,9 +48,9 @@
     Destination {
         /// The file.
         path: PathBuf,
-        /// The destination's table.
+        /// The name of the destination's table.
         name: String,
-        /// What is wrong.
+        /// Why the destination is invalid.
         source: DestinationError,
     },
 }
@@ -59,10 +59,10 @@
 #[derive(Debug, Error)]
 pub enum DestinationError {
     /// The table's name isn't a number.
-    #[error("its name is its number")]
+    #[error("the table's name is not a destination number")]
     NameNotANumber,
     /// The limit is negative or not finite.
-    #[error("limit is {0}")]
+    #[error("limit is {0}, not a finite number of 0 or more")]
     InvalidLimit(f64),
     /// An endpoint's address can't be resolved.
     #[error(transparent)]
@@ -89,7 +89,7 @@
 /// Reads an endpoints file: tables `[destination.NUMBER]` with `endpoints`, and optionally `draining` and `limit`.
 ///
 /// # Errors
-/// When the file can't be read or any part of it is invalid; then none of it counts.
+/// When the file can't be read or any part of it is invalid; no endpoint of the file is used then.
 pub fn read(path: &Path) -> Result<Vec<ListedEndpoint>, EndpointsError> {
     let read_error = |source| EndpointsError::Read {
         path: path.to_path_buf(),
@@ -121,7 +121,8 @@
 }
 
 impl DestinationTable {
-    /// The endpoints of the table with this name: the serving ones, then the draining ones.
+    /// Converts the table, whose name is the destination's number, to endpoints: the serving ones, then the draining
+    /// ones.
     fn into_endpoints(self, name: &str) -> Result<Vec<ListedEndpoint>, DestinationError> {
         let destination: u64 = name.parse().map_err(|_| DestinationError::NameNotANumber)?;
         if !self.limit.is_finite() || self.limit < 0.0 {
@@ -152,8 +153,8 @@
     }
 }
 
-/// Whether a text is an endpoints file and no configuration: it has tables `[destination.NUMBER]` only, and none has
-/// an `id`, which a configuration's destination must have.
+/// Whether a text is an endpoints file rather than a sidecar's configuration: an endpoints file has only tables
+/// `[destination.NUMBER]`, and none of them has an `id`, which a configuration's destination must have.
 #[must_use]
 pub fn is_list(text: &str) -> bool {
     let Ok(table) = text.parse::<toml::Table>() else {
--- a/crates/sidecar/src/endpoints/check.rs
+++ b/crates/sidecar/src/endpoints/check.rs
@@ -1,4 +1,4 @@
-//! The check of an endpoints file against the configurations that name it.
+//! Checks an endpoints file against the configurations that name it.
 
 use super::read;
 use milletturn_config::codes::Code;
@@ -7,8 +7,8 @@
 use milletturn_engine::ListedEndpoint;
 use std::path::Path;
 
-/// Checks an endpoints file, and the configurations that name it: each destination without endpoints in the
-/// configuration must be in the file. Findings are added to the documents.
+/// Checks an endpoints file and the sidecar configurations that name it: a destination without endpoints in its
+/// configuration must have some in the file. Findings are added to the documents.
 pub fn check_list(list: &mut Document, sidecars: &mut [Document]) {
     list.findings.clear();
     let listed = match read(&list.path) {
--- a/crates/sidecar/src/endpoints/watcher.rs
+++ b/crates/sidecar/src/endpoints/watcher.rs
@@ -1,4 +1,4 @@
-//! The watcher of an endpoints file: it polls the file and sends each new list to the engine.
+//! Polls an endpoints file and sends each new endpoint list to the engine.
 
 use super::read;
 use milletturn_engine::{EndpointListUpdate, Input, ListedEndpoint};
@@ -9,10 +9,10 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-/// How often the file's metadata is read: a change must have reached the engine within 1 s.
+/// How often the file's metadata is read. A change must reach the engine within 1 s.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The metadata by which one state of a file differs from another.
+/// The metadata by which a change of the file is detected.
 #[derive(PartialEq, Eq)]
 struct FileFingerprint {
     size_bytes: u64,
@@ -22,7 +22,7 @@
 }
 
 impl FileFingerprint {
-    /// The fingerprint of a file, if it is there.
+    /// The fingerprint of a file; none if its metadata can't be read.
     fn of(path: &Path) -> Option<Self> {
         let metadata = std::fs::metadata(path).ok()?;
         Some(FileFingerprint {
@@ -34,8 +34,9 @@
     }
 }
 
-/// Polls an endpoints file until the engine stops, and sends the engine each list that can be read, after the `fixed`
-/// endpoints. A broken file changes nothing and is logged once. A file that changes while it is read is read again.
+/// Polls an endpoints file until the engine stops. Sends the engine each new list that can be read, preceded by the
+/// `fixed` endpoints. A file that can't be read or is invalid is logged once, and the last good list stays in force. A
+/// file that changes while it is read is read again.
 pub async fn watch(
     path: PathBuf,
     fixed: Vec<ListedEndpoint>,
--- a/crates/sidecar/src/environment.rs
+++ b/crates/sidecar/src/environment.rs
@@ -1,5 +1,5 @@
-//! Checks that need the machine: the state folder and its lock, free ports, and the endpoints file. In a read-only check
-//! nothing is created; only an existing lock file is locked for a moment.
+//! Checks of a configuration against the machine: the state folder and its lock, free ports, and the endpoints file. A
+//! read-only check creates nothing; if the lock file exists, the check takes its lock and releases it.
 
 mod state_folder;
 
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use tokio::net::TcpSocket;
 
-/// Whether a check may create the state folder.
+/// Whether a check may create the state folder and its lock file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CheckMode {
     /// Create nothing; a state folder that is absent but could be created is no finding.
@@ -22,8 +22,8 @@
     Start,
 }
 
-/// Checks the parts of a configuration that depend on the machine, and adds findings to the document. Returns the lock on
-/// the state folder, if there is one to lock.
+/// Checks the parts of a configuration that depend on the machine, and adds findings to the document. Returns the lock
+/// on the state folder; none if the folder could not be locked, or has no lock file in a read-only check.
 pub fn check(document: &mut Document, mode: CheckMode) -> Option<StateFolderLock> {
     let lock = check_state_folder(document, mode);
     check_endpoints_file(document);
@@ -70,7 +70,7 @@
         let Some(text) = document.text_of(&["listen", name]) else {
             continue;
         };
-        // a name that can't be resolved is reported at the start
+        // a host name that can't be resolved is reported when the sidecar starts
         let Ok(address) = crate::plan::resolve(&text) else {
             continue;
         };
@@ -81,8 +81,8 @@
     }
 }
 
-/// Binds an address and releases it. Nothing listens meanwhile: a client that connected in that moment would take the
-/// check for the sidecar, and lose its connection.
+/// Binds an address without listening on it, then releases it. A listening socket could accept a client's connection,
+/// which would be lost when the check ends.
 fn try_bind(address: SocketAddr) -> io::Result<()> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
--- a/crates/sidecar/src/environment/state_folder.rs
+++ b/crates/sidecar/src/environment/state_folder.rs
@@ -1,4 +1,4 @@
-//! The state folder: whether it is a sidecar's, whether it can be written, and its lock.
+//! Checks that a state folder is a sidecar's and can be written, and locks it.
 
 use super::CheckMode;
 use milletturn_config::codes::Code;
@@ -9,7 +9,8 @@
 
 /// Name of the lock file.
 const LOCK_FILE: &str = "lock";
-/// Beginnings of the file names in a sidecar's state folder; any other name means that the folder isn't a sidecar's.
+/// Prefixes of the file names in a sidecar's state folder. A file with any other name means that the folder belongs to
+/// another program.
 const KNOWN_PREFIXES: [&str; 6] = [
     "journal",
     "outcomes",
@@ -21,7 +22,7 @@
 /// File systems whose content is lost when the machine restarts.
 const TEMPORARY_FILE_SYSTEMS: [&str; 2] = ["tmpfs", "ramfs"];
 
-/// The lock on a state folder. It is released when this is dropped or the process ends.
+/// The lock on a state folder, released when the value is dropped or the process ends.
 #[derive(Debug)]
 pub struct StateFolderLock {
     _file: File,
@@ -33,19 +34,19 @@
     /// The folder or its lock file can't be created, read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The folder is absent, and can't be created below this one.
+    /// The folder is absent, and its nearest existing ancestor, which is named, is read-only.
     #[error("{} can't be written", .0.display())]
     ParentNotWritable(PathBuf),
-    /// The folder holds a file of somebody else.
+    /// The folder holds a file, which is named, that isn't a sidecar's.
     #[error("it holds {0}, which is none of a sidecar's files")]
     ForeignFile(String),
-    /// Another process has the lock.
+    /// Another process holds the lock.
     #[error("it is locked by a running sender")]
     Locked,
 }
 
 impl StateFolderError {
-    /// The finding's code.
+    /// The code of the finding that reports the error.
     pub(super) fn code(&self) -> Code {
         match self {
             StateFolderError::Io(_) | StateFolderError::ParentNotWritable(_) => {
@@ -86,7 +87,7 @@
     lock_file(&path).map(Some)
 }
 
-/// Checks that the nearest existing folder above an absent one isn't read-only.
+/// Checks that the nearest existing ancestor of an absent folder isn't read-only.
 fn check_can_be_created(folder: &Path) -> Result<(), StateFolderError> {
     let parent = folder
         .ancestors()
@@ -111,7 +112,8 @@
     }
 }
 
-/// The type of a folder's file system, if that is a temporary one (proc(5), mountinfo).
+/// The type of a folder's file system if its content is lost at a restart of the machine. The type is read from
+/// `/proc/self/mountinfo`, whose form proc(5) describes.
 pub(super) fn temporary_file_system(folder: &Path) -> Option<String> {
     let real_path = milletturn_config::neighbours::resolve_links(folder);
     let mounts = fs::read_to_string("/proc/self/mountinfo").ok()?;
--- a/crates/sidecar/src/http_reader.rs
+++ b/crates/sidecar/src/http_reader.rs
@@ -1,5 +1,5 @@
-//! The application's access to outcomes over HTTP/1.1: `GET /v1/outcomes?from=CURSOR`, a stream of JSON lines that
-//! stays open, and `GET /v1/messages/ID`.
+//! Serves outcomes to the application over HTTP/1.1: `GET /v1/outcomes?from=CURSOR` is a stream of JSON lines that
+//! stays open, and `GET /v1/messages/ID` returns the state of one message.
 
 use crate::shared_outcome_log::SharedOutcomeLog;
 use bytes::Bytes;
@@ -21,25 +21,25 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// Connections at once; each takes a descriptor and one page of outcomes.
+/// Maximum number of concurrent connections; each takes a descriptor and one page of outcomes.
 const MAX_CONNECTIONS: usize = 8;
-/// An idle stream gets an empty line at this interval, so that both sides see that the other is alive.
+/// An idle stream is sent an empty line at this interval, so that each side notices when the other is gone.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// A reader that accepts no data for this long is disconnected.
 const SEND_TIMEOUT: Duration = Duration::from_secs(30);
-/// Outcomes in one chunk of a stream.
+/// Maximum number of outcomes in one chunk of a stream.
 const OUTCOMES_PER_PAGE: usize = 100;
-/// Pause after a connection that could not be accepted.
+/// Delay before the next accept after a connection could not be accepted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(250);
 /// Time limit for a request's head.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(5);
-/// Buffer of a connection, and so the largest request head.
+/// Size of a connection's read buffer, which also limits the head of a request.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 
 type HttpResponse = Response<UnsyncBoxBody<Bytes, Infallible>>;
 
 impl SharedOutcomeLog {
-    /// Serves readers of the log; doesn't return while the process runs.
+    /// Accepts connections of the log's readers and serves them; runs until the task is cancelled.
     pub async fn serve(self, listener: TcpListener) {
         let connection_slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
         loop {
@@ -49,7 +49,9 @@
             let stream = match listener.accept().await {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    log(format_args!("outcomes: no reader accepted: {error}"));
+                    log(format_args!(
+                        "outcomes: could not accept a reader's connection: {error}"
+                    ));
                     sleep(ACCEPT_RETRY_DELAY).await;
                     continue;
                 }
@@ -67,7 +69,7 @@
             let shared = self.clone();
             async move { Ok::<_, Infallible>(shared.respond(request).await) }
         });
-        // a broken connection needs no handling: the reader comes again with its cursor
+        // a broken connection needs no handling: the reader reconnects and passes its cursor
         let _ = http1::Builder::new()
             .timer(TokioTimer::new())
             .header_read_timeout(HEADER_READ_TIMEOUT)
@@ -96,7 +98,7 @@
         }
     }
 
-    /// Acknowledges all outcomes up to the cursor, then streams those behind it.
+    /// Acknowledges all outcomes up to the cursor, then streams those after it.
     fn stream_response(&self, cursor: u64) -> HttpResponse {
         if cursor > self.borrow().last_cursor() {
             let reason = "that cursor was never given; the state folder may be another one\n";
@@ -105,7 +107,7 @@
         if let Err(error) = self.borrow_mut().acknowledge(cursor) {
             return text_response(StatusCode::SERVICE_UNAVAILABLE, format!("{error}\n"));
         }
-        // one chunk in flight: what is behind it stays in the log
+        // at most one chunk is in flight; later outcomes stay in the log
         let (sender, receiver) = mpsc::channel(1);
         tokio::task::spawn_local(self.clone().send_outcomes(cursor, sender));
         let mut response = Response::new(ChunkedBody(receiver).boxed_unsync());
@@ -116,7 +118,7 @@
         response
     }
 
-    /// Sends the outcomes behind a cursor, and further ones as they come, until the reader has gone.
+    /// Sends the outcomes after a cursor, then further ones as they are recorded, until the reader disconnects.
     async fn send_outcomes(self, mut cursor: u64, sender: mpsc::Sender<Bytes>) {
         let mut changes = self.changes();
         loop {
@@ -143,7 +145,7 @@
         }
     }
 
-    /// The state of one message: its pending outcome, or `open` if the engine still has it.
+    /// Responds with the state of one message: its pending outcome, or `open` while the engine is still delivering it.
     async fn message_response(&self, id: &str) -> HttpResponse {
         let Ok(message_id) = SharedStr::new(id.as_bytes()) else {
             return text_response(
@@ -169,7 +171,7 @@
     }
 }
 
-/// The cursor of a query: 0 without `from`, nothing if it is no number or stands there twice.
+/// The cursor in a query: 0 without `from`, none if the value isn't a number or `from` is given twice.
 fn parse_cursor(query: &str) -> Option<u64> {
     let mut values = query
         .split('&')
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,11 +1,11 @@
-//! The sender beside an application, with no platform.
+//! The sidecar: a sender that runs beside one application and takes its endpoints from files instead of a platform.
 //!
-//! - [`plan`]: from a checked configuration file to what the engine and its ports run with.
-//! - [`environment`]: checks that need the machine, and the lock on the state folder.
-//! - [`endpoints`]: the endpoints of the configuration, and a watched file of further ones.
-//! - [`outcome_log`]: final outcomes, kept until the application has acknowledged them.
-//! - [`shared_outcome_log`]: that log as the tasks of a process share it; readers get it over HTTP.
-//! - [`callback`]: outcomes sent to the application.
+//! - [`plan`]: converts a checked configuration file to the settings of the engine and of the other parts.
+//! - [`environment`]: checks a configuration against the machine, and locks the state folder.
+//! - [`endpoints`]: reads, checks and watches a file of endpoints.
+//! - [`outcome_log`]: stores final outcomes until the application has acknowledged them.
+//! - [`shared_outcome_log`]: shares the log between the tasks of a process, and serves it to readers over HTTP.
+//! - [`callback`]: sends outcomes to the application.
 
 pub mod callback;
 pub mod endpoints;
--- a/crates/sidecar/src/outcome_log.rs
+++ b/crates/sidecar/src/outcome_log.rs
@@ -1,8 +1,8 @@
 //! The outcome log: final outcomes in a file of JSON lines, each kept until the application has acknowledged it.
 //!
-//! An outcome is written before the journal forgets its message, so a crash between the two brings the engine's
-//! notification again. Repeats are recognized by the message's number and count once. A last line that a crash cut
-//! short is dropped; its notification comes again, too.
+//! An outcome is written before the journal removes its message, so after a crash between the two the engine repeats
+//! the notification. Repeated notifications are recognized by the message's number and stored once. If a crash cut the
+//! last line short, the line is dropped, and the engine repeats that notification too.
 
 mod record;
 #[cfg(test)]
@@ -20,14 +20,14 @@
 
 /// Name of the file in the state folder.
 const FILE_NAME: &str = "outcomes";
-/// How many numbers of acknowledged messages are remembered. Their notifications can be repeated only until the
-/// journal has forgotten the messages.
+/// Maximum count of acknowledged messages whose numbers are kept to recognize repeated notifications. A notification
+/// can be repeated only until the journal has removed the message.
 const MAX_REMEMBERED_NUMBERS: usize = 4096;
-/// A file smaller than this isn't rewritten, unless it may only be small.
+/// A file smaller than this isn't rewritten, unless half of the log's size limit is less.
 const MIN_REWRITE_BYTES: u64 = 64 * 1024;
-/// Upper bound of one outcome's line: an id of 256 bytes and the rest.
+/// Upper bound of one outcome's line: an id of up to 256 bytes and the other fields.
 const MAX_RECORD_BYTES: u64 = 400;
-/// Size of a usual outcome's line, by which the acknowledged part of the file is estimated.
+/// Typical size of an outcome's line, used to estimate how much of the file is acknowledged.
 const TYPICAL_RECORD_BYTES: u64 = 128;
 
 /// Why the outcome log can't be used.
@@ -38,7 +38,7 @@
     Io {
         /// The log's file.
         path: PathBuf,
-        /// What the operating system says.
+        /// The operating system's error.
         source: io::Error,
     },
     /// A line before the last is damaged, so outcomes would be missing.
@@ -62,7 +62,7 @@
     pending: BTreeMap<u64, Outcome>,
     /// Message numbers of the pending outcomes.
     pending_numbers: BTreeSet<u64>,
-    /// Message numbers of outcomes acknowledged lately, oldest first.
+    /// Message numbers of recently acknowledged outcomes, oldest first.
     acknowledged_numbers: VecDeque<u64>,
     acknowledged_cursor: u64,
     next_cursor: u64,
@@ -142,7 +142,7 @@
             .map_or(0, |last| last + 1)
     }
 
-    /// The pending outcomes behind a cursor, at most `max_count`.
+    /// The pending outcomes after a cursor, at most `max_count`.
     #[must_use]
     pub fn after(&self, cursor: u64, max_count: usize) -> Vec<Outcome> {
         self.pending
@@ -164,7 +164,7 @@
         self.pending.values().rev().find(|outcome| outcome.id == id)
     }
 
-    /// The cursor of the last outcome written; 0 if there was none.
+    /// The cursor of the last outcome written; 0 if none has been written.
     #[must_use]
     pub fn last_cursor(&self) -> u64 {
         self.next_cursor - 1
@@ -208,7 +208,7 @@
             text.push(b'\n');
         }
         if let Err(error) = self.file.write_all(&text) {
-            // half a line must not run into the next
+            // remove a partly written line, so that the next record starts on a new one
             let _ = self.file.set_len(self.size_bytes);
             return Err(self.io_error(error));
         }
@@ -217,10 +217,11 @@
     }
 
     /// Appends the outcomes that notifications report, and returns the numbers of all messages whose outcomes are
-    /// stored. Outcomes that are stored already aren't written again; those that don't fit are left out.
+    /// stored. Outcomes that are stored already aren't written again; those that would exceed the size limit are left
+    /// out.
     ///
     /// # Errors
-    /// When the file can't be written; then none of them is stored.
+    /// When the file can't be written; none of the outcomes is stored then.
     pub fn append(&mut self, notifications: &[Notification]) -> Result<Vec<u64>, OutcomeLogError> {
         self.rewrite_if_mostly_acknowledged()?;
         let mut stored_numbers = Vec::new();
@@ -245,11 +246,11 @@
         Ok(stored_numbers)
     }
 
-    /// Acknowledges all outcomes up to a cursor. A cursor that was acknowledged before, or that no outcome has had
-    /// yet, changes nothing.
+    /// Acknowledges all outcomes up to a cursor. A cursor that is acknowledged already, or greater than that of the
+    /// last outcome, has no effect.
     ///
     /// # Errors
-    /// When the file can't be written; the reader then asks from the same cursor again.
+    /// When the file can't be written; the outcomes stay pending, and the reader can retry with the same cursor.
     pub fn acknowledge(&mut self, cursor: u64) -> Result<(), OutcomeLogError> {
         if cursor <= self.acknowledged_cursor || cursor >= self.next_cursor {
             return Ok(());
@@ -262,8 +263,8 @@
         self.rewrite_if_mostly_acknowledged()
     }
 
-    /// Replaces the file by one with the pending outcomes only, when most of it has been acknowledged. The new file
-    /// is written beside the old one and then renamed.
+    /// Replaces the file by one that holds only the pending outcomes, if at least half of it is acknowledged. The new
+    /// file is written beside the old one and then renamed.
     fn rewrite_if_mostly_acknowledged(&mut self) -> Result<(), OutcomeLogError> {
         let pending_bytes = self.pending.len() as u64 * TYPICAL_RECORD_BYTES;
         let min_bytes = MIN_REWRITE_BYTES.min(self.max_bytes / 2);
--- a/crates/sidecar/src/outcome_log/record.rs
+++ b/crates/sidecar/src/outcome_log/record.rs
@@ -1,4 +1,4 @@
-//! The records of the outcome log: one JSON object a line.
+//! The records of the outcome log, one JSON object per line.
 
 use milletturn_engine::{Ending, Notification};
 use serde::{Deserialize, Serialize};
@@ -6,15 +6,16 @@
 /// The final outcome of one message, as the application reads it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// Position in the log, greater than those before it. A reader that asks from here acknowledges it.
+    /// Position in the log; cursors increase from one outcome to the next. A reader that requests the outcomes after a
+    /// cursor acknowledges all outcomes up to and including it.
     pub cursor: u64,
-    /// The sender's number for the message.
+    /// The number that the sender gave the message.
     pub number: u64,
-    /// The application's id for the message.
+    /// The id that the application gave the message.
     pub id: String,
     /// `delivered`, `returned` (the message may safely be submitted again) or `failed`.
     pub state: String,
-    /// For a returned message: when to submit it again, in milliseconds from now.
+    /// For a returned message: how long to wait before resubmitting it, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub after_ms: Option<u64>,
 }
@@ -55,7 +56,7 @@
         /// The last acknowledged cursor.
         #[serde(rename = "acked")]
         cursor: u64,
-        /// Numbers of messages acknowledged lately; only a rewritten file has them.
+        /// Numbers of recently acknowledged messages; empty except in the first record of a rewritten file.
         #[serde(rename = "recent")]
         message_numbers: Vec<u64>,
     },
--- a/crates/sidecar/src/outcome_log/tests.rs
+++ b/crates/sidecar/src/outcome_log/tests.rs
@@ -16,7 +16,7 @@
 
 #[test]
 fn an_outcome_counts_once_across_repeated_notifications_restarts_and_acknowledgements() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let mut log = OutcomeLog::open(folder.path(), 1 << 20).expect("opened");
     assert_eq!(
         log.append(&[delivered(1), delivered(2)]).expect("written"),
@@ -35,7 +35,7 @@
         [1, 2, 3]
     );
     log.acknowledge(2).expect("written");
-    // one that was acknowledged comes again from a journal that had not forgotten it
+    // the engine repeats the notification of an acknowledged outcome whose message the journal has not removed
     assert_eq!(log.append(&[delivered(1)]).expect("written"), [1]);
     let mut log = OutcomeLog::open(folder.path(), 1 << 20).expect("opened");
     assert_eq!(
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_torn_last_record_is_dropped_and_a_damaged_one_is_an_error() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let mut log = OutcomeLog::open(folder.path(), 1 << 20).expect("opened");
     log.append(&[delivered(1), delivered(2), delivered(3)])
         .expect("written");
@@ -77,7 +77,7 @@
 
 #[test]
 fn without_a_reader_the_file_stays_bounded_and_nothing_is_lost() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let mut log = OutcomeLog::open(folder.path(), 20_000).expect("opened");
     let (mut stored, mut number) = (0, 0);
     for _ in 0..1000 {
@@ -91,7 +91,7 @@
             .len()
             <= 20_000
     );
-    // it is read, and there is room again
+    // once the outcomes are acknowledged, the log has space again
     let cursor = log.last_cursor();
     log.acknowledge(cursor).expect("written");
     assert_eq!(
--- a/crates/sidecar/src/plan.rs
+++ b/crates/sidecar/src/plan.rs
@@ -1,4 +1,5 @@
-//! The plan of a sidecar: what the engine and its ports run with, worked out from a checked configuration file.
+//! The plan of a sidecar: all values that the engine and the other parts run with, derived from a checked configuration
+//! file.
 
 mod dead_letters;
 mod decision_settings;
@@ -18,12 +19,13 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Descriptors of the outcome log, its readers, the endpoints file, and the dead-letter store with its commands.
+/// File descriptors reserved for the outcome log, its readers, the endpoints file, and the dead-letter store with its
+/// commands.
 const OTHER_DESCRIPTORS: usize = 20;
-/// Disk space for the outcome log as a multiple of its size: while it is rewritten there are two files.
+/// Files that the outcome log may take up at once: while the log is rewritten, the old and the new file both exist.
 const OUTCOME_LOG_FILES: u64 = 2;
 
-/// What a sidecar runs with.
+/// The values that a sidecar runs with.
 #[derive(Debug, Clone)]
 pub struct Plan {
     /// The application's name.
@@ -34,17 +36,18 @@
     pub ingress_address: SocketAddr,
     /// Address where the application reads outcomes.
     pub outcomes_address: SocketAddr,
-    /// Address for operators' commands, if there is one.
+    /// Address of the admin server, if one is configured.
     pub admin_address: Option<SocketAddr>,
     /// The decision module's settings.
     pub settings: Settings,
-    /// Kinds of destination, named by the messages that one call may carry.
+    /// Kinds of destination. A kind's name is the number of messages that one call may carry, such as `"5"`.
     pub kinds: Vec<String>,
-    /// How file descriptors and memory are divided.
+    /// How file descriptors and memory are divided between connections.
     pub budget: ResourceBudget,
-    /// Disk space of the journal, in bytes.
+    /// Disk space that the journal may take up, in bytes.
     pub journal_max_bytes: u64,
-    /// Disk space of the dead-letter store with its reserve, in bytes; 0 without a store.
+    /// Disk space reserved for the dead-letter store, a multiple of the store's size limit, in bytes; 0 without a
+    /// store.
     pub store_reserved_bytes: u64,
     /// Size limit of the outcome log's file, in bytes.
     pub outcome_log_max_bytes: u64,
@@ -54,19 +57,19 @@
     pub connect_timeout: Duration,
     /// The dead-letter store's settings, if there is a store.
     pub dead_letter_store: Option<StoreConfig>,
-    /// Where outcomes are sent, if the application has a callback.
+    /// Class and destination of callback messages, if the application has a callback.
     pub callback: Option<Callback>,
-    /// Endpoints that the configuration itself names, with the callback's.
+    /// Endpoints that the configuration itself names, and the callback's.
     pub fixed_endpoints: Vec<ListedEndpoint>,
-    /// A watched file of further endpoints.
+    /// A file of further endpoints that is watched for changes.
     pub endpoints_file: Option<PathBuf>,
 }
 
-/// Why an address of a sound configuration can't be used.
+/// Why an address in a valid configuration can't be resolved.
 #[derive(Debug, Error)]
 pub enum PlanError {
     /// The text is not of the form `host:port`.
-    #[error("{name} can't be resolved: it is no host and port")]
+    #[error("{name} can't be resolved: not of the form host:port")]
     Malformed {
         /// The text.
         name: String,
@@ -76,18 +79,18 @@
     Resolver {
         /// Host and port.
         name: String,
-        /// What the resolver says.
+        /// The resolver's error.
         source: io::Error,
     },
-    /// The resolver knows the name, but no address for it.
-    #[error("{name} can't be resolved: it has no address")]
+    /// The resolver returns no address for the name.
+    #[error("{name} can't be resolved: the name has no address")]
     NoAddress {
         /// Host and port.
         name: String,
     },
 }
 
-/// Returns the first address of a `host:port`; the system's resolver looks names up.
+/// Resolves a `host:port` to its first address; host names are looked up with the system's resolver.
 ///
 /// # Errors
 /// When the text has another form, or there is no address.
@@ -109,7 +112,7 @@
 }
 
 impl Plan {
-    /// Works the plan out from a document without findings.
+    /// Derives the plan from a document without findings.
     ///
     /// # Errors
     /// When an address can't be resolved.
@@ -156,14 +159,15 @@
     }
 }
 
-/// Divides descriptors and memory; what the sidecar itself has open is subtracted first.
-fn budget_from(document: &Document, has_operators: bool) -> ResourceBudget {
-    let operators_descriptors = if has_operators {
+/// Divides descriptors and memory between connections. The descriptors that the sidecar itself needs are subtracted
+/// first.
+fn budget_from(document: &Document, has_admin_server: bool) -> ResourceBudget {
+    let admin_descriptors = if has_admin_server {
         ADMIN_DESCRIPTORS as usize
     } else {
         0
     };
-    let reserved = OTHER_DESCRIPTORS + operators_descriptors;
+    let reserved = OTHER_DESCRIPTORS + admin_descriptors;
     ResourceBudget::new(
         count_as_usize(document, &["limits", "sockets"]).saturating_sub(reserved),
         document.size(&["limits", "memory"]),
--- a/crates/sidecar/src/plan/dead_letters.rs
+++ b/crates/sidecar/src/plan/dead_letters.rs
@@ -1,11 +1,11 @@
-//! The dead-letter store's settings and its redrive rules, from a configuration.
+//! Converts a configuration to the settings and redrive rules of the dead-letter store.
 
 use milletturn_config::document::Document;
 use milletturn_dead_letter::config::Config as StoreConfig;
 use milletturn_dead_letter::record::parse_reason;
 use milletturn_dead_letter::redrive_schedule::RedriveRule;
 
-/// The store's settings, if the configuration wants one.
+/// The store's settings, if the configuration enables the store.
 pub(super) fn store_from(document: &Document) -> Option<StoreConfig> {
     let is_enabled = document.flag(&["undelivered", "keep"]);
     is_enabled.then(|| StoreConfig {
--- a/crates/sidecar/src/plan/decision_settings.rs
+++ b/crates/sidecar/src/plan/decision_settings.rs
@@ -1,10 +1,11 @@
-//! The decision module's settings, from a configuration.
+//! Converts a configuration to the decision module's settings.
 
 use super::count_as_usize;
 use milletturn_config::document::Document;
 use milletturn_policy::{Class, Effect, Safety, Settings, ValueDecay};
 
-/// The settings with the classes of the configuration; kinds and the callback's class are added later.
+/// The settings with the configuration's classes. [`super::Plan::from_document`] adds the kinds of destination and the
+/// callback's class.
 pub(super) fn from_document(document: &Document) -> Settings {
     let mut settings = Settings::new(
         count_as_usize(document, &["limits", "calls"]),
--- a/crates/sidecar/src/plan/destinations.rs
+++ b/crates/sidecar/src/plan/destinations.rs
@@ -1,4 +1,4 @@
-//! Endpoints and kinds of destination, from the configuration's destinations and its callback.
+//! Converts the destinations and the callback of a configuration to endpoints and kinds of destination.
 
 use super::{PlanError, resolve};
 use crate::callback::{CLASS, Callback};
@@ -7,19 +7,21 @@
 use milletturn_policy::{Class, DestinationKind, Effect, EndpointStatus, Micros, SECOND, Settings};
 use std::collections::BTreeSet;
 
-/// How long one message that carries an outcome to the callback is attempted; then it is submitted anew.
+/// How long one message that carries an outcome to the callback is attempted. After that the outcome is resubmitted in
+/// a new message.
 const CALLBACK_TIME_TO_LIVE: Micros = 60 * SECOND;
-/// The kind of destinations whose calls carry one message.
+/// Name of the kind of destination whose calls carry one message each.
 const SINGLE_MESSAGE_KIND: &str = "1";
 
-/// The endpoints of all destinations, and the kinds of destination by the messages that one call may carry.
+/// The endpoints of all destinations, and the kinds of destination. A kind's name is the number of messages that one
+/// call may carry.
 pub(super) struct Destinations {
     pub(super) endpoints: Vec<ListedEndpoint>,
     pub(super) kinds: Vec<String>,
 }
 
 impl Destinations {
-    /// The destinations that the configuration itself names.
+    /// Collects the destinations of a configuration.
     pub(super) fn from_document(document: &Document) -> Result<Self, PlanError> {
         let mut destinations = Destinations {
             endpoints: Vec::new(),
@@ -55,8 +57,8 @@
         Ok(())
     }
 
-    /// Adds the callback's address as an endpoint of a destination that no other endpoint has, and the callback
-    /// messages' class to the settings.
+    /// Adds the callback's address as the only endpoint of a new destination, and the class of callback messages to the
+    /// settings.
     pub(super) fn add_callback(
         &mut self,
         address: &str,
@@ -95,7 +97,7 @@
             .unwrap_or(u64::MAX)
     }
 
-    /// The kinds as the decision module's settings have them.
+    /// The kinds of destination in the form of the decision module's settings.
     pub(super) fn kind_settings(&self) -> impl Iterator<Item = DestinationKind> {
         self.kinds.iter().map(|kind| DestinationKind {
             name: kind.clone(),
--- a/crates/sidecar/src/shared_outcome_log.rs
+++ b/crates/sidecar/src/shared_outcome_log.rs
@@ -1,4 +1,5 @@
-//! The outcome log as its users in one process share it: the recorder of endings, the HTTP readers and the callback.
+//! Shares the outcome log between its users in one process: the task that records endings, the HTTP readers and the
+//! callback.
 
 use crate::outcome_log::{Outcome, OutcomeLog};
 use milletturn_engine::{Input, Notification};
@@ -10,7 +11,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-/// Pause before endings that found no room in the log are tried again.
+/// Delay before endings that did not fit into the log are retried.
 const FULL_LOG_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// An outcome log that several tasks of one thread use, with a signal for each change.
@@ -22,7 +23,7 @@
 }
 
 impl SharedOutcomeLog {
-    /// Shares an open log. `inputs` leads to the engine.
+    /// Shares an open log. `inputs` is the engine's input channel.
     #[must_use]
     pub fn new(log: OutcomeLog, inputs: mpsc::UnboundedSender<Input>) -> Self {
         let changes = watch::channel(log.last_cursor()).0;
@@ -39,7 +40,7 @@
         self.changes.subscribe()
     }
 
-    /// The pending outcomes behind a cursor, at most `max_count`.
+    /// The pending outcomes after a cursor, at most `max_count`.
     #[must_use]
     pub fn after(&self, cursor: u64, max_count: usize) -> Vec<Outcome> {
         self.log.borrow().after(cursor, max_count)
@@ -59,8 +60,8 @@
         self.log.borrow().acknowledged_cursor()
     }
 
-    /// Acknowledges all outcomes up to a cursor. If that can't be written it is logged, and they are sent once more
-    /// after a restart.
+    /// Acknowledges all outcomes up to a cursor. If the acknowledgement can't be written, the error is logged, and the
+    /// outcomes are sent once more after a restart.
     pub fn acknowledge(&self, cursor: u64) {
         if let Err(error) = self.log.borrow_mut().acknowledge(cursor) {
             log(format_args!("outcomes: {error}"));
@@ -73,21 +74,21 @@
         &self.inputs
     }
 
-    /// The log itself, to read.
+    /// Borrows the log for reading.
     pub(crate) fn borrow(&self) -> Ref<'_, OutcomeLog> {
         self.log.borrow()
     }
 
-    /// The log itself, to change.
+    /// Borrows the log for writing.
     pub(crate) fn borrow_mut(&self) -> RefMut<'_, OutcomeLog> {
         self.log.borrow_mut()
     }
 
-    /// Records each ending that the engine notifies, until the engine stops. Endings that don't fit are tried again,
-    /// and stay in the journal until then.
+    /// Records each message ending of which the engine sends a notification, until the engine stops. Endings that don't
+    /// fit into the log are retried, and their messages stay in the journal until then.
     ///
-    /// `callback` is the class of the messages that carry outcomes to the application, and the channel that gets their
-    /// endings: those aren't outcomes themselves.
+    /// `callback` is the class of the messages that carry outcomes to the application, and the channel to which their
+    /// endings are sent. These endings are not recorded as outcomes.
     pub async fn record_endings(
         self,
         mut endings: mpsc::UnboundedReceiver<Notification>,
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Appends outcomes to the log, passes the endings of callback messages on, and returns the numbers of all
-    /// messages that are done with.
+    /// Appends outcomes to the log, forwards the endings of callback messages to the callback, and returns the numbers
+    /// of all messages that the journal may remove.
     fn record_batch(
         &self,
         unrecorded: &BTreeMap<u64, Notification>,
@@ -146,15 +147,15 @@
         });
         for carrier in carriers {
             recorded.push(carrier.number);
-            // a callback that has stopped receives nothing any more
+            // sending fails only after the callback task has stopped, which no longer needs the ending
             let _ = callback.map(|(_, sender)| sender.send(carrier));
         }
         recorded
     }
 }
 
-/// Whether a message carried an outcome to the callback: by its class, or by its id if the settings no longer have a
-/// callback.
+/// Whether a message carried an outcome to the callback. Such a message is recognized by its class, or by its id if the
+/// settings no longer have a callback.
 fn is_callback_message(ending: &Notification, class: Option<usize>) -> bool {
     match class {
         Some(class) => ending.class == class,
--- a/crates/sidecar/tests/environment.rs
+++ b/crates/sidecar/tests/environment.rs
@@ -1,4 +1,4 @@
-//! The checks that need the machine.
+//! Checks of a configuration against the machine.
 
 use milletturn_config::check_documents;
 use milletturn_config::codes::Code;
@@ -10,7 +10,8 @@
 use std::path::Path;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// Checks of one port, and connection attempts meanwhile: a check that listens is caught within the first hundreds.
+/// Minimum number of port checks, and of connection attempts during them. A check that listens on the port would accept
+/// a connection within the first few hundred.
 const CHECKS: usize = 2_000;
 
 fn document(folder: &Path, http: SocketAddr) -> Document {
@@ -29,17 +30,17 @@
 }
 
 #[test]
-fn a_check_of_a_port_never_answers_a_client() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn a_port_check_never_accepts_a_connection() {
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let address = UnusedAddress::bind_on([127, 77, 1, 1]).address;
     let (is_over, attempts) = (AtomicBool::new(false), AtomicUsize::new(0));
     let mut document = document(folder.path(), address);
     std::thread::scope(|scope| {
         let client = scope.spawn(|| {
             while !is_over.load(Ordering::SeqCst) {
-                // a reset is a connection that was accepted and closed at once
-                let answer = TcpStream::connect(address).map_err(|error| error.kind());
-                if answer.err() != Some(ErrorKind::ConnectionRefused) {
+                // any result but a refusal, a reset too, means that the check's socket has accepted the connection
+                let result = TcpStream::connect(address).map_err(|error| error.kind());
+                if result.err() != Some(ErrorKind::ConnectionRefused) {
                     return true;
                 }
                 attempts.fetch_add(1, Ordering::SeqCst);
@@ -54,18 +55,21 @@
         }
         is_over.store(true, Ordering::SeqCst);
         assert!(
-            !client.join().expect("ended"),
-            "a client came in after {checks} checks"
+            !client.join().expect("the client thread ends"),
+            "a connection was accepted after {checks} checks"
         );
     });
     assert!(!has_port_finding(&document));
 }
 
 #[test]
-fn a_port_that_another_process_has_is_found() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let other = TcpListener::bind("127.77.1.3:0").expect("a port");
-    let mut document = document(folder.path(), other.local_addr().expect("bound"));
+fn a_port_in_use_is_reported() {
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
+    let other = TcpListener::bind("127.77.1.3:0").expect("a free port is bound");
+    let mut document = document(
+        folder.path(),
+        other.local_addr().expect("the listener has an address"),
+    );
     environment::check(&mut document, environment::CheckMode::ReadOnly);
     assert!(has_port_finding(&document), "{:?}", document.findings);
 }
--- a/crates/sidecar/tests/golden/endpoints_file.rs
+++ b/crates/sidecar/tests/golden/endpoints_file.rs
@@ -1,4 +1,4 @@
-//! The endpoints file: a stored one is read with every value.
+//! The format of the endpoints file: every value of a recorded file is read.
 
 use super::golden;
 use milletturn_engine::ListedEndpoint;
@@ -6,10 +6,10 @@
 use milletturn_sidecar::endpoints;
 
 #[test]
-fn the_stored_file_of_endpoints_is_read_with_every_value() {
+fn every_value_of_the_recorded_endpoints_file_is_read() {
     let listed = |name: &str, address: &str, destination, status, weight| ListedEndpoint {
         uid: name.to_string(),
-        address: address.parse().expect("an address"),
+        address: address.parse().expect("a valid address"),
         zone: String::new(),
         kind: "1".to_string(),
         destination,
@@ -18,7 +18,7 @@
     };
     let path = golden("endpoints.toml");
     assert!(endpoints::is_list(
-        &std::fs::read_to_string(&path).expect("read")
+        &std::fs::read_to_string(&path).expect("the golden file is readable")
     ));
     let expected = [
         listed(
@@ -50,8 +50,8 @@
             12.5,
         ),
     ];
-    let found = endpoints::read(&path).expect("a list");
-    // the whole of each, as texts: the type has no equality
+    let found = endpoints::read(&path).expect("a valid endpoints file");
+    // compared by their debug texts, since `ListedEndpoint` does not implement `PartialEq`
     assert_eq!(found.len(), expected.len());
     for (found, expected) in found.iter().zip(&expected) {
         assert_eq!(format!("{found:?}"), format!("{expected:?}"));
--- a/crates/sidecar/tests/golden/main.rs
+++ b/crates/sidecar/tests/golden/main.rs
@@ -1,5 +1,6 @@
-//! A sidecar's stored files and what its readers get, held by data that was written before names in the code changed:
-//! the outcome log's file, the endpoints file, the plan from a file with all settings, the responses over HTTP.
+//! Compatibility of a sidecar's external formats with recorded data: the outcome log's file, the endpoints file, the
+//! plan from a configuration with all settings, and the HTTP responses to readers of outcomes. The tests fail when a
+//! change to the code changes one of these formats.
 
 mod callback;
 mod endpoints_file;
@@ -21,11 +22,11 @@
         .join(name)
 }
 
-/// A log opened from a copy of a golden file, with the folder that it lies in.
+/// Opens an outcome log from a copy of a golden file. Returns the temporary folder with the copy, and the log.
 fn open_copy(name: &str) -> (TempDir, OutcomeLog) {
-    let folder = tempfile::tempdir().expect("a folder");
-    std::fs::copy(golden(name), folder.path().join("outcomes")).expect("copied");
-    let log = OutcomeLog::open(folder.path(), MAX_BYTES).expect("opened");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
+    std::fs::copy(golden(name), folder.path().join("outcomes")).expect("the golden file is copied");
+    let log = OutcomeLog::open(folder.path(), MAX_BYTES).expect("the log opens");
     (folder, log)
 }
 
@@ -34,6 +35,6 @@
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("the runtime is built");
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
--- a/crates/sidecar/tests/golden/outcome_file.rs
+++ b/crates/sidecar/tests/golden/outcome_file.rs
@@ -1,4 +1,5 @@
-//! The outcome log's file: stored files are read with every value, and the same outcomes are written as the same text.
+//! The format of the outcome log's file: every value of the recorded files is read, and the same outcomes are written
+//! as the same text.
 
 use super::{MAX_BYTES, golden, open_copy};
 use milletturn_engine::{Ending, Notification, SharedStr};
@@ -23,7 +24,7 @@
     }
 }
 
-/// The endings in the stored file, in the order in which they were given.
+/// The notifications that were appended to write the recorded file, in order.
 fn notifications() -> [Notification; 5] {
     [
         notification(11, "m-11", Ending::Delivered),
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn the_stored_file_of_outcomes_is_read_with_every_value() {
+fn every_value_of_the_recorded_outcome_file_is_read() {
     let (_folder, mut log) = open_copy("outcomes");
     assert_eq!(log.after(0, 100), pending_outcomes());
     assert_eq!(
@@ -61,16 +62,16 @@
         (2, 5, 17)
     );
     assert_eq!(log.find_by_id("m-15"), pending_outcomes().get(1));
-    // repeated notifications are recognized, those of acknowledged outcomes too
+    // repeated notifications are recognized, also those of acknowledged outcomes
     assert_eq!(
-        log.append(&notifications()).expect("written"),
+        log.append(&notifications()).expect("the log is written"),
         [11, 12, 14, 15, 16]
     );
     assert_eq!(log.after(0, 100), pending_outcomes());
 }
 
 #[test]
-fn a_rewritten_file_of_outcomes_is_read_with_every_value() {
+fn every_value_of_a_rewritten_outcome_file_is_read() {
     let (_folder, mut log) = open_copy("outcomes-rewritten");
     assert_eq!(
         log.after(0, 100),
@@ -86,43 +87,48 @@
     );
     assert_eq!(
         log.append(&[notification(141, "m-141", Ending::Delivered)])
-            .expect("written"),
+            .expect("the log is written"),
         [141]
     );
     assert_eq!(log.after(0, 100).len(), 1);
 }
 
 #[test]
-fn the_same_outcomes_are_written_as_the_very_same_text() {
-    let folder = tempfile::tempdir().expect("a folder");
-    let mut log = OutcomeLog::open(folder.path(), MAX_BYTES).expect("opened");
+fn outcomes_are_written_as_in_the_recorded_file() {
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
+    let mut log = OutcomeLog::open(folder.path(), MAX_BYTES).expect("the log opens");
     let [first, second, rest @ ..] = notifications();
-    assert_eq!(log.append(&[first, second]).expect("written"), [11, 12]);
-    log.acknowledge(2).expect("written");
-    assert_eq!(log.append(&rest).expect("written"), [14, 15, 16]);
-    let written = std::fs::read_to_string(folder.path().join("outcomes")).expect("read");
+    assert_eq!(
+        log.append(&[first, second]).expect("the log is written"),
+        [11, 12]
+    );
+    log.acknowledge(2).expect("the log is written");
+    assert_eq!(log.append(&rest).expect("the log is written"), [14, 15, 16]);
+    let written =
+        std::fs::read_to_string(folder.path().join("outcomes")).expect("the file is readable");
     assert_eq!(
         written,
-        std::fs::read_to_string(golden("outcomes")).expect("read")
+        std::fs::read_to_string(golden("outcomes")).expect("the file is readable")
     );
 }
 
 #[test]
-fn a_file_that_is_rewritten_has_the_very_same_text() {
-    let folder = tempfile::tempdir().expect("a folder");
-    // so small a limit that half of it is soon acknowledged
-    let mut log = OutcomeLog::open(folder.path(), 6_000).expect("opened");
+fn a_rewritten_outcome_file_equals_the_recorded_one() {
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
+    // the size limit is small enough that the file is rewritten within 42 outcomes
+    let mut log = OutcomeLog::open(folder.path(), 6_000).expect("the log opens");
     for number in 101..=142 {
         let one = notification(number, &format!("m-{number}"), Ending::Delivered);
-        assert_eq!(log.append(&[one]).expect("written"), [number]);
+        assert_eq!(log.append(&[one]).expect("the log is written"), [number]);
         if number < 142 {
-            log.acknowledge(number - 100).expect("written");
+            log.acknowledge(number - 100).expect("the log is written");
         }
     }
-    let written = std::fs::read_to_string(folder.path().join("outcomes")).expect("read");
+    let written =
+        std::fs::read_to_string(folder.path().join("outcomes")).expect("the file is readable");
     assert_eq!(
         written,
-        std::fs::read_to_string(golden("outcomes-rewritten")).expect("read")
+        std::fs::read_to_string(golden("outcomes-rewritten")).expect("the file is readable")
     );
     assert!(
         written.starts_with(r#"{"acked":"#) && written.contains(r#""recent":[101,102,"#),
--- a/crates/sidecar/tests/golden/plan.rs
+++ b/crates/sidecar/tests/golden/plan.rs
@@ -1,4 +1,4 @@
-//! The plan from a file with all settings.
+//! The plan that is derived from a configuration with all settings.
 
 use milletturn_config::check_documents;
 use milletturn_config::document::Document;
@@ -11,7 +11,7 @@
 
 fn all_settings() -> Plan {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../config/tests/golden/all.toml");
-    let text = std::fs::read_to_string(&path).expect("read");
+    let text = std::fs::read_to_string(&path).expect("the golden file is readable");
     let documents = check_documents(vec![Document::parse(
         Path::new("/etc/milletturn/all.toml"),
         text,
@@ -21,11 +21,11 @@
         "{:?}",
         documents[0].findings
     );
-    Plan::from_document(&documents[0]).expect("a plan")
+    Plan::from_document(&documents[0]).expect("the plan is derived")
 }
 
 fn address(text: &str) -> SocketAddr {
-    text.parse().expect("an address")
+    text.parse().expect("a valid address")
 }
 
 #[test]
@@ -83,7 +83,7 @@
             ("callback/127.0.0.1:9100", u64::MAX, "1", 0.0),
         ]
     );
-    let callback = plan.callback.expect("a callback");
+    let callback = plan.callback.expect("a callback is configured");
     assert_eq!(
         (callback.class, callback.destination, callback.time_to_live),
         (3, u64::MAX, 60_000_000)
@@ -182,7 +182,9 @@
 
 #[test]
 fn a_file_with_all_settings_gives_the_same_dead_letter_store() {
-    let store = all_settings().dead_letter_store.expect("it keeps them");
+    let store = all_settings()
+        .dead_letter_store
+        .expect("a dead-letter store is configured");
     assert_eq!(
         (store.max_bytes, store.max_messages, store.max_age),
         (5_000_000, 20_000, 1_209_600_000_000)
@@ -201,7 +203,7 @@
         },
     ] = &store.rules[..]
     else {
-        panic!("one rule: {:?}", store.rules);
+        panic!("expected one redrive rule: {:?}", store.rules);
     };
     assert_eq!(
         (name.as_str(), &classes[..], &destinations[..]),
--- a/crates/sidecar/tests/golden/readers.rs
+++ b/crates/sidecar/tests/golden/readers.rs
@@ -1,4 +1,4 @@
-//! Responses to readers of outcomes over HTTP.
+//! The HTTP responses to readers of outcomes.
 
 use super::{golden, open_copy, run_local};
 use milletturn_engine::Input;
@@ -9,10 +9,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-/// The end of a stream that leaves its connection open, once it has sent all pending outcomes.
-const LAST: &str = "\"order/16\",\"state\":\"delivered\"}\n\r\n";
+/// The last bytes of an outcome stream that has sent all pending outcomes; its connection stays open.
+const STREAM_END: &str = "\"order/16\",\"state\":\"delivered\"}\n\r\n";
 
-/// Whether a response is complete: as long as its head says, or with all outcomes that are pending.
+/// Whether a response is complete: its body has the length in its head, or contains all pending outcomes.
 fn is_complete(text: &str) -> bool {
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
@@ -21,22 +21,27 @@
         Some((_, length)) => {
             length.lines().next().and_then(|length| length.parse().ok()) == Some(body.len())
         }
-        None => body.ends_with(LAST),
+        None => body.ends_with(STREAM_END),
     }
 }
 
-/// Sends a request to the outcomes port and returns the response, without its date.
+/// Sends a request to the outcomes port and returns the response without its `date` header.
 async fn exchange(address: SocketAddr, request: &str) -> String {
-    let mut stream = TcpStream::connect(address).await.expect("it accepts");
-    stream.write_all(request.as_bytes()).await.expect("written");
+    let mut stream = TcpStream::connect(address)
+        .await
+        .expect("the server accepts");
+    stream
+        .write_all(request.as_bytes())
+        .await
+        .expect("the request is written");
     let (mut text, mut piece) = (String::new(), [0; 4096]);
     while !is_complete(&text) {
         let read = tokio::time::timeout(Duration::from_secs(10), stream.read(&mut piece)).await;
         let count = read
-            .unwrap_or_else(|_| panic!("no end: {text}"))
-            .expect("read");
-        assert_ne!(count, 0, "closed: {text}");
-        text.push_str(std::str::from_utf8(&piece[..count]).expect("text"));
+            .unwrap_or_else(|_| panic!("incomplete response: {text}"))
+            .expect("the response is readable");
+        assert_ne!(count, 0, "connection closed early: {text}");
+        text.push_str(std::str::from_utf8(&piece[..count]).expect("the response is UTF-8"));
     }
     text.split_inclusive("\r\n")
         .filter(|line| !line.starts_with("date: "))
@@ -48,10 +53,12 @@
     let (_folder, log) = open_copy("outcomes");
     let text = run_local(async {
         let (inputs, mut engine_inputs) = mpsc::unbounded_channel();
-        let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let address = listener.local_addr().expect("bound");
+        let listener = TcpListener::bind("127.0.0.1:0")
+            .await
+            .expect("a free port is bound");
+        let address = listener.local_addr().expect("the listener has an address");
         tokio::task::spawn_local(SharedOutcomeLog::new(log, inputs).serve(listener));
-        // the part of the engine, which has one message in flight
+        // stands in for the engine, which has one unfinished message, `m-held`
         tokio::task::spawn_local(async move {
             while let Some(input) = engine_inputs.recv().await {
                 if let Input::IsOpen(id, reply) = input {
@@ -79,6 +86,6 @@
     });
     assert_eq!(
         text,
-        std::fs::read_to_string(golden("reader.txt")).expect("read")
+        std::fs::read_to_string(golden("reader.txt")).expect("the response is readable")
     );
 }
--- a/crates/sidecar/tests/variants.rs
+++ b/crates/sidecar/tests/variants.rs
@@ -1,5 +1,5 @@
-//! From each good example every setting removed, emptied, negated, doubled and set absurd: each variant is rejected
-//! with a reason, or there is a plan by which it can start.
+//! Variants of the valid example configurations, in which single settings are removed, emptied, negated, duplicated or
+//! set to absurd values. Each variant must be rejected with a finding, or give a plan with which a sidecar can start.
 
 use milletturn_config::check_documents;
 use milletturn_config::document::Document;
@@ -15,7 +15,7 @@
         .map(|name| {
             (
                 folder.join(name),
-                std::fs::read_to_string(folder.join(name)).expect("read"),
+                std::fs::read_to_string(folder.join(name)).expect("the example is readable"),
             )
         })
         .to_vec()
@@ -23,13 +23,13 @@
 
 #[test]
 fn each_variant_is_rejected_or_can_start() {
-    let (mut rejected, mut sound) = (0, 0);
+    let (mut rejected, mut valid) = (0, 0);
     for (path, text) in examples() {
         for (variant, changed) in config_variants(&text) {
             let documents = check_documents(vec![Document::parse(&path, changed)]);
             let document = &documents[0];
             if document.findings.is_empty() {
-                sound += 1;
+                valid += 1;
                 let plan = Plan::from_document(document)
                     .unwrap_or_else(|error| panic!("{variant}: {error}"));
                 Sender::new(plan.settings, 1).unwrap_or_else(|error| panic!("{variant}: {error}"));
@@ -45,15 +45,15 @@
         }
     }
     assert!(
-        rejected > 300 && sound > 50,
-        "{rejected} rejected, {sound} sound"
+        rejected > 300 && valid > 50,
+        "{rejected} rejected, {valid} valid"
     );
 }
 
 #[test]
-fn noise_in_a_file_is_no_panic() {
+fn random_changes_to_a_file_never_cause_a_panic() {
     let (path, text) = &examples()[0];
-    // a seed of its own: a multiplier and an increment from Knuth's MMIX generator
+    // a linear congruential generator with the multiplier and increment of Knuth's MMIX, and a fixed seed
     let mut state = 7u64;
     let mut next = move || {
         state = state
