--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,4 +1,5 @@
-//! One file as a whole: what contradicts what, and what does not add up. Pure: looks at no folder and no port.
+//! Checks one file as a whole for contradictions between settings and for budgets that are exceeded. These checks look
+//! only at the document, not at folders or ports.
 
 use crate::codes::Code;
 use crate::document::Document;
@@ -6,44 +7,48 @@
 use crate::units::{format_size, format_time};
 use std::collections::BTreeMap;
 
-/// Rest before a message is tried again, at first and at most: the decision module's.
-const REST_FIRST: i64 = 150_000;
-const REST_MOST: i64 = 2_000_000;
-/// Descriptors beside those of clients and endpoints: standard streams, the poll, signals, listener, journal,
-/// endpoints' file, outcomes, the store and its commands.
-const SOCKETS_REST: u64 = 34;
-/// Those of the operators' door, where it is open.
+/// Backoff before the first retry of a message, in microseconds, as in the decision module; it doubles with each retry.
+const MIN_RETRY_BACKOFF_US: i64 = 150_000;
+/// Longest backoff before a retry, in microseconds, as in the decision module.
+const MAX_RETRY_BACKOFF_US: i64 = 2_000_000;
+/// File descriptors for everything but connections of clients and to endpoints: standard streams, epoll, signals,
+/// listener, journal, endpoints file, outcome log, dead-letter store and its commands.
+const OTHER_DESCRIPTORS: u64 = 34;
+/// File descriptors of the admin server, if one is configured.
 pub const ADMIN_DESCRIPTORS: u64 = 14;
-/// Parts of the descriptors: clients get two fifths, and a tenth stays free.
-const CLIENT_PART: f64 = 0.4;
-const FREE_PART: f64 = 0.1;
-/// Memory of the process itself, and of a held message beside its body.
-const MEMORY_BASE: u64 = 8_000_000;
-const MEMORY_MESSAGE: u64 = 4_000;
-/// Memory that a connection's buffers take.
-const MEMORY_SOCKET: u64 = 24_000;
-/// Bytes of the journal beside a body: records of the message, its sends and its end. Old and new file stand side by
-/// side while it is compacted.
-const JOURNAL_MESSAGE: u64 = 1_200;
-const JOURNAL_FILES: u64 = 2;
-/// The store, the pages that a transaction copies, and one file set aside.
-const STORE_SIZES: u64 = 3;
+/// Share of the remaining descriptors that is given to connections of clients.
+const CLIENT_DESCRIPTOR_SHARE: f64 = 0.4;
+/// Share of the remaining descriptors that is left unused.
+const FREE_DESCRIPTOR_SHARE: f64 = 0.1;
+/// Memory of the process without messages and connections.
+const PROCESS_MEMORY_BYTES: u64 = 8_000_000;
+/// Memory of a pending message in addition to its body.
+const MESSAGE_OVERHEAD_BYTES: u64 = 4_000;
+/// Memory of one connection's buffers.
+const CONNECTION_BUFFER_BYTES: u64 = 24_000;
+/// Journal space for one message in addition to its body: the records of the message, its attempts and its end.
+const JOURNAL_OVERHEAD_BYTES: u64 = 1_200;
+/// Journal files that exist at once: the old and the new one, while the journal is compacted.
+const JOURNAL_FILE_COUNT: u64 = 2;
+/// Disk space of the dead-letter store as a multiple of its size limit: the store, the pages that a transaction copies,
+/// and one damaged file that was set aside.
+const RESERVED_STORE_SIZES: u64 = 3;
 
-/// A worked-out budget, for `config show` and the findings.
+/// A resource limit with the amounts that are planned against it, for `config show` and for findings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Budget {
-    /// What is shared out.
+    /// Path of the setting that limits the resource, such as `limits.memory`.
     pub setting: &'static str,
-    /// Its parts, with their sizes.
+    /// Names and sizes of the planned amounts.
     pub parts: Vec<(&'static str, u64)>,
-    /// What there is.
+    /// Value of the setting.
     pub limit: u64,
-    /// Bytes, not things.
+    /// True if the amounts are bytes, false if they are counts.
     pub is_bytes: bool,
 }
 
 impl Budget {
-    /// What the parts come to.
+    /// The sum of the parts.
     #[must_use]
     pub fn sum(&self) -> u64 {
         self.parts
@@ -52,12 +57,12 @@
             .fold(0, |sum, size| sum.saturating_add(*size))
     }
 
-    /// In words.
+    /// The parts, their sum and the limit, such as `calls 40 + rest 34 = 74 of 256`.
     #[must_use]
     pub fn description(&self) -> String {
-        let text = |size: u64| {
+        let format_amount = |size: u64| {
             if self.is_bytes {
-                mega(size)
+                format_megabytes(size)
             } else {
                 size.to_string()
             }
@@ -65,74 +70,76 @@
         let parts: Vec<String> = self
             .parts
             .iter()
-            .map(|(name, size)| format!("{name} {}", text(*size)))
+            .map(|(name, size)| format!("{name} {}", format_amount(*size)))
             .collect();
         format!(
             "{} = {} of {}",
             parts.join(" + "),
-            text(self.sum()),
-            text(self.limit)
+            format_amount(self.sum()),
+            format_amount(self.limit)
         )
     }
 }
 
-fn mega(bytes: u64) -> String {
+fn format_megabytes(bytes: u64) -> String {
     format!("{:.1}MB", bytes as f64 / 1e6)
 }
 
-/// The three budgets of a file.
+/// The budgets of file descriptors, memory and disk space.
 #[must_use]
 pub fn budgets(document: &Document) -> [Budget; 3] {
-    let (calls, held) = (
+    let (max_calls, max_pending) = (
         document.count(&["limits", "calls"]),
         document.count(&["limits", "held"]),
     );
-    let (sockets, body) = (
+    let (max_descriptors, body_bytes) = (
         document.count(&["limits", "sockets"]),
         document.size(&["load", "body"]),
     );
-    let room = sockets.saturating_sub(SOCKETS_REST) as f64;
-    let clients = (room * CLIENT_PART) as u64;
-    let store = if document.flag(&["undelivered", "keep"]) {
+    let shared_descriptors = max_descriptors.saturating_sub(OTHER_DESCRIPTORS) as f64;
+    let client_descriptors = (shared_descriptors * CLIENT_DESCRIPTOR_SHARE) as u64;
+    let store_bytes = if document.flag(&["undelivered", "keep"]) {
         document.size(&["undelivered", "size"])
     } else {
         0
     };
-    let outcomes = document.size(&["outcomes", "size"]);
-    let operators = document
+    let outcome_bytes = document.size(&["outcomes", "size"]);
+    let admin_server = document
         .explicit_value(&["listen", "operators"])
         .map(|_| ("operators", ADMIN_DESCRIPTORS));
-    let journal = held
-        .saturating_mul(body.saturating_add(JOURNAL_MESSAGE))
-        .saturating_mul(JOURNAL_FILES);
+    let journal_bytes = max_pending
+        .saturating_mul(body_bytes.saturating_add(JOURNAL_OVERHEAD_BYTES))
+        .saturating_mul(JOURNAL_FILE_COUNT);
     [
         Budget {
             setting: "limits.sockets",
             parts: [
-                ("calls", calls),
-                ("application", clients),
-                ("free", (room * FREE_PART) as u64),
-                ("rest", SOCKETS_REST),
+                ("calls", max_calls),
+                ("application", client_descriptors),
+                ("free", (shared_descriptors * FREE_DESCRIPTOR_SHARE) as u64),
+                ("rest", OTHER_DESCRIPTORS),
             ]
             .into_iter()
-            .chain(operators)
+            .chain(admin_server)
             .collect(),
-            limit: sockets,
+            limit: max_descriptors,
             is_bytes: false,
         },
         Budget {
             setting: "limits.memory",
             parts: vec![
-                ("process", MEMORY_BASE),
+                ("process", PROCESS_MEMORY_BYTES),
                 (
                     "messages",
-                    held.saturating_mul(body.saturating_add(MEMORY_MESSAGE)),
+                    max_pending.saturating_mul(body_bytes.saturating_add(MESSAGE_OVERHEAD_BYTES)),
                 ),
                 (
                     "connections",
-                    calls.saturating_add(clients).saturating_mul(MEMORY_SOCKET),
+                    max_calls
+                        .saturating_add(client_descriptors)
+                        .saturating_mul(CONNECTION_BUFFER_BYTES),
                 ),
-                ("outcomes", outcomes / 2),
+                ("outcomes", outcome_bytes / 2),
             ],
             limit: document.size(&["limits", "memory"]),
             is_bytes: true,
@@ -140,9 +147,12 @@
         Budget {
             setting: "limits.disk",
             parts: vec![
-                ("journal", journal),
-                ("outcomes", outcomes.saturating_mul(2)),
-                ("undelivered", store.saturating_mul(STORE_SIZES)),
+                ("journal", journal_bytes),
+                ("outcomes", outcome_bytes.saturating_mul(2)),
+                (
+                    "undelivered",
+                    store_bytes.saturating_mul(RESERVED_STORE_SIZES),
+                ),
             ],
             limit: document.size(&["limits", "disk"]),
             is_bytes: true,
@@ -150,61 +160,64 @@
     ]
 }
 
-/// Checks a file that has been read without a finding of its own in the settings that it compares.
+/// Checks a document whose single settings are all valid, and adds findings for contradictions between settings.
 pub fn check(document: &mut Document) {
-    let pairs = [
+    let labels = [
         (0, "messages are handed in at this port"),
         (1, "outcomes are read at this port"),
     ];
-    for (at, label) in pairs {
-        for later in &LISTENERS[at + 1..] {
-            let texts = [LISTENERS[at], later].map(|name| document.text_of(&["listen", name]));
-            let [Some(first), Some(other)] = texts else {
+    for (index, label) in labels {
+        for later in &LISTENERS[index + 1..] {
+            let addresses =
+                [LISTENERS[index], later].map(|name| document.text_of(&["listen", name]));
+            let [Some(first), Some(second)] = addresses else {
                 continue;
             };
-            if ports_overlap(&first, &other) {
+            if ports_overlap(&first, &second) {
                 let span = document.span(&["listen", later]);
                 document.add(Code::PortConflict, span, label.into(), None);
             }
         }
     }
-    classes(document);
-    destinations(document);
-    resends(document);
-    load(document);
+    check_classes(document);
+    check_destinations(document);
+    check_redrive_rules(document);
+    check_load(document);
 }
 
-fn resends(document: &mut Document) {
+fn check_redrive_rules(document: &mut Document) {
     let classes = document.table_names("class");
     let numbers: Vec<u64> = document
         .table_names("destination")
         .iter()
         .map(|name| document.count(&["destination", name, "id"]))
         .collect();
-    let file = document.explicit_value(&["endpoints", "file"]).is_some();
+    let has_endpoints_file = document.explicit_value(&["endpoints", "file"]).is_some();
     for rule in document.table_names("resend") {
-        let at = |field: &'static str| ["resend", rule.as_str(), field];
+        let setting = |field: &'static str| ["resend", rule.as_str(), field];
         if !document.flag(&["undelivered", "keep"]) {
             let help = Some("[undelivered]\nkeep = true".to_string());
             let label = "nothing is kept that it could send again".to_string();
             document.add(
                 Code::UnusedRedriveRule,
-                document.span(&at("class")),
+                document.span(&setting("class")),
                 label,
                 help,
             );
         }
-        if let Some(class) = document.text_of(&at("class")) {
-            unknown_class(document, &at("class"), &class, &classes);
+        if let Some(class) = document.text_of(&setting("class")) {
+            check_class_exists(document, &setting("class"), &class, &classes);
         }
         let number = document
-            .explicit_value(&at("destination"))
-            .map(|_| document.count(&at("destination")));
-        if let Some(number) = number.filter(|number| !file && !numbers.contains(number)) {
+            .explicit_value(&setting("destination"))
+            .map(|_| document.count(&setting("destination")));
+        if let Some(number) =
+            number.filter(|number| !has_endpoints_file && !numbers.contains(number))
+        {
             let label = format!("no destination has the number {number}");
             document.add(
                 Code::UnknownDestination,
-                document.span(&at("destination")),
+                document.span(&setting("destination")),
                 label,
                 None,
             );
@@ -212,12 +225,12 @@
     }
 }
 
-fn unknown_class(document: &mut Document, path: &[&str], class: &String, classes: &[String]) {
+fn check_class_exists(document: &mut Document, path: &[&str], class: &String, classes: &[String]) {
     if !classes.contains(class) {
-        let near = classes
+        let closest = classes
             .iter()
             .min_by_key(|known| strsim::damerau_levenshtein(known, class));
-        let help = near.map(|known| format!("did you mean \"{known}\"?"));
+        let help = closest.map(|known| format!("did you mean \"{known}\"?"));
         document.add(
             Code::UnknownClass,
             document.span(path),
@@ -227,7 +240,7 @@
     }
 }
 
-fn classes(document: &mut Document) {
+fn check_classes(document: &mut Document) {
     let names = document.table_names("class");
     if names.is_empty() {
         document.add(
@@ -242,81 +255,85 @@
         document.time(&["load", "call"]),
         document.count(&["retry", "attempts"]),
     );
-    let mut shortest = i64::MAX;
-    let mut most_possible = 0;
+    let mut shortest_deadline = i64::MAX;
+    let mut max_possible_attempts = 0;
     for name in &names {
-        let at = |field: &'static str| ["class", name.as_str(), field];
-        let (aim, deadline) = (document.time(&at("aim")), document.time(&at("deadline")));
-        let (window, effect) = (
-            document.time(&at("window")),
-            document.text_of(&at("effect")),
+        let setting = |field: &'static str| ["class", name.as_str(), field];
+        let (objective, deadline) = (
+            document.time(&setting("aim")),
+            document.time(&setting("deadline")),
+        );
+        let (key_window, effect) = (
+            document.time(&setting("window")),
+            document.text_of(&setting("effect")),
         );
-        shortest = shortest.min(deadline);
-        most_possible = most_possible.max(attempts_in(deadline, call));
-        if aim > deadline {
+        shortest_deadline = shortest_deadline.min(deadline);
+        max_possible_attempts = max_possible_attempts.max(max_attempts_within(deadline, call));
+        if objective > deadline {
             let help = format!("aim = \"{}\" at most", format_time(deadline));
             let label = format!("the deadline is {}", format_time(deadline));
             document.add(
                 Code::ObjectiveAfterDeadline,
-                document.span(&at("aim")),
+                document.span(&setting("aim")),
                 label,
                 Some(help),
             );
-        } else if aim == deadline && document.explicit_value(&at("late_worth")).is_some() {
+        } else if objective == deadline && document.explicit_value(&setting("late_worth")).is_some()
+        {
             let label = format!(
                 "nothing can be late: aim and deadline are {}",
-                format_time(aim)
+                format_time(objective)
             );
             document.add(
                 Code::UnusedLateValue,
-                document.span(&at("late_worth")),
+                document.span(&setting("late_worth")),
                 label,
                 None,
             );
         }
-        let worthless = document.time(&at("worthless_after"));
-        if worthless > 0 && deadline > worthless {
-            let label = format!("worth nothing from {} on", format_time(worthless));
-            let help = format!("deadline = \"{}\"", format_time(worthless));
+        let worthless_after = document.time(&setting("worthless_after"));
+        if worthless_after > 0 && deadline > worthless_after {
+            let label = format!("worth nothing from {} on", format_time(worthless_after));
+            let help = format!("deadline = \"{}\"", format_time(worthless_after));
             document.add(
                 Code::DeadlineAfterZeroValue,
-                document.span(&at("deadline")),
+                document.span(&setting("deadline")),
                 label,
                 Some(help),
             );
         }
         match effect.as_deref() {
-            Some("keyed") if document.explicit_value(&at("window")).is_none() => {
+            Some("keyed") if document.explicit_value(&setting("window")).is_none() => {
                 let help =
                     Some("window = \"12s\"  # as long as destinations drop repeats".to_string());
                 let label = "it is keyed, and has no window".to_string();
                 document.add(
                     Code::MissingWindow,
-                    document.span(&at("effect")),
+                    document.span(&setting("effect")),
                     label,
                     help,
                 );
             }
-            Some("keyed") if deadline > window && window > 0 => {
-                let label = format!("the window is {}", format_time(window));
+            Some("keyed") if deadline > key_window && key_window > 0 => {
+                let label = format!("the window is {}", format_time(key_window));
                 let help = format!(
                     "deadline = \"{}\" at most, or a longer window",
-                    format_time(window)
+                    format_time(key_window)
                 );
                 document.add(
                     Code::DeadlineExceedsWindow,
-                    document.span(&at("deadline")),
+                    document.span(&setting("deadline")),
                     label,
                     Some(help),
                 );
             }
             Some(effect @ ("repeatable" | "unsafe"))
-                if document.explicit_value(&at("window")).is_some() =>
+                if document.explicit_value(&setting("window")).is_some() =>
             {
                 let label = format!("the class is {effect}");
                 document.add(
                     Code::UnusedWindow,
-                    document.span(&at("window")),
+                    document.span(&setting("window")),
                     label,
                     None,
                 );
@@ -339,19 +356,24 @@
             help,
         );
     }
-    if attempts > most_possible && document.explicit_value(&["retry", "attempts"]).is_some() {
-        let label = format!("at most {most_possible} can start before the longest deadline");
+    if attempts > max_possible_attempts && document.explicit_value(&["retry", "attempts"]).is_some()
+    {
+        let label =
+            format!("at most {max_possible_attempts} can start before the longest deadline");
         let span = document.span(&["retry", "attempts"]);
         document.add(
             Code::TooManyAttempts,
             span,
             label,
-            Some(format!("attempts = {most_possible}")),
+            Some(format!("attempts = {max_possible_attempts}")),
         );
     }
-    let dial = document.time(&["connections", "dial"]);
-    if dial >= shortest {
-        let label = format!("the shortest deadline is {}", format_time(shortest));
+    let connect_timeout = document.time(&["connections", "dial"]);
+    if connect_timeout >= shortest_deadline {
+        let label = format!(
+            "the shortest deadline is {}",
+            format_time(shortest_deadline)
+        );
         document.add(
             Code::ConnectTimeoutTooLong,
             document.span(&["connections", "dial"]),
@@ -361,21 +383,22 @@
     }
 }
 
-/// Attempts that can start within a time, each after the one before has ended and rested.
-fn attempts_in(time: i64, call: i64) -> u64 {
-    let (mut at, mut rest, mut count) = (0i64, REST_FIRST, 0u64);
-    while at < time && count < 1_000 {
-        count += 1;
-        at = at.saturating_add(call).saturating_add(rest);
-        rest = (rest * 2).min(REST_MOST);
+/// The number of attempts that can start before a deadline, if each takes the time of a usual call and is followed by a
+/// backoff; both times are in microseconds. Stops counting at 1,000.
+fn max_attempts_within(deadline: i64, call: i64) -> u64 {
+    let (mut elapsed, mut backoff, mut attempts) = (0i64, MIN_RETRY_BACKOFF_US, 0u64);
+    while elapsed < deadline && attempts < 1_000 {
+        attempts += 1;
+        elapsed = elapsed.saturating_add(call).saturating_add(backoff);
+        backoff = (backoff * 2).min(MAX_RETRY_BACKOFF_US);
     }
-    count
+    attempts
 }
 
-fn destinations(document: &mut Document) {
+fn check_destinations(document: &mut Document) {
     let names = document.table_names("destination");
-    let file = document.explicit_value(&["endpoints", "file"]).is_some();
-    if names.is_empty() && !file {
+    let has_endpoints_file = document.explicit_value(&["endpoints", "file"]).is_some();
+    if names.is_empty() && !has_endpoints_file {
         let help = Some("[destination.acme]\nid = 7\nendpoints = [\"127.0.0.1:9001\"]".to_string());
         document.add(
             Code::NoDestination,
@@ -385,16 +408,16 @@
         );
     }
     let classes = document.table_names("class");
-    let mut ids: BTreeMap<u64, String> = BTreeMap::new();
-    let mut endpoints: BTreeMap<String, (String, std::ops::Range<usize>)> = BTreeMap::new();
+    let mut names_by_id: BTreeMap<u64, String> = BTreeMap::new();
+    let mut owners: BTreeMap<String, (String, std::ops::Range<usize>)> = BTreeMap::new();
     for name in &names {
-        let at = |field: &'static str| ["destination", name.as_str(), field];
-        if document.explicit_value(&at("id")).is_some() {
-            let id = document.count(&at("id"));
-            if let Some(other) = ids.insert(id, name.clone()) {
+        let setting = |field: &'static str| ["destination", name.as_str(), field];
+        if document.explicit_value(&setting("id")).is_some() {
+            let id = document.count(&setting("id"));
+            if let Some(other) = names_by_id.insert(id, name.clone()) {
                 let first = document.span(&["destination", &other, "id"]);
                 let locations = vec![
-                    document.location(document.span(&at("id")), "the same number"),
+                    document.location(document.span(&setting("id")), "the same number"),
                     document.location(first, format!("the number of `{other}`")),
                 ];
                 document.findings.push(crate::finding::Finding {
@@ -404,19 +427,19 @@
                 });
             }
         }
-        if document.explicit_value(&at("endpoints")).is_none() && !file {
+        if document.explicit_value(&setting("endpoints")).is_none() && !has_endpoints_file {
             let label = "nothing can be delivered here".to_string();
             let help = Some("endpoints = [\"127.0.0.1:9001\"]".to_string());
             document.add(
                 Code::NoEndpoint,
-                document.span(&at("endpoints")),
+                document.span(&setting("endpoints")),
                 label,
                 help,
             );
         }
-        let list: Vec<_> = document.list(&at("endpoints")).to_vec();
+        let list: Vec<_> = document.list(&setting("endpoints")).to_vec();
         for (address, span) in list {
-            if let Some((other, first)) = endpoints.insert(address, (name.clone(), span.clone())) {
+            if let Some((other, first)) = owners.insert(address, (name.clone(), span.clone())) {
                 let locations = vec![
                     document.location(Some(span), "here again"),
                     document.location(Some(first), format!("an endpoint of `{other}`")),
@@ -428,27 +451,30 @@
                 });
             }
         }
-        if let Some(class) = document.text_of(&at("classes")) {
-            unknown_class(document, &at("classes"), &class, &classes);
+        if let Some(class) = document.text_of(&setting("classes")) {
+            check_class_exists(document, &setting("classes"), &class, &classes);
         }
-        let kept = document.time(&at("window"));
+        let destination_window = document.time(&setting("window"));
         for class in &classes {
             let window = document.time(&["class", class, "window"]);
-            let goes = document
-                .text_of(&at("classes"))
-                .is_none_or(|only| only == *class);
-            if kept > 0 && goes && window > kept {
+            let is_sent_there = document
+                .text_of(&setting("classes"))
+                .is_none_or(|class_name| class_name == *class);
+            if destination_window > 0 && is_sent_there && window > destination_window {
                 let locations = vec![
                     document.location(
                         document.span(&["class", class, "window"]),
                         "longer than a destination remembers",
                     ),
                     document.location(
-                        document.span(&at("window")),
-                        format!("`{name}` drops repeats for {}", format_time(kept)),
+                        document.span(&setting("window")),
+                        format!(
+                            "`{name}` drops repeats for {}",
+                            format_time(destination_window)
+                        ),
                     ),
                 ];
-                let help = Some(format!("window = \"{}\"", format_time(kept)));
+                let help = Some(format!("window = \"{}\"", format_time(destination_window)));
                 document.findings.push(crate::finding::Finding {
                     code: Code::WindowExceedsDestination,
                     locations,
@@ -459,12 +485,12 @@
     }
 }
 
-fn load(document: &mut Document) {
+fn check_load(document: &mut Document) {
     let (rate, call) = (
         document.number_of(&["load", "rate"]),
         document.time(&["load", "call"]),
     );
-    let (calls, held) = (
+    let (max_calls, max_pending) = (
         document.count(&["limits", "calls"]),
         document.count(&["limits", "held"]),
     );
@@ -476,19 +502,19 @@
     });
     let limits: Option<Vec<f64>> = limits.collect();
     if let Some(limits) = limits.filter(|limits| !limits.is_empty()) {
-        let sum: f64 = limits.iter().sum();
-        if sum < rate {
+        let total: f64 = limits.iter().sum();
+        if total < rate {
             let label = format!(
-                "the shares of all limits come to {sum:.1} a second, and the load is {rate}"
+                "the shares of all limits come to {total:.1} a second, and the load is {rate}"
             );
             let span = document.span(&["destination", &names[0], "limit"]);
             document.add(Code::LimitTooLow, span, label, None);
         }
     }
-    let needed = (rate * call as f64 / 1e6).ceil() as u64;
-    if calls < needed {
+    let needed_calls = (rate * call as f64 / 1e6).ceil() as u64;
+    if max_calls < needed_calls {
         let label = format!(
-            "{rate} a second of {} each keep {needed} busy",
+            "{rate} a second of {} each keep {needed_calls} busy",
             format_time(call)
         );
         let span = document
@@ -498,19 +524,19 @@
             Code::TooFewCalls,
             span,
             label,
-            Some(format!("calls = {needed} or more")),
+            Some(format!("calls = {needed_calls} or more")),
         );
     }
-    if held < calls {
+    if max_pending < max_calls {
         let span = document
             .span(&["limits", "held"])
             .or_else(|| document.span(&["limits", "calls"]));
-        let label = format!("{calls} calls and {held} held messages");
+        let label = format!("{max_calls} calls and {max_pending} held messages");
         document.add(
             Code::PendingLimitTooLow,
             span,
             label,
-            Some(format!("held = {calls} or more")),
+            Some(format!("held = {max_calls} or more")),
         );
     }
     let codes = [
--- a/crates/config/src/codes.rs
+++ b/crates/config/src/codes.rs
@@ -1,8 +1,8 @@
-//! The codes of findings, and what `explain` says of each.
+//! The codes of findings, with the explanations that `config explain` prints.
 
 macro_rules! codes {
     ($($name:ident $number:literal $title:literal $text:literal,)*) => {
-        /// What can be wrong. Numbers never change their meaning.
+        /// The kinds of errors in a configuration. A code's number never changes its meaning.
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
         pub enum Code {
             $(#[doc = $title] $name,)*
@@ -12,17 +12,17 @@
             /// All codes, in the order of their numbers.
             pub const ALL: &[Code] = &[$(Code::$name,)*];
 
-            /// As it is printed, such as `MT001`.
+            /// The code as it is printed, such as `MT001`.
             pub fn text(self) -> &'static str {
                 match self { $(Code::$name => concat!("MT", $number),)* }
             }
 
-            /// In a few words.
+            /// A short description of the error.
             pub fn title(self) -> &'static str {
                 match self { $(Code::$name => $title,)* }
             }
 
-            /// Why it is wrong and what to do.
+            /// Why the configuration is wrong and how to correct it.
             pub fn explain(self) -> &'static str {
                 match self { $(Code::$name => $text,)* }
             }
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -1,4 +1,5 @@
-//! A file read against the table of settings: values with their locations, and all that is wrong with each by itself.
+//! Reads a file according to the table of settings. The result holds the values with their positions, and a finding for
+//! each value that is invalid by itself.
 
 use crate::codes::Code;
 use crate::fields::{Field, Kind, SettingsTable};
@@ -11,74 +12,76 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// Larger files are not read: 100,000 endpoints take some 3 MB, and a parsed file several times its size.
-const FILE_MOST: u64 = 16 << 20;
-/// More findings in one file tell nobody anything.
-const FINDINGS_MOST: usize = 200;
-/// Between the parts of a path, since names in quotes may hold dots.
-const SEPARATOR: char = '\u{1f}';
+/// Largest file that is read: 100,000 endpoints take about 3 MB, and a parsed file takes several times its size in
+/// memory.
+const MAX_FILE_BYTES: u64 = 16 << 20;
+/// Maximum number of findings that are kept for one file.
+const MAX_FINDINGS: usize = 200;
+/// Separates the parts of a setting's path. A dot would be ambiguous, since quoted TOML names may contain dots.
+const PATH_SEPARATOR: char = '\u{1f}';
 
-/// A value as the file gives it.
+/// The value of a setting, parsed.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
-    /// Texts, names, paths, addresses and words.
+    /// A text, name, path, address or choice.
     Text(String),
-    /// Lists of addresses, each with its place.
+    /// A list of addresses, each with its position in the file in bytes.
     List(Vec<(String, Range<usize>)>),
-    /// Microseconds.
+    /// A time in microseconds.
     Time(i64),
-    /// Bytes.
+    /// A size in bytes.
     Size(u64),
-    /// Whole numbers.
+    /// A whole number.
     Count(u64),
-    /// Numbers.
+    /// A number that need not be whole.
     Number(f64),
-    /// Flags.
+    /// A boolean.
     Flag(bool),
 }
 
-/// A value and where it stands.
+/// A value with its position in the file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpannedValue {
-    /// The value.
+    /// The parsed value.
     pub value: Value,
-    /// Its place in bytes.
+    /// Position of the value in the file, in bytes.
     pub span: Range<usize>,
 }
 
-/// A file that has been read.
+/// A configuration file that has been read, with the findings so far.
 #[derive(Debug, Clone, Default)]
 pub struct Document {
-    /// Its path.
+    /// Path of the file. Relative paths in the file are relative to its folder.
     pub path: PathBuf,
-    /// Its text.
+    /// Text of the file; empty if the file can't be read.
     pub text: String,
     settings: SettingsTable,
+    /// Values that the file sets, by path.
     values: BTreeMap<String, SpannedValue>,
-    /// Tables by their path, with the places of their names.
+    /// Positions of the names of the file's tables, by path.
     tables: BTreeMap<String, Range<usize>>,
-    /// What is wrong so far.
+    /// The findings so far, at most 200.
     pub findings: Vec<Finding>,
 }
 
-fn joined(path: &[&str]) -> String {
-    path.join(&SEPARATOR.to_string())
+fn join_path(path: &[&str]) -> String {
+    path.join(&PATH_SEPARATOR.to_string())
 }
 
-/// A path as people write it.
+/// A setting's path in the notation for users, with dots between its parts.
 #[must_use]
 pub fn display_path(path: &str) -> String {
-    path.replace(SEPARATOR, ".")
+    path.replace(PATH_SEPARATOR, ".")
 }
 
 impl Document {
-    /// Reads a sidecar's file.
+    /// Reads a sidecar's configuration file. Errors are reported as findings.
     #[must_use]
     pub fn read(path: &Path) -> Self {
         Document::read_with(path, SettingsTable::default())
     }
 
-    /// Reads a file with these settings.
+    /// Reads a file that may contain the given settings.
     #[must_use]
     pub fn read_with(path: &Path, settings: SettingsTable) -> Self {
         let mut document = Document {
@@ -88,7 +91,7 @@
         };
         let mut bytes = Vec::new();
         let read = std::fs::File::open(path)
-            .and_then(|file| file.take(FILE_MOST + 1).read_to_end(&mut bytes));
+            .and_then(|file| file.take(MAX_FILE_BYTES + 1).read_to_end(&mut bytes));
         if let Err(error) = read {
             let folder = path
                 .parent()
@@ -98,7 +101,7 @@
             document.add(Code::Unreadable, None, label, None);
             return document;
         }
-        if bytes.len() as u64 > FILE_MOST {
+        if bytes.len() as u64 > MAX_FILE_BYTES {
             document.add(
                 Code::Unreadable,
                 None,
@@ -117,13 +120,13 @@
         }
     }
 
-    /// Reads the text of a sidecar's file. A byte order mark and lines that end in CRLF are as good as others.
+    /// Parses the text of a sidecar's configuration file. A byte order mark and CRLF line ends are accepted.
     #[must_use]
     pub fn parse(path: &Path, text: String) -> Self {
         Document::parse_with(path, text, SettingsTable::default())
     }
 
-    /// Reads the text of a file with these settings.
+    /// Parses the text of a file that may contain the given settings.
     #[must_use]
     pub fn parse_with(path: &Path, text: String, settings: SettingsTable) -> Self {
         let mut document = Document {
@@ -134,7 +137,7 @@
         };
         let text = document.text.clone();
         let (table, errors) = DeTable::parse_recoverable(&text);
-        for error in errors.iter().take(FINDINGS_MOST) {
+        for error in errors.iter().take(MAX_FINDINGS) {
             let code = if error.message().contains("duplicate") {
                 Code::Duplicate
             } else {
@@ -142,14 +145,15 @@
             };
             document.add(code, error.span(), error.message().to_string(), None);
         }
-        document.walk(table.get_ref(), &[]);
+        document.read_table(table.get_ref(), &[]);
         if errors.is_empty() {
-            document.require();
+            document.check_required_settings();
         }
         document
     }
 
-    /// Adds a finding with one place.
+    /// Adds a finding with one location in the file, or about the file as a whole if there is no `span`. Findings past
+    /// the first 200 are dropped.
     pub fn add(
         &mut self,
         code: Code,
@@ -157,7 +161,7 @@
         label: String,
         help: Option<String>,
     ) {
-        if self.findings.len() < FINDINGS_MOST {
+        if self.findings.len() < MAX_FINDINGS {
             let place = self.location(span, label);
             self.findings.push(Finding {
                 code,
@@ -167,7 +171,7 @@
         }
     }
 
-    /// A place in this file.
+    /// A location in the file with a label for it.
     pub fn location(&self, span: Option<Range<usize>>, label: impl Into<String>) -> Location {
         Location {
             path: self.path.clone(),
@@ -176,29 +180,30 @@
         }
     }
 
-    fn walk(&mut self, table: &DeTable<'_>, path: &[&str]) {
+    /// Reads the values of a table and of the tables inside it.
+    fn read_table(&mut self, table: &DeTable<'_>, path: &[&str]) {
         for (name, value) in table {
-            let mut here = path.to_vec();
-            here.push(name.get_ref());
-            let full = joined(&here);
-            if let DeValue::Table(inner) = value.get_ref() {
-                if self.is_table(&here) {
-                    if here.len() == 2 && !is_valid_name(name.get_ref()) {
+            let mut inner_path = path.to_vec();
+            inner_path.push(name.get_ref());
+            let full_path = join_path(&inner_path);
+            if let DeValue::Table(inner_table) = value.get_ref() {
+                if self.is_table(&inner_path) {
+                    if inner_path.len() == 2 && !is_valid_name(name.get_ref()) {
                         let label = "letters, digits, '-', '_' and '.' only".to_string();
                         self.add(Code::InvalidName, Some(name.span()), label, None);
                     }
-                    self.tables.insert(full, name.span());
-                    self.walk(inner, &here);
-                } else if let Some(field) = self.settings.find(&full) {
-                    self.wrong(field, value, "a table");
+                    self.tables.insert(full_path, name.span());
+                    self.read_table(inner_table, &inner_path);
+                } else if let Some(field) = self.settings.find(&full_path) {
+                    self.add_wrong_type(field, value, "a table");
                 } else {
-                    self.unknown(&here, name);
+                    self.add_unknown_setting(&inner_path, name);
                 }
                 continue;
             }
-            match self.settings.find(&full) {
-                Some(field) => self.take(field, full, value),
-                None if self.is_table(&here) => {
+            match self.settings.find(&full_path) {
+                Some(field) => self.read_value(field, full_path, value),
+                None if self.is_table(&inner_path) => {
                     let label = format!(
                         "this is {}, and a table is wanted",
                         value.get_ref().type_str()
@@ -207,49 +212,50 @@
                         Code::WrongType,
                         Some(value.span()),
                         label,
-                        Some(format!("[{}]", display_path(&full))),
+                        Some(format!("[{}]", display_path(&full_path))),
                     );
                 }
-                None => self.unknown(&here, name),
+                None => self.add_unknown_setting(&inner_path, name),
             }
         }
     }
 
-    /// True if settings stand below this path.
+    /// True if the path is that of a table, which means that some setting's path continues it.
     fn is_table(&self, path: &[&str]) -> bool {
         self.settings.0.iter().any(|field| {
-            let mut parts = field.path.split('.');
-            let fits = path.iter().all(|here| {
-                parts
+            let mut pattern = field.path.split('.');
+            let matches = path.iter().all(|given| {
+                pattern
                     .next()
-                    .is_some_and(|part| part == "*" || part == *here)
+                    .is_some_and(|part| part == "*" || part == *given)
             });
-            fits && parts.next().is_some()
+            matches && pattern.next().is_some()
         })
     }
 
-    fn unknown(&mut self, path: &[&str], name: &Spanned<std::borrow::Cow<'_, str>>) {
+    /// Adds a finding for a name that is no setting, with the most similar known name if there is a similar one.
+    fn add_unknown_setting(&mut self, path: &[&str], name: &Spanned<std::borrow::Cow<'_, str>>) {
         let depth = path.len() - 1;
         let known: BTreeSet<&str> = (self.settings.0.iter())
             .filter_map(|field| {
                 let parts: Vec<&str> = field.path.split('.').collect();
-                let fits = parts
+                let matches = parts
                     .iter()
                     .zip(&path[..depth])
-                    .all(|(part, here)| *part == "*" || part == here);
+                    .all(|(part, given)| *part == "*" || part == given);
                 parts
                     .get(depth)
                     .copied()
-                    .filter(|part| fits && *part != "*")
+                    .filter(|part| matches && *part != "*")
             })
             .collect();
         let found = path[depth];
-        let best = known
+        let closest = known
             .iter()
             .map(|known| (strsim::damerau_levenshtein(known, found), *known))
             .min()
             .filter(|(distance, known)| *distance <= 1 + known.len() / 3);
-        let help = match best {
+        let help = match closest {
             Some((_, known)) => Some(format!("did you mean `{known}`?")),
             None if known.is_empty() => None,
             None => Some(format!(
@@ -265,7 +271,7 @@
         );
     }
 
-    fn wrong(&mut self, field: &Field, value: &Spanned<DeValue<'_>>, found: &str) {
+    fn add_wrong_type(&mut self, field: &Field, value: &Spanned<DeValue<'_>>, found: &str) {
         let label = format!(
             "this is {found}, and {} is wanted",
             field.kind.description()
@@ -273,18 +279,19 @@
         self.add(Code::WrongType, Some(value.span()), label, None);
     }
 
-    fn take(&mut self, field: &'static Field, path: String, value: &Spanned<DeValue<'_>>) {
+    /// Parses the value of a setting and stores it, or adds a finding if it is invalid.
+    fn read_value(&mut self, field: &'static Field, path: String, value: &Spanned<DeValue<'_>>) {
         let span = value.span();
-        let of_type = value.get_ref().type_str();
-        let read = match (field.kind, value.get_ref()) {
+        let type_name = value.get_ref().type_str();
+        let parsed = match (field.kind, value.get_ref()) {
             (Kind::Flag, DeValue::Boolean(flag)) => Some(Value::Flag(*flag)),
-            (Kind::Count(least, most), DeValue::Integer(number)) => {
+            (Kind::Count(min, max), DeValue::Integer(number)) => {
                 let digits = number.as_str().replace('_', "");
                 match i128::from_str_radix(&digits, number.radix()) {
-                    Ok(number) => self.bounded(
+                    Ok(number) => self.check_bounds(
                         &span,
                         number,
-                        (i128::from(least), i128::from(most)),
+                        (i128::from(min), i128::from(max)),
                         |number| number.to_string(),
                         |number| Value::Count(number as u64),
                     ),
@@ -299,34 +306,36 @@
                     }
                 }
             }
-            (Kind::Number(least, most), DeValue::Integer(_) | DeValue::Float(_)) => {
+            (Kind::Number(min, max), DeValue::Integer(_) | DeValue::Float(_)) => {
                 let text = &self.text[span.clone()];
                 let number = text.replace('_', "").parse::<f64>().unwrap_or(f64::NAN);
-                self.number(&span, number, least, most)
+                self.check_number(&span, number, min, max)
             }
-            (Kind::Time(least, most), DeValue::String(text)) => match parse_time(text) {
-                Ok(micros) => self.bounded(
+            (Kind::Time(min, max), DeValue::String(text)) => match parse_time(text) {
+                Ok(micros) => self.check_bounds(
                     &span,
                     micros,
-                    (least, most),
+                    (min, max),
                     |micros| format!("\"{}\"", format_time(micros)),
                     Value::Time,
                 ),
-                Err(error) => self.unit(&span, error, text, "ms, s, m or h", "\"5s\""),
+                Err(error) => self.add_unit_error(&span, error, text, "ms, s, m or h", "\"5s\""),
             },
-            (Kind::Size(least, most), DeValue::String(text)) => match parse_size(text) {
-                Ok(bytes) => self.bounded(
+            (Kind::Size(min, max), DeValue::String(text)) => match parse_size(text) {
+                Ok(bytes) => self.check_bounds(
                     &span,
                     bytes,
-                    (least, most),
+                    (min, max),
                     |bytes| format!("\"{}\"", format_size(bytes)),
                     Value::Size,
                 ),
-                Err(error) => self.unit(&span, error, text, "KB, MB, KiB or MiB", "\"64KiB\""),
+                Err(error) => {
+                    self.add_unit_error(&span, error, text, "KB, MB, KiB or MiB", "\"64KiB\"")
+                }
             },
             (Kind::Time(..), DeValue::Integer(_) | DeValue::Float(_)) => {
                 let text = self.text[span.clone()].to_string();
-                self.unit(
+                self.add_unit_error(
                     &span,
                     UnitError::NoUnit,
                     &text,
@@ -336,7 +345,7 @@
             }
             (Kind::Size(..), DeValue::Integer(_) | DeValue::Float(_)) => {
                 let text = self.text[span.clone()].to_string();
-                self.unit(
+                self.add_unit_error(
                     &span,
                     UnitError::NoUnit,
                     &text,
@@ -348,11 +357,11 @@
                 let mut list = Vec::with_capacity(items.len());
                 for item in items {
                     match item.get_ref() {
-                        DeValue::String(text) if is_address(text) => {
+                        DeValue::String(text) if is_valid_address(text) => {
                             list.push((text.to_string(), item.span()));
                         }
-                        DeValue::String(_) => self.address(item.span()),
-                        other => self.wrong(field, item, other.type_str()),
+                        DeValue::String(_) => self.add_address_error(item.span()),
+                        other => self.add_wrong_type(field, item, other.type_str()),
                     }
                 }
                 if items.is_empty() {
@@ -386,19 +395,19 @@
                         self.add(Code::InvalidName, Some(span.clone()), label, None);
                         None
                     }
-                    Kind::Address if is_address(&text) => Some(Value::Text(text)),
+                    Kind::Address if is_valid_address(&text) => Some(Value::Text(text)),
                     Kind::Address => {
-                        self.address(span.clone());
+                        self.add_address_error(span.clone());
                         None
                     }
                     Kind::Choice(words) if words.contains(&text.as_str()) => {
                         Some(Value::Text(text))
                     }
                     Kind::Choice(words) => {
-                        let near = words
+                        let closest = words
                             .iter()
                             .min_by_key(|word| strsim::damerau_levenshtein(word, &text));
-                        let help = near.map(|word| {
+                        let help = closest.map(|word| {
                             format!("did you mean \"{word}\"? Allowed: {}", words.join(", "))
                         });
                         self.add(
@@ -410,41 +419,45 @@
                         None
                     }
                     _ => {
-                        self.wrong(field, value, "a text");
+                        self.add_wrong_type(field, value, "a text");
                         None
                     }
                 }
             }
             _ => {
-                self.wrong(field, value, &format!("{} {of_type}", article(of_type)));
+                self.add_wrong_type(
+                    field,
+                    value,
+                    &format!("{} {type_name}", indefinite_article(type_name)),
+                );
                 None
             }
         };
-        if let Some(value) = read {
+        if let Some(value) = parsed {
             self.values.insert(path, SpannedValue { value, span });
         }
     }
 
-    fn bounded<T: PartialOrd + Copy>(
+    fn check_bounds<T: PartialOrd + Copy>(
         &mut self,
         span: &Range<usize>,
         value: T,
-        (least, most): (T, T),
+        (min, max): (T, T),
         text: impl Fn(T) -> String,
         wrap: impl Fn(T) -> Value,
     ) -> Option<Value> {
-        if value < least {
+        if value < min {
             self.add(
                 Code::TooSmall,
                 Some(span.clone()),
-                format!("the least is {}", text(least)),
+                format!("the least is {}", text(min)),
                 None,
             );
-        } else if value > most {
+        } else if value > max {
             self.add(
                 Code::TooLarge,
                 Some(span.clone()),
-                format!("the most is {}", text(most)),
+                format!("the most is {}", text(max)),
                 None,
             );
         } else {
@@ -453,12 +466,18 @@
         None
     }
 
-    fn number(&mut self, span: &Range<usize>, value: f64, least: f64, most: f64) -> Option<Value> {
+    fn check_number(
+        &mut self,
+        span: &Range<usize>,
+        value: f64,
+        min: f64,
+        max: f64,
+    ) -> Option<Value> {
         if value.is_finite() {
-            return self.bounded(
+            return self.check_bounds(
                 span,
                 value,
-                (least, most),
+                (min, max),
                 |number| number.to_string(),
                 Value::Number,
             );
@@ -472,7 +491,7 @@
         None
     }
 
-    fn unit(
+    fn add_unit_error(
         &mut self,
         span: &Range<usize>,
         error: UnitError,
@@ -501,7 +520,7 @@
         None
     }
 
-    fn address(&mut self, span: Range<usize>) {
+    fn add_address_error(&mut self, span: Range<usize>) {
         let label = "a host or IP address, a colon and a port from 1 to 65535".to_string();
         self.add(
             Code::InvalidAddress,
@@ -511,8 +530,8 @@
         );
     }
 
-    /// Settings that must be there, at the top and in each table that is.
-    fn require(&mut self) {
+    /// Adds a finding for each required setting that is missing at the top level or in a table that the file has.
+    fn check_required_settings(&mut self) {
         let tables: Vec<(String, Range<usize>)> = self
             .tables
             .iter()
@@ -523,11 +542,13 @@
             match parts[..] {
                 [group, "*", name] => {
                     for (path, span) in &tables {
-                        let mut here = path.split(SEPARATOR);
-                        let table = (here.next(), here.next(), here.next());
+                        let mut table_parts = path.split(PATH_SEPARATOR);
+                        let table = (table_parts.next(), table_parts.next(), table_parts.next());
                         if matches!(table, (Some(first), Some(_), None) if first == group) {
-                            let full = format!("{path}{SEPARATOR}{name}");
-                            if !self.values.contains_key(&full) && !self.tried(&full) {
+                            let full_path = format!("{path}{PATH_SEPARATOR}{name}");
+                            if !self.values.contains_key(&full_path)
+                                && !self.is_already_reported(&full_path)
+                            {
                                 let label = format!("`{name}` is missing here");
                                 let help = format!("{name} = ...  # {}", field.doc);
                                 self.add(
@@ -541,8 +562,10 @@
                     }
                 }
                 _ => {
-                    let full = joined(&parts);
-                    if !self.values.contains_key(&full) && !self.tried(&full) {
+                    let full_path = join_path(&parts);
+                    if !self.values.contains_key(&full_path)
+                        && !self.is_already_reported(&full_path)
+                    {
                         let span = parts
                             .first()
                             .and_then(|table| self.tables.get(*table))
@@ -556,9 +579,10 @@
         }
     }
 
-    /// The file names it, though its value is no good: that has been told.
-    fn tried(&self, path: &str) -> bool {
-        let name = path.rsplit(SEPARATOR).next().unwrap_or(path);
+    /// True if some finding is on a line that begins with the setting's name. Such a setting is present but invalid,
+    /// and must not be reported as missing too.
+    fn is_already_reported(&self, path: &str) -> bool {
+        let name = path.rsplit(PATH_SEPARATOR).next().unwrap_or(path);
         self.findings
             .iter()
             .flat_map(|finding| &finding.locations)
@@ -573,28 +597,29 @@
             })
     }
 
-    /// A value that the file gives.
+    /// The value that the file itself sets; none if the default applies.
     #[must_use]
     pub fn explicit_value(&self, path: &[&str]) -> Option<&SpannedValue> {
-        self.values.get(&joined(path))
+        self.values.get(&join_path(path))
     }
 
-    /// Where a value stands, or the name of its table, or nothing.
+    /// Position of a value, or else of the name of the innermost table that contains the path; none if the file has
+    /// neither.
     #[must_use]
     pub fn span(&self, path: &[&str]) -> Option<Range<usize>> {
         let given = self.explicit_value(path).map(|found| found.span.clone());
         given.or_else(|| {
             (1..path.len())
                 .rev()
-                .find_map(|length| self.tables.get(&joined(&path[..length])).cloned())
+                .find_map(|length| self.tables.get(&join_path(&path[..length])).cloned())
         })
     }
 
-    /// Names of the tables below a group, such as the classes, in alphabetical order.
+    /// Names of the tables in a group, such as all classes for `class`, in alphabetical order.
     #[must_use]
     pub fn table_names(&self, group: &str) -> Vec<String> {
         let below = |path: &String| {
-            let mut parts = path.split(SEPARATOR);
+            let mut parts = path.split(PATH_SEPARATOR);
             match (parts.next(), parts.next(), parts.next()) {
                 (Some(first), Some(name), None) if first == group => Some(name.to_string()),
                 _ => None,
@@ -603,7 +628,7 @@
         self.tables.keys().filter_map(below).collect()
     }
 
-    /// A value in force: the file's, or the default; none where there is neither.
+    /// The value in force: the one that the file sets, or else the default; none if there is neither.
     #[must_use]
     pub fn value(&self, path: &[&str]) -> Option<Value> {
         if let Some(found) = self.explicit_value(path) {
@@ -611,7 +636,7 @@
         }
         let field = self
             .settings
-            .find(&joined(path))
+            .find(&join_path(path))
             .filter(|field| !field.default.is_empty())?;
         let text = field.default.trim_matches('"');
         Some(match field.kind {
@@ -624,7 +649,7 @@
         })
     }
 
-    /// A time in force, microseconds; zero where there is none.
+    /// The time in force, in microseconds; 0 if there is none.
     #[must_use]
     pub fn time(&self, path: &[&str]) -> i64 {
         if let Some(Value::Time(micros)) = self.value(path) {
@@ -634,7 +659,7 @@
         }
     }
 
-    /// A size in force, bytes; zero where there is none.
+    /// The size in force, in bytes; 0 if there is none.
     #[must_use]
     pub fn size(&self, path: &[&str]) -> u64 {
         if let Some(Value::Size(bytes)) = self.value(path) {
@@ -644,7 +669,7 @@
         }
     }
 
-    /// A whole number in force; zero where there is none.
+    /// The whole number in force; 0 if there is none.
     #[must_use]
     pub fn count(&self, path: &[&str]) -> u64 {
         if let Some(Value::Count(count)) = self.value(path) {
@@ -654,7 +679,7 @@
         }
     }
 
-    /// A number in force; zero where there is none.
+    /// The number in force; 0 if there is none.
     #[must_use]
     pub fn number_of(&self, path: &[&str]) -> f64 {
         if let Some(Value::Number(number)) = self.value(path) {
@@ -664,13 +689,13 @@
         }
     }
 
-    /// A flag in force.
+    /// The boolean in force; false if there is none.
     #[must_use]
     pub fn flag(&self, path: &[&str]) -> bool {
         matches!(self.value(path), Some(Value::Flag(true)))
     }
 
-    /// A text in force.
+    /// The text in force, if there is one.
     #[must_use]
     pub fn text_of(&self, path: &[&str]) -> Option<String> {
         if let Some(Value::Text(text)) = self.value(path) {
@@ -680,14 +705,14 @@
         }
     }
 
-    /// A path in force, counted from the file's own folder.
+    /// The path in force, if there is one. A relative path is resolved against the folder of the configuration file.
     #[must_use]
     pub fn path_of(&self, path: &[&str]) -> Option<PathBuf> {
         let folder = self.path.parent().unwrap_or(Path::new(""));
         self.text_of(path).map(|text| folder.join(text))
     }
 
-    /// A list that the file gives.
+    /// The list that the file sets; empty if it sets none. Lists have no defaults.
     #[must_use]
     pub fn list(&self, path: &[&str]) -> &[(String, Range<usize>)] {
         match self.explicit_value(path) {
@@ -700,7 +725,7 @@
     }
 }
 
-fn article(word: &str) -> &'static str {
+fn indefinite_article(word: &str) -> &'static str {
     if word.starts_with(['a', 'e', 'i', 'o', 'u']) {
         "an"
     } else {
@@ -708,22 +733,24 @@
     }
 }
 
-/// True for names that can stand in paths and headers.
+/// True for a name of 1 to 64 letters, digits, `-`, `_` and `.` that does not start with a dot. Such names are safe in
+/// paths and headers.
 #[must_use]
 pub fn is_valid_name(text: &str) -> bool {
     let allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
     (1..=64).contains(&text.len()) && text.chars().all(allowed) && !text.starts_with('.')
 }
 
-/// A host and a port.
+/// Splits an address into its host and port; none if the host is invalid or the port isn't from 1 to 65535. Brackets
+/// around an IPv6 address are removed.
 #[must_use]
 pub fn host_and_port(text: &str) -> Option<(&str, u16)> {
     let (host, port) = text.rsplit_once(':')?;
     let port = port.parse().ok().filter(|&port| port > 0)?;
-    let bare = host
+    let ipv6 = host
         .strip_prefix('[')
         .and_then(|host| host.strip_suffix(']'));
-    let sound = match bare {
+    let is_valid_host = match ipv6 {
         Some(address) => address.parse::<std::net::Ipv6Addr>().is_ok(),
         None if host
             .bytes()
@@ -732,7 +759,7 @@
             host.parse::<std::net::Ipv4Addr>().is_ok()
         }
         None => {
-            let label = |label: &str| {
+            let is_valid_label = |label: &str| {
                 (1..=63).contains(&label.len())
                     && label
                         .bytes()
@@ -740,12 +767,12 @@
                     && !label.starts_with('-')
                     && !label.ends_with('-')
             };
-            host.len() <= 253 && host.trim_end_matches('.').split('.').all(label)
+            host.len() <= 253 && host.trim_end_matches('.').split('.').all(is_valid_label)
         }
     };
-    sound.then_some((bare.unwrap_or(host), port))
+    is_valid_host.then_some((ipv6.unwrap_or(host), port))
 }
 
-fn is_address(text: &str) -> bool {
+fn is_valid_address(text: &str) -> bool {
     host_and_port(text).is_some()
 }
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -1,34 +1,35 @@
-//! The table of all settings: the reader, `show`, `schema`, `new` and the reference page come from it.
+//! The table of all settings. The reader of files, the commands `config show`, `config schema` and `config new`, and
+//! the reference page are all driven by the table.
 
-/// What a value is, and its bounds.
+/// The type of a setting's value, with its bounds.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Kind {
     /// Any text that is not empty.
     Text,
     /// A short name: letters, digits, `-`, `_` and `.`.
     Name,
-    /// A path; a relative one counts from the file's own folder.
+    /// A path; a relative one is resolved against the folder of the configuration file.
     Path,
     /// A host or an address with a port.
     Address,
     /// A list of addresses.
     Addresses,
-    /// A time with a unit (us, ms, s, m, h, d), in microseconds here: least and most.
+    /// A time with a unit (us, ms, s, m, h, d); the bounds are in microseconds, minimum and maximum.
     Time(i64, i64),
-    /// A size with a unit (B, KB, KiB, MB, MiB, GB, GiB), in bytes here: least and most.
+    /// A size with a unit (B, KB, KiB, MB, MiB, GB, GiB); the bounds are in bytes, minimum and maximum.
     Size(u64, u64),
-    /// A whole number: least and most.
+    /// A whole number, with its minimum and maximum.
     Count(u64, u64),
-    /// A number: least and most.
+    /// A number that need not be whole, with its minimum and maximum.
     Number(f64, f64),
     /// `true` or `false`.
     Flag,
-    /// One of these words.
+    /// One of the listed words.
     Choice(&'static [&'static str]),
 }
 
 impl Kind {
-    /// The kind in words, for people.
+    /// A description of the valid values, for messages and the reference page.
     #[must_use]
     pub fn description(self) -> String {
         match self {
@@ -39,40 +40,40 @@
                 "a host or address with a port, such as \"127.0.0.1:7001\"".to_string()
             }
             Kind::Addresses => "a list of addresses, such as [\"127.0.0.1:9001\"]".to_string(),
-            Kind::Time(least, most) => {
+            Kind::Time(min, max) => {
                 format!(
                     "a time from {} to {}",
-                    crate::units::format_time(least),
-                    crate::units::format_time(most)
+                    crate::units::format_time(min),
+                    crate::units::format_time(max)
                 )
             }
-            Kind::Size(least, most) => {
+            Kind::Size(min, max) => {
                 format!(
                     "a size from {} to {}",
-                    crate::units::format_size(least),
-                    crate::units::format_size(most)
+                    crate::units::format_size(min),
+                    crate::units::format_size(max)
                 )
             }
-            Kind::Count(least, most) => format!("a whole number from {least} to {most}"),
-            Kind::Number(least, most) => format!("a number from {least} to {most}"),
+            Kind::Count(min, max) => format!("a whole number from {min} to {max}"),
+            Kind::Number(min, max) => format!("a number from {min} to {max}"),
             Kind::Flag => "true or false".to_string(),
             Kind::Choice(words) => format!("one of {}", words.join(", ")),
         }
     }
 }
 
-/// One setting.
+/// A setting that a configuration file may have.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Field {
-    /// Its path; `*` stands for a name that the file gives.
+    /// The setting's path; `*` stands for the name of a table that the file chooses.
     pub path: &'static str,
-    /// What it is.
+    /// The type of the value.
     pub kind: Kind,
-    /// Its value where the file gives none, as the file would write it; empty: it may be left out and means none.
+    /// The default in TOML notation; empty if the setting has no value unless the file sets one.
     pub default: &'static str,
-    /// The file must give it.
+    /// Whether the file must set a value.
     pub required: bool,
-    /// What it means.
+    /// The setting's meaning, for users.
     pub doc: &'static str,
 }
 
@@ -96,13 +97,13 @@
     }
 }
 
-const MS: i64 = 1_000;
-const S: i64 = 1_000_000;
-const DAY: i64 = 86_400 * S;
-const KB: u64 = 1_000;
-const MB: u64 = 1_000_000;
+const MILLISECOND: i64 = 1_000;
+const SECOND: i64 = 1_000_000;
+const DAY: i64 = 86_400 * SECOND;
+const KILOBYTE: u64 = 1_000;
+const MEGABYTE: u64 = 1_000_000;
 
-/// All settings, in the order in which files are written.
+/// All settings of a sidecar's configuration, in the order of generated files.
 pub const FIELDS: &[Field] = &[
     required(
         "name",
@@ -132,7 +133,7 @@
     ),
     field(
         "limits.memory",
-        Kind::Size(16 * MB, 64_000 * MB),
+        Kind::Size(16 * MEGABYTE, 64_000 * MEGABYTE),
         "\"64MB\"",
         "Memory that the sidecar may use.",
     ),
@@ -144,7 +145,7 @@
     ),
     field(
         "limits.disk",
-        Kind::Size(MB, 1_000_000 * MB),
+        Kind::Size(MEGABYTE, 1_000_000 * MEGABYTE),
         "\"30MB\"",
         "Bytes that the state folder may hold.",
     ),
@@ -174,13 +175,13 @@
     ),
     field(
         "load.body",
-        Kind::Size(1, 64 * KB),
+        Kind::Size(1, 64 * KILOBYTE),
         "\"2KB\"",
         "Usual size of a message's body.",
     ),
     field(
         "load.call",
-        Kind::Time(MS, 600 * S),
+        Kind::Time(MILLISECOND, 600 * SECOND),
         "\"250ms\"",
         "Usual time of a call.",
     ),
@@ -191,19 +192,19 @@
     ),
     field(
         "class.*.window",
-        Kind::Time(100 * MS, 30 * DAY),
+        Kind::Time(100 * MILLISECOND, 30 * DAY),
         "",
         "Keyed classes: for so long destinations drop a repeat of a key.",
     ),
     field(
         "class.*.aim",
-        Kind::Time(MS, DAY),
+        Kind::Time(MILLISECOND, DAY),
         "\"4s\"",
         "Wanted within this time; worth falls after it.",
     ),
     field(
         "class.*.deadline",
-        Kind::Time(10 * MS, 7 * DAY),
+        Kind::Time(10 * MILLISECOND, 7 * DAY),
         "\"20s\"",
         "Given up after this time.",
     ),
@@ -221,7 +222,7 @@
     ),
     field(
         "class.*.worthless_after",
-        Kind::Time(MS, 30 * DAY),
+        Kind::Time(MILLISECOND, 30 * DAY),
         "",
         "From this age on a message is worth nothing: no deadline may lie behind it.",
     ),
@@ -239,31 +240,31 @@
     ),
     field(
         "retry.client_wait",
-        Kind::Time(0, 600 * S),
+        Kind::Time(0, 600 * SECOND),
         "\"3s\"",
         "Longest wait that callers are told.",
     ),
     field(
         "connections.idle",
-        Kind::Time(100 * MS, DAY),
+        Kind::Time(100 * MILLISECOND, DAY),
         "\"5s\"",
         "Endpoints close idle connections after this time.",
     ),
     field(
         "connections.dial",
-        Kind::Time(MS, 60 * S),
+        Kind::Time(MILLISECOND, 60 * SECOND),
         "\"500ms\"",
         "A connection that is not up by then has failed.",
     ),
     field(
         "safety.drain",
-        Kind::Time(0, 60 * S),
+        Kind::Time(0, 60 * SECOND),
         "\"1s\"",
         "Nothing new goes to a removed endpoint after this time.",
     ),
     field(
         "safety.cold",
-        Kind::Time(0, 600 * S),
+        Kind::Time(0, 600 * SECOND),
         "\"11s\"",
         "A destination that returns is warm after this time.",
     ),
@@ -281,7 +282,7 @@
     ),
     field(
         "safety.fall_time",
-        Kind::Time(100 * MS, 60 * S),
+        Kind::Time(100 * MILLISECOND, 60 * SECOND),
         "\"3s\"",
         "For so long.",
     ),
@@ -322,7 +323,7 @@
     ),
     field(
         "destination.*.window",
-        Kind::Time(100 * MS, 30 * DAY),
+        Kind::Time(100 * MILLISECOND, 30 * DAY),
         "",
         "For so long it drops repeats of a key, as its owner told.",
     ),
@@ -340,7 +341,7 @@
     ),
     field(
         "undelivered.size",
-        Kind::Size(256 * KB, 1_000_000 * MB),
+        Kind::Size(256 * KILOBYTE, 1_000_000 * MEGABYTE),
         "\"4MB\"",
         "Bytes that the store may take up.",
     ),
@@ -365,7 +366,7 @@
     ),
     field(
         "undelivered.age",
-        Kind::Time(S, 3650 * DAY),
+        Kind::Time(SECOND, 3650 * DAY),
         "\"30d\"",
         "Settled messages go after this time.",
     ),
@@ -401,7 +402,7 @@
     ),
     field(
         "resend.*.not_older_than",
-        Kind::Time(S, 3650 * DAY),
+        Kind::Time(SECOND, 3650 * DAY),
         "\"1d\"",
         "Not for messages that were first taken longer ago.",
     ),
@@ -420,13 +421,13 @@
     ),
     field(
         "outcomes.size",
-        Kind::Size(100 * KB, 1_000_000 * MB),
+        Kind::Size(100 * KILOBYTE, 1_000_000 * MEGABYTE),
         "\"4MB\"",
         "Bytes of final answers that wait for their reader.",
     ),
     field(
         "machine.memory",
-        Kind::Size(MB, 64_000_000 * MB),
+        Kind::Size(MEGABYTE, 64_000_000 * MEGABYTE),
         "",
         "The machine's memory, for checks of neighbours together.",
     ),
@@ -444,29 +445,31 @@
     ),
 ];
 
-/// The settings that a kind of file may have.
+/// The settings that one type of configuration file may have.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SettingsTable(pub &'static [Field]);
 
 impl Default for SettingsTable {
-    /// A sidecar's.
+    /// The settings of a sidecar's file.
     fn default() -> Self {
         SettingsTable(FIELDS)
     }
 }
 
 impl SettingsTable {
-    /// The field of a path as a file writes it, with `*` in place of the names that files give.
+    /// Finds the setting with a path, whose parts are separated by `\u{1f}`. A `*` in a setting's path matches any
+    /// name.
     #[must_use]
     pub fn find(self, path: &str) -> Option<&'static Field> {
         self.0.iter().find(|field| matches(field.path, path))
     }
 }
 
+/// Whether a setting's path, which may contain `*`, matches the path of a value in a file.
 fn matches(pattern: &str, path: &str) -> bool {
-    let (mut left, mut right) = (pattern.split('.'), path.split('\u{1f}'));
+    let (mut pattern_parts, mut path_parts) = (pattern.split('.'), path.split('\u{1f}'));
     loop {
-        match (left.next(), right.next()) {
+        match (pattern_parts.next(), path_parts.next()) {
             (None, None) => return true,
             (Some("*"), Some(_)) => {}
             (Some(wanted), Some(found)) if wanted == found => {}
--- a/crates/config/src/finding.rs
+++ b/crates/config/src/finding.rs
@@ -1,33 +1,33 @@
-//! What was found wrong, where, and what to write instead.
+//! Findings: errors in a configuration, each with its locations and a suggestion.
 
 use crate::codes::Code;
 use serde::Serialize;
 use std::ops::Range;
 use std::path::PathBuf;
 
-/// A place in a file, in bytes.
+/// A location in a file, with a label that says what is wrong there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Location {
-    /// Which file.
+    /// The file's path.
     pub path: PathBuf,
-    /// The very text that it is about; none: the file as a whole.
+    /// Range of the text that the label is about, in bytes; none if the label is about the file as a whole.
     pub span: Option<Range<usize>>,
-    /// What is to be seen there.
+    /// The label for users.
     pub label: String,
 }
 
-/// One thing that is wrong.
+/// An error in a configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Finding {
-    /// What kind of thing.
+    /// The kind of error.
     pub code: Code,
-    /// Where, the main place first.
+    /// The locations, the main one first.
     pub locations: Vec<Location>,
-    /// What to write instead.
+    /// Text to write instead, or another hint.
     pub help: Option<String>,
 }
 
-/// A finding for programs: positions as lines and columns from 1, columns in characters.
+/// A finding in the form that is printed as JSON. Lines and columns count from 1, and columns count characters.
 #[derive(Debug, Serialize)]
 pub struct JsonFinding {
     code: &'static str,
@@ -48,33 +48,33 @@
     label: String,
 }
 
-/// Line and column, from 1, of a byte of a text.
+/// Line and column, from 1, of a byte offset in a text. Columns count characters.
 #[must_use]
-pub fn position(text: &str, at: usize) -> (usize, usize) {
-    let mut at = at.min(text.len());
-    while !text.is_char_boundary(at) {
-        at -= 1;
+pub fn position(text: &str, offset: usize) -> (usize, usize) {
+    let mut offset = offset.min(text.len());
+    while !text.is_char_boundary(offset) {
+        offset -= 1;
     }
-    let before = &text[..at];
+    let before = &text[..offset];
     let line = before.bytes().filter(|&byte| byte == b'\n').count() + 1;
     let column = before.rsplit('\n').next().unwrap_or("").chars().count() + 1;
     (line, column)
 }
 
 impl Finding {
-    /// For programs. `text_of` gives the text of a file.
+    /// Converts the finding to its JSON form. `text_of` returns the text of a file.
     pub fn to_json_form(&self, text_of: impl Fn(&PathBuf) -> Option<String>) -> JsonFinding {
         let location = |location: &Location| {
             let text = text_of(&location.path).unwrap_or_default();
             let span = location.span.clone();
-            let from = span.as_ref().map(|span| position(&text, span.start));
-            let to = span.as_ref().map(|span| position(&text, span.end));
+            let start = span.as_ref().map(|span| position(&text, span.start));
+            let end = span.as_ref().map(|span| position(&text, span.end));
             JsonLocation {
                 file: location.path.display().to_string(),
-                line: from.map(|from| from.0),
-                column: from.map(|from| from.1),
-                end_line: to.map(|to| to.0),
-                end_column: to.map(|to| to.1),
+                line: start.map(|start| start.0),
+                column: start.map(|start| start.1),
+                end_line: end.map(|end| end.0),
+                end_column: end.map(|end| end.1),
                 text: span.and_then(|span| text.get(span).map(str::to_string)),
                 label: location.label.clone(),
             }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,11 +1,14 @@
-//! The configuration of a sidecar: read against one table of settings, checked alone and beside its neighbours, and
-//! explained. Each finding has a code, a place, why it is wrong and what to write instead; all findings of a file
-//! come at once.
+//! Reads and checks the configuration files of sidecars. A file is read according to one table of settings, then
+//! checked as a whole, and against the files of other sidecars on the same machine. All errors of a file are reported
+//! at once, as findings with a code, a location and a suggestion.
 //!
 //! - [`fields`]: the table of all settings.
-//! - [`document`]: a file against the table.
-//! - [`check`](mod@check) and [`neighbours`]: one file as a whole, and several together. Pure.
-//! - [`codes`], [`finding`], [`render`]: what is told.
+//! - [`document`]: reads a file according to the table.
+//! - [`check`](mod@check): checks one file as a whole.
+//! - [`neighbours`]: checks the files of one machine against each other.
+//! - [`codes`], [`finding`], [`render`]: the kinds of errors, the findings, and their text for users.
+//! - [`schema`], [`template`]: JSON Schema and reference page of the settings, and a file for a new application.
+//! - [`units`]: times and sizes with their units.
 
 #![expect(
     clippy::too_many_lines,
@@ -27,19 +30,20 @@
 use finding::Finding;
 use std::path::PathBuf;
 
-/// Reads and checks files, one or several as neighbours. All that is wrong is in their findings.
+/// Reads and checks files. Several files are also checked against each other, as sidecars on one machine. Errors are in
+/// the documents' findings.
 #[must_use]
 pub fn check_files(paths: &[PathBuf]) -> Vec<Document> {
     check_documents(paths.iter().map(|path| Document::read(path)).collect())
 }
 
-/// Checks documents that have been read.
+/// Checks documents that have been read; see [`check_files`].
 #[must_use]
 pub fn check_documents(mut documents: Vec<Document>) -> Vec<Document> {
-    let broken = |document: &Document| !document.findings.is_empty();
+    let has_findings = |document: &Document| !document.findings.is_empty();
     for document in &mut documents {
-        // what contradicts what is told only of values that stand
-        if !broken(document) {
+        // contradictions between settings are only checked if each value is valid by itself
+        if !has_findings(document) {
             check::check(document);
         }
     }
@@ -49,7 +53,7 @@
     documents
 }
 
-/// All findings, in the order of the files.
+/// The findings of all documents, in the order of the documents.
 #[must_use]
 pub fn findings(documents: &[Document]) -> Vec<&Finding> {
     documents
@@ -58,7 +62,7 @@
         .collect()
 }
 
-/// The text of a file among those read.
+/// Returns a function that looks up the text of a file by its path among the documents.
 pub fn text_by_path(documents: &[Document]) -> impl Fn(&PathBuf) -> Option<String> + '_ {
     |path| {
         documents
--- a/crates/config/src/neighbours.rs
+++ b/crates/config/src/neighbours.rs
@@ -1,4 +1,5 @@
-//! Files together: what several applications on one machine claim, each valid alone.
+//! Checks the configurations of several sidecars on one machine against each other. Each file may be valid by itself
+//! and still claim a port, a folder or a share of a limit that another file claims.
 
 use crate::codes::Code;
 use crate::document::{Document, host_and_port};
@@ -8,35 +9,36 @@
 use std::net::{IpAddr, ToSocketAddrs};
 use std::path::{Component, Path, PathBuf};
 
-/// The settings that claim a port.
+/// Names of the settings below `listen`, each of which claims a port.
 pub const LISTENERS: [&str; 3] = ["http", "outcomes", "operators"];
 
-/// True if two listeners can't both be had.
+/// True if two listening addresses have the same port and share an IP address, so that only one of them can be bound.
 #[must_use]
 pub fn ports_overlap(left: &str, right: &str) -> bool {
     match (host_and_port(left), host_and_port(right)) {
         (Some((left_host, left_port)), Some((right_host, right_port))) => {
-            left_port == right_port && overlap(left_host, right_host)
+            left_port == right_port && hosts_overlap(left_host, right_host)
         }
         _ => false,
     }
 }
 
-/// Checks files as neighbours. Findings go to the later file of each pair.
+/// Compares each pair of files, and checks the sums over all files. A finding about a pair is added to the later file,
+/// and one about a sum to the last file that contributes to it.
 pub fn check(documents: &mut [Document]) {
     for later in 1..documents.len() {
         for earlier in 0..later {
-            let (before, after) = documents.split_at_mut(later);
-            let found = pair(&before[earlier], &after[0]);
-            after[0].findings.extend(found);
+            let (earlier_part, later_part) = documents.split_at_mut(later);
+            let findings = compare_pair(&earlier_part[earlier], &later_part[0]);
+            later_part[0].findings.extend(findings);
         }
     }
-    shares(documents);
-    machine(documents);
+    check_shares(documents);
+    check_machine_totals(documents);
 }
 
-/// The addresses that a host means on this machine; none for one that can't be resolved.
-fn addresses(host: &str) -> Vec<IpAddr> {
+/// The IP addresses of a host; empty if the host can't be resolved.
+fn resolve_host(host: &str) -> Vec<IpAddr> {
     if let Ok(address) = host.parse() {
         return vec![address];
     }
@@ -46,68 +48,74 @@
         .unwrap_or_default()
 }
 
-fn overlap(left: &str, right: &str) -> bool {
-    let (left_all, right_all) = (addresses(left), addresses(right));
-    let plain = |address: &IpAddr| match address {
+/// True if two hosts are equal or share an IP address. A wildcard address contains all addresses of its family.
+fn hosts_overlap(left: &str, right: &str) -> bool {
+    let (left_addresses, right_addresses) = (resolve_host(left), resolve_host(right));
+    let unmapped = |address: &IpAddr| match address {
         IpAddr::V6(address) => address
             .to_ipv4_mapped()
             .map_or(IpAddr::V6(*address), IpAddr::V4),
-        other => *other,
+        address => *address,
     };
     left == right
-        || left_all.iter().any(|one| {
-            right_all.iter().any(|other| {
-                // [::] takes IPv4 too on most machines
-                let any = |address: &IpAddr| address.is_unspecified();
-                let family = one.is_ipv4() == other.is_ipv4();
-                plain(one) == plain(other)
-                    || (any(one) && (family || one.is_ipv6()))
-                    || (any(other) && (family || other.is_ipv6()))
+        || left_addresses.iter().any(|left_address| {
+            right_addresses.iter().any(|right_address| {
+                // on most machines a socket on [::] also accepts IPv4 connections
+                let is_wildcard = |address: &IpAddr| address.is_unspecified();
+                let same_family = left_address.is_ipv4() == right_address.is_ipv4();
+                unmapped(left_address) == unmapped(right_address)
+                    || (is_wildcard(left_address) && (same_family || left_address.is_ipv6()))
+                    || (is_wildcard(right_address) && (same_family || right_address.is_ipv6()))
             })
         })
 }
 
-/// Where a path leads: links followed as far as it exists, the rest by its words.
+/// Resolves a path to its canonical form, following symbolic links. Of a path that doesn't exist, the existing part is
+/// resolved, and `.` and `..` are removed from the rest.
 #[must_use]
 pub fn resolve_links(path: &Path) -> PathBuf {
-    if let Ok(real) = path.canonicalize() {
-        return real;
+    if let Ok(resolved) = path.canonicalize() {
+        return resolved;
     }
     match (path.parent(), path.file_name()) {
         (Some(parent), Some(name)) if parent != Path::new("") => resolve_links(parent).join(name),
         _ => {
-            let mut plain = std::env::current_dir().unwrap_or_default();
+            let mut resolved = std::env::current_dir().unwrap_or_default();
             for part in path.components() {
                 match part {
-                    Component::ParentDir => _ = plain.pop(),
+                    Component::ParentDir => _ = resolved.pop(),
                     Component::CurDir => {}
-                    other => plain.push(other),
+                    other => resolved.push(other),
                 }
             }
-            plain
+            resolved
         }
     }
 }
 
-fn pair(before: &Document, after: &Document) -> Vec<Finding> {
+/// Compares two files, and returns findings whose first location is in the later one.
+fn compare_pair(earlier: &Document, later: &Document) -> Vec<Finding> {
     let mut findings = Vec::new();
-    for (mine, theirs) in LISTENERS
-        .iter()
-        .flat_map(|mine| LISTENERS.iter().map(move |theirs| (mine, theirs)))
-    {
-        let (path, other) = (["listen", mine], ["listen", theirs]);
-        let (Some(right), Some(left)) = (after.text_of(&path), before.text_of(&other)) else {
+    for (later_name, earlier_name) in LISTENERS.iter().flat_map(|later_name| {
+        LISTENERS
+            .iter()
+            .map(move |earlier_name| (later_name, earlier_name))
+    }) {
+        let (later_path, earlier_path) = (["listen", later_name], ["listen", earlier_name]);
+        let (Some(later_value), Some(earlier_value)) =
+            (later.text_of(&later_path), earlier.text_of(&earlier_path))
+        else {
             continue;
         };
-        if ports_overlap(&left, &right) {
-            let here = if left == right {
+        if ports_overlap(&earlier_value, &later_value) {
+            let later_label = if earlier_value == later_value {
                 "the same port".to_string()
             } else {
-                format!("the same port as {left}")
+                format!("the same port as {earlier_value}")
             };
             let locations = vec![
-                after.location(after.span(&path), here),
-                before.location(before.span(&other), "claimed first here"),
+                later.location(later.span(&later_path), later_label),
+                earlier.location(earlier.span(&earlier_path), "claimed first here"),
             ];
             findings.push(Finding {
                 code: Code::PortConflict,
@@ -116,10 +124,10 @@
             });
         }
     }
-    let mut add = |code, path: &[&str], here: String, there: String| {
+    let mut add = |code, path: &[&str], later_label: String, earlier_label: String| {
         let locations = vec![
-            after.location(after.span(path), here),
-            before.location(before.span(path), there),
+            later.location(later.span(path), later_label),
+            earlier.location(earlier.span(path), earlier_label),
         ];
         findings.push(Finding {
             code,
@@ -127,23 +135,24 @@
             help: None,
         });
     };
-    if let (Some(left), Some(right)) = (before.path_of(&["state"]), after.path_of(&["state"]))
-        && resolve_links(&left) == resolve_links(&right)
+    if let (Some(earlier_value), Some(later_value)) =
+        (earlier.path_of(&["state"]), later.path_of(&["state"]))
+        && resolve_links(&earlier_value) == resolve_links(&later_value)
     {
-        let written = |document: &Document| document.text_of(&["state"]).unwrap_or_default();
-        let here = match written(before) == written(after) {
+        let as_written = |document: &Document| document.text_of(&["state"]).unwrap_or_default();
+        let later_label = match as_written(earlier) == as_written(later) {
             true => "the same folder".to_string(),
-            false => format!("the same folder as {}", written(before)),
+            false => format!("the same folder as {}", as_written(earlier)),
         };
         add(
             Code::SharedStateFolder,
             &["state"],
-            here,
+            later_label,
             "claimed first here".into(),
         );
     }
     let name = |document: &Document| document.text_of(&["name"]);
-    if name(before).is_some() && name(before) == name(after) {
+    if name(earlier).is_some() && name(earlier) == name(later) {
         add(
             Code::DuplicateName,
             &["name"],
@@ -151,35 +160,41 @@
             "given first here".into(),
         );
     }
-    let classes: Vec<String> = after.table_names("class");
-    for class in before
+    let classes: Vec<String> = later.table_names("class");
+    for class in earlier
         .table_names("class")
         .iter()
         .filter(|class| classes.contains(class))
     {
         let path = ["class", class, "effect"];
-        let (left, right) = (before.text_of(&path), after.text_of(&path));
-        if left.is_some() && right.is_some() && left != right {
+        let (earlier_value, later_value) = (earlier.text_of(&path), later.text_of(&path));
+        if earlier_value.is_some() && later_value.is_some() && earlier_value != later_value {
             add(
                 Code::EffectsDiffer,
                 &path,
-                right.unwrap_or_default(),
-                left.unwrap_or_default(),
+                later_value.unwrap_or_default(),
+                earlier_value.unwrap_or_default(),
             );
         }
     }
-    for (left, right) in common_destinations(before, after) {
-        let (at, there) = (
-            ["destination", &right, "window"],
-            ["destination", &left, "window"],
+    for (earlier_name, later_name) in common_destinations(earlier, later) {
+        let (later_path, earlier_path) = (
+            ["destination", &later_name, "window"],
+            ["destination", &earlier_name, "window"],
         );
-        if before.explicit_value(&there).is_some()
-            && after.explicit_value(&at).is_some()
-            && before.time(&there) != after.time(&at)
+        if earlier.explicit_value(&earlier_path).is_some()
+            && later.explicit_value(&later_path).is_some()
+            && earlier.time(&earlier_path) != later.time(&later_path)
         {
             let locations = vec![
-                after.location(after.span(&at), format_time(after.time(&at))),
-                before.location(before.span(&there), format_time(before.time(&there))),
+                later.location(
+                    later.span(&later_path),
+                    format_time(later.time(&later_path)),
+                ),
+                earlier.location(
+                    earlier.span(&earlier_path),
+                    format_time(earlier.time(&earlier_path)),
+                ),
             ];
             findings.push(Finding {
                 code: Code::WindowsDiffer,
@@ -187,18 +202,24 @@
                 help: None,
             });
         }
-        let (at, there) = (
-            ["destination", &right, "limit"],
-            ["destination", &left, "limit"],
+        let (later_path, earlier_path) = (
+            ["destination", &later_name, "limit"],
+            ["destination", &earlier_name, "limit"],
+        );
+        let (later_limit, earlier_limit) = (
+            later.number_of(&later_path),
+            earlier.number_of(&earlier_path),
         );
-        let (limit, other) = (after.number_of(&at), before.number_of(&there));
-        if before.explicit_value(&there).is_some()
-            && after.explicit_value(&at).is_some()
-            && (limit - other).abs() > 1e-9
+        if earlier.explicit_value(&earlier_path).is_some()
+            && later.explicit_value(&later_path).is_some()
+            && (later_limit - earlier_limit).abs() > 1e-9
         {
             let locations = vec![
-                after.location(after.span(&at), format!("{limit} a second")),
-                before.location(before.span(&there), format!("{other} a second")),
+                later.location(later.span(&later_path), format!("{later_limit} a second")),
+                earlier.location(
+                    earlier.span(&earlier_path),
+                    format!("{earlier_limit} a second"),
+                ),
             ];
             findings.push(Finding {
                 code: Code::LimitsDiffer,
@@ -206,22 +227,38 @@
                 help: None,
             });
         }
-        let (at, there) = (
-            ["destination", &right, "endpoints"],
-            ["destination", &left, "endpoints"],
+        let (later_path, earlier_path) = (
+            ["destination", &later_name, "endpoints"],
+            ["destination", &earlier_name, "endpoints"],
         );
-        let set = |list: &[(String, _)]| {
+        let address_set = |list: &[(String, _)]| {
             list.iter()
                 .map(|(address, _)| address.clone())
                 .collect::<BTreeSet<_>>()
         };
-        let (here, other) = (set(after.list(&at)), set(before.list(&there)));
-        if !here.is_empty() && !other.is_empty() && here != other {
-            let differ: Vec<&String> = here.symmetric_difference(&other).take(3).collect();
-            let label = differ.into_iter().cloned().collect::<Vec<_>>().join(", ");
+        let (later_addresses, earlier_addresses) = (
+            address_set(later.list(&later_path)),
+            address_set(earlier.list(&earlier_path)),
+        );
+        if !later_addresses.is_empty()
+            && !earlier_addresses.is_empty()
+            && later_addresses != earlier_addresses
+        {
+            let differing: Vec<&String> = later_addresses
+                .symmetric_difference(&earlier_addresses)
+                .take(3)
+                .collect();
+            let label = differing
+                .into_iter()
+                .cloned()
+                .collect::<Vec<_>>()
+                .join(", ");
             let locations = vec![
-                after.location(after.span(&at), format!("in one list only: {label}")),
-                before.location(before.span(&there), "the other list"),
+                later.location(
+                    later.span(&later_path),
+                    format!("in one list only: {label}"),
+                ),
+                earlier.location(earlier.span(&earlier_path), "the other list"),
             ];
             findings.push(Finding {
                 code: Code::EndpointsDiffer,
@@ -230,7 +267,7 @@
             });
         }
     }
-    let stated = |document: &Document| {
+    let machine_values = |document: &Document| {
         let given = |name: &'static str| {
             document
                 .explicit_value(&["machine", name])
@@ -238,16 +275,16 @@
         };
         ["memory", "sockets", "cores"].map(given)
     };
-    for ((left, right), name) in stated(before)
+    for ((earlier_value, later_value), name) in machine_values(earlier)
         .into_iter()
-        .zip(stated(after))
+        .zip(machine_values(later))
         .zip(["memory", "sockets", "cores"])
     {
-        if left.is_some() && right.is_some() && left != right {
+        if earlier_value.is_some() && later_value.is_some() && earlier_value != later_value {
             let path = ["machine", name];
             let locations = vec![
-                after.location(after.span(&path), "another machine"),
-                before.location(before.span(&path), "than this one"),
+                later.location(later.span(&path), "another machine"),
+                earlier.location(earlier.span(&path), "than this one"),
             ];
             findings.push(Finding {
                 code: Code::MachineDiffers,
@@ -259,8 +296,8 @@
     findings
 }
 
-/// Destinations with one number in both files, by their names there.
-fn common_destinations(before: &Document, after: &Document) -> Vec<(String, String)> {
+/// Destinations whose number is in both files, as pairs of their names in the earlier and the later file.
+fn common_destinations(earlier: &Document, later: &Document) -> Vec<(String, String)> {
     let ids = |document: &Document| {
         let with_id = |name: String| {
             let id = document
@@ -274,14 +311,15 @@
             .filter_map(with_id)
             .collect::<BTreeMap<u64, String>>()
     };
-    let theirs = ids(before);
-    ids(after)
+    let earlier_names = ids(earlier);
+    ids(later)
         .into_iter()
-        .filter_map(|(id, name)| Some((theirs.get(&id)?.clone(), name)))
+        .filter_map(|(id, name)| Some((earlier_names.get(&id)?.clone(), name)))
         .collect()
 }
 
-fn shares(documents: &mut [Document]) {
+/// Adds a finding for each destination whose shares in several files sum to more than 1.
+fn check_shares(documents: &mut [Document]) {
     let mut sums: BTreeMap<u64, (f64, Vec<(usize, String)>)> = BTreeMap::new();
     for (index, document) in documents.iter().enumerate() {
         for name in document.table_names("destination") {
@@ -296,11 +334,11 @@
             }
         }
     }
-    for (sum, users) in sums
+    for (sum, share_settings) in sums
         .into_values()
-        .filter(|(sum, users)| *sum > 1.0 + 1e-9 && users.len() > 1)
+        .filter(|(sum, share_settings)| *sum > 1.0 + 1e-9 && share_settings.len() > 1)
     {
-        let locations: Vec<_> = users
+        let locations: Vec<_> = share_settings
             .iter()
             .rev()
             .map(|(index, name)| {
@@ -315,7 +353,7 @@
         let help = Some(format!(
             "the shares come to {sum:.2}; together they may be 1 at most"
         ));
-        if let Some((last, _)) = users.last() {
+        if let Some((last, _)) = share_settings.last() {
             documents[*last].findings.push(Finding {
                 code: Code::SharesExceedLimit,
                 locations,
@@ -325,9 +363,11 @@
     }
 }
 
-fn machine(documents: &mut [Document]) {
-    let text = |value: f64, bytes: bool| {
-        if bytes {
+/// Adds a finding for each machine-wide amount that the sum of the files' limits exceeds. If the files state different
+/// amounts for the machine, the greatest one counts.
+fn check_machine_totals(documents: &mut [Document]) {
+    let format_amount = |value: f64, is_bytes: bool| {
+        if is_bytes {
             format!("{:.1}MB", value / 1e6)
         } else {
             format!("{value}")
@@ -338,34 +378,34 @@
         ("sockets", Code::MachineDescriptorsExceeded),
         ("cores", Code::MachineCoresExceeded),
     ] {
-        let of = |document: &Document, group: &'static str| match name {
+        let amount = |document: &Document, group: &'static str| match name {
             "memory" => document.size(&[group, name]) as f64,
             "sockets" => document.count(&[group, name]) as f64,
             _ => document.number_of(&[group, name]),
         };
-        let most = documents
+        let machine_amount = documents
             .iter()
-            .map(|document| of(document, "machine"))
+            .map(|document| amount(document, "machine"))
             .fold(0.0, f64::max);
         let sum: f64 = documents
             .iter()
-            .map(|document| of(document, "limits"))
+            .map(|document| amount(document, "limits"))
             .sum();
-        if most > 0.0 && sum > most + 1e-9 {
-            let bytes = name == "memory";
+        if machine_amount > 0.0 && sum > machine_amount + 1e-9 {
+            let is_bytes = name == "memory";
             let locations: Vec<_> = documents
                 .iter()
                 .map(|document| {
                     document.location(
                         document.span(&["limits", name]),
-                        text(of(document, "limits"), bytes),
+                        format_amount(amount(document, "limits"), is_bytes),
                     )
                 })
                 .collect();
             let help = Some(format!(
                 "together {}, and the machine has {}",
-                text(sum, bytes),
-                text(most, bytes)
+                format_amount(sum, is_bytes),
+                format_amount(machine_amount, is_bytes)
             ));
             if let Some(last) = documents.last_mut() {
                 last.findings.push(Finding {
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -1,4 +1,4 @@
-//! Findings as people read them, drawn by miette.
+//! Renders findings as text for users, with the library miette.
 
 use crate::finding::Finding;
 use miette::{
@@ -8,34 +8,35 @@
 use std::fmt;
 use std::path::PathBuf;
 
-/// One place of a finding as miette wants it.
+/// The locations of a finding in one file, as a miette diagnostic. The report of the main file holds those of the other
+/// files in `related`.
 #[derive(Debug)]
-struct Drawn {
+struct FileReport {
     code: String,
     title: String,
     help: Option<String>,
     source: Option<NamedSource<String>>,
     labels: Vec<LabeledSpan>,
-    related: Vec<Drawn>,
-    main: bool,
+    related: Vec<FileReport>,
+    is_main: bool,
 }
 
-impl fmt::Display for Drawn {
+impl fmt::Display for FileReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.title)
     }
 }
 
-impl std::error::Error for Drawn {}
+impl std::error::Error for FileReport {}
 
-impl Diagnostic for Drawn {
+impl Diagnostic for FileReport {
     fn code<'a>(&'a self) -> Option<Box<dyn fmt::Display + 'a>> {
-        self.main
+        self.is_main
             .then(|| Box::new(&self.code) as Box<dyn fmt::Display>)
     }
 
     fn severity(&self) -> Option<Severity> {
-        Some(if self.main {
+        Some(if self.is_main {
             Severity::Error
         } else {
             Severity::Advice
@@ -66,13 +67,13 @@
     }
 }
 
-/// Draws a finding. `text_of` gives the text of a file, and `color` asks for colours.
+/// Renders a finding as text. `text_of` returns the text of a file; `color` enables colours.
 pub fn to_text(
     finding: &Finding,
     text_of: impl Fn(&PathBuf) -> Option<String>,
     color: bool,
 ) -> String {
-    let mut drawn: Vec<Drawn> = Vec::new();
+    let mut reports: Vec<FileReport> = Vec::new();
     for place in &finding.locations {
         let name = place.path.display().to_string();
         let text = text_of(&place.path).unwrap_or_default();
@@ -84,49 +85,50 @@
                 length,
             )
         });
-        // places in one file share its picture
-        let same = drawn.iter_mut().find(|one| {
-            one.source
+        // locations in the same file share one report
+        let existing = reports.iter_mut().find(|report| {
+            report
+                .source
                 .as_ref()
                 .is_some_and(|source| source.name() == name)
         });
-        match (same, label) {
-            (Some(one), Some(label)) => one.labels.push(label),
+        match (existing, label) {
+            (Some(report), Some(label)) => report.labels.push(label),
             (None, label) => {
-                let title = match (drawn.is_empty(), &label) {
+                let title = match (reports.is_empty(), &label) {
                     (true, Some(_)) => finding.code.title().to_string(),
                     (true, None) => format!("{}: {name}: {}", finding.code.title(), place.label),
                     (false, _) => format!("beside {name}"),
                 };
-                drawn.push(Drawn {
+                reports.push(FileReport {
                     code: finding.code.text().to_string(),
                     title,
                     help: None,
                     source: label.is_some().then(|| NamedSource::new(name, text)),
                     labels: label.into_iter().collect(),
                     related: Vec::new(),
-                    main: drawn.is_empty(),
+                    is_main: reports.is_empty(),
                 });
             }
             (Some(_), None) => {}
         }
     }
-    let mut rest = drawn.into_iter();
-    let Some(mut main) = rest.next() else {
+    let mut remaining = reports.into_iter();
+    let Some(mut main_report) = remaining.next() else {
         return String::new();
     };
-    main.related = rest.collect();
-    main.help = finding.help.clone();
+    main_report.related = remaining.collect();
+    main_report.help = finding.help.clone();
     let theme = if color {
         GraphicalTheme::unicode()
     } else {
         GraphicalTheme::unicode_nocolor()
     };
     let mut text = String::new();
-    // a picture that can't be drawn is told plainly
+    // if miette fails, the code and title are printed alone
     if GraphicalReportHandler::new_themed(theme)
         .with_width(100)
-        .render_report(&mut text, &main)
+        .render_report(&mut text, &main_report)
         .is_err()
     {
         text = format!("{} {}\n", finding.code.text(), finding.code.title());
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,13 +1,15 @@
-//! JSON Schema for editors, and the reference page: both from the table of settings.
+//! Generates the JSON Schema of configuration files, which editors use, and the reference page, from the table of
+//! settings.
 
 use crate::codes::Code;
 use crate::fields::{FIELDS, Field, Kind};
 use serde_json::{Map, Value, json};
 
-const TIME: &str = "^[0-9]+(\\.[0-9]+)? ?(us|ms|s|m|h|d)$";
-const SIZE: &str = "^[0-9]+(\\.[0-9]+)? ?(B|KB|MB|GB|KiB|MiB|GiB)$";
+const TIME_PATTERN: &str = "^[0-9]+(\\.[0-9]+)? ?(us|ms|s|m|h|d)$";
+const SIZE_PATTERN: &str = "^[0-9]+(\\.[0-9]+)? ?(B|KB|MB|GB|KiB|MiB|GiB)$";
 
-fn of(field: &Field) -> Value {
+/// The schema of one setting's value.
+fn field_schema(field: &Field) -> Value {
     let mut schema = match field.kind {
         Kind::Text | Kind::Path => json!({ "type": "string", "minLength": 1 }),
         Kind::Name => json!({ "type": "string", "pattern": "^[A-Za-z0-9_-][A-Za-z0-9_.-]{0,63}$" }),
@@ -15,32 +17,32 @@
         Kind::Addresses => {
             json!({ "type": "array", "minItems": 1, "items": { "type": "string", "pattern": ":[0-9]{1,5}$" } })
         }
-        Kind::Time(..) => json!({ "type": "string", "pattern": TIME }),
-        Kind::Size(..) => json!({ "type": "string", "pattern": SIZE }),
-        Kind::Count(least, most) => json!({ "type": "integer", "minimum": least, "maximum": most }),
-        Kind::Number(least, most) => json!({ "type": "number", "minimum": least, "maximum": most }),
+        Kind::Time(..) => json!({ "type": "string", "pattern": TIME_PATTERN }),
+        Kind::Size(..) => json!({ "type": "string", "pattern": SIZE_PATTERN }),
+        Kind::Count(min, max) => json!({ "type": "integer", "minimum": min, "maximum": max }),
+        Kind::Number(min, max) => json!({ "type": "number", "minimum": min, "maximum": max }),
         Kind::Flag => json!({ "type": "boolean" }),
         Kind::Choice(words) => json!({ "enum": words }),
     };
     schema["description"] = format!("{} ({})", field.doc, field.kind.description()).into();
     if !field.default.is_empty() {
-        // defaults stand as a file writes them; those of numbers and flags are JSON too
+        // defaults are in TOML notation; those of numbers and booleans are valid JSON as well
         schema["default"] = serde_json::from_str(field.default)
             .unwrap_or_else(|_| field.default.trim_matches('"').into());
     }
     schema
 }
 
-/// JSON Schema (draft 2020-12) of a sidecar's configuration.
+/// The JSON Schema (draft 2020-12) of a sidecar's configuration.
 pub fn json() -> String {
     let mut root = json!({ "type": "object", "additionalProperties": false, "properties": {} });
     for field in FIELDS {
         let parts: Vec<&str> = field.path.split('.').collect();
-        let mut here = &mut root;
+        let mut parent = &mut root;
         for (depth, part) in parts.iter().enumerate() {
-            let last = depth + 1 == parts.len();
-            if last && field.required {
-                let required = &mut here["required"];
+            let is_last = depth + 1 == parts.len();
+            if is_last && field.required {
+                let required = &mut parent["required"];
                 if required.is_null() {
                     *required = json!([]);
                 }
@@ -48,28 +50,28 @@
                     list.push((*part).into());
                 }
             }
-            let inner = if last {
-                of(field)
+            let child = if is_last {
+                field_schema(field)
             } else {
                 json!({ "type": "object", "additionalProperties": false, "properties": {} })
             };
             if *part == "*" {
-                if !here["additionalProperties"].is_object() {
-                    here["additionalProperties"] = inner;
+                if !parent["additionalProperties"].is_object() {
+                    parent["additionalProperties"] = child;
                 }
-                here = &mut here["additionalProperties"];
+                parent = &mut parent["additionalProperties"];
                 continue;
             }
-            let properties = here["properties"]
+            let properties = parent["properties"]
                 .as_object_mut()
                 .map(std::mem::take)
                 .unwrap_or_default();
-            here["properties"] = Value::Object(properties);
-            let map: &mut Map<String, Value> = match here["properties"].as_object_mut() {
+            parent["properties"] = Value::Object(properties);
+            let map: &mut Map<String, Value> = match parent["properties"].as_object_mut() {
                 Some(map) => map,
                 None => return String::new(),
             };
-            here = map.entry((*part).to_string()).or_insert(inner);
+            parent = map.entry((*part).to_string()).or_insert(child);
         }
     }
     root["$schema"] = "https://json-schema.org/draft/2020-12/schema".into();
@@ -77,7 +79,7 @@
     serde_json::to_string_pretty(&root).unwrap_or_default()
 }
 
-/// The reference page.
+/// The reference page of all settings and codes, as Markdown.
 #[must_use]
 pub fn reference() -> String {
     let mut text = "# Configuration of a sidecar\n\nWritten by `milletturn config reference`; a test holds this page to \
--- a/crates/config/src/template.rs
+++ b/crates/config/src/template.rs
@@ -1,8 +1,9 @@
-//! A commented file for a new application.
+//! Generates a commented configuration file for a new application.
 
 use crate::fields::FIELDS;
 
-/// The file. Settings that keep their default stand as comments, each with what it means.
+/// The text of the file. Each setting is preceded by its meaning, and settings that keep their default are commented
+/// out.
 #[must_use]
 pub fn new(name: &str, port: u16, effect: &str, endpoint: &str) -> String {
     let mut text = format!(
@@ -16,7 +17,7 @@
         let table = match parts[..] {
             ["class", _] => "class.notice".to_string(),
             ["destination", _] => "destination.first".to_string(),
-            // a table that stands makes a rule: this one stays a comment
+            // commented out, since the table's presence alone would define a redrive rule
             ["resend", _] => "# [resend.by-rule]".to_string(),
             _ => parts.join("."),
         };
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -1,7 +1,7 @@
-//! Times and sizes with their units.
+//! Parses and formats times and sizes with their units.
 
-/// Units of time in microseconds, the longest names first where one ends in another.
-const TIMES: [(&str, i64); 6] = [
+/// Units of time with their length in microseconds, shortest first. [`format_time`] searches the list from its end.
+const TIME_UNITS: [(&str, i64); 6] = [
     ("us", 1),
     ("ms", 1_000),
     ("s", 1_000_000),
@@ -9,7 +9,8 @@
     ("h", 3_600_000_000),
     ("d", 86_400_000_000),
 ];
-const SIZES: [(&str, u64); 7] = [
+/// Units of size with their length in bytes.
+const SIZE_UNITS: [(&str, u64); 7] = [
     ("KiB", 1 << 10),
     ("MiB", 1 << 20),
     ("GiB", 1 << 30),
@@ -19,20 +20,21 @@
     ("B", 1),
 ];
 
-/// Why a text is no time or size.
+/// Why a text can't be parsed as a time or size.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UnitError {
-    /// There is a number and no unit.
+    /// The text is a number without a unit.
     NoUnit,
-    /// The unit is none that is known.
+    /// The unit is unknown.
     UnknownUnit,
-    /// There is no number, or one that can't be read.
+    /// The text does not start with a number, or the number is malformed.
     NoNumber,
-    /// It is more than fits.
+    /// The value does not fit into the integer type of the result.
     Overflow,
 }
 
-fn split(text: &str) -> Result<(f64, &str), UnitError> {
+/// Splits a text into its number and its unit.
+fn split_unit(text: &str) -> Result<(f64, &str), UnitError> {
     let text = text.trim();
     let end = text
         .find(|c: char| !c.is_ascii_digit() && c != '.')
@@ -46,13 +48,13 @@
     }
 }
 
-/// A time such as `4s` or `1.5h`, in microseconds.
+/// Parses a time such as `4s` or `1.5h`, and returns it in microseconds.
 ///
 /// # Errors
-/// Says what is wrong with the text.
+/// When the text is no number with a known unit, or the value is too large.
 pub fn parse_time(text: &str) -> Result<i64, UnitError> {
-    let (number, unit) = split(text)?;
-    let (_, size) = TIMES
+    let (number, unit) = split_unit(text)?;
+    let (_, size) = TIME_UNITS
         .iter()
         .find(|(name, _)| *name == unit)
         .ok_or(UnitError::UnknownUnit)?;
@@ -64,13 +66,13 @@
     }
 }
 
-/// A size such as `64KiB` or `3MB`, in bytes.
+/// Parses a size such as `64KiB` or `3MB`, and returns it in bytes.
 ///
 /// # Errors
-/// Says what is wrong with the text.
+/// When the text is no number with a known unit, or the value is too large.
 pub fn parse_size(text: &str) -> Result<u64, UnitError> {
-    let (number, unit) = split(text)?;
-    let (_, size) = SIZES
+    let (number, unit) = split_unit(text)?;
+    let (_, size) = SIZE_UNITS
         .iter()
         .find(|(name, _)| *name == unit)
         .ok_or(UnitError::UnknownUnit)?;
@@ -82,18 +84,18 @@
     }
 }
 
-/// A time as files write it.
+/// Formats a time in the notation of configuration files, with the largest unit that gives a whole number.
 #[must_use]
 pub fn format_time(micros: i64) -> String {
-    let (name, size) = TIMES
+    let (name, size) = TIME_UNITS
         .iter()
         .rev()
         .find(|(_, size)| micros != 0 && micros % size == 0)
-        .unwrap_or(&TIMES[2]);
+        .unwrap_or(&TIME_UNITS[2]);
     format!("{}{name}", micros / size)
 }
 
-/// A size as files write it.
+/// Formats a size in the notation of configuration files, with the largest decimal unit that gives a whole number.
 #[must_use]
 pub fn format_size(bytes: u64) -> String {
     for (name, size) in [("GB", 1_000_000_000), ("MB", 1_000_000), ("KB", 1_000)] {
@@ -109,7 +111,7 @@
     use super::*;
 
     #[test]
-    fn units_are_read_and_written() {
+    fn times_and_sizes_are_parsed_and_formatted() {
         assert_eq!(
             (parse_time("4s"), parse_time("1.5h"), parse_time("250 ms")),
             (Ok(4_000_000), Ok(5_400_000_000), Ok(250_000))
@@ -120,7 +122,7 @@
         );
         for text in ["4s", "90s", "2m", "1d", "1500us"] {
             assert_eq!(
-                parse_time(&format_time(parse_time(text).expect("a time"))),
+                parse_time(&format_time(parse_time(text).expect("a valid time"))),
                 parse_time(text),
                 "{text}"
             );
@@ -132,7 +134,7 @@
     }
 
     #[test]
-    fn what_is_wrong_is_told() {
+    fn malformed_texts_are_rejected_with_the_reason() {
         assert_eq!(parse_time("4"), Err(UnitError::NoUnit));
         assert_eq!(parse_time("4 parsecs"), Err(UnitError::UnknownUnit));
         assert_eq!(parse_time("s"), Err(UnitError::NoNumber));
