--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -11,14 +11,14 @@
 const MIN_RETRY_BACKOFF_US: i64 = 150_000;
 /// Longest backoff before a retry, in microseconds, as in the decision module.
 const MAX_RETRY_BACKOFF_US: i64 = 2_000_000;
-/// File descriptors for everything but connections of clients and to endpoints: standard streams, epoll, signals,
+/// File descriptors for everything except connections from clients and to endpoints: standard streams, epoll, signals,
 /// listener, journal, endpoints file, outcome log, dead-letter store and its commands.
 const OTHER_DESCRIPTORS: u64 = 34;
 /// File descriptors of the admin server, if one is configured.
 pub const ADMIN_DESCRIPTORS: u64 = 14;
-/// Share of the remaining descriptors that is given to connections of clients.
+/// Share of the descriptors beyond [`OTHER_DESCRIPTORS`] that is given to connections from clients.
 const CLIENT_DESCRIPTOR_SHARE: f64 = 0.4;
-/// Share of the remaining descriptors that is left unused.
+/// Share of the descriptors beyond [`OTHER_DESCRIPTORS`] that is left unused.
 const FREE_DESCRIPTOR_SHARE: f64 = 0.1;
 /// Memory of the process without messages and connections.
 const PROCESS_MEMORY_BYTES: u64 = 8_000_000;
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -60,7 +60,7 @@
     values: BTreeMap<String, SpannedValue>,
     /// Positions of the names of the file's tables, by path.
     tables: BTreeMap<String, Range<usize>>,
-    /// The findings so far, at most 200.
+    /// The findings so far. [`Document::add`] adds no more than 200.
     pub findings: Vec<Finding>,
 }
 
@@ -152,8 +152,8 @@
         document
     }
 
-    /// Adds a finding with one location in the file, or about the file as a whole if there is no `span`. Findings past
-    /// the first 200 are dropped.
+    /// Adds a finding with one location in the file, or about the file as a whole if there is no `span`. Has no effect
+    /// once the document has 200 findings.
     pub fn add(
         &mut self,
         code: Code,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -12,7 +12,7 @@
 
 #![expect(
     clippy::too_many_lines,
-    reason = "names and shape of this package have not had their turn yet"
+    reason = "checks that compare many settings are one sequence of independent conditions"
 )]
 
 pub mod check;
--- a/crates/config/src/neighbours.rs
+++ b/crates/config/src/neighbours.rs
@@ -363,8 +363,8 @@
     }
 }
 
-/// Adds a finding for each machine-wide amount that the sum of the files' limits exceeds. If the files state different
-/// amounts for the machine, the greatest one counts.
+/// Adds a finding for memory, file descriptors and cores if the files' limits sum to more than the machine has. If the
+/// files state different amounts for the machine, the greatest one is used.
 fn check_machine_totals(documents: &mut [Document]) {
     let format_amount = |value: f64, is_bytes: bool| {
         if is_bytes {
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -25,7 +25,7 @@
 pub enum UnitError {
     /// The text is a number without a unit.
     NoUnit,
-    /// The unit is unknown.
+    /// The text has a unit that is not in the list of units.
     UnknownUnit,
     /// The text does not start with a number, or the number is malformed.
     NoNumber,
--- a/crates/config/tests/broken.rs
+++ b/crates/config/tests/broken.rs
@@ -1,5 +1,6 @@
-//! Deliberately broken configurations: each is rejected with its own code at the very text that is wrong, and what is
-//! printed is kept as a golden file. `BLESS=1 cargo test -p milletturn-config` writes those anew; read them then.
+//! Invalid configurations: each must be rejected with the right code at the text that is wrong, and the rendered
+//! findings must equal a golden file. `BLESS=1 cargo test -p milletturn-config` rewrites the golden files; review the
+//! changes then.
 
 use milletturn_config::codes::Code;
 use milletturn_config::document::Document;
@@ -9,7 +10,8 @@
 
 const BASE: &str = include_str!("../../../examples/sidecar/billing.toml");
 
-/// A case: what of the good file is replaced by what, the code, and the text that must be underlined.
+/// A case: its name, the replacements in the valid base file, the expected code, and the text that the finding must
+/// mark (empty: any).
 type Case = (
     &'static str,
     &'static [(&'static str, &'static str)],
@@ -590,8 +592,8 @@
     ),
 ];
 
-/// Neighbours: edits of the good file that stands beside it.
-const PAIRS: &[Case] = &[
+/// Cases of two files on one machine: the base file, and a second file made from the base file by the replacements.
+const PAIR_CASES: &[Case] = &[
     (
         "pair-port",
         &[("\"billing\"", "\"b\""), ("billing.state", "b.state")],
@@ -757,12 +759,12 @@
     ),
 ];
 
-fn edited(name: &str, edits: &[(&str, &str)]) -> String {
+fn edit_base(name: &str, edits: &[(&str, &str)]) -> String {
     let mut text = BASE.to_string();
     for (from, to) in edits {
         assert!(
             text.contains(from),
-            "{name}: {from} is not in the good file"
+            "{name}: {from} is not in the base file"
         );
         text = text.replacen(
             from,
@@ -777,36 +779,40 @@
     text
 }
 
-fn golden(name: &str, documents: &[Document]) {
-    let drawn: Vec<String> = findings(documents)
+fn assert_golden(name: &str, documents: &[Document]) {
+    let rendered: Vec<String> = findings(documents)
         .iter()
         .map(|finding| render::to_text(finding, text_by_path(documents), false))
         .collect();
-    let text = drawn.join("\n");
+    let text = rendered.join("\n");
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(format!("{name}.txt"));
     if std::env::var_os("BLESS").is_some() {
-        std::fs::create_dir_all(path.parent().expect("a folder")).expect("made");
-        std::fs::write(&path, &text).expect("written");
+        std::fs::create_dir_all(path.parent().expect("a parent folder"))
+            .expect("the folder is created");
+        std::fs::write(&path, &text).expect("the golden file is written");
     }
-    let kept = std::fs::read_to_string(&path).unwrap_or_default();
-    assert_eq!(text, kept, "{name}: what is printed has changed");
+    let expected = std::fs::read_to_string(&path).unwrap_or_default();
+    assert_eq!(
+        text, expected,
+        "{name}: the rendered text differs from the golden file"
+    );
 }
 
-fn rejected(name: &str, documents: &[Document], code: Code, underlined: &str) {
+fn assert_rejected(name: &str, documents: &[Document], code: Code, marked_text: &str) {
     let found = findings(documents);
-    let main: Vec<(Code, String)> = found
+    let main_locations: Vec<(Code, String)> = found
         .iter()
         .map(|finding| {
-            let place = &finding.locations[0];
+            let location = &finding.locations[0];
             let text = documents
                 .iter()
-                .find(|one| one.path == place.path)
+                .find(|one| one.path == location.path)
                 .map_or("", |one| &one.text);
             (
                 finding.code,
-                place
+                location
                     .span
                     .clone()
                     .map_or("", |span| &text[span])
@@ -814,18 +820,18 @@
             )
         })
         .collect();
-    let hit = main
+    let is_found = main_locations
         .iter()
-        .any(|(found, text)| *found == code && (underlined.is_empty() || text == underlined));
+        .any(|(found, text)| *found == code && (marked_text.is_empty() || text == marked_text));
     assert!(
-        hit,
-        "{name}: wanted {code:?} at {underlined:?}, got {main:?}"
+        is_found,
+        "{name}: expected {code:?} at {marked_text:?}, got {main_locations:?}"
     );
-    golden(name, documents);
+    assert_golden(name, documents);
 }
 
 #[test]
-fn the_good_file_is_good() {
+fn the_base_file_is_valid() {
     let documents = check_documents(vec![Document::parse(
         Path::new("billing.toml"),
         BASE.to_string(),
@@ -834,7 +840,7 @@
         findings(&documents),
         Vec::<&milletturn_config::finding::Finding>::new()
     );
-    // as other editors save it
+    // with a byte order mark and CRLF line ends, as some editors save files
     let text = format!("\u{feff}{}", BASE.replace('\n', "\r\n"));
     let documents = check_documents(vec![Document::parse(Path::new("billing.toml"), text)]);
     assert_eq!(
@@ -844,19 +850,19 @@
 }
 
 #[test]
-fn each_broken_file_is_rejected_with_its_code_at_its_place() {
+fn each_invalid_file_is_rejected_with_its_code_at_its_location() {
     assert!(CASES.len() >= 80, "{}", CASES.len());
-    for (name, edits, code, underlined) in CASES {
-        let text = edited(name, edits);
+    for (name, edits, code, marked_text) in CASES {
+        let text = edit_base(name, edits);
         let documents = check_documents(vec![Document::parse(Path::new("billing.toml"), text)]);
-        rejected(name, &documents, *code, underlined);
+        assert_rejected(name, &documents, *code, marked_text);
     }
 }
 
 #[test]
-fn each_pair_is_rejected_though_each_file_is_good_alone() {
-    for (name, edits, code, underlined) in PAIRS {
-        let (good, other) = (BASE.to_string(), edited(name, edits));
+fn each_pair_is_rejected_although_each_file_alone_is_valid() {
+    for (name, edits, code, marked_text) in PAIR_CASES {
+        let (base_text, other) = (BASE.to_string(), edit_base(name, edits));
         let parse = |path: &str, text: &str| Document::parse(Path::new(path), text.to_string());
         let alone = check_documents(vec![parse("other.toml", &other)]);
         assert!(
@@ -865,16 +871,16 @@
             findings(&alone)
         );
         let documents = check_documents(vec![
-            parse("billing.toml", &good),
+            parse("billing.toml", &base_text),
             parse("other.toml", &other),
         ]);
-        rejected(name, &documents, *code, underlined);
+        assert_rejected(name, &documents, *code, marked_text);
     }
 }
 
 #[test]
-fn all_errors_of_a_file_come_at_once() {
-    let text = edited(
+fn all_errors_of_a_file_are_reported_at_once() {
+    let text = edit_base(
         "all",
         &[
             ("256", "\"256\""),
@@ -888,18 +894,19 @@
         .iter()
         .map(|finding| finding.code)
         .collect();
-    let wanted = [
+    let expected_codes = [
         Code::WrongType,
         Code::UnknownName,
         Code::MissingSetting,
         Code::MissingUnit,
     ];
-    assert_eq!(codes, wanted.into_iter().collect());
+    assert_eq!(codes, expected_codes.into_iter().collect());
 }
 
 #[test]
-fn each_code_has_a_case_or_needs_a_machine_to_show() {
-    let environment = [
+fn each_code_has_a_case_or_is_tested_elsewhere() {
+    // codes that depend on the machine, not on the file alone
+    let environment_codes = [
         Code::StateFolderNotWritable,
         Code::StateFolderTemporary,
         Code::StateFolderNotOwned,
@@ -908,20 +915,20 @@
         Code::InvalidEndpointsFile,
         Code::DescriptorLimitTooLow,
     ];
-    // a relay's file has settings of its own: crates/session-proxy/tests/settings.rs shows each of these
-    let relays = [
+    // codes of a session proxy's file, which are tested in crates/session-proxy/tests/settings.rs
+    let session_proxy_codes = [
         Code::DuplicateCoordinator,
         Code::InvalidCoordinatorCount,
         Code::ProxyIsCoordinator,
     ];
-    let files = [Code::Unreadable, Code::NotUtf8, Code::MachineDiffers];
+    let codes_of_other_tests = [Code::Unreadable, Code::NotUtf8, Code::MachineDiffers];
     let covered: BTreeSet<Code> = CASES
         .iter()
-        .chain(PAIRS)
+        .chain(PAIR_CASES)
         .map(|case| case.2)
-        .chain(environment)
-        .chain(relays)
-        .chain(files)
+        .chain(environment_codes)
+        .chain(session_proxy_codes)
+        .chain(codes_of_other_tests)
         .collect();
     let missing: Vec<&Code> = Code::ALL
         .iter()
@@ -931,14 +938,17 @@
 }
 
 #[test]
-fn one_state_folder_by_a_link_is_one_folder() {
-    let folder = tempfile::tempdir().expect("a folder");
-    std::fs::create_dir(folder.path().join("real")).expect("made");
-    std::os::unix::fs::symlink("real", folder.path().join("link")).expect("linked");
+fn a_state_folder_shared_through_a_link_is_found() {
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
+    std::fs::create_dir(folder.path().join("real")).expect("the folder is created");
+    std::os::unix::fs::symlink("real", folder.path().join("link")).expect("the link is created");
     let write = |name: &str, state: &str, edits: &[(&str, &str)]| {
         let path = folder.path().join(name);
-        std::fs::write(&path, edited(name, edits).replace("billing.state", state))
-            .expect("written");
+        std::fs::write(
+            &path,
+            edit_base(name, edits).replace("billing.state", state),
+        )
+        .expect("the file is written");
         path
     };
     let first = write("first.toml", "real", &[]);
@@ -957,12 +967,12 @@
 }
 
 #[test]
-fn files_that_state_different_machines_are_told() {
-    let of = |name: &str, edits: &[(&str, &str)], cores: &str| {
+fn files_that_state_different_machine_sizes_are_rejected() {
+    let document_with_cores = |name: &str, edits: &[(&str, &str)], cores: &str| {
         let machine = format!("[machine]\ncores = {cores}\n[load]");
         Document::parse(
             Path::new(name),
-            edited(name, edits).replace("[load]", &machine),
+            edit_base(name, edits).replace("[load]", &machine),
         )
     };
     let other = [
@@ -972,8 +982,8 @@
         ("7103", "7104"),
     ];
     let documents = check_documents(vec![
-        of("first.toml", &[], "4.0"),
-        of("second.toml", &other, "8.0"),
+        document_with_cores("first.toml", &[], "4.0"),
+        document_with_cores("second.toml", &other, "8.0"),
     ]);
     let codes: Vec<Code> = findings(&documents)
         .iter()
@@ -983,7 +993,7 @@
 }
 
 #[test]
-fn many_endpoints_are_checked_and_a_fault_among_them_is_found() {
+fn one_invalid_address_among_100_000_endpoints_is_found() {
     let list = |faulty: bool| {
         let address = |n: usize| {
             format!(
@@ -1019,8 +1029,8 @@
 }
 
 #[test]
-fn files_that_are_none_are_told() {
-    let folder = tempfile::tempdir().expect("a folder");
+fn unreadable_files_are_rejected() {
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let codes = |path: PathBuf| -> Vec<Code> {
         Document::read(&path)
             .findings
@@ -1030,10 +1040,10 @@
     };
     assert_eq!(codes(folder.path().join("none.toml")), [Code::Unreadable]);
     let bytes = folder.path().join("bytes.toml");
-    std::fs::write(&bytes, b"name = \"\xff\"").expect("written");
+    std::fs::write(&bytes, b"name = \"\xff\"").expect("the file is written");
     assert_eq!(codes(bytes), [Code::NotUtf8]);
     let huge = folder.path().join("huge.toml");
-    let file = std::fs::File::create(&huge).expect("made");
-    file.set_len(50_000_000).expect("long");
+    let file = std::fs::File::create(&huge).expect("the file is created");
+    file.set_len(50_000_000).expect("the file is extended");
     assert_eq!(codes(huge), [Code::Unreadable]);
 }
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What a sidecar's file means and what `config` prints for programs, held by data that was written before names in the
-//! code changed: keys of settings, units, codes, and the JSON of findings.
+//! Compatibility of the configuration's external names with recorded data: keys of settings, units, codes, the JSON
+//! form of findings, and the JSON Schema. The tests fail when a change to the code changes one of them.
 
 use milletturn_config::check_documents;
 use milletturn_config::codes::Code;
@@ -15,19 +15,19 @@
     std::fs::read_to_string(&path).unwrap_or_else(|error| panic!("{}: {error}", path.display()))
 }
 
-/// Fails when a text differs from the stored one.
-fn same(name: &str, text: &str) {
+/// Fails if a text differs from that of a golden file.
+fn assert_golden(name: &str, text: &str) {
     assert_eq!(text, golden(name), "{name}");
 }
 
-fn stored(name: &str) -> Document {
+fn parse_golden(name: &str) -> Document {
     Document::parse(
         Path::new(name.rsplit('/').next().unwrap_or(name)),
         golden(name),
     )
 }
 
-fn words(value: &Value) -> String {
+fn describe(value: &Value) -> String {
     match value {
         Value::Text(text) => format!("text {text}"),
         Value::List(list) => {
@@ -43,15 +43,15 @@
 }
 
 #[test]
-fn every_setting_of_a_file_keeps_its_key_and_its_meaning() {
-    let document = check_documents(vec![stored("all.toml")]).remove(0);
+fn every_setting_keeps_its_key_and_its_meaning() {
+    let document = check_documents(vec![parse_golden("all.toml")]).remove(0);
     assert!(document.findings.is_empty(), "{:?}", document.findings);
     let mut lines = String::new();
     let mut line = |path: &[&str]| {
         let given = document.explicit_value(path).is_some();
         let value = document
             .value(path)
-            .map_or("none".to_string(), |value| words(&value));
+            .map_or("none".to_string(), |value| describe(&value));
         let from = if given { "given" } else { "default" };
         lines.push_str(&format!("{} = {value} ({from})\n", path.join(".")));
     };
@@ -66,8 +66,8 @@
             _ => line(&parts),
         }
     }
-    same("all.values.txt", &lines);
-    // each setting of the table is given at least once, so none is held by its default alone
+    assert_golden("all.values.txt", &lines);
+    // all.toml sets each setting at least once; a renamed key would otherwise go unnoticed behind its default
     for field in FIELDS {
         let (table, name) = field.path.rsplit_once('.').unwrap_or(("", field.path));
         let table = table.trim_end_matches(".*");
@@ -82,30 +82,30 @@
 }
 
 #[test]
-fn findings_for_programs_keep_their_keys_codes_and_places() {
+fn findings_as_json_keep_their_keys_codes_and_positions() {
     let lines = |documents: &[Document]| -> String {
         let found = findings(documents);
         let plain = found
             .iter()
             .map(|finding| finding.to_json_form(text_by_path(documents)));
         plain
-            .map(|finding| serde_json::to_string(&finding).expect("JSON") + "\n")
+            .map(|finding| serde_json::to_string(&finding).expect("valid JSON") + "\n")
             .collect()
     };
-    let alone = check_documents(vec![stored("plain/broken.toml")]);
-    same("plain/broken.jsonl", &lines(&alone));
+    let alone = check_documents(vec![parse_golden("plain/broken.toml")]);
+    assert_golden("plain/broken.jsonl", &lines(&alone));
     let together = check_documents(vec![
-        stored("plain/first.toml"),
-        stored("plain/second.toml"),
+        parse_golden("plain/first.toml"),
+        parse_golden("plain/second.toml"),
     ]);
-    same("plain/neighbours.jsonl", &lines(&together));
-    // and the stored lines say what they say by their keys
-    let stored = golden("plain/broken.jsonl");
-    let line = stored
+    assert_golden("plain/neighbours.jsonl", &lines(&together));
+    // the recorded lines have the expected values under the expected keys
+    let recorded = golden("plain/broken.jsonl");
+    let line = recorded
         .lines()
         .find(|line| line.contains("MT005"))
-        .expect("an unknown name");
-    let first: serde_json::Value = serde_json::from_str(line).expect("JSON");
+        .expect("a finding with code MT005");
+    let first: serde_json::Value = serde_json::from_str(line).expect("valid JSON");
     let place = &first["places"][0];
     assert_eq!(first["code"], "MT005");
     assert_eq!(first["title"], "there is no such setting");
@@ -128,6 +128,6 @@
         .iter()
         .map(|code| format!("{} {}\n", code.text(), code.title()))
         .collect();
-    same("codes.txt", &codes);
-    same("schema.json", &(schema::json() + "\n"));
+    assert_golden("codes.txt", &codes);
+    assert_golden("schema.json", &(schema::json() + "\n"));
 }
