--- a/crates/sidecar/src/plan/dead_letters.rs
+++ b/crates/sidecar/src/plan/dead_letters.rs
@@ -1,11 +1,11 @@
-//! The dead-letter store's settings and its redrive rules, from a configuration.
+//! Converts a configuration to the settings and redrive rules of the dead-letter store.
 
 use milletturn_config::document::Document;
 use milletturn_dead_letter::config::Config as StoreConfig;
 use milletturn_dead_letter::record::parse_reason;
 use milletturn_dead_letter::redrive_schedule::RedriveRule;
 
-/// The store's settings, if the configuration wants one.
+/// The store's settings, if the configuration enables the store.
 pub(super) fn store_from(document: &Document) -> Option<StoreConfig> {
     let is_enabled = document.flag(&["undelivered", "keep"]);
     is_enabled.then(|| StoreConfig {
@@ -15,7 +15,7 @@
         store_returned: document.flag(&["undelivered", "returned"]),
         clients_retry: document.flag(&["undelivered", "application_retries"]),
         rules: document
-            .names("resend")
+            .table_names("resend")
             .iter()
             .map(|name| rule_from(document, name))
             .collect(),
@@ -30,7 +30,7 @@
         name: name.to_string(),
         classes: text("class").into_iter().collect(),
         destinations: document
-            .given(&setting("destination"))
+            .explicit_value(&setting("destination"))
             .map(|_| document.count(&setting("destination")))
             .into_iter()
             .collect(),
