--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -56,28 +56,28 @@
 /// Smallest rate limit of all senders together, in calls per second. Larger values retry sooner, smaller ones
 /// put less load on a destination that hundreds of senders share.
 const MIN_FLEET_RATE: f64 = 1.5;
-/// Initial rate limit, in calls per second, to a destination that may still announce a limit, divided by the
-/// square of the number of senders: all senders begin at once, and each receives fewer responses the more
-/// they are.
+/// Initial rate limit of a single sender, in calls per second, to a destination that may still announce a
+/// limit. Several senders divide this rate by the square of their number: all begin at once, and the more
+/// they are, the fewer responses each receives.
 const INITIAL_RATE_FACTOR: f64 = 5000.0;
 /// Seconds in which this sender's load is assumed to fill its capacity for pending messages. The initial rate
-/// limit is never below an equal part of that load for each listed destination.
+/// limit of a destination is never below that load divided by the number of listed destinations.
 const CAPACITY_FILL_SECONDS: f64 = 6.0;
 /// Longest delay of the first call after a restart, as a share of the latency objective or of the time left,
 /// whichever is shorter.
 const MAX_RESUME_DELAY_SHARE: f64 = 0.75;
-/// Bound of an application-limited rate, as a multiple of the recent success rate. A rate that the sender
-/// does not use tells nothing about the destination's capacity (RFC 7661). Larger values follow demand
-/// sooner, smaller ones let fewer simultaneous bursts of all senders through.
+/// Upper bound of the rate limit while no messages wait, as a multiple of the recent success rate. Such an
+/// application-limited rate tells nothing about the destination's capacity (RFC 7661). Larger values follow
+/// demand sooner, smaller ones let fewer simultaneous bursts of all senders through.
 const APPLICATION_LIMITED_MULTIPLE: f64 = 2.0;
-/// Lowest bound of an application-limited rate, as a multiple of the fair share. The trade-off is the same as
-/// for `APPLICATION_LIMITED_MULTIPLE`.
+/// Lowest value of that upper bound, as a multiple of the fair share. The trade-off is the same as for
+/// `APPLICATION_LIMITED_MULTIPLE`.
 const APPLICATION_LIMITED_FAIR_SHARES: f64 = 1.1;
 /// Burst that the rate limit allows, in seconds of the rate. Longer bursts send queued messages faster,
 /// shorter ones cause fewer rejections.
 const BURST_SECONDS: f64 = 0.3;
-/// Standard deviations of chance arrivals that may be saved up as a burst: those of independent senders
-/// cancel out in the sum.
+/// Number of standard deviations of random arrivals for which tokens may be saved up. Such bursts of
+/// independent senders largely cancel out in the sum.
 const BURST_DEVIATIONS: f64 = 2.0;
 /// Outage evidence above which a health scope is not trusted.
 const MAX_TRUSTED_EVIDENCE: f64 = 4.5;
@@ -109,7 +109,8 @@
 /// Number of unresponsive limits after which a call to an unresponsive scope is cancelled. Smaller values
 /// free slots sooner, larger ones wait longer for a response.
 const CANCEL_AFTER_LIMITS: i64 = 2;
-/// Factor of the time before cancellation if only one class at one endpoint shows no sign of life.
+/// Factor by which the time before cancellation is longer if only one class at one endpoint shows no sign of
+/// life.
 const CLASS_CANCEL_FACTOR: i64 = 2;
 /// Number of half unresponsive limits, for each attempt so far, after which a call is cancelled if calls that
 /// were sent later have succeeded.
@@ -685,7 +686,7 @@
                     ),
                 };
                 scope.apply_rate_advice(advice, recent_rate);
-                // A finite rate limit makes the sender probe whether the circuit has closed again.
+                // A finite rate limit lets the sender find out by its rate when the circuit closes again.
                 let needs_rate_limit =
                     circuit_open && !limit_known && scope.rate_limit.is_infinite();
                 if (advice == RateAdvice::Reduce && scope.reduce_window(sent_at, now))
