--- a/crates/coordination/src/batching.rs
+++ b/crates/coordination/src/batching.rs
@@ -1,8 +1,8 @@
-//! What the two batchers of a session proxy have in common: one batch out at a time, and a bound on waiting callers.
+//! Shared by the two batchers of a session proxy: one batch in flight at a time, and a bound on waiting callers.
 
 use crate::bounds;
 
-/// No more callers can wait at this session proxy; another one may have room.
+/// This session proxy has reached its limit of waiting callers. Another proxy may still accept the request.
 #[derive(thiserror::Error)]
 #[error(
     "{} calls wait here and no more can: another relay may have room",
@@ -11,9 +11,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QueueFull;
 
-/// The one batch that may be out at a time, with the callers that wait for its answer, and the count of batches.
+/// Holds the batch in flight, of which there is at most one, and counts the batches sent.
 ///
-/// A batch that was given up is out no longer: an answer to it that still comes is nobody's.
+/// An abandoned batch leaves the slot, so a response to it that arrives later is delivered to no caller.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct InFlightSlot<W> {
     batch: Option<InFlightBatch<W>>,
@@ -36,12 +36,13 @@
 }
 
 impl<W> InFlightSlot<W> {
-    /// Whether a batch is out.
+    /// Whether a batch is in flight.
     pub(crate) fn is_taken(&self) -> bool {
         self.batch.is_some()
     }
 
-    /// Takes the slot for the next batch, whose answer these wait for. Returns the batch's number, from 1 on.
+    /// Occupies the slot with the next batch and the callers that wait for its response. Returns the batch's number;
+    /// the first batch has number 1.
     pub(crate) fn send(&mut self, waiters: W) -> u64 {
         self.batches_sent += 1;
         self.batch = Some(InFlightBatch {
@@ -51,18 +52,17 @@
         self.batches_sent
     }
 
-    /// Those who wait for the batch that is out.
+    /// The callers that wait for the batch in flight; `None` if no batch is in flight.
     pub(crate) fn waiters_mut(&mut self) -> Option<&mut W> {
         self.batch.as_mut().map(|batch| &mut batch.waiters)
     }
 
-    /// Frees the slot, if the batch of this number is out. Returns those who wait for it.
+    /// Frees the slot and returns the waiting callers, if the batch with this number is in flight.
     pub(crate) fn finish(&mut self, number: u64) -> Option<W> {
         let batch = self.batch.take_if(|batch| batch.number == number)?;
         Some(batch.waiters)
     }
 
-    /// How many batches have been sent.
     pub(crate) fn batches_sent(&self) -> u64 {
         self.batches_sent
     }
--- a/crates/coordination/src/bounds.rs
+++ b/crates/coordination/src/bounds.rs
@@ -1,33 +1,37 @@
-//! Upper bounds on the coordination state and on what a batcher holds, and why they are what they are.
+//! Upper bounds on the coordination state and on the queues of the batchers, with the reason for each.
 //!
-//! A snapshot of a full state with names as they are in use (some 40 bytes in all) is below 8 MB, and one with every
-//! text at its bound below 32 MB, so that a coordinator that has lost its disk gets it in seconds over a slow link.
+//! A snapshot of a full state is smaller than 8 MB with names of typical length (about 40 bytes per member in all), and
+//! smaller than 32 MB with every string at its bound. A coordinator that has lost its disk can therefore fetch one in
+//! seconds over a slow link.
 
-/// Most open sessions: the users plan with 16,000 senders, and a release doubles them for moments.
+/// Maximum number of open sessions. Deployments of 16,000 senders are planned, and a rolling release briefly doubles
+/// the number.
 pub const MAX_SESSIONS: usize = 32_768;
-/// Most members that send heartbeats to a coordinator directly; more of them go through session proxies. Each is a
-/// connection, and each heartbeat a question to the majority: a third of a core at 600 a second.
+/// Maximum number of members that send heartbeats to a coordinator directly; larger fleets use session proxies. Each
+/// member costs a connection, and each heartbeat a round trip to a majority: 600 per second take a third of a core.
 pub const MAX_DIRECT_MEMBERS: usize = 1_024;
-/// Most heartbeats that wait at one session proxy: a connection each, four times the 842 members that each of 19
-/// proxies has when all are up, so that a group goes on when three of four are gone.
+/// Maximum number of heartbeats that wait at one session proxy, and of commands in its queue. Each waiting heartbeat
+/// holds a connection. With 16,000 members and 19 proxies, each proxy serves 842 members while all proxies are up. The
+/// bound is more than four times that, so that the service continues when three of four proxies have failed.
 pub const MAX_PROXY_WAITERS: usize = 4_096;
-/// Most heartbeats or commands in one call of a session proxy. The body of a heartbeat call, some 24 bytes for each,
-/// stays within what a call may have.
+/// Maximum number of heartbeats or commands in one call of a session proxy. It keeps the body of a heartbeat call, at
+/// about 24 bytes per heartbeat, within the size limit of a call.
 pub const MAX_BATCH_LEN: usize = 512;
-/// Most bytes of commands in one call of a session proxy, which become one entry of the log: some 460 session opens as
-/// they are in use. The consensus sends a follower 300 entries at once, and 300 of these are 24 MB with what an entry
-/// adds, below the 32 MB that a body between coordinators may have.
+/// Maximum bytes of commands in one call of a session proxy, which become one entry of the log: about 460 session opens
+/// of typical size. The leader sends a follower up to 300 entries at once. 300 entries of this size make 24 MB with
+/// their overhead, below the limit of 32 MB for a request body between coordinators.
 pub const MAX_BATCH_BYTES: usize = 64 * 1024;
-/// Most resources that the state remembers, leased or not. One for each destination with a limit, and some more.
+/// Maximum number of resources in the state, owned or not. There is one for each destination that has a limit, and a
+/// few more.
 pub const MAX_RESOURCES: usize = 4_096;
-/// Longest name of a member, a zone, a version or a resource, in bytes.
+/// Maximum length of the name of a member, zone, version, role or resource, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Longest checkpoint that an owner leaves for the next one, in bytes.
+/// Maximum length of the checkpoint that an owner stores for the next owner, in bytes.
 pub const MAX_CHECKPOINT_BYTES: usize = 512;
-/// By how much fencing tokens, session ids and event numbers jump at a restore, which is also how many of each a state
-/// may give out from one restore to the next. A thousand a second reach it after thirty years.
+/// Distance between the first fencing tokens, session ids and event numbers of two consecutive generations. It is also
+/// how many of each a state may assign between two restores: at a thousand per second, thirty years' worth.
 pub const GENERATION_STRIDE: u64 = 1 << 40;
-/// Every generation, the number of a restore, is below this.
+/// Exclusive upper bound of a generation, which is the number of a restore.
 pub const MAX_GENERATIONS: u64 = 1 << 20;
-/// Most events that the state remembers for whoever asks what happened; older ones are forgotten.
+/// Maximum number of events in the history; the oldest are dropped.
 pub const MAX_HISTORY_EVENTS: usize = 1_024;
--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -1,21 +1,21 @@
-//! The commands of the replicated log and what each is answered with.
+//! The commands of the replicated log, their outcomes, and the reasons for which a command is rejected.
 //!
-//! Commands are idempotent: a caller whose answer was lost sends the same command again, which changes nothing more
-//! and is answered as the first time.
+//! Commands are idempotent: a caller whose response was lost sends the same command again. The repeated command changes
+//! nothing and has the same outcome.
 
 use crate::bounds;
 use crate::ids::{FencingToken, LeaderTerm, SessionId};
 use crate::time::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What a member says of itself when it opens a session.
+/// The description of itself that a member sends when it opens a session.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct MemberInfo {
-    /// The member's name; one open session has it at a time.
+    /// The member's name, not empty. At most one open session has a given name.
     pub name: String,
     /// The zone in which the member runs; may be empty.
     pub zone: String,
-    /// The version of the member's program.
+    /// The version of the member's program; may be empty.
     pub version: String,
     /// The member's role, such as `sender`; may be empty.
     #[serde(rename = "serves")]
@@ -24,29 +24,30 @@
 
 /// A command of the replicated log.
 ///
-/// The serialized names are those of the first version and must stay: coordinators of several versions read one log.
+/// The serialized names must not change: coordinators of different versions read the same log.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Command {
-    /// Several commands as one entry of the log, gathered by a session proxy.
+    /// Several commands in one log entry, collected by a session proxy.
     ///
-    /// Each is applied, or rejected, as it would be alone, in this order. A coordinator of a version before this kind
-    /// can't read the entry and stays behind: coordinators are upgraded before session proxies.
+    /// They are applied in order, and each is applied or rejected as if it had been sent alone. A coordinator of a
+    /// version without this variant cannot read the entry and falls behind, so coordinators must be upgraded before
+    /// session proxies.
     #[serde(rename = "all")]
     Batch {
-        /// [`MAX_BATCH_LEN`](bounds::MAX_BATCH_LEN) at most, none of them a batch.
+        /// At most [`MAX_BATCH_LEN`](bounds::MAX_BATCH_LEN) commands, none of them a batch.
         #[serde(rename = "entries")]
         commands: Vec<Command>,
     },
     /// Opens a session.
     #[serde(rename = "open")]
     OpenSession {
-        /// The member that asks.
+        /// The member that opens the session.
         #[serde(rename = "about")]
         member: MemberInfo,
-        /// Drawn at random by the member once for each session wanted, so that a repeated command opens no second one.
+        /// A random number that the member draws once per session, so that a repeated command opens no second session.
         nonce: u64,
-        /// The lease that the leader grants to this session. A later leader, whose settings may differ, waits as long
-        /// as this one promised.
+        /// The lease that the leader grants to this session. It is part of the command so that a later leader, whose
+        /// settings may differ, also waits for the duration that was granted.
         lease: Micros,
     },
     /// Ends a session at its member's request.
@@ -60,29 +61,31 @@
     ExpireSession {
         /// The session to end.
         session: SessionId,
-        /// The leader's term under which the lease was tracked. A coordinator that lost the leadership and won it
-        /// again doesn't know which heartbeats another leader confirmed in between.
+        /// The leader term in which the expiry was determined. In any other term the command is rejected, since a
+        /// coordinator that lost the leadership and regained it does not know which heartbeats another leader confirmed
+        /// in between.
         #[serde(rename = "reign")]
         leader_term: LeaderTerm,
     },
-    /// Asks for a resource. Its present owner is answered with the token that it has.
+    /// Makes a session the owner of a resource that has none. A session that already owns the resource gets its current
+    /// token again.
     #[serde(rename = "claim")]
     Claim {
-        /// The session that asks.
+        /// The session that claims the resource.
         session: SessionId,
         /// The resource's name.
         #[serde(rename = "work")]
         resource: String,
     },
-    /// Gives a resource back.
+    /// Ends a session's ownership of a resource at its own request.
     #[serde(rename = "release")]
     Release {
-        /// The session that owns it.
+        /// The session that owns the resource.
         session: SessionId,
         /// The resource's name.
         #[serde(rename = "work")]
         resource: String,
-        /// The token under which it is owned.
+        /// The token under which the session owns the resource.
         #[serde(rename = "term")]
         token: FencingToken,
     },
@@ -92,11 +95,11 @@
         /// The resource's name.
         #[serde(rename = "work")]
         resource: String,
-        /// The token to revoke: a repeated command must not take the resource from the next owner.
+        /// The token to revoke. Naming the token keeps a repeated command from revoking the next owner's claim.
         #[serde(rename = "term")]
         token: FencingToken,
     },
-    /// Writes a checkpoint for whoever owns the resource next, if the token is still the current one.
+    /// Stores a checkpoint for the resource's next owner, if the token is still the current one.
     #[serde(rename = "act")]
     FencedWrite {
         /// The session that writes.
@@ -107,18 +110,18 @@
         /// The token under which the session owns the resource.
         #[serde(rename = "term")]
         token: FencingToken,
-        /// The write's number under this token, from 1 on without a gap.
+        /// The number of the write under this token: 1 for the first write, then consecutive.
         number: u64,
-        /// The text that is kept.
+        /// The text to store, at most [`MAX_CHECKPOINT_BYTES`](bounds::MAX_CHECKPOINT_BYTES) long.
         #[serde(rename = "cursor")]
         checkpoint: String,
     },
 }
 
-/// The state machine's answer to a [`Command`].
+/// What the state machine returns for a [`Command`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CommandOutcome {
-    /// A session is open.
+    /// The session is open, opened by this command or by an earlier one with the same nonce.
     #[serde(rename = "opened")]
     SessionOpened {
         /// The session's id.
@@ -126,64 +129,64 @@
         /// The granted lease, as the leader tracks it.
         lease: Micros,
     },
-    /// The resource is owned by the session that asked.
+    /// The resource is owned by the session that claimed it.
     #[serde(rename = "owned")]
     Claimed {
-        /// The token under which it is owned.
+        /// The token under which the session owns the resource.
         #[serde(rename = "term")]
         token: FencingToken,
-        /// Writes done under this token: an owner that repeats its claim continues after them.
+        /// The number of writes done under this token. The owner's next write has the number that follows.
         #[serde(rename = "acts")]
         writes: u64,
-        /// The checkpoint of the last write, by whichever owner.
+        /// The checkpoint that the last write stored, whether by this owner or an earlier one.
         #[serde(rename = "cursor")]
         checkpoint: String,
     },
-    /// Done now, or done by an earlier command.
+    /// The command is done, or an earlier command had already done the same.
     #[serde(rename = "done")]
     Done,
     /// The outcomes of a [`Command::Batch`], in the order of its commands.
     #[serde(rename = "each")]
     Batch(Vec<CommandOutcome>),
-    /// Not done, and it never will be as it was asked.
+    /// The command was rejected: it has not been applied, and will not be applied later.
     #[serde(rename = "refused")]
     Rejected(Rejection),
 }
 
 /// Why the state machine rejected a command.
 ///
-/// The texts are those of the first version: `--format json` shows them, and members and operators know them.
+/// The texts must not change: `--format json` prints them, and members and operators rely on them.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
-    /// The session has ended, or was never opened here.
+    /// The session has ended, or was never opened in this state.
     #[error(
         "session {session} is over: open a new one, and take nothing for granted that it owned"
     )]
     #[serde(rename = "no_session")]
     SessionNotFound {
-        /// The session that was named.
+        /// The session that the command named.
         session: SessionId,
     },
-    /// The lease was tracked under an earlier leader's term.
+    /// The expiry of the lease was determined in another leader term than the current one.
     #[error(
         "the lease was counted under reign {leader_term}, this is reign {current}: it is counted anew"
     )]
     #[serde(rename = "reign_over")]
     StaleLeaderTerm {
-        /// The term under which the lease was tracked.
+        /// The term in which the expiry was determined.
         #[serde(rename = "reign")]
         leader_term: LeaderTerm,
         /// The term in which the command was proposed.
         #[serde(rename = "now")]
         current: LeaderTerm,
     },
-    /// The state was restored from a backup, and owners of before may still be at work.
+    /// The state was restored from a backup, and members that owned resources before the restore may still be writing.
     #[error(
         "the book was restored: nothing is given to anybody until leases from before have run out"
     )]
     #[serde(rename = "resting")]
     RestoreGracePeriod,
-    /// Another session has this name.
+    /// Another open session has this member name.
     #[error(
         "{name} has a live session, {session}: end that process, or wait until its lease has run out"
     )]
@@ -191,7 +194,7 @@
     NameTaken {
         /// The member's name.
         name: String,
-        /// The session that has it.
+        /// The open session that has the name.
         session: SessionId,
     },
     /// Another session owns the resource.
@@ -201,13 +204,13 @@
         /// The resource's name.
         #[serde(rename = "work")]
         resource: String,
-        /// Its owner's name.
+        /// The name of the member that owns the resource.
         owner: String,
-        /// Its owner's token.
+        /// The token under which that member owns the resource.
         #[serde(rename = "term")]
         token: FencingToken,
     },
-    /// The token is not the current one: this stops a late owner, whose lease went to another member.
+    /// The token is not the current one. This rejection stops a former owner whose resource went to another member.
     #[error(
         "{resource}: term {token} is over, {current} counts now; whoever holds {token} must stop"
     )]
@@ -219,11 +222,11 @@
         /// The token of the command.
         #[serde(rename = "term")]
         token: FencingToken,
-        /// The highest token granted for this resource.
+        /// The highest token granted for the resource.
         #[serde(rename = "now")]
         current: FencingToken,
     },
-    /// The write's number does not follow the last one's.
+    /// The number of the write does not follow that of the last write.
     #[error(
         "{resource}: act {number} does not follow act {last} of term {token}; ask for the work again to learn where it stands"
     )]
@@ -244,35 +247,35 @@
     #[error("several entries as one can't be among several: write each of them by itself")]
     #[serde(rename = "nested")]
     NestedBatch,
-    /// A bound of the state is reached.
+    /// The command would exceed a bound of the state.
     #[error("the book holds {limit} {what} and no more")]
     #[serde(rename = "full")]
     LimitReached {
-        /// What the state holds no more of, in the words of the first version: members and operators read them.
+        /// What is bounded. The wording must not change: members and operators read it.
         what: String,
-        /// The bound.
+        /// The bound that is reached.
         #[serde(rename = "most")]
         limit: u64,
     },
-    /// A name or text is empty or too long.
+    /// A name is empty, or a name or text is too long.
     #[error("{what} has {bytes} bytes; from 1 to {limit} are allowed")]
     #[serde(rename = "bad_text")]
     InvalidLength {
-        /// Which text it is, in the words of the first version: members and operators read them.
+        /// Which text is rejected. The wording must not change: members and operators read it.
         what: String,
-        /// Its length in bytes.
+        /// The length of the rejected text in bytes.
         bytes: u64,
-        /// Its bound in bytes.
+        /// The maximum length of this text in bytes.
         #[serde(rename = "most")]
         limit: u64,
     },
 }
 
 impl MemberInfo {
-    /// Checks that each text keeps its bound.
+    /// Checks that the length of each field is within its bounds.
     ///
     /// # Errors
-    /// [`Rejection::InvalidLength`] for the first that doesn't.
+    /// [`Rejection::InvalidLength`] for the first field that is not.
     pub(crate) fn check(&self) -> Result<(), Rejection> {
         check_name("the member's name", &self.name)?;
         for (what, text) in [
@@ -289,12 +292,12 @@
 /// Checks that a name is not empty and at most [`MAX_NAME_BYTES`](bounds::MAX_NAME_BYTES) long.
 ///
 /// # Errors
-/// [`Rejection::InvalidLength`] if not.
+/// [`Rejection::InvalidLength`] if the name is empty or longer.
 pub(crate) fn check_name(what: &str, text: &str) -> Result<(), Rejection> {
     check_length(what, text, 1, bounds::MAX_NAME_BYTES)
 }
 
-/// Checks that a text has from `min` to `max` bytes.
+/// Checks that a text is `min` to `max` bytes long, both inclusive. `what` names the text in the rejection.
 pub(crate) fn check_length(
     what: &str,
     text: &str,
@@ -311,7 +314,7 @@
     })
 }
 
-/// The rejection of whatever would exceed a bound of the state.
+/// The rejection of a command that would exceed `limit`; `what` names the bounded things.
 pub(crate) fn limit_reached(what: &str, limit: usize) -> Rejection {
     Rejection::LimitReached {
         what: what.to_string(),
--- a/crates/coordination/src/command_batcher.rs
+++ b/crates/coordination/src/command_batcher.rs
@@ -1,49 +1,52 @@
-//! How a session proxy batches commands: session opens, closes and all else that has to be written into the log.
+//! Batches the commands that a session proxy forwards: session opens, closes and everything else written to the log.
 //!
-//! They go to the leading coordinator as one call and become one entry of its log, and each has its own answer. One
-//! batch is out at a time, and what comes meanwhile goes with the next one: a lone command waits for nothing, and a
-//! thundering herd costs the coordinators one entry for hundreds. There is no clock here.
+//! A batch goes to the leading coordinator in one call and becomes one entry of its log, while each command has its own
+//! outcome. One batch is in flight at a time, and commands that arrive meanwhile go with the next one. A lone command
+//! is therefore sent at once, and when many members connect at the same time, hundreds of commands cost the
+//! coordinators one log entry. The batcher uses no clock.
 //!
-//! A batch without an answer may have been written or not, and so may each command in it: nobody is answered *no*. Each
-//! command is idempotent ([`Command`](crate::Command)), so its caller may send it again, here or to another proxy.
+//! A batch without a response, and each command in it, may have been written or not, so its callers are never answered
+//! with a rejection. Each command is idempotent ([`Command`](crate::Command)), so a caller may retry it at this proxy
+//! or another one.
 
 use crate::batching::{InFlightSlot, QueueFull};
 use crate::bounds;
 use crate::ids::WaiterId;
 use std::collections::VecDeque;
 
-/// Requests that go to the coordinators as one call; their answers come in the same order.
+/// Requests that go to the coordinators in one call; the response has their answers in the same order.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CommandBatch<R> {
-    /// Counts the batches of this process, from 1 on.
+    /// The number of the batch within this process; the first one has number 1.
     pub number: u64,
-    /// The requests, first come first.
+    /// The requests in order of arrival.
     pub requests: Vec<R>,
 }
 
-/// What becomes of a queued request when its caller no longer waits for the answer.
+/// What happens to a queued request when its caller stops waiting for the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum OnAbandon {
-    /// It is dropped, such as a session open: nobody would send heartbeats for the session.
+    /// The request is dropped. Used for a session open, since nobody would send heartbeats for the session.
     Drop,
-    /// It is sent all the same, such as a session close: who sends one goes.
+    /// The request is sent anyway. Used for a session close, since a member that closes its session often exits without
+    /// waiting for the answer.
     Send,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct QueuedRequest<R> {
-    /// None if the caller no longer waits.
+    /// `None` if the caller no longer waits.
     waiter: Option<WaiterId>,
     request: R,
     bytes: usize,
     on_abandon: OnAbandon,
 }
 
-/// Batches the commands that members send to a session proxy; `R` is a command as it is on the wire.
+/// Batches the commands that members send to a session proxy. `R` is a command in its serialized form.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct CommandBatcher<R> {
     queued: VecDeque<QueuedRequest<R>>,
-    /// By position in the batch; none where nobody waits any more.
+    /// The callers by position in the batch; `None` where the caller no longer waits.
     in_flight: InFlightSlot<Vec<Option<WaiterId>>>,
 }
 
@@ -57,11 +60,11 @@
 }
 
 impl<R> CommandBatcher<R> {
-    /// Queues a member's request, which takes so many bytes on the wire.
+    /// Queues a member's request; `bytes` is its serialized size.
     ///
     /// # Errors
-    /// [`QueueFull`] if [`MAX_PROXY_WAITERS`](bounds::MAX_PROXY_WAITERS) requests are queued, or if this one is longer
-    /// than [`MAX_BATCH_BYTES`](bounds::MAX_BATCH_BYTES).
+    /// [`QueueFull`] if [`MAX_PROXY_WAITERS`](bounds::MAX_PROXY_WAITERS) requests are queued, or if the request is
+    /// longer than [`MAX_BATCH_BYTES`](bounds::MAX_BATCH_BYTES).
     pub fn enqueue(
         &mut self,
         waiter: WaiterId,
@@ -81,7 +84,7 @@
         Ok(())
     }
 
-    /// Removes a caller that no longer waits, and its request as [`OnAbandon`] says.
+    /// Removes a caller that no longer waits. Its request, if still queued, is dropped or sent as [`OnAbandon`] says.
     pub fn abandon(&mut self, waiter: WaiterId) {
         let position = (self.queued.iter()).position(|queued| queued.waiter == Some(waiter));
         if let Some(position) = position {
@@ -97,7 +100,9 @@
         }
     }
 
-    /// The next batch, if one may leave now: as many requests as keep [`MAX_BATCH_LEN`](bounds::MAX_BATCH_LEN) and
+    /// Takes the next batch from the queue. Returns `None` if a batch is in flight or nothing is queued.
+    ///
+    /// The batch has as many requests as fit into [`MAX_BATCH_LEN`](bounds::MAX_BATCH_LEN) and
     /// [`MAX_BATCH_BYTES`](bounds::MAX_BATCH_BYTES).
     pub fn next_batch(&mut self) -> Option<CommandBatch<R>> {
         if self.in_flight.is_taken() || self.queued.is_empty() {
@@ -117,8 +122,11 @@
         Some(CommandBatch { number, requests })
     }
 
-    /// Takes the coordinators' answers to a batch, and returns what each caller is answered, `None` where nobody can
-    /// say. An answer to a batch that was given up is nobody's, and one that lacks some is no answer.
+    /// Matches the coordinators' answers to a batch with the waiting callers. The answer is `None` where the outcome of
+    /// the command is unknown.
+    ///
+    /// The answers to an abandoned batch are discarded. If their number is not that of the requests, no answer can be
+    /// assigned and all outcomes are unknown.
     pub fn complete<A>(&mut self, number: u64, answers: Vec<A>) -> Vec<(WaiterId, Option<A>)> {
         let waiters = self.in_flight.finish(number).unwrap_or_default();
         let is_complete = answers.len() == waiters.len();
@@ -129,19 +137,20 @@
             .collect()
     }
 
-    /// Gives up a batch that no coordinator has answered in its time, and returns those whom nobody can answer.
+    /// Abandons a batch that no coordinator has answered in time. Returns its callers that still wait, whose outcomes
+    /// are unknown.
     pub fn fail(&mut self, number: u64) -> Vec<WaiterId> {
         let waiters = self.in_flight.finish(number).unwrap_or_default();
         waiters.into_iter().flatten().collect()
     }
 
-    /// How many requests are queued.
+    /// The number of queued requests, without those in flight.
     #[must_use]
     pub fn queued(&self) -> usize {
         self.queued.len()
     }
 
-    /// How many batches have been sent.
+    /// The number of batches taken from this batcher so far.
     #[must_use]
     pub fn batches_sent(&self) -> u64 {
         self.in_flight.batches_sent()
--- a/crates/coordination/src/fencing.rs
+++ b/crates/coordination/src/fencing.rs
@@ -1,8 +1,9 @@
-//! Fencing at the receiver of a write: the highest token seen for each resource, and the rejection of a lower one.
+//! Fencing at the receiver of a write: it keeps the highest token seen for each resource and rejects lower ones.
 //!
-//! A lease alone guards nothing: any time may pass between the holder's check and the arrival of its write. So whatever
-//! takes writes asks its guard first, and saves what the guard says before it obeys, where that outlives its process
-//! (the sequencers of Chubby: M. Burrows, OSDI 2006).
+//! A lease alone does not protect a resource, since any amount of time may pass between the holder's check of its lease
+//! and the arrival of its write. A receiver therefore calls [`FencingGuard::admit`] before it executes a write. A
+//! receiver whose writes outlive its process also stores the guard before it executes a write under a new token.
+//! Chubby's sequencers work the same way (M. Burrows, OSDI 2006).
 
 use crate::bounds;
 use crate::command::{Rejection, limit_reached};
@@ -16,23 +17,24 @@
     highest: BTreeMap<String, FencingToken>,
 }
 
-/// How the guard admits a write.
+/// How the guard admitted a write, which decides whether the guard must be stored first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// The token has been seen before; nothing has to be saved.
+    /// The token equals the highest one seen; the guard is unchanged.
     KnownToken,
-    /// The token is new: the guard must be saved before the write is obeyed.
+    /// The token is higher than any seen: the guard must be stored before the write is executed.
     NewToken,
 }
 
 impl FencingGuard {
-    /// Decides whether a write under this token may be obeyed.
+    /// Decides whether a write under this token may be executed, and records the token.
     ///
     /// # Errors
-    /// [`Rejection::Fenced`] if a higher token has been seen; [`Rejection::LimitReached`] if the guard can't remember
-    /// one more resource, in which case nothing may be obeyed that it could not reject afterwards.
+    /// [`Rejection::Fenced`] if a higher token has been seen for the resource. [`Rejection::LimitReached`] if the guard
+    /// already holds [`MAX_RESOURCES`](bounds::MAX_RESOURCES) others: without a record of this token it could not
+    /// reject a lower one later.
     pub fn admit(&mut self, resource: &str, token: FencingToken) -> Result<Admission, Rejection> {
-        let full = self.highest.len() >= bounds::MAX_RESOURCES;
+        let is_full = self.highest.len() >= bounds::MAX_RESOURCES;
         match self.highest.get_mut(resource) {
             Some(current) if token < *current => Err(Rejection::Fenced {
                 resource: resource.to_string(),
@@ -44,7 +46,7 @@
                 *current = token;
                 Ok(Admission::NewToken)
             }
-            None if full => Err(limit_reached(
+            None if is_full => Err(limit_reached(
                 "fenced pieces of work",
                 bounds::MAX_RESOURCES,
             )),
@@ -55,7 +57,7 @@
         }
     }
 
-    /// The highest token seen for a resource; 0 for none.
+    /// The highest token seen for a resource; 0 if none has been seen.
     #[must_use]
     pub fn highest_token(&self, resource: &str) -> FencingToken {
         self.highest.get(resource).copied().unwrap_or_default()
--- a/crates/coordination/src/heartbeat_batcher.rs
+++ b/crates/coordination/src/heartbeat_batcher.rs
@@ -1,14 +1,14 @@
-//! How a session proxy batches heartbeats: which go to the coordinators together, and which answer is whose.
+//! Batches the heartbeats that a session proxy forwards, and returns each outcome to the caller that waits for it.
 //!
-//! A proxy owns nothing and stores nothing. It opens no sessions, tracks no leases, and gives no permission: it gathers
-//! what members ask within a short time, asks the leading coordinator once for all of them, and hands each its own
-//! answer back (as etcd's proxy does for leases). To the coordinators a proxied heartbeat is one that took longer on its
-//! way, which they bear from any network. So a proxy that is paused and resumed, cut off one way, doubled under one name
-//! or restarted can delay heartbeats and lose them, and no more.
+//! A proxy holds no sessions or leases of its own, stores nothing and grants no permission. It collects the heartbeats
+//! of a short interval, sends them to the leading coordinator in one call, and returns to each member its own outcome
+//! (as etcd's proxy does for leases). To the coordinators a proxied heartbeat is one that was delayed, as on any
+//! network. A proxy that is paused and resumed, cut off in one direction, running twice under one name, or restarted
+//! can therefore delay or lose heartbeats, but can do no other harm.
 //!
-//! One guard is its own: an answer goes only to heartbeats that had come *before* their batch left. A member counts its
-//! lease from before it asked; were it handed the answer to a batch that left earlier, it would count from later than
-//! the coordinator did.
+//! The proxy must guarantee one thing itself: a response is only given to heartbeats that arrived *before* their batch
+//! was sent. A member counts its lease from when it sent its heartbeat. With the response to a batch sent earlier, the
+//! member would count its lease from a later time than the coordinator does.
 
 use crate::batching::{InFlightSlot, QueueFull};
 use crate::bounds;
@@ -17,45 +17,47 @@
 use crate::time::{Micros, Timestamp};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Heartbeats that go to the coordinators as one call.
+/// Heartbeats that go to the coordinators in one call.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HeartbeatBatch {
-    /// Counts the batches of this process, from 1 on.
+    /// The number of the batch within this process; the first one has number 1.
     pub number: u64,
-    /// Each session once, as its member asked last.
+    /// At most one heartbeat per session, the one that its member sent last.
     pub heartbeats: Vec<Heartbeat>,
 }
 
-/// What the coordinators answered to a batch.
+/// The coordinators' response to a batch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BatchResponse {
-    /// The shortest lease among the renewed sessions; none, if none is.
+    /// The shortest lease among the renewed sessions; `None` if no session was renewed.
     pub shortest_lease: Option<Micros>,
     /// Sessions whose lease was extended, with the resources that each owns.
     pub renewed: BTreeMap<SessionId, Vec<(String, FencingToken)>>,
-    /// Sessions that have ended. Those in neither are unknown: a later heartbeat finds out.
+    /// Sessions that have ended. The outcome of a session that is neither here nor in `renewed` is unknown; its next
+    /// heartbeat will show.
     pub ended: Vec<SessionId>,
 }
 
-/// What became of one member's heartbeat.
+/// The outcome of one member's heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum HeartbeatOutcome {
     /// The lease is extended, and these are the resources that the session owns.
     Renewed(Vec<(String, FencingToken)>),
     /// The session has ended.
     SessionEnded,
-    /// Nobody can say.
+    /// The coordinators did not answer in time, or their response says nothing about this session.
     Unknown,
 }
 
-/// What the owner of a [`HeartbeatBatcher`] has to do next.
+/// What the service that runs a [`HeartbeatBatcher`] has to do next.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NextStep {
     /// Send this batch now.
     Send(HeartbeatBatch),
-    /// Ask again at this timestamp, or when something changes.
+    /// Call [`next_step`](HeartbeatBatcher::next_step) again at this timestamp, or earlier if a heartbeat arrives or a
+    /// batch ends.
     WaitUntil(Timestamp),
-    /// Ask again when something changes.
+    /// Call [`next_step`](HeartbeatBatcher::next_step) again when a heartbeat arrives or a batch ends.
     Idle,
 }
 
@@ -63,10 +65,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct HeartbeatBatcher {
     max_delay: Micros,
-    /// The shortest lease that any answer had; the delay is a small part of it.
+    /// The shortest lease in any response so far. The batching delay and the call timeout derive from it.
     shortest_lease: Option<Micros>,
     queued: BTreeMap<SessionId, QueuedHeartbeat>,
-    /// The queued sessions in the order in which they came: none waits behind those that came after it.
+    /// The queued sessions in order of arrival, so that no session waits behind later ones.
     order: VecDeque<SessionId>,
     in_flight: InFlightSlot<BTreeMap<SessionId, Vec<WaiterId>>>,
     last_sent_at: Option<Timestamp>,
@@ -80,7 +82,7 @@
 }
 
 impl HeartbeatBatcher {
-    /// An empty batcher that delays heartbeats by at most `max_delay`, and by less where leases are short.
+    /// Creates an empty batcher that delays heartbeats by at most `max_delay`, and by less if leases are short.
     #[must_use]
     pub fn new(max_delay: Micros) -> Self {
         Self {
@@ -94,7 +96,8 @@
         }
     }
 
-    /// Queues a member's heartbeat. One that is sent again before its batch has left is in it once, as it was sent last.
+    /// Queues a member's heartbeat. If the session already has a queued heartbeat, the new one replaces it, and both
+    /// callers get the outcome.
     ///
     /// # Errors
     /// [`QueueFull`] if [`MAX_PROXY_WAITERS`](bounds::MAX_PROXY_WAITERS) callers wait.
@@ -116,8 +119,8 @@
         Ok(())
     }
 
-    /// Removes a caller that no longer waits. A queued heartbeat for which nobody waits is dropped: it must not extend
-    /// the lease of a member that is gone.
+    /// Removes a caller that no longer waits. A queued heartbeat without a waiting caller is dropped, so that it does
+    /// not extend the lease of a member that has gone.
     pub fn abandon(&mut self, session: SessionId, waiter: WaiterId) {
         let queued = self.queued.get_mut(&session);
         let queued = queued.map(|queued| &mut queued.waiters);
@@ -134,8 +137,8 @@
         }
     }
 
-    /// What is to be done at this timestamp. One batch is out at a time: a coordinator that answers slowly is asked less
-    /// often, and for more at once.
+    /// Decides what to do at `now`. One batch is in flight at a time, so a coordinator that responds slowly gets fewer
+    /// and larger batches.
     pub fn next_step(&mut self, now: Timestamp) -> NextStep {
         if self.in_flight.is_taken() || self.queued.is_empty() {
             return NextStep::Idle;
@@ -162,17 +165,20 @@
         })
     }
 
-    /// How long heartbeats are gathered. A member sends four in a lease, so a 64th of the lease is a sixteenth of its
-    /// period: what it waits here is nothing beside that, and the coordinators' calls no longer grow with members.
+    /// The minimum time between two batches that are not full. A member sends four heartbeats per lease, so a delay of
+    /// 1/64 of the lease is 1/16 of its heartbeat interval, which hardly matters to the member. With the delay, the
+    /// number of calls to the coordinators does not grow with the number of members.
     fn delay(&self) -> Micros {
         self.shortest_lease.map_or(self.max_delay, |lease| {
             self.max_delay.min(Micros(lease.0 / 64))
         })
     }
 
-    /// The timeout of a call to the coordinators. A member sends four heartbeats in a lease and waits half of one for
-    /// an answer: a quarter here leaves it the other quarter for another proxy. Where no lease is known yet, a little
-    /// less than the 2.5 s that a member waits for one answer.
+    /// The timeout of a call to the coordinators: a quarter of the shortest lease, and at most 2.3 s.
+    ///
+    /// A member sends four heartbeats per lease and waits for a response for half a lease. A quarter of the lease here
+    /// leaves the member another quarter to try another proxy. 2.3 s, which also applies while no lease is known yet,
+    /// is a little less than the 2.5 s that a member waits for one response.
     #[must_use]
     pub fn call_timeout(&self) -> Micros {
         let max = Micros::from_millis(2_300);
@@ -180,8 +186,8 @@
             .map_or(max, |lease| max.min(Micros(lease.0 / 4)))
     }
 
-    /// Takes the coordinators' answer to a batch, and returns what each caller is answered. An answer to a batch that was
-    /// given up is nobody's.
+    /// Returns the outcome for each caller of a batch that the coordinators have answered. The response to an abandoned
+    /// batch yields no outcomes.
     pub fn complete(
         &mut self,
         number: u64,
@@ -198,7 +204,8 @@
         })
     }
 
-    /// Gives up a batch that no coordinator has answered in its time, and returns what each caller is answered.
+    /// Abandons a batch that no coordinator has answered in time, and returns [`HeartbeatOutcome::Unknown`] for each of
+    /// its callers.
     pub fn fail(&mut self, number: u64) -> Vec<(WaiterId, HeartbeatOutcome)> {
         self.finish(number, |_| HeartbeatOutcome::Unknown)
     }
@@ -217,13 +224,13 @@
         outcomes
     }
 
-    /// How many callers wait, queued or in flight.
+    /// The number of waiting callers, both of queued heartbeats and of those in flight.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// How many batches have been sent.
+    /// The number of batches returned by [`next_step`](Self::next_step) so far.
     #[must_use]
     pub fn batches_sent(&self) -> u64 {
         self.in_flight.batches_sent()
--- a/crates/coordination/src/ids.rs
+++ b/crates/coordination/src/ids.rs
@@ -1,6 +1,6 @@
-//! Identifiers of sessions, leaders, fencing tokens and waiting callers.
+//! Identifiers of sessions, leader terms, fencing tokens and waiting callers.
 //!
-//! Each is a `u64` of its own type, so that none is passed for another; serialized it is the bare number.
+//! Each is a distinct type around a `u64`, so that the compiler rejects a mix-up. Each is serialized as a plain number.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -16,7 +16,7 @@
             pub struct $name(pub u64);
 
             impl $name {
-                /// The number after this one.
+                /// The number that follows this one.
                 #[must_use]
                 pub const fn next(self) -> Self {
                     Self(self.0 + 1)
@@ -39,18 +39,21 @@
 }
 
 number_types! {
-    /// The number of a session, from 1 on; never reused within one [`CoordinationState`](crate::CoordinationState).
+    /// Identifies a session. The first session has id 1, and an id is never reused within one
+    /// [`CoordinationState`](crate::CoordinationState).
     SessionId;
-    /// A number that grows with each new owner of a resource and never falls.
+    /// A number that increases with each new owner of a resource and never decreases.
     ///
-    /// Every write on behalf of a resource carries it, and whoever receives a write rejects a token below the highest
-    /// that it has seen: Chubby calls this a sequencer.
+    /// Every write on behalf of a resource carries the owner's token. The receiver of a write rejects a token that is
+    /// lower than the highest one it has seen. Chubby calls such a token a sequencer.
     FencingToken;
-    /// The consensus' own term: counts the elections of a leader. It is unrelated to any [`FencingToken`].
+    /// The term of the consensus protocol, which increases with each election of a leader. It is unrelated to any
+    /// [`FencingToken`].
     LeaderTerm;
-    /// A caller that waits for its answer at a batcher. The service that owns the batcher assigns the numbers.
+    /// Identifies a caller that waits for a response at a batcher. The service that owns the batcher assigns the ids.
     WaiterId;
 }
 
-/// Stands for all sessions of a state that was lost and restored from a backup: their leases are awaited together.
+/// Stands for all sessions that existed before the state was restored from a backup: the leader waits for all of their
+/// leases as for the lease of this one session.
 pub const PRE_RESTORE_SESSION: SessionId = SessionId(0);
--- a/crates/coordination/src/lease_holder.rs
+++ b/crates/coordination/src/lease_holder.rs
@@ -1,10 +1,10 @@
-//! The holder's side of a lease: until when a member may write, asked right before each write.
+//! The member's own view of its lease: until when it may write, checked right before each write.
 
 use crate::ids::{FencingToken, SessionId};
 use crate::time::{LeaseTiming, Micros, Timestamp};
 use std::collections::BTreeMap;
 
-/// The session and the resources that a member has, by its own clock.
+/// A member's session and owned resources, and until when its lease is safe by its own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     clock_error_ppm: u32,
@@ -22,16 +22,16 @@
 /// Permission to write now on behalf of a resource.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Permission {
-    /// The session under which to write.
+    /// The session that owns the resource.
     pub session: SessionId,
-    /// The token that the write has to carry.
+    /// The token that the write must carry.
     pub token: FencingToken,
-    /// When the permission ends.
+    /// When the permission ends, by this member's clock.
     pub safe_until: Timestamp,
 }
 
 impl LeaseHolder {
-    /// A holder without a session. The error of clock rates is in parts per million, see [`LeaseTiming`].
+    /// Creates a holder without a session. `clock_error_ppm` is described at [`LeaseTiming::clock_error_ppm`].
     #[must_use]
     pub fn new(clock_error_ppm: u32) -> Self {
         Self {
@@ -41,8 +41,8 @@
         }
     }
 
-    /// Records that a session was opened by a request that was sent at this timestamp or after it. Resources of an
-    /// earlier session are lost.
+    /// Records that a session was opened by a request that was sent at `sent` or later. The resources of an earlier
+    /// session are dropped.
     pub fn session_opened(&mut self, sent: Timestamp, session: SessionId, lease: Micros) {
         let timing = LeaseTiming {
             lease,
@@ -57,23 +57,24 @@
         });
     }
 
-    /// Records the answer to a heartbeat that was sent at this timestamp or after it. Answers may come in any order.
+    /// Records the response to a heartbeat that was sent at `sent` or later. Responses may arrive in any order.
     pub fn heartbeat_confirmed(&mut self, sent: Timestamp, session: SessionId) {
         if let Some(lease) = (self.session.as_mut()).filter(|lease| lease.session == session) {
             lease.safe_until = lease.safe_until.max(sent.after(lease.duration));
         }
     }
 
-    /// Records that a claim was granted: the resource is owned as long as the session is open.
+    /// Records that a claim was granted. The session owns the resource until it ends or the resource is lost.
     pub fn resource_claimed(&mut self, session: SessionId, resource: &str, token: FencingToken) {
         if self.session.is_some_and(|lease| lease.session == session) {
             let current = self.resources.entry(resource.to_string()).or_insert(token);
-            // an answer that was overtaken must not bring an old token back
+            // A response that arrives late must not bring back an older token.
             *current = (*current).max(token);
         }
     }
 
-    /// Records that a resource is owned no longer: released, rejected by a fencing guard, or revoked by an operator.
+    /// Records that the resource is no longer owned under this token or a lower one: it was released or revoked, or a
+    /// write was rejected by a fencing guard.
     pub fn resource_lost(&mut self, resource: &str, token: FencingToken) {
         if (self.resources.get(resource)).is_some_and(|current| *current <= token) {
             self.resources.remove(resource);
@@ -88,7 +89,7 @@
         }
     }
 
-    /// The session, if there is one whose lease is safe at this timestamp.
+    /// The session, if its lease is safe at `now`.
     #[must_use]
     pub fn safe_session(&self, now: Timestamp) -> Option<SessionId> {
         self.session
@@ -96,20 +97,22 @@
             .map(|lease| lease.session)
     }
 
-    /// The session that was opened last, safe or not: the one that heartbeats are sent for.
+    /// The session for which heartbeats are sent, whether its lease is safe or not.
     #[must_use]
     pub fn known_session(&self) -> Option<SessionId> {
         self.session.map(|lease| lease.session)
     }
 
-    /// Until when the session's lease is safe.
+    /// The end of the time in which the session's lease is safe; `None` without a session.
     #[must_use]
     pub fn safe_until(&self) -> Option<Timestamp> {
         self.session.map(|lease| lease.safe_until)
     }
 
-    /// Permission to write for a resource at this timestamp, which must be read from the clock right before this call,
-    /// and the call made right before each write.
+    /// Permission to write on behalf of a resource at `now`; `None` if the lease is no longer safe or the resource is
+    /// not owned.
+    ///
+    /// Call this right before each write, with a timestamp read from the clock right before the call.
     #[must_use]
     pub fn permission(&self, resource: &str, now: Timestamp) -> Option<Permission> {
         let lease = self.session.filter(|lease| now < lease.safe_until)?;
@@ -121,7 +124,7 @@
         })
     }
 
-    /// Every owned resource with its token, whether the session's lease is safe or not.
+    /// All owned resources with their tokens, whether the session's lease is safe or not.
     pub fn resources(&self) -> impl Iterator<Item = (&str, FencingToken)> {
         self.resources
             .iter()
--- a/crates/coordination/src/lease_table.rs
+++ b/crates/coordination/src/lease_table.rs
@@ -1,24 +1,26 @@
-//! The leader's side of a lease: when a session's lease has expired.
+//! The leader's record of when each session's lease expires.
 //!
-//! Only the leading coordinator tracks leases, on its own clock, and saves nothing of it: a heartbeat is not written
-//! into the log (the leases of C. Gray, D. Cheriton, SOSP 1989, as Chubby gives them to sessions). It counts from when
-//! it *confirmed* a heartbeat, which is after the request came, which is after its holder sent it; the holder counts
-//! from before it sent. A coordinator that becomes the leader doesn't know what the one before confirmed last, so it
-//! counts every session from the moment at which it began to lead: it ends none before the longest lease that an
-//! earlier leader may have granted has passed.
+//! Only the leading coordinator tracks leases, on its own clock and in memory: heartbeats are not written to the log
+//! (leases as in C. Gray, D. Cheriton, SOSP 1989, granted to sessions as in Chubby).
 //!
-//! A holder whose requests arrive but whose answers are lost must not keep its resources for ever without being able
-//! to write: a heartbeat says whether its holder's own lease has expired, and of such heartbeats one is confirmed,
-//! until the holder has received an answer.
+//! A lease never expires at the leader while its holder relies on it. The holder counts the lease from before it sent
+//! the heartbeat, and the leader from when it *confirmed* the heartbeat, which is later. A new leader does not know
+//! which heartbeats the previous one confirmed, so it counts every lease in full from when it became the leader. It
+//! therefore ends no session before a lease confirmed by an earlier leader would have expired.
+//!
+//! A holder whose requests arrive but whose responses are all lost cannot write, and must not keep its resources
+//! forever. A heartbeat therefore says whether the lease has expired by the holder's clock. The leader confirms one
+//! such heartbeat and rejects further ones, until the holder has received a response and its heartbeats no longer say
+//! so.
 
 use crate::ids::{LeaderTerm, PRE_RESTORE_SESSION, SessionId};
 use crate::time::{Micros, Timestamp};
 use std::collections::BTreeMap;
 
-/// The leases of all sessions, while this coordinator leads.
+/// The leases of all sessions while this coordinator leads; empty while another one does.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct LeaseTable {
-    /// None while another coordinator leads.
+    /// `None` while this coordinator does not lead.
     leases: Option<BTreeMap<SessionId, TrackedLease>>,
     leader_term: LeaderTerm,
 }
@@ -27,9 +29,9 @@
 struct TrackedLease {
     confirmed_at: Timestamp,
     duration: Micros,
-    /// The last heartbeat that was confirmed came from a holder whose own lease had expired.
+    /// The last confirmed heartbeat said that the lease had expired by the holder's clock.
     holder_expired: bool,
-    /// The end has been proposed: no heartbeat is confirmed any more, whatever becomes of the proposal here.
+    /// The end of the session has been proposed. No heartbeat is confirmed from then on, even if the proposal fails.
     is_ending: bool,
 }
 
@@ -45,11 +47,12 @@
 pub struct Heartbeat {
     /// The member's session.
     pub session: SessionId,
-    /// The lease had expired by the holder's own clock when it sent this: it has received no answer for long.
+    /// The lease had expired by the holder's clock when it sent the heartbeat, so it has received no response for at
+    /// least that long.
     pub holder_expired: bool,
 }
 
-/// A heartbeat that waits for the majority to confirm the leader under one term.
+/// A heartbeat that waits until a majority has confirmed that this coordinator still leads in the given term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingHeartbeat {
     heartbeat: Heartbeat,
@@ -57,8 +60,8 @@
 }
 
 impl LeaseTable {
-    /// Starts to track the leases of these sessions, each with its duration, since this coordinator leads from now on.
-    /// The state from which they are must have all that earlier leaders wrote.
+    /// Starts to track the leases of these sessions, each with its duration, because this coordinator has become the
+    /// leader. The sessions must come from a state that has applied everything that earlier leaders wrote.
     pub fn become_leader(
         &mut self,
         leader_term: LeaderTerm,
@@ -70,19 +73,21 @@
         self.track(now, sessions);
     }
 
-    /// Forgets all leases, since this coordinator no longer leads.
+    /// Stops tracking leases, because this coordinator no longer leads.
     pub fn step_down(&mut self) {
         self.leases = None;
     }
 
-    /// The term under which this coordinator leads, if it does.
+    /// The term in which this coordinator leads; `None` if it does not lead.
     #[must_use]
     pub fn leader_term(&self) -> Option<LeaderTerm> {
         self.leases.as_ref().map(|_| self.leader_term)
     }
 
-    /// Follows the state's sessions. A new one is counted from now on, which is after it was opened; one that is gone
-    /// is forgotten.
+    /// Brings the table up to date with the sessions of the state, each with the duration of its lease.
+    ///
+    /// The lease of a new session is counted from `now`, which is after the session was opened. Sessions that are no
+    /// longer in the state are removed.
     pub fn track(
         &mut self,
         now: Timestamp,
@@ -103,11 +108,11 @@
         }
     }
 
-    /// Begins a heartbeat that has come in.
+    /// Starts to process a heartbeat that has arrived.
     ///
-    /// Returns none if the session has ended or is ending, this coordinator doesn't lead, or the heartbeat may not
-    /// extend the lease. Otherwise the coordinator has to make sure, from now on, that it still leads, and then call
-    /// [`confirm_heartbeat`](Self::confirm_heartbeat).
+    /// Returns `None` if the session has ended or is ending, this coordinator does not lead, or the heartbeat may not
+    /// extend the lease. Otherwise the caller must have a majority confirm, after this call, that this coordinator
+    /// still leads, and then call [`confirm_heartbeat`](Self::confirm_heartbeat).
     #[must_use]
     pub fn begin_heartbeat(&self, heartbeat: Heartbeat) -> Option<PendingHeartbeat> {
         let leases = self.leases.as_ref()?;
@@ -120,8 +125,10 @@
         })
     }
 
-    /// Extends the lease, after a majority has confirmed, since the heartbeat began, that this coordinator leads.
-    /// Returns whether the lease is extended; only then may the heartbeat be answered.
+    /// Extends the lease. To be called after a majority has confirmed that this coordinator leads, in a round that
+    /// began after [`begin_heartbeat`](Self::begin_heartbeat).
+    ///
+    /// Returns whether the lease is extended; only then may the member be told so.
     pub fn confirm_heartbeat(&mut self, pending: PendingHeartbeat, now: Timestamp) -> bool {
         let PendingHeartbeat {
             heartbeat,
@@ -141,8 +148,9 @@
         }
     }
 
-    /// Marks the sessions whose leases have expired as ending, and returns them: their end is to be proposed. One that
-    /// was returned before is returned every time until it has ended, in case the proposal came to nothing.
+    /// Marks the sessions whose leases have expired as ending, and returns them so that the caller proposes their end.
+    ///
+    /// A session is returned again by each call until it has ended, in case an earlier proposal failed.
     pub fn expire_sessions(&mut self, now: Timestamp) -> Vec<SessionId> {
         let Some(leases) = &mut self.leases else {
             return Vec::new();
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,18 +1,18 @@
-//! The coordination service's replicated state machine, and the lease mechanics on both of its sides.
+//! The replicated state machine of the coordination service, and the lease logic of the leader and of lease holders.
 //!
-//! - [`state`]: the state on which all coordinators agree: sessions, resources and their fencing tokens. Commands go in,
-//!   outcomes come out; it knows no time.
-//! - [`command`]: the commands of the replicated log, and what they are answered with.
-//! - [`lease_table`]: the leader's side of a lease, kept by the leading coordinator and by nobody else.
-//! - [`lease_holder`]: the holder's side: until when a member may write, asked right before each write.
-//! - [`fencing`]: the receiver's side of a write: the highest token seen, and the rejection of a lower one.
-//! - [`heartbeat_batcher`]: how a session proxy batches heartbeats, and which answer is whose.
-//! - [`command_batcher`]: how a session proxy batches session opens and all other commands, as one entry of the log.
-//! - [`batching`]: what the two batchers have in common.
-//! - [`ids`], [`time`], [`bounds`]: numbers with their types, clocks, and upper bounds.
+//! - [`state`]: the replicated state: sessions, resources and fencing tokens. It applies commands and returns outcomes,
+//!   and never reads a clock.
+//! - [`command`]: the commands of the replicated log, their outcomes, and the reasons for a rejection.
+//! - [`lease_table`]: the leader's record of when each session's lease expires. Only the leading coordinator keeps one.
+//! - [`lease_holder`]: the member's own view of its lease: until when it may write, checked before each write.
+//! - [`fencing`]: the check at the receiver of a write, which rejects tokens lower than the highest one seen.
+//! - [`heartbeat_batcher`]: how a session proxy batches heartbeats and returns each response to the right caller.
+//! - [`command_batcher`]: how a session proxy batches session opens and all other commands into one entry of the log.
+//! - [`batching`]: code that the two batchers share.
+//! - [`ids`], [`time`], [`bounds`]: typed identifiers, timestamps and durations, and upper bounds.
 //!
-//! Everything here is pure: no I/O, and no clock of its own. `crates/coordinator`, `crates/session-proxy` and
-//! `crates/member` bring both. `docs/design/coordination.md` has the reasons.
+//! This crate does no I/O and reads no clock. `crates/coordinator`, `crates/session-proxy` and `crates/member` do the
+//! I/O and pass timestamps in. `docs/design/coordination.md` explains the design.
 
 pub mod batching;
 pub mod bounds;
--- a/crates/coordination/src/state.rs
+++ b/crates/coordination/src/state.rs
@@ -1,8 +1,8 @@
-//! The replicated state of the coordination service, on which all coordinators agree.
+//! The replicated state of the coordination service. Every coordinator holds a replica of it.
 //!
-//! The state knows no time. That a lease has expired is a command like any other, which the leading coordinator
-//! proposes after its [`LeaseTable`](crate::LeaseTable) has said so; a replica that applies the same commands has the
-//! same state.
+//! The state never reads a clock, so replicas that apply the same commands have the same state. The expiry of a lease
+//! is a command like any other: the leading coordinator proposes it when its [`LeaseTable`](crate::LeaseTable) reports
+//! that the lease has expired.
 
 mod history;
 mod resources;
@@ -28,37 +28,40 @@
 use snapshot::Snapshot;
 use std::collections::BTreeMap;
 
-/// The replicated state of the coordination service: open sessions, resources with their fencing tokens, and the last
-/// events.
+/// The replicated state of the coordination service: open sessions, resources with their fencing tokens, and the most
+/// recent events.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Deserialize)]
 #[serde(from = "Snapshot")]
 pub struct CoordinationState {
     sessions: SessionTable,
     resources: ResourceTable,
     history: EventHistory,
-    /// Counts restores.
+    /// The number of the last restore; 0 if the state was never restored.
     generation: u64,
-    /// The longest lease that a member may have under the state before the restore; none when those have expired.
+    /// The longest lease that a member may still hold from before the restore; `None` once all of them have expired.
     restore_grace: Option<Micros>,
-    /// A batch has been applied, so a majority of the coordinators can read one.
+    /// A batch has been applied, so a majority of the coordinators can read batches.
     batching_enabled: bool,
 }
 
-/// Changes with each change of [`CoordinationState::leases`], within one state: a session that is opened raises the
-/// first number, and between two of those the second only falls.
+/// A version of [`CoordinationState::leases`], which differs whenever the leases of the same state differ.
+///
+/// Opening a session raises `last_session`, and between two opens `open_sessions` can only fall, so no combination
+/// occurs twice.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LeasesVersion {
-    /// The highest session id that was ever given out.
+    /// The highest session id that was ever assigned.
     pub last_session: SessionId,
-    /// How many sessions are open.
+    /// The number of open sessions.
     pub open_sessions: usize,
-    /// Leases of before a restore are still awaited.
+    /// Whether leases from before a restore may not have expired yet.
     pub in_restore_grace: bool,
 }
 
 impl CoordinationState {
-    /// Applies a command that was proposed under this leader's term. A command that was applied before has the outcome
-    /// of the first time, as long as what it led to still stands.
+    /// Applies a command that was proposed in the given leader term.
+    ///
+    /// A repeated command has the same outcome as the first time, as long as no other command has undone its effect.
     pub fn apply(&mut self, command: Command, leader_term: LeaderTerm) -> CommandOutcome {
         match command {
             Command::Batch { commands } if commands.len() > bounds::MAX_BATCH_LEN => {
@@ -118,23 +121,23 @@
         outcome.unwrap_or_else(CommandOutcome::Rejected)
     }
 
-    /// Counts the restores that led to this state.
+    /// The number of the restore from which this state continues; 0 if the state was never restored.
     #[must_use]
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// All leases that a leader has to wait for: those of open sessions, and the one that stands for all of before a
-    /// restore.
+    /// All leases that a leader has to track: those of open sessions and, under [`PRE_RESTORE_SESSION`], the longest of
+    /// those from before a restore.
     pub fn leases(&self) -> impl Iterator<Item = (SessionId, Micros)> {
-        let before = self.restore_grace.map(|lease| (PRE_RESTORE_SESSION, lease));
+        let before_restore = self.restore_grace.map(|lease| (PRE_RESTORE_SESSION, lease));
         let open = self.sessions.all().iter();
-        before
+        before_restore
             .into_iter()
             .chain(open.map(|(&id, session)| (id, session.lease)))
     }
 
-    /// The version of what [`leases`](Self::leases) returns.
+    /// A version that changes whenever the result of [`leases`](Self::leases) changes.
     #[must_use]
     pub fn leases_version(&self) -> LeasesVersion {
         LeasesVersion {
@@ -144,14 +147,16 @@
         }
     }
 
-    /// Whether a majority of the coordinators is known to read batches. A leader that proposed one before could write
-    /// nothing at all while the others are of a version that can't read it.
+    /// Whether a majority of the coordinators is known to read batches.
+    ///
+    /// A leader must not propose a batch before that: if the other coordinators run a version that cannot read batches,
+    /// nothing more could be committed.
     #[must_use]
     pub fn batching_enabled(&self) -> bool {
         self.batching_enabled
     }
 
-    /// All open sessions.
+    /// All open sessions by id.
     #[must_use]
     pub fn sessions(&self) -> &BTreeMap<SessionId, Session> {
         self.sessions.all()
@@ -163,12 +168,12 @@
         self.resources.all()
     }
 
-    /// The last events, oldest first.
+    /// The most recent events, oldest first; at most [`MAX_HISTORY_EVENTS`](bounds::MAX_HISTORY_EVENTS).
     pub fn history(&self) -> impl Iterator<Item = &Event> {
         self.history.all().iter()
     }
 
-    /// Ends a session, and with it the ownership of all that it owned.
+    /// Closes a session and ends its ownership of resources, which the history records as `kind`.
     fn end_session(&mut self, session: SessionId, kind: EventKind) -> CommandOutcome {
         let member = self.sessions.display_name(session);
         for (name, resource) in self.resources.owned_by(session) {
@@ -211,7 +216,8 @@
         })
     }
 
-    /// A token that is not the current one is over already, which is what was asked for.
+    /// Ends the ownership if the session owns the resource under this token. Otherwise the ownership has already ended,
+    /// and the command succeeds without a change.
     fn release(&mut self, session: SessionId, name: &str, token: FencingToken) -> CommandOutcome {
         if let Some(resource) = self.resources.get_mut(name)
             && resource.is_owned(session, token)
@@ -236,7 +242,7 @@
         CommandOutcome::Done
     }
 
-    /// Does a write under a fencing token; a late owner, whose token is not the newest, is rejected here.
+    /// Stores the checkpoint of a write. Rejects a former owner, whose token is no longer the current one.
     fn write(
         &mut self,
         session: SessionId,
--- a/crates/coordination/src/state/history.rs
+++ b/crates/coordination/src/state/history.rs
@@ -1,56 +1,56 @@
-//! The last events of the state, for whoever asks who owned what.
+//! The most recent events of the state, which show operators who owned which resource.
 
 use super::FencingToken;
 use crate::bounds;
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// A change of ownership, a write, or a write that was fenced off.
+/// A change of ownership, a write, or a write rejected for its token.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Event {
-    /// Counts all events of the state from 1 on.
+    /// The sequence number of the event; the first event of the state has number 1.
     pub number: u64,
     /// The resource's name.
     #[serde(rename = "work")]
     pub resource: String,
-    /// The token that the member showed, or was granted.
+    /// The token that the member was granted, lost, or sent with its write.
     #[serde(rename = "term")]
     pub token: FencingToken,
-    /// The member's name.
+    /// The member's name, or the number of its session if that has ended.
     pub member: String,
-    /// What the member did, or had done to it.
+    /// What happened to the resource.
     #[serde(rename = "what")]
     pub kind: EventKind,
 }
 
-/// The kinds of [`Event`].
+/// What an [`Event`] reports. The subject of each variant is the member that the event names.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EventKind {
-    /// Became the owner.
+    /// The member became the owner.
     #[serde(rename = "owned")]
     Acquired,
-    /// Did the write of this number.
+    /// The member did the write with this number.
     #[serde(rename = "acted")]
     Written(u64),
-    /// Gave the resource back.
+    /// The member released the resource or closed its session.
     #[serde(rename = "released")]
     Released,
-    /// Lost the resource: its lease expired.
+    /// The member lost the resource because its lease expired, or because the state was restored from a backup.
     #[serde(rename = "lost")]
     Expired,
-    /// Had the resource taken by an operator.
+    /// An operator revoked the member's ownership.
     #[serde(rename = "freed")]
     Revoked,
-    /// Had a write rejected: its token was over.
+    /// A write of the member was rejected because its token was not the current one.
     #[serde(rename = "fenced")]
     Fenced,
 }
 
-/// The last [`MAX_HISTORY_EVENTS`](bounds::MAX_HISTORY_EVENTS) events.
+/// The most recent events, at most [`MAX_HISTORY_EVENTS`](bounds::MAX_HISTORY_EVENTS).
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct EventHistory {
     events: VecDeque<Event>,
-    /// The number of the last event.
+    /// The number of the last event; 0 if there was none.
     last: u64,
 }
 
@@ -63,12 +63,12 @@
         &self.events
     }
 
-    /// The number of the last event.
+    /// The number of the last event; 0 if there was none.
     pub(super) fn last(&self) -> u64 {
         self.last
     }
 
-    /// Adds an event, and forgets the oldest if there are too many.
+    /// Appends an event, and drops the oldest one if the history is full.
     pub(super) fn record(
         &mut self,
         resource: &str,
@@ -89,7 +89,7 @@
         });
     }
 
-    /// Numbers the events to come from the one after this.
+    /// Continues the numbers of events after `last`: the next event gets the number `last + 1`.
     pub(super) fn restart_numbers(&mut self, last: u64) {
         self.last = last;
     }
--- a/crates/coordination/src/state/resources.rs
+++ b/crates/coordination/src/state/resources.rs
@@ -1,28 +1,28 @@
-//! The resources that sessions own, and the fencing token of each.
+//! The table of resources, with the owner and the fencing token of each.
 
 use super::{FencingToken, Rejection, SessionId, limit_reached};
 use crate::bounds;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A resource that one session at a time may own.
+/// A resource, which at most one session owns at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resource {
-    /// The highest token that was granted; stays when the owner goes.
+    /// The highest token that was granted, kept when the ownership ends.
     #[serde(rename = "term")]
     pub token: FencingToken,
-    /// The session that may write, if there is one.
+    /// The session that owns the resource and may write; `None` if the resource is free.
     pub owner: Option<SessionId>,
-    /// Writes done under this token.
+    /// The number of writes done under the current token.
     #[serde(rename = "acts")]
     pub writes: u64,
-    /// The text that the last write left, by whichever owner.
+    /// The text that the last write stored, under this or an earlier token.
     #[serde(rename = "cursor")]
     pub checkpoint: String,
 }
 
 impl Resource {
-    /// Makes a session the owner, under a new token.
+    /// Makes a session the owner under the next token.
     pub(super) fn grant(&mut self, session: SessionId) {
         self.token = self.token.next();
         self.writes = 0;
@@ -34,7 +34,7 @@
         self.token == token && self.owner == Some(session)
     }
 
-    /// Whether a write is the last one that was done, sent once more.
+    /// Whether a write repeats the last one that was done.
     pub(super) fn is_last_write(&self, number: u64, checkpoint: &str) -> bool {
         number == self.writes && number > 0 && checkpoint == self.checkpoint
     }
@@ -44,7 +44,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct ResourceTable {
     resources: BTreeMap<String, Resource>,
-    /// A resource that the table doesn't know gets tokens above this: forgotten ones leave their token here.
+    /// Resources that are not in the table start from this token. It is at least the token of every evicted resource,
+    /// so that the tokens of a resource that returns still increase.
     minimum_token: FencingToken,
 }
 
@@ -79,7 +80,7 @@
             .map(|(name, resource)| (name.as_str(), resource))
     }
 
-    /// The resource of this name. One that is not known is made, without an owner.
+    /// The resource with this name, which is created without an owner if it is not in the table.
     pub(super) fn find_or_create(&mut self, name: &str) -> Result<&mut Resource, Rejection> {
         if !self.resources.contains_key(name) {
             self.evict_if_full()?;
@@ -96,7 +97,7 @@
             }))
     }
 
-    /// Restarts the tokens of all resources, known or not, from this one.
+    /// Restarts the tokens of all resources, also of those that are not in the table, from the given token.
     pub(super) fn restart_tokens(&mut self, token: FencingToken) {
         self.minimum_token = token;
         for resource in self.resources.values_mut() {
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Makes room for one more: forgets the resource with the lowest token that nobody owns. Its token goes into the
-    /// minimum, so that the resource starts above it if it comes back.
+    /// Evicts the unowned resource with the lowest token if the table is full. Raises `minimum_token` to its token, so
+    /// that the resource gets a higher one if it returns.
     fn evict_if_full(&mut self) -> Result<(), Rejection> {
         if self.resources.len() < bounds::MAX_RESOURCES {
             return Ok(());
--- a/crates/coordination/src/state/restore.rs
+++ b/crates/coordination/src/state/restore.rs
@@ -1,35 +1,38 @@
-//! How a group goes on from a backup after everything behind it was lost.
+//! Restoring the state from a backup after everything written since the backup was lost.
 
 use super::{CoordinationState, EventKind, FencingToken, Micros, SessionId, SessionTable};
 use crate::bounds;
 use std::collections::BTreeMap;
 
-/// The generation that a restore asked for is not above the backup's.
+/// The generation given for a restore is not higher than the backup's, or not below the limit.
 #[derive(thiserror::Error)]
 #[error(
     "the backup is of generation {backup}: a restore needs a higher one than any before, below {limit}, not {requested}"
 )]
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RestoreError {
-    /// The backup's own generation.
+    /// The generation of the backup.
     pub backup: u64,
-    /// The one asked for.
+    /// The generation given for the restore.
     pub requested: u64,
-    /// All generations are below this.
+    /// The exclusive upper bound of generations.
     pub limit: u64,
 }
 
 impl CoordinationState {
-    /// The state as it goes on after everything behind this backup was lost.
+    /// Returns the state with which a new group of coordinators continues from this backup.
     ///
-    /// What happened since the backup is unknown, so nothing is kept that a member could still have: no session, no
-    /// owner. All tokens jump above any that the lost state can have granted, and no resource is granted until leases of
-    /// the lost state have expired, the longest of which is `lease` or one that the backup knows. `generation` must be
-    /// higher than that of any restore before, of this backup or another.
+    /// What happened since the backup is unknown. Therefore:
+    ///
+    /// - All sessions and ownerships end.
+    /// - All tokens jump above any that the lost state can have granted.
+    /// - No resource is granted until all leases of the lost state have expired. The longest of them is `lease`, or one
+    ///   in the backup if that is longer.
+    ///
+    /// `generation` must be higher than that of any earlier restore, from this backup or another.
     ///
     /// # Errors
-    /// If the generation is not above the backup's, or not below
-    /// [`MAX_GENERATIONS`](bounds::MAX_GENERATIONS).
+    /// If the generation is not above the backup's, or not below [`MAX_GENERATIONS`](bounds::MAX_GENERATIONS).
     pub fn restored(&self, generation: u64, lease: Micros) -> Result<Self, RestoreError> {
         if generation <= self.generation || generation >= bounds::MAX_GENERATIONS {
             return Err(RestoreError {
@@ -38,9 +41,9 @@
                 limit: bounds::MAX_GENERATIONS,
             });
         }
-        let granted = self.leases().map(|(_, lease)| lease).max();
+        let longest_lease = self.leases().map(|(_, lease)| lease).max();
         let mut state = self.clone();
-        // whoever owned loses it by name, and by the history
+        // Ends each session while its member's name is still known, so that the history records who lost what.
         for &session in self.sessions().keys() {
             state.end_session(session, EventKind::Expired);
         }
@@ -49,8 +52,8 @@
         state.resources.restart_tokens(FencingToken(floor));
         state.history.restart_numbers(floor);
         state.generation = generation;
-        state.restore_grace = Some(granted.unwrap_or_default().max(lease));
-        // the new group's coordinators may be of an older version
+        state.restore_grace = Some(longest_lease.unwrap_or_default().max(lease));
+        // The coordinators of the new group may run an older version that cannot read batches.
         state.batching_enabled = false;
         Ok(state)
     }
--- a/crates/coordination/src/state/sessions.rs
+++ b/crates/coordination/src/state/sessions.rs
@@ -1,4 +1,4 @@
-//! The open sessions, and which member name is whose.
+//! The table of open sessions, and the member names that they use.
 
 use super::{CommandOutcome, MemberInfo, Micros, Rejection, SessionId, limit_reached};
 use crate::bounds;
@@ -11,9 +11,9 @@
     /// The member that opened it.
     #[serde(rename = "about")]
     pub member: MemberInfo,
-    /// Drawn by the member; a second request to open with the same one is the same request.
+    /// The random number that the member sent. A request to open with the same nonce is a repetition.
     pub nonce: u64,
-    /// The lease that was granted.
+    /// The lease that the leader granted when the session was opened.
     pub lease: Micros,
 }
 
@@ -21,13 +21,13 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct SessionTable {
     sessions: BTreeMap<SessionId, Session>,
-    /// An index, made of `sessions`.
+    /// An index of `sessions` by the member's name.
     by_name: BTreeMap<String, SessionId>,
     last: SessionId,
 }
 
 impl SessionTable {
-    /// The table with these sessions, of which `last` is the highest id that was ever given out.
+    /// Creates a table of these sessions; `last` is the highest id that was ever assigned.
     pub(super) fn new(sessions: BTreeMap<SessionId, Session>, last: SessionId) -> Self {
         let by_name = sessions
             .iter()
@@ -44,12 +44,12 @@
         &self.sessions
     }
 
-    /// The highest id that was ever given out.
+    /// The highest id that was ever assigned.
     pub(super) fn last(&self) -> SessionId {
         self.last
     }
 
-    /// Opens a session, or finds the one that an earlier command with this nonce has opened.
+    /// Opens a session, or returns the open one if the same member opened it with the same nonce.
     pub(super) fn open(
         &mut self,
         member: MemberInfo,
@@ -90,13 +90,13 @@
         }
     }
 
-    /// The name of an open session's member.
+    /// The name of the session's member; `None` if the session is not open.
     pub(super) fn name(&self, session: SessionId) -> Option<&str> {
         let open = self.sessions.get(&session)?;
         Some(&open.member.name)
     }
 
-    /// The name under which events show a session: the member's, or the number of one that has ended.
+    /// The name that events use for a session: the member's name, or the session's number if the session has ended.
     pub(super) fn display_name(&self, session: SessionId) -> String {
         self.name(session)
             .map_or_else(|| format!("session {session}"), str::to_string)
--- a/crates/coordination/src/state/snapshot.rs
+++ b/crates/coordination/src/state/snapshot.rs
@@ -1,4 +1,4 @@
-//! The serialized form of the state: what snapshots and backups have, with the names of the first version.
+//! The serialized form of the state, as written to snapshots and backups. The serialized names must not change.
 
 use super::history::EventHistory;
 use super::resources::ResourceTable;
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize, Serializer};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The form as it is read. [`SnapshotRef`] writes the same names in this order.
+/// The form in which a snapshot is read. [`SnapshotRef`] must have the same serialized fields.
 #[derive(Deserialize)]
 pub(super) struct Snapshot {
     sessions: BTreeMap<SessionId, Session>,
@@ -22,12 +22,13 @@
     generation: u64,
     #[serde(rename = "resting")]
     restore_grace: Option<Micros>,
-    /// Absent in snapshots of before batches.
+    /// Absent in snapshots written by versions without batches.
     #[serde(default, rename = "several")]
     batching_enabled: bool,
 }
 
-/// The form as it is written, without a copy of the state.
+/// The form in which a snapshot is written. It borrows the state instead of copying it. The fields are written in this
+/// order.
 #[derive(Serialize)]
 struct SnapshotRef<'a> {
     sessions: &'a BTreeMap<SessionId, Session>,
