--- a/crates/coordination/tests/leases/main.rs
+++ b/crates/coordination/tests/leases/main.rs
@@ -1,11 +1,12 @@
-//! Leases under virtual time: coordinators and members with clocks of their own, messages that are late, lost or
-//! overtaken, leaders that come and go and that still believe they lead. At no time may two members both have
-//! permission to write.
+//! Leases in simulated time: at no time may two members both have permission to write.
+//!
+//! Coordinators and members have clocks that run at different rates, messages are delayed, lost or reordered, and
+//! leaders are replaced and may still believe that they lead.
 
-mod world;
+mod simulation;
 
 use proptest::prelude::*;
-use world::{COORDINATORS, MEMBERS, Step, World};
+use simulation::{COORDINATORS, MEMBERS, Simulation, Step};
 
 fn send(member: usize, coordinator: usize) -> Step {
     Step::Send {
@@ -16,10 +17,10 @@
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let step = prop_oneof![
-        4 => (0u64..400_000).prop_map(Step::Pass),
+        4 => (0u64..400_000).prop_map(Step::AdvanceClocks),
         6 => (0..MEMBERS, 0..COORDINATORS).prop_map(|(member, coordinator)| send(member, coordinator)),
-        10 => any::<usize>().prop_map(Step::Arrive),
-        1 => any::<usize>().prop_map(Step::Lose),
+        10 => any::<usize>().prop_map(Step::Deliver),
+        1 => any::<usize>().prop_map(Step::Drop),
         1 => (0..COORDINATORS).prop_map(Step::Elect),
         4 => (0..COORDINATORS).prop_map(Step::Expire),
     ];
@@ -30,125 +31,129 @@
     #![proptest_config(ProptestConfig { cases: 2_000, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(1), ..ProptestConfig::default() })]
 
     #[test]
-    fn never_two_with_permission_at_once(
+    fn at_most_one_member_has_permission_at_any_time(
         rates in proptest::collection::vec(-9_900i64..9_900, MEMBERS + COORDINATORS),
         steps in steps(),
     ) {
-        let mut world = World::new(&rates);
+        let mut simulation = Simulation::new(&rates);
         for step in &steps {
-            world.step(step);
-            prop_assert!(world.permitted() <= 1, "{:?}", world.holders);
+            simulation.step(step);
+            prop_assert!(simulation.permitted_count() <= 1, "{:?}", simulation.holders);
         }
     }
 }
 
-/// The full error between two clocks, to the millisecond: the window in which a lease that ignored it fails.
+/// Holder and leader clocks differ by the full error that leases allow for, and time advances in steps of one
+/// millisecond. A holder that ignored the clock error would still have permission after the leader's lease has expired.
 #[test]
-fn permission_ends_before_the_lease_by_clocks_two_percent_apart() {
+fn permission_ends_before_the_lease_when_clocks_differ_by_two_percent() {
     for (holder, leader) in [(-9_900, 9_900), (9_900, -9_900), (0, 0)] {
-        let mut world = World::new(&[holder, 0, 0, leader, leader, leader]);
+        let mut simulation = Simulation::new(&[holder, 0, 0, leader, leader, leader]);
         let mut permitted_ms = 0;
         for step in [
             send(0, 0),
-            Step::Arrive(0),
-            Step::Arrive(0),
+            Step::Deliver(0),
+            Step::Deliver(0),
             send(0, 0),
-            Step::Arrive(0),
-            Step::Arrive(0),
+            Step::Deliver(0),
+            Step::Deliver(0),
         ] {
-            world.step(&step);
+            simulation.step(&step);
         }
-        assert_eq!(world.permitted(), 1);
-        while world.state.sessions().len() == 1 {
-            world.step(&Step::Pass(1_000));
-            world.step(&Step::Expire(0));
-            world.step(&Step::Arrive(0));
-            permitted_ms += world.permitted();
+        assert_eq!(simulation.permitted_count(), 1);
+        while simulation.state.sessions().len() == 1 {
+            simulation.step(&Step::AdvanceClocks(1_000));
+            simulation.step(&Step::Expire(0));
+            simulation.step(&Step::Deliver(0));
+            permitted_ms += simulation.permitted_count();
         }
         assert_eq!(
-            world.permitted(),
+            simulation.permitted_count(),
             0,
-            "after {permitted_ms} ms with permission"
+            "still permitted at the end of the session, after {permitted_ms} ms"
         );
         assert!(
             permitted_ms > 900,
-            "and it had permission for most of the lease: {permitted_ms} ms"
+            "should have permission for most of the lease, but had it for {permitted_ms} ms"
         );
     }
 }
 
 #[test]
-fn a_member_that_renews_stays_the_owner_and_one_that_stops_loses_to_the_next() {
-    let mut world = World::new(&[9_900, -9_900, 0, -9_900, 9_900, 0]);
-    let arrive_all = |world: &mut World| {
-        while !world.under_way.is_empty() {
-            world.step(&Step::Arrive(0));
+fn a_member_stays_the_owner_until_it_stops_sending_heartbeats() {
+    let mut simulation = Simulation::new(&[9_900, -9_900, 0, -9_900, 9_900, 0]);
+    let deliver_all = |simulation: &mut Simulation| {
+        while !simulation.in_transit.is_empty() {
+            simulation.step(&Step::Deliver(0));
         }
     };
     for round in 0..40 {
-        world.step(&Step::Pass(300_000));
-        world.step(&send(0, world.leader));
-        world.step(&send(1, world.leader));
-        arrive_all(&mut world);
-        world.step(&Step::Expire(world.leader));
-        arrive_all(&mut world);
+        simulation.step(&Step::AdvanceClocks(300_000));
+        simulation.step(&send(0, simulation.leader));
+        simulation.step(&send(1, simulation.leader));
+        deliver_all(&mut simulation);
+        simulation.step(&Step::Expire(simulation.leader));
+        deliver_all(&mut simulation);
         if round == 20 {
-            world.step(&Step::Elect(2));
+            simulation.step(&Step::Elect(2));
         }
-        assert_eq!(world.has_permission(0), round > 0, "round {round}");
+        assert_eq!(simulation.has_permission(0), round > 0, "round {round}");
     }
-    let first = world.state.resources()["w"].token;
+    let first = simulation.state.resources()["w"].token;
     for _ in 0..10 {
-        world.step(&Step::Pass(300_000));
-        world.step(&send(1, world.leader));
-        arrive_all(&mut world);
-        world.step(&Step::Expire(world.leader));
-        arrive_all(&mut world);
-        assert!(world.permitted() <= 1);
+        simulation.step(&Step::AdvanceClocks(300_000));
+        simulation.step(&send(1, simulation.leader));
+        deliver_all(&mut simulation);
+        simulation.step(&Step::Expire(simulation.leader));
+        deliver_all(&mut simulation);
+        assert!(simulation.permitted_count() <= 1);
     }
-    let permission = world.holders[1].permission("w", world.member_clock(1));
+    let permission = simulation.holders[1].permission("w", simulation.member_clock(1));
     assert_eq!(
         permission.map(|permission| permission.token),
         Some(first.next())
     );
-    let permission = world.holders[0].permission("w", world.member_clock(0));
+    let permission = simulation.holders[0].permission("w", simulation.member_clock(0));
     assert_eq!(permission, None);
 }
 
 #[test]
-fn a_holder_whose_answers_are_all_lost_loses_to_one_that_receives_them() {
-    let mut world = World::new(&[0; MEMBERS + COORDINATORS]);
+fn a_holder_that_receives_no_responses_loses_its_resource() {
+    let mut simulation = Simulation::new(&[0; MEMBERS + COORDINATORS]);
     for _ in 0..2 {
-        world.step(&send(0, 0));
-        world.step(&Step::Arrive(0));
-        world.step(&Step::Arrive(0));
+        simulation.step(&send(0, 0));
+        simulation.step(&Step::Deliver(0));
+        simulation.step(&Step::Deliver(0));
     }
-    assert_eq!(world.permitted(), 1);
+    assert_eq!(simulation.permitted_count(), 1);
     let mut rounds = 0;
-    while world.state.resources()["w"].owner.is_some() {
+    while simulation.state.resources()["w"].owner.is_some() {
         rounds += 1;
-        assert!(rounds < 40, "it is renewed for ever");
-        world.step(&Step::Pass(100_000));
-        world.step(&send(0, 0));
-        world.step(&Step::Arrive(0));
-        // every answer is lost
-        world.under_way.clear();
-        world.step(&Step::Expire(0));
-        if let Some(end) = world.under_way.pop() {
-            world.arrive(end);
+        assert!(rounds < 40, "the lease is renewed forever");
+        simulation.step(&Step::AdvanceClocks(100_000));
+        simulation.step(&send(0, 0));
+        simulation.step(&Step::Deliver(0));
+        // Every response is lost.
+        simulation.in_transit.clear();
+        simulation.step(&Step::Expire(0));
+        if let Some(end) = simulation.in_transit.pop() {
+            simulation.deliver(end);
         }
     }
-    // a holder that only missed some answers goes on
-    let mut world = World::new(&[0; MEMBERS + COORDINATORS]);
+    // A holder that misses only some responses stays the owner.
+    let mut simulation = Simulation::new(&[0; MEMBERS + COORDINATORS]);
     for round in 0..60 {
-        world.step(&send(0, 0));
-        world.step(&Step::Arrive(0));
+        simulation.step(&send(0, 0));
+        simulation.step(&Step::Deliver(0));
         if round < 2 || round % 8 == 0 {
-            world.step(&Step::Arrive(0));
+            simulation.step(&Step::Deliver(0));
         }
-        world.under_way.clear();
-        world.step(&Step::Pass(100_000));
-        world.step(&Step::Expire(0));
-        assert!(world.under_way.is_empty(), "ended in round {round}");
+        simulation.in_transit.clear();
+        simulation.step(&Step::AdvanceClocks(100_000));
+        simulation.step(&Step::Expire(0));
+        assert!(
+            simulation.in_transit.is_empty(),
+            "session ended in round {round}"
+        );
     }
 }
--- a/crates/coordination/tests/leases/world.rs
+++ b/crates/coordination/tests/leases/simulation.rs
@@ -1,12 +1,12 @@
-//! A world under virtual time: coordinators and members with clocks of their own, and messages between them that are
-//! late, lost or overtaken.
+//! A simulation of coordinators and members with clocks of their own, and of messages between them that are delayed,
+//! lost or reordered.
 
 use milletturn_coordination::{
     Command, CommandOutcome, CoordinationState, FencingToken, Heartbeat, LeaderTerm, LeaseHolder,
     LeaseTable, MemberInfo, Micros, SessionId, Timestamp,
 };
 
-/// 2 % between any two clocks, as the settings' default says.
+/// The rates of any two clocks differ by at most 2 %, the default of the setting.
 const CLOCK_ERROR_PPM: u32 = 20_000;
 const LEASE: Micros = Micros::from_millis(1_000);
 pub(crate) const MEMBERS: usize = 3;
@@ -14,17 +14,18 @@
 
 #[derive(Debug, Clone)]
 pub(crate) enum Step {
-    /// Time passes for all, in microseconds.
-    Pass(u64),
-    /// A member sends a request to a coordinator: to open a session, or a heartbeat and a claim.
+    /// True time advances by this many microseconds.
+    AdvanceClocks(u64),
+    /// A member sends a request to a coordinator: a session open if it has no session, otherwise a heartbeat that also
+    /// claims the resource.
     Send { member: usize, coordinator: usize },
-    /// One of the messages that are under way arrives.
-    Arrive(usize),
-    /// One of them is lost.
-    Lose(usize),
-    /// Another coordinator is elected; the one before may not notice.
+    /// One of the messages in transit is delivered.
+    Deliver(usize),
+    /// One of the messages in transit is lost.
+    Drop(usize),
+    /// A coordinator is elected. The previous leader does not notice and still believes that it leads.
     Elect(usize),
-    /// A coordinator proposes the end of sessions whose leases have expired.
+    /// A coordinator that believes it leads proposes the end of the sessions whose leases have expired.
     Expire(usize),
 }
 
@@ -53,15 +54,15 @@
         session: SessionId,
         claimed: Option<FencingToken>,
     },
-    /// A proposed end on its way into the state.
+    /// A proposed end of a session, not yet applied to the state.
     Expire {
         session: SessionId,
         leader_term: LeaderTerm,
     },
 }
 
-/// How clocks run: parts per million above or below the true time.
-pub(crate) struct World {
+/// Coordinators, members and the messages between them. Clock rates are in parts per million above or below true time.
+pub(crate) struct Simulation {
     now: u64,
     member_rates: [i64; MEMBERS],
     coordinator_rates: [i64; COORDINATORS],
@@ -70,19 +71,19 @@
     pub(crate) leader: usize,
     leader_term: LeaderTerm,
     pub(crate) state: CoordinationState,
-    pub(crate) under_way: Vec<Message>,
+    pub(crate) in_transit: Vec<Message>,
     nonce: u64,
 }
 
-/// What a clock of this rate shows.
+/// What a clock with this rate shows at the true time `now`, in microseconds.
 fn clock(now: u64, rate: i64) -> Timestamp {
     Timestamp((now as i128 * (1_000_000 + rate as i128) / 1_000_000) as u64)
 }
 
-impl World {
-    /// A world whose clocks run at these rates: those of the members, then those of the coordinators.
+impl Simulation {
+    /// Creates a simulation with these clock rates: first those of the members, then those of the coordinators.
     pub(crate) fn new(rates: &[i64]) -> Self {
-        let mut world = World {
+        let mut simulation = Simulation {
             now: 5_000_000,
             member_rates: [rates[0], rates[1], rates[2]],
             coordinator_rates: [rates[3], rates[4], rates[5]],
@@ -91,11 +92,11 @@
             leader: 0,
             leader_term: LeaderTerm(0),
             state: CoordinationState::default(),
-            under_way: Vec::new(),
+            in_transit: Vec::new(),
             nonce: 0,
         };
-        world.elect(0);
-        world
+        simulation.elect(0);
+        simulation
     }
 
     pub(crate) fn member_clock(&self, member: usize) -> Timestamp {
@@ -113,8 +114,8 @@
         self.tables[coordinator].become_leader(self.leader_term, now, self.state.leases());
     }
 
-    /// A coordinator that only believes itself the leader sees no state newer than that of its fall; that it sees the
-    /// leader's here makes it end more, not less.
+    /// Brings a coordinator's lease table up to date with the state. In reality, a deposed leader would see no state
+    /// newer than when it lost the leadership. Seeing the leader's state here makes it propose more ends, not fewer.
     fn track(&mut self, coordinator: usize) {
         let now = self.coordinator_clock(coordinator);
         self.tables[coordinator].track(now, self.state.leases());
@@ -122,26 +123,26 @@
 
     pub(crate) fn step(&mut self, step: &Step) {
         match *step {
-            Step::Pass(micros) => self.now += micros,
+            Step::AdvanceClocks(micros) => self.now += micros,
             Step::Send {
                 member,
                 coordinator,
             } => self.send(member, coordinator),
-            Step::Arrive(which) if !self.under_way.is_empty() => {
-                let message = self.under_way.remove(which % self.under_way.len());
-                self.arrive(message);
+            Step::Deliver(index) if !self.in_transit.is_empty() => {
+                let message = self.in_transit.remove(index % self.in_transit.len());
+                self.deliver(message);
             }
-            Step::Lose(which) if !self.under_way.is_empty() => {
-                self.under_way.remove(which % self.under_way.len());
+            Step::Drop(index) if !self.in_transit.is_empty() => {
+                self.in_transit.remove(index % self.in_transit.len());
             }
-            Step::Arrive(_) | Step::Lose(_) => {}
+            Step::Deliver(_) | Step::Drop(_) => {}
             Step::Elect(coordinator) => self.elect(coordinator),
             Step::Expire(coordinator) => {
                 self.track(coordinator);
                 let now = self.coordinator_clock(coordinator);
                 for session in self.tables[coordinator].expire_sessions(now) {
                     if let Some(leader_term) = self.tables[coordinator].leader_term() {
-                        self.under_way.push(Message::Expire {
+                        self.in_transit.push(Message::Expire {
                             session,
                             leader_term,
                         });
@@ -174,10 +175,10 @@
                 }
             }
         };
-        self.under_way.push(message);
+        self.in_transit.push(message);
     }
 
-    pub(crate) fn arrive(&mut self, message: Message) {
+    pub(crate) fn deliver(&mut self, message: Message) {
         match message {
             Message::Open {
                 member,
@@ -186,7 +187,7 @@
                 nonce,
             } => {
                 if coordinator == self.leader {
-                    self.open(member, sent, nonce);
+                    self.handle_open(member, sent, nonce);
                 }
             }
             Message::Heartbeat {
@@ -194,12 +195,12 @@
                 coordinator,
                 sent,
                 heartbeat,
-            } => self.renew(member, coordinator, sent, heartbeat),
+            } => self.handle_heartbeat(member, coordinator, sent, heartbeat),
             Message::Opened {
                 member,
                 sent,
                 session,
-            } => self.opened(member, sent, session),
+            } => self.session_opened(member, sent, session),
             Message::Renewed {
                 member,
                 sent,
@@ -211,7 +212,7 @@
                     self.holders[member].resource_claimed(session, "w", token);
                 }
             }
-            // proposed late by one that leads once more is written in the present term, and rejected by the state
+            // The end is applied in the current leader term. The state rejects an end determined in an earlier term.
             Message::Expire {
                 session,
                 leader_term,
@@ -225,7 +226,7 @@
         }
     }
 
-    fn open(&mut self, member: usize, sent: Timestamp, nonce: u64) {
+    fn handle_open(&mut self, member: usize, sent: Timestamp, nonce: u64) {
         let open = Command::OpenSession {
             member: MemberInfo {
                 name: format!("n{member}"),
@@ -239,7 +240,7 @@
         match self.state.apply(open, self.leader_term) {
             CommandOutcome::SessionOpened { session, .. } => {
                 self.track(self.leader);
-                self.under_way.push(Message::Opened {
+                self.in_transit.push(Message::Opened {
                     member,
                     sent,
                     session,
@@ -250,15 +251,21 @@
         }
     }
 
-    /// An answer to a request that was given up in the meantime opens nothing.
-    fn opened(&mut self, member: usize, sent: Timestamp, session: SessionId) {
+    /// Gives the member its session, unless it has one already or the session has ended in the meantime.
+    fn session_opened(&mut self, member: usize, sent: Timestamp, session: SessionId) {
         let holder = &mut self.holders[member];
         if holder.known_session().is_none() && self.state.sessions().contains_key(&session) {
             holder.session_opened(sent, session, LEASE);
         }
     }
 
-    fn renew(&mut self, member: usize, coordinator: usize, sent: Timestamp, heartbeat: Heartbeat) {
+    fn handle_heartbeat(
+        &mut self,
+        member: usize,
+        coordinator: usize,
+        sent: Timestamp,
+        heartbeat: Heartbeat,
+    ) {
         let session = heartbeat.session;
         let Some(pending) = self.tables[coordinator].begin_heartbeat(heartbeat) else {
             if coordinator == self.leader && !self.state.sessions().contains_key(&session) {
@@ -267,7 +274,7 @@
             return;
         };
         let now = self.coordinator_clock(coordinator);
-        // the majority's word: a coordinator that only believes itself the leader doesn't get it
+        // A majority confirms only the real leader, not a coordinator that merely believes it leads.
         if coordinator != self.leader || !self.tables[coordinator].confirm_heartbeat(pending, now) {
             return;
         }
@@ -279,7 +286,7 @@
             CommandOutcome::Claimed { token, .. } => Some(token),
             _ => None,
         };
-        self.under_way.push(Message::Renewed {
+        self.in_transit.push(Message::Renewed {
             member,
             sent,
             session,
@@ -293,8 +300,8 @@
         self.holders[member].permission("w", now).is_some()
     }
 
-    /// How many members have permission to write now.
-    pub(crate) fn permitted(&self) -> usize {
+    /// The number of members that have permission to write now.
+    pub(crate) fn permitted_count(&self) -> usize {
         (0..MEMBERS)
             .filter(|member| self.has_permission(*member))
             .count()
--- a/crates/coordination/tests/model/world.rs
+++ b/crates/coordination/tests/model/cluster.rs
@@ -1,4 +1,4 @@
-//! The small world: what it consists of, what may be broken in it, and what its messages are.
+//! The state of the modelled cluster, its messages, the scenarios, and the mutations of the code under test.
 
 use milletturn_coordination::command_batcher::CommandBatch;
 use milletturn_coordination::heartbeat_batcher::{BatchResponse, HeartbeatBatch};
@@ -10,61 +10,62 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A tick is 1 on the first member's slow clock and 2 on a right one: the error that holders know of.
+/// Advance of each member's clock per tick. The first member's clock is slow by the full error that leases allow for;
+/// the second member's clock and those of the coordinators are accurate.
 const RATES: [u64; 2] = [1, 2];
 pub(crate) const CLOCK_ERROR_PPM: u32 = 1_000_000;
-/// Two ticks of a right clock.
+/// Two ticks of an accurate clock.
 pub(crate) const LEASE: Micros = Micros(4);
 
-/// What is left out, to see that it is missed.
+/// A safeguard that is left out. The checker must then find a violated property.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Broken {
-    Nothing,
-    /// A new leader takes leases for as old as its clock.
-    NoWaitAfterElection,
-    /// A holder counts from the answer.
-    CountedFromAnswer,
-    /// A holder takes clocks for equal.
+pub(crate) enum Mutation {
+    None,
+    /// A new leader counts leases from timestamp 0 instead of its election, so they expire at once.
+    LeasesExpireAtElection,
+    /// A holder counts its lease from when the response arrives instead of when the heartbeat was sent.
+    LeaseCountedFromResponse,
+    /// A holder assumes that its clock runs at the same rate as the leader's.
     ClockErrorIgnored,
-    /// The receiver's guard is forgotten with its process.
+    /// The receiver does not store its guard, which is lost when the receiver restarts.
     GuardNotDurable,
-    /// A restored state goes on from the backup's numbers.
-    RestoreWithoutJump,
-    /// A restored state grants resources at once.
-    RestoreWithoutWait,
-    /// A proxy hands an answer to whoever waits for that session's, also one that asked after the batch had left.
-    ProxyAnswersAnyone,
-    /// A proxy hands the answers to a batch that it gave up to the callers of the one that is in flight.
-    ProxyTakesLateAnswers,
-    /// A proxy hands answers to whoever waits, in the order in which they came, and not by their positions in the batch.
-    ProxyIgnoresAbandoned,
-    /// A member draws a new nonce each time that it asks.
-    NewNonceEachTime,
-    /// A member whose open was not answered sends it once more, and counts its lease from then: the coordinator may have
-    /// counted from when it was sent first.
-    CountsFromLastOpen,
+    /// The backup is used unchanged, so tokens and session ids continue from its numbers.
+    RestoreWithoutTokenJump,
+    /// A restored state grants resources before the leases from before the restore have expired.
+    RestoreWithoutGracePeriod,
+    /// A proxy gives a response to all heartbeats of a session, also those that arrived after the batch was sent.
+    ProxyAnswersLaterCallers,
+    /// A proxy gives the outcomes of an abandoned batch to the callers of the next one, which is in flight.
+    ProxyAcceptsLateResponses,
+    /// A proxy assigns outcomes by the order in which the remaining callers arrived, not by position in the batch.
+    ProxyIgnoresBatchPositions,
+    /// A member draws a new nonce for each attempt to open the same session.
+    NewNoncePerAttempt,
+    /// A member that retries a session open counts its lease from the last attempt. The coordinator may have opened the
+    /// session at the first attempt and counts the lease from then.
+    LeaseCountedFromLastOpen,
 }
 
-/// What a run of the checker looks at; the rest is fixed in it.
+/// The part of the system that a run of the checker varies; the other parts do not vary in that run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Scenario {
-    /// Elections, late messages and clocks; writes are fencing's concern.
+    /// Elections, delayed messages and clock drift, without writes.
     Leases,
     /// Writes that arrive late, and a receiver that restarts.
     Fencing,
-    /// A backup, and a restore after everything behind it was lost.
+    /// A backup, and a restore after everything written since the backup was lost.
     Restore,
-    /// Heartbeats that a proxy batches, from a member that stops waiting and asks once more; a proxy that restarts.
+    /// Heartbeats batched by a proxy, with a member that stops waiting and sends another one, or a proxy that restarts.
     ProxiedHeartbeats,
-    /// Session opens that a proxy batches, batches that it gives up, and members that ask once more.
+    /// Session opens batched by a proxy, with batches that the proxy abandons and members that retry.
     ProxiedOpens,
 }
 
-/// A scenario with a fault.
+/// The model of a cluster in one scenario, with the given mutation.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct World {
+pub(crate) struct ClusterModel {
     pub(crate) scenario: Scenario,
-    pub(crate) broken: Broken,
+    pub(crate) mutation: Mutation,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -90,32 +91,34 @@
         session: SessionId,
         claimed: Option<FencingToken>,
     },
-    /// A heartbeat on its way to the proxy.
+    /// A heartbeat from a member to the proxy.
     ProxiedHeartbeat {
         member: usize,
         sent: Timestamp,
         heartbeat: Heartbeat,
     },
-    /// What the proxy sent, and in which of its lives: an answer finds only the process whose connection it has.
+    /// A batch from the proxy to the coordinators, with the process incarnation that sent it. The response is delivered
+    /// only to that incarnation, since its connection closes with the process.
     HeartbeatBatch(u8, HeartbeatBatch),
     BatchResponse {
-        life: u8,
+        proxy_incarnation: u8,
         number: u64,
         response: BatchResponse,
     },
-    /// A session open on its way to the proxy.
+    /// A session open from a member to the proxy.
     ProxiedOpen {
         member: usize,
         sent: Timestamp,
         nonce: u64,
     },
-    /// What the proxy sent to be written, and what was answered.
+    /// A batch of session opens from the proxy to the coordinators.
     CommandBatch(CommandBatch<ProxiedOpen>),
+    /// The response to a batch of session opens, by position; `None` for a rejected open.
     CommandOutcomes {
         number: u64,
         sessions: Vec<Option<SessionId>>,
     },
-    /// A member wants the resource right after its session was opened.
+    /// A claim that a member sends right after its session was opened.
     Claim {
         member: usize,
         session: SessionId,
@@ -136,15 +139,15 @@
 }
 
 impl Message {
-    /// Whether this is a request of a member, or the answer to it.
-    pub(crate) fn belongs_to(&self, asking: usize) -> bool {
+    /// Whether this is a session open or heartbeat of the given member, or the response to it.
+    pub(crate) fn belongs_to(&self, requester: usize) -> bool {
         match self {
             Message::Open { member, .. }
             | Message::Heartbeat { member, .. }
             | Message::ProxiedHeartbeat { member, .. }
             | Message::Opened { member, .. }
             | Message::Renewed { member, .. }
-            | Message::ProxiedOpen { member, .. } => *member == asking,
+            | Message::ProxiedOpen { member, .. } => *member == requester,
             Message::Expire { .. }
             | Message::Write { .. }
             | Message::CommandBatch(..)
@@ -157,25 +160,25 @@
     }
 }
 
-/// A session open at the proxy: whose, with the nonce that it drew.
+/// A session open at the proxy: the member that sent it, and the member's nonce.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ProxiedOpen {
     pub(crate) member: usize,
     pub(crate) nonce: u64,
 }
 
-/// A heartbeat's call at the proxy.
+/// A member's call to the proxy with a heartbeat.
 #[derive(Debug, Clone, Copy, Hash)]
 pub(crate) struct ProxyCall {
     pub(crate) member: usize,
     pub(crate) sent: Timestamp,
     pub(crate) session: SessionId,
-    /// Its caller still waits.
+    /// Whether the member still waits for the response.
     pub(crate) is_waiting: bool,
 }
 
 #[derive(Debug, Clone)]
-pub(crate) struct WorldState {
+pub(crate) struct ClusterState {
     pub(crate) now: u64,
     pub(crate) coordination: CoordinationState,
     pub(crate) backup: Option<CoordinationState>,
@@ -184,31 +187,33 @@
     pub(crate) leader: usize,
     pub(crate) leader_term: LeaderTerm,
     pub(crate) holders: [LeaseHolder; 2],
-    pub(crate) under_way: BTreeSet<Message>,
-    /// The receiver's guard, and what of it is on disk.
+    pub(crate) in_transit: BTreeSet<Message>,
+    /// The receiver's guard in memory.
     pub(crate) guard: FencingGuard,
+    /// The receiver's guard on disk.
     pub(crate) saved_guard: FencingGuard,
-    /// The last write that the receiver took, and whether one came after a higher token or from a second owner.
+    /// The highest token of all admitted writes, and the member that wrote last.
     pub(crate) last_write: (FencingToken, usize),
+    /// Whether a write was admitted after one with a higher token, or after another member's with the same token.
     pub(crate) out_of_order: bool,
     pub(crate) guard_restarts: u8,
     pub(crate) heartbeat_batcher: HeartbeatBatcher,
     pub(crate) proxy_restarts: u8,
     pub(crate) heartbeats_at_proxy: BTreeMap<WaiterId, ProxyCall>,
     pub(crate) last_waiter: WaiterId,
-    /// Calls and batches that were given up.
+    /// The number of abandoned calls and batches.
     pub(crate) abandoned: u8,
     pub(crate) command_batcher: CommandBatcher<ProxiedOpen>,
-    /// Session opens that wait at the proxy: whose, and when sent.
+    /// The session opens that wait at the proxy, each with its member and the time from which its lease counts.
     pub(crate) opens_at_proxy: BTreeMap<WaiterId, (usize, Timestamp)>,
-    /// A member was answered that another has its name: itself.
+    /// Whether a session open was rejected, which happens only if the member's own earlier session has its name.
     pub(crate) locked_out: bool,
-    /// When each first asked for the session that it wants.
+    /// When each member first sent the open of its session.
     pub(crate) first_sent: [Option<Timestamp>; 2],
 }
 
-/// What happened says nothing of what may happen: the history is left out.
-impl Hash for WorldState {
+/// Leaves out the event history, which does not affect what can happen next.
+impl Hash for ClusterState {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         let hash_state = |state: &CoordinationState, hasher: &mut H| {
             (state.sessions(), state.resources(), state.generation()).hash(hasher);
@@ -220,7 +225,7 @@
             .for_each(|state| hash_state(state, hasher));
         (self.now, self.backup.is_some(), self.restored).hash(hasher);
         (&self.tables, self.leader, self.leader_term).hash(hasher);
-        (&self.holders, &self.under_way).hash(hasher);
+        (&self.holders, &self.in_transit).hash(hasher);
         (&self.guard, &self.saved_guard).hash(hasher);
         (self.last_write, self.out_of_order, self.guard_restarts).hash(hasher);
         (&self.heartbeat_batcher, self.proxy_restarts).hash(hasher);
@@ -230,8 +235,8 @@
     }
 }
 
-/// As the checker takes states for the same.
-impl PartialEq for WorldState {
+/// Compares the hashed fields only, as the checker does when it decides whether it has visited a state.
+impl PartialEq for ClusterState {
     fn eq(&self, other: &Self) -> bool {
         let digest = |state: &Self| {
             let mut hasher = DefaultHasher::new();
@@ -242,8 +247,8 @@
     }
 }
 
-impl WorldState {
-    /// The world before anything has happened.
+impl ClusterState {
+    /// The cluster before the first event. `clock_error_ppm` is the error that the members' lease holders allow for.
     pub(crate) fn new(clock_error_ppm: u32) -> Self {
         Self {
             now: 0,
@@ -257,7 +262,7 @@
                 LeaseHolder::new(clock_error_ppm),
                 LeaseHolder::new(clock_error_ppm),
             ],
-            under_way: BTreeSet::new(),
+            in_transit: BTreeSet::new(),
             guard: FencingGuard::default(),
             saved_guard: FencingGuard::default(),
             last_write: (FencingToken(0), 0),
@@ -284,7 +289,7 @@
     }
 
     /// The token under which a member may write now.
-    pub(crate) fn permitted(&self, member: usize) -> Option<FencingToken> {
+    pub(crate) fn permitted_token(&self, member: usize) -> Option<FencingToken> {
         self.holders[member]
             .permission("w", self.member_clock(member))
             .map(|permission| permission.token)
@@ -294,12 +299,12 @@
         self.coordination.sessions().contains_key(&session)
     }
 
-    /// Applies a command under the present leader's term.
+    /// Applies a command in the current leader's term.
     pub(crate) fn apply(&mut self, command: Command) -> CommandOutcome {
         self.coordination.apply(command, self.leader_term)
     }
 
-    /// The token under which a session owns the resource, if it can have it.
+    /// Claims the resource for a session. Returns the token if the session owns the resource afterwards.
     pub(crate) fn claim(&mut self, session: SessionId) -> Option<FencingToken> {
         let resource = "w".into();
         match self.apply(Command::Claim { session, resource }) {
@@ -308,13 +313,13 @@
         }
     }
 
-    /// The leader's lease table follows the state's sessions.
+    /// Brings the leader's lease table up to date with the sessions of the state.
     pub(crate) fn track(&mut self) {
         let now = self.coordinator_clock();
         self.tables[self.leader].track(now, self.coordination.leases());
     }
 
-    /// Whether the leader extends a session's lease.
+    /// Processes a heartbeat at the leader. Returns whether the lease was extended.
     pub(crate) fn renew(&mut self, heartbeat: Heartbeat) -> bool {
         let now = self.coordinator_clock();
         let table = &mut self.tables[self.leader];
@@ -323,16 +328,16 @@
             .is_some_and(|pending| table.confirm_heartbeat(pending, now))
     }
 
-    /// The number of the next call at the proxy.
+    /// Assigns the id of the next call at the proxy.
     pub(crate) fn next_waiter(&mut self) -> WaiterId {
         self.last_waiter = self.last_waiter.next();
         self.last_waiter
     }
 
-    pub(crate) fn elect(&mut self, coordinator: usize, broken: Broken) {
+    pub(crate) fn elect(&mut self, coordinator: usize, mutation: Mutation) {
         self.leader = coordinator;
         self.leader_term = self.leader_term.next();
-        let now = if broken == Broken::NoWaitAfterElection {
+        let now = if mutation == Mutation::LeasesExpireAtElection {
             Timestamp(0)
         } else {
             self.coordinator_clock()
--- a/crates/coordination/tests/model/delivery.rs
+++ b/crates/coordination/tests/model/delivery.rs
@@ -1,7 +1,7 @@
-//! What happens when a message arrives.
+//! Delivery of a message to a member, a coordinator, the session proxy or the receiver of writes.
 
-use crate::world::{
-    Broken, Message, ProxiedOpen, ProxyCall, Scenario, World, WorldState, open_command,
+use crate::cluster::{
+    ClusterModel, ClusterState, Message, Mutation, ProxiedOpen, ProxyCall, Scenario, open_command,
 };
 use milletturn_coordination::command_batcher::{CommandBatch, OnAbandon};
 use milletturn_coordination::fencing::Admission;
@@ -10,26 +10,26 @@
     Command, CommandOutcome, FencingToken, Heartbeat, SessionId, Timestamp, WaiterId,
 };
 
-impl World {
-    pub(crate) fn arrive(&self, state: &mut WorldState, message: &Message) {
+impl ClusterModel {
+    pub(crate) fn deliver(&self, state: &mut ClusterState, message: &Message) {
         match *message {
             Message::ProxiedHeartbeat { .. }
             | Message::HeartbeatBatch(..)
             | Message::BatchResponse { .. }
             | Message::ProxiedOpen { .. }
             | Message::CommandBatch(..)
-            | Message::CommandOutcomes { .. } => self.arrive_by_proxy(state, message),
+            | Message::CommandOutcomes { .. } => self.deliver_via_proxy(state, message),
             Message::Open {
                 member,
                 sent,
                 nonce,
-            } => open(state, member, sent, nonce),
+            } => handle_open(state, member, sent, nonce),
             Message::Opened {
                 member,
                 sent,
                 session,
-            } => self.opened(state, member, sent, session),
-            Message::Claim { member, session } => claim(state, member, session),
+            } => self.session_opened(state, member, sent, session),
+            Message::Claim { member, session } => handle_claim(state, member, session),
             Message::Claimed {
                 member,
                 session,
@@ -39,13 +39,13 @@
                 member,
                 sent,
                 heartbeat,
-            } => renew(state, member, sent, heartbeat),
+            } => handle_heartbeat(state, member, sent, heartbeat),
             Message::Renewed {
                 member,
                 sent,
                 session,
                 claimed,
-            } => self.renewed(state, member, sent, session, claimed),
+            } => self.lease_renewed(state, member, sent, session, claimed),
             Message::Expire {
                 session,
                 leader_term,
@@ -60,21 +60,23 @@
         }
     }
 
-    /// What arrives at the proxy, or is sent by it.
-    fn arrive_by_proxy(&self, state: &mut WorldState, message: &Message) {
+    /// Delivers a message to the proxy, or one that the proxy sent to the coordinators, or the response to that.
+    fn deliver_via_proxy(&self, state: &mut ClusterState, message: &Message) {
         match *message {
             Message::ProxiedHeartbeat {
                 member,
                 sent,
                 heartbeat,
             } => enqueue_heartbeat(state, member, sent, heartbeat),
-            Message::HeartbeatBatch(life, ref batch) => renew_batch(state, life, batch),
+            Message::HeartbeatBatch(proxy_incarnation, ref batch) => {
+                handle_heartbeat_batch(state, proxy_incarnation, batch)
+            }
             Message::BatchResponse {
-                life,
+                proxy_incarnation,
                 number,
                 ref response,
             } => {
-                if life == state.proxy_restarts {
+                if proxy_incarnation == state.proxy_restarts {
                     self.answer_heartbeats(state, number, response);
                 }
             }
@@ -88,40 +90,46 @@
                 number,
                 ref sessions,
             } => self.answer_opens(state, number, sessions),
-            _ => unreachable!("not a proxy's: {message:?}"),
+            _ => unreachable!("not sent to or by the proxy: {message:?}"),
         }
     }
 
-    fn opened(&self, state: &mut WorldState, member: usize, sent: Timestamp, session: SessionId) {
-        state.holders[member].session_opened(sent, session, crate::world::LEASE);
+    fn session_opened(
+        &self,
+        state: &mut ClusterState,
+        member: usize,
+        sent: Timestamp,
+        session: SessionId,
+    ) {
+        state.holders[member].session_opened(sent, session, crate::cluster::LEASE);
         if self.scenario == Scenario::ProxiedOpens {
-            state.under_way.insert(Message::Claim { member, session });
+            state.in_transit.insert(Message::Claim { member, session });
         }
     }
 
-    fn renewed(
+    fn lease_renewed(
         &self,
-        state: &mut WorldState,
+        state: &mut ClusterState,
         member: usize,
         sent: Timestamp,
         session: SessionId,
         claimed: Option<FencingToken>,
     ) {
-        let counted = if self.broken == Broken::CountedFromAnswer {
+        let counted_from = if self.mutation == Mutation::LeaseCountedFromResponse {
             state.member_clock(member)
         } else {
             sent
         };
-        state.holders[member].heartbeat_confirmed(counted, session);
+        state.holders[member].heartbeat_confirmed(counted_from, session);
         if let Some(token) = claimed {
             state.holders[member].resource_claimed(session, "w", token);
         }
     }
 
-    /// The proxy answers its callers.
-    fn answer_heartbeats(&self, state: &mut WorldState, number: u64, response: &BatchResponse) {
+    /// The proxy returns the outcomes of a heartbeat batch to its callers.
+    fn answer_heartbeats(&self, state: &mut ClusterState, number: u64, response: &BatchResponse) {
         let mut outcomes = state.heartbeat_batcher.complete(number, response);
-        if self.broken == Broken::ProxyAnswersAnyone {
+        if self.mutation == Mutation::ProxyAnswersLaterCallers {
             let renewed = |session| {
                 let owned = response.renewed.get(&session).cloned();
                 owned.map(HeartbeatOutcome::Renewed)
@@ -147,7 +155,7 @@
             match outcome {
                 HeartbeatOutcome::Renewed(owned) => {
                     let claimed = owned.first().map(|(_, token)| *token);
-                    state.under_way.insert(Message::Renewed {
+                    state.in_transit.insert(Message::Renewed {
                         member,
                         sent,
                         session,
@@ -160,14 +168,14 @@
         }
     }
 
-    /// The proxy answers its callers.
-    fn answer_opens(&self, state: &mut WorldState, number: u64, sessions: &[Option<SessionId>]) {
+    /// The proxy returns the outcomes of a batch of session opens to its callers.
+    fn answer_opens(&self, state: &mut ClusterState, number: u64, sessions: &[Option<SessionId>]) {
         let batcher = &mut state.command_batcher;
         let mut outcomes = batcher.complete(number, sessions.to_vec());
-        if outcomes.is_empty() && self.broken == Broken::ProxyTakesLateAnswers {
+        if outcomes.is_empty() && self.mutation == Mutation::ProxyAcceptsLateResponses {
             outcomes = batcher.complete(number + 1, sessions.to_vec());
         }
-        if self.broken == Broken::ProxyIgnoresAbandoned {
+        if self.mutation == Mutation::ProxyIgnoresBatchPositions {
             let waiting = state.opens_at_proxy.keys().copied();
             outcomes = waiting
                 .zip(sessions.iter().map(|session| Some(*session)))
@@ -179,7 +187,7 @@
             };
             match outcome {
                 Some(Some(session)) => {
-                    state.under_way.insert(Message::Opened {
+                    state.in_transit.insert(Message::Opened {
                         member,
                         sent,
                         session,
@@ -191,12 +199,12 @@
         }
     }
 
-    /// The receiver of writes asks its guard.
-    fn write(&self, state: &mut WorldState, member: usize, token: FencingToken) {
+    /// The receiver of writes checks the token with its guard, and records whether writes were admitted out of order.
+    fn write(&self, state: &mut ClusterState, member: usize, token: FencingToken) {
         let Ok(admission) = state.guard.admit("w", token) else {
             return;
         };
-        if admission == Admission::NewToken && self.broken != Broken::GuardNotDurable {
+        if admission == Admission::NewToken && self.mutation != Mutation::GuardNotDurable {
             state.saved_guard = state.guard.clone();
         }
         let (last, owner) = state.last_write;
@@ -205,9 +213,9 @@
     }
 }
 
-fn claim(state: &mut WorldState, member: usize, session: SessionId) {
+fn handle_claim(state: &mut ClusterState, member: usize, session: SessionId) {
     if let Some(token) = state.claim(session) {
-        state.under_way.insert(Message::Claimed {
+        state.in_transit.insert(Message::Claimed {
             member,
             session,
             token,
@@ -215,11 +223,11 @@
     }
 }
 
-fn open(state: &mut WorldState, member: usize, sent: Timestamp, nonce: u64) {
+fn handle_open(state: &mut ClusterState, member: usize, sent: Timestamp, nonce: u64) {
     let outcome = state.apply(open_command(member, nonce));
     if let CommandOutcome::SessionOpened { session, .. } = outcome {
         state.track();
-        state.under_way.insert(Message::Opened {
+        state.in_transit.insert(Message::Opened {
             member,
             sent,
             session,
@@ -227,12 +235,17 @@
     }
 }
 
-fn renew(state: &mut WorldState, member: usize, sent: Timestamp, heartbeat: Heartbeat) {
+fn handle_heartbeat(
+    state: &mut ClusterState,
+    member: usize,
+    sent: Timestamp,
+    heartbeat: Heartbeat,
+) {
     let session = heartbeat.session;
     state.track();
     if state.renew(heartbeat) {
         let claimed = state.claim(session);
-        state.under_way.insert(Message::Renewed {
+        state.in_transit.insert(Message::Renewed {
             member,
             sent,
             session,
@@ -243,7 +256,12 @@
     }
 }
 
-fn enqueue_heartbeat(state: &mut WorldState, member: usize, sent: Timestamp, heartbeat: Heartbeat) {
+fn enqueue_heartbeat(
+    state: &mut ClusterState,
+    member: usize,
+    sent: Timestamp,
+    heartbeat: Heartbeat,
+) {
     let waiter = state.next_waiter();
     if state.heartbeat_batcher.enqueue(heartbeat, waiter).is_ok() {
         let call = ProxyCall {
@@ -256,7 +274,7 @@
     }
 }
 
-fn renew_batch(state: &mut WorldState, life: u8, batch: &HeartbeatBatch) {
+fn handle_heartbeat_batch(state: &mut ClusterState, proxy_incarnation: u8, batch: &HeartbeatBatch) {
     state.track();
     let mut response = BatchResponse::default();
     for &heartbeat in &batch.heartbeats {
@@ -270,14 +288,14 @@
             response.ended.push(session);
         }
     }
-    state.under_way.insert(Message::BatchResponse {
-        life,
+    state.in_transit.insert(Message::BatchResponse {
+        proxy_incarnation,
         number: batch.number,
         response,
     });
 }
 
-fn enqueue_open(state: &mut WorldState, member: usize, sent: Timestamp, nonce: u64) {
+fn enqueue_open(state: &mut ClusterState, member: usize, sent: Timestamp, nonce: u64) {
     let waiter = state.next_waiter();
     let open = ProxiedOpen { member, nonce };
     let batcher = &mut state.command_batcher;
@@ -286,7 +304,7 @@
     }
 }
 
-fn apply_batch(state: &mut WorldState, batch: &CommandBatch<ProxiedOpen>) {
+fn apply_batch(state: &mut ClusterState, batch: &CommandBatch<ProxiedOpen>) {
     let open = |open: &ProxiedOpen| open_command(open.member, open.nonce);
     let commands = batch.requests.iter().map(open).collect();
     let CommandOutcome::Batch(outcomes) = state.apply(Command::Batch { commands }) else {
@@ -297,7 +315,7 @@
         CommandOutcome::SessionOpened { session, .. } => Some(*session),
         _ => None,
     });
-    state.under_way.insert(Message::CommandOutcomes {
+    state.in_transit.insert(Message::CommandOutcomes {
         number: batch.number,
         sessions: sessions.collect(),
     });
--- a/crates/coordination/tests/model/main.rs
+++ b/crates/coordination/tests/model/main.rs
@@ -1,78 +1,110 @@
-//! The state, lease tables, lease holders, fencing guards and batchers as they are, checked in every order of events
-//! that a small world allows: two members, two coordinators, one resource, a receiver of writes, a session proxy,
-//! clocks that drift apart, an election, a coordinator that still believes it leads, a receiver that restarts, a state
-//! that is restored from a backup.
+//! Model checking of the production state machine, lease tables, lease holders, fencing guards and batchers.
+//!
+//! The checker explores every order of events in a small cluster: two members, two coordinators, one resource, a
+//! receiver of writes, and a session proxy. Clocks drift apart, a second coordinator is elected while the first still
+//! believes that it leads, the receiver and the proxy restart, and the state is restored from a backup.
+//!
+//! Each test also checks with mutations, which leave out one safeguard each. A mutation must violate the property that
+//! the safeguard ensures, which shows that the model can detect its absence.
 
+mod cluster;
 mod delivery;
 mod steps;
-mod world;
 
+use cluster::{ClusterModel, Mutation, Scenario};
 use stateright::{Checker, HasDiscoveries, Model};
 use std::collections::BTreeSet;
-use world::{Broken, Scenario, World};
 
-const OTHER_OWNS: &str = "the other one owns";
-const TWO_PERMITTED: &str = "never two with permission";
-const OWN_SESSION: &str = "each has its own session";
-const LOCKED_OUT: &str = "nobody is locked out by itself";
-const OUT_OF_ORDER: &str = "writes are taken in the order of tokens";
+/// A `sometimes` property, so that the checker must reach a state in which the resource has changed its owner.
+const SECOND_MEMBER_PERMITTED: &str = "the second member has permission to write";
+const MUTUAL_EXCLUSION: &str = "at most one member has permission to write";
+const OWN_SESSION: &str = "each member uses a session opened under its own name";
+const NO_LOCKOUT: &str = "no member is rejected because its own earlier session has its name";
+const TOKEN_ORDER: &str = "writes are admitted in the order of tokens";
 
-/// The properties of which the checker found an example, or a counterexample.
-fn discoveries(scenario: Scenario, broken: Broken) -> BTreeSet<&'static str> {
-    let world = World { scenario, broken };
-    let checker = world
+/// The names of the properties of which the checker found an example (`sometimes`) or a counterexample (`always`).
+fn discoveries(scenario: Scenario, mutation: Mutation) -> BTreeSet<&'static str> {
+    let model = ClusterModel { scenario, mutation };
+    let checker = model
         .checker()
         .threads(2)
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
-    println!("{world:?}: {} states", checker.unique_state_count());
+    println!("{model:?}: {} states", checker.unique_state_count());
     checker.discoveries().into_keys().collect()
 }
 
 #[test]
 fn leases_are_safe_in_every_order() {
-    let discoveries = |broken| discoveries(Scenario::Leases, broken);
-    assert_eq!(discoveries(Broken::Nothing), BTreeSet::from([OTHER_OWNS]));
-    for broken in [
-        Broken::NoWaitAfterElection,
-        Broken::CountedFromAnswer,
-        Broken::ClockErrorIgnored,
+    let discoveries = |mutation| discoveries(Scenario::Leases, mutation);
+    assert_eq!(
+        discoveries(Mutation::None),
+        BTreeSet::from([SECOND_MEMBER_PERMITTED])
+    );
+    for mutation in [
+        Mutation::LeasesExpireAtElection,
+        Mutation::LeaseCountedFromResponse,
+        Mutation::ClockErrorIgnored,
     ] {
-        assert!(discoveries(broken).contains(TWO_PERMITTED), "{broken:?}");
+        assert!(
+            discoveries(mutation).contains(MUTUAL_EXCLUSION),
+            "{mutation:?}"
+        );
     }
 }
 
 #[test]
 fn fencing_is_safe_in_every_order() {
-    let discoveries = |broken| discoveries(Scenario::Fencing, broken);
-    assert_eq!(discoveries(Broken::Nothing), BTreeSet::from([OTHER_OWNS]));
-    assert!(discoveries(Broken::GuardNotDurable).contains(OUT_OF_ORDER));
+    let discoveries = |mutation| discoveries(Scenario::Fencing, mutation);
+    assert_eq!(
+        discoveries(Mutation::None),
+        BTreeSet::from([SECOND_MEMBER_PERMITTED])
+    );
+    assert!(discoveries(Mutation::GuardNotDurable).contains(TOKEN_ORDER));
 }
 
 #[test]
 fn restores_are_safe_in_every_order() {
-    let discoveries = |broken| discoveries(Scenario::Restore, broken);
-    assert_eq!(discoveries(Broken::Nothing), BTreeSet::from([OTHER_OWNS]));
-    for broken in [Broken::RestoreWithoutJump, Broken::RestoreWithoutWait] {
-        assert!(discoveries(broken).contains(TWO_PERMITTED), "{broken:?}");
+    let discoveries = |mutation| discoveries(Scenario::Restore, mutation);
+    assert_eq!(
+        discoveries(Mutation::None),
+        BTreeSet::from([SECOND_MEMBER_PERMITTED])
+    );
+    for mutation in [
+        Mutation::RestoreWithoutTokenJump,
+        Mutation::RestoreWithoutGracePeriod,
+    ] {
+        assert!(
+            discoveries(mutation).contains(MUTUAL_EXCLUSION),
+            "{mutation:?}"
+        );
     }
 }
 
 #[test]
 fn proxied_heartbeats_are_safe_in_every_order() {
-    let discoveries = |broken| discoveries(Scenario::ProxiedHeartbeats, broken);
-    assert_eq!(discoveries(Broken::Nothing), BTreeSet::from([OTHER_OWNS]));
-    assert!(discoveries(Broken::ProxyAnswersAnyone).contains(TWO_PERMITTED));
+    let discoveries = |mutation| discoveries(Scenario::ProxiedHeartbeats, mutation);
+    assert_eq!(
+        discoveries(Mutation::None),
+        BTreeSet::from([SECOND_MEMBER_PERMITTED])
+    );
+    assert!(discoveries(Mutation::ProxyAnswersLaterCallers).contains(MUTUAL_EXCLUSION));
 }
 
 #[test]
 fn proxied_opens_are_safe_in_every_order() {
-    let discoveries = |broken| discoveries(Scenario::ProxiedOpens, broken);
-    assert_eq!(discoveries(Broken::Nothing), BTreeSet::from([OTHER_OWNS]));
-    for broken in [Broken::ProxyTakesLateAnswers, Broken::ProxyIgnoresAbandoned] {
-        assert!(discoveries(broken).contains(OWN_SESSION), "{broken:?}");
+    let discoveries = |mutation| discoveries(Scenario::ProxiedOpens, mutation);
+    assert_eq!(
+        discoveries(Mutation::None),
+        BTreeSet::from([SECOND_MEMBER_PERMITTED])
+    );
+    for mutation in [
+        Mutation::ProxyAcceptsLateResponses,
+        Mutation::ProxyIgnoresBatchPositions,
+    ] {
+        assert!(discoveries(mutation).contains(OWN_SESSION), "{mutation:?}");
     }
-    assert!(discoveries(Broken::NewNonceEachTime).contains(LOCKED_OUT));
-    assert!(discoveries(Broken::CountsFromLastOpen).contains(TWO_PERMITTED));
+    assert!(discoveries(Mutation::NewNoncePerAttempt).contains(NO_LOCKOUT));
+    assert!(discoveries(Mutation::LeaseCountedFromLastOpen).contains(MUTUAL_EXCLUSION));
 }
--- a/crates/coordination/tests/model/steps.rs
+++ b/crates/coordination/tests/model/steps.rs
@@ -1,9 +1,9 @@
-//! Which steps a world may take, and what each does.
+//! The steps that the model may take in each state, their effects, and the properties that are checked.
 
-use crate::world::{
-    Broken, CLOCK_ERROR_PPM, LEASE, Message, Scenario, World, WorldState, member_info,
+use crate::cluster::{
+    CLOCK_ERROR_PPM, ClusterModel, ClusterState, LEASE, Message, Mutation, Scenario, member_info,
 };
-use crate::{LOCKED_OUT, OTHER_OWNS, OUT_OF_ORDER, OWN_SESSION, TWO_PERMITTED};
+use crate::{MUTUAL_EXCLUSION, NO_LOCKOUT, OWN_SESSION, SECOND_MEMBER_PERMITTED, TOKEN_ORDER};
 use milletturn_coordination::heartbeat_batcher::NextStep;
 use milletturn_coordination::{
     Command, Heartbeat, HeartbeatBatcher, LeaderTerm, LeaseTable, Micros, PRE_RESTORE_SESSION,
@@ -11,85 +11,89 @@
 };
 use stateright::{Model, Property};
 
-/// Ticks of a run.
-const TICKS: u64 = 3;
-/// Batches of a proxy's life, and calls of its member.
-const BATCHES: u64 = 2;
-const CALLS: WaiterId = WaiterId(2);
-/// Calls of all members with session opens.
-const OPEN_CALLS: WaiterId = WaiterId(3);
+/// Ticks of the clock in one run.
+const MAX_TICKS: u64 = 3;
+/// Batches that one proxy process may send.
+const MAX_BATCHES: u64 = 2;
+/// Heartbeat calls that the member behind the proxy may make.
+const MAX_HEARTBEAT_CALLS: WaiterId = WaiterId(2);
+/// Session opens that both members together may send to the proxy.
+const MAX_OPEN_CALLS: WaiterId = WaiterId(3);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Step {
     Tick,
-    /// A member sends a heartbeat, or asks for a session.
+    /// A member sends a heartbeat, or a session open if it has no session.
     Send(usize),
-    Arrive(Message),
+    Deliver(Message),
     Elect(usize),
-    /// A coordinator proposes the end of sessions whose leases have expired.
+    /// A coordinator that believes it leads proposes the end of the sessions whose leases have expired.
     Expire(usize),
     Write(usize),
     RestartGuard,
     Backup,
     Restore,
-    /// The proxy sends the heartbeats that it has queued.
+    /// The proxy sends its queued heartbeats as one batch.
     SendHeartbeats,
-    /// A member no longer waits for the proxy; the proxy has not noticed.
+    /// A member stops waiting for the response to its call. The proxy notices only in the case of a session open.
     Abandon(usize),
     RestartProxy,
-    /// The proxy sends session opens, and gives up the batch that is in flight.
+    /// The proxy sends its queued session opens as one batch.
     SendCommands,
+    /// The proxy abandons the batch of session opens in flight.
     FailCommands,
 }
 
-impl World {
-    /// Elections after the first.
+impl ClusterModel {
+    /// The number of elections after the first one.
     fn elections(&self) -> LeaderTerm {
         LeaderTerm(u64::from(self.scenario == Scenario::Leases))
     }
 
-    /// Whether a member may send once more. Sessions that are opened anew are the other runs' concern.
-    fn may_send(&self, state: &WorldState, member: usize) -> bool {
+    /// Whether a member may send another request in this scenario. `ProxiedHeartbeats` opens no new sessions and
+    /// `ProxiedOpens` sends no heartbeats, since other scenarios check these.
+    fn may_send(&self, state: &ClusterState, member: usize) -> bool {
         let known = state.holders[member].known_session();
         match self.scenario {
-            // heartbeats are the other runs' concern
+            // A member with a session sends nothing more here: other scenarios check heartbeats.
             Scenario::ProxiedOpens => {
                 let mut calls = state.opens_at_proxy.values();
                 known.is_none()
                     && !calls.any(|(caller, _)| *caller == member)
-                    && state.last_waiter < OPEN_CALLS
+                    && state.last_waiter < MAX_OPEN_CALLS
             }
             Scenario::ProxiedHeartbeats => {
-                known.is_some() && (member == 1 || state.last_waiter < CALLS)
+                known.is_some() && (member == 1 || state.last_waiter < MAX_HEARTBEAT_CALLS)
             }
             _ => true,
         }
     }
 
-    /// The steps of one member.
-    fn member_steps(&self, state: &WorldState, member: usize, steps: &mut Vec<Step>) {
-        let is_waiting = |call: &crate::world::ProxyCall| call.is_waiting && call.member == member;
+    /// Adds the steps that one member may take.
+    fn member_steps(&self, state: &ClusterState, member: usize, steps: &mut Vec<Step>) {
+        let is_waiting =
+            |call: &crate::cluster::ProxyCall| call.is_waiting && call.member == member;
         if state.heartbeats_at_proxy.values().any(is_waiting) {
             if state.proxy_restarts + state.abandoned == 0 {
                 steps.push(Step::Abandon(member));
             }
-        } else if !(state.under_way.iter()).any(|message| message.belongs_to(member))
+        } else if !(state.in_transit.iter()).any(|message| message.belongs_to(member))
             && self.may_send(state, member)
         {
             steps.push(Step::Send(member));
         }
         let is_write = |message: &Message| matches!(message, Message::Write { member: writer, .. } if *writer == member);
         if self.scenario == Scenario::Fencing
-            && state.permitted(member).is_some()
-            && !state.under_way.iter().any(is_write)
+            && state.permitted_token(member).is_some()
+            && !state.in_transit.iter().any(is_write)
         {
             steps.push(Step::Write(member));
         }
     }
 
-    /// The steps that only this scenario has.
-    fn scenario_steps(&self, state: &WorldState, steps: &mut Vec<Step>) {
-        // one fault of the two
+    /// Adds the steps that exist only in this scenario.
+    fn scenario_steps(&self, state: &ClusterState, steps: &mut Vec<Step>) {
+        // A run has either a proxy restart or an abandoned call or batch, not both.
         let is_faultless = state.proxy_restarts + state.abandoned == 0;
         match self.scenario {
             Scenario::Leases => {}
@@ -104,7 +108,7 @@
                 Step::Restore
             }),
             Scenario::ProxiedHeartbeats => {
-                if state.heartbeat_batcher.batches_sent() < BATCHES {
+                if state.heartbeat_batcher.batches_sent() < MAX_BATCHES {
                     steps.push(Step::SendHeartbeats);
                 }
                 if is_faultless {
@@ -112,7 +116,7 @@
                 }
             }
             Scenario::ProxiedOpens => {
-                if state.command_batcher.batches_sent() < BATCHES {
+                if state.command_batcher.batches_sent() < MAX_BATCHES {
                     steps.push(Step::SendCommands);
                 }
                 if state.abandoned == 0 {
@@ -125,10 +129,10 @@
         }
     }
 
-    fn send(&self, state: &mut WorldState, member: usize) {
+    fn send(&self, state: &mut ClusterState, member: usize) {
         let via_proxy = self.scenario == Scenario::ProxiedOpens;
         let mut sent = state.member_clock(member);
-        if via_proxy && self.broken != Broken::CountsFromLastOpen {
+        if via_proxy && self.mutation != Mutation::LeaseCountedFromLastOpen {
             sent = *state.first_sent[member].get_or_insert(sent);
         }
         let holder = &state.holders[member];
@@ -154,8 +158,8 @@
                 }
             }
             None if via_proxy => {
-                // drawn once for each session wanted, and none is wanted twice here
-                let is_new = self.broken == Broken::NewNonceEachTime;
+                // A member draws one nonce per session and opens only one session in this scenario.
+                let is_new = self.mutation == Mutation::NewNoncePerAttempt;
                 let nonce = if is_new { state.last_waiter.0 } else { 0 };
                 Message::ProxiedOpen {
                     member,
@@ -169,10 +173,10 @@
                 nonce: state.now,
             },
         };
-        state.under_way.insert(message);
+        state.in_transit.insert(message);
     }
 
-    fn abandon(&self, state: &mut WorldState, member: usize) -> Option<()> {
+    fn abandon(&self, state: &mut ClusterState, member: usize) -> Option<()> {
         if self.scenario == Scenario::ProxiedOpens {
             let mut calls = state.opens_at_proxy.iter();
             let (&waiter, _) = calls.find(|(_, (caller, _))| *caller == member)?;
@@ -187,11 +191,11 @@
         Some(())
     }
 
-    fn restore(&self, state: &mut WorldState) -> Option<()> {
+    fn restore(&self, state: &mut ClusterState) -> Option<()> {
         let backup = state.backup.clone().filter(|_| !state.restored)?;
         state.restored = true;
         let mut restored = backup.restored(1, LEASE).ok()?;
-        if self.broken == Broken::RestoreWithoutWait {
+        if self.mutation == Mutation::RestoreWithoutGracePeriod {
             let leader_term = LeaderTerm(0);
             let expire = Command::ExpireSession {
                 session: PRE_RESTORE_SESSION,
@@ -199,22 +203,22 @@
             };
             restored.apply(expire, leader_term);
         }
-        state.coordination = if self.broken == Broken::RestoreWithoutJump {
+        state.coordination = if self.mutation == Mutation::RestoreWithoutTokenJump {
             backup
         } else {
             restored
         };
-        // the lost coordinators' calls and proposals are gone with them; writes go elsewhere
+        // Messages to and from the lost coordinators are lost. Writes are sent to the receiver, so they remain.
         state
-            .under_way
+            .in_transit
             .retain(|message| matches!(message, Message::Write { .. }));
         state.tables = [LeaseTable::default(), LeaseTable::default()];
-        state.elect(0, self.broken);
+        state.elect(0, self.mutation);
         Some(())
     }
 }
 
-fn expire(state: &mut WorldState, coordinator: usize) -> Option<()> {
+fn expire(state: &mut ClusterState, coordinator: usize) -> Option<()> {
     let now = state.coordinator_clock();
     let table = &mut state.tables[coordinator];
     table.track(now, state.coordination.leases());
@@ -224,21 +228,21 @@
         session,
         leader_term,
     });
-    state.under_way.extend(ends);
+    state.in_transit.extend(ends);
     Some(())
 }
 
-fn send_heartbeats(state: &mut WorldState) -> Option<()> {
+fn send_heartbeats(state: &mut ClusterState) -> Option<()> {
     let now = state.coordinator_clock();
     let NextStep::Send(batch) = state.heartbeat_batcher.next_step(now) else {
         return None;
     };
     let message = Message::HeartbeatBatch(state.proxy_restarts, batch);
-    state.under_way.insert(message);
+    state.in_transit.insert(message);
     Some(())
 }
 
-fn fail_commands(state: &mut WorldState) -> Option<()> {
+fn fail_commands(state: &mut ClusterState) -> Option<()> {
     let batcher = &mut state.command_batcher;
     let unanswered = batcher.fail(batcher.batches_sent());
     if unanswered.is_empty() {
@@ -251,21 +255,21 @@
     Some(())
 }
 
-impl Model for World {
-    type State = WorldState;
+impl Model for ClusterModel {
+    type State = ClusterState;
     type Action = Step;
 
-    fn init_states(&self) -> Vec<WorldState> {
-        let mut state = WorldState::new(if self.broken == Broken::ClockErrorIgnored {
+    fn init_states(&self) -> Vec<ClusterState> {
+        let mut state = ClusterState::new(if self.mutation == Mutation::ClockErrorIgnored {
             0
         } else {
             CLOCK_ERROR_PPM
         });
-        state.elect(0, self.broken);
+        state.elect(0, self.mutation);
         if self.scenario == Scenario::ProxiedOpens {
             return vec![state];
         }
-        // both have a session, the first one is the owner: how that came to be is the other runs' concern
+        // Both members start with a session, and the first member owns the resource. `ProxiedOpens` checks opening.
         for member in 0..2 {
             let sent = state.member_clock(member);
             let session = SessionId(member as u64 + 1);
@@ -289,25 +293,25 @@
                     },
                 },
             ] {
-                self.arrive(&mut state, &message);
+                self.deliver(&mut state, &message);
             }
         }
-        for message in std::mem::take(&mut state.under_way) {
+        for message in std::mem::take(&mut state.in_transit) {
             if matches!(message, Message::Renewed { .. }) {
-                self.arrive(&mut state, &message);
+                self.deliver(&mut state, &message);
             }
         }
         vec![state]
     }
 
-    fn actions(&self, state: &WorldState, steps: &mut Vec<Step>) {
-        if state.now < TICKS {
+    fn actions(&self, state: &ClusterState, steps: &mut Vec<Step>) {
+        if state.now < MAX_TICKS {
             steps.push(Step::Tick);
         }
         for member in 0..2 {
             self.member_steps(state, member, steps);
         }
-        steps.extend(state.under_way.iter().cloned().map(Step::Arrive));
+        steps.extend(state.in_transit.iter().cloned().map(Step::Deliver));
         for coordinator in 0..2 {
             if state.leader_term <= self.elections() {
                 steps.push(Step::Elect(coordinator));
@@ -319,20 +323,20 @@
         self.scenario_steps(state, steps);
     }
 
-    fn next_state(&self, before: &WorldState, step: Step) -> Option<WorldState> {
+    fn next_state(&self, before: &ClusterState, step: Step) -> Option<ClusterState> {
         let mut state = before.clone();
         match step {
             Step::Tick => state.now += 1,
             Step::Send(member) => self.send(&mut state, member),
-            Step::Arrive(message) => {
-                state.under_way.remove(&message);
-                self.arrive(&mut state, &message);
+            Step::Deliver(message) => {
+                state.in_transit.remove(&message);
+                self.deliver(&mut state, &message);
             }
-            Step::Elect(coordinator) => state.elect(coordinator, self.broken),
+            Step::Elect(coordinator) => state.elect(coordinator, self.mutation),
             Step::Expire(coordinator) => expire(&mut state, coordinator)?,
             Step::Write(member) => {
-                let token = state.permitted(member)?;
-                state.under_way.insert(Message::Write { member, token });
+                let token = state.permitted_token(member)?;
+                state.in_transit.insert(Message::Write { member, token });
             }
             Step::RestartGuard => {
                 state.guard_restarts += 1;
@@ -341,12 +345,12 @@
             Step::SendHeartbeats => send_heartbeats(&mut state)?,
             Step::SendCommands => {
                 let batch = state.command_batcher.next_batch()?;
-                state.under_way.insert(Message::CommandBatch(batch));
+                state.in_transit.insert(Message::CommandBatch(batch));
             }
             Step::FailCommands => fail_commands(&mut state)?,
             Step::Abandon(member) => self.abandon(&mut state, member)?,
             Step::RestartProxy => {
-                // its connections end with it; what it had sent may still arrive
+                // The proxy's connections to its callers close. Batches that it had sent may still be delivered.
                 state.proxy_restarts += 1;
                 state.heartbeat_batcher = HeartbeatBatcher::new(Micros::ZERO);
                 state.heartbeats_at_proxy.clear();
@@ -359,22 +363,22 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(TWO_PERMITTED, |_, state: &WorldState| {
-                state.permitted(0).is_none() || state.permitted(1).is_none()
+            Property::always(MUTUAL_EXCLUSION, |_, state: &ClusterState| {
+                state.permitted_token(0).is_none() || state.permitted_token(1).is_none()
             }),
-            Property::always(OUT_OF_ORDER, |_, state: &WorldState| !state.out_of_order),
-            Property::always(LOCKED_OUT, |_, state: &WorldState| !state.locked_out),
-            Property::always(OWN_SESSION, |_, state: &WorldState| {
+            Property::always(TOKEN_ORDER, |_, state: &ClusterState| !state.out_of_order),
+            Property::always(NO_LOCKOUT, |_, state: &ClusterState| !state.locked_out),
+            Property::always(OWN_SESSION, |_, state: &ClusterState| {
                 (0..2).all(|member| has_own_session(state, member))
             }),
-            Property::sometimes(OTHER_OWNS, |_, state: &WorldState| {
-                state.permitted(1).is_some()
+            Property::sometimes(SECOND_MEMBER_PERMITTED, |_, state: &ClusterState| {
+                state.permitted_token(1).is_some()
             }),
         ]
     }
 }
 
-fn has_own_session(state: &WorldState, member: usize) -> bool {
+fn has_own_session(state: &ClusterState, member: usize) -> bool {
     let known = state.holders[member].known_session();
     let open = known.and_then(|session| state.coordination.sessions().get(&session));
     open.is_none_or(|open| open.member == member_info(member))
