--- a/crates/coordination/tests/command_batcher.rs
+++ b/crates/coordination/tests/command_batcher.rs
@@ -1,11 +1,12 @@
-//! Which commands a session proxy sends together: each is sent once, and each answer is for its own caller.
+//! Batching of commands at a session proxy: each request is sent at most once, and each caller gets the answer to its
+//! own request.
 
 use milletturn_coordination::command_batcher::{CommandBatch, OnAbandon};
 use milletturn_coordination::{CommandBatcher, WaiterId, bounds};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Queues for each waiter the request of its own number plus 100, of 100 bytes.
+/// Queues a request of 100 bytes for each waiter. The request is the waiter's id plus 100.
 fn enqueue(batcher: &mut CommandBatcher<u64>, waiters: impl IntoIterator<Item = u64>) {
     for waiter in waiters {
         batcher
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn what_comes_while_a_batch_is_in_flight_goes_with_the_next_one() {
+fn requests_that_arrive_during_a_batch_go_with_the_next_one() {
     let mut batcher = CommandBatcher::default();
     enqueue(&mut batcher, [1]);
     assert_eq!(
@@ -28,7 +29,7 @@
             number: 1,
             requests: vec![101]
         },
-        "a lone request waits for nothing"
+        "a lone request is sent at once"
     );
     enqueue(&mut batcher, [2, 3]);
     assert_eq!(
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn an_answer_to_a_batch_that_was_given_up_is_nobodys() {
+fn answers_to_an_abandoned_batch_are_discarded() {
     let mut batcher = CommandBatcher::default();
     enqueue(&mut batcher, [1, 2]);
     let first = next_batch(&mut batcher);
@@ -67,12 +68,12 @@
     assert_eq!(
         batcher.complete(second.number, vec!["c", "d"]),
         [],
-        "an answer that comes twice"
+        "answers that arrive twice are discarded"
     );
 }
 
 #[test]
-fn an_answer_of_another_length_answers_nobody() {
+fn answers_in_the_wrong_number_leave_all_outcomes_unknown() {
     for answers in [vec![], vec!["a"], vec!["a", "b", "c"]] {
         let mut batcher = CommandBatcher::default();
         enqueue(&mut batcher, [1, 2]);
@@ -85,7 +86,7 @@
 }
 
 #[test]
-fn an_abandoned_open_is_not_sent_and_an_abandoned_close_is() {
+fn an_abandoned_open_is_dropped_and_an_abandoned_close_is_sent() {
     let mut batcher = CommandBatcher::default();
     enqueue(&mut batcher, [1, 2]);
     batcher
@@ -99,7 +100,7 @@
     assert_eq!(
         batcher.complete(batch.number, vec!["a", "b"]),
         [],
-        "nobody waits any more"
+        "no caller waits any more"
     );
 }
 
@@ -111,7 +112,7 @@
     let batch = next_batch(&mut batcher);
     assert_eq!(batch.requests, (100..100 + max).collect::<Vec<_>>());
     batcher.fail(batch.number);
-    // three of which no two fit into one
+    // Three more requests, no two of which fit into one batch.
     for waiter in 1_000..1_003 {
         let bytes = bounds::MAX_BATCH_BYTES / 2 + 1;
         batcher
@@ -130,7 +131,7 @@
     let mut enqueue = |bytes| batcher.enqueue(WaiterId(9), 9, bytes, OnAbandon::Drop);
     assert!(
         enqueue(bounds::MAX_BATCH_BYTES + 1).is_err(),
-        "longer than a whole batch may be"
+        "a request longer than the limit of a batch is rejected"
     );
     assert!(enqueue(bounds::MAX_BATCH_BYTES).is_ok());
 }
@@ -152,7 +153,7 @@
     Abandon(usize),
     NextBatch,
     Complete,
-    CompleteInPart,
+    CompletePartially,
     Fail,
 }
 
@@ -167,15 +168,15 @@
         1 => (0..50_usize).prop_map(Step::Abandon),
         3 => Just(Step::NextBatch),
         2 => Just(Step::Complete),
-        1 => Just(Step::CompleteInPart),
+        1 => Just(Step::CompletePartially),
         1 => Just(Step::Fail),
     ];
     prop::collection::vec(step, 0..200)
 }
 
 proptest! {
-    /// In any order: each request is sent once or was dropped before, each caller that waits is answered once and what
-    /// its own request was answered, and nothing stays behind.
+    /// In any order of steps, each request is sent at most once, each caller that still waits gets exactly one answer,
+    /// which is that to its own request, and the queue ends empty.
     #[test]
     fn each_request_has_one_outcome(steps in steps()) {
         let mut batcher: CommandBatcher<u64> = CommandBatcher::default();
@@ -192,8 +193,8 @@
                     waiting.insert(waiter);
                     bytes_of.insert(waiter, bytes);
                 }
-                Step::Abandon(which) => {
-                    let Some(&waiter) = waiting.iter().nth(which) else { continue };
+                Step::Abandon(index) => {
+                    let Some(&waiter) = waiting.iter().nth(index) else { continue };
                     batcher.abandon(WaiterId(waiter));
                     waiting.remove(&waiter);
                 }
@@ -207,11 +208,11 @@
                     }
                     in_flight = Some(batch);
                 }
-                Step::Complete | Step::CompleteInPart | Step::Fail => {
+                Step::Complete | Step::CompletePartially | Step::Fail => {
                     let Some(CommandBatch { number, requests }) = in_flight.take() else { continue };
                     let answered: Vec<(WaiterId, Option<u64>)> = match step {
                         Step::Complete => batcher.complete(number, requests.clone()),
-                        Step::CompleteInPart => batcher.complete(number, requests[1..].to_vec()),
+                        Step::CompletePartially => batcher.complete(number, requests[1..].to_vec()),
                         _ => batcher.fail(number).into_iter().map(|waiter| (waiter, None)).collect(),
                     };
                     for (WaiterId(waiter), answer) in answered {
--- a/crates/coordination/tests/fencing.rs
+++ b/crates/coordination/tests/fencing.rs
@@ -1,4 +1,4 @@
-//! The guard at the receiver of writes.
+//! The fencing guard at the receiver of writes.
 
 use milletturn_coordination::fencing::Admission;
 use milletturn_coordination::{FencingGuard, FencingToken, Rejection};
@@ -20,7 +20,7 @@
     assert_eq!(
         guard.admit("v", one),
         Ok(Admission::NewToken),
-        "each resource has tokens of its own"
+        "tokens of different resources are independent"
     );
     assert_eq!(guard.highest_token("w"), three);
 }
--- a/crates/coordination/tests/heartbeat_batcher.rs
+++ b/crates/coordination/tests/heartbeat_batcher.rs
@@ -1,4 +1,4 @@
-//! Which heartbeats a session proxy sends together, and which answer is whose.
+//! Batching of heartbeats at a session proxy: when a batch is sent, what it contains, and who gets its outcomes.
 
 use milletturn_coordination::batching::QueueFull;
 use milletturn_coordination::heartbeat_batcher::{
@@ -19,11 +19,11 @@
 fn next_batch(batcher: &mut HeartbeatBatcher, now: Timestamp) -> HeartbeatBatch {
     match batcher.next_step(now) {
         NextStep::Send(batch) => batch,
-        other => panic!("{other:?} and no batch"),
+        other => panic!("expected a batch, got {other:?}"),
     }
 }
 
-/// The answer that extends the leases of these sessions, each of which extended `w` under the token of its own number.
+/// A response that renews these sessions. Each owns the resource `w` under a token equal to its session id.
 fn renewed(sessions: impl IntoIterator<Item = u64>) -> BatchResponse {
     BatchResponse {
         renewed: sessions
@@ -53,13 +53,13 @@
 }
 
 #[test]
-fn an_answer_is_for_heartbeats_that_came_before_its_batch_left() {
+fn a_response_is_only_for_heartbeats_that_arrived_before_its_batch_was_sent() {
     let mut batcher = HeartbeatBatcher::new(MAX_DELAY);
     batcher
         .enqueue(heartbeat(7), WaiterId(1))
         .expect("capacity");
     let first = next_batch(&mut batcher, at(0));
-    // the same member again: its call had hung, and it counts its lease from this one
+    // The member's first call hung, so it sends another heartbeat, from which it counts its lease.
     batcher
         .enqueue(heartbeat(7), WaiterId(2))
         .expect("capacity");
@@ -72,7 +72,7 @@
     assert_eq!(
         batcher.complete(first.number, &renewed([7])),
         [],
-        "an answer that comes twice is nobody's"
+        "a response that arrives twice is discarded"
     );
     assert_eq!(
         batcher.fail(second.number),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_session_is_in_a_batch_once_and_as_its_member_sent_last() {
+fn a_batch_has_only_the_last_heartbeat_of_each_session() {
     let mut batcher = HeartbeatBatcher::new(MAX_DELAY);
     batcher
         .enqueue(expired_heartbeat(7), WaiterId(1))
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn one_batch_is_in_flight_and_the_next_is_delayed_by_a_part_of_the_lease() {
+fn one_batch_is_in_flight_and_the_next_is_delayed_by_a_fraction_of_the_lease() {
     let mut batcher = HeartbeatBatcher::new(MAX_DELAY);
     batcher
         .enqueue(heartbeat(1), WaiterId(1))
@@ -147,7 +147,7 @@
     assert_eq!(
         batcher.next_step(at(500)),
         NextStep::Idle,
-        "a coordinator that answers slowly is not asked more often"
+        "no second batch is sent while the coordinator has not responded"
     );
     batcher.complete(
         first.number,
@@ -176,7 +176,7 @@
     assert_eq!(
         batcher.next_step(at(501)),
         NextStep::WaitUntil(at(510)),
-        "a lease of 640 ms: 10 ms"
+        "a lease of 640 ms gives a delay of 10 ms"
     );
     assert_eq!(next_batch(&mut batcher, at(510)).heartbeats, [heartbeat(3)]);
 }
@@ -189,7 +189,7 @@
         .expect("capacity");
     let first = next_batch(&mut batcher, at(0));
     batcher.complete(first.number, &BatchResponse::default());
-    // from the highest number to the lowest, two more than a batch takes
+    // Two more sessions than a batch may have, in descending order of their ids.
     let sessions: Vec<u64> = (0..bounds::MAX_BATCH_LEN as u64 + 2).rev().collect();
     for &session in &sessions {
         batcher
@@ -250,8 +250,8 @@
 }
 
 proptest! {
-    /// In any order: each call is answered once or left by its caller, never by a batch that had left before it came,
-    /// and nothing stays behind.
+    /// In any order of steps, each call is answered once or abandoned by its caller, never answered by a batch that was
+    /// sent before the call arrived, and no caller is left waiting.
     #[test]
     fn each_heartbeat_has_one_outcome(steps in steps()) {
         let mut batcher = HeartbeatBatcher::new(MAX_DELAY);
@@ -265,8 +265,8 @@
                     batcher.enqueue(heartbeat(session), WaiterId(waiter)).expect("capacity");
                     waiting.insert(waiter, session);
                 }
-                Step::Abandon(which) => {
-                    let Some((&waiter, &session)) = waiting.iter().nth(which) else { continue };
+                Step::Abandon(index) => {
+                    let Some((&waiter, &session)) = waiting.iter().nth(index) else { continue };
                     batcher.abandon(SessionId(session), WaiterId(waiter));
                     waiting.remove(&waiter);
                 }
@@ -285,7 +285,7 @@
                         _ => batcher.fail(number),
                     };
                     for (waiter, _) in outcomes {
-                        prop_assert!(before.contains(&waiter.0), "{} came after it", waiter);
+                        prop_assert!(before.contains(&waiter.0), "{} arrived after the batch was sent", waiter);
                         prop_assert!(waiting.remove(&waiter.0).is_some(), "{} was answered twice", waiter);
                     }
                 }
--- a/crates/coordination/tests/model/delivery.rs
+++ b/crates/coordination/tests/model/delivery.rs
@@ -69,7 +69,7 @@
                 heartbeat,
             } => enqueue_heartbeat(state, member, sent, heartbeat),
             Message::HeartbeatBatch(proxy_incarnation, ref batch) => {
-                handle_heartbeat_batch(state, proxy_incarnation, batch)
+                handle_heartbeat_batch(state, proxy_incarnation, batch);
             }
             Message::BatchResponse {
                 proxy_incarnation,
--- a/crates/coordination/tests/state/batches.rs
+++ b/crates/coordination/tests/state/batches.rs
@@ -1,4 +1,4 @@
-//! Several commands as one entry of the log.
+//! Several commands in one entry of the log.
 
 use super::{LEADER_TERM, LEASE, apply, claim_command, open, open_command, write_command};
 use milletturn_coordination::{
@@ -6,7 +6,7 @@
     bounds,
 };
 
-/// What three members and an operator ask, one of them in vain.
+/// Commands of two members, three of which are rejected: a name that is taken, an empty name, and an owned resource.
 fn mixed_commands() -> Vec<Command> {
     let (one, two) = (SessionId(1), SessionId(2));
     vec![
@@ -50,7 +50,10 @@
         outcomes[5],
         CommandOutcome::Rejected(Rejection::ResourceOwned { .. })
     ));
-    assert!(!together.batching_enabled(), "a majority may not read it");
+    assert!(
+        !together.batching_enabled(),
+        "a majority may not be able to read batches"
+    );
     let commands = mixed_commands();
     assert_eq!(
         apply(&mut together, Command::Batch { commands }),
@@ -65,7 +68,7 @@
 }
 
 #[test]
-fn opens_that_are_repeated_in_a_batch_leave_no_second_session() {
+fn session_opens_repeated_in_a_batch_open_no_second_session() {
     let mut state = CoordinationState::default();
     let opens = |names: &[(&str, u64)]| Command::Batch {
         commands: (names.iter())
@@ -74,7 +77,7 @@
     };
     let first = apply(&mut state, opens(&[("n1", 1), ("n2", 2)]));
     assert_eq!(first, CommandOutcome::Batch(vec![opened(1), opened(2)]));
-    // the answer was lost: each is sent once more, among others, through whichever proxy; one twice
+    // The response was lost, so both opens are sent again in a batch with another one, and one of them twice.
     let repeated = apply(
         &mut state,
         opens(&[("n3", 3), ("n2", 2), ("n1", 1), ("n2", 2)]),
@@ -110,12 +113,13 @@
         apply(&mut state, too_many),
         CommandOutcome::Rejected(Rejection::LimitReached { .. })
     ));
-    assert_eq!(state, before, "nothing of it is done");
+    assert_eq!(state, before, "no command of a rejected batch is applied");
 }
 
-/// An end that was tracked under an earlier leader's term is rejected in a batch as it is alone.
+/// A coordinator that lost and regained the leadership doesn't know which heartbeats another leader confirmed meanwhile.
+/// An expiry that it determined in its earlier term is therefore rejected in a batch, as it is alone.
 #[test]
-fn an_expiry_of_an_earlier_leader_term_is_rejected_in_a_batch() {
+fn an_expiry_determined_in_an_earlier_leader_term_is_rejected_in_a_batch() {
     let mut state = CoordinationState::default();
     let session = open(&mut state, "n1", 1);
     let earlier = LeaderTerm(LEADER_TERM.0 - 1);
@@ -127,7 +131,7 @@
         commands: commands.to_vec(),
     };
     let CommandOutcome::Batch(outcomes) = apply(&mut state, batch) else {
-        panic!("each has its outcome");
+        panic!("expected one outcome per command");
     };
     let stale = Rejection::StaleLeaderTerm {
         leader_term: earlier,
@@ -140,7 +144,7 @@
 }
 
 #[test]
-fn logs_of_earlier_versions_are_read_and_a_batch_has_a_name_that_those_reject() {
+fn log_entries_of_earlier_versions_and_batches_are_written_unchanged() {
     let earlier = [
         r#"{"open":{"about":{"name":"n","zone":"","version":"","serves":""},"nonce":1,"lease":9}}"#,
         r#"{"close":{"session":1}}"#,
@@ -155,7 +159,7 @@
         assert_eq!(
             serde_json::to_string(&command).expect("written"),
             text,
-            "as a coordinator of an earlier version reads it"
+            "written so that a coordinator of an earlier version reads the entry"
         );
     }
     let batch = format!(r#"{{"all":{{"entries":[{}]}}}}"#, earlier.join(","));
--- a/crates/coordination/tests/state/limits.rs
+++ b/crates/coordination/tests/state/limits.rs
@@ -1,10 +1,10 @@
-//! The bounds of the state.
+//! The upper bounds of the state: names, sessions and resources.
 
 use super::{acquire, apply, claim, open, open_command};
 use milletturn_coordination::{CommandOutcome, CoordinationState, Rejection, SessionId, bounds};
 
 #[test]
-fn exceeded_bounds_are_rejected_with_their_figure() {
+fn commands_that_exceed_a_bound_are_rejected_with_the_limit() {
     let mut state = CoordinationState::default();
     let long = "x".repeat(bounds::MAX_NAME_BYTES + 1);
     for name in ["", &long] {
--- a/crates/coordination/tests/state/main.rs
+++ b/crates/coordination/tests/state/main.rs
@@ -1,4 +1,5 @@
-//! The replicated state alone: tokens only grow, a repeated command changes nothing, and late owners are rejected.
+//! The replicated state machine: tokens only increase, a repeated command changes nothing, and the writes of former
+//! owners are rejected.
 
 mod batches;
 mod limits;
@@ -51,7 +52,7 @@
     apply(state, claim_command(session, resource))
 }
 
-/// The token under which the session owns the resource after its claim.
+/// Claims a resource, which must succeed, and returns the token.
 fn acquire(state: &mut CoordinationState, session: SessionId, resource: &str) -> FencingToken {
     match claim(state, session, resource) {
         CommandOutcome::Claimed { token, .. } => token,
@@ -90,7 +91,7 @@
     )
 }
 
-/// A write for the resource `w`.
+/// A write on behalf of the resource `w`.
 fn write_command(
     session: SessionId,
     token: FencingToken,
--- a/crates/coordination/tests/state/ownership.rs
+++ b/crates/coordination/tests/state/ownership.rs
@@ -1,4 +1,4 @@
-//! Who owns a resource, under which token, and what a late owner can't do.
+//! Ownership of resources: claims, tokens, and the rejection of former owners.
 
 use super::{
     LEADER_TERM, acquire, apply, claim, expire, open, open_command, release, revoke, write,
@@ -17,7 +17,7 @@
             name: "n1".into(),
             session: one
         }),
-        "a second process under the same name, while the old one's session lasts"
+        "a second process may not use the name while the first one's session is open"
     );
     let token = acquire(&mut state, one, "w");
     assert_eq!(acquire(&mut state, one, "w"), token);
@@ -25,7 +25,7 @@
     assert_eq!(
         write(&mut state, one, token, 1, "a"),
         CommandOutcome::Done,
-        "the same write once more"
+        "a repeated write succeeds without effect"
     );
     assert!(matches!(
         write(&mut state, one, token, 1, "b"),
@@ -42,7 +42,7 @@
             writes: 1,
             checkpoint: "a".into()
         },
-        "an owner that lost an answer learns its last write"
+        "an owner whose response was lost learns its last write"
     );
     let is_write = |kind| matches!(kind, EventKind::Written(_));
     let writes = state.history().filter(|event| is_write(event.kind)).count();
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_late_owner_is_rejected_by_name_and_the_next_one_continues() {
+fn a_former_owner_is_fenced_and_the_next_one_continues() {
     let mut state = CoordinationState::default();
     let (one, two) = (open(&mut state, "n1", 1), open(&mut state, "n2", 2));
     let first = acquire(&mut state, one, "w");
@@ -77,7 +77,7 @@
             writes: 0,
             checkpoint: "half".into()
         },
-        "the next one starts where the last one left off"
+        "the next owner gets the checkpoint of the previous one"
     );
     assert_eq!(
         write(&mut state, one, first, 2, "late"),
@@ -87,9 +87,9 @@
             current: second
         })
     );
-    // nor under the new token, which is another's
+    // The new token belongs to the next owner, so the former one can't write under it either.
     assert!(is_fenced(&write(&mut state, one, second, 1, "late")));
-    // nor does its release touch the next one
+    // Releasing or revoking the old token does not affect the next owner.
     release(&mut state, one, "w", first);
     revoke(&mut state, "w", first);
     assert_eq!(state.resources()["w"].owner, Some(two));
@@ -97,7 +97,7 @@
         claim(&mut state, one, "w"),
         CommandOutcome::Rejected(Rejection::SessionNotFound { session: one })
     );
-    // an operator revokes the current token
+    // An operator revokes the current token.
     revoke(&mut state, "w", second);
     assert_eq!(state.resources()["w"].owner, None);
     assert!(is_fenced(&write(&mut state, two, second, 1, "late")));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn a_forgotten_resource_comes_back_above_every_token_it_ever_had() {
+fn an_evicted_resource_returns_with_a_higher_token_than_before() {
     let mut state = CoordinationState::default();
     let one = open(&mut state, "n1", 1);
     let mut highest = 0.into();
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_lease_tracked_under_an_earlier_leader_term_ends_nothing() {
+fn an_expiry_determined_in_an_earlier_leader_term_ends_no_session() {
     let mut state = CoordinationState::default();
     let one = open(&mut state, "n1", 1);
     let earlier = LeaderTerm(LEADER_TERM.0 - 2);
--- a/crates/coordination/tests/state/restore.rs
+++ b/crates/coordination/tests/state/restore.rs
@@ -1,30 +1,33 @@
-//! A state that goes on from a backup.
+//! A state that is restored from a backup.
 
 use super::{LEADER_TERM, LEASE, acquire, claim, expire, open, release, write};
 use milletturn_coordination::{CommandOutcome, CoordinationState, PRE_RESTORE_SESSION, Rejection};
 
 #[test]
-fn a_restored_state_is_above_all_that_was_granted_since_the_backup() {
+fn a_restored_state_grants_higher_numbers_than_the_lost_one() {
     let mut state = CoordinationState::default();
     let one = open(&mut state, "n1", 1);
     let first = acquire(&mut state, one, "w");
     let backup = state.clone();
-    // what the lost state granted behind the backup
+    // Tokens that the state grants after the backup and before it is lost.
     for _ in 0..10 {
         let token = acquire(&mut state, one, "w");
         release(&mut state, one, "w", token);
     }
     let lost = acquire(&mut state, one, "w");
     assert!(lost > first);
-    assert!(backup.restored(0, LEASE).is_err(), "a generation twice");
+    assert!(
+        backup.restored(0, LEASE).is_err(),
+        "generation 0 is already in use"
+    );
     let mut restored = backup.restored(1, LEASE).expect("restored");
-    // the old owner is nobody here, whatever it shows
+    // The previous owner is fenced, whatever token it sends.
     assert!(matches!(
         write(&mut restored, one, lost, 1, "late"),
         CommandOutcome::Rejected(Rejection::Fenced { .. })
     ));
     let two = open(&mut restored, "n1", 9);
-    assert!(two > one, "nor is its session another's");
+    assert!(two > one, "session ids are not reused after a restore");
     assert_eq!(
         claim(&mut restored, two, "w"),
         CommandOutcome::Rejected(Rejection::RestoreGracePeriod)
@@ -33,9 +36,9 @@
     expire(&mut restored, PRE_RESTORE_SESSION, LEADER_TERM);
     let known = acquire(&mut restored, two, "w");
     assert!(known > lost);
-    let unknown = acquire(&mut restored, two, "made behind the backup");
+    let unknown = acquire(&mut restored, two, "made after the backup");
     assert!(unknown > lost);
-    // the same backup once more, since the restored group was lost too
+    // The restored group was lost too, and the same backup is restored once more.
     assert!(restored.restored(1, LEASE).is_err());
     let mut twice = backup.restored(2, LEASE).expect("restored");
     let three = open(&mut twice, "n1", 10);
--- a/crates/coordination/tests/time.rs
+++ b/crates/coordination/tests/time.rs
@@ -1,9 +1,9 @@
-//! The holder's part of a lease against clocks that run apart.
+//! How long a holder may rely on its lease when the leader's clock runs at another rate.
 
 use milletturn_coordination::{LeaseTiming, Micros};
 
 #[test]
-fn a_slow_clock_at_the_holder_ends_before_a_right_one_at_the_leader() {
+fn a_lease_ends_at_a_holder_with_a_slow_clock_before_it_ends_at_the_leader() {
     for clock_error_ppm in [0, 1, 20_000, 500_000] {
         for lease in [0, 1, 999, 9_000_000, u64::MAX] {
             let timing = LeaseTiming {
