--- a/crates/coordination/src/lease_table.rs
+++ b/crates/coordination/src/lease_table.rs
@@ -47,8 +47,8 @@
 pub struct Heartbeat {
     /// The member's session.
     pub session: SessionId,
-    /// The lease had expired by the holder's clock when it sent the heartbeat, so it has received no response for at
-    /// least that long.
+    /// The lease had expired by the holder's clock when the holder sent the heartbeat, so the holder has received no
+    /// response for at least the duration of the lease.
     pub holder_expired: bool,
 }
 
--- a/crates/coordination/src/state/history.rs
+++ b/crates/coordination/src/state/history.rs
@@ -16,14 +16,14 @@
     /// The token that the member was granted, lost, or sent with its write.
     #[serde(rename = "term")]
     pub token: FencingToken,
-    /// The member's name, or the number of its session if that has ended.
+    /// The member's name, or a text such as `session 3` if its session has already ended.
     pub member: String,
     /// What happened to the resource.
     #[serde(rename = "what")]
     pub kind: EventKind,
 }
 
-/// What an [`Event`] reports. The subject of each variant is the member that the event names.
+/// What an [`Event`] reports about the member that is named in [`Event::member`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EventKind {
     /// The member became the owner.
--- a/crates/coordination/tests/model/main.rs
+++ b/crates/coordination/tests/model/main.rs
@@ -15,7 +15,8 @@
 use stateright::{Checker, HasDiscoveries, Model};
 use std::collections::BTreeSet;
 
-/// A `sometimes` property, so that the checker must reach a state in which the resource has changed its owner.
+/// A `sometimes` property: each run must reach a state in which the second member owns the resource, which is not the
+/// case in the initial state.
 const SECOND_MEMBER_PERMITTED: &str = "the second member has permission to write";
 const MUTUAL_EXCLUSION: &str = "at most one member has permission to write";
 const OWN_SESSION: &str = "each member uses a session opened under its own name";
