--- a/crates/coordination/tests/leases/main.rs
+++ b/crates/coordination/tests/leases/main.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_member_stays_the_owner_until_it_stops_sending_heartbeats() {
+fn a_member_stays_the_owner_until_its_heartbeats_stop_and_the_next_one_takes_over() {
     let mut simulation = Simulation::new(&[9_900, -9_900, 0, -9_900, 9_900, 0]);
     let deliver_all = |simulation: &mut Simulation| {
         while !simulation.in_transit.is_empty() {
