--- a/src/assemble.rs
+++ b/src/assemble.rs
@@ -1,5 +1,5 @@
-//! Assembles a sender from its options: journal, dead-letter store, transport, HTTP server and engine. The platform's
-//! sender and the sidecar are both started here.
+//! Assembles a sender from its options: journal, dead-letter store, transport, HTTP server and engine. Both the
+//! platform's sender and the sidecar start through [`assemble()`].
 
 mod engine;
 mod listener;
@@ -32,16 +32,16 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use takeover::{FolderParts, Owner, TakeoverRequests};
+use takeover::{HandoverParts, InheritedParts, TakeoverRequests};
 use tokio::sync::{mpsc, watch};
 
 /// What a sender is assembled from.
 pub(crate) struct SenderOptions {
     /// The sender's name in the log.
     pub name: String,
-    /// The folder that outlasts the process.
+    /// The state folder, whose content outlasts the process.
     pub state_dir: PathBuf,
-    /// Where clients connect, unless the socket is inherited.
+    /// The address where clients connect; unused if the listening socket is inherited in a hot restart.
     pub listen_address: SocketAddr,
     /// Settings of the decision module.
     pub settings: Settings,
@@ -51,25 +51,26 @@
     pub zones: Vec<String>,
     /// Names of the kinds of destination, in the order of their numbers.
     pub kinds: Vec<String>,
-    /// Names of the load report's fields.
+    /// Names of the fields in the load reports that endpoints send with their responses.
     pub report_fields: Vec<String>,
     /// Limits of connections and buffered bytes.
     pub budget: ResourceBudget,
-    /// Bytes that the journal may take up.
+    /// Maximum size of the journal in bytes.
     pub journal_max_bytes: u64,
     /// The dead-letter store, if there is one.
     pub store: Option<StoreOptions>,
-    /// When endpoints close idle connections; zero where that is not known.
+    /// Time after which endpoints close idle connections; zero if unknown.
     pub idle_timeout: Duration,
-    /// Longest wait for a connection to an endpoint.
+    /// Maximum time to establish a connection to an endpoint.
     pub connect_timeout: Duration,
     /// The endpoint list as cached by an earlier process; it may be stale.
     pub cached_endpoints: Option<EndpointListUpdate>,
-    /// Whether delivered messages get a notification too.
+    /// Whether delivered messages are notified too, not only failed ones.
     pub notify_delivered: bool,
-    /// Greater than any number of a message that is known outside journal and store.
+    /// Lower bound for the numbers of new messages: greater than any message number recorded outside the journal and
+    /// the dead-letter store, such as in the sidecar's outcome log.
     pub first_message_number: u64,
-    /// How the process came to its state folder.
+    /// How the process got access to its state folder.
     pub folder_access: FolderAccess,
 }
 
@@ -77,41 +78,41 @@
 pub(crate) struct StoreOptions {
     /// What is stored, and for how long.
     pub config: StoreConfig,
-    /// Bytes that the store may take up with all that belongs to it.
+    /// Maximum size in bytes of the store with its auxiliary files.
     pub max_total_bytes: u64,
 }
 
-/// How a process came to its state folder, and where clients connect.
+/// How a process got access to its state folder and its listening socket.
 pub(crate) enum FolderAccess {
-    /// As it was configured, without a lock.
+    /// The folder and the address are used as configured, without a lock and without hot restart.
     Configured,
-    /// With the lock of the folder: another process may take over from this one, or this one has taken over from
-    /// another.
+    /// The process holds the folder's lock. It may have taken over from another process, and another one may take over
+    /// from it in a hot restart.
     Locked(FolderOwnership),
 }
 
-/// The classes that clients may name: the sender's own are none.
-pub(crate) fn of_clients(classes: impl Iterator<Item = (usize, Class)>) -> Vec<(usize, Class)> {
+/// The classes that clients may name in requests: all but the internal ones.
+pub(crate) fn client_classes(classes: impl Iterator<Item = (usize, Class)>) -> Vec<(usize, Class)> {
     classes
         .filter(|(_, class)| !is_internal_class(&class.name))
         .collect()
 }
 
-/// Reads the journal, opens the store, starts the engine, and listens.
+/// Reads the journal, opens the dead-letter store, starts the engine and listens for clients.
 ///
 /// # Errors
-/// When the journal, the store, the inherited state or the address can't be used.
+/// If the journal, the store, the state inherited from the predecessor or the address can't be used.
 pub(crate) async fn assemble(mut options: SenderOptions) -> Result<Running, Box<dyn Error>> {
     let (journal, recovery) = open_journal(&options)?;
     let (inputs, received) = mpsc::unbounded_channel();
-    let (notifications, endings) = mpsc::unbounded_channel();
-    let (ready, ready_seen) = watch::channel(false);
-    let handles = SharedHandles::new(inputs, ready_seen, &options.settings);
+    let (notifications, final_outcomes) = mpsc::unbounded_channel();
+    let (ready, ready_receiver) = watch::channel(false);
+    let handles = SharedHandles::new(inputs, ready_receiver, &options.settings);
     tokio::task::spawn_local(handles.gate.clone().run());
-    let calls = start_calls(&options, &handles);
+    let calls = create_transport(&options, &handles);
     let limits = ConnectionLimits::new(&options.budget, &calls);
     let server = http_server(&handles, &limits, &options.budget);
-    let clock = start_clock(&options)?;
+    let clock = create_clock(&options)?;
     let store_worker = store::start(&options, clock, &journal, &recovery, &handles.inputs)?;
     let observer = store::observer(store_worker.as_ref(), &handles.metrics);
     store::serve_control(store_worker.as_ref(), &options.state_dir)?;
@@ -125,32 +126,37 @@
         ready,
     };
     let ports = parts.into_ports(&mut options);
-    let folder = FolderParts::from_access(options.folder_access);
+    let inherited = InheritedParts::from_access(options.folder_access);
     let engine = start_engine(
         &options.name,
         ports,
         options.settings,
-        folder.predecessor,
+        inherited.predecessor,
         &handles,
         &limits,
     )?;
-    let listener = into_listener(folder.listener, options.listen_address, folder.is_shared)?;
+    let listener = into_listener(
+        inherited.listener,
+        options.listen_address,
+        inherited.is_shared,
+    )?;
     let name = options.name;
     let address = listener.local_addr()?;
     log(format_args!("{name}: listening on {address}"));
     let listening_socket = listener.as_fd().try_clone_to_owned()?;
     tokio::task::spawn_local(serve(listener, Rc::new(server)));
-    let owner = Owner {
+    let handover = HandoverParts {
         gate: handles.gate.clone(),
-        lock: folder.lock,
+        lock: inherited.lock,
         listening_socket,
     };
-    let requests = accept_takeovers(&name, &options.state_dir, &owner);
-    let engine = tokio::task::spawn_local(takeover::run_engine(engine, received, requests, owner));
-    Ok(Running::new(name, handles, endings, engine))
+    let requests = accept_takeovers(&name, &options.state_dir, &handover);
+    let engine =
+        tokio::task::spawn_local(takeover::run_engine(engine, received, requests, handover));
+    Ok(Running::new(name, handles, final_outcomes, engine))
 }
 
-/// Opens the journal and logs what was found in it.
+/// Opens the journal and logs what its recovery found.
 fn open_journal(options: &SenderOptions) -> Result<(FileJournal, Recovery), Box<dyn Error>> {
     let settings = &options.settings;
     let entries = settings
@@ -161,7 +167,7 @@
     Ok(opened)
 }
 
-/// Logs what the journal had, and what of it was damaged.
+/// Logs how many records and unfinished messages the journal had, and how much of it was torn off or damaged.
 fn log_recovery(name: &str, journal: &FileJournal, recovery: &Recovery) {
     let Recovery {
         records,
@@ -177,13 +183,13 @@
     }
     if *damaged_bytes > 0 {
         log(format_args!(
-            "{name}: journal damaged, {damaged_bytes} bytes skipped; all it holds may have run"
+            "{name}: journal damaged, {damaged_bytes} bytes skipped; every message in it may have run"
         ));
     }
 }
 
-/// The transport to the endpoints, with no connections yet.
-fn start_calls(options: &SenderOptions, handles: &SharedHandles) -> HttpTransport {
+/// Creates the HTTP transport to the endpoints; connections are opened on demand.
+fn create_transport(options: &SenderOptions, handles: &SharedHandles) -> HttpTransport {
     HttpTransport::new(
         options.idle_timeout,
         options.connect_timeout,
@@ -194,8 +200,9 @@
     )
 }
 
-/// The clock of the decision module. With a store it does not go back from one process to the next.
-fn start_clock(options: &SenderOptions) -> Result<Clock, Box<dyn Error>> {
+/// Creates the clock of the decision module. With a dead-letter store, its time does not go back from one process to
+/// the next.
+fn create_clock(options: &SenderOptions) -> Result<Clock, Box<dyn Error>> {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
@@ -207,14 +214,18 @@
     }))
 }
 
-/// Listens for processes that want to take over, if this one has the folder's lock.
-fn accept_takeovers(name: &str, state_dir: &Path, owner: &Owner) -> TakeoverRequests {
+/// Listens for processes that request a takeover, if this one holds the folder's lock.
+fn accept_takeovers(name: &str, state_dir: &Path, handover: &HandoverParts) -> TakeoverRequests {
     let (requests, requested) = mpsc::channel(1);
-    match owner.lock.is_some().then(|| old_process::listen(state_dir)) {
+    match handover
+        .lock
+        .is_some()
+        .then(|| old_process::listen(state_dir))
+    {
         Some(Ok(socket)) => {
             tokio::task::spawn_local(old_process::accept_requests(socket, requests));
         }
-        // an upgrade waits until this process has ended then
+        // without the socket, a new process waits for the folder's lock until this one has ended
         Some(Err(error)) => log(format_args!("{name}: no process can take over: {error}")),
         None => {}
     }
--- a/src/assemble/engine.rs
+++ b/src/assemble/engine.rs
@@ -1,9 +1,9 @@
-//! The engine of a sender: new, or restored from the state of the process that it takes over from.
+//! Starts a sender's engine, either new or, in a hot restart, restored from the predecessor's snapshot.
 
 use super::listener::ConnectionLimits;
 use super::running::SharedHandles;
 use super::takeover::{Predecessor, bridge_until_exit};
-use super::{SenderOptions, of_clients};
+use super::{SenderOptions, client_classes};
 use milletturn_dead_letter::store_worker::StoreWorker;
 use milletturn_engine::{Archive, Clock, Engine, Notification, Observer, Ports, RestoredEngine};
 use milletturn_journal::FileJournal;
@@ -13,7 +13,7 @@
 use std::error::Error;
 use tokio::sync::{mpsc, watch};
 
-/// The parts of an engine that are started before it.
+/// The components that an engine uses and that are started before it.
 pub(super) struct EngineParts {
     pub(super) clock: Clock,
     pub(super) journal: FileJournal,
@@ -25,7 +25,7 @@
 }
 
 impl EngineParts {
-    /// The engine's ports, with the settings of the options. What is large or only for the engine is moved out of
+    /// Builds the engine's ports from these parts and the options. Values that only the engine needs are moved out of
     /// the options.
     pub(super) fn into_ports(self, options: &mut SenderOptions) -> Ports {
         let store_worker = self.store_worker.as_ref();
@@ -51,7 +51,7 @@
     }
 }
 
-/// Starts an engine, from the predecessor's state if there is one.
+/// Starts an engine, from the predecessor's snapshot if there is one.
 pub(super) fn start_engine(
     name: &str,
     ports: Ports,
@@ -70,9 +70,9 @@
         mut engine,
         foreign_calls,
     } = Engine::restore(predecessor.snapshot, ports)?;
-    // the file may have changed since the old process read it
+    // the configuration file may have changed since the predecessor read it
     let positions = engine.reconfigure(settings.clone())?;
-    *handles.classes.borrow_mut() = of_clients(positions.into_iter().zip(settings.classes));
+    *handles.classes.borrow_mut() = client_classes(positions.into_iter().zip(settings.classes));
     log(format_args!(
         "{name}: takes over, {} calls out in the process before",
         foreign_calls.len()
--- a/src/assemble/listener.rs
+++ b/src/assemble/listener.rs
@@ -1,4 +1,4 @@
-//! Where clients connect, and how many connections there may be.
+//! The listening socket for clients, and the limits on open connections.
 
 use super::running::SharedHandles;
 use milletturn_platform::ResourceBudget;
@@ -9,11 +9,11 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::sync::Semaphore;
 
-/// Connections that the system holds until they are accepted: a burst of all clients of a large house. The system
-/// has a bound of its own.
+/// Connections that the kernel queues until they are accepted. Covers a burst in which all clients of a large
+/// installation connect at once; the kernel may apply a lower limit of its own.
 const BACKLOG: u32 = 1024;
 
-/// The limits of connections: each permit is a descriptor.
+/// The limits of open connections; each permit stands for one file descriptor.
 #[derive(Clone)]
 pub(super) struct ConnectionLimits {
     /// Connections from clients.
@@ -31,7 +31,7 @@
     }
 }
 
-/// The HTTP server for clients.
+/// Creates the HTTP server for clients.
 pub(super) fn http_server(
     handles: &SharedHandles,
     limits: &ConnectionLimits,
@@ -50,7 +50,7 @@
     }
 }
 
-/// The inherited socket, or a new one at the address.
+/// Returns the inherited listening socket, or binds a new one to the address.
 pub(super) fn into_listener(
     inherited: Option<std::net::TcpListener>,
     address: SocketAddr,
@@ -65,7 +65,7 @@
     }
 }
 
-/// Listens at the address. A shared one lets the next process listen beside this one.
+/// Listens on the address. With `is_shared`, another process may listen on the same address (`SO_REUSEPORT`).
 fn listen(address: SocketAddr, is_shared: bool) -> std::io::Result<TcpListener> {
     let socket = if address.is_ipv4() {
         TcpSocket::new_v4()?
--- a/src/assemble/running.rs
+++ b/src/assemble/running.rs
@@ -1,6 +1,6 @@
-//! A sender that runs, until SIGTERM and the end of its graceful shutdown.
+//! A running sender, up to the end of its graceful shutdown after SIGTERM.
 
-use super::{Signals, of_clients};
+use super::{Signals, client_classes};
 use milletturn_admin::Metrics;
 use milletturn_engine::{Input, Notification};
 use milletturn_logging::log;
@@ -14,20 +14,20 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until};
 
-/// From SIGTERM to the end of the process. SIGKILL comes no sooner than 3.7 s after SIGTERM.
+/// Time from SIGTERM to the end of the process. Below 3.7 s, the earliest that SIGKILL follows SIGTERM.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3300);
 
-/// What the parts of a sender share.
+/// Handles that the components of a sender share.
 pub(super) struct SharedHandles {
-    /// Inputs of the engine.
+    /// Sends inputs to the engine.
     pub(super) inputs: mpsc::UnboundedSender<Input>,
-    /// True once endpoints are known.
+    /// True once the sender knows its endpoints.
     pub(super) ready: watch::Receiver<bool>,
-    /// Whether clients are admitted.
+    /// Controls whether clients are admitted; closed while draining.
     pub(super) gate: Rc<DrainGate>,
-    /// What is counted.
+    /// Counters for the admin listener.
     pub(super) metrics: Rc<Metrics>,
-    /// Classes that clients may name, with their positions.
+    /// Classes that clients may name, with their positions in the settings.
     pub(super) classes: Rc<RefCell<Vec<(usize, Class)>>>,
 }
 
@@ -37,7 +37,7 @@
         ready: watch::Receiver<bool>,
         settings: &Settings,
     ) -> Self {
-        let classes = of_clients(settings.classes.iter().cloned().enumerate());
+        let classes = client_classes(settings.classes.iter().cloned().enumerate());
         SharedHandles {
             inputs,
             ready,
@@ -48,22 +48,22 @@
     }
 }
 
-/// A sender that runs.
+/// A running sender.
 pub(crate) struct Running {
-    /// Inputs of the engine.
+    /// Sends inputs to the engine.
     pub inputs: mpsc::UnboundedSender<Input>,
-    /// Final outcomes of which clients are to be notified.
-    pub ends: Option<mpsc::UnboundedReceiver<Notification>>,
-    /// What is counted.
+    /// Final outcomes of messages, to be notified; taken by the task that handles them.
+    pub final_outcomes: Option<mpsc::UnboundedReceiver<Notification>>,
+    /// Counters for the admin listener.
     pub metrics: Rc<Metrics>,
-    /// Whether clients are admitted.
+    /// Controls whether clients are admitted; closed while draining.
     pub gate: Rc<DrainGate>,
-    /// True once endpoints are known.
+    /// True once the sender knows its endpoints.
     pub ready: watch::Receiver<bool>,
-    /// Classes that clients may name, with their positions.
+    /// Classes that clients may name, with their positions in the settings.
     pub classes: Rc<RefCell<Vec<(usize, Class)>>>,
     name: String,
-    /// Ends with false if the process must exit at once.
+    /// The engine's task; its result is false if the process must exit at once.
     engine: JoinHandle<bool>,
 }
 
@@ -71,12 +71,12 @@
     pub(super) fn new(
         name: String,
         handles: SharedHandles,
-        ends: mpsc::UnboundedReceiver<Notification>,
+        final_outcomes: mpsc::UnboundedReceiver<Notification>,
         engine: JoinHandle<bool>,
     ) -> Self {
         Running {
             inputs: handles.inputs,
-            ends: Some(ends),
+            final_outcomes: Some(final_outcomes),
             metrics: handles.metrics,
             gate: handles.gate,
             ready: handles.ready,
@@ -86,14 +86,14 @@
         }
     }
 
-    /// Runs until SIGTERM, and then to the end. `hangup` is called at each SIGHUP.
+    /// Runs until SIGTERM, and then until the shutdown is complete or timed out. Calls `on_hangup` on each SIGHUP.
     ///
     /// # Errors
-    /// When the engine fails, or the process that takes over can't read this one's state.
+    /// If the engine fails, or the process that takes over can't read this one's state.
     pub(crate) async fn run_until_terminated(
         self,
         mut signals: Signals,
-        mut hangup: impl FnMut(),
+        mut on_hangup: impl FnMut(),
     ) -> Result<(), Box<dyn Error>> {
         let Running {
             inputs,
@@ -107,11 +107,12 @@
                 ended = &mut engine => {
                     return match ended? {
                         true => Ok(()),
-                        // nothing more may be answered or sent
-                        false => Err("the process that takes over can't read what this one knows".into()),
+                        // the engine has handed over its state, so this process must not respond to clients or call
+                        // endpoints any more
+                        false => Err("the process that takes over can't read the state of this one".into()),
                     };
                 }
-                Some(()) = signals.hangup.recv() => hangup(),
+                Some(()) = signals.hangup.recv() => on_hangup(),
                 _ = signals.terminate.recv() => break,
             }
         }
@@ -125,8 +126,8 @@
             tokio::select! {
                 () = &mut timeout => break,
                 _ = &mut engine => break,
-                // notifications are still pending while draining
-                Some(()) = signals.hangup.recv() => hangup(),
+                // the address for pending notifications can still be changed while draining
+                Some(()) = signals.hangup.recv() => on_hangup(),
             }
         }
         log(format_args!("{name}: ends"));
--- a/src/assemble/signals.rs
+++ b/src/assemble/signals.rs
@@ -1,18 +1,19 @@
-//! The runtime of a process, and the signals that end it.
+//! The async runtime of a process, and its handling of SIGTERM and SIGHUP.
 
 use milletturn_logging::log;
 use std::error::Error;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
 
-/// SIGTERM and SIGHUP, from before any file is read: a SIGHUP behind that must neither kill nor be missed.
+/// Handlers of SIGTERM and SIGHUP. They are installed before any file is read, because a SIGHUP after that must neither
+/// kill the process nor be missed.
 pub(crate) struct Signals {
     pub(super) terminate: Signal,
     pub(super) hangup: Signal,
 }
 
 impl Signals {
-    /// Handles both signals from now on.
+    /// Installs handlers for both signals.
     pub(crate) fn new() -> std::io::Result<Self> {
         Ok(Signals {
             terminate: signal(SignalKind::terminate())?,
@@ -20,7 +21,7 @@
         })
     }
 
-    /// Waits for SIGTERM; a process that has nothing to read anew does not end by SIGHUP.
+    /// Waits for SIGTERM and ignores SIGHUP, for processes without a configuration to reload.
     pub(crate) async fn until_terminated(&mut self) {
         loop {
             tokio::select! {
@@ -31,7 +32,7 @@
     }
 }
 
-/// Runs a future on a runtime of one thread.
+/// Runs a future to completion on a single-threaded runtime, with a local task set.
 pub(crate) fn block_on<T>(
     future: impl Future<Output = Result<T, Box<dyn Error>>>,
 ) -> Result<T, Box<dyn Error>> {
@@ -41,7 +42,7 @@
     LocalSet::new().block_on(&runtime, future)
 }
 
-/// Runs a service that has nothing to drain until SIGTERM, or until it fails; `name` stands in the log.
+/// Runs a service until SIGTERM, or until it fails, and ends without draining. `name` is its name in the log.
 pub(crate) async fn until_terminated<E: Error + 'static>(
     name: String,
     service: impl Future<Output = Result<(), E>>,
--- a/src/assemble/store.rs
+++ b/src/assemble/store.rs
@@ -1,4 +1,4 @@
-//! The dead-letter store of a sender, and the observers of its engine.
+//! Starts the dead-letter store of a sender, and builds the observers of its engine.
 
 use super::SenderOptions;
 use crate::access_log;
@@ -44,7 +44,7 @@
     })?))
 }
 
-/// Serves the commands of operators on the store's socket, if there is a store.
+/// Serves operators' commands on the store's control socket, if there is a store.
 pub(super) fn serve_control(
     store_worker: Option<&StoreWorker>,
     state_dir: &Path,
@@ -58,7 +58,8 @@
     Ok(())
 }
 
-/// The chain of observers: metrics, the access log if it is on, the store's, the log.
+/// Builds the chain of engine observers: metrics, the access log if enabled, the dead-letter store if there is one, and
+/// the program's log.
 pub(super) fn observer(
     store_worker: Option<&StoreWorker>,
     metrics: &Rc<Metrics>,
--- a/src/assemble/takeover.rs
+++ b/src/assemble/takeover.rs
@@ -1,4 +1,4 @@
-//! Hot restart: what a process inherits from the one before, and how the next one takes over from it.
+//! Hot restart: what a process inherits from its predecessor, and how it hands over to its successor.
 
 use super::FolderAccess;
 use super::listener::ConnectionLimits;
@@ -15,58 +15,59 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Requests of processes that want to take over.
+/// Receives the requests of processes that want to take over from this one.
 pub(super) type TakeoverRequests = mpsc::Receiver<TakeoverRequest>;
 
-/// What came with the state folder.
+/// What a process got together with its state folder: the lock and, in a hot restart, the predecessor's socket and
+/// state.
 #[derive(Default)]
-pub(super) struct FolderParts {
-    /// Whether another process may listen beside this one.
+pub(super) struct InheritedParts {
+    /// Whether another process may listen on the same address (`SO_REUSEPORT`).
     pub(super) is_shared: bool,
-    /// The lock of the folder.
+    /// The lock of the state folder; none without hot restart.
     pub(super) lock: Option<File>,
-    /// The socket where clients connect, if it is inherited.
+    /// The inherited listening socket for clients, if there is one.
     pub(super) listener: Option<TcpListener>,
-    /// The process that this one takes over from.
+    /// The process that this one takes over from, if there is one.
     pub(super) predecessor: Option<Predecessor>,
 }
 
 /// The process that this one takes over from.
 pub(super) struct Predecessor {
-    /// The state of its engine.
+    /// The state of the predecessor's engine.
     pub(super) snapshot: Snapshot,
-    /// Operators have drained it.
+    /// Whether operators have drained the predecessor.
     pub(super) is_drained: bool,
-    /// Its connections, which count against this process's limits until it is gone.
+    /// The predecessor's connections, which count towards this process's limits until the predecessor has ended.
     pub(super) in_use: ConnectionsInUse,
-    /// Receives what its clients and calls bring.
+    /// Receives the requests and call results that still arrive at the predecessor.
     pub(super) bridge: Bridge,
 }
 
-/// Connections of the predecessor.
+/// Numbers of connections that the predecessor still has open.
 pub(super) struct ConnectionsInUse {
     clients: usize,
     calls: usize,
 }
 
-impl FolderParts {
+impl InheritedParts {
     pub(super) fn from_access(access: FolderAccess) -> Self {
         match access {
-            FolderAccess::Configured => FolderParts::default(),
-            FolderAccess::Locked(FolderOwnership::Exclusive { lock, listener }) => FolderParts {
+            FolderAccess::Configured => InheritedParts::default(),
+            FolderAccess::Locked(FolderOwnership::Exclusive { lock, listener }) => InheritedParts {
                 is_shared: true,
                 lock: Some(lock),
                 listener,
                 predecessor: None,
             },
             FolderAccess::Locked(FolderOwnership::Takeover(takeover)) => {
-                FolderParts::from_takeover(*takeover)
+                InheritedParts::from_takeover(*takeover)
             }
         }
     }
 
     fn from_takeover(takeover: Takeover) -> Self {
-        FolderParts {
+        InheritedParts {
             is_shared: true,
             lock: Some(takeover.lock),
             listener: Some(takeover.listener),
@@ -83,29 +84,29 @@
     }
 }
 
-/// What a process needs to be taken over.
-pub(super) struct Owner {
+/// What a process needs in order to hand over to its successor.
+pub(super) struct HandoverParts {
     pub(super) gate: Rc<DrainGate>,
     pub(super) lock: Option<File>,
     pub(super) listening_socket: OwnedFd,
 }
 
-/// Runs the engine to its end, and what is left here after another process has taken over. False if the process must
-/// exit at once.
+/// Runs the engine until its inputs end. After a takeover by another process, forwards inputs to that process until the
+/// connections and calls of this one have ended. Returns false if the process must exit at once.
 pub(super) async fn run_engine(
     mut engine: Engine,
     mut inputs: mpsc::UnboundedReceiver<Input>,
     requests: TakeoverRequests,
-    owner: Owner,
+    handover: HandoverParts,
 ) -> bool {
-    match run_until_takeover(&mut engine, &mut inputs, requests, &owner).await {
+    match run_until_takeover(&mut engine, &mut inputs, requests, &handover).await {
         None => true,
         Some(OfferOutcome::MustExit) => false,
         Some(OfferOutcome::TakenOver(request)) => {
             let forwarding = ForwardingState {
                 cancels: engine.into_cancel_senders(),
                 inputs,
-                gate: owner.gate,
+                gate: handover.gate,
             };
             forwarding.forward_until_idle(request).await;
             true
@@ -113,43 +114,50 @@
     }
 }
 
-/// Runs the engine until its inputs end, or until another process takes over.
+/// Runs the engine until its inputs end (none), or until a takeover was offered and has not failed.
 async fn run_until_takeover(
     engine: &mut Engine,
     inputs: &mut mpsc::UnboundedReceiver<Input>,
     mut requests: TakeoverRequests,
-    owner: &Owner,
+    handover: &HandoverParts,
 ) -> Option<OfferOutcome> {
     loop {
         let request = tokio::select! {
             () = engine.run(inputs) => return None,
             Some(request) = requests.recv() => request,
         };
-        // a process that ends is not taken over: the next one begins when it is gone
-        let Some(lock) = owner.lock.as_ref().filter(|_| !owner.gate.is_retiring()) else {
+        // no takeover while this process shuts down: the next process starts when this one has ended
+        let Some(lock) = handover
+            .lock
+            .as_ref()
+            .filter(|_| !handover.gate.is_retiring())
+        else {
             continue;
         };
         let inherited = InheritedState {
-            listener: owner.listening_socket.as_fd(),
+            listener: handover.listening_socket.as_fd(),
             lock: lock.as_fd(),
-            gate: &owner.gate,
+            gate: &handover.gate,
         };
         match old_process::offer_takeover(request, engine, &inherited).await {
             Ok(outcome) => {
-                owner.gate.hand_over();
+                handover.gate.hand_over();
                 log(format_args!(
                     "hot restart: {} clients and {} calls stay here",
-                    owner.gate.open_connections(),
+                    handover.gate.open_connections(),
                     engine.calls_in_flight()
                 ));
                 return Some(outcome);
             }
-            Err(error) => log(format_args!("hot restart: goes on here: {error}")),
+            Err(error) => log(format_args!(
+                "hot restart: takeover failed, this process goes on: {error}"
+            )),
         }
     }
 }
 
-/// Receives from the predecessor until that is gone. Meanwhile its descriptors count against this process's.
+/// Receives inputs from the predecessor until it has ended. Meanwhile its open connections count towards the limits of
+/// this process.
 pub(super) async fn bridge_until_exit(
     bridge: Bridge,
     foreign_calls: Vec<ForeignCall>,
@@ -157,15 +165,16 @@
     limits: ConnectionLimits,
     in_use: ConnectionsInUse,
 ) {
-    let mut lent = Vec::new();
+    let mut reserved_permits = Vec::new();
     for (limit, in_use) in [
         (limits.clients, in_use.clients),
         (limits.calls, in_use.calls),
     ] {
-        // half stays: the old process gives its own back within seconds
-        let part = u32::try_from(in_use.min(limit.available_permits() / 2)).unwrap_or(0);
-        lent.extend(limit.try_acquire_many_owned(part));
+        // reserves at most half of the available permits, so that this process can work at once; the predecessor closes
+        // its connections within seconds
+        let reserved = u32::try_from(in_use.min(limit.available_permits() / 2)).unwrap_or(0);
+        reserved_permits.extend(limit.try_acquire_many_owned(reserved));
     }
     bridge.run(foreign_calls, inputs).await;
-    drop(lent);
+    drop(reserved_permits);
 }
--- a/src/columns.rs
+++ b/src/columns.rs
@@ -1,4 +1,4 @@
-//! Tables of text, for people.
+//! Aligned text tables, for output that people read.
 
 /// Aligns rows into columns: one line for each row, each column as wide as its widest cell.
 pub(crate) fn columns(rows: &[Vec<String>]) -> String {
--- a/src/config.rs
+++ b/src/config.rs
@@ -72,7 +72,7 @@
 const EFFECTS: [&str; 3] = ["repeatable", "keyed", "unsafe"];
 
 /// So many findings, in words.
-pub(crate) fn count_of_findings(count: usize) -> String {
+pub(crate) fn findings_count_text(count: usize) -> String {
     format!("{count} finding{}", if count == 1 { "" } else { "s" })
 }
 
@@ -166,7 +166,7 @@
         let _ = writeln!(
             std::io::stderr(),
             "{}; `milletturn config explain CODE` says more",
-            count_of_findings(found)
+            findings_count_text(found)
         );
     }
     exit_code(found)
--- a/src/coordinator.rs
+++ b/src/coordinator.rs
@@ -43,10 +43,10 @@
     generation: Option<u64>,
 }
 
-/// Runs until SIGTERM, or makes a disk.
+/// Runs a coordinator until SIGTERM. With `--found`, creates the state folder of a new coordinator instead and returns.
 ///
 /// # Errors
-/// Why it can't.
+/// If the settings or the backup can't be read, the state folder can't be created, or the service fails.
 pub(crate) fn run(arguments: &Arguments) -> Result<(), Box<dyn Error>> {
     let settings = Settings::read(&arguments.config)?;
     if arguments.found {
--- a/src/format.rs
+++ b/src/format.rs
@@ -2,7 +2,7 @@
 
 use clap::ValueEnum;
 
-/// Who reads the output.
+/// The output format that `--format` selects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub(crate) enum Format {
     /// Tables and text for people.
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -1,12 +1,12 @@
-//! The observer that writes the log.
+//! The engine observer that writes the program's log.
 
 use milletturn_engine::{EngineEvent, Observer};
 use milletturn_logging::{RateLimitedLog, log};
 
-/// Logs the lines of the decision module, and faults of the journal at a limited rate.
+/// Logs the texts of the decision module, and journal errors at a limited rate.
 #[derive(Debug, Default)]
 pub(crate) struct Logger {
-    journal_faults: RateLimitedLog,
+    journal_errors: RateLimitedLog,
 }
 
 impl Observer for Logger {
@@ -14,7 +14,7 @@
         match event {
             EngineEvent::PolicyLog(text) => log(format_args!("{text}")),
             EngineEvent::JournalFailed(error) => {
-                self.journal_faults.log(format_args!("journal: {error}"));
+                self.journal_errors.log(format_args!("journal: {error}"));
             }
             _ => {}
         }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The program `milletturn`: parses the command line and runs the chosen command, or the platform's sender without one.
 
 mod access_log;
 mod assemble;
@@ -85,16 +85,17 @@
         Some(Command::DeadLetter(arguments)) => dead_letter::run(&arguments, store_file.as_deref()),
         Some(Command::AccessLog(arguments)) => access_log::run(&arguments),
         Some(Command::Config(arguments)) => config::run(&arguments),
-        Some(Command::Coordinator(arguments)) => ended(coordinator::run(&arguments)),
-        Some(Command::SessionProxy(arguments)) => ended(session_proxy::run(&arguments)),
+        Some(Command::Coordinator(arguments)) => into_exit_code(coordinator::run(&arguments)),
+        Some(Command::SessionProxy(arguments)) => into_exit_code(session_proxy::run(&arguments)),
         Some(Command::Fleet(arguments)) => fleet::run(&arguments),
-        Some(Command::Demo { once }) => ended(demo::run(once)),
-        Some(Command::Sidecar { config }) => ended(sidecar::run(&config)),
-        None => ended(run::run(store_file.as_deref())),
+        Some(Command::Demo { once }) => into_exit_code(demo::run(once)),
+        Some(Command::Sidecar { config }) => into_exit_code(sidecar::run(&config)),
+        None => into_exit_code(run::run(store_file.as_deref())),
     }
 }
 
-fn ended(result: Result<(), Box<dyn std::error::Error>>) -> ExitCode {
+/// Prints the error of a command that failed on standard error.
+fn into_exit_code(result: Result<(), Box<dyn std::error::Error>>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -1,4 +1,4 @@
-//! The admin listener beside a running sender, on the platform and beside an application alike.
+//! Starts the admin listener of a running sender, for the platform's sender and for the sidecar.
 
 use crate::assemble::Running;
 use milletturn_admin::server::{AdminState, serve};
@@ -8,10 +8,10 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// Opens the listener.
+/// Binds the admin listener to the address and serves it in the background.
 ///
 /// # Errors
-/// When the address can't be had.
+/// If the address can't be bound.
 pub(crate) async fn open(
     name: &str,
     address: SocketAddr,
--- a/src/run.rs
+++ b/src/run.rs
@@ -1,7 +1,7 @@
-//! The sender as the platform runs it: its configuration, its agent, reload on SIGHUP.
+//! The sender on the platform: reads its configuration, connects to the discovery agent, and reloads on SIGHUP.
 
 use crate::assemble::{
-    FolderAccess, Running, SenderOptions, Signals, StoreOptions, assemble, block_on, of_clients,
+    FolderAccess, Running, SenderOptions, Signals, StoreOptions, assemble, block_on, client_classes,
 };
 use crate::operators;
 use milletturn_admin::Metrics;
@@ -23,15 +23,16 @@
 use std::time::Duration;
 use tokio::sync::{Mutex, mpsc, oneshot, watch};
 
-/// Descriptors of the store: its file and rollback journal, the socket and its commands.
+/// File descriptors reserved for the dead-letter store: its file, rollback journal, control socket and open commands.
 const STORE_DESCRIPTORS: usize = 8;
-/// Part of the folder that the journal of what is owed keeps for itself at least.
-const JOURNAL_PART: u64 = 2;
+/// The journal of unfinished messages gets at least 1/`JOURNAL_DIVISOR` of the state folder's bytes; the dead-letter
+/// store may reserve the rest.
+const JOURNAL_DIVISOR: u64 = 2;
 
-/// Runs until SIGTERM.
+/// Runs the platform's sender until SIGTERM.
 ///
 /// # Errors
-/// Why it could not start.
+/// If the configuration is invalid, the sender can't start, or its engine fails.
 pub(crate) fn run(store_file: Option<&Path>) -> Result<(), Box<dyn Error>> {
     block_on(run_sender(store_file))
 }
@@ -73,7 +74,7 @@
         metrics: running.metrics.clone(),
         inputs: running.inputs.clone(),
         classes: running.classes.clone(),
-        one_at_a_time: Mutex::new(()),
+        reload_lock: Mutex::new(()),
     });
     running
         .run_until_terminated(signals, move || {
@@ -82,42 +83,44 @@
         .await
 }
 
-/// Waits for the state folder; none if SIGTERM came first.
+/// Waits until this process may use the state folder; none if SIGTERM came first.
 async fn acquire_access(
     config: &Config,
     has_store: bool,
     signals: &mut Signals,
 ) -> std::io::Result<Option<FolderAccess>> {
-    // what the store is owed can't be handed on: with one, the next process begins when this one has ended
+    // pending writes of a dead-letter store can't be handed over, so there is no hot restart with a store: the next
+    // process starts after this one has ended
     if has_store {
         return Ok(Some(FolderAccess::Configured));
     }
     tokio::select! {
         ownership = acquire_folder(&config.state_dir) => Ok(Some(FolderAccess::Locked(ownership?))),
-        // nothing has been accepted, and the process that it waits for may outlast any patience
+        // no message has been accepted yet, and the process that holds the folder may run for an unlimited time
         () = signals.until_terminated() => {
-            log(format_args!("{}: SIGTERM before the folder was free, ends", config.name));
+            log(format_args!("{}: SIGTERM while waiting for the state folder, ends", config.name));
             Ok(None)
         }
     }
 }
 
-/// Descriptors of the admin listener and the store, beside those of delivery.
+/// File descriptors of the admin listener and the dead-letter store, which are not available for delivery.
 fn reserved_descriptors(config: &Config, has_store: bool) -> usize {
     let admin = config.management_address.map_or(0, |_| MAX_DESCRIPTORS);
     admin + if has_store { STORE_DESCRIPTORS } else { 0 }
 }
 
-/// Where the watch of the endpoint list begins.
+/// Where the watch of the endpoint list starts.
 struct WatchStart {
-    /// The version of the list that is known; zero asks for the whole list.
+    /// The known version of the endpoint list; zero requests the full list.
     version: u64,
     backoff: DiscoveryBackoff,
 }
 
 impl WatchStart {
     fn new(config: &Config, folder_access: &FolderAccess) -> Self {
-        // a list that another process has followed may be newer than the file's: the next one is asked for whole
+        // in a hot restart the predecessor's endpoint list may be newer than the cached file, so the full list is
+        // requested
         let is_takeover = matches!(
             folder_access,
             FolderAccess::Locked(FolderOwnership::Takeover(_))
@@ -167,7 +170,8 @@
     })
 }
 
-/// Starts to watch the endpoint list and to post notifications; the agent's address can be changed by what is returned.
+/// Starts to watch the endpoint list and to post notifications. The returned channel changes the discovery agent's
+/// address.
 fn start_discovery(
     address: SocketAddr,
     start: WatchStart,
@@ -181,25 +185,28 @@
         start.backoff,
         running.inputs.clone(),
     ));
-    if let Some(ends) = running.ends.take() {
+    if let Some(final_outcomes) = running.final_outcomes.take() {
         tokio::task::spawn_local(post_notifications(
             Tcp,
             addresses,
-            ends,
+            final_outcomes,
             running.inputs.clone(),
         ));
     }
     discovery
 }
 
-/// The bytes that the store leaves to the journal.
+/// The bytes of the state folder that remain for the journal beside the dead-letter store.
+///
+/// # Errors
+/// If the store's reservation leaves the journal less than its minimum part.
 fn journal_max_bytes(store: &StoreConfig, disk_bytes: u64) -> Result<u64, Box<dyn Error>> {
     let max_bytes = disk_bytes.saturating_sub(RESERVED_STORE_SIZES * store.max_bytes);
-    if max_bytes >= disk_bytes / JOURNAL_PART {
+    if max_bytes >= disk_bytes / JOURNAL_DIVISOR {
         return Ok(max_bytes);
     }
     let (store_mb, disk_mb) = (store.max_bytes as f64 / 1e6, disk_bytes as f64 / 1e6);
-    let max_store_mb = disk_mb / (JOURNAL_PART * RESERVED_STORE_SIZES) as f64;
+    let max_store_mb = disk_mb / (JOURNAL_DIVISOR * RESERVED_STORE_SIZES) as f64;
     let reserved = format!(
         "with a transaction and a damaged file set aside the store may take up {RESERVED_STORE_SIZES} times that"
     );
@@ -210,7 +217,7 @@
     .into())
 }
 
-/// What SIGHUP does: all that the file says is taken over, or nothing.
+/// Reload on SIGHUP: applies the whole configuration file or, if any of it is rejected, nothing.
 struct Reload {
     name: String,
     path: PathBuf,
@@ -220,16 +227,16 @@
     metrics: Rc<Metrics>,
     inputs: mpsc::UnboundedSender<Input>,
     classes: Rc<RefCell<Vec<(usize, Class)>>>,
-    /// Reloads go one at a time, in the order of their signals.
-    one_at_a_time: Mutex<()>,
+    /// Serialises reloads, in the order of their signals.
+    reload_lock: Mutex<()>,
 }
 
 impl Reload {
     async fn run(self: Rc<Self>) {
-        let _guard = self.one_at_a_time.lock().await;
+        let _guard = self.reload_lock.lock().await;
         let name = &self.name;
         match self.apply().await {
-            Ok((before, now)) => {
+            Ok((previous, current)) => {
                 self.metrics.config_applied.update(|count| count + 1);
                 let classes: Vec<String> = self
                     .classes
@@ -239,7 +246,7 @@
                     .collect();
                 let classes = classes.join(", ");
                 log(format_args!(
-                    "{name}: SIGHUP, discovery at {now}, before at {before}; classes {classes}"
+                    "{name}: SIGHUP, discovery at {current}, before at {previous}; classes {classes}"
                 ));
             }
             Err(error) => {
@@ -249,7 +256,8 @@
         }
     }
 
-    /// The address of discovery before and now. The engine comes first: what it turns down changes nothing else.
+    /// Applies the file and returns the previous and the new discovery address. The engine is reconfigured first, so
+    /// that settings which the engine rejects change nothing else.
     async fn apply(&self) -> Result<(SocketAddr, SocketAddr), Box<dyn Error>> {
         let ReloadedConfig {
             discovery_address: discovery,
@@ -260,7 +268,7 @@
         self.inputs
             .send(Input::Reconfigure(Box::new(settings), reply))?;
         let positions = positions.await??;
-        *self.classes.borrow_mut() = of_clients(positions.into_iter().zip(classes));
+        *self.classes.borrow_mut() = client_classes(positions.into_iter().zip(classes));
         Ok((self.discovery.send_replace(discovery), discovery))
     }
 }
--- a/src/session_proxy.rs
+++ b/src/session_proxy.rs
@@ -1,7 +1,7 @@
 //! `milletturn session-proxy`: batches the heartbeats and commands of many members for the coordinators.
 
 use crate::assemble::{block_on, until_terminated};
-use crate::config::{count_of_findings, report};
+use crate::config::{findings_count_text, report};
 use crate::format::Format;
 use crate::output;
 use clap::Args;
@@ -9,7 +9,7 @@
 use std::error::Error;
 use std::path::PathBuf;
 
-const FILE: &str = r#"The file:
+const SETTINGS_HELP: &str = r#"The file:
   group = "harbour"                # as in the coordinators' files
   name = "relay-1"                 # for its log and its status
   listen = "10.0.0.9:7401"         # where members reach it
@@ -23,7 +23,7 @@
 /// stores nothing: start, stop and replace it at will. Plain HTTP without authentication: keep it on loopback or private
 /// addresses.
 #[derive(Debug, Args)]
-#[command(after_long_help = FILE)]
+#[command(after_long_help = SETTINGS_HELP)]
 pub(crate) struct Arguments {
     /// Its settings file (TOML).
     #[arg(long, value_name = "FILE")]
@@ -42,12 +42,12 @@
     if let Some(settings) = &settings {
         settings::reserve_descriptors(&mut document, settings);
     }
-    let found = report(std::slice::from_ref(&document), Format::Text);
-    let Some(settings) = settings.filter(|_| found == 0) else {
+    let finding_count = report(std::slice::from_ref(&document), Format::Text);
+    let Some(settings) = settings.filter(|_| finding_count == 0) else {
         return Err(format!(
             "{}: {}",
             arguments.config.display(),
-            count_of_findings(found)
+            findings_count_text(finding_count)
         )
         .into());
     };
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -1,9 +1,9 @@
-//! `milletturn sidecar`: the sender beside an application, with no platform; and `milletturn demo`.
+//! `milletturn sidecar`: the sender beside an application, without the platform. `milletturn demo` starts it too.
 
 use crate::assemble::{
     FolderAccess, Running, SenderOptions, Signals, StoreOptions, assemble, block_on,
 };
-use crate::config::{count_of_findings, report};
+use crate::config::{findings_count_text, report};
 use crate::format::Format;
 use crate::operators;
 use milletturn_admin::Metrics;
@@ -26,7 +26,7 @@
 /// Runs a sidecar until SIGTERM. A configuration with findings is reported as by `config check`, and nothing starts.
 ///
 /// # Errors
-/// Why it could not start.
+/// If the configuration has findings, the sidecar can't start, or its engine fails.
 pub(crate) fn run(path: &Path) -> Result<(), Box<dyn Error>> {
     block_on(run_sidecar(path))
 }
@@ -34,21 +34,21 @@
 async fn run_sidecar(path: &Path) -> Result<(), Box<dyn Error>> {
     let signals = Signals::new()?;
     let mut documents = check_documents(vec![Document::read(path)]);
-    let sound = documents
+    let valid_document = documents
         .first_mut()
         .filter(|document| document.findings.is_empty());
-    // held until the process ends
-    let _lock =
-        sound.and_then(|document| environment::check(document, environment::CheckMode::Start));
-    let found = report(&documents, Format::Text);
+    // the lock of the state folder, held until the process ends
+    let _lock = valid_document
+        .and_then(|document| environment::check(document, environment::CheckMode::Start));
+    let finding_count = report(&documents, Format::Text);
     let [document] = &documents[..] else {
         return Ok(());
     };
-    if found > 0 {
+    if finding_count > 0 {
         return Err(format!(
             "{}: {}; nothing has been started",
             path.display(),
-            count_of_findings(found)
+            findings_count_text(finding_count)
         )
         .into());
     }
@@ -122,7 +122,7 @@
     })
 }
 
-/// Writes the ends of messages down as outcomes, and sends them to the callback if there is one.
+/// Records final outcomes of messages in the outcome log, and sends them to the callback if one is configured.
 fn store_outcomes(
     shared: SharedOutcomeLog,
     callback: Option<Callback>,
@@ -130,35 +130,36 @@
     running: &mut Running,
 ) {
     let callback = callback.map(|callback| {
-        let (sender, ended) = mpsc::unbounded_channel();
-        tokio::task::spawn_local(callback.run(shared.clone(), seed, ended));
+        let (sender, outcomes) = mpsc::unbounded_channel();
+        tokio::task::spawn_local(callback.run(shared.clone(), seed, outcomes));
         (callback.class, sender)
     });
-    if let Some(ends) = running.ends.take() {
-        tokio::task::spawn_local(shared.record_endings(ends, callback));
+    if let Some(final_outcomes) = running.final_outcomes.take() {
+        tokio::task::spawn_local(shared.record_endings(final_outcomes, callback));
     }
 }
 
-/// A seed that is another in each process: the time in nanoseconds.
+/// A random seed that differs between processes: the Unix time in nanoseconds.
 fn random_seed() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.unwrap_or_default().as_nanos() as u64
 }
 
-/// Checks the file at SIGHUP and logs whether a start would take it; what runs goes on as it is.
+/// Checks the configuration file on SIGHUP and logs whether a start would accept it. The running sidecar keeps its
+/// settings.
 fn reload(name: &str, path: &Path, metrics: &Metrics) {
     let documents = check_documents(vec![Document::read(path)]);
     match report(&documents, Format::Text) {
         0 => log(format_args!(
-            "{name}: SIGHUP, {} is sound; it binds from the next start on",
+            "{name}: SIGHUP, {} is sound; it takes effect at the next start",
             path.display()
         )),
-        found => {
+        finding_count => {
             metrics.config_rejected.update(|count| count + 1);
             log(format_args!(
                 "{name}: SIGHUP, {} would be rejected at a start ({}); nothing changed",
                 path.display(),
-                count_of_findings(found)
+                findings_count_text(finding_count)
             ));
         }
     }
--- a/src/timekeeper.rs
+++ b/src/timekeeper.rs
@@ -1,61 +1,69 @@
-//! Time that does not go back from one life to the next, even if the wall clock does.
+//! A start time for the engine's clock that does not go back from one process to the next, even if the wall clock does.
 //!
-//! A key's window is counted from attempts of an earlier life. A wall clock that was set back between the lives
-//! would show too little of it as passed, and a resend would take effect twice. So each life writes down what its
-//! clock showed beside the time since the machine's start, which nobody sets.
+//! The window in which destinations drop repeats of an idempotency key is counted from attempts of earlier processes. If
+//! the wall clock was set back between two processes, too little of the window would seem to have passed, and a redriven
+//! message could take effect twice. So each process saves its clock's time together with the machine's uptime, which
+//! can't be set.
 
 use std::fs;
 use std::path::Path;
 
-/// The file in the state folder: the machine's start by its id, microseconds since then, Unix microseconds.
-const FILE: &str = "clock";
-/// A year in microseconds: a saved time that is later than that by the wall clock is not believed.
-const YEAR_US: i64 = 366 * 86_400 * 1_000_000;
+/// Name of the file in the state folder. It holds the kernel's boot id, the uptime in microseconds and the clock's time in
+/// Unix microseconds.
+const CLOCK_FILE: &str = "clock";
+/// A saved time more than a year (in microseconds) ahead of the wall clock is ignored as damaged.
+const MAX_LEAD_US: i64 = 366 * 86_400 * 1_000_000;
 
-/// The wall clock, or the time that an earlier life's clock would show now, if that is later. An error leaves the
-/// wall clock: then a step back is seen only if it reaches behind an attempt.
+/// Returns the later of the wall clock and the time that the clock of the previous process would show now, in Unix
+/// microseconds, and saves it. If the file or the uptime can't be read, returns the wall clock; a clock that was set back
+/// is then noticed only if it shows a time before a recorded attempt.
 pub(crate) fn module_time(folder: &Path, wall: i64) -> i64 {
     let Some((boot, uptime)) = since_boot() else {
         return wall;
     };
-    let time = resumed(
-        &fs::read_to_string(folder.join(FILE)).unwrap_or_default(),
+    let time = continued_time(
+        &fs::read_to_string(folder.join(CLOCK_FILE)).unwrap_or_default(),
         &boot,
         uptime,
         wall,
     );
-    let new = folder.join(format!("{FILE}.new"));
+    let new = folder.join(format!("{CLOCK_FILE}.new"));
     let written = fs::write(&new, format!("{boot} {uptime} {time}\n"))
-        .and_then(|()| fs::rename(&new, folder.join(FILE)));
+        .and_then(|()| fs::rename(&new, folder.join(CLOCK_FILE)));
     if let Err(error) = written {
-        milletturn_logging::log(format_args!("clock: {error}"));
+        milletturn_logging::log(format_args!("clock not saved: {error}"));
     }
     time
 }
 
-fn resumed(text: &str, boot: &str, uptime: i64, wall: i64) -> i64 {
+/// Continues the saved time by the uptime that has passed since, or by nothing after a reboot. Never before `wall`.
+fn continued_time(text: &str, boot: &str, uptime: i64, wall: i64) -> i64 {
     let mut fields = text.split_whitespace();
-    let (Some(then), Some(at), Some(unix)) = (fields.next(), fields.next(), fields.next()) else {
+    let (Some(saved_boot), Some(saved_uptime), Some(saved_time)) =
+        (fields.next(), fields.next(), fields.next())
+    else {
         return wall;
     };
-    let (Ok(at), Ok(unix)) = (at.parse::<i64>(), unix.parse::<i64>()) else {
+    let (Ok(saved_uptime), Ok(saved_time)) =
+        (saved_uptime.parse::<i64>(), saved_time.parse::<i64>())
+    else {
         return wall;
     };
-    let passed = if then == boot {
-        uptime.saturating_sub(at).max(0)
+    let elapsed = if saved_boot == boot {
+        uptime.saturating_sub(saved_uptime).max(0)
     } else {
         0
     };
-    // an absurd time in the file must not stop the clock for ever
-    let carried = unix.saturating_add(passed);
-    if carried > wall.saturating_add(YEAR_US) {
+    // a damaged time far in the future must not hold the clock there
+    let continued = saved_time.saturating_add(elapsed);
+    if continued > wall.saturating_add(MAX_LEAD_US) {
         wall
     } else {
-        wall.max(carried)
+        wall.max(continued)
     }
 }
 
-/// The machine's present start by its id, and microseconds since then, sleep included (proc(5)).
+/// The kernel's boot id, and microseconds since the boot including suspend (proc(5)).
 fn since_boot() -> Option<(String, i64)> {
     let boot = fs::read_to_string("/proc/sys/kernel/random/boot_id")
         .ok()?
--- a/src/timekeeper/tests.rs
+++ b/src/timekeeper/tests.rs
@@ -1,25 +1,25 @@
-//! What the clock shows after a restart.
+//! Tests of the clock's start time after a restart.
 
-use super::resumed;
+use super::continued_time;
 
 #[test]
-fn the_clock_never_goes_back_between_lives() {
+fn the_clock_never_goes_back_between_processes() {
     let saved = "boot-a 5000000 1000000000";
-    // three seconds later, by the machine's own count, whatever the wall says
+    // by the uptime, three seconds have passed since the time was saved, although the wall clock was set back
     assert_eq!(
-        resumed(saved, "boot-a", 8_000_000, 900_000_000),
+        continued_time(saved, "boot-a", 8_000_000, 900_000_000),
         1_003_000_000
     );
     assert_eq!(
-        resumed(saved, "boot-a", 8_000_000, 2_000_000_000),
+        continued_time(saved, "boot-a", 8_000_000, 2_000_000_000),
         2_000_000_000
     );
-    // another start of the machine: not before what was shown
+    // after a reboot the uptime says nothing, but the clock does not go back behind the saved time
     assert_eq!(
-        resumed(saved, "boot-b", 8_000_000, 900_000_000),
+        continued_time(saved, "boot-b", 8_000_000, 900_000_000),
         1_000_000_000
     );
     for bad in ["", "boot-a", "boot-a x y", "boot-a 1 9223372036854775807"] {
-        assert_eq!(resumed(bad, "boot-a", 2, 77), 77, "{bad}");
+        assert_eq!(continued_time(bad, "boot-a", 2, 77), 77, "{bad}");
     }
 }
