--- a/src/access_log.rs
+++ b/src/access_log.rs
@@ -1,4 +1,4 @@
-//! `milletturn access-log`: what all senders of a group did, summed over their logs.
+//! `milletturn access-log`: summarises the access logs of several senders by destination and time span.
 
 use crate::format::Format;
 use crate::output::{self, Reader};
@@ -9,11 +9,11 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-/// Longest line that is read; a longer one is no record.
+/// Maximum length of a line of a log; longer lines hold no access record.
 const MAX_LINE_BYTES: u64 = 64 * 1024;
 
-/// The heads of the columns of the text form.
-const COLUMN_HEADS: &str = "  to     from taken  away  sent again    ok refused failed delivered  mean-s given-up untried  held sick back left limit";
+/// Column titles of the text format.
+const COLUMN_TITLES: &str = "  to     from taken  away  sent again    ok refused failed delivered  mean-s given-up untried  held sick back left limit";
 
 /// What all senders of a fleet did, by destination and second, from their logs.
 ///
@@ -37,7 +37,7 @@
     format: Format,
 }
 
-/// A log that can't be read.
+/// A log file can't be read.
 #[derive(Debug, thiserror::Error)]
 #[error("{}: {source}", path.display())]
 struct LogReadError {
@@ -50,7 +50,7 @@
     std::env::var_os("MILLETTURN_TRACE").is_some_and(|value| value == "1")
 }
 
-/// Prints the summary.
+/// Reads the logs and prints their summary.
 pub(crate) fn run(arguments: &Arguments) -> ExitCode {
     let summary = match read_logs(arguments) {
         Ok(summary) => summary,
@@ -69,7 +69,7 @@
 }
 
 fn read_logs(arguments: &Arguments) -> Result<AccessLogSummary, LogReadError> {
-    // an interval that is no number becomes the shortest one
+    // a negative span or NaN becomes 0, which the summary raises to its minimum of 1 us
     let mut summary = AccessLogSummary::new((arguments.span * 1e6) as u64);
     for path in &arguments.files {
         add_log(&mut summary, path).map_err(|source| LogReadError {
@@ -80,6 +80,7 @@
     Ok(summary)
 }
 
+/// Adds the access records of one log file to the summary; other lines are ignored.
 fn add_log(summary: &mut AccessLogSummary, path: &Path) -> io::Result<()> {
     let mut log = BufReader::new(File::open(path)?);
     let mut bytes = Vec::new();
@@ -95,22 +96,22 @@
     }
 }
 
-/// Prints the rows of the destination that is asked for, or of all, and returns how many there were.
+/// Prints the rows of the selected destination, or of all, and returns their number.
 ///
-/// A reader that is gone has seen enough: it counts as a row.
+/// Returns at least 1 if standard output can't be written, since the logs may well hold records then.
 fn print(arguments: &Arguments, summary: &AccessLogSummary) -> usize {
     let mut count = 0;
     let rows = summary
         .rows()
         .filter(|row| {
-            let wanted = arguments.destination;
-            wanted.is_none_or(|wanted| wanted == row.destination)
+            let selected = arguments.destination;
+            selected.is_none_or(|selected| selected == row.destination)
         })
         .inspect(|_| count += 1);
     let printed = match arguments.format {
         Format::Text => {
-            let heads = std::iter::once(COLUMN_HEADS.to_string());
-            output::print_lines(heads.chain(rows.map(|row| text_line(&row))))
+            let titles = std::iter::once(COLUMN_TITLES.to_string());
+            output::print_lines(titles.chain(rows.map(|row| text_line(&row))))
         }
         Format::Json => output::print_lines(rows.map(|row| json_object(&row))),
     };
@@ -126,6 +127,7 @@
     count
 }
 
+/// Formats a row under the column titles.
 fn text_line(row: &SummaryRow) -> String {
     let totals = row.totals;
     let reports = totals.reports.max(1) as f64;
@@ -152,6 +154,7 @@
     )
 }
 
+/// Formats a row as a JSON object.
 fn json_object(row: &SummaryRow) -> serde_json::Value {
     let mut object = serde_json::json!(row.totals);
     object["to"] = row.destination.into();
--- a/src/config.rs
+++ b/src/config.rs
@@ -1,4 +1,4 @@
-//! `milletturn config`: writes, checks, shows and explains configurations.
+//! `milletturn config`: writes, checks, shows and explains configurations of sidecars.
 
 use crate::format::Format;
 use crate::output;
@@ -69,20 +69,20 @@
     Reference,
 }
 
+/// Values of `--effect`: what a repeat of a message does at its destination.
 const EFFECTS: [&str; 3] = ["repeatable", "keyed", "unsafe"];
 
-/// So many findings, in words.
+/// The number of findings as text, such as "1 finding" or "2 findings".
 pub(crate) fn findings_count_text(count: usize) -> String {
     format!("{count} finding{}", if count == 1 { "" } else { "s" })
 }
 
-/// Prints all findings of some documents, for people on standard error or for programs on standard output, and
-/// returns how many they are.
+/// Prints all findings of the documents and returns their number. Text goes to standard error, JSON to standard output.
 pub(crate) fn report(documents: &[Document], format: Format) -> usize {
     let found = milletturn_config::findings(documents);
     let color = std::io::stderr().is_terminal();
     for finding in &found {
-        // a reader that has gone away has seen enough
+        // the findings count even if nobody reads them, so errors of writing are ignored
         match format {
             Format::Json => {
                 let plain = finding.to_json_form(text_by_path(documents));
@@ -118,7 +118,7 @@
             port,
             effect,
             endpoint,
-        } => new(Answers {
+        } => new(NewOptions {
             name: name.clone(),
             port: port.map(|port| port.to_string()),
             effect: effect.clone(),
@@ -129,18 +129,19 @@
     }
 }
 
-/// Prints a text; a reader that has gone away has seen enough.
+/// Prints a text and returns the exit code for success, also if standard output can't be written.
 fn print(text: impl Display) -> ExitCode {
     let _ = output::print(text);
     ExitCode::SUCCESS
 }
 
-/// 1 if something was found.
+/// Returns exit code 1 if there are findings, else 0.
 fn exit_code(found: usize) -> ExitCode {
     ExitCode::from(u8::from(found > 0))
 }
 
-/// Checks files together: configurations as neighbours on one machine, and lists of endpoints with those who name them.
+/// Checks files together: configurations as sidecars on one machine, and endpoint lists against the configurations that
+/// name them.
 fn check(files: &[PathBuf], here: bool, format: Format) -> ExitCode {
     let read = files.iter().map(|file| Document::read(file));
     let (mut lists, sidecars): (Vec<_>, Vec<_>) =
@@ -150,10 +151,10 @@
         endpoints::check_list(list, &mut documents);
     }
     if here {
-        let sound = documents
+        let valid = documents
             .iter_mut()
             .filter(|document| document.findings.is_empty());
-        for document in sound {
+        for document in valid {
             let _ = environment::check(document, environment::CheckMode::ReadOnly);
         }
     }
@@ -172,46 +173,51 @@
     exit_code(found)
 }
 
+/// Prints all codes of findings with their titles.
 fn list_codes() -> ExitCode {
     let codes = Code::ALL.iter();
     let _ = output::print_lines(codes.map(|code| format!("{}  {}", code.text(), code.title())));
     ExitCode::SUCCESS
 }
 
-fn explain(wanted: &str) -> ExitCode {
+/// Prints what a code means and what to do; an unknown code is a usage error.
+fn explain(code_name: &str) -> ExitCode {
     let found = Code::ALL
         .iter()
-        .find(|code| code.text().eq_ignore_ascii_case(wanted));
+        .find(|code| code.text().eq_ignore_ascii_case(code_name));
     let Some(code) = found else {
-        eprintln!("milletturn: there is no code {wanted}; `milletturn config explain` lists them");
+        eprintln!(
+            "milletturn: there is no code {code_name}; `milletturn config explain` lists them"
+        );
         return ExitCode::from(2);
     };
     let (code, title, text) = (code.text(), code.title(), code.explain());
     print(format_args!("{code}: {title}\n\n{text}\n"))
 }
 
-/// What the flags of `config new` say; what they leave open is asked on a terminal.
-struct Answers {
+/// Values for `config new` as given by flags. Missing values are prompted for on a terminal.
+struct NewOptions {
     name: Option<String>,
     port: Option<String>,
     effect: Option<String>,
     endpoint: Option<String>,
 }
 
-fn new(answers: Answers) -> ExitCode {
-    let name = prompt_unless_given(answers.name, "The application's name", "application");
-    let port = prompt_unless_given(answers.port, "Port where it hands messages in", "7001");
+/// Prints a commented configuration; values that are found wrong are a usage error.
+fn new(options: NewOptions) -> ExitCode {
+    let name = prompt_unless_given(options.name, "The application's name", "application");
+    let port = prompt_unless_given(options.port, "Port where it hands messages in", "7001");
     let Ok(port) = port.parse::<u16>() else {
         eprintln!("milletturn: {port} is no port");
         return ExitCode::from(2);
     };
     let effect = prompt_unless_given(
-        answers.effect,
+        options.effect,
         "What a repeat of a message does: nothing (repeatable), it is dropped by its key (keyed), harm (unsafe)",
         "keyed",
     );
     let endpoint = prompt_unless_given(
-        answers.endpoint,
+        options.endpoint,
         "Where the first destination takes calls",
         "127.0.0.1:9001",
     );
@@ -223,7 +229,7 @@
     print(text)
 }
 
-/// The value of a flag, or what the user types on a terminal, or the default.
+/// Returns the value of the flag, else the user's input if there is a terminal, else the default.
 fn prompt_unless_given(flag: Option<String>, question: &str, default: &str) -> String {
     let is_terminal = std::io::stdin().is_terminal() && std::io::stderr().is_terminal();
     match flag {
@@ -233,20 +239,20 @@
     }
 }
 
-/// Prompts on the terminal; an empty answer, or none, is the default.
+/// Prompts on the terminal. Empty or missing input gives the default.
 fn prompt(question: &str, default: &str) -> String {
     let _ = write!(std::io::stderr(), "{question} [{default}]: ");
-    let mut answer = String::new();
-    let read = std::io::stdin().read_line(&mut answer).is_ok();
-    let answer = answer.trim();
-    if read && !answer.is_empty() {
-        answer.to_string()
+    let mut input = String::new();
+    let read = std::io::stdin().read_line(&mut input).is_ok();
+    let input = input.trim();
+    if read && !input.is_empty() {
+        input.to_string()
     } else {
         default.to_string()
     }
 }
 
-/// Prints all values in force of a configuration, with where each comes from, and the budgets worked out.
+/// Prints all effective values of a configuration with their sources, and the budgets calculated from them.
 fn show(document: &Document) {
     let mut lines = Vec::new();
     for field in FIELDS {
@@ -254,10 +260,10 @@
         match parts[..] {
             [group, "*", name] => {
                 for table in document.table_names(group) {
-                    lines.extend(format_value(document, field, &[group, &table, name]));
+                    lines.extend(setting_line(document, field, &[group, &table, name]));
                 }
             }
-            _ => lines.extend(format_value(document, field, &parts)),
+            _ => lines.extend(setting_line(document, field, &parts)),
         }
     }
     lines.push(format!("# undelivered: {}", describe_store(document)));
@@ -267,21 +273,21 @@
     let _ = output::print_lines(lines);
 }
 
-/// A value in force, with the line that gives it; none where it has none.
-fn format_value(document: &Document, field: &Field, path: &[&str]) -> Option<String> {
+/// Formats an effective value with its source, a line of the file or "default"; none if the setting has no value.
+fn setting_line(document: &Document, field: &Field, path: &[&str]) -> Option<String> {
     let value = document.value(path)?;
-    let from = match document.explicit_value(path) {
+    let source = match document.explicit_value(path) {
         Some(found) => {
             let (line, _) = milletturn_config::finding::position(&document.text, found.span.start);
             format!("{}:{line}", document.path.display())
         }
         None => "default".to_string(),
     };
-    let (path, value) = (path.join("."), text(&value, field.kind));
-    Some(format!("{path:<36} {value:<28} # {from}"))
+    let (path, value) = (path.join("."), value_text(&value, field.kind));
+    Some(format!("{path:<36} {value:<28} # {source}"))
 }
 
-/// What is kept of messages that could not be delivered and what sends it again, in words.
+/// Describes in words which undelivered messages are stored, and which rules redrive them.
 fn describe_store(document: &Document) -> String {
     if !document.flag(&["undelivered", "keep"]) {
         return "nothing is kept; undelivered.keep = true keeps it".to_string();
@@ -305,7 +311,8 @@
     format!("{what}; sent again by {}{only}", rules.join(", "))
 }
 
-fn text(value: &Value, kind: Kind) -> String {
+/// Formats a value as it is written in TOML.
+fn value_text(value: &Value, kind: Kind) -> String {
     match value {
         Value::Text(text) => format!("{text:?}"),
         Value::List(list) => format!(
--- a/src/dead_letter.rs
+++ b/src/dead_letter.rs
@@ -1,9 +1,9 @@
-//! `milletturn dead-letter`: looks at dead letters, resolves and redrives them.
+//! `milletturn dead-letter`: lists, shows, resolves, redrives and exports dead letters.
 //!
-//! - `arguments`: the command line;
-//! - `offline`: answers from the file while no sender runs;
-//! - `answer`: prints JSON as it comes, and collects what becomes a table;
-//! - `table`: the tables.
+//! - `arguments`: parses the command line;
+//! - `offline`: reads the store's file when no sender runs;
+//! - `answer`: prints responses as JSON lines as they arrive, or collects them for a table;
+//! - `table`: formats the tables.
 
 mod answer;
 mod arguments;
@@ -21,20 +21,21 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Exit code, for scripts: done.
+/// Exit code: the command was carried out.
 const DONE: u8 = 0;
-/// The store could not be asked or read.
+/// Exit code: the sender could not be reached, or the store not read.
 const FAILED: u8 = 1;
-/// The command line is wrong.
+/// Exit code: the command line is wrong.
 const USAGE: u8 = 2;
-/// Nothing matched.
-const NOTHING: u8 = 3;
-/// Something was rejected, and the output says why.
+/// Exit code: no message matched.
+const NO_MATCH: u8 = 3;
+/// Exit code: the command was rejected for at least one message; the output says why.
 const REJECTED: u8 = 4;
-/// No sender runs, and the command needs one.
+/// Exit code: no sender runs, and the command needs one.
 const NO_SENDER: u8 = 5;
 
-/// Runs a command; the exit code is for scripts. `settings` is the store's settings file, which names its file.
+/// Runs a command and returns its exit code. `settings` is the path of the store's settings, which name the store's file;
+/// without it the default file name applies.
 pub(crate) fn run(arguments: &Arguments, settings: Option<&Path>) -> ExitCode {
     ExitCode::from(execute(arguments, settings).unwrap_or_else(|code| code))
 }
@@ -47,13 +48,13 @@
     i64::try_from(now.as_micros()).unwrap_or(i64::MAX)
 }
 
-/// Prints an error; the exit code for it.
+/// Prints an error on standard error and returns the given exit code.
 fn report(error: impl Display, code: u8) -> u8 {
     eprintln!("milletturn: {error}");
     code
 }
 
-/// The sender's state folder.
+/// Returns the sender's state folder, from the sidecar's configuration or the command line.
 fn state_folder(arguments: &Arguments) -> Result<PathBuf, u8> {
     match (&arguments.config, &arguments.folder) {
         (Some(file), _) => Document::read(file).path_of(&["state"]).ok_or_else(|| {
@@ -76,6 +77,8 @@
     }
 }
 
+/// Sends the request to the running sender, or answers a read-only request from the store's file when no sender runs.
+/// Both variants of the result are exit codes.
 fn execute(arguments: &Arguments, settings: Option<&Path>) -> Result<u8, u8> {
     let folder = &state_folder(arguments)?;
     let request = arguments
@@ -105,7 +108,7 @@
         return Err(report(error, FAILED));
     }
     Ok(match (result.count, result.rejected) {
-        (0, _) if request != Request::Stats => NOTHING,
+        (0, _) if request != Request::Stats => NO_MATCH,
         (_, 0) => DONE,
         _ => REJECTED,
     })
--- a/src/dead_letter/answer.rs
+++ b/src/dead_letter/answer.rs
@@ -1,10 +1,10 @@
-//! The answer of a command: prints JSON as it comes, and collects what becomes a table.
+//! Prints the responses to a command: as JSON lines as they arrive, or as a table at the end.
 
 use super::table;
 use crate::output;
 use milletturn_dead_letter::control::Response;
 
-/// Receives the responses of an answer.
+/// Receives the responses to one request and prints them.
 #[derive(Debug)]
 pub(super) struct AnswerPrinter {
     json: bool,
@@ -12,14 +12,14 @@
     result: AnswerResult,
 }
 
-/// How an answer ended.
+/// How the responses to a request ended.
 #[derive(Debug, Default)]
 pub(super) struct AnswerResult {
-    /// Messages that it was about.
+    /// Number of messages that the command covered.
     pub(super) count: usize,
-    /// Those of them for which the command was rejected.
+    /// Number of these messages for which the command was rejected.
     pub(super) rejected: usize,
-    /// Why it ended early.
+    /// The error that ended the responses early, if any.
     pub(super) error: Option<String>,
 }
 
@@ -45,17 +45,17 @@
                     Response::Stats(stats) => serde_json::to_string(stats),
                     other => serde_json::to_string(other),
                 };
-                // a reader that is gone has seen enough
+                // a closed standard output is no error of the command
                 let _ = output::print_line(text.unwrap_or_default());
             }
             response => self.responses.push(response),
         }
     }
 
-    /// Prints the table, if there is one; `now` is Unix time in microseconds.
+    /// Prints the table unless the output is JSON, and returns the result. `now` is Unix time in microseconds.
     pub(super) fn finish(self, now: i64) -> AnswerResult {
         if !self.json {
-            // a reader that is gone has seen enough
+            // a closed standard output is no error of the command
             let _ = output::print(table::format(&self.responses, now));
         }
         self.result
--- a/src/dead_letter/arguments.rs
+++ b/src/dead_letter/arguments.rs
@@ -1,4 +1,4 @@
-//! The command line of `milletturn dead-letter`.
+//! Parses the command line of `milletturn dead-letter`.
 
 use super::now;
 use clap::{Args, Subcommand, ValueEnum};
@@ -118,7 +118,7 @@
     #[arg(long)]
     class: Option<String>,
     /// Why they ended: time-up, no-repeat, attempts-used, turned-away or delivered.
-    #[arg(long, value_parser = reason)]
+    #[arg(long, value_parser = reason_name)]
     reason: Option<String>,
     /// Their state: kept, ordered, out, delivered or settled.
     #[arg(long, value_parser = state)]
@@ -134,7 +134,7 @@
     may_have_run: Option<bool>,
 }
 
-fn reason(text: &str) -> Result<String, String> {
+fn reason_name(text: &str) -> Result<String, String> {
     parse_reason(text)
         .map(|_| text.to_string())
         .ok_or_else(|| "no such reason".to_string())
@@ -152,26 +152,28 @@
     }
 }
 
-/// A number with a unit, as microseconds.
+/// Parses an age, a whole number with one of the units s, m, h and d, into microseconds.
 fn age(text: &str) -> Result<i64, String> {
-    let wanted = || "a number and one of s, m, h, d".to_string();
-    let unit = text.chars().last().ok_or_else(wanted)?;
+    let expected_form = || "a number and one of s, m, h, d".to_string();
+    let unit = text.chars().last().ok_or_else(expected_form)?;
     let seconds = match unit {
         's' => 1,
         'm' => 60,
         'h' => 3600,
         'd' => 86_400,
-        _ => return Err(wanted()),
+        _ => return Err(expected_form()),
     };
-    let count: i64 = text[..text.len() - 1].parse().map_err(|_| wanted())?;
+    let count: i64 = text[..text.len() - 1]
+        .parse()
+        .map_err(|_| expected_form())?;
     count
         .checked_mul(seconds * 1_000_000)
         .filter(|&age| age >= 0)
-        .ok_or_else(wanted)
+        .ok_or_else(expected_form)
 }
 
 impl Arguments {
-    /// The request that the command makes, or what is wrong with its arguments.
+    /// Builds the request for the command, or says what is wrong with its arguments.
     pub(super) fn request(&self) -> Result<Request, &'static str> {
         Ok(match &self.command {
             Command::List { selection, limit } => Request::List {
@@ -194,7 +196,7 @@
                 dry_run,
                 audit,
             } => Request::Redrive {
-                filter: selection.narrowed()?,
+                filter: selection.filter_for_change()?,
                 actor: audit.actor.clone(),
                 reason: audit.reason.clone(),
                 dry_run: *dry_run,
@@ -211,7 +213,7 @@
                     );
                 }
                 Request::Resolve {
-                    filter: selection.narrowed()?,
+                    filter: selection.filter_for_change()?,
                     did_not_run,
                     actor: audit.actor.clone(),
                     reason: audit.reason.clone(),
@@ -221,13 +223,14 @@
         })
     }
 
-    /// True if the answer is printed as JSON lines.
+    /// Whether the output is JSON lines; an export always is.
     pub(super) fn wants_json(&self) -> bool {
         self.format == Format::Json || matches!(self.command, Command::Export { .. })
     }
 }
 
 impl Selection {
+    /// Converts the selection into a filter; ages become Unix times in microseconds.
     fn filter(&self) -> Filter {
         let ago = |age: i64| now().saturating_sub(age);
         Filter {
@@ -242,8 +245,8 @@
         }
     }
 
-    /// The filter of a command that changes messages, which must say which it means.
-    fn narrowed(&self) -> Result<Filter, &'static str> {
+    /// The filter of a command that changes messages. An empty selection is an error unless `--all` is given.
+    fn filter_for_change(&self) -> Result<Filter, &'static str> {
         let filter = self.filter();
         if filter == Filter::default() && !self.all {
             return Err("which messages? Name numbers or a filter, or say --all");
--- a/src/dead_letter/arguments/tests.rs
+++ b/src/dead_letter/arguments/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parsers of arguments.
+//! Tests of the parser of ages on the command line.
 
 use super::age;
 
--- a/src/dead_letter/offline.rs
+++ b/src/dead_letter/offline.rs
@@ -1,4 +1,4 @@
-//! Answers from the store's file while no sender runs.
+//! Answers read-only requests from the store's file when no sender runs.
 
 use super::answer::AnswerPrinter;
 use super::now;
@@ -8,10 +8,10 @@
 use milletturn_dead_letter::store::DeadLetterStore;
 use std::path::Path;
 
-/// Messages that are read from the store at once.
+/// Number of messages that are read from the store at once.
 const PAGE: usize = 200;
 
-/// Answers a request that only reads, as a running sender would.
+/// Answers a read-only request with the same responses as a running sender.
 pub(super) fn answer(
     path: &Path,
     request: &Request,
--- a/src/dead_letter/table.rs
+++ b/src/dead_letter/table.rs
@@ -1,16 +1,16 @@
-//! The tables of `milletturn dead-letter`.
+//! Formats the tables and texts that `milletturn dead-letter` prints for people.
 
 use crate::columns::columns;
 use milletturn_dead_letter::control::Response;
 use milletturn_dead_letter::record::{AuditEntry, Record, Round, State, Stats, Summary};
 use std::fmt::Write as _;
 
-/// The header of a list.
+/// Column titles of the list of messages.
 const HEADER: [&str; 10] = [
     "NUMBER", "STATE", "CLASS", "DEST", "REASON", "AGE", "RAN?", "RESENDS", "BYTES", "ID",
 ];
 
-/// The text of one answer; `now` is Unix time in microseconds.
+/// Formats all responses to a request as text; `now` is Unix time in microseconds.
 pub(super) fn format(responses: &[Response], now: i64) -> String {
     let mut rows: Vec<Vec<String>> = Vec::new();
     let mut text = String::new();
@@ -24,14 +24,14 @@
                 until,
                 rejection,
             } => {
-                let what = match (rejection, until) {
+                let result = match (rejection, until) {
                     (Some(reason), _) => format!("not done: {reason}"),
                     (None, Some(until)) => {
                         format!("done; must start within {}", duration(until - now))
                     }
                     (None, None) => "done".to_string(),
                 };
-                let _ = writeln!(text, "{number:>8}  {what}");
+                let _ = writeln!(text, "{number:>8}  {result}");
             }
             Response::End { .. } | Response::Error(_) => {}
         }
@@ -43,6 +43,7 @@
     text
 }
 
+/// One row of the list of messages.
 fn summary_row(summary: &Summary, now: i64) -> Vec<String> {
     let uncertain = summary.first_uncertain_at.is_some();
     vec![
@@ -61,6 +62,7 @@
     ]
 }
 
+/// A message with its rounds of delivery and its audit log.
 fn record_text(record: &Record, now: i64) -> String {
     let summary = &record.summary;
     let mut text = format!(
@@ -82,6 +84,7 @@
     text
 }
 
+/// One round of delivery with its attempts; round 0 is the first delivery, later ones are redrives.
 fn round_text(number: usize, round: &Round) -> String {
     let name = if number == 0 {
         "first".to_string()
@@ -115,6 +118,7 @@
     )
 }
 
+/// One entry of the audit log: when, what and by whom, with the reason if there is one.
 fn audit_text(entry: &AuditEntry, now: i64) -> String {
     let reason = if entry.reason.is_empty() {
         String::new()
@@ -129,6 +133,7 @@
     )
 }
 
+/// The number of messages in each state, and how much of the store's limits is used.
 fn stats_text(stats: &Stats, now: i64) -> String {
     let mut text = String::new();
     for (state, count) in State::ALL.iter().zip(stats.by_state) {
@@ -158,7 +163,7 @@
     text
 }
 
-/// The bound of a count and the percentage of it that is used; empty if there is no bound.
+/// Formats a limit and the percentage of it that is used; empty if there is no limit.
 fn share_of(used: u64, max: u64) -> String {
     match max {
         u64::MAX => String::new(),
@@ -167,7 +172,7 @@
     }
 }
 
-/// A duration in microseconds, in the unit that suits it.
+/// Formats a duration in microseconds with a unit that fits its size.
 fn duration(micros: i64) -> String {
     let seconds = micros as f64 / 1e6;
     match seconds.abs() {
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -1,4 +1,4 @@
-//! `milletturn demo`: a sidecar and an endpoint for it, in one process, with nothing to set up.
+//! `milletturn demo`: runs a sidecar and an endpoint for it in one process, without any configuration.
 
 use crate::assemble::{Signals, block_on};
 use crate::output;
@@ -18,13 +18,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Longest wait for an answer on loopback; a call takes milliseconds.
+/// Maximum wait for a response over loopback, where a call normally takes milliseconds.
 const CALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Runs until SIGTERM or, with `once`, until one message has had its final answer.
+/// Runs the demo until SIGTERM or, with `once`, until one message has its final outcome.
 ///
 /// # Errors
-/// Why it could not start, or the message had no answer.
+/// If the demo can't start, or the message gets no outcome in time.
 pub(crate) fn run(once: bool) -> Result<(), Box<dyn Error>> {
     block_on(run_demo(once))
 }
@@ -39,8 +39,8 @@
     let document = configuration(folder.path(), http, outcomes, address)?;
     let (name, running) = start(&document).await?;
     if once {
-        let answer = hand_in(http).await?;
-        output::print_line(format_args!("handed in: {answer}"))?;
+        let status = submit_message(http).await?;
+        output::print_line(format_args!("handed in: {status}"))?;
         let outcome = first_outcome(outcomes).await?;
         output::print_line(format_args!("final answer: {outcome}"))?;
         return Ok(());
@@ -60,7 +60,7 @@
         .await
 }
 
-/// The configuration of the demo's sidecar.
+/// Builds the sidecar's configuration from the template of `config new`, with the demo's addresses.
 fn configuration(
     folder: &Path,
     http: SocketAddr,
@@ -72,17 +72,20 @@
         &outcomes.to_string(),
     );
     let parsed = Document::parse(&folder.join("demo.toml"), text);
-    let mut sound = check_documents(vec![parsed])
+    let mut valid = check_documents(vec![parsed])
         .into_iter()
         .filter(|document| document.findings.is_empty());
-    Ok(sound.next().ok_or("the embedded configuration is broken")?)
+    Ok(valid
+        .next()
+        .ok_or("the demo's built-in configuration has findings")?)
 }
 
-/// A port that was free just now.
+/// Finds a free port on loopback. The port is released again, so another process could still take it.
 fn free_port() -> std::io::Result<SocketAddr> {
     std::net::TcpListener::bind("127.0.0.1:0")?.local_addr()
 }
 
+/// Serves the demo's endpoint: prints the id of each request and responds 200.
 async fn serve_endpoint(listener: TcpListener) {
     while let Ok((stream, _)) = listener.accept().await {
         tokio::task::spawn_local(async move {
@@ -92,11 +95,11 @@
                     .get("x-request-id")
                     .and_then(|id| id.to_str().ok())
                     .unwrap_or("-");
-                // a reader that has gone away has seen enough
+                // a closed standard output does not stop the endpoint
                 let _ = output::print_line(format_args!("endpoint: got {id}"));
                 Ok::<_, Infallible>(Response::new(Full::<Bytes>::default()))
             });
-            // how a sender leaves is its own affair
+            // errors of a connection, such as its close by the sender, don't matter to the demo
             let _ = hyper::server::conn::http1::Builder::new()
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
@@ -104,7 +107,7 @@
     }
 }
 
-/// Sends one request and waits for the head of its response.
+/// Sends one request on a new connection and returns the response once its header has arrived.
 async fn call(
     address: SocketAddr,
     request: hyper::http::request::Builder,
@@ -120,7 +123,8 @@
     Ok(timeout(CALL_TIMEOUT, sender.send_request(request)).await??)
 }
 
-async fn hand_in(address: SocketAddr) -> Result<hyper::StatusCode, Box<dyn Error>> {
+/// Submits one message to the sidecar and returns the status of its response.
+async fn submit_message(address: SocketAddr) -> Result<hyper::StatusCode, Box<dyn Error>> {
     let request = Request::post("/notice")
         .header("x-request-id", "demo-1")
         .header("x-priority-class", "notice")
@@ -130,6 +134,7 @@
     Ok(call(address, request, "hello").await?.status())
 }
 
+/// Reads the first outcome from the sidecar's stream of outcomes.
 async fn first_outcome(address: SocketAddr) -> Result<String, Box<dyn Error>> {
     let mut body = call(address, Request::get("/v1/outcomes?from=0"), "")
         .await?
@@ -137,7 +142,7 @@
     loop {
         let frame = timeout(CALL_TIMEOUT, body.frame())
             .await?
-            .ok_or("the stream of outcomes ended")??;
+            .ok_or("the stream of outcomes ended before the first outcome")??;
         let text = frame.into_data().unwrap_or_default();
         let text = String::from_utf8_lossy(&text).trim().to_string();
         if !text.is_empty() {
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -1,4 +1,4 @@
-//! `milletturn fleet`: the coordinators of a group, its members and the resources that they own.
+//! `milletturn fleet`: shows the coordinators, members and resources of a group, and changes who owns a resource.
 
 mod hold;
 mod table;
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest wait for the status of one coordinator.
+/// Maximum wait for the status of one coordinator.
 const STATUS_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Show the coordinators, members and leased resources of a group, and change who owns a resource.
@@ -83,41 +83,41 @@
     Hold(hold::Arguments),
 }
 
-/// The group that a command is about, and the addresses at which its coordinators are reached.
+/// The group that a command acts on, and the addresses of its coordinators.
 struct Group {
     name: String,
     addresses: Vec<String>,
 }
 
-/// Why a command ended without what was asked, by exit code.
+/// Why a command failed; determines the exit code.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
-    /// The coordinators said no, or there is no such thing: exit code 1.
+    /// The coordinators rejected the command, or the named resource doesn't exist or has no owner: exit code 1.
     #[error("{0}")]
     Rejected(String),
-    /// No majority answers: exit code 3.
+    /// No majority of the coordinators responds: exit code 3.
     #[error("{0}. Delivery does not need the coordinators; fleet work rests until they answer")]
     Unanswered(String),
-    /// The command line or a file is off: exit code 2.
+    /// The command line is wrong: exit code 2.
     #[error("{0}")]
     Usage(String),
-    /// A coordinator's file can't be used: exit code 2.
+    /// A coordinator's settings file can't be used: exit code 2.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// Signals can't be handled: exit code 2.
+    /// Signal handlers can't be installed: exit code 2.
     #[error("signals: {0}")]
     Signals(#[source] std::io::Error),
     /// Standard output can't be written: exit code 2.
     #[error("standard output: {0}")]
     Output(#[source] std::io::Error),
-    /// A file can't be written: exit code 2.
+    /// The backup file can't be written: exit code 2.
     #[error("{path}: {source}", path = .path.display())]
     File {
         path: PathBuf,
         source: std::io::Error,
     },
 }
-/// Runs a command and reports why it failed; its exit code is part of what scripts rely on.
+/// Runs a command and prints its error. Scripts rely on the exit code.
 pub(crate) fn run(arguments: &Arguments) -> ExitCode {
     let ended = block_on(async { Ok(run_command(arguments).await) });
     match ended {
@@ -154,8 +154,8 @@
 }
 
 impl Group {
-    /// The group that the command line names, by a coordinator's file or by name and addresses.
-    fn chosen(arguments: &Arguments) -> Result<Self, CommandError> {
+    /// Determines the group from the command line: from a coordinator's settings file, or from a name and addresses.
+    fn from_arguments(arguments: &Arguments) -> Result<Self, CommandError> {
         if let Some(name) = &arguments.group {
             return Ok(Group {
                 name: name.clone(),
@@ -175,7 +175,7 @@
 }
 
 async fn run_command(arguments: &Arguments) -> Result<(), CommandError> {
-    let group = Group::chosen(arguments)?;
+    let group = Group::from_arguments(arguments)?;
     let timeout = Duration::from_secs(arguments.wait);
     let format = arguments.format;
     let mut client = CoordinatorClient::new(&group.name, &group.addresses);
@@ -192,7 +192,7 @@
     }
 }
 
-/// The replicated state as a majority has it now.
+/// Fetches the current replicated state; needs a majority of the coordinators.
 async fn fetch_state(
     client: &mut CoordinatorClient,
     timeout: Duration,
@@ -202,22 +202,24 @@
         .await?)
 }
 
-/// Prints lines; a reader that has gone has read enough.
+/// Prints each item as a line. A reader that closes standard output early is no error.
 fn print_lines(lines: impl IntoIterator<Item: Display>) -> Result<(), CommandError> {
     output::print_lines(lines).map_err(CommandError::Output)?;
     Ok(())
 }
 
+/// Prints a formatted table. A reader that closes standard output early is no error.
 fn print_table(text: &str) -> Result<(), CommandError> {
     output::print(text).map_err(CommandError::Output)?;
     Ok(())
 }
 
+/// Prints the status of each coordinator; an error if none of them is the leader.
 async fn status(group: &Group, timeout: Duration, format: Format) -> Result<(), CommandError> {
     let mut replies = Vec::new();
     for address in &group.addresses {
         let mut client = Client::new(address, &group.name);
-        // each is asked for itself, a stopped one must not hide the others
+        // each coordinator gets a request and a timeout of its own, so that a stopped one doesn't hide the others
         let timeout = timeout.min(STATUS_TIMEOUT);
         let status = match client
             .call::<CoordinatorStatus>(STATUS_PATH, None::<&()>, timeout)
@@ -240,11 +242,12 @@
         Ok(())
     } else {
         Err(CommandError::Unanswered(
-            "no coordinator that answers leads".to_string(),
+            "none of the coordinators that answer is the leader".to_string(),
         ))
     }
 }
 
+/// Prints the members with an open session.
 fn members(state: &StateView, format: Format) -> Result<(), CommandError> {
     if format == Format::Text {
         return print_table(&table::members(state));
@@ -254,8 +257,9 @@
     }))
 }
 
+/// Prints the resources and the latest events, of all resources or of the named one.
 fn resources(state: &StateView, name: Option<&str>, format: Format) -> Result<(), CommandError> {
-    let is_chosen = |resource: &str| name.is_none_or(|name| name == resource);
+    let is_selected = |resource: &str| name.is_none_or(|name| name == resource);
     if let Some(name) = name
         && !state.resources.contains_key(name)
     {
@@ -263,10 +267,10 @@
         return Err(CommandError::Rejected(why));
     }
     if format == Format::Text {
-        return print_table(&table::resources(state, is_chosen));
+        return print_table(&table::resources(state, is_selected));
     }
-    let chosen = state.resources.iter().filter(|(name, _)| is_chosen(name));
-    let resources = chosen.map(|(name, resource)| {
+    let selected = state.resources.iter().filter(|(name, _)| is_selected(name));
+    let resources = selected.map(|(name, resource)| {
         let owner = resource.owner.and_then(|owner| state.sessions.get(&owner));
         let owner = owner.map(|member| &member.member.name);
         json!({"work": name, "term": resource.token, "owner": owner, "acts": resource.writes})
@@ -274,10 +278,11 @@
     let events = state
         .history
         .iter()
-        .filter(|event| is_chosen(&event.resource));
+        .filter(|event| is_selected(&event.resource));
     print_lines(resources.chain(events.map(|event| json!({"event": event}))))
 }
 
+/// Fetches the replicated state and writes it to a file.
 async fn backup(
     client: &mut CoordinatorClient,
     file: &Path,
@@ -295,7 +300,8 @@
     Ok(())
 }
 
-/// Writes a backup beside its place first: an earlier one stays until this one is complete and on the disk.
+/// Writes a backup to a temporary file and renames it, so that an earlier backup is replaced only once the new one is
+/// complete and synced to disk.
 fn write_durably(file: &Path, backup: &Backup) -> std::io::Result<()> {
     let new = file.with_extension("new");
     let mut written = std::fs::File::create(&new)?;
@@ -305,6 +311,7 @@
     std::fs::rename(&new, file)
 }
 
+/// Revokes a resource from its current owner.
 async fn revoke(
     client: &mut CoordinatorClient,
     name: &str,
--- a/src/fleet/hold.rs
+++ b/src/fleet/hold.rs
@@ -1,4 +1,4 @@
-//! `milletturn fleet hold`: owns a resource while it runs.
+//! `milletturn fleet hold`: owns a resource while the command runs.
 
 use super::{CommandError, Group};
 use crate::assemble::Signals;
@@ -35,10 +35,10 @@
     clock_error: f64,
 }
 
-/// Owns the resource until SIGTERM, and gives it back then.
+/// Owns the resource until SIGTERM, then releases it. Goes on when the reader of standard output closes the pipe.
 ///
 /// # Errors
-/// If an argument is off, or signals can't be handled. A reader of its output that goes away does not end it.
+/// If `--clock-error` is out of range, or signal handlers can't be installed.
 pub(super) async fn run(
     arguments: &Arguments,
     group: &Group,
@@ -68,7 +68,7 @@
             () = signals.until_terminated() => break,
             Some(event) = events.recv() => print_event(&event, format),
             _ = ticks.tick() => {
-                // what the last owner left goes on to the next one
+                // rewrites the previous owner's checkpoint unchanged, so that the next owner finds it
                 let checkpoint = member.checkpoint(&arguments.resource).unwrap_or_default();
                 let outcome = member.write_fenced(&mut writer, &arguments.resource, &checkpoint).await;
                 print_outcome(&outcome, format);
@@ -80,7 +80,7 @@
     Ok(())
 }
 
-/// The member as which this command takes part.
+/// Creates the group member that stands for this command, and the receiver of its events.
 fn member(arguments: &Arguments) -> (Rc<Member>, UnboundedReceiver<MemberEvent>) {
     let info = MemberInfo {
         name: arguments.name.clone(),
@@ -92,7 +92,7 @@
     Member::new(info, clock_error_ppm, [arguments.resource.clone()])
 }
 
-/// Differs from process to process, so that two of them draw different numbers.
+/// A random seed that differs between processes: the Unix time in nanoseconds and the process id.
 fn seed() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let nanos = since_epoch.unwrap_or_default().as_nanos() as u64;
@@ -110,6 +110,7 @@
     }
 }
 
+/// Formats an event as JSON, with the key names that scripts read.
 fn event_json(event: &MemberEvent) -> Value {
     match event {
         MemberEvent::SessionOpened(session) => json!({"joined": session}),
@@ -132,7 +133,7 @@
     }
 }
 
-/// None for a single write: it is one of many, and the coordinators count them.
+/// Formats an event for people; none for a started write, since writes are frequent and the coordinators count them.
 fn event_text(event: &MemberEvent) -> Option<String> {
     Some(match event {
         MemberEvent::SessionOpened(session) => format!("joined, session {session}"),
@@ -148,6 +149,7 @@
     })
 }
 
+/// Prints the outcome of a write, in the JSON format only.
 fn print_outcome(outcome: &WriteOutcome, format: Format) {
     let value = match outcome {
         WriteOutcome::Done { token, number } => json!({"acted": number, "term": token}),
@@ -162,7 +164,7 @@
     }
 }
 
-/// The resource is held whether or not somebody reads what is printed about it.
+/// Prints a line and ignores errors: the resource stays owned even if standard output can't be written.
 fn print(line: &impl Display) {
     let _ = output::print_line(line);
 }
--- a/src/fleet/table.rs
+++ b/src/fleet/table.rs
@@ -4,10 +4,10 @@
 use milletturn_coordination::state::EventKind;
 use milletturn_coordination_protocol::messages::{CoordinatorStatus, StateView};
 
-/// Events that the table shows.
+/// Number of latest events that the table shows.
 const MAX_EVENTS: usize = 20;
 
-/// One row for each coordinator: what it says of itself, or why it did not answer.
+/// One row for each coordinator: its reported status, or why it did not respond.
 pub(super) fn status(replies: &[(String, Result<CoordinatorStatus, String>)]) -> String {
     let mut rows = vec![row([
         "STEWARD", "ADDRESS", "ROLE", "LEADER", "REIGN", "APPLIED", "VERSION",
@@ -50,8 +50,8 @@
         rows.push(vec![
             id.to_string(),
             info.name.clone(),
-            dash(&info.zone),
-            dash(&info.role),
+            dash_if_empty(&info.zone),
+            dash_if_empty(&info.role),
             info.version.clone(),
             owns.to_string(),
         ]);
@@ -59,10 +59,10 @@
     columns(&rows)
 }
 
-/// One row for each resource, and behind them the latest events.
-pub(super) fn resources(state: &StateView, is_chosen: impl Fn(&str) -> bool) -> String {
+/// One row for each selected resource, followed by the latest events.
+pub(super) fn resources(state: &StateView, is_selected: impl Fn(&str) -> bool) -> String {
     let mut rows = vec![row(["WORK", "TERM", "OWNER", "ACTS"])];
-    for (name, resource) in state.resources.iter().filter(|(name, _)| is_chosen(name)) {
+    for (name, resource) in state.resources.iter().filter(|(name, _)| is_selected(name)) {
         let owner = resource.owner.and_then(|owner| state.sessions.get(&owner));
         let owner = owner.map_or("-".to_string(), |session| session.member.name.clone());
         rows.push(vec![
@@ -72,16 +72,18 @@
             resource.writes.to_string(),
         ]);
     }
-    columns(&rows) + &events(state, is_chosen)
+    columns(&rows) + &events(state, is_selected)
 }
 
-/// The latest events, but for single writes: those are many, and who owned is what people ask for.
-fn events(state: &StateView, is_chosen: impl Fn(&str) -> bool) -> String {
+/// The latest events without single writes, which are frequent and say nothing about changes of owner.
+fn events(state: &StateView, is_selected: impl Fn(&str) -> bool) -> String {
     let mut rows = vec![row(["EVENT", "WORK", "TERM", "MEMBER", "WHAT"])];
     let events: Vec<_> = state
         .history
         .iter()
-        .filter(|event| is_chosen(&event.resource) && !matches!(event.kind, EventKind::Written(_)))
+        .filter(|event| {
+            is_selected(&event.resource) && !matches!(event.kind, EventKind::Written(_))
+        })
         .collect();
     for event in &events[events.len().saturating_sub(MAX_EVENTS)..] {
         rows.push(vec![
@@ -95,7 +97,7 @@
     columns(&rows)
 }
 
-/// The label in the table of a kind of event, as scripts read it.
+/// The table's label for a kind of event; scripts read these labels.
 fn kind_label(kind: EventKind) -> &'static str {
     match kind {
         EventKind::Acquired => "owned",
@@ -111,7 +113,8 @@
     cells.map(str::to_string).to_vec()
 }
 
-fn dash(text: &str) -> String {
+/// Replaces an empty cell by a dash.
+fn dash_if_empty(text: &str) -> String {
     if text.is_empty() {
         "-".to_string()
     } else {
--- a/src/timekeeper.rs
+++ b/src/timekeeper.rs
@@ -14,8 +14,9 @@
 /// A saved time more than a year (in microseconds) ahead of the wall clock is ignored as damaged.
 const MAX_LEAD_US: i64 = 366 * 86_400 * 1_000_000;
 
-/// Returns the later of the wall clock and the time that the clock of the previous process would show now, in Unix
-/// microseconds, and saves it. If the file or the uptime can't be read, returns the wall clock; a clock that was set back
+/// Returns a start time for the engine's clock, in Unix microseconds, and saves it for the next process.
+///
+/// The time is the later of the wall clock and what the clock of the previous process would show now. If the file or the uptime can't be read, returns the wall clock; a clock that was set back
 /// is then noticed only if it shows a time before a recorded attempt.
 pub(crate) fn module_time(folder: &Path, wall: i64) -> i64 {
     let Some((boot, uptime)) = since_boot() else {
