--- a/benches/failing.rs
+++ b/benches/failing.rs
@@ -1,6 +1,8 @@
-//! A sender that fails 500 messages a second, with the store of undelivered messages and without it, side by side in
-//! turns: `cargo bench --bench failing`. Times are those of answers to clients. The endpoint fails every call, so the
-//! destination is soon sick, and most messages end by their time of 80 ms.
+//! Response times of a sender that fails 500 messages a second, with and without a dead-letter store in alternating
+//! rounds: `cargo bench --bench failing`.
+//!
+//! The times are those of responses to clients. The endpoint fails every call, so the destination is soon unhealthy, and
+//! most messages fail at their deadline of 80 ms.
 
 #[path = "../tests/node/mod.rs"]
 mod node;
@@ -11,13 +13,15 @@
 use node::Node;
 use std::time::{Duration, Instant};
 
-const RATE: u32 = 500;
-const SECONDS: u32 = 4;
+/// Messages per second from all clients together.
+const RATE_PER_S: u32 = 500;
+const ROUND_SECONDS: u32 = 4;
 const ROUNDS: usize = 5;
 const CLIENTS: u32 = 4;
 
-/// Times of answers, microseconds, sorted.
-fn play(store: Option<&str>) -> Vec<u64> {
+/// Runs the load once and returns the sorted response times in microseconds. `store` is the text of the store's settings;
+/// none runs the sender without a store.
+fn measure_response_times(store: Option<&str>) -> Vec<u64> {
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("500 Oops", String::new()));
     let agent = FakeDiscovery::new(vec![list_json(&[(
         "s-1",
@@ -35,15 +39,15 @@
     let clients = (0..CLIENTS).map(|client| {
         std::thread::spawn(move || {
             let mut connection = Client::new(address);
-            let (begun, mut times) = (Instant::now(), Vec::new());
-            for number in 0..RATE * SECONDS / CLIENTS {
-                let due = Duration::from_secs(1) * number * CLIENTS / RATE;
-                std::thread::sleep(due.saturating_sub(begun.elapsed()));
-                let text =
+            let (started_at, mut times) = (Instant::now(), Vec::new());
+            for number in 0..RATE_PER_S * ROUND_SECONDS / CLIENTS {
+                let due = Duration::from_secs(1) * number * CLIENTS / RATE_PER_S;
+                std::thread::sleep(due.saturating_sub(started_at.elapsed()));
+                let request =
                     message_request("order", &format!("c{client}-{number}"), 7, 80, &[b'x'; 500]);
-                let sent = Instant::now();
-                connection.send(&text).expect("an answer");
-                times.push(sent.elapsed().as_micros() as u64);
+                let sent_at = Instant::now();
+                connection.send(&request).expect("a response");
+                times.push(sent_at.elapsed().as_micros() as u64);
             }
             times
         })
@@ -51,7 +55,7 @@
     let clients: Vec<_> = clients.collect();
     let mut times: Vec<u64> = clients
         .into_iter()
-        .flat_map(|one| one.join().expect("ended"))
+        .flat_map(|client| client.join().expect("ended"))
         .collect();
     times.sort_unstable();
     if store.is_some() {
@@ -59,7 +63,7 @@
         println!(
             "kept: {} of {} handed in",
             stats[0]["by_state"][0],
-            RATE * SECONDS
+            RATE_PER_S * ROUND_SECONDS
         );
     }
     times
@@ -72,7 +76,7 @@
     );
     let (mut on, mut off) = (Vec::new(), Vec::new());
     for _ in 0..ROUNDS {
-        for (name, store, all) in [
+        for (name, store, percentiles) in [
             ("off", None, &mut off),
             (
                 "on",
@@ -80,20 +84,21 @@
                 &mut on,
             ),
         ] {
-            let times = play(store);
-            let rank = |part: usize| times[(times.len() * part / 100).min(times.len() - 1)];
+            let times = measure_response_times(store);
+            let percentile =
+                |percent: usize| times[(times.len() * percent / 100).min(times.len() - 1)];
             println!(
                 "{name:<10} {:>10} {:>10} {:>10}",
-                rank(50),
-                rank(99),
-                rank(100)
+                percentile(50),
+                percentile(99),
+                percentile(100)
             );
-            all.push((rank(50) as f64, rank(99) as f64));
+            percentiles.push((percentile(50) as f64, percentile(99) as f64));
         }
     }
-    let ratio = |pick: fn(&(f64, f64)) -> f64| {
+    let ratio = |select: fn(&(f64, f64)) -> f64| {
         let median = |all: &[(f64, f64)]| {
-            let mut values: Vec<f64> = all.iter().map(pick).collect();
+            let mut values: Vec<f64> = all.iter().map(select).collect();
             values.sort_by(f64::total_cmp);
             values[values.len() / 2]
         };
@@ -101,7 +106,7 @@
     };
     println!(
         "on / off, medians: p50 {:.2}, p99 {:.2}",
-        ratio(|one| one.0),
-        ratio(|one| one.1)
+        ratio(|percentiles| percentiles.0),
+        ratio(|percentiles| percentiles.1)
     );
 }
--- a/benches/many.rs
+++ b/benches/many.rs
@@ -1,13 +1,15 @@
-//! A real sender with many destinations, most of them idle: `cargo bench --bench many [-- --destinations 50000 --against
-//! OTHER/milletturn --seconds 6]`.
+//! Costs of a sidecar with many destinations, most of them idle:
 //!
-//! For each size: start to ready, resident memory, and messages a second that one core delivers for 50 destinations that answer
-//! at once, from 16 clients back to back; then the same while ten more take calls and never answer, at 500 messages a
-//! second for them. All in one run; `--against` plays an earlier program on the same script.
+//!     cargo bench --bench many [-- --destinations 50000 --against OTHER/milletturn --seconds 6]
+//!
+//! For each number of destinations, measures the time from start to ready, resident memory, and the messages a second
+//! that one core delivers to 50 destinations that respond at once, from 16 clients back to back. Then measures the same
+//! while ten more destinations accept calls but never respond, with 500 messages a second for them. `--against` also
+//! measures another program, such as an earlier build, in the same run.
 
 mod common;
 
-use common::{Sidecar, free};
+use common::{Sidecar, unused_address};
 use milletturn_test_support::{Client, FakeEndpoint, OK, Reply, message_request};
 use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
@@ -16,56 +18,74 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: u64 = 16;
-const BUSY: u64 = 50;
-const SILENT: u64 = 10;
-const SILENT_RATE: f64 = 500.0;
+/// Number of destinations that get calls and respond at once.
+const BUSY_DESTINATIONS: u64 = 50;
+/// Number of destinations that accept calls and never respond.
+const UNRESPONSIVE_DESTINATIONS: u64 = 10;
+/// Messages per second for all unresponsive destinations together.
+const UNRESPONSIVE_RATE_PER_S: f64 = 500.0;
 
-/// Destinations 1 to `count`: the first are busy, then the silent ones, and the rest share an address where nobody calls.
-fn started(
+/// Starts a sidecar with destinations 1 to `count`, and returns the time until it was ready.
+///
+/// The busy destinations come first, then the unresponsive ones. The rest are idle and share the busy ones' address.
+fn start_sidecar(
     program: &Path,
     count: u64,
-    well: SocketAddr,
-    silent: SocketAddr,
+    healthy: SocketAddr,
+    unresponsive: SocketAddr,
 ) -> (Sidecar, Duration) {
-    let (http, outcomes) = (free(), free());
+    let (http, outcomes) = (unused_address(), unused_address());
     let text = format!(
         "name = 'app'\nstate = 'app.state'\n[listen]\nhttp = '{http}'\noutcomes = '{outcomes}'\n\
          [limits]\ndisk = '60MB'\n[endpoints]\nfile = 'list.toml'\n\
          [class.notice]\neffect = 'keyed'\nwindow = '30s'\ndeadline = '20s'\n"
     );
     let line = |id: u64| {
-        let address = if (BUSY + 1..=BUSY + SILENT).contains(&id) {
-            silent
+        let address = if (BUSY_DESTINATIONS + 1..=BUSY_DESTINATIONS + UNRESPONSIVE_DESTINATIONS)
+            .contains(&id)
+        {
+            unresponsive
         } else {
-            well
+            healthy
         };
         format!("[destination.{id}]\nendpoints = ['{address}']\n")
     };
     let list: String = (1..=count).map(line).collect();
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let sidecar = Sidecar::new(
         program,
         &[("app.toml", &text), ("list.toml", &list)],
         http,
         outcomes,
     );
-    (sidecar, begun.elapsed())
+    (sidecar, started_at.elapsed())
 }
 
-/// Messages taken on and delivered a second, as the endpoint counts them, for each whole second.
-fn rate(http: SocketAddr, well: &FakeEndpoint, seconds: u64, beside: bool) -> Vec<f64> {
-    let until = Instant::now() + Duration::from_secs(seconds);
+/// Messages delivered in each whole second, as the healthy endpoint counts them. With `with_unresponsive`, the
+/// unresponsive destinations get messages at the same time.
+fn delivery_rates(
+    http: SocketAddr,
+    healthy: &FakeEndpoint,
+    seconds: u64,
+    with_unresponsive: bool,
+) -> Vec<f64> {
+    let deadline = Instant::now() + Duration::from_secs(seconds);
     let next = Arc::new(AtomicU64::new(0));
     let mut threads: Vec<_> = (0..CLIENTS)
         .map(|client| {
             let next = next.clone();
             std::thread::spawn(move || {
                 let mut connection = Client::new(http);
-                while Instant::now() < until {
+                while Instant::now() < deadline {
                     let number = next.fetch_add(1, Ordering::Relaxed);
-                    let id = format!("{beside}-{client}-{number}");
-                    let bytes =
-                        message_request("notice", &id, 1 + number % BUSY, 20_000, &[b'x'; 256]);
+                    let id = format!("{with_unresponsive}-{client}-{number}");
+                    let bytes = message_request(
+                        "notice",
+                        &id,
+                        1 + number % BUSY_DESTINATIONS,
+                        20_000,
+                        &[b'x'; 256],
+                    );
                     if connection.send(&bytes).is_none() {
                         connection = Client::new(http);
                     }
@@ -73,17 +93,18 @@
             })
         })
         .collect();
-    if beside {
+    if with_unresponsive {
         threads.push(std::thread::spawn(move || {
-            let (mut connection, begun) = (Client::new(http), Instant::now());
+            let (mut connection, started_at) = (Client::new(http), Instant::now());
             for number in 0u64.. {
-                let due = begun + Duration::from_secs_f64(number as f64 / SILENT_RATE);
+                let due =
+                    started_at + Duration::from_secs_f64(number as f64 / UNRESPONSIVE_RATE_PER_S);
                 std::thread::sleep(due.saturating_duration_since(Instant::now()));
-                if Instant::now() >= until {
+                if Instant::now() >= deadline {
                     return;
                 }
                 let id = format!("silent-{number}");
-                let destination = BUSY + 1 + number % SILENT;
+                let destination = BUSY_DESTINATIONS + 1 + number % UNRESPONSIVE_DESTINATIONS;
                 if connection
                     .send(&message_request("notice", &id, destination, 20_000, b"x"))
                     .is_none()
@@ -93,18 +114,18 @@
             }
         }));
     }
-    let mut each = Vec::new();
-    let mut before = well.request_count();
+    let mut rates = Vec::new();
+    let mut before = healthy.request_count();
     for _ in 0..seconds {
         std::thread::sleep(Duration::from_secs(1));
-        let now = well.request_count();
-        each.push((now - before) as f64);
+        let now = healthy.request_count();
+        rates.push((now - before) as f64);
         before = now;
     }
     threads
         .into_iter()
         .for_each(|thread| thread.join().expect("a client"));
-    each
+    rates
 }
 
 fn median(values: &[f64]) -> f64 {
@@ -114,23 +135,23 @@
 }
 
 fn main() {
-    let words: Vec<String> = std::env::args().collect();
-    let after = |name: &str| {
-        words
+    let arguments: Vec<String> = std::env::args().collect();
+    let value_after = |name: &str| {
+        arguments
             .iter()
-            .position(|word| word == name)
-            .and_then(|at| words.get(at + 1).cloned())
+            .position(|argument| argument == name)
+            .and_then(|at| arguments.get(at + 1).cloned())
     };
     let number = |name: &str, default: u64| {
-        after(name).map_or(default, |text| {
+        value_after(name).map_or(default, |text| {
             text.parse()
                 .unwrap_or_else(|_| panic!("{name} wants a number"))
         })
     };
-    let (most, seconds) = (number("--destinations", 50_000), number("--seconds", 6));
+    let (max_destinations, seconds) = (number("--destinations", 50_000), number("--seconds", 6));
     let programs: Vec<(&str, PathBuf)> = [("this", Some(env!("CARGO_BIN_EXE_milletturn").into()))]
         .into_iter()
-        .chain([("before", after("--against").map(PathBuf::from))])
+        .chain([("before", value_after("--against").map(PathBuf::from))])
         .filter_map(|(name, program)| Some((name, program?)))
         .collect();
     println!(
@@ -146,29 +167,30 @@
         "part",
         "MB"
     );
-    for count in [100, 1_000, most] {
+    for count in [100, 1_000, max_destinations] {
         for (name, program) in &programs {
-            let well = FakeEndpoint::new(|_, _| OK);
-            let silent = FakeEndpoint::new(|_, _| Reply::NoResponse);
-            let (sidecar, ready) = started(program, count, well.address, silent.address);
-            let memory = sidecar.memory();
-            let alone = rate(sidecar.http, &well, seconds, false);
-            let beside = rate(sidecar.http, &well, seconds, true);
-            let least = |each: &[f64]| each.iter().copied().fold(f64::MAX, f64::min);
+            let healthy = FakeEndpoint::new(|_, _| OK);
+            let unresponsive = FakeEndpoint::new(|_, _| Reply::NoResponse);
+            let (sidecar, time_to_ready) =
+                start_sidecar(program, count, healthy.address, unresponsive.address);
+            let memory_mb = sidecar.memory_mb();
+            let alone = delivery_rates(sidecar.http, &healthy, seconds, false);
+            let beside = delivery_rates(sidecar.http, &healthy, seconds, true);
+            let min = |rates: &[f64]| rates.iter().copied().fold(f64::MAX, f64::min);
             println!(
-                "{name:<8} {count:>12} {:>9.0} {memory:>7.1} | {:>9.0} {:>7.0} | {:>9.0} {:>7.0} {:>6.2} {:>7.1}",
-                ready.as_secs_f64() * 1e3,
+                "{name:<8} {count:>12} {:>9.0} {memory_mb:>7.1} | {:>9.0} {:>7.0} | {:>9.0} {:>7.0} {:>6.2} {:>7.1}",
+                time_to_ready.as_secs_f64() * 1e3,
                 median(&alone),
-                least(&alone),
+                min(&alone),
                 median(&beside),
-                least(&beside),
+                min(&beside),
                 median(&beside) / median(&alone),
-                sidecar.memory(),
+                sidecar.memory_mb(),
             );
-            // one that has gone would be no measurement
+            // the figures are void if the sidecar has exited
             assert!(
                 TcpStream::connect(sidecar.http).is_ok(),
-                "it runs to the end"
+                "the sidecar runs to the end"
             );
         }
     }
--- a/benches/noise.rs
+++ b/benches/noise.rs
@@ -1,14 +1,15 @@
-//! An endpoint with capacity to spare that fails a steady share of its calls, seen through the release program:
+//! Share of messages delivered to an endpoint that has spare capacity but fails a steady share of its calls:
 //!
 //!     cargo bench --bench noise [-- --seconds 10 --rate 370 --against OTHER/milletturn --only 503 --seed 1]
 //!
-//! For each row the program, the module before (`--against`, a program built from an earlier state) and a plain client
-//! that tries three times with exponential backoff and full jitter get the same load from the same seed: four clients at
-//! a steady pace that hand in what is refused once more after its wait. Rows with kills end the sidecar every 1.5 s.
+//! Each row applies the same load, from the same seed, to a sidecar of this build, to a sidecar of another program
+//! (`--against`, such as an earlier build) and to a plain client with three attempts, exponential backoff and full jitter.
+//! Four clients submit messages to the sidecar at a steady rate; a rejected message is counted. In rows with kills the
+//! sidecar is killed and restarted every 1.5 s.
 
 mod common;
 
-use common::{Sidecar, free};
+use common::{Sidecar, unused_address};
 use milletturn_test_support::{Client, FakeEndpoint, OK, Reply, message_request};
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -20,20 +21,24 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: usize = 4;
-/// A message's time.
+/// Time from the acceptance of a message to its deadline.
 const DEADLINE: Duration = Duration::from_secs(20);
-const KILL_EACH: Duration = Duration::from_millis(1500);
+const KILL_INTERVAL: Duration = Duration::from_millis(1500);
 
+/// How the endpoint fails a call.
 #[derive(Clone, Copy, PartialEq)]
 enum Noise {
+    /// Responds 500.
     Error,
-    Refused,
+    /// Responds 503.
+    Rejected,
+    /// Closes the connection without a response.
     Reset,
-    /// Errors in bursts: the chain of Gilbert and Elliott, five bad calls at a time in the mean.
+    /// Responds 500 in bursts of five failed calls on average (Gilbert-Elliott model).
     Bursts,
-    /// Errors that take two seconds to come.
+    /// Responds 500 after two seconds.
     Slow,
-    /// Only the first call on a connection may fail.
+    /// Responds 500; only the first call on a connection may fail.
     NewConnections,
 }
 
@@ -41,7 +46,7 @@
     fn name(self) -> &'static str {
         match self {
             Noise::Error => "500",
-            Noise::Refused => "503",
+            Noise::Rejected => "503",
             Noise::Reset => "reset",
             Noise::Bursts => "500 in bursts",
             Noise::Slow => "500 after 2 s",
@@ -50,12 +55,13 @@
     }
 }
 
-/// An endpoint that fails a share of its calls at random, from a seed.
+/// An endpoint that fails a share of its calls at random. The random numbers depend only on the seed.
 fn endpoint(noise: Noise, share: f64, seed: u64) -> FakeEndpoint {
+    // the random number generator, and whether the previous call failed
     let random = Mutex::new((Pcg32::seed_from_u64(seed), false));
-    let seen = Mutex::new(BTreeSet::new());
+    let seen_connections = Mutex::new(BTreeSet::new());
     FakeEndpoint::new(move |request, _| {
-        let first = seen
+        let is_first_call = seen_connections
             .lock()
             .expect("not poisoned")
             .insert(request.connection);
@@ -64,7 +70,7 @@
         let bad = match (noise, random.1) {
             (Noise::Bursts, true) => roll >= 0.2,
             (Noise::Bursts, false) => roll < 0.2 * share / (1.0 - share),
-            (Noise::NewConnections, _) => first && roll < share,
+            (Noise::NewConnections, _) => is_first_call && roll < share,
             _ => roll < share,
         };
         random.1 = bad;
@@ -74,16 +80,16 @@
         }
         match noise {
             _ if !bad => OK,
-            Noise::Refused => Reply::Respond("503 Busy", String::new()),
+            Noise::Rejected => Reply::Respond("503 Busy", String::new()),
             Noise::Reset => Reply::Close,
             _ => Reply::Respond("500 Oops", String::new()),
         }
     })
 }
 
-/// A sidecar with one keyed class and one destination.
-fn started(program: &Path, endpoint: SocketAddr) -> Sidecar {
-    let (http, outcomes) = (free(), free());
+/// Starts a sidecar with one class that uses idempotency keys and one destination.
+fn start_sidecar(program: &Path, endpoint: SocketAddr) -> Sidecar {
+    let (http, outcomes) = (unused_address(), unused_address());
     let text = format!(
         "name = 'app'\nstate = 'app.state'\n[listen]\nhttp = '{http}'\noutcomes = '{outcomes}'\n\
          [limits]\ndisk = '60MB'\n\
@@ -93,42 +99,49 @@
     Sidecar::new(program, &[("app.toml", &text)], http, outcomes)
 }
 
+/// Responses of the sidecar to its clients.
 #[derive(Default)]
-struct Counts {
-    taken: AtomicU64,
-    refused: AtomicU64,
+struct ResponseCounts {
+    accepted: AtomicU64,
+    rejected: AtomicU64,
 }
 
-/// Four clients for so long; the ids that were taken.
-fn load(http: SocketAddr, seconds: f64, rate: f64, counts: &Arc<Counts>) -> Vec<String> {
-    let begun = Instant::now();
+/// Submits messages from four clients for the given time, at the given rate for all together. Returns the ids of the
+/// accepted messages.
+fn submit_load(
+    http: SocketAddr,
+    seconds: f64,
+    rate: f64,
+    counts: &Arc<ResponseCounts>,
+) -> Vec<String> {
+    let started_at = Instant::now();
     let threads = (0..CLIENTS).map(|client| {
         let counts = counts.clone();
         std::thread::spawn(move || {
-            let (mut taken, mut number) = (Vec::new(), 0u32);
+            let (mut accepted, mut number) = (Vec::new(), 0u32);
             let mut connection: Option<Client> = None;
-            while begun.elapsed().as_secs_f64() < seconds {
+            while started_at.elapsed().as_secs_f64() < seconds {
                 let due =
-                    begun + Duration::from_secs_f64(f64::from(number) * CLIENTS as f64 / rate);
+                    started_at + Duration::from_secs_f64(f64::from(number) * CLIENTS as f64 / rate);
                 std::thread::sleep(due.saturating_duration_since(Instant::now()));
                 number += 1;
                 let id = format!("c{client}-{number}");
                 let bytes =
                     message_request("notice", &id, 7, DEADLINE.as_millis() as u64, &[b'x'; 256]);
-                // what could not be handed in was never promised
+                // a message that could not be submitted does not count: the sidecar never accepted it
                 if connection.is_none() {
                     connection = TcpStream::connect(http).is_ok().then(|| Client::new(http));
                 }
                 match connection.as_mut().and_then(|client| client.send(&bytes)) {
                     Some((200 | 202, _)) => {
-                        counts.taken.fetch_add(1, Ordering::Relaxed);
-                        taken.push(id);
+                        counts.accepted.fetch_add(1, Ordering::Relaxed);
+                        accepted.push(id);
                     }
-                    Some(_) => _ = counts.refused.fetch_add(1, Ordering::Relaxed),
+                    Some(_) => _ = counts.rejected.fetch_add(1, Ordering::Relaxed),
                     None => connection = None,
                 }
             }
-            taken
+            accepted
         })
     });
     let threads: Vec<_> = threads.collect();
@@ -138,50 +151,61 @@
         .collect()
 }
 
-struct Row {
-    taken: usize,
+/// The results of one program in one row of the table.
+struct RowResult {
+    accepted: usize,
     delivered: usize,
-    refused: u64,
+    rejected: u64,
     calls: usize,
 }
 
-fn through(program: &Path, noise: Noise, share: f64, options: &Options, kills: bool) -> Row {
+/// Sends the load through a sidecar and waits for the outcomes.
+fn measure_sidecar(
+    program: &Path,
+    noise: Noise,
+    share: f64,
+    options: &Options,
+    kills: bool,
+) -> RowResult {
     let endpoint = endpoint(noise, share, options.seed);
-    let mut sidecar = started(program, endpoint.address);
+    let mut sidecar = start_sidecar(program, endpoint.address);
     let (counts, stop) = (
-        Arc::new(Counts::default()),
+        Arc::new(ResponseCounts::default()),
         Arc::new(AtomicBool::new(false)),
     );
-    let (http, seconds, rate, here) = (sidecar.http, options.seconds, options.rate, counts.clone());
-    let ends = stop.clone();
-    let loading = std::thread::spawn(move || {
-        let taken = load(http, seconds, rate, &here);
-        ends.store(true, Ordering::SeqCst);
-        taken
+    let (http, seconds, rate, load_counts) =
+        (sidecar.http, options.seconds, options.rate, counts.clone());
+    let load_ended = stop.clone();
+    let load = std::thread::spawn(move || {
+        let accepted = submit_load(http, seconds, rate, &load_counts);
+        load_ended.store(true, Ordering::SeqCst);
+        accepted
     });
     while kills && !stop.load(Ordering::SeqCst) {
-        std::thread::sleep(KILL_EACH);
-        sidecar.kill();
+        std::thread::sleep(KILL_INTERVAL);
+        sidecar.kill_and_restart();
     }
-    let taken = loading.join().expect("the load");
-    // one that was cut off from its answer may have been taken: it is answered too, and not counted
-    let all = |found: &BTreeMap<String, String>| taken.iter().all(|id| found.contains_key(id));
-    let answers = sidecar.answers(DEADLINE + Duration::from_secs(5), all);
-    let delivered = taken
+    let accepted = load.join().expect("the load");
+    // a message whose response was lost may have been accepted: it gets an outcome too, but is not counted
+    let is_complete =
+        |outcomes: &BTreeMap<String, String>| accepted.iter().all(|id| outcomes.contains_key(id));
+    let outcomes = sidecar.read_outcomes(DEADLINE + Duration::from_secs(5), is_complete);
+    let delivered = accepted
         .iter()
-        .filter(|id| answers.get(*id).is_some_and(|state| state == "delivered"))
+        .filter(|id| outcomes.get(*id).is_some_and(|state| state == "delivered"))
         .count();
-    let refused = counts.refused.load(Ordering::Relaxed);
-    Row {
-        taken: taken.len(),
+    let rejected = counts.rejected.load(Ordering::Relaxed);
+    RowResult {
+        accepted: accepted.len(),
         delivered,
-        refused,
+        rejected,
         calls: endpoint.request_count(),
     }
 }
 
-/// Three tries with exponential backoff and full jitter, by as many clients as are needed for the rate.
-fn plain(noise: Noise, share: f64, options: &Options) -> Row {
+/// Calls the endpoint directly, with three attempts for each message, exponential backoff and full jitter. 32 clients,
+/// enough for the rate, work back to back.
+fn measure_plain_client(noise: Noise, share: f64, options: &Options) -> RowResult {
     let endpoint = endpoint(noise, share, options.seed);
     let messages = (options.rate * options.seconds) as u64;
     let (next, delivered) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicU64::new(0)));
@@ -193,8 +217,8 @@
             while next.fetch_add(1, Ordering::SeqCst) < messages {
                 for attempt in 0..3u32 {
                     if attempt > 0 {
-                        let most = 100u32 << (attempt - 1);
-                        std::thread::sleep(Duration::from_millis(u64::from(random.next_u32() % most)));
+                        let max_backoff_ms = 100u32 << (attempt - 1);
+                        std::thread::sleep(Duration::from_millis(u64::from(random.next_u32() % max_backoff_ms)));
                     }
                     let bytes =
                         b"POST /inbox HTTP/1.1\r\nHost: a\r\nX-Request-ID: p\r\nContent-Length: 1\r\n\r\nx";
@@ -215,14 +239,15 @@
         .into_iter()
         .for_each(|thread| thread.join().expect("a client"));
     let delivered = delivered.load(Ordering::SeqCst) as usize;
-    Row {
-        taken: messages as usize,
+    RowResult {
+        accepted: messages as usize,
         delivered,
-        refused: 0,
+        rejected: 0,
         calls: endpoint.request_count(),
     }
 }
 
+/// The options of the command line.
 struct Options {
     seconds: f64,
     rate: f64,
@@ -231,16 +256,16 @@
     only: Option<String>,
 }
 
-fn options() -> Options {
-    let words: Vec<String> = std::env::args().collect();
-    let after = |name: &str| {
-        words
+fn parse_options() -> Options {
+    let arguments: Vec<String> = std::env::args().collect();
+    let value_after = |name: &str| {
+        arguments
             .iter()
-            .position(|word| word == name)
-            .and_then(|at| words.get(at + 1).cloned())
+            .position(|argument| argument == name)
+            .and_then(|at| arguments.get(at + 1).cloned())
     };
     let number = |name: &str, default: f64| {
-        after(name).map_or(default, |text| {
+        value_after(name).map_or(default, |text| {
             text.parse()
                 .unwrap_or_else(|_| panic!("{name} wants a number"))
         })
@@ -249,13 +274,13 @@
         seconds: number("--seconds", 10.0),
         rate: number("--rate", 370.0),
         seed: number("--seed", 1.0) as u64,
-        against: after("--against").map(PathBuf::from),
-        only: after("--only"),
+        against: value_after("--against").map(PathBuf::from),
+        only: value_after("--only"),
     }
 }
 
 fn main() {
-    let options = options();
+    let options = parse_options();
     let program = Path::new(env!("CARGO_BIN_EXE_milletturn"));
     println!(
         "{} s a row, {} messages a second, seed {}",
@@ -266,13 +291,13 @@
         "", "this: taken deliv. refused", "before: taken deliv. refused", "three tries"
     );
     let mut rows = vec![(Noise::Error, 0.0, false)];
-    for noise in [Noise::Error, Noise::Refused, Noise::Reset] {
+    for noise in [Noise::Error, Noise::Rejected, Noise::Reset] {
         rows.extend([0.01, 0.02, 0.05, 0.1, 0.2, 0.3].map(|share| (noise, share, false)));
     }
     rows.push((Noise::Bursts, 0.05, false));
     rows.push((Noise::Slow, 0.1, false));
     rows.extend([0.3, 1.0].map(|share| (Noise::NewConnections, share, false)));
-    rows.extend([Noise::Error, Noise::Refused].map(|noise| (noise, 0.1, true)));
+    rows.extend([Noise::Error, Noise::Rejected].map(|noise| (noise, 0.1, true)));
     for (noise, share, kills) in rows {
         let name = format!(
             "{:.0}% {}{}",
@@ -287,26 +312,26 @@
         {
             continue;
         }
-        let text = |row: &Row| {
-            let share = row.delivered as f64 / row.taken.max(1) as f64;
+        let result_text = |row: &RowResult| {
+            let share = row.delivered as f64 / row.accepted.max(1) as f64;
             format!(
                 "{:>6} {share:>7.4} {:>7} {:>5.2}",
-                row.taken,
-                row.refused,
-                row.calls as f64 / row.taken.max(1) as f64
+                row.accepted,
+                row.rejected,
+                row.calls as f64 / row.accepted.max(1) as f64
             )
         };
-        let this = through(program, noise, share, &options, kills);
+        let this = measure_sidecar(program, noise, share, &options, kills);
         let before = options
             .against
             .as_ref()
-            .map(|other| through(other, noise, share, &options, kills));
-        let tries = plain(noise, share, &options);
+            .map(|other| measure_sidecar(other, noise, share, &options, kills));
+        let plain_client = measure_plain_client(noise, share, &options);
         println!(
             "{name:<26} {:>28} {:>28} {:>17.4}",
-            text(&this),
-            before.as_ref().map(text).unwrap_or_default(),
-            tries.delivered as f64 / tries.taken as f64
+            result_text(&this),
+            before.as_ref().map(result_text).unwrap_or_default(),
+            plain_client.delivered as f64 / plain_client.accepted as f64
         );
     }
 }
--- a/benches/owners.rs
+++ b/benches/owners.rs
@@ -1,8 +1,9 @@
-//! What one owner at a time costs: `cargo bench --bench owners`.
+//! Costs of exclusive ownership of a resource: `cargo bench --bench owners [-- renewals]`.
 //!
-//! Three stewards as processes on this machine, lease 2 s. How long nobody does the work after its owner died, was
-//! stopped or was cut off, and after the leading steward died; acts a second; what 300 members that renew cost the
-//! stewards. Loopback and one disk: a real network adds its round trips.
+//! Three coordinators run as processes on this machine, with a lease of 2 s. Measured are the time without writes after
+//! the owner of a resource was terminated, killed, suspended or disconnected and after the leader was killed, the rate of
+//! fenced writes, and what the heartbeats of 300 members cost the coordinators. All traffic uses loopback and one disk; a
+//! real network adds its round trips.
 
 use milletturn_cluster_harness::cluster::{DEFAULT_LEASE, GROUP_NAME};
 use milletturn_cluster_harness::history::writes_of;
@@ -13,14 +14,16 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_milletturn");
+/// Rounds for each fault.
 const ROUNDS: usize = 7;
 const MEMBERS: usize = 300;
-const SPAN: Duration = Duration::from_secs(20);
+/// Time over which the costs of the coordinators are measured.
+const MEASURED_TIME: Duration = Duration::from_secs(20);
 
 fn main() {
-    // `-- renewals` leaves the rest out
-    if std::env::args().any(|word| word == "renewals") {
-        return renewals();
+    // `-- renewals` measures only the cost of heartbeats
+    if std::env::args().any(|argument| argument == "renewals") {
+        return measure_heartbeat_cost();
     }
     println!(
         "lease {DEFAULT_LEASE}, {ROUNDS} rounds each; seconds from the fault to the next act, whoever does it"
@@ -29,154 +32,171 @@
     for (name, fault) in [
         ("owner ends by SIGTERM", Fault::Terminate),
         ("owner killed", Fault::Kill),
-        ("owner stopped", Fault::Stop),
-        ("owner cut off", Fault::Cut),
-        ("leading steward killed", Fault::Leader),
+        ("owner stopped", Fault::Suspend),
+        ("owner cut off", Fault::Disconnect),
+        ("leading steward killed", Fault::KillLeader),
     ] {
-        let mut spans: Vec<f64> = (0..ROUNDS)
-            .map(|_| until_next_act(fault).as_secs_f64())
+        let mut seconds: Vec<f64> = (0..ROUNDS)
+            .map(|_| time_to_next_write(fault).as_secs_f64())
             .collect();
-        spans.sort_by(f64::total_cmp);
+        seconds.sort_by(f64::total_cmp);
         println!(
             "{name:<28} {:>8.2} {:>8.2}",
-            spans[ROUNDS / 2],
-            spans[ROUNDS - 1]
+            seconds[ROUNDS / 2],
+            seconds[ROUNDS - 1]
         );
     }
-    acts_a_second();
-    renewals();
+    measure_write_rate();
+    measure_heartbeat_cost();
 }
 
+/// What happens to the owner of the resource, or to the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
+    /// SIGTERM to the owner, which releases the resource.
     Terminate,
+    /// SIGKILL to the owner.
     Kill,
-    Stop,
-    Cut,
-    Leader,
+    /// The owner's process is suspended.
+    Suspend,
+    /// The owner loses its connections to the coordinators.
+    Disconnect,
+    /// SIGKILL to the leading coordinator.
+    KillLeader,
 }
 
-fn until_next_act(fault: Fault) -> Duration {
+/// Time from the fault until the next write, by the second member or, after the loss of the leader, by the owner.
+fn time_to_next_write(fault: Fault) -> Duration {
     let mut group = Cluster::start(PROGRAM, 3);
-    let (way_a, way_b) = (group.connect_client(), group.connect_client());
-    let mut a = group.start_member(&way_a, "w", "a");
+    let (connection_a, connection_b) = (group.connect_client(), group.connect_client());
+    let mut a = group.start_member(&connection_a, "w", "a");
     a.wait_for_lines(3, |line| line.contains("\"acted\""));
-    let b = group.start_member(&way_b, "w", "b");
+    let b = group.start_member(&connection_b, "w", "b");
     b.wait_for_lines(1, |line| line.contains("\"joined\""));
     let leader = group.leader(&group.replicas());
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let before = writes_of(&a).len();
     match fault {
         Fault::Terminate => a.terminate(),
         Fault::Kill => a.kill(),
-        Fault::Stop => a.suspend(),
-        Fault::Cut => way_a
+        Fault::Suspend => a.suspend(),
+        Fault::Disconnect => connection_a
             .links
             .iter()
             .for_each(milletturn_cluster_harness::LinkControl::cut),
-        Fault::Leader => group.kill_replica(leader),
+        Fault::KillLeader => group.kill_replica(leader),
     }
     match fault {
-        // those on their way count too: what is asked is how long nobody acts
-        Fault::Leader => wait_until("it acts on", || writes_of(&a).len() > before + 1),
+        // waits for two more writes, since the first one may have been in flight at the fault
+        Fault::KillLeader => wait_until("the owner writes again", || {
+            writes_of(&a).len() > before + 1
+        }),
         _ => b.wait_for_lines(1, |line| line.contains("\"acted\"")),
     }
-    begun.elapsed()
+    started_at.elapsed()
 }
 
-fn acts_a_second() {
+/// Measures the rate and latency of fenced writes of one owner, one after the other.
+fn measure_write_rate() {
     let group = Cluster::start(PROGRAM, 3);
     let addresses = group.addresses();
-    let ended = run(async move {
-        let (member, _news) = Member::new(about("a"), 20_000, ["w".to_string()]);
-        let keeper = member.clone();
+    let results = run(async move {
+        let (member, _events) = Member::new(member_info("a"), 20_000, ["w".to_string()]);
+        let session_member = member.clone();
         let client = CoordinatorClient::new(GROUP_NAME, &addresses);
-        tokio::task::spawn_local(async move { keeper.maintain_session(client, 1).await });
+        tokio::task::spawn_local(async move { session_member.maintain_session(client, 1).await });
         while member.permission("w").is_none() {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let mut writer = CoordinatorClient::new(GROUP_NAME, &addresses);
-        let (begun, mut done, mut spans) = (Instant::now(), 0, Vec::new());
-        while begun.elapsed() < SPAN / 4 {
-            let one = Instant::now();
+        let (started_at, mut done, mut latencies_ms) = (Instant::now(), 0, Vec::new());
+        while started_at.elapsed() < MEASURED_TIME / 4 {
+            let write_started_at = Instant::now();
             if let milletturn_member::WriteOutcome::Done { .. } =
                 member.write_fenced(&mut writer, "w", "so far").await
             {
                 done += 1;
-                spans.push(one.elapsed().as_secs_f64() * 1e3);
+                latencies_ms.push(write_started_at.elapsed().as_secs_f64() * 1e3);
             }
         }
-        spans.sort_by(f64::total_cmp);
+        latencies_ms.sort_by(f64::total_cmp);
         (
-            done as f64 / begun.elapsed().as_secs_f64(),
-            spans[spans.len() / 2],
-            spans[spans.len() * 99 / 100],
+            done as f64 / started_at.elapsed().as_secs_f64(),
+            latencies_ms[latencies_ms.len() / 2],
+            latencies_ms[latencies_ms.len() * 99 / 100],
         )
     });
     println!(
         "\nacts of one owner, one after the other: {:.0} a second, p50 {:.1} ms, p99 {:.1} ms",
-        ended.0, ended.1, ended.2
+        results.0, results.1, results.2
     );
 }
 
-fn renewals() {
+/// Measures processor time, memory and disk writes of the coordinators, without members and with members that send
+/// heartbeats.
+fn measure_heartbeat_cost() {
     let group = Cluster::start(PROGRAM, 3);
     let leader = group.leader(&group.replicas());
     let addresses = group.addresses();
-    println!("\nstewards over {} s, the leader's first", SPAN.as_secs());
+    println!(
+        "\nstewards over {} s, the leader's first",
+        MEASURED_TIME.as_secs()
+    );
     println!(
         "{:<28} {:>10} {:>10} {:>14}",
         "", "cores", "MB", "KB written"
     );
-    let table = |what: &str| {
-        let mut places = group.replicas();
-        places.sort_by_key(|place| *place != leader);
-        let before: Vec<_> = places
+    let print_costs = |label: &str| {
+        let mut replicas = group.replicas();
+        replicas.sort_by_key(|replica| *replica != leader);
+        let before: Vec<_> = replicas
             .iter()
-            .map(|place| cost(group.replica(*place)))
+            .map(|replica| resource_usage(group.replica(*replica)))
             .collect();
-        std::thread::sleep(SPAN);
-        for (place, before) in places.iter().zip(before) {
-            let after = cost(group.replica(*place));
-            let cores = (after.0 - before.0) / SPAN.as_secs_f64();
+        std::thread::sleep(MEASURED_TIME);
+        for (replica, before) in replicas.iter().zip(before) {
+            let after = resource_usage(group.replica(*replica));
+            let cores = (after.0 - before.0) / MEASURED_TIME.as_secs_f64();
             println!(
-                "{what:<28} {cores:>10.3} {:>10.1} {:>14}",
+                "{label:<28} {cores:>10.3} {:>10.1} {:>14}",
                 after.1,
                 after.2 - before.2
             );
         }
     };
-    table("no member");
-    let (ended, end) = std::sync::mpsc::channel::<()>();
+    print_costs("no member");
+    let (stop_sender, stop) = std::sync::mpsc::channel::<()>();
     std::thread::scope(|scope| {
         scope.spawn(move || {
             run(async move {
                 for number in 0..MEMBERS {
-                    let (member, mut news) = Member::new(about(&format!("n{number}")), 20_000, []);
+                    let (member, mut events) =
+                        Member::new(member_info(&format!("n{number}")), 20_000, []);
                     let client = CoordinatorClient::new(GROUP_NAME, &addresses);
                     tokio::task::spawn_local(async move {
                         member.maintain_session(client, number as u64).await;
                     });
-                    tokio::task::spawn_local(async move { while news.recv().await.is_some() {} });
+                    tokio::task::spawn_local(async move { while events.recv().await.is_some() {} });
                 }
-                while let Err(std::sync::mpsc::TryRecvError::Empty) = end.try_recv() {
+                while let Err(std::sync::mpsc::TryRecvError::Empty) = stop.try_recv() {
                     tokio::time::sleep(Duration::from_millis(50)).await;
                 }
             });
         });
-        wait_until("all have joined", || {
+        wait_until("all members have joined", || {
             group
                 .run_fleet_command(&group.replicas(), &["members"])
                 .1
                 .len()
                 == MEMBERS
         });
-        table("300 members renewing");
-        drop(ended);
+        print_costs("300 members renewing");
+        drop(stop_sender);
     });
 }
 
-fn about(name: &str) -> MemberInfo {
+/// A member of which only the name matters.
+fn member_info(name: &str) -> MemberInfo {
     MemberInfo {
         name: name.to_string(),
         zone: String::new(),
@@ -185,6 +205,7 @@
     }
 }
 
+/// Runs a future to completion on a single-threaded runtime, with a local task set.
 fn run<T>(future: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -193,20 +214,20 @@
     tokio::task::LocalSet::new().block_on(&runtime, future)
 }
 
-/// Seconds of processor time, megabytes in memory and kilobytes handed to the disk so far, by proc(5).
-fn cost(process: &Process) -> (f64, f64, u64) {
+/// Seconds of processor time, MB of resident memory and KB written to the disk so far by a process, from proc(5).
+fn resource_usage(process: &Process) -> (f64, f64, u64) {
     let read = |file: &str| {
-        std::fs::read_to_string(format!("/proc/{}/{file}", process.id())).expect("it runs")
+        std::fs::read_to_string(format!("/proc/{}/{file}", process.id())).expect("the process runs")
     };
     let stat = read("stat");
-    let words: Vec<&str> = stat
+    let fields: Vec<&str> = stat
         .rsplit(") ")
         .next()
         .expect("fields")
         .split(' ')
         .collect();
-    // user and system, in hundredths of a second
-    let ticks: f64 = words[11..13]
+    // user and system time, in hundredths of a second
+    let ticks: f64 = fields[11..13]
         .iter()
         .map(|ticks| ticks.parse::<f64>().expect("ticks"))
         .sum();
--- a/benches/starts.rs
+++ b/benches/starts.rs
@@ -1,6 +1,8 @@
-//! Many senders that start at one moment on one disk, each on a journal of its own, while discovery and every endpoint
-//! hang: `cargo bench --bench starts -- [SENDERS] [MESSAGES HELD BY EACH]`. Counts from the moment in which all start
-//! until each answers that it is ready, beside what the same start takes alone.
+//! Time to ready of many senders that start at once: `cargo bench --bench starts -- [SENDERS] [MESSAGES HELD BY EACH]`.
+//!
+//! All senders share one disk; each has a journal of its own with pending messages. Discovery and every endpoint are
+//! unresponsive. The time runs from the common start until each sender reports ready, and is compared with the start of
+//! a single sender.
 
 #[path = "../tests/node/mod.rs"]
 mod node;
@@ -13,18 +15,20 @@
 use std::sync::Barrier;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-const BODY: usize = 256;
-/// Room in a journal for each message, with its body and all that it may need until its end.
-const EACH: u64 = 4_000;
+const BODY_BYTES: usize = 256;
+/// Journal capacity in bytes for each message: its body and all records that it may need until its final outcome.
+const JOURNAL_BYTES_PER_MESSAGE: u64 = 4_000;
 
-fn owing(state: &Path, held: u64) {
-    let (mut journal, _) = FileJournal::open(state, held * EACH, held).expect("a journal");
+/// Writes a journal with the given number of pending messages into the state folder.
+fn write_journal(state: &Path, pending: u64) {
+    let (mut journal, _) =
+        FileJournal::open(state, pending * JOURNAL_BYTES_PER_MESSAGE, pending).expect("a journal");
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .expect("after 1970")
         .as_micros() as i64;
-    for number in 0..held {
-        let taken = Accepted {
+    for number in 0..pending {
+        let message = Accepted {
             id: format!("m{number}"),
             key: Some(format!("key-m{number}")),
             class: "order".into(),
@@ -34,33 +38,36 @@
             destination: number % 100,
             accepted_at: now,
             deadline: now + 600_000_000,
-            body: vec![b'x'; BODY],
+            body: vec![b'x'; BODY_BYTES],
         };
-        journal.record_accepted(number, taken).expect("room");
+        journal
+            .record_accepted(number, message)
+            .expect("journal has capacity");
     }
 }
 
-/// Seconds from the moment in which all start until each is ready, sorted.
-fn play(senders: usize, held: u64, hangs: SocketAddr) -> Vec<f64> {
-    let together = Barrier::new(senders);
-    let known = list_json(&[("s-1", hangs, "one", 7, "up")]);
-    let disk_mb = (held * EACH) as f64 / 1e6;
+/// Starts the senders at once, and returns the sorted seconds until each is ready. `unresponsive` is the address of
+/// discovery and of the only endpoint.
+fn measure_starts(senders: usize, pending: u64, unresponsive: SocketAddr) -> Vec<f64> {
+    let start_barrier = Barrier::new(senders);
+    let cached_list = list_json(&[("s-1", unresponsive, "one", 7, "up")]);
+    let disk_mb = (pending * JOURNAL_BYTES_PER_MESSAGE) as f64 / 1e6;
     std::thread::scope(|scope| {
         let starts: Vec<_> = (0..senders)
             .map(|_| {
                 scope.spawn(|| {
-                    let mut begun = Instant::now();
-                    let node = Node::prepared(hangs, disk_mb, &known, |state| {
-                        owing(state, held);
-                        together.wait();
-                        begun = Instant::now();
+                    let mut started_at = Instant::now();
+                    let node = Node::prepared(unresponsive, disk_mb, &cached_list, |state| {
+                        write_journal(state, pending);
+                        start_barrier.wait();
+                        started_at = Instant::now();
                     });
                     let node = node.ready();
-                    (begun.elapsed().as_secs_f64(), node)
+                    (started_at.elapsed().as_secs_f64(), node)
                 })
             })
             .collect();
-        // all stay until the last one is ready
+        // all senders keep running until the last one is ready
         let nodes: Vec<_> = starts
             .into_iter()
             .map(|start| start.join().expect("ready"))
@@ -72,28 +79,30 @@
 }
 
 fn main() {
-    let words = std::env::args()
+    let arguments = std::env::args()
         .skip(1)
-        .filter(|word| !word.starts_with("--"));
-    let numbers: Vec<u64> = words.filter_map(|word| word.parse().ok()).collect();
+        .filter(|argument| !argument.starts_with("--"));
+    let numbers: Vec<u64> = arguments
+        .filter_map(|argument| argument.parse().ok())
+        .collect();
     let senders = numbers
         .first()
         .map_or(100, |&number| number as usize)
         .max(1);
-    let held = numbers.get(1).copied().unwrap_or(5_000);
-    // accepts by its backlog, and says nothing
-    let hangs = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = hangs.local_addr().expect("bound");
+    let pending = numbers.get(1).copied().unwrap_or(5_000);
+    // never calls accept(), so connections are established by its backlog but get no response
+    let unresponsive = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let address = unresponsive.local_addr().expect("bound");
     let load = std::fs::read_to_string("/proc/loadavg").unwrap_or_default();
     println!("load before: {}", load.trim());
     for count in [1, senders] {
-        let seconds = play(count, held, address);
-        let at = |share: f64| seconds[((seconds.len() - 1) as f64 * share) as usize];
+        let seconds = measure_starts(count, pending, address);
+        let quantile = |share: f64| seconds[((seconds.len() - 1) as f64 * share) as usize];
         println!(
-            "{count} at once, {held} held by each: half ready after {:.2} s, nine in ten {:.2} s, all {:.2} s",
-            at(0.5),
-            at(0.9),
-            at(1.0)
+            "{count} at once, {pending} held by each: half ready after {:.2} s, nine in ten {:.2} s, all {:.2} s",
+            quantile(0.5),
+            quantile(0.9),
+            quantile(1.0)
         );
     }
 }
