--- a/benches/owners.rs
+++ b/benches/owners.rs
@@ -68,19 +68,19 @@
 /// Time from the fault until the next write, by the second member or, after the loss of the leader, by the owner.
 fn time_to_next_write(fault: Fault) -> Duration {
     let mut group = Cluster::start(PROGRAM, 3);
-    let (connection_a, connection_b) = (group.connect_client(), group.connect_client());
-    let mut a = group.start_member(&connection_a, "w", "a");
-    a.wait_for_lines(3, |line| line.contains("\"acted\""));
-    let b = group.start_member(&connection_b, "w", "b");
-    b.wait_for_lines(1, |line| line.contains("\"joined\""));
+    let (owner_connection, successor_connection) = (group.connect_client(), group.connect_client());
+    let mut owner = group.start_member(&owner_connection, "w", "a");
+    owner.wait_for_lines(3, |line| line.contains("\"acted\""));
+    let successor = group.start_member(&successor_connection, "w", "b");
+    successor.wait_for_lines(1, |line| line.contains("\"joined\""));
     let leader = group.leader(&group.replicas());
     let started_at = Instant::now();
-    let before = writes_of(&a).len();
+    let before = writes_of(&owner).len();
     match fault {
-        Fault::Terminate => a.terminate(),
-        Fault::Kill => a.kill(),
-        Fault::Suspend => a.suspend(),
-        Fault::Disconnect => connection_a
+        Fault::Terminate => owner.terminate(),
+        Fault::Kill => owner.kill(),
+        Fault::Suspend => owner.suspend(),
+        Fault::Disconnect => owner_connection
             .links
             .iter()
             .for_each(milletturn_cluster_harness::LinkControl::cut),
@@ -89,9 +89,9 @@
     match fault {
         // waits for two more writes, since the first one may have been in flight at the fault
         Fault::KillLeader => wait_until("the owner writes again", || {
-            writes_of(&a).len() > before + 1
+            writes_of(&owner).len() > before + 1
         }),
-        _ => b.wait_for_lines(1, |line| line.contains("\"acted\"")),
+        _ => successor.wait_for_lines(1, |line| line.contains("\"acted\"")),
     }
     started_at.elapsed()
 }
--- a/src/assemble.rs
+++ b/src/assemble.rs
@@ -84,7 +84,7 @@
 
 /// How a process got access to its state folder and its listening socket.
 pub(crate) enum FolderAccess {
-    /// The folder and the address are used as configured, without a lock and without hot restart.
+    /// The folder and the address are used as configured, without hot restart and its lock.
     Configured,
     /// The process holds the folder's lock. It may have taken over from another process, and another one may take over
     /// from it in a hot restart.
--- a/src/assemble/takeover.rs
+++ b/src/assemble/takeover.rs
@@ -86,8 +86,11 @@
 
 /// What a process needs in order to hand over to its successor.
 pub(super) struct HandoverParts {
+    /// Admits clients, and counts their open connections.
     pub(super) gate: Rc<DrainGate>,
+    /// The lock of the state folder; none without hot restart.
     pub(super) lock: Option<File>,
+    /// A duplicate of the listening socket for clients.
     pub(super) listening_socket: OwnedFd,
 }
 
@@ -114,7 +117,8 @@
     }
 }
 
-/// Runs the engine until its inputs end (none), or until a takeover was offered and has not failed.
+/// Runs the engine until its inputs end, which gives none, or until an offered takeover ends this process's ownership of
+/// the state folder, which gives the outcome. After a failed takeover the engine goes on.
 async fn run_until_takeover(
     engine: &mut Engine,
     inputs: &mut mpsc::UnboundedReceiver<Input>,
--- a/src/dead_letter.rs
+++ b/src/dead_letter.rs
@@ -2,17 +2,17 @@
 //!
 //! - `arguments`: parses the command line;
 //! - `offline`: reads the store's file when no sender runs;
-//! - `answer`: prints responses as JSON lines as they arrive, or collects them for a table;
+//! - `printer`: prints responses as JSON lines as they arrive, or collects them for a table;
 //! - `table`: formats the tables.
 
-mod answer;
 mod arguments;
 mod offline;
+mod printer;
 mod table;
 
 pub(crate) use self::arguments::Arguments;
 
-use self::answer::AnswerPrinter;
+use self::printer::ResponsePrinter;
 use milletturn_config::document::Document;
 use milletturn_dead_letter::config::Config;
 use milletturn_dead_letter::control::{ControlError, Request, send_request};
@@ -84,7 +84,7 @@
     let request = arguments
         .request()
         .map_err(|message| report(message, USAGE))?;
-    let mut printer = AnswerPrinter::new(arguments.wants_json());
+    let mut printer = ResponsePrinter::new(arguments.wants_json());
     match send_request(folder, &request, |response| printer.receive(response)) {
         Ok(()) => {}
         Err(error @ ControlError::NotRunning { .. }) => {
--- a/src/dead_letter/offline.rs
+++ b/src/dead_letter/offline.rs
@@ -1,7 +1,7 @@
 //! Answers read-only requests from the store's file when no sender runs.
 
-use super::answer::AnswerPrinter;
 use super::now;
+use super::printer::ResponsePrinter;
 use milletturn_dead_letter::control::{Request, Response};
 use milletturn_dead_letter::error::StoreError;
 use milletturn_dead_letter::record::BodyMode;
@@ -15,7 +15,7 @@
 pub(super) fn answer(
     path: &Path,
     request: &Request,
-    printer: &mut AnswerPrinter,
+    printer: &mut ResponsePrinter,
 ) -> Result<(), StoreError> {
     let store = DeadLetterStore::open_read_only(path)?;
     let (filter, limit) = match request {
--- a/src/dead_letter/answer.rs
+++ b/src/dead_letter/printer.rs
@@ -6,15 +6,15 @@
 
 /// Receives the responses to one request and prints them.
 #[derive(Debug)]
-pub(super) struct AnswerPrinter {
+pub(super) struct ResponsePrinter {
     json: bool,
     responses: Vec<Response>,
-    result: AnswerResult,
+    result: CommandResult,
 }
 
 /// How the responses to a request ended.
 #[derive(Debug, Default)]
-pub(super) struct AnswerResult {
+pub(super) struct CommandResult {
     /// Number of messages that the command covered.
     pub(super) count: usize,
     /// Number of these messages for which the command was rejected.
@@ -23,12 +23,12 @@
     pub(super) error: Option<String>,
 }
 
-impl AnswerPrinter {
+impl ResponsePrinter {
     pub(super) fn new(json: bool) -> Self {
-        AnswerPrinter {
+        ResponsePrinter {
             json,
             responses: Vec::new(),
-            result: AnswerResult::default(),
+            result: CommandResult::default(),
         }
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// Prints the table unless the output is JSON, and returns the result. `now` is Unix time in microseconds.
-    pub(super) fn finish(self, now: i64) -> AnswerResult {
+    pub(super) fn finish(self, now: i64) -> CommandResult {
         if !self.json {
             // a closed standard output is no error of the command
             let _ = output::print(table::format(&self.responses, now));
