--- a/src/assemble.rs
+++ b/src/assemble.rs
@@ -35,7 +35,7 @@
 use takeover::{HandoverParts, InheritedParts, TakeoverRequests};
 use tokio::sync::{mpsc, watch};
 
-/// What a sender is assembled from.
+/// The options from which [`assemble()`] starts a sender.
 pub(crate) struct SenderOptions {
     /// The sender's name in the log.
     pub name: String,
@@ -74,9 +74,9 @@
     pub folder_access: FolderAccess,
 }
 
-/// The dead-letter store of a sender.
+/// The options of a sender's dead-letter store.
 pub(crate) struct StoreOptions {
-    /// What is stored, and for how long.
+    /// Settings of the store, such as what it keeps and for how long.
     pub config: StoreConfig,
     /// Maximum size in bytes of the store with its auxiliary files.
     pub max_total_bytes: u64,
--- a/src/dead_letter.rs
+++ b/src/dead_letter.rs
@@ -40,7 +40,7 @@
     ExitCode::from(execute(arguments, settings).unwrap_or_else(|code| code))
 }
 
-/// Unix time in microseconds.
+/// The current Unix time in microseconds.
 fn now() -> i64 {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/fleet/table.rs
+++ b/src/fleet/table.rs
@@ -1,4 +1,4 @@
-//! The tables that `milletturn fleet` prints for people.
+//! Formats the tables that `milletturn fleet` prints for people.
 
 use crate::columns::columns;
 use milletturn_coordination::state::EventKind;
--- a/src/run.rs
+++ b/src/run.rs
@@ -140,7 +140,7 @@
     }
 }
 
-/// The options of a sender on the platform.
+/// Builds the options of the platform's sender from its configuration.
 fn sender_options(
     config: Config,
     journal_max_bytes: u64,
