--- a/crates/coordinator/src/leadership.rs
+++ b/crates/coordinator/src/leadership.rs
@@ -1,10 +1,10 @@
-//! What only the leader of the group does: it serves heartbeats and expires leases.
+//! The work of the group's leader: serving heartbeats and expiring leases.
 //!
-//! Whether this replica leads is known for certain only by asking a quorum, as Raft does for linearizable reads. All
-//! that depends on it asks before it answers.
+//! A replica can be sure that it leads only after a quorum has confirmed it, as in Raft's linearizable reads. Every
+//! operation that depends on the leadership asks a quorum before it responds.
 //!
-//! - `heartbeats`: serving of heartbeats, one or a batch, by one question to a quorum.
-//! - `lease_expiry`: the end of sessions whose lease has expired.
+//! - `heartbeats`: serves one heartbeat or a batch with a single request to a quorum.
+//! - `lease_expiry`: ends sessions whose lease has expired.
 
 mod heartbeats;
 mod lease_expiry;
@@ -24,23 +24,24 @@
 use std::time::Duration;
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
-/// Longest wait for a quorum; a caller asks another replica then.
+/// Longest wait for a quorum. A caller that gets no confirmation in this time asks another replica.
 pub const QUORUM_TIMEOUT: Duration = Duration::from_secs(2);
-/// Interval between two checks of the leases, by which a lease may expire late.
+/// Interval between two checks for expired leases; a lease may end late by up to this interval.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// This replica's leadership, while it has it.
+/// Leadership of this replica: follows the consensus, and serves heartbeats and expires leases while the replica leads.
 pub struct Leadership {
-    /// The consensus.
+    /// The Raft consensus of this replica.
     pub raft: Raft,
-    /// The coordination state as this replica has it.
+    /// The coordination state as applied on this replica.
     pub state_machine: StateMachine,
     lease_table: RefCell<LeaseTable>,
-    /// The version of the sessions that the lease table tracks.
+    /// Version of the set of leases that the lease table was last synchronized with.
     tracked_version: Cell<LeasesVersion>,
 }
 
-/// Why the leader's work can't be done by this replica. The texts go into the protocol's error bodies and stay.
+/// Why this replica can't do the leader's work. The messages are sent in the protocol's error bodies and must not
+/// change.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum LeadershipError {
     /// Another replica leads, or none does.
@@ -49,13 +50,13 @@
         /// The leader, if this replica knows it.
         leader: Option<ReplicaId>,
     },
-    /// No quorum answered in time.
+    /// No quorum answered within [`QUORUM_TIMEOUT`].
     #[error("no majority of the stewards answers this one; ask another")]
     NoQuorum,
 }
 
 impl LeadershipError {
-    /// By what the consensus says: who leads, if it knows.
+    /// Converts the consensus' error: `None` means that no quorum answered.
     fn from_forward(forward: Option<&ForwardToLeader<ReplicaId, BasicNode>>) -> Self {
         forward.map_or(Self::NoQuorum, |forward| Self::NotLeader {
             leader: forward.leader_id,
@@ -63,13 +64,13 @@
     }
 }
 
-/// All leases of a state: open sessions, and those from before a restore.
+/// All leases of a state: those of open sessions and those that a restored backup still listed as open.
 fn collect_leases(state: &CoordinationState) -> Vec<(SessionId, Micros)> {
     state.leases().collect()
 }
 
 impl Leadership {
-    /// A replica that does not lead yet.
+    /// Creates the leadership of a replica that does not lead yet.
     #[must_use]
     pub fn new(raft: Raft, state_machine: StateMachine) -> Rc<Self> {
         Rc::new(Self {
@@ -80,8 +81,8 @@
         })
     }
 
-    /// Follows the consensus for as long as it runs: assumes the leadership when it comes, steps down when it goes, and
-    /// expires leases in between.
+    /// Follows the consensus for as long as it runs: assumes the leadership when this replica is elected, steps down
+    /// when another leads, and expires leases while it leads.
     pub async fn run(self: Rc<Self>) {
         let mut ticks = interval(LEASE_CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
@@ -102,24 +103,24 @@
         }
     }
 
-    /// The term in which this replica leads by its own knowledge, which may be out of date.
+    /// The term in which this replica believes that it leads, or `None`. The belief may be out of date.
     fn local_leader_term(&self) -> Option<LeaderTerm> {
         let metrics = self.raft.metrics().borrow().clone();
         (metrics.state == ServerState::Leader).then_some(LeaderTerm(metrics.current_term))
     }
 
-    /// The error that names the leader as this replica knows it.
+    /// The error for callers, naming the leader if this replica knows one.
     fn not_leader(&self) -> LeadershipError {
         LeadershipError::NotLeader {
             leader: self.raft.metrics().borrow().current_leader,
         }
     }
 
-    /// Makes sure that this replica leads now, and that its state holds all that was committed before (a linearizable
-    /// read).
+    /// Confirms with a quorum that this replica leads, and waits until its state contains every entry that was
+    /// committed before the call (a linearizable read).
     ///
     /// # Errors
-    /// If a quorum does not confirm it within [`QUORUM_TIMEOUT`].
+    /// If a quorum does not confirm the leadership within [`QUORUM_TIMEOUT`].
     pub async fn confirm_leadership(&self) -> Result<(), LeadershipError> {
         if self.local_leader_term().is_none() {
             return Err(self.not_leader());
@@ -131,10 +132,11 @@
         }
     }
 
-    /// Writes a command to the log, and waits until it is committed and applied.
+    /// Writes a command to the log, and waits until the command is committed and applied.
     ///
     /// # Errors
-    /// If it was not, or that is unknown: it may be committed later.
+    /// If the command was not committed, or if that is unknown: after [`LeadershipError::NoQuorum`] the command may
+    /// still be committed later.
     pub async fn write(&self, command: Command) -> Result<CommandOutcome, LeadershipError> {
         match timeout(QUORUM_TIMEOUT, self.raft.client_write(command)).await {
             Ok(Ok(response)) => Ok(response.data),
@@ -143,16 +145,17 @@
         }
     }
 
-    /// Starts all leases anew once a quorum has confirmed the term: what an earlier leader confirmed last is unknown.
+    /// Restarts all leases at their full length once a quorum has confirmed the term, since the last heartbeats that an
+    /// earlier leader confirmed are unknown.
     async fn assume_leadership(&self, term: LeaderTerm) {
         self.lease_table.borrow_mut().step_down();
         if self.confirm_leadership().await.is_ok() && self.local_leader_term() == Some(term) {
             let leases = self.state_machine.read(collect_leases);
             log(format_args!(
-                "coordinator: leads, leader term {term}; {} leases are counted anew",
+                "coordinator: elected leader, leader term {term}; {} leases restarted",
                 leases.len()
             ));
-            // what is opened between the two reads is found by the next one
+            // the default version makes `track_sessions` read again, which finds sessions opened since the read above
             self.tracked_version.set(LeasesVersion::default());
             self.lease_table
                 .borrow_mut()
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Makes the lease table track the sessions that were opened since, and forget those that have ended.
+    /// Synchronizes the lease table with the open sessions if their set has changed: adds new ones, removes ended ones.
     fn track_sessions(&self) {
         let changed = self.state_machine.read(|state| {
             let version = state.leases_version();
--- a/crates/coordinator/src/leadership/heartbeats.rs
+++ b/crates/coordinator/src/leadership/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Serving of heartbeats: a lease is renewed only after a quorum has confirmed that this replica still leads.
+//! Serves heartbeats. A lease is renewed only after a quorum has confirmed that this replica still leads.
 
 use super::{Leadership, LeadershipError};
 use milletturn_coordination::{CoordinationState, FencingToken, Heartbeat, Rejection, SessionId};
@@ -8,14 +8,14 @@
 };
 use std::collections::BTreeMap;
 
-/// Sessions whose lease was renewed, with the resources that each owns and their tokens.
+/// Sessions whose lease was renewed, with the names and fencing tokens of the resources that each owns.
 type RenewedSessions = BTreeMap<SessionId, Vec<(String, FencingToken)>>;
 
 impl Leadership {
-    /// Serves a session's heartbeat, and answers with what it owns.
+    /// Serves a session's heartbeat. The response lists the resources that the session owns.
     ///
     /// # Errors
-    /// If this replica can't say; the session may go on or be over.
+    /// If this replica can't confirm its leadership. The session may still be open or may have ended.
     pub async fn serve_heartbeat(
         &self,
         heartbeat: HeartbeatRequest,
@@ -32,21 +32,22 @@
         match renewed.pop() {
             Some((_, owned)) => Ok(Ok(HeartbeatAccepted { owned })),
             None if ended.contains(&session) => Ok(Err(Rejection::SessionNotFound { session })),
-            // ending, not counted, or opened since the sessions were tracked: a later heartbeat finds out
+            // the session is ending, its lease is not tracked, or it was opened after `track_sessions` ran; the
+            // caller learns which by a later heartbeat
             None => Err(LeadershipError::NotLeader { leader: None }),
         }
     }
 
-    /// Serves heartbeats by one question to a quorum; each is a session, and whether its holder's own lease had expired
-    /// when it sent the heartbeat.
+    /// Serves heartbeats with a single request to a quorum. Each entry is a session and whether the lease had already
+    /// expired by the holder's own clock when the heartbeat was sent.
     ///
     /// # Errors
-    /// If this replica can't say; each of the sessions may go on or be over.
+    /// If this replica can't confirm its leadership. Each of the sessions may still be open or may have ended.
     pub async fn serve_heartbeat_batch(
         &self,
         heartbeats: &[(SessionId, bool)],
     ) -> Result<HeartbeatBatchResponse, LeadershipError> {
-        // what the leadership waits for when it begins, a heartbeat waits for too
+        // a new leader serves no heartbeats until a quorum has confirmed its term and the leases have restarted
         if self.lease_table.borrow().leader_term().is_none() {
             return Err(self.not_leader());
         }
@@ -83,7 +84,7 @@
     }
 }
 
-/// What the sessions own that were renewed, and which of the others are over.
+/// Builds the response: the resources that each renewed session owns, and which of the other sessions have ended.
 fn batch_response(
     state: &CoordinationState,
     mut renewed: RenewedSessions,
--- a/crates/coordinator/src/leadership/lease_expiry.rs
+++ b/crates/coordinator/src/leadership/lease_expiry.rs
@@ -1,4 +1,4 @@
-//! The end of sessions whose lease has expired by the leader's clock.
+//! Ends sessions whose lease has expired by the leader's clock.
 
 use super::Leadership;
 use milletturn_coordination::{
@@ -8,8 +8,9 @@
 use milletturn_logging::log;
 
 impl Leadership {
-    /// Writes the end of each session whose lease has expired, as few entries of the log where that is possible: a zone
-    /// that is gone is one entry, and not hundreds one after the other.
+    /// Writes the end of each session whose lease has expired to the log. If batches are enabled, up to
+    /// [`bounds::MAX_BATCH_LEN`] sessions share one entry, so that the failure of a zone does not need hundreds of
+    /// consecutive writes.
     pub(super) async fn expire_leases(&self) {
         self.track_sessions();
         let (expired, term) = {
@@ -31,11 +32,11 @@
             let outcomes = match self.write(command).await {
                 Ok(CommandOutcome::Batch(outcomes)) => outcomes,
                 Ok(outcome) => vec![outcome],
-                // the next check finds them again, if they still have to end
+                // the lease table reports these sessions again at the next check if they are still open
                 Err(_) => return,
             };
             for ((session, name), outcome) in sessions.iter().zip(names).zip(outcomes) {
-                // otherwise rejected, since the leader term is over
+                // any other outcome is a rejection because the leader term has ended
                 if outcome == CommandOutcome::Done {
                     log(format_args!(
                         "coordinator: the lease of {name} (session {session}) has expired"
@@ -45,14 +46,14 @@
         }
     }
 
-    /// The members' names of these sessions, for the log.
+    /// The names of the members that hold these sessions, for the log lines.
     fn member_names(&self, sessions: &[SessionId]) -> Vec<String> {
         self.state_machine.read(|state| {
             let name = |session| {
                 let session = state.sessions().get(session)?;
                 Some(session.member.name.clone())
             };
-            let unknown = || "whoever held it before the restore".to_string();
+            let unknown = || "a member from before the restore".to_string();
             sessions
                 .iter()
                 .map(|session| name(session).unwrap_or_else(unknown))
@@ -61,7 +62,7 @@
     }
 }
 
-/// The command that ends these sessions; there is one session if batches are not enabled.
+/// The command that ends these sessions. If batches are not enabled, `sessions` has exactly one element.
 fn expiry_command(sessions: &[SessionId], term: LeaderTerm, batching_enabled: bool) -> Command {
     let mut commands: Vec<Command> = sessions
         .iter()
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,15 +1,15 @@
-//! One replica of the coordination service: three or five coordinators keep its state by consensus.
+//! One replica of the coordination service, whose state three or five coordinators replicate by consensus.
 //!
-//! The consensus is Raft (D. Ongaro, J. Ousterhout: In Search of an Understandable Consensus Algorithm, 2014), by the
-//! crate `openraft`. The state itself and the rules of leases are in `milletturn-coordination`.
+//! The consensus algorithm is Raft (D. Ongaro, J. Ousterhout: In Search of an Understandable Consensus
+//! Algorithm, 2014), implemented by the crate `openraft`. The state itself and the rules of leases are in `milletturn-coordination`.
 //!
 //! - [`settings`]: the settings file of a coordinator.
-//! - [`storage`]: what outlasts the process, synced to disk before it is acknowledged.
-//! - [`raft_log`] and [`state_machine`]: the consensus' log, and the state that its entries make.
+//! - [`storage`]: the persistent data, synced to disk before a write is acknowledged.
+//! - [`raft_log`] and [`state_machine`]: the Raft log, and the state that results from its entries.
 //! - [`peers`]: calls to the other replicas.
-//! - [`leadership`]: what only the leader does: it serves heartbeats and expires leases.
-//! - [`request_handler`]: calls by members, session proxies, operators and other replicas.
-//! - [`service`]: a coordinator from its start to its end.
+//! - [`leadership`]: the leader's work: serving heartbeats and expiring leases.
+//! - [`request_handler`]: handles requests of members, session proxies, operators and other replicas.
+//! - [`service`]: bootstraps, starts and runs a coordinator.
 
 pub mod leadership;
 pub mod peers;
@@ -24,13 +24,14 @@
 use std::io::Cursor;
 
 openraft::declare_raft_types!(
-    /// The types of the consensus: commands of the coordination state, their outcomes, and replicas by number.
+    /// The types for `openraft`: log entries are commands to the coordination state, responses are their outcomes, and
+    /// replicas are identified by number.
     pub RaftTypes:
         D = Command,
         R = CommandOutcome,
 );
 
-/// The consensus, as a replica runs it.
+/// The Raft instance that a replica runs.
 pub type Raft = openraft::Raft<RaftTypes>;
 /// The number of a replica, unique in its group.
 pub type ReplicaId = u64;
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -1,4 +1,4 @@
-//! Calls to the other replicas.
+//! Raft calls to the other replicas.
 
 use crate::{RaftTypes, ReplicaId};
 use milletturn_coordination_protocol::messages::{
@@ -19,7 +19,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Pause before a replica that could not be reached is called again.
+/// Wait before an unreachable replica is called again.
 const UNREACHABLE_PAUSE: Duration = Duration::from_millis(200);
 
 /// Opens clients to the other replicas of the group.
@@ -27,10 +27,11 @@
 pub struct PeerNetwork {
     /// The name of the group.
     pub group: String,
-    /// Names the state with which the group began.
+    /// Identifies the initial state of the group, empty or restored from a backup. Replicas reject each other's calls
+    /// if their origins differ.
     pub origin: String,
-    /// Addresses as this replica's settings have them; one that is missing is called where the group's own
-    /// membership says.
+    /// Addresses from this replica's settings. A replica that is missing here is called at its address in the group's
+    /// replicated membership.
     pub addresses: BTreeMap<ReplicaId, String>,
 }
 
--- a/crates/coordinator/src/raft_log.rs
+++ b/crates/coordinator/src/raft_log.rs
@@ -1,4 +1,4 @@
-//! The consensus' log and vote on the coordinator's disk, as `openraft` calls for them.
+//! Implements `openraft`'s log storage interface on the coordinator's store.
 
 use crate::storage::{RaftStorage, RaftStorageError};
 use crate::{RaftTypes, ReplicaId};
@@ -9,10 +9,10 @@
 use std::fmt::Debug;
 use std::ops::RangeBounds;
 
-/// The consensus' log and vote.
+/// The Raft log and vote of a replica.
 #[derive(Debug, Clone)]
 pub struct RaftLog {
-    /// The disk on which they are.
+    /// The store in which the log and the vote are kept.
     pub storage: RaftStorage,
 }
 
@@ -24,7 +24,7 @@
     StorageIOError::write(error).into()
 }
 
-/// Runs a job that waits for the disk on a thread of its own, so that calls and timers go on meanwhile.
+/// Runs a job that waits for the disk on a blocking thread, so that the runtime's calls and timers are not delayed.
 pub(crate) async fn run_blocking<T: Send + 'static>(
     storage: &RaftStorage,
     job: impl FnOnce(&RaftStorage) -> Result<T, RaftStorageError> + Send + 'static,
--- a/crates/coordinator/src/request_handler.rs
+++ b/crates/coordinator/src/request_handler.rs
@@ -1,6 +1,6 @@
-//! Calls by members, session proxies, operators and other replicas.
+//! Handles HTTP requests of members, session proxies, operators and other replicas.
 //!
-//! The messages of rejected calls are part of the protocol and keep their wording.
+//! The error messages in responses are part of the protocol and must not change.
 
 use crate::leadership::{Leadership, LeadershipError};
 use crate::settings::Settings;
@@ -22,21 +22,21 @@
 use openraft::raft::{AppendEntriesRequest, InstallSnapshotRequest, VoteRequest};
 use std::rc::Rc;
 
-/// Connections at once: one for each member that comes directly, and room for session proxies, the other replicas and
-/// some operators.
+/// Limit on open connections: one for each member that connects directly, and 64 for session proxies, the other
+/// replicas and operators.
 pub const MAX_CONNECTIONS: usize = bounds::MAX_DIRECT_MEMBERS + 64;
-/// Begins the paths of the consensus' own calls between replicas.
+/// Path prefix of the Raft calls between replicas.
 const CONSENSUS_PREFIX: &str = "/consensus/";
-/// Heartbeat intervals without a quorum after which a leader reports itself as cut off.
+/// Number of heartbeat intervals without a quorum after which a leader reports the role `cut off`.
 const CUT_OFF_HEARTBEATS: u32 = 10;
 
-/// Handles the calls to one replica.
+/// Handles the requests to one replica.
 pub struct RequestHandler {
     /// The settings of the coordinator.
     pub settings: Settings,
-    /// Names the state with which the group began.
+    /// Identifies the initial state of the group. Raft calls of a replica with another origin are rejected.
     pub origin: String,
-    /// The replica itself.
+    /// The leadership of this replica, through which all reads and writes go.
     pub leadership: Rc<Leadership>,
 }
 
@@ -83,12 +83,13 @@
     }
 }
 
-/// Calls by operators that only read.
+/// Read-only requests of operators.
 impl RequestHandler {
-    /// What this replica knows by itself.
+    /// The status of this replica by its own knowledge, without asking a quorum.
     fn status(&self) -> CoordinatorStatus {
         let metrics = self.leadership.raft.metrics().borrow().clone();
-        // it goes on taking itself for the leader until it hears of another: without a quorum it says so
+        // a leader that was cut off keeps the state `Leader` until it hears of another one, so the age of the last
+        // quorum acknowledgement decides
         let cut_off_after = self.settings.heartbeat_interval * CUT_OFF_HEARTBEATS;
         let quorum_age_ms = metrics.millis_since_quorum_ack;
         let is_cut_off = metrics.state == ServerState::Leader
@@ -139,7 +140,7 @@
     }
 }
 
-/// Calls by members and session proxies, and operators' calls that write.
+/// Requests of members and session proxies, and operators' requests that write.
 impl RequestHandler {
     async fn open_session(&self, request: Request<Incoming>) -> HandlerResult {
         let request: OpenSession = read_json(request, MAX_CALL_BYTES).await?;
@@ -216,7 +217,7 @@
     }
 }
 
-/// The consensus' own calls between replicas.
+/// Raft calls between replicas.
 impl RequestHandler {
     async fn append_entries(&self, request: Request<Incoming>) -> HandlerResult {
         let call: AppendEntriesRequest<RaftTypes> = read_json(request, MAX_BODY_BYTES).await?;
@@ -234,7 +235,7 @@
     }
 }
 
-/// Passes a command that members and operators may give; the others are the leader's own.
+/// Returns the command if members and operators may submit it. Rejects commands that only the leader itself may create.
 fn allowed_command(command: Command) -> Result<Command, CallError> {
     match command {
         Command::OpenSession { .. } | Command::ExpireSession { .. } | Command::Batch { .. } => {
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -1,4 +1,4 @@
-//! A coordinator from its start to its end.
+//! Bootstraps, starts and runs a coordinator.
 
 use crate::leadership::Leadership;
 use crate::peers::PeerNetwork;
@@ -21,80 +21,82 @@
 use tokio::net::TcpListener;
 use tokio::task::JoinSet;
 
-/// Log entries from one snapshot to the next: a restart applies no more than so many, which takes milliseconds.
+/// Number of log entries from one snapshot to the next. A restart applies at most this many, which takes milliseconds.
 const SNAPSHOT_INTERVAL: u64 = 2_000;
-/// Log entries that stay behind a snapshot, for a replica that was away for a short while.
+/// Number of log entries kept before a snapshot, so that a replica that was down for a short time catches up from the
+/// log and needs no snapshot.
 const LOG_RETENTION: u64 = 500;
-/// Longest time in which a chunk of a snapshot has to be installed.
+/// Time limit for sending and installing one chunk of a snapshot.
 const SNAPSHOT_TIMEOUT_MS: u64 = 5_000;
-/// Bytes of a chunk of a snapshot; they go as numbers of JSON, up to four characters each.
+/// Size of a snapshot chunk. On the wire each byte is a JSON number of up to four characters.
 const SNAPSHOT_CHUNK_BYTES: u64 = 1 << 20;
 
 /// Why a coordinator can't run.
 #[derive(Debug, thiserror::Error)]
 pub enum CoordinatorError {
-    /// The disk can't be used.
+    /// The persistent store can't be used.
     #[error(transparent)]
     Storage(#[from] RaftStorageError),
-    /// A backup can't be read.
-    #[error("the backup can't be read, and nothing was made of it: {0}")]
+    /// The backup can't be parsed.
+    #[error("the backup can't be read, and nothing was restored: {0}")]
     Backup(#[source] serde_json::Error),
-    /// A backup is another group's, or of another format.
-    #[error("the backup is of group {group:?}, form {format}; nothing was made of it")]
+    /// The backup belongs to another group, or has an unsupported format.
+    #[error("the backup is of group {group:?}, format {format}; nothing was restored")]
     OtherBackup {
         /// The group of the backup.
         group: String,
         /// The format of the backup.
         format: u32,
     },
-    /// A restore's generation does not fit the backup.
+    /// The generation given for the restore is not valid for this backup.
     #[error(transparent)]
     Generation(#[from] RestoreError),
-    /// The address can't be listened on.
+    /// Listening on the address failed.
     #[error("{address}: {source}")]
     Listen {
-        /// The address.
+        /// The listen address from the settings.
         address: String,
-        /// What the system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The consensus has stopped, most often since the disk failed.
+    /// The consensus has stopped, usually because the disk failed.
     #[error(
         "the consensus has stopped: {0}. What this coordinator had acknowledged is on its disk; start it again"
     )]
     Stopped(#[source] ConsensusError),
 }
 
-/// Why the consensus has stopped or can't begin.
+/// Why the consensus has stopped or can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum ConsensusError {
-    /// Its timeouts contradict each other.
+    /// The timeouts in the Raft configuration contradict each other.
     #[error(transparent)]
     Config(#[from] Box<ConfigError>),
-    /// It failed, most often since the disk did.
+    /// A fatal error of the consensus, usually because the disk failed.
     #[error(transparent)]
     Fatal(#[from] Box<Fatal<ReplicaId>>),
     /// The first entry of a new group could not be written.
     #[error(transparent)]
     Initialize(Box<RaftError<ReplicaId, InitializeError<ReplicaId, BasicNode>>>),
-    /// It ended without an error.
-    #[error("it ended")]
+    /// The consensus ended without an error.
+    #[error("the consensus ended without an error")]
     Ended,
 }
 
-/// What a new group goes on from, in place of an empty state.
+/// A backup with which a new group starts, in place of an empty state.
 #[derive(Debug, Clone, Copy)]
 pub struct Restore<'a> {
-    /// The bytes of a backup; the same for each founding replica.
+    /// The bytes of the backup; the same for each founding replica.
     pub backup: &'a [u8],
-    /// Higher than at any restore before, from 1 on; the same for each founding replica.
+    /// The number of this restore, at least 1 and higher than that of any earlier restore; the same for each founding
+    /// replica.
     pub generation: u64,
 }
 
-/// Makes a coordinator's disk for a new group, empty or restored from a backup.
+/// Creates a coordinator's store for a new group, empty or restored from a backup.
 ///
 /// # Errors
-/// If the folder has one, or can't be written, or the backup doesn't fit.
+/// If the folder already has a store or can't be written, or the backup is not valid for this group.
 pub fn bootstrap(
     settings: &Settings,
     restore: Option<Restore<'_>>,
@@ -113,7 +115,7 @@
     Ok(identity)
 }
 
-/// The state that a backup makes under a new generation, and the name of that state.
+/// The state restored from a backup under a new generation, and the origin that identifies this state.
 fn restored_state(
     settings: &Settings,
     Restore { backup, generation }: Restore<'_>,
@@ -132,11 +134,11 @@
     Ok((state, format!("{generation}-{digest:08x}")))
 }
 
-/// Runs a coordinator until its disk fails; has to run on a `LocalSet`. Whoever wants to end it drops it: nothing that
-/// was acknowledged is lost, and its tasks end with it.
+/// Runs a coordinator until its disk fails. Has to run on a `LocalSet`. Dropping the future stops the coordinator and
+/// its tasks; no acknowledged write is lost.
 ///
 /// # Errors
-/// Why it can't begin, or can't go on.
+/// Why the coordinator can't start, or has stopped.
 pub async fn run(settings: Settings) -> Result<(), CoordinatorError> {
     let storage = RaftStorage::open(&settings.state_folder, &settings.group, settings.id)?;
     let identity = storage.identity()?;
@@ -170,7 +172,7 @@
     Err(CoordinatorError::Stopped(wait_until_stopped(&raft).await))
 }
 
-/// Starts the consensus; a founding replica also writes its first entry.
+/// Starts the consensus. A founding replica also writes the first log entry, with the group's membership.
 async fn start_raft(
     settings: &Settings,
     identity: &ReplicaIdentity,
@@ -193,7 +195,7 @@
     .await
     .map_err(Box::new)?;
     if !identity.founding_replicas.is_empty() {
-        // each founding replica begins with the same first entry; one that has begun is left as it is
+        // each founding replica writes the same first entry; `NotAllowed` means that this was done before
         let nodes: BTreeMap<_, _> = identity
             .founding_replicas
             .iter()
--- a/crates/coordinator/src/settings.rs
+++ b/crates/coordinator/src/settings.rs
@@ -12,19 +12,20 @@
 /// The settings of a coordinator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// The name of the group.
+    /// The name of the group; calls from other groups are rejected.
     pub group: String,
-    /// The number of this replica.
+    /// The number of this replica, which has to be one of `replicas`.
     pub id: ReplicaId,
-    /// The address on which it listens.
+    /// The address on which this coordinator listens for all calls.
     pub listen_address: String,
-    /// The folder of its disk.
+    /// The folder of the coordinator's persistent store.
     pub state_folder: PathBuf,
-    /// The lease of a member, and the clock error that it allows for.
+    /// The length of a member's lease, and the clock error that lease checks allow for.
     pub lease_timing: LeaseTiming,
-    /// How often the leader calls the others; after five to ten of these without a call they elect another.
+    /// Interval of the leader's calls to the other replicas. A replica that gets no call for five to ten intervals
+    /// starts an election.
     pub heartbeat_interval: Duration,
-    /// The replicas of the group, with their addresses as seen from this one.
+    /// All replicas of the group, including this one, with the addresses at which this replica calls them.
     pub replicas: BTreeMap<ReplicaId, String>,
 }
 
@@ -36,32 +37,32 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The file is no TOML, or has keys that are no settings.
+    /// The file is not valid TOML, lacks a required key, or has an unknown key.
     #[error("{path}: {source}")]
     Syntax {
         /// The file.
         path: PathBuf,
-        /// Where and why.
+        /// The position in the file and the reason.
         source: Box<toml::de::Error>,
     },
-    /// The settings contradict each other or a bound.
+    /// The settings contradict each other or are out of bounds.
     #[error("{path}: {}", .problems.join("; "))]
     Invalid {
         /// The file.
         path: PathBuf,
-        /// Each problem, and what to do.
+        /// All problems that were found.
         problems: Vec<String>,
     },
 }
 
 impl Settings {
-    /// Reads a file; relative paths in it count from its folder.
+    /// Reads a settings file. Relative paths in the file are resolved against the file's folder.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// If the file can't be read or parsed, or with all problems of its values.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Unreadable {
             path: path.to_path_buf(),
@@ -70,10 +71,10 @@
         Self::parse(path, &text)
     }
 
-    /// Reads the text of the file at this path.
+    /// Parses the text of the settings file at `path`.
     ///
     /// # Errors
-    /// All that is wrong with it.
+    /// If the text can't be parsed, or with all problems of its values.
     pub fn parse(path: &Path, text: &str) -> Result<Self, SettingsError> {
         let file: SettingsFile = toml::from_str(text).map_err(|source| SettingsError::Syntax {
             path: path.to_path_buf(),
--- a/crates/coordinator/src/settings/file.rs
+++ b/crates/coordinator/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! The settings file as it is written, and the checks of its values.
+//! The format of the settings file, and the checks of its values.
 
 use super::Settings;
 use crate::ReplicaId;
@@ -12,10 +12,11 @@
 
 const LEASE_RANGE_US: RangeInclusive<i64> = 500_000..=600_000_000;
 const HEARTBEAT_RANGE_US: RangeInclusive<i64> = 20_000..=10_000_000;
-/// A member that has lost the leader needs an election and a heartbeat before its lease is over.
+/// Smallest ratio of the lease to the heartbeat interval. When the leader fails, an election and a heartbeat have to
+/// fit into the lease of a member.
 const MIN_HEARTBEATS_PER_LEASE: u64 = 15;
 
-/// The keys of the file.
+/// The keys of the settings file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct SettingsFile {
@@ -33,7 +34,7 @@
     replicas: Vec<ReplicaEntry>,
 }
 
-/// A replica of the group.
+/// One `[[steward]]` table: a replica of the group.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ReplicaEntry {
@@ -54,7 +55,7 @@
 }
 
 impl SettingsFile {
-    /// The settings, with relative paths counted from this folder; or all problems.
+    /// Checks all values, and resolves relative paths against `folder`. The error lists all problems.
     pub(super) fn check(self, folder: &Path) -> Result<Settings, Vec<String>> {
         let mut problems = Vec::new();
         let lease = parse_duration("lease", &self.lease, &LEASE_RANGE_US, &mut problems);
@@ -108,7 +109,7 @@
     }
 }
 
-/// Microseconds of a length of time; 0 with a problem noted if it is none, or is out of range.
+/// Parses a duration to microseconds. If the text is no duration or is out of range, adds a problem and returns 0.
 fn parse_duration(
     key: &str,
     text: &str,
@@ -134,7 +135,7 @@
     }
 }
 
-/// The replicas' addresses by their numbers, with each problem noted.
+/// The replicas' addresses by their numbers. Adds each contradiction to `problems`.
 fn check_replicas(
     own_id: ReplicaId,
     entries: Vec<ReplicaEntry>,
--- a/crates/coordinator/src/state_machine.rs
+++ b/crates/coordinator/src/state_machine.rs
@@ -1,4 +1,4 @@
-//! The replicated state machine: the coordination state that the committed entries of the log make.
+//! The replicated state machine: applies committed log entries to the coordination state.
 
 use crate::raft_log::{read_error, run_blocking, write_error};
 use crate::storage::{RaftStorage, RaftStorageError, StoredSnapshot};
@@ -10,14 +10,14 @@
 use std::io::Cursor;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The coordination state of a replica and how much of the log it holds; clones share it.
+/// The coordination state of a replica and the position of the last applied log entry. Clones share the same state.
 #[derive(Debug, Clone)]
 pub struct StateMachine {
     storage: RaftStorage,
     applied: Arc<Mutex<AppliedState>>,
 }
 
-/// The state after the entries that were applied.
+/// The coordination state and the membership after the last applied entry.
 #[derive(Debug, Default)]
 struct AppliedState {
     state: CoordinationState,
@@ -26,7 +26,8 @@
 }
 
 impl StateMachine {
-    /// Opens it as the disk's snapshot has it; the consensus applies the log behind that.
+    /// Loads the stored snapshot, or the group's initial state if there is none. The consensus then applies the later
+    /// log entries.
     ///
     /// # Errors
     /// If the snapshot can't be read.
@@ -48,13 +49,13 @@
         })
     }
 
-    /// Reads the state as this replica has it, which may be behind the leader's.
+    /// Reads the state of this replica, which may be behind the leader's.
     pub fn read<T>(&self, read: impl FnOnce(&CoordinationState) -> T) -> T {
         read(&self.lock().state)
     }
 
     fn lock(&self) -> MutexGuard<'_, AppliedState> {
-        // no panic happens inside the lock; if one did, the entries make the same state anew
+        // nothing is expected to panic while the lock is held; after a restart the log entries rebuild the same state
         self.applied.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -146,7 +147,8 @@
         snapshot: Box<Cursor<Vec<u8>>>,
     ) -> Result<(), StorageError<ReplicaId>> {
         let not_text = |error: std::string::FromUtf8Error| {
-            let error = serde::de::Error::custom(format!("a snapshot received: {error}"));
+            let error =
+                serde::de::Error::custom(format!("received snapshot is not UTF-8: {error}"));
             write_error(&RaftStorageError::Format(error))
         };
         let state_json = String::from_utf8(snapshot.into_inner()).map_err(not_text)?;
--- a/crates/coordinator/src/storage.rs
+++ b/crates/coordinator/src/storage.rs
@@ -1,11 +1,13 @@
-//! The disk of a coordinator: its identity, its vote, the consensus' log and the last snapshot.
+//! The persistent store of a coordinator: its identity, its vote, the Raft log and the last snapshot.
 //!
-//! It is an embedded store (`redb`): one file, checksummed pages, and a commit is synced before it returns. A write
-//! that fails ends the coordinator: what a failed sync has left on the disk is unknown, so nothing may be built on it.
+//! The store is an embedded database (`redb`): one file with checksummed pages, and a commit is synced to disk before
+//! the call returns. A failed write ends the coordinator: the contents of the disk after a failed sync are unknown, so
+//! the process must not continue on them.
 //!
-//! - `tables`: the store's tables and keys, and access to single values.
+//! - `error`: why the store can't be used.
+//! - `tables`: the tables and keys of the store, and access to single values.
 //! - `vote`: the vote and the committed position.
-//! - `log`: the entries of the consensus' log.
+//! - `log`: the entries of the Raft log.
 //! - `snapshot`: the last snapshot of the state.
 
 mod error;
@@ -25,31 +27,32 @@
 use std::sync::Arc;
 use tables::{FILE_NAME, IDENTITY_KEY, INITIAL_STATE_KEY, put};
 
-/// Whose disk it is; written once, when the disk is made.
+/// The replica to which a store belongs; written once, when the store is created.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaIdentity {
     /// The name of the group.
     pub group: String,
-    /// The number of the replica.
+    /// The replica's number, unique in its group.
     pub id: ReplicaId,
     /// The replicas with which the group was founded.
     #[serde(rename = "founders")]
     pub founding_replicas: Vec<ReplicaId>,
-    /// Names the state with which the group began; the same for all replicas of the group.
+    /// Identifies the initial state of the group; the same for all replicas of the group: `new`, or the generation and
+    /// the digest of the restored backup.
     pub origin: String,
 }
 
-/// The storage of the consensus on a coordinator's disk; clones share it.
+/// The open store of a coordinator. Clones share the same database.
 #[derive(Debug, Clone)]
 pub struct RaftStorage {
     database: Arc<Database>,
 }
 
 impl RaftStorage {
-    /// Makes the disk of a founding replica, which begins with this state.
+    /// Creates the store of a founding replica with the group's initial state.
     ///
     /// # Errors
-    /// If the folder has a disk already, or can't be written.
+    /// If the folder already has a store, or can't be written.
     pub fn bootstrap(
         folder: &Path,
         identity: &ReplicaIdentity,
@@ -64,7 +67,7 @@
             path: folder.into(),
             source,
         })?;
-        // under another name until it is complete: a bootstrap that was cut off leaves no disk
+        // the store has a temporary name until it is complete, so that an interrupted bootstrap leaves no usable store
         let unfinished = folder.join(format!("{FILE_NAME}.new"));
         match std::fs::remove_file(&unfinished) {
             Err(source) if source.kind() != std::io::ErrorKind::NotFound => {
@@ -88,10 +91,10 @@
             .map_err(|source| RaftStorageError::File { path, source })
     }
 
-    /// Opens the disk of this replica.
+    /// Opens the store of this replica.
     ///
     /// # Errors
-    /// If there is none, it is another replica's, another process has it open, or it can't be read.
+    /// If there is no store, it belongs to another replica, another process has it open, or it can't be read.
     pub fn open(folder: &Path, group: &str, id: ReplicaId) -> Result<Self, RaftStorageError> {
         let path = folder.join(FILE_NAME);
         if !path.exists() {
@@ -117,20 +120,20 @@
         Ok(storage)
     }
 
-    /// Whose disk it is.
+    /// The replica to which the store belongs.
     ///
     /// # Errors
-    /// If it can't be read.
+    /// If the identity can't be read.
     pub fn identity(&self) -> Result<ReplicaIdentity, RaftStorageError> {
         let missing = || serde::de::Error::custom("no identity");
         self.get(IDENTITY_KEY)?
             .ok_or_else(|| RaftStorageError::Format(missing()))
     }
 
-    /// The state with which the group began: empty, or restored from a backup.
+    /// The group's initial state: empty, or restored from a backup.
     ///
     /// # Errors
-    /// If it can't be read.
+    /// If the state can't be read.
     pub fn initial_state(&self) -> Result<CoordinationState, RaftStorageError> {
         Ok(self.get(INITIAL_STATE_KEY)?.unwrap_or_default())
     }
--- a/crates/coordinator/src/storage/error.rs
+++ b/crates/coordinator/src/storage/error.rs
@@ -1,57 +1,57 @@
-//! Why a coordinator's disk can't be used.
+//! Errors of the coordinator's store.
 
 use crate::ReplicaId;
 use std::path::PathBuf;
 
-/// Why a coordinator's disk can't be used.
+/// Why a coordinator's store can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum RaftStorageError {
-    /// The folder has no disk.
+    /// The state folder has no store.
     #[error(
         "{path}: no coordinator's disk. For a new group: `milletturn coordinator --config FILE --found`, once on \
          each machine. If this coordinator has lost its disk, never do that: an empty disk has forgotten its votes"
     )]
     NotFound {
-        /// The file that was looked for.
+        /// The expected file of the store.
         path: PathBuf,
     },
-    /// The folder has a disk already.
+    /// The folder already has a store.
     #[error(
-        "{path}: a disk of coordinator {id} of group {group:?}; a new one would forget what that has promised"
+        "{path}: already holds the disk of coordinator {id} of group {group:?}; a new one would lose its votes and acknowledged entries"
     )]
     AlreadyExists {
-        /// The disk's file.
+        /// The store's file.
         path: PathBuf,
-        /// The replica whose disk it is.
+        /// The replica to which the store belongs.
         id: ReplicaId,
         /// The group of that replica.
         group: String,
     },
-    /// The disk is another replica's.
+    /// The store belongs to another replica.
     #[error(
-        "{path}: the disk of coordinator {id} of group {group:?}, and the settings say another"
+        "{path}: the disk of coordinator {id} of group {group:?}, which is not the one in the settings"
     )]
     OtherReplica {
-        /// The disk's file.
+        /// The store's file.
         path: PathBuf,
-        /// The replica whose disk it is.
+        /// The replica to which the store belongs.
         id: ReplicaId,
         /// The group of that replica.
         group: String,
     },
-    /// A file or folder can't be made, removed or renamed.
+    /// A file or folder can't be created, removed or renamed.
     #[error("{path}: {source}")]
     File {
         /// The file or folder.
         path: PathBuf,
-        /// What the system says.
+        /// The operating system's error.
         source: std::io::Error,
     },
-    /// The embedded store failed.
+    /// The embedded database reported an error.
     #[error("the coordinator's disk: {0}")]
     Store(#[from] redb::Error),
-    /// A value is not what was written.
-    #[error("the coordinator's disk holds what can't be read: {0}")]
+    /// A stored value can't be parsed, or a value can't be serialized.
+    #[error("the coordinator's disk holds a value that can't be parsed: {0}")]
     Format(#[from] serde_json::Error),
 }
 
--- a/crates/coordinator/src/storage/log.rs
+++ b/crates/coordinator/src/storage/log.rs
@@ -1,4 +1,4 @@
-//! The entries of the consensus' log.
+//! The entries of the Raft log in the store.
 
 use super::tables::{LOG_TABLE, PURGED_KEY, VALUES_TABLE, put};
 use super::{RaftStorage, RaftStorageError};
@@ -8,18 +8,18 @@
 use std::ops::{Bound, RangeBounds};
 
 impl RaftStorage {
-    /// The last entry that was purged: the log begins after it.
+    /// The last purged entry, or `None` if none was purged. The log begins with the entry after that.
     ///
     /// # Errors
-    /// If it can't be read.
+    /// If the store can't be read.
     pub fn last_purged(&self) -> Result<Option<LogId<ReplicaId>>, RaftStorageError> {
         self.get(PURGED_KEY)
     }
 
-    /// The last entry of the log.
+    /// The ID of the last entry in the log, or `None` if the log is empty.
     ///
     /// # Errors
-    /// If it can't be read.
+    /// If the store can't be read.
     pub fn last_log_id(&self) -> Result<Option<LogId<ReplicaId>>, RaftStorageError> {
         let transaction = self.database.begin_read()?;
         let log = transaction.open_table(LOG_TABLE)?;
@@ -49,10 +49,10 @@
         Ok(entries)
     }
 
-    /// Appends entries; they are on disk when this returns.
+    /// Appends entries and syncs them to disk.
     ///
     /// # Errors
-    /// If that is not certain.
+    /// If the write failed; the entries may or may not be on disk.
     pub fn append(&self, entries: &[Entry<RaftTypes>]) -> Result<(), RaftStorageError> {
         let transaction = self.database.begin_write()?;
         {
@@ -64,10 +64,10 @@
         Ok(transaction.commit()?)
     }
 
-    /// Removes the entries from this index on.
+    /// Removes the entry at index `from` and all later ones.
     ///
     /// # Errors
-    /// If that is not certain.
+    /// If the write failed; the entries may or may not be removed.
     pub fn truncate(&self, from: u64) -> Result<(), RaftStorageError> {
         let transaction = self.database.begin_write()?;
         transaction
@@ -76,10 +76,10 @@
         Ok(transaction.commit()?)
     }
 
-    /// Removes the entries up to this one, which a snapshot covers.
+    /// Removes the entries up to and including `up_to`, all of which a snapshot covers.
     ///
     /// # Errors
-    /// If that is not certain.
+    /// If the write failed; the entries may or may not be removed.
     pub fn purge(&self, up_to: LogId<ReplicaId>) -> Result<(), RaftStorageError> {
         let transaction = self.database.begin_write()?;
         transaction
--- a/crates/coordinator/src/storage/snapshot.rs
+++ b/crates/coordinator/src/storage/snapshot.rs
@@ -1,4 +1,4 @@
-//! The last snapshot of the state.
+//! The last snapshot of the state in the store.
 
 use super::tables::{SNAPSHOT_KEY, put};
 use super::{RaftStorage, RaftStorageError};
@@ -6,10 +6,10 @@
 use openraft::{BasicNode, SnapshotMeta};
 use serde::{Deserialize, Serialize};
 
-/// A snapshot of the state as it is stored, and as it is sent to another replica.
+/// A snapshot of the coordination state as it is stored; the same parts are sent to another replica that needs one.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StoredSnapshot {
-    /// The last entry that it covers, and the members of the group then.
+    /// The last entry that the snapshot covers, and the membership of the group at that entry.
     pub meta: SnapshotMeta<ReplicaId, BasicNode>,
     /// The state as JSON.
     #[serde(rename = "data")]
@@ -17,18 +17,18 @@
 }
 
 impl RaftStorage {
-    /// The last snapshot that was saved.
+    /// The last saved snapshot, or `None` if none was saved yet.
     ///
     /// # Errors
-    /// If it can't be read.
+    /// If the snapshot can't be read.
     pub fn snapshot(&self) -> Result<Option<StoredSnapshot>, RaftStorageError> {
         self.get(SNAPSHOT_KEY)
     }
 
-    /// Saves a snapshot in place of the one before; it is on disk when this returns.
+    /// Replaces the saved snapshot and syncs the new one to disk.
     ///
     /// # Errors
-    /// If that is not certain.
+    /// If the write failed; the stored snapshot may be the old or the new one.
     pub fn save_snapshot(&self, snapshot: &StoredSnapshot) -> Result<(), RaftStorageError> {
         self.write_values(|values| put(values, SNAPSHOT_KEY, snapshot))
     }
--- a/crates/coordinator/src/storage/tables.rs
+++ b/crates/coordinator/src/storage/tables.rs
@@ -1,14 +1,15 @@
-//! The store's tables and keys, and access to single values. All names here are on disk and never change.
+//! The tables and keys of the store, and access to single values. The names are part of the on-disk format and must not
+//! change.
 
 use super::{RaftStorage, RaftStorageError};
 use redb::{ReadableDatabase, TableDefinition};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The file in the state folder.
+/// The store's file in the state folder.
 pub(super) const FILE_NAME: &str = "steward.redb";
 
-/// Entries of the consensus' log by their index, as JSON.
+/// Entries of the Raft log by their index, as JSON.
 pub(super) const LOG_TABLE: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("log");
 /// Single values by their key, as JSON.
 pub(super) const VALUES_TABLE: TableDefinition<'_, &str, &[u8]> =
@@ -35,7 +36,7 @@
 }
 
 impl RaftStorage {
-    /// Makes the tables that are not there yet.
+    /// Creates the tables that don't exist yet.
     pub(super) fn create_tables(&self) -> Result<(), RaftStorageError> {
         let transaction = self.database.begin_write()?;
         transaction.open_table(LOG_TABLE)?;
@@ -43,7 +44,7 @@
         Ok(transaction.commit()?)
     }
 
-    /// The value under a key, if there is one.
+    /// The value under a key, or `None` if the key is missing.
     pub(super) fn get<T: DeserializeOwned>(
         &self,
         key: &str,
@@ -56,7 +57,7 @@
         Ok(Some(serde_json::from_slice(value.value())?))
     }
 
-    /// Changes single values in one transaction; they are on disk when this returns.
+    /// Changes single values in one transaction and syncs it to disk.
     pub(super) fn write_values(
         &self,
         change: impl FnOnce(&mut ValuesTable<'_>) -> Result<(), RaftStorageError>,
--- a/crates/coordinator/src/storage/vote.rs
+++ b/crates/coordinator/src/storage/vote.rs
@@ -1,4 +1,4 @@
-//! The vote of a replica, and the position up to which it knows the log to be committed.
+//! The vote of a replica, and the position up to which it knows the log to be committed, in the store.
 
 use super::tables::{COMMITTED_KEY, VALUES_TABLE, VOTE_KEY, put};
 use super::{RaftStorage, RaftStorageError};
@@ -7,35 +7,35 @@
 use redb::Durability;
 
 impl RaftStorage {
-    /// The last vote that was saved.
+    /// The last saved vote, or `None` if this replica has not voted yet.
     ///
     /// # Errors
-    /// If it can't be read.
+    /// If the vote can't be read.
     pub fn vote(&self) -> Result<Option<Vote<ReplicaId>>, RaftStorageError> {
         self.get(VOTE_KEY)
     }
 
-    /// Saves a vote; it is on disk when this returns.
+    /// Saves a vote and syncs it to disk.
     ///
     /// # Errors
-    /// If that is not certain.
+    /// If the write failed; the vote may or may not be on disk.
     pub fn save_vote(&self, vote: &Vote<ReplicaId>) -> Result<(), RaftStorageError> {
         self.write_values(|values| put(values, VOTE_KEY, vote))
     }
 
-    /// The last entry that is known to be committed; later ones may be.
+    /// The last entry that is known to be committed; later entries may be committed too.
     ///
     /// # Errors
-    /// If it can't be read.
+    /// If the position can't be read.
     pub fn committed(&self) -> Result<Option<LogId<ReplicaId>>, RaftStorageError> {
         Ok(self.get(COMMITTED_KEY)?.flatten())
     }
 
-    /// Saves the last entry that is known to be committed. It comes to the disk with the next write that is synced:
-    /// without it a start takes longer, and nothing is lost.
+    /// Saves the position of the last entry that is known to be committed, without a sync: the position reaches the
+    /// disk with the next synced write. Losing the position makes a start slower but loses no data.
     ///
     /// # Errors
-    /// If the store fails.
+    /// If the store reports an error.
     pub fn save_committed(
         &self,
         committed: Option<LogId<ReplicaId>>,
--- a/crates/coordinator/tests/golden/disk.rs
+++ b/crates/coordinator/tests/golden/disk.rs
@@ -1,4 +1,4 @@
-//! The store, a backup and its restore.
+//! Golden data of a coordinator's store, of a backup, and of a store restored from that backup.
 
 use crate::support::{
     LEASE, assert_golden, commands, golden, golden_text, log_entries, log_id, snapshot_meta, state,
@@ -18,7 +18,7 @@
 const FILE: &str = "steward.redb";
 const GROUP: &str = "harbour";
 
-/// The store as text: its tables, then table, key and value of each row.
+/// The contents of a store as text: the names of its tables, then table, key and value of each row.
 fn dump(file: &Path) -> String {
     let store = Database::open(file).expect("a store");
     let read = store.begin_read().expect("readable");
@@ -35,7 +35,7 @@
             std::str::from_utf8(value).expect("text")
         ));
     };
-    // the log is made when the disk is opened
+    // the log table is created when the store is first opened
     if names.iter().any(|name| name == "log") {
         let log = read
             .open_table(TableDefinition::<u64, &[u8]>::new("log"))
@@ -77,8 +77,8 @@
     }
 }
 
-/// Writes all that a disk can hold.
-fn write_disk(folder: &Path) {
+/// Creates a store with a value under every key and with log entries.
+fn write_store(folder: &Path) {
     RaftStorage::bootstrap(folder, &identity(), &initial_state()).expect("founded");
     let storage = RaftStorage::open(folder, GROUP, 2).expect("opened");
     storage.save_vote(&Vote::new(4, 3)).expect("kept");
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_stored_disk_is_read_value_by_value() {
+fn every_value_of_a_golden_store_is_read() {
     let folder = TempDir::new().expect("a folder");
     std::fs::copy(golden(FILE), folder.path().join(FILE)).expect("copied");
     let storage = RaftStorage::open(folder.path(), GROUP, 2).expect("opened");
@@ -117,25 +117,25 @@
         serde_json::from_str::<CoordinationState>(&state_json).expect("a book"),
         state()
     );
-    // the state machine opens with what the snapshot holds
+    // the state machine starts with the snapshot's state
     let state_machine = StateMachine::open(storage).expect("opened");
     state_machine.read(|here| assert_eq!(here, &state()));
 }
 
 #[test]
-fn a_disk_is_written_as_it_was() {
+fn a_store_is_written_as_in_the_golden_data() {
     let folder = TempDir::new().expect("a folder");
-    write_disk(folder.path());
+    write_store(folder.path());
     let file = folder.path().join(FILE);
     assert_golden("disk.txt", &dump(&file));
-    // the stored file has the very same rows
+    // the golden database file has the same rows as the golden text
     let stored = folder.path().join("stored");
     std::fs::copy(golden(FILE), &stored).expect("copied");
     assert_golden("disk.txt", &dump(&stored));
 }
 
 #[test]
-fn a_snapshot_with_its_membership_is_a_row_of_the_disk() {
+fn a_snapshot_is_stored_with_its_membership_under_one_key() {
     let stored = golden_text("disk.txt");
     let row = stored
         .lines()
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn a_new_group_is_founded_as_it_was() {
+fn a_new_group_is_bootstrapped_as_in_the_golden_data() {
     let folder = TempDir::new().expect("a folder");
     let settings = settings(folder.path());
     let identity = service::bootstrap(&settings, None).expect("founded");
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_backup_is_written_read_and_restored_as_it_was() {
+fn a_backup_is_written_read_and_restored_as_in_the_golden_data() {
     let backup = Backup {
         format: BACKUP_FORMAT,
         group: GROUP.into(),
@@ -194,7 +194,7 @@
     .expect("founded");
     assert_eq!(identity.founding_replicas, [1, 2, 3]);
     assert_golden("restored.txt", &dump(&settings.state_folder.join(FILE)));
-    // a backup of a time before several entries were written as one
+    // a backup from a version without command batches
     let older = stored.replace(",\"several\":true", "");
     assert_ne!(older, stored);
     let read: Backup = serde_json::from_str(&older).expect("a backup");
--- a/crates/coordinator/tests/golden/main.rs
+++ b/crates/coordinator/tests/golden/main.rs
@@ -1,7 +1,7 @@
-//! Golden data: a steward's files and the calls between stewards, as the build of b9d256d wrote them.
+//! Golden data: a coordinator's files and the calls between coordinators, as the build of b9d256d wrote them.
 //!
-//! Each test reads that data by today's code and checks every value, and checks that today's code writes the very
-//! same text. `data/` is never written by a test.
+//! Each test checks that the present code reads every value of that data, and that it writes the same text. The tests
+//! never write to `data/`. They guard against a build that can't read the store or the calls of an earlier one.
 
 mod disk;
 mod settings;
--- a/crates/coordinator/tests/golden/settings.rs
+++ b/crates/coordinator/tests/golden/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file, key by key.
+//! Golden data of the settings file: every key, the defaults, and the errors for missing and unknown keys.
 
 use crate::support::golden_text;
 use milletturn_coordination::{LeaseTiming, Micros};
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_a_file_leaves_out_has_its_default() {
+fn omitted_keys_have_their_defaults() {
     let full = golden_text("steward.toml");
     let optional = |line: &&str| {
         ["lease", "clock_error", "heartbeat"]
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_key_that_is_missing_or_unknown_is_named() {
+fn a_missing_or_unknown_key_is_named_in_the_error() {
     let full = golden_text("steward.toml");
     for key in ["group", "id", "listen", "state"] {
         let text: Vec<&str> = full
--- a/crates/coordinator/tests/golden/support.rs
+++ b/crates/coordinator/tests/golden/support.rs
@@ -1,4 +1,4 @@
-//! The values that the golden data stands for.
+//! The values that were written as the golden data.
 
 use milletturn_coordination::{
     Command, CoordinationState, FencingToken, LeaderTerm, MemberInfo, Micros, SessionId,
@@ -8,22 +8,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::{Path, PathBuf};
 
-/// The lease of a session.
+/// The lease of every session in the golden data.
 pub(crate) const LEASE: Micros = Micros(9_000_000);
 
-/// Where a file of golden data is.
+/// The path of a golden file.
 pub(crate) fn golden(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden/data")
         .join(name)
 }
 
-/// The text of a file of golden data.
+/// The text of a golden file.
 pub(crate) fn golden_text(name: &str) -> String {
     std::fs::read_to_string(golden(name)).expect("golden data")
 }
 
-/// Checks that a text is the golden one, line by line, so that a failure shows which line.
+/// Checks that a text equals a golden file, line by line, so that a failure shows the differing line.
 pub(crate) fn assert_golden(name: &str, text: &str) {
     let expected = golden_text(name);
     for (number, (was, is)) in expected.lines().zip(text.lines()).enumerate() {
@@ -98,7 +98,7 @@
     }
 }
 
-/// Each kind of command, first by itself and then in a batch, in an order in which most of them do something.
+/// Each kind of command, first alone and then in a batch, in an order in which most of them are not rejected.
 pub(crate) fn commands() -> Vec<Command> {
     vec![
         open("sender-1", 0x1234_5678_9abc_def0),
@@ -127,7 +127,7 @@
     ]
 }
 
-/// What the commands make under the leader term 5.
+/// The state after all commands were applied under the leader term 5.
 pub(crate) fn state() -> CoordinationState {
     let mut state = CoordinationState::default();
     for command in commands() {
@@ -136,7 +136,7 @@
     state
 }
 
-/// Three replicas, one of which has an address in the membership itself, and a fourth that does not vote.
+/// Three voting replicas, one of them with an address in the membership, and a fourth replica that does not vote.
 pub(crate) fn membership() -> Membership<ReplicaId, BasicNode> {
     let voters = BTreeSet::from([1, 2, 3]);
     let nodes = (1..=4).map(|id| {
@@ -160,7 +160,7 @@
     }
 }
 
-/// Entries of the consensus' log from this index on: a blank one, a membership, and each command.
+/// Raft log entries from this index on: a blank one, a membership, and each command.
 pub(crate) fn log_entries(from: u64) -> Vec<openraft::Entry<RaftTypes>> {
     use openraft::EntryPayload::{Blank, Membership, Normal};
     let payloads = [Membership(membership()), Blank]
--- a/crates/coordinator/tests/golden/wire.rs
+++ b/crates/coordinator/tests/golden/wire.rs
@@ -1,4 +1,4 @@
-//! The calls between stewards, from both sides: what goes out, and what is answered.
+//! Golden data of the calls between coordinators, from both sides: the requests sent and the responses given.
 
 use crate::support::{
     assert_golden, golden_text, log_entries, log_id, snapshot_meta, state, stored_membership,
@@ -30,7 +30,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
-const PATIENCE: Duration = Duration::from_secs(60);
+const TEST_TIMEOUT: Duration = Duration::from_secs(60);
 const ORIGIN: &str = "1-0badcafe";
 
 fn append_request() -> AppendEntriesRequest<RaftTypes> {
@@ -56,7 +56,7 @@
     }
 }
 
-/// Answers one call after the other as the golden file says, and hands back what came.
+/// Responds to each call in turn with the given replies, and returns the requests received.
 async fn record(listener: TcpListener, replies: Vec<String>) -> Vec<String> {
     let mut requests = Vec::new();
     let (mut stream, _) = listener.accept().await.expect("a caller");
@@ -92,7 +92,7 @@
 }
 
 async fn peer(address: String) -> PeerClient {
-    // the address of the caller's own file goes before the one that the group's list has
+    // the address in the caller's settings takes precedence over the one in the group's membership
     let addresses = BTreeMap::from([(3, address)]);
     let mut peers = PeerNetwork {
         group: "harbour".into(),
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn calls_to_another_replica_go_out_as_they_did_and_each_reply_is_read() {
+fn calls_to_another_replica_equal_the_golden_data_and_each_reply_is_read() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound").to_string();
@@ -124,7 +124,7 @@
 }
 
 fn option() -> RPCOption {
-    RPCOption::new(PATIENCE)
+    RPCOption::new(TEST_TIMEOUT)
 }
 
 async fn check_replies_that_succeed(peer: &mut PeerClient) {
@@ -175,7 +175,7 @@
     assert!(rejected.to_string().contains("another book"), "{rejected}");
 }
 
-/// Sends a call by hand; the reply's head without its date, and its body.
+/// Sends a request as plain text; returns the response's head without its date, and its body.
 async fn call(address: &str, method: &str, path: &str, headers: &str, body: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("connected");
     let length = body.len();
@@ -193,7 +193,7 @@
     format!("> {method} {path}\n{}\n", lines.join("\n"))
 }
 
-/// A replica that never calls an election by itself.
+/// A running replica that never starts an election by itself.
 async fn replica(folder: &Path) -> (StateMachine, RaftStorage, String) {
     let identity = ReplicaIdentity {
         group: "harbour".into(),
@@ -207,7 +207,7 @@
     let config = Config {
         cluster_name: "harbour".into(),
         enable_tick: false,
-        // so long that a vote within it is always refused
+        // so long that a vote for another leader is always rejected while the test runs
         heartbeat_interval: 30_000,
         election_timeout_min: 60_000,
         election_timeout_max: 120_000,
@@ -248,7 +248,8 @@
     format!("milletturn-group: harbour\r\nmilletturn-wire: 1\r\nmilletturn-origin: {origin}\r\n")
 }
 
-/// The bodies of an append, a vote and a snapshot: those that the golden file of outgoing calls has.
+/// The bodies of an append, a vote and a snapshot request, after a check that the golden file of outgoing calls has
+/// them.
 fn golden_bodies() -> (String, String, String) {
     let bodies = [
         body(&append_request()),
@@ -266,7 +267,7 @@
 }
 
 #[test]
-fn calls_by_another_replica_are_answered_as_they_were() {
+fn responses_to_another_replica_equal_the_golden_data() {
     run(async {
         let folder = TempDir::new().expect("a folder");
         let (state_machine, storage, address) = replica(folder.path()).await;
@@ -280,7 +281,7 @@
         for (method, path, headers, body) in [
             ("POST", "/consensus/vote", &right, &vote),
             ("POST", "/consensus/append", &right, &append),
-            // within the leader's lease no other one gets a vote
+            // a vote for another candidate is rejected during the leader's lease
             ("POST", "/consensus/vote", &right, &late),
             ("POST", "/consensus/snapshot", &right, &mismatch),
             ("POST", "/consensus/append", &right, &String::from("{}")),
@@ -290,7 +291,7 @@
         ] {
             replies.push_str(&call(&address, method, path, headers, body).await);
         }
-        // what was appended is committed, and applied once the consensus has come to it
+        // the appended entries are committed, and the consensus applies them asynchronously
         while state_machine.read(|here| here != &state()) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
@@ -315,6 +316,10 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let within = async { tokio::time::timeout(PATIENCE, test).await.expect("in time") };
+    let within = async {
+        tokio::time::timeout(TEST_TIMEOUT, test)
+            .await
+            .expect("in time")
+    };
     LocalSet::new().block_on(&runtime, within);
 }
