--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,7 +1,8 @@
 //! One replica of the coordination service, whose state three or five coordinators replicate by consensus.
 //!
-//! The consensus algorithm is Raft (D. Ongaro, J. Ousterhout: In Search of an Understandable Consensus
-//! Algorithm, 2014), implemented by the crate `openraft`. The state itself and the rules of leases are in `milletturn-coordination`.
+//! The consensus algorithm is Raft (D. Ongaro, J. Ousterhout: In Search of an Understandable Consensus Algorithm,
+//! 2014), implemented by the crate `openraft`. The coordination state and the rules of leases are in
+//! `milletturn-coordination`.
 //!
 //! - [`settings`]: the settings file of a coordinator.
 //! - [`storage`]: the persistent data, synced to disk before a write is acknowledged.
--- a/crates/member/src/coordinator_client.rs
+++ b/crates/member/src/coordinator_client.rs
@@ -1,4 +1,4 @@
-//! Calls to whichever coordinator leads, directly or through a session proxy, with retries until a deadline.
+//! Calls to the leading coordinator, directly or through a session proxy, with retries until a deadline.
 
 use milletturn_coordination::{Command, CommandOutcome};
 use milletturn_coordination_protocol::messages::COMMAND_PATH;
@@ -11,31 +11,32 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Longest wait for one server's response before another one is called: it is stopped, or cut off. Longer than a
-/// coordinator waits for its majority, so that its own error comes first where it has one.
+/// Default time limit for one server's response. After this time the server is assumed to be stopped or cut off, and
+/// the next one is called. The limit is longer than a coordinator's wait for its quorum, so that a coordinator without
+/// a quorum can still respond with its own error.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Backoff after the first failed attempt; it doubles with each in a row, up to a part of the time that is left. All
-/// members lose their coordinators at one moment: together they must not become a storm that keeps those from coming
-/// back.
+/// Backoff after the first failed attempt. The backoff doubles with each consecutive failure, up to the limit set by
+/// [`MAX_BACKOFF_DIVISOR`]. All members lose a failed coordinator at the same moment; without a growing backoff their
+/// retries could overload the coordinators and delay the recovery.
 const MIN_BACKOFF: Duration = Duration::from_millis(10);
-/// The longest backoff is the time that is left, divided by this.
+/// The longest backoff is the time left until the request's deadline, divided by this number.
 const MAX_BACKOFF_DIVISOR: u32 = 4;
-/// Time until a member that is not at its preferred session proxy tries that one again, half of it more or less. It
-/// costs a proxy that stays away one connection a minute for each of its members, and one that is back gets them over a
-/// minute.
-const RETURN_AFTER: Duration = Duration::from_secs(60);
+/// Time until a member tries its preferred session proxy again after it had to use another one, randomized by plus or
+/// minus 50 %. Each member thus tries a failed proxy about once a minute, and the members return to a recovered proxy
+/// spread over a minute.
+const PREFERRED_RETRY_INTERVAL: Duration = Duration::from_secs(60);
 
-/// A client of a whole group: it finds the coordinator that leads, or a session proxy that answers.
+/// A client of a whole group. Sends each request to the leading coordinator, or to a session proxy that responds.
 #[derive(Debug)]
 pub struct CoordinatorClient {
     servers: Vec<Server>,
     attempt_timeout: Duration,
-    /// The server that is called next, by its place.
+    /// Index in `servers` of the server that is called next.
     current: usize,
-    failures_in_a_row: u32,
+    consecutive_failures: u32,
     random: Pcg32,
-    /// When the preferred session proxy, the first server, is tried again; none for coordinators, of which none is
-    /// preferred.
+    /// When the preferred session proxy, which is the first server, is tried again. `None` for a client of
+    /// coordinators, of which none is preferred.
     return_at: Option<Instant>,
 }
 
@@ -43,21 +44,21 @@
 #[derive(Debug)]
 struct Server {
     client: Client,
-    /// The number of the coordinator, once it has answered.
+    /// The coordinator's number, known after its first response; always `None` for a session proxy.
     coordinator: Option<u64>,
 }
 
 /// No server answered a request until its deadline.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-#[error("no steward answered: {message}{}", unknown_note(*.may_have_happened))]
+#[error("no steward answered: {message}{}", uncertainty_note(*.may_have_happened))]
 pub struct RequestError {
-    /// What the last server that was called said, or why it was not reached.
+    /// The error of the last server that was called, or why it was not reached.
     pub message: String,
-    /// Whether the request may have been done all the same.
+    /// Whether the request may have been executed although no response arrived.
     pub may_have_happened: bool,
 }
 
-fn unknown_note(may_have_happened: bool) -> &'static str {
+fn uncertainty_note(may_have_happened: bool) -> &'static str {
     if may_have_happened {
         " (what was asked may have been done)"
     } else {
@@ -65,19 +66,19 @@
     }
 }
 
-/// Why one attempt at one server failed.
+/// The error of one attempt at one server.
 struct FailedAttempt {
     message: String,
     may_have_happened: bool,
-    /// The leader that the server named.
+    /// The number of the leader, if the server named one.
     leader: Option<u64>,
 }
 
 impl CoordinatorClient {
-    /// A client of the coordinators at these addresses, for this group.
+    /// Creates a client of the coordinators of this group at these addresses.
     #[must_use]
     pub fn new(group: &str, addresses: &[String]) -> Self {
-        // each process draws its own pauses
+        // a random seed, so that each process has its own backoff times
         let seed = RandomState::new().hash_one(group);
         let server = |address: &String| Server {
             client: Client::new(address, group),
@@ -87,16 +88,16 @@
             servers: addresses.iter().map(server).collect(),
             attempt_timeout: ATTEMPT_TIMEOUT,
             current: 0,
-            failures_in_a_row: 0,
+            consecutive_failures: 0,
             random: Pcg32::seed_from_u64(seed),
             return_at: None,
         }
     }
 
-    /// A client of the session proxies at these addresses, in the member's own order of preference: by rendezvous
-    /// hashing (highest random weight; Thaler and Ravishankar, 1998) of its name. Members spread over all proxies, and
-    /// those of one that is lost over all others. A member that had to leave its preferred proxy returns when that
-    /// answers again.
+    /// Creates a client of the session proxies at these addresses. The member's order of preference follows from its
+    /// name by rendezvous hashing (highest random weight; Thaler and Ravishankar, 1998): the members are spread over
+    /// all proxies, and those of a failed proxy are spread over all others. A member that had to leave its preferred
+    /// proxy returns when that proxy responds again.
     #[must_use]
     pub fn via_proxies(group: &str, proxies: &[String], member: &str) -> Self {
         let weight = |address: &String| {
@@ -112,16 +113,16 @@
         }
     }
 
-    /// Sets how long one server's response is awaited from now on before the next one is called.
+    /// Sets the time limit for one server's response in later requests; after the limit the next server is called.
     pub fn set_attempt_timeout(&mut self, attempt_timeout: Duration) {
         self.attempt_timeout = attempt_timeout;
     }
 
-    /// Sends a request until a server answers it or the deadline has passed. The request has to be idempotent, since it
-    /// may be sent several times.
+    /// Sends a request to one server after the other until one responds or the deadline has passed. The request has to
+    /// be idempotent, since it may be sent several times.
     ///
     /// # Errors
-    /// If no server answers in time.
+    /// If no server responds before the deadline.
     pub async fn request<A: DeserializeOwned>(
         &mut self,
         path: &str,
@@ -129,7 +130,7 @@
         deadline: Instant,
     ) -> Result<A, RequestError> {
         let mut error = RequestError {
-            message: "there was no time".to_string(),
+            message: "the deadline passed before the first attempt".to_string(),
             may_have_happened: false,
         };
         let mut attempts = 0;
@@ -141,7 +142,7 @@
             }
             let failed = match self.attempt(path, body, left).await {
                 Ok(answer) => {
-                    self.failures_in_a_row = 0;
+                    self.consecutive_failures = 0;
                     return Ok(answer);
                 }
                 Err(failed) => failed,
@@ -150,7 +151,8 @@
             error.may_have_happened |= failed.may_have_happened;
             attempts += 1;
             self.switch_server(failed.leader);
-            // the first hint at a leader is followed at once; two coordinators that point at each other are no loop
+            // the first server's hint at the leader is followed without a backoff; later hints are not, so that two
+            // coordinators that name each other cause no busy loop
             if failed.leader.is_none() || attempts > 1 {
                 let left = deadline.saturating_duration_since(Instant::now());
                 sleep(self.backoff(left)).await;
@@ -159,10 +161,10 @@
         Err(error)
     }
 
-    /// Submits a command to the replicated log.
+    /// Submits a command to the replicated log, and returns its outcome.
     ///
     /// # Errors
-    /// If no server answers in time.
+    /// If no server responds before the deadline; the command may have been executed.
     pub async fn submit(
         &mut self,
         command: &Command,
@@ -177,7 +179,7 @@
         body: Option<&impl Serialize>,
         left: Duration,
     ) -> Result<A, FailedAttempt> {
-        // one proxy is as good as another: none of them gets all the time
+        // all session proxies are equivalent, so half of the remaining time is left for the next one
         let time_limit = if self.return_at.is_some() {
             left / 2
         } else {
@@ -202,21 +204,22 @@
         }
     }
 
-    /// A pause that doubles with each failure in a row, at random down to half of it (equal jitter).
+    /// The next backoff, which doubles with each consecutive failure, with equal jitter: a random value between half of
+    /// the backoff and the whole.
     fn backoff(&mut self, left: Duration) -> Duration {
         let longest = MIN_BACKOFF
-            .saturating_mul(1 << self.failures_in_a_row.min(16))
+            .saturating_mul(1 << self.consecutive_failures.min(16))
             .min(left / MAX_BACKOFF_DIVISOR);
-        self.failures_in_a_row = self.failures_in_a_row.saturating_add(1);
-        longest.mul_f64(0.5 + 0.5 * self.random_part())
+        self.consecutive_failures = self.consecutive_failures.saturating_add(1);
+        longest.mul_f64(0.5 + 0.5 * self.random_fraction())
     }
 
     /// A random number from 0 to 1.
-    fn random_part(&mut self) -> f64 {
+    fn random_fraction(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
 
-    /// Switches to the preferred session proxy, if it is time to try that one again.
+    /// Switches to the preferred session proxy if its retry time has come.
     fn return_to_preferred(&mut self) {
         let Some(return_at) = self.return_at else {
             return;
@@ -225,11 +228,13 @@
             self.current = 0;
         }
         if self.current == 0 {
-            self.return_at = Some(Instant::now() + RETURN_AFTER.mul_f64(0.5 + self.random_part()));
+            self.return_at = Some(
+                Instant::now() + PREFERRED_RETRY_INTERVAL.mul_f64(0.5 + self.random_fraction()),
+            );
         }
     }
 
-    /// Switches to the leader if it is known which server that is, and otherwise to the next one.
+    /// Switches to the leader's server if that is known, and otherwise to the next server in the list.
     fn switch_server(&mut self, leader: Option<u64>) {
         let known = leader.and_then(|leader| {
             self.servers
--- a/crates/member/src/events.rs
+++ b/crates/member/src/events.rs
@@ -1,66 +1,68 @@
-//! What a member reports to the rest of the program.
+//! The events that a member reports to its program, and the outcomes of fenced writes.
 
 use crate::coordinator_client::RequestError;
 use milletturn_coordination::{FencingToken, Rejection, SessionId, Timestamp};
 
-/// A change in what a member has or may do.
+/// A change of a member's session, of its resources or of its connection to the coordinators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MemberEvent {
-    /// A session was opened.
+    /// The member has opened a session, in which it owns no resource yet.
     SessionOpened(SessionId),
-    /// The session has ended, and no resource is owned any more.
+    /// The session has ended, and the member no longer owns any resource.
     SessionEnded(SessionId),
     /// The member has become the owner of a resource.
     Acquired {
         /// The resource's name.
         resource: String,
-        /// The token under which it is owned.
+        /// The fencing token that the member's writes to the resource carry.
         token: FencingToken,
     },
-    /// The member owns a resource no longer.
+    /// The member no longer owns a resource, although its session goes on.
     Lost {
         /// The resource's name.
         resource: String,
-        /// The token under which it was owned.
+        /// The fencing token under which the member owned the resource.
         token: FencingToken,
     },
-    /// A fenced write is sent now.
+    /// A fenced write is about to be sent.
     WriteStarted(WriteStarted),
-    /// The coordinators have rejected a request.
+    /// The coordinators rejected a request to open or to renew a session, or a claim for an ended session.
     Rejected(Rejection),
-    /// No coordinator answers, and why; reported once, until one does.
+    /// No coordinator responds, or the lease has expired by this member's clock; with the reason. Reported once until
+    /// [`MemberEvent::Reconnected`].
     Disconnected(String),
-    /// A coordinator answers again.
+    /// A coordinator responds again.
     Reconnected,
 }
 
-/// The record of a fenced write that is sent: by it can be shown afterwards that none was sent too late.
+/// A fenced write that is about to be sent. The times show afterwards that no write was sent after its lease was safe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WriteStarted {
-    /// The token that the write carries.
+    /// The fencing token that the write carries.
     pub token: FencingToken,
     /// The write's number under that token, from 1 on.
     pub number: u64,
-    /// When the lease was checked, right before the write was sent.
+    /// When the lease was checked, immediately before the write was sent.
     pub checked_at: Timestamp,
-    /// Until when the lease was safe, as that check found it.
+    /// The time until which the lease was safe according to that check.
     pub safe_until: Timestamp,
 }
 
-/// What became of a fenced write.
+/// The outcome of a fenced write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// It was done once.
+    /// The write was executed once.
     Done {
-        /// The token that it carried.
+        /// The fencing token that the write carried.
         token: FencingToken,
-        /// Its number under that token.
+        /// The write's number under that token, from 1 on.
         number: u64,
     },
-    /// It was not sent: the member does not own the resource now.
+    /// The write was not sent because the member does not safely own the resource.
     NotOwner,
-    /// It was rejected, and is not done.
+    /// The coordinators rejected the write, and it was not executed.
     Rejected(Rejection),
-    /// It may be done or not. The next write claims the resource first, and learns which.
+    /// No response arrived, so the write may or may not have been executed. The next write first claims the resource
+    /// again, whose response tells which.
     Unknown(RequestError),
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,11 +1,11 @@
 //! A group member: its session with the coordinators, the resources that it owns, and its fenced writes.
 //!
-//! - [`coordinator_client`]: calls to whichever coordinator leads, directly or through session proxies, with retries.
-//! - [`member`]: the member, and what it may do now.
-//! - [`events`]: what a member reports to the rest of the program.
+//! - [`coordinator_client`]: calls to the leading coordinator, directly or through session proxies, with retries.
+//! - [`member`]: the member, its current permissions, and the task that keeps its session open.
+//! - [`events`]: the events that a member reports to its program, and the outcomes of its fenced writes.
 //!
-//! What may be done and until when is decided in `milletturn-coordination`'s
-//! [`LeaseHolder`](milletturn_coordination::LeaseHolder).
+//! Which writes the member's lease permits, and until when, is decided by
+//! [`LeaseHolder`](milletturn_coordination::LeaseHolder) in `milletturn-coordination`.
 
 pub mod coordinator_client;
 pub mod events;
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -1,4 +1,4 @@
-//! A group member, and what it may do now.
+//! A group member and its current permissions.
 
 use crate::coordinator_client::CoordinatorClient;
 use crate::events::MemberEvent;
@@ -12,14 +12,15 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// A member of the group; what it owns is asked of it right before each write.
+/// A member of the group. Its program has to ask for the permission immediately before each write.
 ///
-/// No borrow of its cells lasts over an `await`: the task that keeps the session and the one that writes share it.
+/// The task that keeps the session open and the one that writes share the member, so no borrow of its cells may be held
+/// across an `await`.
 #[derive(Debug)]
 pub struct Member {
     pub(crate) info: MemberInfo,
     pub(crate) lease: RefCell<LeaseHolder>,
-    /// For how long a renewed lease is safe by the holder's count.
+    /// How long a lease is safe after a renewal, by this member's clock.
     pub(crate) lease_duration: Cell<Micros>,
     pub(crate) wanted: BTreeSet<String>,
     pub(crate) progress: RefCell<BTreeMap<String, Progress>>,
@@ -27,21 +28,21 @@
     events: mpsc::UnboundedSender<MemberEvent>,
 }
 
-/// The last write to an owned resource, by this member or an owner before it.
+/// The last write to an owned resource, by this member or by an earlier owner.
 #[derive(Debug, Clone)]
 pub(crate) struct Progress {
-    /// The token under which the resource is owned.
+    /// The fencing token under which this member owns the resource.
     pub(crate) token: FencingToken,
-    /// Writes done under that token.
+    /// Number of writes executed under that token.
     pub(crate) writes: u64,
-    /// The checkpoint of the last write, by whichever owner.
+    /// The checkpoint of the last write to the resource, by this or an earlier owner.
     pub(crate) checkpoint: String,
 }
 
 impl Member {
-    /// A member that wants to own these resources. Its events have to be read: the channel holds one for each change,
-    /// and grows by none while nothing changes. The error of clock rates between this machine and the coordinators' is in
-    /// parts of a million.
+    /// Creates a member that wants to own these resources, and the receiver of its events. The events have to be
+    /// received, since the channel is unbounded; events are sent only on changes. `clock_error_ppm` is the largest
+    /// difference of clock rates between this machine and the coordinators', in parts per million.
     pub fn new(
         info: MemberInfo,
         clock_error_ppm: u32,
@@ -60,29 +61,30 @@
         (Rc::new(member), receiver)
     }
 
-    /// The permission to write to a resource, as of now; none if the member does not own it safely.
+    /// The current permission to write to a resource, or `None` if the member does not safely own the resource.
     pub fn permission(&self, resource: &str) -> Option<Permission> {
         self.lease.borrow().permission(resource, now())
     }
 
-    /// The session, if its lease is safe now.
+    /// The session, if its lease is currently safe by this member's clock.
     pub fn session(&self) -> Option<SessionId> {
         self.lease.borrow().safe_session(now())
     }
 
-    /// The checkpoint of the last write to a resource, by whichever owner, as this member's claim was answered.
+    /// The checkpoint of the last write to an owned resource, by this member or an earlier owner. `None` while the
+    /// resource is not owned, or while the outcome of a write is unknown.
     pub fn checkpoint(&self, resource: &str) -> Option<String> {
         let progress = self.progress.borrow();
         progress.get(resource).map(|last| last.checkpoint.clone())
     }
 
-    /// Keeps a session open, and claims the wanted resources, until it is dropped. The seed of its random pauses differs
-    /// from process to process.
+    /// Keeps a session open and claims the wanted resources until the future is dropped. `seed` determines the
+    /// session's nonces and the jitter of the heartbeats; each process needs another one.
     pub async fn maintain_session(&self, client: CoordinatorClient, seed: u64) {
         SessionLoop::new(self, client, seed).run().await;
     }
 
-    /// Forgets a resource that is owned no longer.
+    /// Removes a resource that this member no longer owns, and reports the loss.
     pub(crate) fn lose(&self, resource: &str, token: FencingToken) {
         self.lease.borrow_mut().resource_lost(resource, token);
         self.progress.borrow_mut().remove(resource);
@@ -93,7 +95,7 @@
     }
 
     pub(crate) fn report(&self, event: MemberEvent) {
-        // a program that has dropped the receiver wants to know nothing
+        // a program that has dropped the receiver is not interested in events
         let _ = self.events.send(event);
     }
 
--- a/crates/member/src/session.rs
+++ b/crates/member/src/session.rs
@@ -1,4 +1,4 @@
-//! The life of a member's session: open, heartbeats, claims, close.
+//! A member's session: opening, heartbeats, claims and closing.
 
 use crate::coordinator_client::CoordinatorClient;
 use crate::events::MemberEvent;
@@ -17,16 +17,18 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Heartbeats within the time for which a renewed lease is safe: two in a row may be lost.
+/// Heartbeats within the time for which a renewed lease is safe, so that two in a row may be lost.
 const HEARTBEATS_PER_LEASE: u32 = 4;
-/// Longest wait for a session to open before that is reported, and the same request is sent again.
+/// Longest wait for a session to open before the failure is reported and the same request is sent again.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Pause before a name that another session has is asked for again.
-const NAME_TAKEN_PAUSE: Duration = Duration::from_millis(200);
-/// Longest wait for a release or a close: without an answer the lease expires by itself.
+/// Wait before a rejected request to open a session is sent again, usually because another session has the member's
+/// name.
+const REJECTED_OPEN_BACKOFF: Duration = Duration::from_millis(200);
+/// Longest wait for the response to a release or a close. Without one a later heartbeat repeats the release, and the
+/// lease of a session that was to be closed expires.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Keeps a member's session open, and claims what it wants, until dropped.
+/// Keeps a member's session open and claims the resources that it wants.
 pub(crate) struct SessionLoop<'a> {
     member: &'a Member,
     client: CoordinatorClient,
@@ -53,22 +55,25 @@
             if let Some(session) = known {
                 self.report_if_expired(session);
                 self.claim_wanted().await;
-                sleep(self.heartbeat_pause()).await;
+                sleep(self.next_heartbeat_delay()).await;
             }
         }
     }
 
-    /// The pause until the next heartbeat: all members send theirs apart from each other, also if all began at once.
-    fn heartbeat_pause(&mut self) -> Duration {
+    /// The time until the next heartbeat, randomized by plus or minus 25 %, so that members that started at the same
+    /// time don't send their heartbeats at the same time.
+    fn next_heartbeat_delay(&mut self) -> Duration {
         let part = 0.75 + 0.5 * f64::from(self.random.next_u32()) / f64::from(u32::MAX);
         self.member.heartbeat_period().mul_f64(part)
     }
 
-    /// A session whose lease has expired by this member's count is still kept alive: the coordinators may not have ended
-    /// it.
+    /// Reports a session whose lease has expired by this member's clock. The heartbeats go on, since the coordinators
+    /// may not have ended the session.
     fn report_if_expired(&self, session: SessionId) {
         if self.member.session().is_none() {
-            let why = format!("session {session} has run out here, unrenewed");
+            let why = format!(
+                "the lease of session {session} expired on this member's clock without a renewal"
+            );
             self.member.report_unanswered(&why);
         }
     }
@@ -78,8 +83,8 @@
             member: self.member.info.clone(),
             nonce: self.random.next_u64(),
         };
-        // The coordinators count the lease from when they first received this request, whichever of its calls is
-        // answered; a call that surely reached nobody does not count.
+        // The coordinators start the lease when they first receive this request, whichever of its calls gets the
+        // response. A call that certainly reached no coordinator does not start the lease.
         let mut first_sent = None;
         loop {
             let sent = now();
@@ -96,12 +101,12 @@
                 Ok(CommandOutcome::Rejected(rejection)) => {
                     self.member.report_answered();
                     self.member.report(MemberEvent::Rejected(rejection));
-                    sleep(NAME_TAKEN_PAUSE).await;
+                    sleep(REJECTED_OPEN_BACKOFF).await;
                 }
                 Ok(_) => {
-                    // no outcome of such a request: it may have been done
+                    // an outcome that doesn't belong to this kind of request: the session may have been opened
                     first_sent.get_or_insert(sent);
-                    sleep(NAME_TAKEN_PAUSE).await;
+                    sleep(REJECTED_OPEN_BACKOFF).await;
                 }
                 Err(error) => {
                     if error.may_have_happened {
@@ -141,8 +146,9 @@
         }
     }
 
-    /// Follows the replicated state in what this session owns: an operator may have revoked a resource, and a claim
-    /// whose answer was lost may have been done.
+    /// Brings the member's resources in line with the replicated state: gives up those that the session no longer owns,
+    /// since an operator may have revoked one, and releases those that the member does not want, since a claim whose
+    /// response was lost may have been executed.
     async fn reconcile(&mut self, session: SessionId, owned: Vec<(String, FencingToken)>) {
         let owned: BTreeMap<String, FencingToken> = owned.into_iter().collect();
         for (resource, token) in self.member.owned_resources() {
@@ -158,7 +164,7 @@
                     token,
                 };
                 let deadline = Instant::now() + RELEASE_TIMEOUT;
-                // without an answer the next heartbeat shows it again
+                // without a response, the next heartbeat lists the resource again
                 let _ = self.client.submit(&command, deadline).await;
             }
         }
@@ -197,7 +203,7 @@
         self.report(MemberEvent::SessionEnded(session));
     }
 
-    /// Resources that the member counts as its own, with their tokens.
+    /// The resources that this member believes to own, with their fencing tokens.
     fn owned_resources(&self) -> Vec<(String, FencingToken)> {
         let lease = self.lease.borrow();
         let owned = lease.resources();
@@ -211,7 +217,7 @@
         lease.resources().any(|(owned, _)| owned == resource)
     }
 
-    /// Asks for a resource; its token if this member owns it now.
+    /// Claims a resource. Returns the fencing token if this member owns the resource now.
     pub(crate) async fn claim(
         &self,
         client: &mut CoordinatorClient,
@@ -241,7 +247,7 @@
                 self.session_ended(session, rejection);
                 None
             }
-            // that another member owns it is nothing to report
+            // that another member owns the resource is normal and not reported
             Ok(_) | Err(_) => None,
         }
     }
@@ -265,13 +271,13 @@
         }
     }
 
-    /// Ends the session, so that nobody has to wait until its lease expires.
+    /// Closes the session, so that other members can claim its resources before the lease expires.
     pub async fn close_session(&self, client: &mut CoordinatorClient) {
         let known = self.lease.borrow().known_session();
         if let Some(session) = known {
             self.lease.borrow_mut().session_ended(session);
             let deadline = Instant::now() + RELEASE_TIMEOUT;
-            // without an answer the lease expires by itself
+            // without a response the lease expires
             let _ = client
                 .submit(&Command::CloseSession { session }, deadline)
                 .await;
--- a/crates/member/src/writes.rs
+++ b/crates/member/src/writes.rs
@@ -1,4 +1,5 @@
-//! Fenced writes: each is checked against the lease right before it is sent, and carries the token of its owner.
+//! Fenced writes: each is checked against the lease immediately before it is sent, and carries the owner's fencing
+//! token.
 
 use crate::coordinator_client::CoordinatorClient;
 use crate::events::{MemberEvent, WriteOutcome, WriteStarted};
@@ -9,8 +10,8 @@
 use tokio::time::Instant;
 
 impl Member {
-    /// Writes a checkpoint for whoever owns the resource next. The client is another one than that of the session, so
-    /// that a write that hangs delays no heartbeat. One write at a time.
+    /// Writes a checkpoint, which the resource's next owner receives with its claim. `client` must not be the session's
+    /// client, so that a slow write delays no heartbeat. Only one write may run at a time.
     pub async fn write_fenced(
         &self,
         client: &mut CoordinatorClient,
@@ -23,7 +24,7 @@
         let Some(number) = self.next_number(client, resource, permission.token).await else {
             return WriteOutcome::NotOwner;
         };
-        // right before the write: the claim may have taken any time
+        // checked again immediately before the write, since a claim in `next_number` may have taken any time
         let checked_at = now();
         let checked = self.lease.borrow().permission(resource, checked_at);
         let Some(permission) = checked else {
@@ -39,8 +40,8 @@
             .await
     }
 
-    /// The number of the next write under this token. Where the end of the last one is not known, a claim tells it; none
-    /// if the claim fails.
+    /// The number of the next write under this token. If the outcome of the last write is unknown, a claim asks the
+    /// coordinators for the number of executed writes. `None` if the claim fails.
     async fn next_number(
         &self,
         client: &mut CoordinatorClient,
@@ -83,7 +84,7 @@
             number,
             checkpoint: checkpoint.to_string(),
         };
-        // until it is answered, nobody knows how far the writes are
+        // until the response arrives, the number of executed writes is unknown
         self.progress.borrow_mut().remove(resource);
         let safe_for = Duration::from_micros(safe_until.since(now()).0);
         match client.submit(&command, Instant::now() + safe_for).await {
--- a/crates/member/tests/session_open.rs
+++ b/crates/member/tests/session_open.rs
@@ -1,4 +1,7 @@
-//! A session open that is not answered at first, and from when its lease counts.
+//! The start of a lease whose session open got no response at first.
+//!
+//! If a coordinator received an unanswered request to open the session, it may have started the lease then. A member
+//! that counted its lease from a later request would still write after the coordinator has ended the session.
 
 use milletturn_coordination::MemberInfo;
 use milletturn_coordination::{LeaseTiming, Micros, Timestamp};
@@ -12,14 +15,14 @@
 use std::sync::{Arc, Mutex};
 
 const LEASE: Micros = Micros::from_millis(60_000);
-const CLOCK_ERROR: u32 = 20_000;
-/// A member tries for a little longer than this to open a session before it reports that it is disconnected.
-const REFUSED_FOR: Micros = Micros::from_millis(2_900);
+const CLOCK_ERROR_PPM: u32 = 20_000;
+/// Slightly shorter than the time for which a member tries to open a session before it reports that it is disconnected.
+const MIN_OPEN_FAILURE_TIME: Micros = Micros::from_millis(2_900);
 
-/// A coordinator that takes session opens and answers none until it is set to.
+/// A fake coordinator that receives requests but responds to none until `is_answering` is set.
 #[derive(Debug, Default)]
 struct Coordinator {
-    /// When the first session open came.
+    /// When the first request to open a session arrived.
     first_open: Mutex<Option<Timestamp>>,
     is_answering: Mutex<bool>,
 }
@@ -54,7 +57,7 @@
                     .get_or_insert_with(now);
             }
             if !*self.is_answering.lock().expect("no holder panics") {
-                // received, and never answered
+                // the request was received but gets no response
                 continue;
             }
             let text = match path.as_str() {
@@ -71,28 +74,28 @@
     }
 }
 
-/// Serves whoever comes, for ever.
-fn open(coordinator: &Arc<Coordinator>, listener: TcpListener) {
+/// Accepts connections on a thread of its own and serves each of them, until the test's process ends.
+fn start_server(coordinator: &Arc<Coordinator>, listener: TcpListener) {
     let serving = coordinator.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let coordinator = serving.clone();
-            // how a connection ends is its caller's affair
+            // errors are ignored: a connection ends when its caller closes it
             std::thread::spawn(move || coordinator.serve(stream));
         }
     });
 }
 
-/// Keeps a member's session with the coordinator at this address until it owns its resource; `disconnected` runs when it
-/// reports that nobody answers.
-fn owner(address: SocketAddr, mut disconnected: impl FnMut()) -> Rc<Member> {
+/// Runs a member against the coordinator at this address until it owns its resource, and returns it. `disconnected`
+/// runs each time the member reports that no coordinator responds.
+fn run_until_owner(address: SocketAddr, mut disconnected: impl FnMut()) -> Rc<Member> {
     let info = MemberInfo {
         name: "m".into(),
         zone: String::new(),
         version: String::new(),
         role: String::new(),
     };
-    let (member, mut events) = Member::new(info, CLOCK_ERROR, ["w".to_string()]);
+    let (member, mut events) = Member::new(info, CLOCK_ERROR_PPM, ["w".to_string()]);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -102,7 +105,11 @@
         let client = CoordinatorClient::new("g", &[address.to_string()]);
         tokio::task::spawn_local(async move { session.maintain_session(client, 1).await });
         loop {
-            match events.recv().await.expect("it is kept") {
+            match events
+                .recv()
+                .await
+                .expect("the member keeps its event sender")
+            {
                 MemberEvent::Disconnected(_) => disconnected(),
                 MemberEvent::Acquired { .. } => break,
                 _ => {}
@@ -113,68 +120,68 @@
 }
 
 #[test]
-fn a_repeated_session_open_counts_its_lease_from_the_first_request() {
+fn a_resent_session_open_starts_its_lease_at_the_first_request() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let coordinator = Arc::new(Coordinator::default());
-    open(&coordinator, listener);
-    // it has given up its first call and asks again
-    let member = owner(address, || {
+    start_server(&coordinator, listener);
+    // responses begin after the member's first session open has timed out
+    let member = run_until_owner(address, || {
         *coordinator.is_answering.lock().expect("no holder panics") = true;
     });
     let first_open = coordinator
         .first_open
         .lock()
         .expect("no holder panics")
-        .expect("it has asked");
-    let permission = member.permission("w").expect("it may write");
-    // the coordinator may count from the first call; its lease must not end before the member's
+        .expect("the member has sent a session open");
+    let permission = member.permission("w").expect("the member may write");
+    // the coordinator may have started the lease at the first request; the member's lease must not end after that one
     let safe_for = LeaseTiming {
         lease: LEASE,
-        clock_error_ppm: CLOCK_ERROR,
+        clock_error_ppm: CLOCK_ERROR_PPM,
     }
     .holder_duration();
     assert!(
         permission.safe_until <= first_open.after(safe_for),
-        "{:?} behind {:?}",
+        "{:?} is after {:?}",
         permission.safe_until,
         first_open.after(safe_for)
     );
 }
 
 #[test]
-fn calls_that_came_to_nobody_take_nothing_off_the_lease() {
+fn unreachable_session_opens_do_not_shorten_the_lease() {
     let unused = UnusedAddress::bind_on([127, 0, 0, 1]);
     let coordinator = Arc::new(Coordinator::default());
     *coordinator.is_answering.lock().expect("no holder panics") = true;
     let started = now();
-    let mut listens = false;
-    let member = owner(unused.address, || {
-        // its first calls have been refused for as long as one session open is tried
-        if !std::mem::replace(&mut listens, true) {
-            open(
+    let mut is_listening = false;
+    let member = run_until_owner(unused.address, || {
+        // the member's connections have been refused for the whole time limit of its first session open
+        if !std::mem::replace(&mut is_listening, true) {
+            start_server(
                 &coordinator,
-                TcpListener::bind(unused.address).expect("beside what only is bound there"),
+                TcpListener::bind(unused.address).expect("the reserved address can be listened on"),
             );
         }
     });
-    let permission = member.permission("w").expect("it may write");
+    let permission = member.permission("w").expect("the member may write");
     let safe_for = LeaseTiming {
         lease: LEASE,
-        clock_error_ppm: CLOCK_ERROR,
+        clock_error_ppm: CLOCK_ERROR_PPM,
     }
     .holder_duration();
-    let counted = started.after(safe_for);
-    // counted from its first call it would be less than nothing behind that
+    let earliest_safe_until = started.after(safe_for);
+    // a lease that started at the first refused call would end at about `earliest_safe_until`
     assert!(
-        permission.safe_until >= counted.after(REFUSED_FOR),
-        "{:?} behind {counted:?}",
+        permission.safe_until >= earliest_safe_until.after(MIN_OPEN_FAILURE_TIME),
+        "{:?} is less than {MIN_OPEN_FAILURE_TIME:?} after {earliest_safe_until:?}",
         permission.safe_until
     );
     let first_open = coordinator
         .first_open
         .lock()
         .expect("no holder panics")
-        .expect("it has asked");
+        .expect("the member has sent a session open");
     assert!(permission.safe_until <= first_open.after(safe_for));
 }
