--- a/crates/session-proxy/src/commands.rs
+++ b/crates/session-proxy/src/commands.rs
@@ -1,5 +1,5 @@
-//! Session opens and commands: batched, sent to the leading coordinator as one entry of its log, and answered one by
-//! one.
+//! Session opens and commands: batched, sent to the leading coordinator as one entry of the Raft log, with one response
+//! for each waiting member.
 
 use crate::heartbeats::ATTEMPTS_PER_BATCH;
 use crate::service::unavailable;
@@ -17,18 +17,18 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Forwards session opens and commands to the coordinators.
+/// Forwards session opens and commands to the coordinators in batches.
 #[derive(Debug, Default)]
 pub(crate) struct CommandForwarder {
     batcher: RefCell<CommandBatcher<BatchedRequest>>,
-    /// None is the answer where nobody can say whether the command was done.
+    /// The requests that wait for an outcome; `None` means that the command may or may not have been executed.
     waiters: Waiters<Option<CommandOutcome>>,
     queued: Notify,
     received: Cell<u64>,
     unanswered_batches: Cell<u64>,
 }
 
-/// What a forwarder has counted.
+/// Counts since the start of the forwarder, for the status of the session proxy.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CommandCounts {
     pub(crate) received: u64,
@@ -36,7 +36,7 @@
     pub(crate) unanswered_batches: u64,
 }
 
-/// A request whose answer a call waits for; abandons it when the call is dropped.
+/// A request that waits for its outcome. Dropping the guard, as when the member disconnects, abandons the request.
 struct WaitingCommand<'a> {
     forwarder: &'a CommandForwarder,
     id: WaiterId,
@@ -50,13 +50,13 @@
 }
 
 impl CommandForwarder {
-    /// Queues a request, and waits for its answer.
+    /// Queues a request, and waits for its outcome.
     pub(crate) async fn forward(&self, request: BatchedRequest) -> HandlerResult {
-        // with the byte that separates it from the next one
+        // plus one byte for the separator between the requests of a batch
         let bytes = to_json(&request)?.len() + 1;
         let id = self.waiters.next_id();
-        // a member that closes its session goes, and may not wait for the answer; another command that comes late may no
-        // longer be meant
+        // a member that closes its session stops and may not wait for the response; any other abandoned command may no
+        // longer be wanted when it is executed late
         let on_abandon = match request {
             BatchedRequest::Command(Command::CloseSession { .. }) => OnAbandon::Send,
             _ => OnAbandon::Drop,
@@ -67,15 +67,15 @@
             .enqueue(id, request, bytes, on_abandon);
         queued.map_err(|full| unavailable(full.to_string(), false))?;
         self.received.update(|count| count + 1);
-        let answer = self.waiters.add(id);
+        let outcome = self.waiters.add(id);
         let _waiting = WaitingCommand {
             forwarder: self,
             id,
         };
         self.queued.notify_one();
-        match answer.await {
+        match outcome.await {
             Ok(Some(outcome)) => to_json(&outcome),
-            // it may have been written: unknown is not no
+            // the command may have been executed, so the response must not say that it failed
             Ok(None) | Err(_) => {
                 let message = "no steward has answered the relay in time";
                 Err(unavailable(message, true))
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Sends batch after batch until it is dropped, each for no longer than `call_timeout` says at that moment; the name
-    /// stands in its log lines.
+    /// Sends batches one after the other until the future is dropped. `call_timeout` is asked before each batch for its
+    /// time limit; `name` begins each log line.
     pub(crate) async fn run(
         &self,
         mut client: CoordinatorClient,
@@ -112,14 +112,15 @@
     }
 
     fn complete(&self, number: u64, outcomes: Vec<CommandOutcome>) {
-        let answers = self.batcher.borrow_mut().complete(number, outcomes);
-        self.waiters.answer(answers);
+        let outcomes = self.batcher.borrow_mut().complete(number, outcomes);
+        self.waiters.complete(outcomes);
     }
 
     fn fail(&self, number: u64) {
         self.unanswered_batches.update(|count| count + 1);
         let failed = self.batcher.borrow_mut().fail(number);
-        self.waiters.answer(failed.into_iter().map(|id| (id, None)));
+        self.waiters
+            .complete(failed.into_iter().map(|id| (id, None)));
     }
 
     pub(crate) fn counts(&self) -> CommandCounts {
--- a/crates/session-proxy/src/heartbeats.rs
+++ b/crates/session-proxy/src/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats: batched, sent to the leading coordinator batch after batch, and answered one by one.
+//! Heartbeats: batched, sent to the leading coordinator one batch at a time, with one response for each waiting member.
 
 use crate::service::unavailable;
 use crate::waiters::Waiters;
@@ -21,11 +21,11 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-/// So many coordinators can be called in the time that a batch has, one after the other: a leader that stands still is
-/// left, and the next coordinator called, while members still wait.
+/// Number of coordinators that can be called one after the other within the time limit of a batch, so that the next
+/// coordinator is called while members still wait if the leader is unresponsive.
 pub(crate) const ATTEMPTS_PER_BATCH: u32 = 3;
 
-/// Forwards heartbeats to the coordinators.
+/// Forwards heartbeats to the coordinators in batches.
 #[derive(Debug)]
 pub(crate) struct HeartbeatForwarder {
     batcher: RefCell<HeartbeatBatcher>,
@@ -35,7 +35,7 @@
     unanswered_batches: Cell<u64>,
 }
 
-/// What a forwarder has counted.
+/// Counts since the start of the forwarder, and the heartbeats that wait now, for the status of the session proxy.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct HeartbeatCounts {
     pub(crate) received: u64,
@@ -44,7 +44,7 @@
     pub(crate) waiting: u64,
 }
 
-/// A heartbeat whose answer a call waits for; abandons it when the call is dropped.
+/// A heartbeat that waits for its outcome. Dropping the guard, as when the member disconnects, abandons the heartbeat.
 struct WaitingHeartbeat<'a> {
     forwarder: &'a HeartbeatForwarder,
     session: SessionId,
@@ -60,7 +60,7 @@
 }
 
 impl HeartbeatForwarder {
-    /// A forwarder that batches heartbeats for no longer than this.
+    /// Creates a forwarder that delays a heartbeat by at most `max_delay` to batch it with others.
     pub(crate) fn new(max_delay: Micros) -> Self {
         Self {
             batcher: RefCell::new(HeartbeatBatcher::new(max_delay)),
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Queues a heartbeat, and waits for its answer.
+    /// Queues a heartbeat, and waits for its outcome.
     pub(crate) async fn forward(&self, request: HeartbeatRequest) -> HandlerResult {
         let HeartbeatRequest {
             session,
@@ -85,14 +85,14 @@
         let queued = self.batcher.borrow_mut().enqueue(heartbeat, id);
         queued.map_err(|full| unavailable(full.to_string(), false))?;
         self.received.update(|count| count + 1);
-        let answer = self.waiters.add(id);
+        let outcome = self.waiters.add(id);
         let _waiting = WaitingHeartbeat {
             forwarder: self,
             session,
             id,
         };
         self.queued.notify_one();
-        let response: HeartbeatResponse = match answer.await {
+        let response: HeartbeatResponse = match outcome.await {
             Ok(HeartbeatOutcome::Renewed(owned)) => Ok(HeartbeatAccepted { owned }),
             Ok(HeartbeatOutcome::SessionEnded) => Err(Rejection::SessionNotFound { session }),
             Ok(HeartbeatOutcome::Unknown) | Err(_) => {
@@ -103,7 +103,7 @@
         to_json(&response)
     }
 
-    /// Sends batch after batch until it is dropped; the name stands in its log lines.
+    /// Sends batches one after the other until the future is dropped; `name` begins each log line.
     pub(crate) async fn run(&self, mut client: CoordinatorClient, name: &str) {
         let faults = RateLimitedLog::default();
         loop {
@@ -123,9 +123,9 @@
                 }
                 NextStep::Idle => self.queued.notified().await,
                 NextStep::WaitUntil(due) => {
-                    let pause = Duration::from_micros(due.since(now()).0);
-                    // a full batch does not wait
-                    let _ = timeout(pause, self.queued.notified()).await;
+                    let delay = Duration::from_micros(due.since(now()).0);
+                    // wakes up early for each new heartbeat, since a full batch is sent at once
+                    let _ = timeout(delay, self.queued.notified()).await;
                 }
             }
         }
@@ -156,17 +156,17 @@
             renewed: response.renewed.into_iter().collect(),
             ended: response.ended,
         };
-        let answers = self.batcher.borrow_mut().complete(number, &response);
-        self.waiters.answer(answers);
+        let outcomes = self.batcher.borrow_mut().complete(number, &response);
+        self.waiters.complete(outcomes);
     }
 
     fn fail(&self, number: u64) {
         self.unanswered_batches.update(|count| count + 1);
-        let answers = self.batcher.borrow_mut().fail(number);
-        self.waiters.answer(answers);
+        let outcomes = self.batcher.borrow_mut().fail(number);
+        self.waiters.complete(outcomes);
     }
 
-    /// Longest time for a call to the coordinators, by the shortest lease that was heard of.
+    /// Time limit for a batch, derived from the shortest lease that the coordinators have announced.
     pub(crate) fn call_timeout(&self) -> Duration {
         Duration::from_micros(self.batcher.borrow().call_timeout().0)
     }
--- a/crates/session-proxy/src/service.rs
+++ b/crates/session-proxy/src/service.rs
@@ -1,4 +1,4 @@
-//! A session proxy from its start to its end.
+//! Runs a session proxy and handles its requests.
 
 use crate::commands::CommandForwarder;
 use crate::heartbeats::HeartbeatForwarder;
@@ -18,13 +18,13 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// The address of a session proxy can't be listened on.
+/// Listening on the session proxy's address failed.
 #[derive(Debug, thiserror::Error)]
 #[error("{address}: {source}")]
 pub struct ListenError {
-    /// The address, as the settings have it.
+    /// The listen address from the settings.
     pub address: String,
-    /// What failed.
+    /// The operating system's error.
     pub source: std::io::Error,
 }
 
@@ -35,10 +35,11 @@
     commands: CommandForwarder,
 }
 
-/// Runs until it is dropped; has to run on a `LocalSet`. It stores nothing, so that it may be dropped at any time.
+/// Runs a session proxy until the future is dropped, which is safe at any time, since a session proxy stores nothing.
+/// Has to run on a `LocalSet`.
 ///
 /// # Errors
-/// If it can't listen.
+/// If the proxy can't listen on its address.
 pub async fn run(settings: Settings) -> Result<(), ListenError> {
     let failed = |source| ListenError {
         address: settings.listen.clone(),
@@ -65,7 +66,8 @@
     Ok(())
 }
 
-/// A call that no coordinator answered, or that can't wait here: another session proxy may do better.
+/// The error for a request that no coordinator answered or that found the queue full. The member then tries another
+/// session proxy.
 pub(crate) fn unavailable(message: impl Into<String>, may_have_happened: bool) -> CallError {
     CallError {
         status: StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/session-proxy/src/settings.rs
+++ b/crates/session-proxy/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings file of a session proxy, read and checked as a sidecar's is: each finding with a code, a place and what to
-//! write instead.
+//! The settings file of a session proxy, read and checked like a sidecar's file: each finding has a code, a position in
+//! the file and, where possible, a hint at the correction.
 
 use milletturn_config::codes::Code;
 use milletturn_config::document::{Document, host_and_port};
@@ -9,7 +9,7 @@
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::path::Path;
 
-/// The settings that the file may have.
+/// All settings that the file may contain, with their kinds, bounds and defaults.
 pub const FIELDS: &[Field] = &[
     Field {
         path: "group",
@@ -55,42 +55,42 @@
     },
 ];
 
-/// Descriptors that a session proxy needs beside those of its members: calls to the coordinators, files, the runtime's
-/// own.
+/// File descriptors that a session proxy needs in addition to its members' connections: for calls to the coordinators,
+/// files and the runtime.
 const OTHER_DESCRIPTORS: u64 = 64;
 
-/// The settings of a session proxy, checked.
+/// The checked settings of a session proxy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// The group's name.
+    /// The group's name; calls from other groups are rejected.
     pub group: String,
-    /// The session proxy's own name.
+    /// The session proxy's name in its log lines and its status.
     pub name: String,
-    /// The address at which members reach it.
+    /// The address on which the session proxy listens for members; port 0 stands for any free port.
     pub listen: String,
-    /// The coordinators' addresses.
+    /// The addresses of all coordinators of the group.
     pub coordinators: Vec<String>,
-    /// Longest time for which heartbeats are batched.
+    /// Longest time for which a heartbeat is delayed to batch it with others.
     pub max_batch_delay: Micros,
-    /// Connections of members at once.
+    /// Limit on open connections of members.
     pub max_connections: usize,
 }
 
 impl Settings {
-    /// The name under which this session proxy logs.
+    /// The name with which each log line of this session proxy begins.
     #[must_use]
     pub fn log_name(&self) -> String {
         format!("session proxy {} of {}", self.name, self.group)
     }
 }
 
-/// Reads a file. There are settings if nothing was found wrong with it.
+/// Reads and checks a settings file. The settings are `None` if the document has findings.
 #[must_use]
 pub fn read(path: &Path) -> (Document, Option<Settings>) {
     checked(Document::read_with(path, SettingsTable(FIELDS)))
 }
 
-/// Reads a file's text; as [`read`].
+/// Checks the text of the settings file at `path`, as [`read`] does.
 #[must_use]
 pub fn parse(path: &Path, text: &str) -> (Document, Option<Settings>) {
     checked(Document::parse_with(
@@ -101,7 +101,7 @@
 }
 
 fn checked(mut document: Document) -> (Document, Option<Settings>) {
-    // contradictions are looked for only between values that are sound by themselves
+    // contradictions between values are checked only if each value is valid by itself
     if !document.findings.is_empty() {
         return (document, None);
     }
@@ -157,8 +157,8 @@
     }
 }
 
-/// Raises the process's limit of descriptors to what the connections need; adds a finding to the document if its hard
-/// limit does not allow that.
+/// Raises the process's soft limit on file descriptors to what the connections need. Adds a finding to the document if
+/// the hard limit is too low.
 pub fn reserve_descriptors(document: &mut Document, settings: &Settings) {
     let needed = settings.max_connections as u64 + OTHER_DESCRIPTORS;
     let Rlimit { current, maximum } = getrlimit(Resource::Nofile);
@@ -171,7 +171,7 @@
             current: Some(needed),
             maximum,
         };
-        // a limit that can't be raised within its own hard limit shows at the accept, which logs it
+        // if the limit can't be raised although the hard limit allows it, accepting connections fails and is logged
         let _ = setrlimit(Resource::Nofile, raised);
     }
 }
--- a/crates/session-proxy/src/waiters.rs
+++ b/crates/session-proxy/src/waiters.rs
@@ -1,51 +1,52 @@
-//! Calls of members that wait for the answer to a batch.
+//! Requests of members that wait for the response to a batch.
 
 use milletturn_coordination::WaiterId;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
-/// The waiting calls by their ids, and the channels by which they get their answers.
+/// The waiting requests by their IDs, with the channels through which each gets its outcome.
 #[derive(Debug)]
-pub(crate) struct Waiters<A> {
-    last: Cell<WaiterId>,
-    channels: RefCell<BTreeMap<WaiterId, oneshot::Sender<A>>>,
+pub(crate) struct Waiters<T> {
+    next: Cell<WaiterId>,
+    channels: RefCell<BTreeMap<WaiterId, oneshot::Sender<T>>>,
 }
 
-impl<A> Default for Waiters<A> {
+impl<T> Default for Waiters<T> {
     fn default() -> Self {
         Self {
-            last: Cell::default(),
+            next: Cell::default(),
             channels: RefCell::default(),
         }
     }
 }
 
-impl<A> Waiters<A> {
-    /// An id that no other call had.
+impl<T> Waiters<T> {
+    /// Returns an ID that no earlier request had.
     pub(crate) fn next_id(&self) -> WaiterId {
-        let id = self.last.get();
-        self.last.set(id.next());
+        let id = self.next.get();
+        self.next.set(id.next());
         id
     }
 
-    /// Lets a call wait for its answer.
-    pub(crate) fn add(&self, id: WaiterId) -> oneshot::Receiver<A> {
+    /// Registers a waiting request, and returns the channel on which its outcome arrives.
+    pub(crate) fn add(&self, id: WaiterId) -> oneshot::Receiver<T> {
         let (sender, receiver) = oneshot::channel();
         self.channels.borrow_mut().insert(id, sender);
         receiver
     }
 
-    /// Forgets a call, if it still waits.
+    /// Removes a request if it still waits.
     pub(crate) fn remove(&self, id: WaiterId) {
         self.channels.borrow_mut().remove(&id);
     }
 
-    /// Gives calls their answers. One that has gone in this moment asks again.
-    pub(crate) fn answer(&self, answers: impl IntoIterator<Item = (WaiterId, A)>) {
-        for (id, answer) in answers {
+    /// Sends waiting requests their outcomes. A member that has just disconnected misses the outcome and sends its
+    /// request again.
+    pub(crate) fn complete(&self, outcomes: impl IntoIterator<Item = (WaiterId, T)>) {
+        for (id, outcome) in outcomes {
             if let Some(channel) = self.channels.borrow_mut().remove(&id) {
-                let _ = channel.send(answer);
+                let _ = channel.send(outcome);
             }
         }
     }
--- a/crates/session-proxy/tests/golden.rs
+++ b/crates/session-proxy/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The settings file, as it was read before the sources got their present names: operators have written such files.
+//! Golden data of the settings file: the keys, bounds and defaults that operators' files rely on, which must not change
+//! when fields are renamed in the source.
 
 use milletturn_config::fields::Kind;
 use milletturn_coordination::Micros;
@@ -6,7 +7,7 @@
 use std::path::Path;
 
 #[test]
-fn a_file_with_all_settings_is_read_with_all_its_values() {
+fn every_value_of_a_complete_file_is_read() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/session-proxy.toml");
     let (document, settings) = read(&path);
     assert_eq!(document.findings, []);
@@ -17,7 +18,7 @@
         coordinators,
         max_batch_delay,
         max_connections,
-    } = settings.expect("sound");
+    } = settings.expect("the file is valid");
     assert_eq!(
         (group.as_str(), name.as_str(), listen.as_str()),
         ("harbour", "relay-1", "10.0.0.9:7401")
@@ -33,7 +34,7 @@
 }
 
 #[test]
-fn each_setting_has_its_key_its_bounds_and_its_default() {
+fn every_setting_keeps_its_key_bounds_and_default() {
     let fields: Vec<_> = FIELDS
         .iter()
         .map(|field| (field.path, field.kind, field.default, field.required))
@@ -48,18 +49,18 @@
     ];
     assert_eq!(fields, known);
     let text = include_str!("golden/session-proxy.toml");
-    let short: String = text
+    let required_only: String = text
         .lines()
         .take(4)
         .map(|line| format!("{line}\n"))
         .collect();
-    let (document, settings) = parse(Path::new("session-proxy.toml"), &short);
+    let (document, settings) = parse(Path::new("session-proxy.toml"), &required_only);
     assert_eq!(document.findings, []);
     let Settings {
         max_batch_delay,
         max_connections,
         ..
-    } = settings.expect("sound");
+    } = settings.expect("the file is valid");
     assert_eq!(
         (max_batch_delay, max_connections),
         (Micros::from_millis(100), 4_096),
--- a/crates/session-proxy/tests/settings.rs
+++ b/crates/session-proxy/tests/settings.rs
@@ -1,20 +1,20 @@
-//! The settings file of a session proxy: all that is wrong is reported at once, with code, place and help.
+//! The settings file of a session proxy: all errors are reported together, each with its code and position.
 
 use milletturn_config::codes::Code;
 use milletturn_session_proxy::settings::{Settings, parse};
 use std::path::Path;
 
-const SOUND: &str = "group = \"harbour\"\nname = \"r1\"\nlisten = \"10.0.0.9:7401\"\n\
+const VALID_FILE: &str = "group = \"harbour\"\nname = \"r1\"\nlisten = \"10.0.0.9:7401\"\n\
     stewards = [\"10.0.0.1:7301\", \"10.0.0.2:7301\", \"10.0.0.3:7301\"]\n";
 
-fn found(text: &str) -> Vec<(Code, Option<String>)> {
+fn findings_in(text: &str) -> Vec<(Code, Option<String>)> {
     let (document, settings) = parse(Path::new("session-proxy.toml"), text);
     assert_eq!(
         settings.is_none(),
         !document.findings.is_empty(),
-        "used only if sound"
+        "settings are returned only without findings"
     );
-    let at = |finding: &milletturn_config::finding::Finding| {
+    let text_at = |finding: &milletturn_config::finding::Finding| {
         finding.locations[0]
             .span
             .clone()
@@ -23,13 +23,13 @@
     document
         .findings
         .iter()
-        .map(|finding| (finding.code, at(finding)))
+        .map(|finding| (finding.code, text_at(finding)))
         .collect()
 }
 
 #[test]
-fn a_sound_file_is_read_with_its_defaults() {
-    let (document, settings) = parse(Path::new("session-proxy.toml"), SOUND);
+fn a_valid_file_is_read_with_its_defaults() {
+    let (document, settings) = parse(Path::new("session-proxy.toml"), VALID_FILE);
     assert_eq!(document.findings, []);
     let Settings {
         group,
@@ -37,7 +37,7 @@
         max_batch_delay,
         max_connections,
         ..
-    } = settings.expect("sound");
+    } = settings.expect("the file is valid");
     assert_eq!(
         (
             group.as_str(),
@@ -51,7 +51,7 @@
 
 #[test]
 fn each_error_has_its_code_and_position() {
-    let with = |from: &str, to: &str| found(&SOUND.replace(from, to));
+    let with = |from: &str, to: &str| findings_in(&VALID_FILE.replace(from, to));
     let text = |text: &str| Some(text.to_string());
     assert_eq!(with("name", "nmae")[0], (Code::UnknownName, text("nmae")));
     assert!(
@@ -85,7 +85,7 @@
         ("group = \"twice\"", Code::Duplicate),
         ("places =", Code::Syntax),
     ] {
-        let codes: Vec<Code> = found(&format!("{SOUND}{line}\n"))
+        let codes: Vec<Code> = findings_in(&format!("{VALID_FILE}{line}\n"))
             .into_iter()
             .map(|(code, _)| code)
             .collect();
