--- a/crates/coordination-protocol/src/client.rs
+++ b/crates/coordination-protocol/src/client.rs
@@ -1,4 +1,4 @@
-//! The client's side of a call: one connection to one server, opened when it is needed.
+//! The client of the protocol: one connection to one server, opened on the first call.
 
 use crate::messages::{
     CALL_HEADER, COORDINATOR_HEADER, ErrorResponse, GROUP_HEADER, MAX_BODY_BYTES, ORIGIN_HEADER,
@@ -17,8 +17,8 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// A client of one coordinator, session proxy or shard map, with one connection and one call at a time. The connection is
-/// kept only with a server that tells which of its calls a response answers.
+/// A client of one coordinator, session proxy or shard map, with one connection and one call at a time. The connection
+/// is reused only if the server's responses repeat the number of the call in [`CALL_HEADER`].
 #[derive(Debug)]
 pub struct Client {
     address: String,
@@ -31,23 +31,23 @@
 #[derive(Debug)]
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
-    /// How many calls were made on it.
+    /// Number of calls made on this connection.
     calls: u64,
 }
 
-/// A response that arrived, whether or not the call was done.
+/// A response that arrived, whether the call succeeded or was rejected.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Reply<A> {
-    /// The number of the coordinator that answered; none from a session proxy.
+    /// The number of the coordinator that responded; `None` from a session proxy or a shard map.
     pub coordinator: Option<u64>,
-    /// The response, or why the call was not done.
+    /// The response's value, or why the server rejected the call.
     pub result: Result<A, ErrorResponse>,
 }
 
 /// Why no response arrived.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
-    /// Nothing of the call has left this process.
+    /// The call was not sent, so the server can't have executed it.
     #[error("{address} was not reached: {source}")]
     NotSent {
         /// The server's address.
@@ -55,7 +55,7 @@
         /// What failed.
         source: CallFailure,
     },
-    /// The call was sent and no response came: it may have been done.
+    /// The call may have been sent but got no valid response, so the server may or may not have executed it.
     #[error("{address} did not answer, and may have done what was asked: {source}")]
     OutcomeUnknown {
         /// The server's address.
@@ -68,7 +68,7 @@
 /// The step at which a call failed.
 #[derive(Debug, thiserror::Error)]
 pub enum CallFailure {
-    /// The request can't be written as JSON.
+    /// The request can't be serialized as JSON.
     #[error(transparent)]
     Encode(serde_json::Error),
     /// The request has a path or header that HTTP does not allow.
@@ -77,35 +77,35 @@
     /// No connection could be opened.
     #[error(transparent)]
     Connect(#[from] std::io::Error),
-    /// The connection broke, or what came on it is no HTTP.
+    /// The connection broke, or the response is not valid HTTP.
     #[error(transparent)]
     Connection(#[from] hyper::Error),
-    /// The response's body broke off, or is longer than [`MAX_BODY_BYTES`].
+    /// The response's body is incomplete, or longer than [`MAX_BODY_BYTES`].
     #[error(transparent)]
     Body(Box<dyn std::error::Error + Send + Sync>),
-    /// The response's body is not what the call is answered with.
+    /// The response's body is not the JSON expected for this call.
     #[error("status {status}, its body can't be read: {source}")]
     Decode {
         /// The response's status.
         status: StatusCode,
-        /// What is wrong with the body.
+        /// The parser's error.
         source: serde_json::Error,
     },
-    /// The response is that to another call of the connection.
+    /// The response has the number of another call of the connection, or none on a reused connection.
     #[error("a response to call {found:?} of the connection came for call {expected}")]
     OtherCall {
-        /// The number of the call on its connection.
+        /// The number of the call that was made, from 1 on each connection.
         expected: u64,
-        /// The number that the response has.
+        /// The call number in the response, if it has one.
         found: Option<u64>,
     },
-    /// The time for the call is over.
+    /// The time limit of the call, which is contained here, has passed.
     #[error("nothing within {} ms", .0.as_millis())]
     Timeout(Duration),
 }
 
 impl Client {
-    /// A client of the server at this address, for this group. No connection is opened yet.
+    /// Creates a client of the server at this address, for this group. The connection is opened on the first call.
     pub fn new(address: impl Into<String>, group: impl Into<String>) -> Self {
         Self {
             address: address.into(),
@@ -115,7 +115,8 @@
         }
     }
 
-    /// Adds the header of calls between coordinators: which initial state this one's group was founded with.
+    /// Adds [`ORIGIN_HEADER`] to all calls, as calls between coordinators need it: the identifier of the group's
+    /// initial state.
     #[must_use]
     pub fn with_origin(self, origin: impl Into<String>) -> Self {
         Self {
@@ -124,17 +125,17 @@
         }
     }
 
-    /// The server's address.
+    /// The server's address, as it was given to [`Client::new`].
     #[must_use]
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Makes one call and waits for its response, no longer than the time limit in all. With a body it is a `POST`,
-    /// otherwise a `GET`. After an error the connection is given up.
+    /// Makes one call and waits for its response; `time_limit` includes opening the connection. A call with a body is a
+    /// `POST`, one without a `GET`. After an error the connection is closed.
     ///
     /// # Errors
-    /// If no response arrives; [`ClientError::OutcomeUnknown`] if the call may have reached the server.
+    /// If no valid response arrives; [`ClientError::OutcomeUnknown`] if the call may have reached the server.
     pub async fn call<A: DeserializeOwned>(
         &mut self,
         path: &str,
@@ -211,10 +212,11 @@
 
     async fn connect(&self) -> Result<Connection, CallFailure> {
         let stream = TcpStream::connect(&self.address).await?;
-        // without it responses still come, only later
+        // best effort: without TCP_NODELAY, calls are only slower
         let _ = stream.set_nodelay(true);
         let (sender, connection) = handshake(TokioIo::new(stream)).await?;
-        // the task ends with the sender, which this client owns, or with its peer; what failed is returned by the call
+        // the task ends when the client drops the sender or the server closes the connection; its error is also
+        // returned by the call
         tokio::spawn(async move {
             let _ = connection.await;
         });
@@ -222,11 +224,11 @@
     }
 }
 
-/// A response that was read to its end.
+/// A response whose body was read completely but not yet parsed.
 struct RawReply {
     status: StatusCode,
     coordinator: Option<u64>,
-    /// The number of the call that it answers; none from a server that doesn't tell it.
+    /// The call number in the response; `None` from a server that doesn't repeat it.
     call: Option<u64>,
     body: Bytes,
 }
--- a/crates/coordination-protocol/src/clock.rs
+++ b/crates/coordination-protocol/src/clock.rs
@@ -1,9 +1,10 @@
-//! The clock by which leases are counted.
+//! The clock by which all processes measure leases.
 
 use milletturn_coordination::Timestamp;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Now, by a clock that goes on while the machine sleeps and that nobody sets (CLOCK_BOOTTIME).
+/// The current time of `CLOCK_BOOTTIME`, which also advances while the machine is suspended and is never set. Times of
+/// different machines or boots can't be compared.
 #[must_use]
 pub fn now() -> Timestamp {
     let time = clock_gettime(ClockId::Boottime);
--- a/crates/coordination-protocol/src/messages.rs
+++ b/crates/coordination-protocol/src/messages.rs
@@ -1,8 +1,7 @@
 //! The messages of the coordination service, the paths to which they are sent, and the headers and bounds of a call.
 //!
-//! Names in the JSON are older than the names of the types: each field that differs carries its name on the wire.
-//! Members, session proxies and coordinators of two versions talk with each other, so the JSON may not change
-//! (`tests/golden.rs`).
+//! Members, session proxies and coordinators of different versions communicate, so the JSON must not change; the tests
+//! in `tests/golden.rs` check that. A field whose JSON name differs from its Rust name has a `serde(rename)` attribute.
 
 use milletturn_coordination::state::{Event, Resource, Session};
 use milletturn_coordination::{
@@ -17,13 +16,14 @@
 pub const VERSION_HEADER: &str = "milletturn-wire";
 /// Request header with the name of the group that the call is meant for.
 pub const GROUP_HEADER: &str = "milletturn-group";
-/// Request header between coordinators: which initial state the caller's group was founded with. Coordinators that
-/// were founded with different states would make different states of the same commands.
+/// Request header between coordinators with the identifier of the initial state of the caller's group. Coordinators
+/// that started from different states would get different results from the same commands, so such calls are rejected.
 pub const ORIGIN_HEADER: &str = "milletturn-origin";
-/// Header with the number of a call on its connection, from 1: the response repeats it. HTTP/1.1 goes by order alone, and a
-/// second copy of an earlier response would be taken for that of the present call.
+/// Header with the number of a call on its connection, from 1 on, which the response repeats. HTTP/1.1 matches
+/// responses to requests by order alone, so without the number a duplicate of an earlier response would be taken for
+/// the response to the current call.
 pub const CALL_HEADER: &str = "milletturn-call";
-/// Response header with the number of the coordinator that answers.
+/// Response header with the number of the responding coordinator.
 pub const COORDINATOR_HEADER: &str = "milletturn-steward";
 
 /// Opens a session: `POST` of an [`OpenSession`], answered with a
@@ -37,16 +37,18 @@
 /// Writes the commands of a session proxy's members as one entry of the log: `POST` of a [`CommandBatchRequest`],
 /// answered with the outcome of each, in their order.
 pub const COMMAND_BATCH_PATH: &str = "/v1/write-all";
-/// Shows what a session proxy has counted: `GET`, answered with a [`SessionProxyStatus`]. Only session proxies serve it.
+/// Returns the status and the counts of a session proxy: `GET`, answered with a [`SessionProxyStatus`]. Only session
+/// proxies serve this path.
 pub const SESSION_PROXY_STATUS_PATH: &str = "/v1/relay";
 /// Writes a command: `POST` of a [`Command`], answered with a
 /// [`CommandOutcome`](milletturn_coordination::CommandOutcome).
 pub const COMMAND_PATH: &str = "/v1/order";
-/// Shows the replicated state as a majority confirms it: `GET`, answered with a [`StateView`].
+/// Returns a view of the replicated state, confirmed by a quorum: `GET`, answered with a [`StateView`].
 pub const STATE_PATH: &str = "/v1/book";
-/// Shows what one coordinator knows by itself, without a majority: `GET`, answered with a [`CoordinatorStatus`].
+/// Returns the status of one coordinator by its own knowledge, without asking a quorum: `GET`, answered with a
+/// [`CoordinatorStatus`].
 pub const STATUS_PATH: &str = "/v1/status";
-/// Returns the whole replicated state as a majority confirms it: `GET`, answered with a [`Backup`].
+/// Returns the whole replicated state, confirmed by a quorum: `GET`, answered with a [`Backup`].
 pub const BACKUP_PATH: &str = "/v1/backup";
 /// Raft's `AppendEntries` between coordinators.
 pub const APPEND_ENTRIES_PATH: &str = "/consensus/append";
@@ -55,20 +57,22 @@
 /// Raft's `InstallSnapshot` between coordinators.
 pub const INSTALL_SNAPSHOT_PATH: &str = "/consensus/snapshot";
 
-/// Largest body of a call by a member or an operator: a command with every text at its bound takes some 2 KB.
+/// Largest body of a call by a member or an operator. A command whose strings all have their largest size takes about
+/// 2 KB.
 pub const MAX_CALL_BYTES: usize = 16 * 1024;
-/// Largest body of a call to [`COMMAND_BATCH_PATH`]: the requests, and what surrounds them.
+/// Largest body of a call to [`COMMAND_BATCH_PATH`]: the requests, and 64 bytes for the JSON around them.
 pub const MAX_COMMAND_BATCH_BYTES: usize = bounds::MAX_BATCH_BYTES + 64;
-/// Largest body between coordinators, and of a response: a full state with every text at its bound.
+/// Largest body of a call between coordinators and of any response. A full state whose strings all have their largest
+/// size fits.
 pub const MAX_BODY_BYTES: usize = 32 * 1024 * 1024;
 
 /// A request to open a session.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OpenSession {
-    /// The member that asks.
+    /// The member that opens the session.
     #[serde(rename = "about")]
     pub member: MemberInfo,
-    /// Drawn at random once for each session wanted, and sent again with each retry, so that a retry opens no second
+    /// A random number that identifies the request. Retries of the request repeat it, so that a retry opens no second
     /// session.
     pub nonce: u64,
 }
@@ -76,14 +80,14 @@
 /// A heartbeat of one session.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatRequest {
-    /// The session to be kept alive.
+    /// The session whose lease is to be renewed.
     pub session: SessionId,
-    /// Whether the lease has already expired by the holder's own count, since no response reached it in time.
+    /// Whether the lease has already expired by the holder's own clock, because no response reached the holder in time.
     #[serde(rename = "run_out")]
     pub holder_expired: bool,
 }
 
-/// The response to a heartbeat: the session is alive, or the coordinators have rejected it.
+/// The response to a heartbeat: the lease was renewed, or the coordinators rejected the heartbeat.
 pub type HeartbeatResponse = Result<HeartbeatAccepted, milletturn_coordination::Rejection>;
 
 /// Confirmation that a session's lease was renewed.
@@ -94,19 +98,19 @@
     pub owned: Vec<(String, FencingToken)>,
 }
 
-/// Heartbeats that a session proxy has batched: [`MAX_BATCH_LEN`](bounds::MAX_BATCH_LEN) at most.
+/// A session proxy's batch of at most [`MAX_BATCH_LEN`](bounds::MAX_BATCH_LEN) heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatBatchRequest {
-    /// Each session once, and whether its lease had expired by the holder's own count when it last asked.
+    /// Each session once, and whether its lease had expired by the holder's own clock at the last heartbeat.
     #[serde(rename = "renewals")]
     pub heartbeats: Vec<(SessionId, bool)>,
 }
 
-/// What became of a batch of heartbeats. For a session in neither list the coordinators can't say yet: its next
-/// heartbeat finds out.
+/// The outcome of a batch of heartbeats. A session in neither list was not renewed and may or may not have ended; its
+/// next heartbeat tells which.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatBatchResponse {
-    /// The shortest lease of the renewed sessions; none if none was renewed.
+    /// The shortest lease of the renewed sessions; `None` if no session was renewed.
     pub shortest_lease: Option<Micros>,
     /// Sessions whose lease was renewed, with the resources that each owns and their fencing tokens.
     #[serde(rename = "held")]
@@ -116,28 +120,28 @@
     pub ended: Vec<SessionId>,
 }
 
-/// One request among those that a session proxy sends as a batch.
+/// One request of a session proxy's batch.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BatchedRequest {
-    /// As a call to [`OPEN_SESSION_PATH`].
+    /// The same request as a call to [`OPEN_SESSION_PATH`].
     #[serde(rename = "open")]
     OpenSession(OpenSession),
-    /// As a call to [`COMMAND_PATH`].
+    /// The same command as a call to [`COMMAND_PATH`].
     #[serde(rename = "order")]
     Command(Command),
 }
 
-/// Requests that a session proxy has batched: [`MAX_BATCH_LEN`](bounds::MAX_BATCH_LEN) at most, in
-/// [`MAX_BATCH_BYTES`](bounds::MAX_BATCH_BYTES) bytes with one byte between each two.
+/// A session proxy's batch of at most [`MAX_BATCH_LEN`](bounds::MAX_BATCH_LEN) requests. Their JSON, including one byte
+/// between each two, takes at most [`MAX_BATCH_BYTES`](bounds::MAX_BATCH_BYTES).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CommandBatchRequest {
-    /// In the order in which they came.
+    /// The requests in the order of their arrival at the session proxy.
     #[serde(rename = "wishes")]
     pub requests: Vec<BatchedRequest>,
 }
 
-/// What a session proxy has counted since its start.
+/// The status of a session proxy, with its counts since its start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionProxyStatus {
     /// The group's name.
@@ -149,7 +153,7 @@
     /// The most connections that may be open at once.
     #[serde(rename = "places")]
     pub max_connections: u64,
-    /// Connections rejected because that many were open.
+    /// Connections rejected because `max_connections` were open.
     #[serde(rename = "turned_away")]
     pub rejected_connections: u64,
     /// Heartbeats that members have sent.
@@ -164,7 +168,7 @@
     /// Session opens and commands that members have sent.
     #[serde(rename = "writes")]
     pub commands: u64,
-    /// Calls to the coordinators that carried those.
+    /// Calls to the coordinators that carried those session opens and commands.
     #[serde(rename = "write_batches")]
     pub command_batches: u64,
     /// Command batches that no coordinator answered in time.
@@ -180,7 +184,7 @@
 pub struct StateView {
     /// The group's name.
     pub group: String,
-    /// The number of the coordinator that leads.
+    /// The number of the leading coordinator.
     pub leader: u64,
     /// Open sessions.
     pub sessions: BTreeMap<SessionId, Session>,
@@ -191,7 +195,7 @@
     pub history: Vec<Event>,
 }
 
-/// A backup of the replicated state: all that a restore needs.
+/// A backup of the replicated state, which contains everything that a restore needs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Backup {
     /// The version of this format, [`BACKUP_FORMAT`].
@@ -207,7 +211,7 @@
 /// The version of the backup format that this program writes.
 pub const BACKUP_FORMAT: u32 = 1;
 
-/// What one coordinator knows by itself.
+/// The status of one coordinator by its own knowledge, which may be out of date.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoordinatorStatus {
     /// The group's name.
@@ -217,31 +221,31 @@
     pub coordinator: u64,
     /// The program's version.
     pub version: String,
-    /// `leader`, `follower`, `candidate` or `learner`; `cut off`: a leader without a majority.
+    /// `leader`, `follower`, `candidate`, `learner`, or `cut off` for a leader without a quorum.
     pub role: String,
-    /// The coordinator that leads, as far as this one knows.
+    /// The number of the leading coordinator, if this one knows it.
     pub leader: Option<u64>,
-    /// The leader term that this coordinator is in.
+    /// The latest leader term that this coordinator knows.
     #[serde(rename = "reign")]
     pub leader_term: LeaderTerm,
-    /// The log index of the last entry that was applied here.
+    /// The log index of the last entry that this coordinator has applied; 0 if none.
     #[serde(rename = "applied")]
     pub last_applied: u64,
     /// The numbers of the coordinators that vote.
     pub voters: Vec<u64>,
-    /// Milliseconds since a majority last answered this coordinator, if it leads.
+    /// Milliseconds since a quorum last acknowledged this coordinator; `None` unless it leads.
     #[serde(rename = "majority_heard")]
     pub quorum_age_ms: Option<u64>,
 }
 
-/// The body of every response but 200: why the call was not done.
+/// The body of every response with a status other than 200: why the call failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorResponse {
-    /// What is wrong and what to do, for people.
+    /// A message for people: what failed, and what to do about it.
     #[serde(rename = "why")]
     pub message: String,
-    /// The number of the coordinator that leads, if the call went to another one that knows it.
+    /// The number of the leading coordinator, if the call went to another one that knows it.
     pub leader: Option<u64>,
-    /// Whether the call may have been done all the same.
+    /// Whether the call may have been executed despite the error.
     pub may_have_happened: bool,
 }
--- a/crates/coordination-protocol/src/server.rs
+++ b/crates/coordination-protocol/src/server.rs
@@ -1,5 +1,5 @@
-//! The server's side of a call, for coordinators, session proxies and shard maps: connections up to a limit, the checks
-//! that every call has to pass, bodies up to a bound, and errors as JSON.
+//! The HTTP server of coordinators, session proxies and shard maps. It limits the number of connections and the size of
+//! bodies, checks the headers that every call needs, and sends errors as JSON.
 
 use crate::messages::{
     CALL_HEADER, COORDINATOR_HEADER, ErrorResponse, GROUP_HEADER, PROTOCOL_VERSION, VERSION_HEADER,
@@ -23,17 +23,18 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// A connection on which no call comes for so long is closed; members call several times within a lease.
+/// A connection without a call for this time is closed. Members call several times within a lease, so only unused
+/// connections reach the limit.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
-/// Longest time in which a call's body has to come.
+/// Time limit for receiving the body of a call.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a connection could not be accepted.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// What is over a body's bound is read and dropped, up to so many times as much: a close over unread bytes would reset
-/// the connection, and the error response with it.
-const MAX_DROPPED_BODIES: usize = 16;
+/// Wait after a failure to accept a connection, as when file descriptors run out.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
+/// The bytes beyond a body's size limit are read and discarded, up to this multiple of the limit. Closing a connection
+/// with unread bytes would reset it, and the client might not receive the error response.
+const MAX_DISCARDED_MULTIPLE: usize = 16;
 
-/// The JSON of a response, or why the call was not done.
+/// The JSON body of a successful response, or the error response.
 pub type HandlerResult = Result<Vec<u8>, CallError>;
 
 /// An error response with its status.
@@ -47,7 +48,7 @@
 }
 
 impl CallError {
-    /// A call that was not done, for a reason that calling another server doesn't change.
+    /// Creates the error for a call that was not executed, for a reason that is the same on every server.
     pub fn rejected(status: StatusCode, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -60,19 +61,19 @@
     }
 }
 
-/// Answers the calls that a server has checked.
+/// Handles the calls whose headers a [`Server`] has checked.
 pub trait Handler: 'static {
-    /// The group whose calls are answered.
+    /// The name of the group; calls for other groups are rejected before they reach [`Handler::handle`].
     fn group(&self) -> &str;
 
-    /// The number of the coordinator that answers; none for a session proxy or a shard map.
+    /// The number of this coordinator, which each response carries; `None` for a session proxy or a shard map.
     fn coordinator_id(&self) -> Option<u64>;
 
-    /// Answers a call of this group and this version of the protocol.
+    /// Handles a call of this group and of this version of the protocol.
     fn handle(&self, request: Request<Incoming>) -> impl Future<Output = HandlerResult>;
 }
 
-/// Bounds the connections of a server, and counts them.
+/// Limits the number of open connections of a server, and counts open and rejected ones.
 #[derive(Debug)]
 pub struct ConnectionLimit {
     max: usize,
@@ -85,14 +86,14 @@
 pub struct ConnectionCounts {
     /// Connections that are open.
     pub open: usize,
-    /// The most that may be open at once.
+    /// The limit on open connections.
     pub max: usize,
-    /// Connections that were closed at once since the start, because that many were open.
+    /// Connections since the start that were closed on arrival because `max` connections were open.
     pub rejected: u64,
 }
 
 impl ConnectionLimit {
-    /// At most so many connections at once.
+    /// Creates a limit of `max` open connections.
     #[must_use]
     pub fn new(max: usize) -> Rc<Self> {
         Rc::new(Self {
@@ -102,7 +103,7 @@
         })
     }
 
-    /// The connections of this moment.
+    /// The current counts.
     #[must_use]
     pub fn counts(&self) -> ConnectionCounts {
         ConnectionCounts {
@@ -112,7 +113,7 @@
         }
     }
 
-    /// A slot for one more connection; none if the limit is reached, which is counted.
+    /// Takes a slot for one more connection. If the limit is reached, counts a rejected connection and returns `None`.
     fn try_acquire(self: &Rc<Self>) -> Option<ConnectionSlot> {
         if self.open.get() >= self.max {
             self.rejected.update(|count| count + 1);
@@ -123,7 +124,7 @@
     }
 }
 
-/// One admitted connection; its place is free again when this is dropped.
+/// The slot of one open connection, which is released on drop.
 struct ConnectionSlot(Rc<ConnectionLimit>);
 
 impl Drop for ConnectionSlot {
@@ -141,7 +142,7 @@
 }
 
 impl<H: Handler> Server<H> {
-    /// A server that answers by this handler; the name stands in its log lines.
+    /// Creates a server for this handler; `name` begins each log line.
     pub fn new(name: impl Into<String>, limit: Rc<ConnectionLimit>, handler: Rc<H>) -> Self {
         Self {
             name: name.into(),
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Serves until it is dropped, and its connections with it. A connection beyond the limit is closed at once, so that
-    /// its member goes to another server. Has to run on a `LocalSet`.
+    /// Serves connections until the future is dropped, which closes them. A connection beyond the limit is closed on
+    /// arrival, so that the member tries another server. Has to run on a `LocalSet`.
     pub async fn serve(self, listener: TcpListener) {
         let Self {
             name,
@@ -168,8 +169,10 @@
             let stream = match accepted {
                 Ok((stream, _)) => stream,
                 Err(error) => {
-                    faults.log(format_args!("{name}: no connection accepted: {error}"));
-                    sleep(ACCEPT_PAUSE).await;
+                    faults.log(format_args!(
+                        "{name}: accepting a connection failed: {error}"
+                    ));
+                    sleep(ACCEPT_BACKOFF).await;
                     continue;
                 }
             };
@@ -190,7 +193,7 @@
 }
 
 async fn serve_connection<H: Handler>(stream: TcpStream, handler: Rc<H>) {
-    // without it responses still come, only later
+    // best effort: without TCP_NODELAY, responses are only slower
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let handler = handler.clone();
@@ -200,7 +203,7 @@
         .timer(TokioTimer::new())
         .header_read_timeout(IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
-    // how a client leaves is its own affair
+    // errors are ignored: a client may close its connection in any way
     let _ = connection.await;
 }
 
@@ -230,7 +233,7 @@
     response
 }
 
-/// The value of a request's header, if it is there and is text.
+/// The value of a request's header; `None` if the header is missing or its value is not visible ASCII.
 #[must_use]
 pub fn header<'a>(request: &'a Request<Incoming>, name: &str) -> Option<&'a str> {
     let value = request.headers().get(name)?;
@@ -250,19 +253,20 @@
     Ok(())
 }
 
-/// Writes a response as JSON.
+/// Serializes a response as JSON.
 ///
 /// # Errors
-/// With status 500 if it can't be written as JSON.
+/// With status 500 if the response can't be serialized.
 pub fn to_json(response: &impl Serialize) -> HandlerResult {
     serde_json::to_vec(response)
         .map_err(|error| CallError::rejected(StatusCode::INTERNAL_SERVER_ERROR, error.to_string()))
 }
 
-/// Reads the JSON in a call's body, of so many bytes at most, within 10 s.
+/// Reads and parses the JSON body of a call, of at most `max_bytes` bytes, within 10 s.
 ///
 /// # Errors
-/// With status 413 if it is longer, 408 if it is late, 400 if it breaks off or is no such JSON.
+/// With status 413 if the body is too long, 408 if it does not arrive in time, and 400 if it is incomplete or not the
+/// expected JSON.
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
     max_bytes: usize,
@@ -278,21 +282,21 @@
 }
 
 async fn read_body(mut body: Incoming, max_bytes: usize) -> Result<Vec<u8>, CallError> {
-    let (mut bytes, mut dropped) = (Vec::new(), 0);
+    let (mut bytes, mut discarded) = (Vec::new(), 0);
     while let Some(frame) = body.frame().await {
         let frame = frame
             .map_err(|error| CallError::rejected(StatusCode::BAD_REQUEST, error.to_string()))?;
         let data = frame.into_data().unwrap_or_default();
-        if dropped > 0 || bytes.len() + data.len() > max_bytes {
-            dropped += data.len();
+        if discarded > 0 || bytes.len() + data.len() > max_bytes {
+            discarded += data.len();
         } else {
             bytes.extend_from_slice(&data);
         }
-        if dropped > MAX_DROPPED_BODIES * max_bytes {
+        if discarded > MAX_DISCARDED_MULTIPLE * max_bytes {
             break;
         }
     }
-    if dropped > 0 {
+    if discarded > 0 {
         let message = format!("the call's body is longer than {max_bytes} bytes");
         return Err(CallError::rejected(StatusCode::PAYLOAD_TOO_LARGE, message));
     }
--- a/crates/coordination-protocol/src/shard_map.rs
+++ b/crates/coordination-protocol/src/shard_map.rs
@@ -1,9 +1,9 @@
-//! Synchronization of the shard map: a replica asks, and the source or another replica answers.
+//! Synchronization of the shard map: a replica polls the source or another replica for updates.
 //!
-//! There is one call, [`SHARD_MAP_PATH`], whose body is an [`SyncRequest`] and whose response is a list of [`Update`]. Nothing is
-//! pushed, so that a replica that does not listen costs nobody anything. Asked four times within the time in which a
-//! change has to arrive, it passes one replica in between and is at its senders in half of that time. The digests that
-//! replicas compare are those of anti-entropy protocols (Dynamo; `DeCandia` and others, 2007).
+//! There is one call, [`SHARD_MAP_PATH`], whose body is a [`SyncRequest`] and whose response is a list of [`Update`].
+//! Nothing is pushed, so an unresponsive replica costs the others nothing. With four polls within the time in which a
+//! change has to arrive, a change passes through one intermediate replica and reaches the senders in half of that time.
+//! The digests that replicas compare are those of anti-entropy protocols (Dynamo; `DeCandia` and others, 2007).
 
 use crate::client::{Client, ClientError};
 use crate::server::{CallError, Handler, HandlerResult, read_json, to_json};
@@ -16,22 +16,23 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout_at};
 
-/// Synchronizes with a source or a replica of the shard map: `POST` of an [`SyncRequest`], answered with a list of [`Update`].
+/// Synchronizes with a source or a replica of the shard map: `POST` of a [`SyncRequest`]; the response is a list of
+/// [`Update`].
 pub const SHARD_MAP_PATH: &str = "/v1/catalog";
 
-/// Largest body of a request: its shards, each with two numbers of 20 digits, and the rest.
+/// Largest body of a request: 160 bytes for each shard, which has two numbers of 20 digits, and 512 bytes for the rest.
 pub const MAX_SYNC_REQUEST_BYTES: usize = limits::MAX_REQUEST_SHARDS * 160 + 512;
 
-/// Most requests of one round: a replica that has nothing asks for 65,536 shards in 128, behind those for spans, and
-/// once more for what a response had no room for.
+/// Limit on the requests of one round. An empty replica asks for 65,536 shards in 128 requests, in addition to the
+/// requests for spans and to another request for each update that did not fit into a response.
 const MAX_ROUND_REQUESTS: usize = 1_024;
 
-/// A part of the shard map that answers replicas with its updates.
+/// A source or a replica of the shard map, from which other replicas get updates.
 pub trait UpdatePublisher: 'static {
-    /// The updates that a request asks for.
+    /// Returns the updates that a request asks for.
     ///
     /// # Errors
-    /// If the request is not one about this shard map.
+    /// If the request does not fit this shard map.
     fn updates(&self, request: &SyncRequest) -> Result<Vec<Update>, SyncError>;
 }
 
@@ -47,7 +48,7 @@
     }
 }
 
-/// Serves a source or a replica of the shard map.
+/// Handles synchronization requests for a source or a replica of the shard map.
 #[derive(Debug)]
 pub struct ShardMapHandler<P> {
     group: String,
@@ -55,7 +56,7 @@
 }
 
 impl<P> ShardMapHandler<P> {
-    /// A handler for this group that answers from this source or replica.
+    /// Creates a handler for this group that serves the updates of `publisher`.
     pub fn new(group: impl Into<String>, publisher: Rc<RefCell<P>>) -> Self {
         Self {
             group: group.into(),
@@ -91,41 +92,41 @@
     }
 }
 
-/// What one round of synchronization has brought.
+/// The counts of one round of synchronization.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct SyncRound {
-    /// Requests that were answered.
+    /// Requests that got a response.
     pub requests: usize,
     /// Updates that were applied.
     pub applied: usize,
-    /// Updates that were not: older than what the replica has, or not what they say they are.
+    /// Updates that were not applied, because they are older than the replica's data or inconsistent.
     pub ignored: usize,
 }
 
 /// Why a round ended before the replica was up to date.
 #[derive(Debug, thiserror::Error)]
 pub enum CatchUpError {
-    /// No response came.
+    /// No valid response arrived.
     #[error(transparent)]
     Client(#[from] ClientError),
     /// The server rejected a request.
-    #[error("{address} refused: {message}")]
+    #[error("{address} rejected the request: {message}")]
     Rejected {
         /// The server's address.
         address: String,
-        /// What it says.
+        /// The server's error message.
         message: String,
     },
-    /// The time is over, or too many requests were made; the next round goes on.
-    #[error("{0} questions were asked and there are more")]
+    /// The time limit or the limit on requests was reached after this number of requests; the next round continues.
+    #[error("synchronization unfinished after {0} requests")]
     Unfinished(usize),
 }
 
-/// Runs one round: asks a source or a replica for what this replica lacks until nothing more is to be asked, no longer
-/// than the time limit in all.
+/// Runs one round of synchronization: requests missing updates from a source or a replica until this replica has
+/// nothing left to request.
 ///
 /// # Errors
-/// Why it ended before. What was applied until then is kept.
+/// If the round ended before that, at the latest after `time_limit`. Updates applied until then are kept.
 pub async fn catch_up(
     client: &mut Client,
     replica: &RefCell<ShardMapReplica>,
