--- a/crates/coordinator/tests/golden/wire.rs
+++ b/crates/coordinator/tests/golden/wire.rs
@@ -30,7 +30,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::LocalSet;
 
-const TEST_TIMEOUT: Duration = Duration::from_secs(60);
+const TIMEOUT: Duration = Duration::from_secs(60);
 const ORIGIN: &str = "1-0badcafe";
 
 fn append_request() -> AppendEntriesRequest<RaftTypes> {
@@ -124,7 +124,7 @@
 }
 
 fn option() -> RPCOption {
-    RPCOption::new(TEST_TIMEOUT)
+    RPCOption::new(TIMEOUT)
 }
 
 async fn check_replies_that_succeed(peer: &mut PeerClient) {
@@ -316,10 +316,6 @@
         .enable_all()
         .build()
         .expect("a runtime");
-    let within = async {
-        tokio::time::timeout(TEST_TIMEOUT, test)
-            .await
-            .expect("in time")
-    };
+    let within = async { tokio::time::timeout(TIMEOUT, test).await.expect("in time") };
     LocalSet::new().block_on(&runtime, within);
 }
