--- a/crates/coordinator/src/settings/file.rs
+++ b/crates/coordinator/src/settings/file.rs
@@ -69,7 +69,7 @@
         let replicas = check_replicas(self.id, self.replicas, &mut problems);
         if lease > 0 && heartbeat > 0 && lease < MIN_HEARTBEATS_PER_LEASE * heartbeat {
             problems.push(format!(
-                "lease = {:?} is shorter than 15 times heartbeat = {:?}: each election would end sessions whose members are well",
+                "lease = {:?} is shorter than 15 times heartbeat = {:?}: an election would end the sessions of healthy members",
                 self.lease, self.heartbeat
             ));
         }
@@ -96,13 +96,13 @@
             || !self.group.is_ascii()
         {
             problems.push(
-                "group: a name of 1 to 128 ASCII characters tells this group from others"
+                "group: the name that identifies this group needs 1 to 128 ASCII characters"
                     .to_string(),
             );
         }
         if !(0.0..=0.5).contains(&self.clock_error) {
             problems.push(format!(
-                "clock_error = {}: a share from 0 to 0.5",
+                "clock_error = {}: needs a fraction from 0 to 0.5",
                 self.clock_error
             ));
         }
@@ -123,12 +123,14 @@
                 units::format_time(*range.start()),
                 units::format_time(*range.end()),
             );
-            problems.push(format!("{key} = {text:?}: from {min} to {max} are allowed"));
+            problems.push(format!(
+                "{key} = {text:?}: needs a duration from {min} to {max}"
+            ));
             0
         }
         Err(_) => {
             problems.push(format!(
-                "{key} = {text:?} is no time, such as \"9s\" or \"200ms\""
+                "{key} = {text:?} is not a duration such as \"9s\" or \"200ms\""
             ));
             0
         }
@@ -147,22 +149,26 @@
         .map(|entry| (entry.id, entry.address))
         .collect();
     if replicas.len() != count {
-        problems.push("two of [[steward]] have one id: each coordinator has its own".to_string());
+        problems.push(
+            "two [[steward]] tables have the same id; each coordinator needs its own".to_string(),
+        );
     }
     let mut addresses: Vec<&String> = replicas.values().collect();
     addresses.sort();
     addresses.dedup();
     if addresses.len() != replicas.len() {
-        problems
-            .push("two of [[steward]] have one address: each coordinator has its own".to_string());
+        problems.push(
+            "two [[steward]] tables have the same address; each coordinator needs its own"
+                .to_string(),
+        );
     }
     if !matches!(count, 1 | 3 | 5 | 7) {
         problems.push(format!(
-            "{count} coordinators: three go on without one, five without two; an even number bears no more than the odd one below it, and two stop when either does"
+            "{count} coordinators: a group needs 1, 3, 5 or 7. Three tolerate the failure of one and five that of two; an even number tolerates no more failures than one coordinator fewer, and two stop when either fails"
         ));
     }
     if !replicas.contains_key(&own_id) {
-        problems.push(format!("id = {own_id}: none of [[steward]] has it"));
+        problems.push(format!("id = {own_id}: no [[steward]] table has this id"));
     }
     replicas
 }
