--- a/crates/coordination-protocol/tests/duplicate_responses.rs
+++ b/crates/coordination-protocol/tests/duplicate_responses.rs
@@ -1,4 +1,7 @@
-//! A client whose connection brings responses twice: a call is answered by its own response or by none.
+//! A duplicate of an earlier response must not be taken for the response to the current call.
+//!
+//! HTTP/1.1 matches responses by order alone, so a duplicate that arrives with the next request looks like its
+//! response. The call numbers in the headers of requests and responses tell the two apart.
 
 mod common;
 
@@ -11,7 +14,7 @@
 
 const TIME_LIMIT: Duration = Duration::from_secs(20);
 
-/// Reads one request with no body; the number that the caller gave it, if it gave one.
+/// Reads one request without a body, and returns its call number, if it has one.
 async fn read_call(stream: &mut TcpStream) -> Option<String> {
     let mut text = String::new();
     while !text.ends_with("\r\n\r\n") {
@@ -25,7 +28,7 @@
     Some(number.to_string())
 }
 
-/// A response with a text, and the number of its call if the server is one that tells it.
+/// A response with a JSON string as its body, and with the call number if one is given.
 fn response(call: Option<&str>, text: &str) -> String {
     let number = call.map_or_else(String::new, |call| {
         format!("{}: {call}\r\n", messages::CALL_HEADER)
@@ -47,7 +50,7 @@
 }
 
 #[test]
-fn a_copy_of_an_earlier_response_with_the_next_request_answers_no_call() {
+fn a_duplicate_of_an_earlier_response_does_not_answer_the_next_call() {
     run(async {
         let (listener, mut client) = listen().await;
         let serving = tokio::task::spawn_local(async move {
@@ -58,7 +61,7 @@
             let second = read_call(&mut stream).await;
             let second = response(second.as_deref(), "second");
             stream.write_all(first.as_bytes()).await.expect("open");
-            // the client may have left by then
+            // the client may have closed the connection by then
             let _ = stream.write_all(second.as_bytes()).await;
         });
         let reply = call(&mut client).await.expect("answered");
@@ -73,7 +76,7 @@
 }
 
 #[test]
-fn a_server_that_tells_no_numbers_gets_each_call_on_a_connection_of_its_own() {
+fn a_server_without_call_numbers_gets_one_connection_per_call() {
     run(async {
         let (listener, mut client) = listen().await;
         let serving = tokio::task::spawn_local(async move {
@@ -93,7 +96,7 @@
 }
 
 #[test]
-fn a_server_that_tells_numbers_keeps_one_connection() {
+fn a_server_with_call_numbers_gets_all_calls_on_one_connection() {
     run(async {
         let (listener, mut client) = listen().await;
         let serving = tokio::task::spawn_local(async move {
--- a/crates/coordination-protocol/tests/golden.rs
+++ b/crates/coordination-protocol/tests/golden.rs
@@ -1,5 +1,6 @@
-//! The text on the wire, as it was written before the sources got their present names: each message, path, header and
-//! status. Members, coordinators and session proxies of two versions talk with each other, so none of it may change.
+//! Golden data of the protocol: every message, path, header and status as they are on the wire. Members, coordinators
+//! and session proxies of different versions communicate, so a renamed field or type in the source must not change
+//! them.
 
 mod common;
 
@@ -35,7 +36,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Texts by name, one a line.
+/// The lines of a golden file: each has a name and the JSON or message that belongs to it.
 struct Golden {
     texts: BTreeMap<&'static str, &'static str>,
     seen: BTreeSet<&'static str>,
@@ -53,13 +54,13 @@
         }
     }
 
-    /// That this value is written as it was, and that what was written is read as this value.
+    /// Checks that a value is serialized to the golden JSON, and that the golden JSON is parsed to the value.
     fn assert_text<T: Serialize + DeserializeOwned + PartialEq + Debug>(
         &mut self,
         name: &'static str,
         value: &T,
     ) {
-        let written = serde_json::to_string(value).expect("it can be written");
+        let written = serde_json::to_string(value).expect("serializable");
         let text = self
             .texts
             .get(name)
@@ -70,7 +71,7 @@
         assert!(self.seen.insert(name), "{name} twice");
     }
 
-    fn all_seen(&self) {
+    fn assert_all_seen(&self) {
         let all: BTreeSet<&str> = self.texts.keys().copied().collect();
         assert_eq!(self.seen, all);
     }
@@ -224,7 +225,7 @@
     ]
 }
 
-/// The rejections that name no resource and no session.
+/// The rejections that name neither a resource nor a session.
 fn bound_rejections() -> Vec<(&'static str, Rejection)> {
     vec![
         ("refusal-nested", Rejection::NestedBatch),
@@ -246,7 +247,7 @@
     ]
 }
 
-/// A state in which each part has something.
+/// A state in which no collection is empty.
 fn state() -> CoordinationState {
     let mut state = CoordinationState::default();
     let other = MemberInfo {
@@ -370,13 +371,13 @@
 }
 
 #[test]
-fn each_message_of_the_service_has_its_text() {
+fn every_message_of_the_service_has_its_golden_json() {
     let mut golden = Golden::read(include_str!("golden/messages.txt"));
     check_sessions(&mut golden);
     check_heartbeat_batches(&mut golden);
     check_commands_and_outcomes(&mut golden);
     check_views_and_errors(&mut golden);
-    golden.all_seen();
+    golden.assert_all_seen();
 }
 
 fn owned_resources() -> Vec<(String, FencingToken)> {
@@ -545,7 +546,7 @@
 }
 
 #[test]
-fn each_message_of_the_shard_map_has_its_text() {
+fn every_message_of_the_shard_map_has_its_golden_json() {
     let mut golden = Golden::read(include_str!("golden/shard_map.txt"));
     golden.assert_text(
         "ask-each",
@@ -603,10 +604,10 @@
             digests,
         },
     );
-    golden.all_seen();
+    golden.assert_all_seen();
 }
 
-/// The texts stand in the JSON that `milletturn fleet hold` prints.
+/// `milletturn fleet hold` prints these messages as part of its JSON.
 #[test]
 fn each_rejection_keeps_its_message() {
     let golden = Golden::read(include_str!("golden/rejections.txt"));
@@ -617,7 +618,7 @@
 }
 
 #[test]
-fn paths_headers_and_bounds_are_what_they_were() {
+fn paths_headers_and_bounds_are_unchanged() {
     let paths = [
         (messages::OPEN_SESSION_PATH, "/v1/open"),
         (messages::HEARTBEAT_PATH, "/v1/renew"),
@@ -664,7 +665,7 @@
     assert_eq!(bounds, [16_384, 65_600, 33_554_432, 82_432]);
 }
 
-/// Answers each path of the test with something else.
+/// Handles the paths of the test, each with another response or error.
 struct Coordinator(Option<u64>);
 
 impl Handler for Coordinator {
@@ -712,7 +713,7 @@
     address
 }
 
-/// What is answered to these bytes, without its date and with plain ends of lines.
+/// Sends the bytes, and returns the response without its date and with line feeds as line ends.
 async fn response_to(address: &str, bytes: &str) -> String {
     let mut stream = TcpStream::connect(address).await.expect("reached");
     stream.write_all(bytes.as_bytes()).await.expect("written");
@@ -740,11 +741,11 @@
         destination: 5,
         operations: vec![Operation::Put(endpoint())],
     };
-    source.propose(change).expect("sound");
+    source.propose(change).expect("valid");
     source
 }
 
-/// Calls of the service, sound ones first.
+/// Requests to the service: two valid ones, and then some that are rejected.
 fn service_calls() -> Vec<String> {
     let command = serde_json::to_string(&fenced_write()).expect("written");
     let long = format!("{command}{}", " ".repeat(messages::MAX_CALL_BYTES));
@@ -763,7 +764,7 @@
     ]
 }
 
-/// Calls of the shard map, a sound one first.
+/// Requests to the shard map: a valid one, and then some that are rejected.
 fn shard_map_calls() -> Vec<String> {
     let span = |count| {
         let request = SyncRequest::Span {
@@ -786,7 +787,7 @@
 }
 
 #[test]
-fn the_server_answers_with_the_same_status_headers_and_body() {
+fn responses_of_the_server_equal_the_golden_data() {
     run(async {
         let coordinator = open(Coordinator(Some(3))).await;
         let proxy = open(Coordinator(None)).await;
@@ -811,7 +812,7 @@
 }
 
 #[test]
-fn the_client_calls_with_the_same_request_and_headers() {
+fn requests_of_the_client_equal_the_golden_data() {
     run(async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound").to_string();
@@ -831,10 +832,10 @@
             }
             requests
         });
-        let most = Duration::from_secs(20);
+        let time_limit = Duration::from_secs(20);
         let mut client = Client::new(&address, "north").with_origin("f00d");
         let reply = client
-            .call::<CommandOutcome>(messages::COMMAND_PATH, Some(&fenced_write()), most)
+            .call::<CommandOutcome>(messages::COMMAND_PATH, Some(&fenced_write()), time_limit)
             .await
             .expect("answered");
         assert_eq!(
@@ -843,7 +844,7 @@
         );
         let mut client = Client::new(&address, "north");
         let reply = client
-            .call::<CoordinatorStatus>(messages::STATUS_PATH, None::<&()>, most)
+            .call::<CoordinatorStatus>(messages::STATUS_PATH, None::<&()>, time_limit)
             .await
             .expect("answered");
         let error = ErrorResponse {
--- a/crates/coordination-protocol/tests/shard_map.rs
+++ b/crates/coordination-protocol/tests/shard_map.rs
@@ -1,5 +1,5 @@
-//! Synchronization of the shard map: from a source over a replica to a sender; calls that are none are rejected and harm
-//! nothing.
+//! Synchronization of the shard map from a source through a replica to a sender, and the rejection of malformed
+//! requests.
 
 mod common;
 
@@ -22,7 +22,7 @@
 use tokio::task::JoinHandle;
 
 const GROUP: &str = "north";
-const MOST: Duration = Duration::from_secs(60);
+const TIME_LIMIT: Duration = Duration::from_secs(60);
 
 fn shard_count() -> ShardCount {
     ShardCount::new(1_024).expect("a number of ranges")
@@ -51,7 +51,7 @@
 fn source() -> ShardMapSource {
     let mut source = ShardMapSource::new(shard_count(), bounds(), LeaderTerm(1));
     for number in 0..5_000 {
-        source.propose(put(number, 80)).expect("sound");
+        source.propose(put(number, 80)).expect("valid");
     }
     source
 }
@@ -89,7 +89,7 @@
     }
 }
 
-/// What is answered to these bytes, until the connection is closed or stays open with nothing more.
+/// Sends the bytes, and returns the response: all bytes until the server closes the connection or sends no more.
 async fn response(address: &str, bytes: &[u8], close: bool) -> String {
     let mut stream = TcpStream::connect(address).await.expect("reached");
     stream.write_all(bytes).await.expect("written");
@@ -110,18 +110,18 @@
 }
 
 #[test]
-fn changes_arrive_from_a_source_over_a_replica_at_a_sender() {
+fn changes_reach_a_sender_from_the_source_through_a_replica() {
     run(async {
         let source = Rc::new(RefCell::new(source()));
         let middle = replica(shard_count().shards());
         let sender = replica((0..12).map(ShardId));
         let ((above, _), (between, _)) = (open(&source).await, open(&middle).await);
         let (mut up, mut down) = (Client::new(above, GROUP), Client::new(between, GROUP));
-        catch_up(&mut up, &middle, MOST)
+        catch_up(&mut up, &middle, TIME_LIMIT)
             .await
             .expect("from the source");
         assert_in_sync(&middle, &source);
-        catch_up(&mut down, &sender, MOST)
+        catch_up(&mut down, &sender, TIME_LIMIT)
             .await
             .expect("from the replica");
         assert_in_sync(&sender, &source);
@@ -129,12 +129,12 @@
         let mine = (0..)
             .find(|number| shard_count().shard_of(*number) == ShardId(3))
             .expect("one");
-        source.borrow_mut().propose(put(mine, 81)).expect("sound");
-        let round = catch_up(&mut up, &middle, MOST)
+        source.borrow_mut().propose(put(mine, 81)).expect("valid");
+        let round = catch_up(&mut up, &middle, TIME_LIMIT)
             .await
             .expect("from the source");
         assert!(round.applied >= 1 && round.requests <= 4, "{round:?}");
-        let round = catch_up(&mut down, &sender, MOST)
+        let round = catch_up(&mut down, &sender, TIME_LIMIT)
             .await
             .expect("from the replica");
         assert_eq!(
@@ -147,7 +147,7 @@
             "the one change"
         );
         assert_in_sync(&sender, &source);
-        let round = catch_up(&mut down, &sender, MOST)
+        let round = catch_up(&mut down, &sender, TIME_LIMIT)
             .await
             .expect("from the replica");
         assert_eq!(
@@ -160,15 +160,15 @@
             "nothing is new"
         );
 
-        // a later leader term passes too
+        // a new leader term is synchronized too
         source
             .borrow_mut()
             .assume_leadership(LeaderTerm(2))
             .expect("a later term");
-        catch_up(&mut up, &middle, MOST)
+        catch_up(&mut up, &middle, TIME_LIMIT)
             .await
             .expect("from the source");
-        catch_up(&mut down, &sender, MOST)
+        catch_up(&mut down, &sender, TIME_LIMIT)
             .await
             .expect("from the replica");
         assert_in_sync(&sender, &source);
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn a_lost_replica_and_a_stale_one_cost_nothing_but_time() {
+fn a_lost_or_a_stale_replica_does_not_change_a_sender() {
     run(async {
         let source = Rc::new(RefCell::new(source()));
         let (middle, other) = (
@@ -189,32 +189,33 @@
         let (beside, _) = open(&other).await;
         let mut up = Client::new(above, GROUP);
         for replica in [&middle, &other] {
-            catch_up(&mut up, replica, MOST)
+            catch_up(&mut up, replica, TIME_LIMIT)
                 .await
                 .expect("from the source");
         }
         for number in 0..5_000 {
-            source.borrow_mut().propose(put(number, 81)).expect("sound");
+            source.borrow_mut().propose(put(number, 81)).expect("valid");
         }
-        catch_up(&mut up, &middle, MOST)
+        catch_up(&mut up, &middle, TIME_LIMIT)
             .await
             .expect("from the source");
         let mut down = Client::new(between, GROUP);
-        catch_up(&mut down, &sender, MOST)
+        catch_up(&mut down, &sender, TIME_LIMIT)
             .await
             .expect("from the replica");
         assert_in_sync(&sender, &source);
         serving.abort();
         let _ended = serving.await;
         let before = sender.borrow().clone();
-        // the connection that was open goes with its process, which is this one: a new call finds nobody
+        // an open connection would end with the replica's process, which here is the test itself, so a new client
+        // stands for that: its connection is refused
         let mut down = Client::new(down.address().to_string(), GROUP);
-        let broken = catch_up(&mut down, &sender, MOST)
+        let broken = catch_up(&mut down, &sender, TIME_LIMIT)
             .await
-            .expect_err("nobody is there");
+            .expect_err("the replica is stopped");
         assert!(matches!(broken, CatchUpError::Client(_)), "{broken}");
-        // the next one has what was there yesterday, and says nothing of it
-        let round = catch_up(&mut Client::new(beside, GROUP), &sender, MOST)
+        // the other replica is behind the sender, and returns no outdated updates
+        let round = catch_up(&mut Client::new(beside, GROUP), &sender, TIME_LIMIT)
             .await
             .expect("answered");
         assert_eq!(
@@ -222,20 +223,20 @@
             (0, true),
             "{round:?}"
         );
-        catch_up(&mut up, &other, MOST)
+        catch_up(&mut up, &other, TIME_LIMIT)
             .await
             .expect("from the source");
         assert_in_sync(&other, &source);
     });
 }
 
-/// Calls with the status that each gets and a part of its body: a sound one, and what is none.
-fn calls(sound: &str) -> Vec<(Vec<u8>, &'static str, &'static str)> {
-    let other = sound.replace("1024", "512");
-    let beyond = sound.replace("\"count\":1024", "\"count\":1025");
-    let long = format!("{}{sound}", " ".repeat(MAX_SYNC_REQUEST_BYTES));
+/// Requests with the status and a part of the body of each response: a valid one, and malformed ones.
+fn calls(valid: &str) -> Vec<(Vec<u8>, &'static str, &'static str)> {
+    let other = valid.replace("1024", "512");
+    let beyond = valid.replace("\"count\":1024", "\"count\":1025");
+    let long = format!("{}{valid}", " ".repeat(MAX_SYNC_REQUEST_BYTES));
     let post = |body: &str| call(GROUP, "1", body, body.len());
-    let to = |group, version| call(group, version, sound, sound.len());
+    let to = |group, version| call(group, version, valid, valid.len());
     vec![
         (to(GROUP, "1"), "200", "parts"),
         (to("south", "1"), "409", "this is group"),
@@ -243,14 +244,14 @@
         (post(&other), "409", "1024 ranges here and 512 there"),
         (post(&beyond), "409", "a range that does not exist"),
         (post(&long), "413", "longer than"),
-        (post(&sound[..20]), "400", "EOF"),
+        (post(&valid[..20]), "400", "EOF"),
         (post("\u{7f}\u{0}"), "400", "expected value"),
         (post("{\"span\":{\"ranges\":0}}"), "400", "0 ranges"),
     ]
 }
 
 #[test]
-fn malformed_calls_are_rejected_and_harm_nothing() {
+fn malformed_requests_are_rejected_and_change_nothing() {
     run(async {
         let source = Rc::new(RefCell::new(source()));
         let (address, _) = open(&source).await;
@@ -261,21 +262,21 @@
             count: 1_024,
             digest: Default::default(),
         };
-        let sound = serde_json::to_string(&request).expect("written");
-        for (bytes, status, why) in calls(&sound) {
+        let valid = serde_json::to_string(&request).expect("written");
+        for (bytes, status, why) in calls(&valid) {
             let answer = response(&address, &bytes, false).await;
             assert!(
                 answer.starts_with(&format!("HTTP/1.1 {status}")) && answer.contains(why),
                 "{why}: {answer}"
             );
         }
-        // cut: the caller is gone before its body came
-        let cut = response(&address, &call(GROUP, "1", &sound[..20], sound.len()), true).await;
+        // the client disconnects before it has sent the whole body
+        let cut = response(&address, &call(GROUP, "1", &valid[..20], valid.len()), true).await;
         assert!(!cut.contains("200"), "{cut}");
         assert_eq!(*source.borrow(), before);
         let mut client = Client::new(address, GROUP);
         let sender = replica((0..12).map(ShardId));
-        catch_up(&mut client, &sender, MOST)
+        catch_up(&mut client, &sender, TIME_LIMIT)
             .await
             .expect("as before");
         assert_in_sync(&sender, &source);
@@ -283,10 +284,11 @@
 }
 
 #[test]
-fn a_publisher_that_lies_for_ever_gets_a_bounded_number_of_requests() {
-    /// Says of each span that its parts are other ones, for ever.
-    struct Liar;
-    impl UpdatePublisher for Liar {
+fn a_publisher_with_ever_differing_digests_gets_a_bounded_number_of_requests() {
+    /// Responds to each span with digests that never match the replica's, so that the replica always has more to
+    /// request.
+    struct MismatchingPublisher;
+    impl UpdatePublisher for MismatchingPublisher {
         fn updates(
             &self,
             request: &SyncRequest,
@@ -309,7 +311,7 @@
     run(async {
         let middle = replica(shard_count().shards());
         let (address, _) = open(&Rc::new(RefCell::new(source()))).await;
-        catch_up(&mut Client::new(address, GROUP), &middle, MOST)
+        catch_up(&mut Client::new(address, GROUP), &middle, TIME_LIMIT)
             .await
             .expect("from the source");
         let digests = |middle: &Rc<RefCell<ShardMapReplica>>| {
@@ -321,8 +323,8 @@
             all
         };
         let before = digests(&middle);
-        let (address, _) = open(&Rc::new(RefCell::new(Liar))).await;
-        let ended = catch_up(&mut Client::new(address, GROUP), &middle, MOST).await;
+        let (address, _) = open(&Rc::new(RefCell::new(MismatchingPublisher))).await;
+        let ended = catch_up(&mut Client::new(address, GROUP), &middle, TIME_LIMIT).await;
         assert!(
             matches!(ended, Err(CatchUpError::Unfinished(1_024))),
             "{ended:?}"
