--- a/crates/coordination-protocol/tests/duplicate_responses.rs
+++ b/crates/coordination-protocol/tests/duplicate_responses.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_duplicate_of_an_earlier_response_does_not_answer_the_next_call() {
+fn a_copy_of_an_earlier_response_with_the_next_request_answers_no_call() {
     run(async {
         let (listener, mut client) = listen().await;
         let serving = tokio::task::spawn_local(async move {
