--- a/crates/dead-letter/src/lib.rs
+++ b/crates/dead-letter/src/lib.rs
@@ -1,14 +1,14 @@
 //! The dead-letter store: messages that ended undelivered are stored, inspected, resolved, and redriven (sent again)
 //! without taking effect twice.
 //!
-//! - [`redrive_decision`]: may a message be sent again? One pure function.
-//! - [`redrive_schedule`]: which messages are redriven by rule, and when. Free of I/O and of the clock.
-//! - [`record`]: the messages as commands show them; [`row`]: as the file has them.
+//! - [`redrive_decision`]: the pure function that decides whether a message may be sent again.
+//! - [`redrive_schedule`]: which messages are redriven by rule, and when; does no I/O and gets the time as a parameter.
+//! - [`record`]: dead letters as operators' commands show them; [`row`]: dead letters as rows of the store's file.
 //! - [`store`]: the SQLite file.
-//! - [`redrive_service`]: the store and the rules together, step by step.
-//! - [`store_worker`]: the service on a thread of its own, with [`job`]s as its input.
-//! - [`archive_handle`]: what the engine sees of it.
-//! - [`control`]: the socket for operators' commands.
+//! - [`redrive_service`]: combines the store with the redrive rules.
+//! - [`store_worker`]: runs the service on a thread of its own, which receives [`job`]s.
+//! - [`archive_handle`]: the engine's interface to the store.
+//! - [`control`]: the Unix socket for operators' commands.
 //! - [`config`]: the settings, a TOML file.
 
 pub mod archive_handle;
--- a/crates/dead-letter/src/record.rs
+++ b/crates/dead-letter/src/record.rs
@@ -1,7 +1,7 @@
-//! Dead letters as commands show them and programs read them: records, summaries, filters and statistics.
+//! The records, summaries, filters and statistics of dead letters that operators' commands and programs read.
 //!
-//! All times are Unix time in microseconds. The JSON keys and the texts of states, reasons and endings are stored and
-//! sent; they stay as they are.
+//! All times are Unix time in microseconds. The JSON keys and the texts of states, reasons and endings are
+//! stored in files and sent over the control socket, so they must not change.
 
 use milletturn_engine::{EndReason, Ending};
 use milletturn_policy::{Micros, Outcome};
@@ -10,16 +10,16 @@
 /// The state of a dead letter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum State {
-    /// Neither delivered nor resolved; somebody has to act on it.
+    /// Neither delivered nor resolved: a rule or an operator has to act on it.
     #[serde(rename = "kept")]
     Unresolved,
-    /// A redrive has been requested; the journal may have it already.
+    /// A redrive has been requested; the journal may or may not have recorded the redrive yet.
     #[serde(rename = "ordered")]
     RedriveRequested,
-    /// The journal has accepted the redrive: the message is being sent again.
+    /// The journal has recorded the redrive, and the message is being sent again.
     #[serde(rename = "out")]
     Redriving,
-    /// Delivered by a redrive, or by an attempt whose answer came late.
+    /// Delivered by a redrive, or by an attempt whose response came after the message had ended.
     #[serde(rename = "delivered")]
     Delivered,
     /// Resolved by an operator.
@@ -37,13 +37,13 @@
         State::Resolved,
     ];
 
-    /// True if nobody has to act on the message any more.
+    /// True if no rule or operator has to act on the message any more.
     #[must_use]
     pub fn is_resolved(self) -> bool {
         matches!(self, State::Delivered | State::Resolved)
     }
 
-    /// The text that the file, the commands and their JSON have for the state.
+    /// The state's text in the store's file, in commands and in JSON.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -55,14 +55,14 @@
         }
     }
 
-    /// The state that a text names, if any.
+    /// The state with this text; `None` for an unknown text.
     #[must_use]
     pub fn parse(text: &str) -> Option<State> {
         State::ALL.into_iter().find(|state| state.as_str() == text)
     }
 }
 
-/// Reasons of an end with the text that files and commands have for them.
+/// The reasons why messages end, with their texts in the store's file, in settings and in commands.
 const REASONS: [(EndReason, &str); 6] = [
     (EndReason::Unknown, "unknown"),
     (EndReason::DeadlineExceeded, "time-up"),
@@ -72,7 +72,7 @@
     (EndReason::Delivered, "delivered"),
 ];
 
-/// The text of a reason.
+/// The text of a reason in the store's file, in settings and in commands.
 #[must_use]
 pub fn reason_text(reason: EndReason) -> &'static str {
     REASONS
@@ -81,7 +81,7 @@
         .map_or("unknown", |(_, text)| text)
 }
 
-/// The reason that a text names, if any.
+/// The reason with this text; `None` for an unknown text.
 #[must_use]
 pub fn parse_reason(text: &str) -> Option<EndReason> {
     REASONS
@@ -93,19 +93,19 @@
 /// One attempt to deliver a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// The endpoint's name.
+    /// Name of the endpoint that the attempt was sent to.
     pub endpoint: String,
-    /// When it was sent.
+    /// When the attempt was sent.
     pub sent_at: Micros,
-    /// How it ended; `None` where the process ended first.
+    /// How the attempt ended, as [`outcome_text`] writes it; `None` if the sender's process ended first.
     pub outcome: Option<String>,
-    /// Time from its start to its end, in microseconds.
+    /// Time from the attempt's start to its end, in microseconds.
     pub latency: Option<Micros>,
-    /// Nothing proves that it never ran.
+    /// True unless it is certain that the destination did not process the attempt.
     pub may_have_run: bool,
 }
 
-/// One round of attempts: the first after the message was handed in, or that of a redrive.
+/// One round of attempts at a message: the first after its submission, or that of a redrive.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Round {
     /// When the engine accepted the message for this round.
@@ -113,91 +113,92 @@
     pub accepted_at: Micros,
     /// When the round ended.
     pub ended_at: Micros,
-    /// How it ended: `failed`, `returned` or `delivered`.
+    /// How the round ended: `failed`, `returned` or `delivered`.
     pub ending: String,
-    /// Why it ended, as [`reason_text`] has it.
+    /// Why the round ended, as [`reason_text`] writes it.
     pub reason: String,
-    /// Its attempts, in order.
+    /// The attempts of the round, in the order in which they were sent.
     pub attempts: Vec<Attempt>,
 }
 
-/// An entry of a message's audit log: something that was done to it in the store.
+/// An entry of a message's audit log: one action on the message in the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AuditEntry {
-    /// When it was done.
+    /// Time of the action.
     pub at: Micros,
-    /// What was done.
+    /// The action, as a short text.
     #[serde(rename = "what")]
     pub action: String,
-    /// Who did it: the name of a rule or of an operator.
+    /// Who did it: the name of a rule or an operator, `restart` or `sender`.
     #[serde(rename = "who")]
     pub actor: String,
-    /// Why it was done.
+    /// Why the action was taken.
     #[serde(rename = "why")]
     pub reason: String,
 }
 
-/// A dead letter without its history and body, as a list shows it.
+/// A dead letter without its attempt history and body, as an entry of a list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Summary {
-    /// The message's number.
+    /// The message's number, which identifies the message in the journal and in the store.
     pub number: u64,
-    /// The id that its client gave it.
+    /// The id that the client gave to the message.
     pub id: String,
-    /// Its idempotency key, by which the destination drops repeats.
+    /// Idempotency key by which the destination recognizes duplicates.
     pub key: Option<String>,
-    /// The name of its class.
+    /// Name of the message's class.
     pub class: String,
-    /// Its destination.
+    /// Number of the message's destination.
     pub destination: u64,
-    /// Its state.
+    /// State of the message in the store.
     pub state: State,
-    /// Why it ended last, as [`reason_text`] has it.
+    /// Why the last round ended, as [`reason_text`] writes it.
     pub reason: String,
-    /// How it ended last: `failed`, `returned` or `delivered`.
+    /// How the last round ended: `failed`, `returned` or `delivered`.
     pub ending: String,
-    /// When it was first accepted.
+    /// When the engine first accepted the message.
     #[serde(rename = "taken_at")]
     pub accepted_at: Micros,
-    /// When it ended last.
+    /// When the last round ended.
     pub ended_at: Micros,
-    /// Until when its first round could deliver it.
+    /// Deadline of the first round of attempts.
     pub deadline: Micros,
-    /// How often it was redriven.
+    /// Number of redrives so far.
     #[serde(rename = "resends")]
     pub redrives: u32,
-    /// When the first attempt was sent that may have run and that no operator has confirmed not to have run.
+    /// When the first attempt was sent that the destination may have processed; `None` if there is none, or an
+    /// operator has confirmed that the message did not run.
     #[serde(rename = "first_risk")]
     pub first_uncertain_at: Option<Micros>,
-    /// An operator has confirmed that it did not run.
+    /// True if an operator has confirmed that the destination did not process the message.
     #[serde(rename = "stated")]
     pub confirmed_not_run: bool,
-    /// Bytes of its body; `None` once that was dropped to free space.
+    /// Size of the body in bytes; `None` once the body was dropped to free space.
     pub body_bytes: Option<u64>,
 }
 
-/// All that the store has of a dead letter.
+/// Everything that the store holds about a dead letter.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// What a list shows of it.
+    /// The message without history and body.
     #[serde(flatten)]
     pub summary: Summary,
-    /// Its rounds of attempts, in order.
+    /// Rounds of attempts, oldest first.
     pub rounds: Vec<Round>,
-    /// What was done to it in the store, in order.
+    /// Actions on the message in the store, oldest first.
     #[serde(rename = "notes")]
     pub audit_log: Vec<AuditEntry>,
-    /// Its body in base64, where that was asked for.
+    /// The message's body in base64, if the request asked for bodies.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub body_base64: Option<String>,
 }
 
-/// Whether a record has the body of its message.
+/// Whether a record includes the body of its message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyMode {
-    /// With the body, in base64.
+    /// The record has the body, in base64.
     Include,
-    /// Without it.
+    /// The record has no body.
     Omit,
 }
 
@@ -213,25 +214,26 @@
     }
 }
 
-/// Which messages a command is about. All conditions must be met; one that is absent matches every message.
+/// Selects the messages that a command applies to. All conditions must be met; an absent condition matches every
+/// message.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Filter {
-    /// These numbers only; empty matches all.
+    /// Numbers of the messages; an empty list matches all.
     pub numbers: Vec<u64>,
-    /// The destination.
+    /// Number of the destination.
     pub destination: Option<u64>,
-    /// The name of the class.
+    /// Name of the class.
     pub class: Option<String>,
-    /// Why it ended last, as [`reason_text`] has it.
+    /// Why the last round ended, as [`reason_text`] writes it.
     pub reason: Option<String>,
-    /// The state.
+    /// State of the message in the store.
     pub state: Option<State>,
-    /// First accepted before this time.
+    /// Matches messages that were first accepted before this time.
     pub before: Option<Micros>,
-    /// First accepted at this time or after it.
+    /// Matches messages that were first accepted at this time or later.
     pub since: Option<Micros>,
-    /// Whether an attempt may have run.
+    /// Whether the destination may have processed an attempt at the message.
     pub may_have_run: Option<bool>,
 }
 
@@ -262,7 +264,7 @@
     }
 }
 
-/// The text of an ending.
+/// The text of an ending in the store's file and in commands.
 #[must_use]
 pub fn ending_text(ending: Ending) -> &'static str {
     match ending {
@@ -272,7 +274,7 @@
     }
 }
 
-/// The ending that a text names, if any; the Retry-After of a returned message is not stored.
+/// The ending with this text; `None` for an unknown text. The Retry-After of a returned message is not stored.
 #[must_use]
 pub fn parse_ending(text: &str) -> Option<Ending> {
     match text {
@@ -283,7 +285,7 @@
     }
 }
 
-/// The text of an attempt's outcome.
+/// The text of an attempt's outcome in the store's file and in commands.
 #[must_use]
 pub fn outcome_text(outcome: Outcome) -> &'static str {
     match outcome {
@@ -298,31 +300,31 @@
     }
 }
 
-/// What the store holds, and what it may hold.
+/// Statistics of the store: its content and its limits.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Stats {
-    /// Messages by state, in the order of [`State::ALL`].
+    /// Number of messages by state, in the order of [`State::ALL`].
     pub by_state: [u64; 5],
-    /// Bytes that the file uses.
+    /// Size of the file's pages that are in use, in bytes.
     pub bytes: u64,
-    /// Bytes that the file may use.
+    /// Maximum size of the file, in bytes.
     #[serde(rename = "bytes_most")]
     pub max_bytes: u64,
-    /// Messages that the store may hold.
+    /// Maximum number of messages in the store.
     #[serde(rename = "count_most")]
     pub max_messages: u64,
     /// When the oldest unresolved message was first accepted.
     #[serde(rename = "oldest_kept")]
     pub oldest_unresolved: Option<Micros>,
-    /// Unresolved messages older than the age that the settings give.
+    /// Number of unresolved messages that are older than the maximum age in the settings.
     #[serde(rename = "over_age")]
     pub past_max_age: u64,
-    /// New failures wait in the journal because the store is full.
+    /// True if newly failed messages wait in the journal because the store is full.
     pub full: bool,
 }
 
 impl Stats {
-    /// Messages in the store.
+    /// Number of messages in the store, in all states.
     #[must_use]
     pub fn count(&self) -> u64 {
         self.by_state.iter().sum()
--- a/crates/dead-letter/src/row.rs
+++ b/crates/dead-letter/src/row.rs
@@ -1,4 +1,4 @@
-//! A row of the store's table of messages, as the file has it: columns, checksum, reading and writing.
+//! A row of the store's table of messages: its columns and checksum, and how it is read and written.
 
 use crate::error::StoreError;
 use crate::record::{
@@ -16,8 +16,8 @@
 
 /// The statements that create the table and its index.
 ///
-/// Times are Unix time in microseconds; `story` is JSON, which a person with the sqlite3 shell can read. A destination
-/// beyond 2^63 shows as a negative number.
+/// Times are Unix time in microseconds; `story` is the [`AttemptHistory`] as JSON, so that it can be read in the
+/// sqlite3 shell. SQLite integers are signed, so a destination of 2^63 or more is stored as a negative number.
 pub const TABLE: &str = "CREATE TABLE message (
         number INTEGER PRIMARY KEY,
         id TEXT NOT NULL, key TEXT, class TEXT NOT NULL, destination INTEGER NOT NULL,
@@ -27,13 +27,13 @@
         story TEXT NOT NULL, body BLOB, sum INTEGER NOT NULL);
     CREATE INDEX message_by_state ON message (state, ended_at);";
 
-/// Columns of the table.
+/// Number of columns of the table.
 const COLUMNS: usize = 18;
-/// Selects all rows, as [`Row::read`] wants them.
+/// Selects all rows, with the columns that [`Row::read`] expects.
 pub const SELECT_ALL: &str = "SELECT * FROM message";
-/// Selects one row by its number, as [`Row::read`] wants it.
+/// Selects one row by its number, with the columns that [`Row::read`] expects.
 pub const SELECT_ONE: &str = "SELECT * FROM message WHERE number = ?";
-/// Selects rows after a number, as [`Row::read_summary`] wants them: without history and body.
+/// Selects the rows after a number, with the columns that [`Row::read_summary`] expects: without history and body.
 pub const SELECT_AFTER: &str =
     "SELECT number, id, key, class, destination, state, ending, reason, first_taken,
     deadline, ended_at, resends, first_risk, stated, ordered_at, length(body) FROM message
@@ -43,59 +43,60 @@
 const REPLACE: &str =
     "REPLACE INTO message VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)";
 
-/// What happened to a message: its rounds of attempts, and what was done to it in the store.
+/// What happened to a message: its rounds of attempts, and the actions on it in the store.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptHistory {
-    /// Its rounds of attempts, in order.
+    /// Rounds of attempts, oldest first.
     pub rounds: Vec<Round>,
-    /// What was done to it in the store, in order.
+    /// Actions on the message in the store, oldest first.
     #[serde(rename = "notes")]
     pub audit_log: Vec<AuditEntry>,
 }
 
-/// One message with all its columns.
+/// A message with all columns of its row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Row {
-    /// The message's number.
+    /// The message's number, the primary key.
     pub number: u64,
-    /// The id that its client gave it.
+    /// The id that the client gave to the message.
     pub id: String,
-    /// Its idempotency key, by which the destination drops repeats.
+    /// Idempotency key by which the destination recognizes duplicates.
     pub key: Option<String>,
-    /// The name of its class.
+    /// Name of the message's class.
     pub class: String,
-    /// Its destination.
+    /// Number of the message's destination.
     pub destination: u64,
-    /// Its state.
+    /// State of the message in the store.
     pub state: State,
-    /// How it ended last; the Retry-After of a returned message is not stored.
+    /// How the last round ended; the Retry-After of a returned message is not stored.
     pub ending: Ending,
-    /// Why it ended last.
+    /// Why the last round ended.
     pub reason: EndReason,
-    /// When it was first accepted.
+    /// When the engine first accepted the message.
     pub accepted_at: Micros,
-    /// Until when its first round could deliver it.
+    /// Deadline of the first round of attempts.
     pub deadline: Micros,
-    /// When it ended last.
+    /// When the last round ended.
     pub ended_at: Micros,
-    /// How often it was redriven.
+    /// Number of redrives so far.
     pub redrives: u32,
-    /// When the first attempt was sent that may have run and that no operator has confirmed not to have run.
+    /// When the first attempt was sent that the destination may have processed; `None` if there is none, or an
+    /// operator has confirmed that the message did not run.
     pub first_uncertain_at: Option<Micros>,
-    /// An operator has confirmed that it did not run.
+    /// True if an operator has confirmed that the destination did not process the message.
     pub confirmed_not_run: bool,
-    /// When its last redrive was requested; 0 if none was.
+    /// When the last redrive was requested; 0 if none was.
     pub redrive_requested_at: Micros,
-    /// What happened to it.
+    /// Rounds of attempts and audit log.
     pub history: AttemptHistory,
-    /// Its body; `None` once that was dropped to free space.
+    /// The message's body; `None` once it was dropped to free space.
     pub body: Option<Vec<u8>>,
-    /// The checksum as it was read.
+    /// The checksum that was read from the file; 0 in a new row.
     checksum: i64,
 }
 
 impl Row {
-    /// The row of a message that has just ended; its round is not in the history yet.
+    /// A row for a message that has just ended, without the message's round in the history.
     #[must_use]
     pub fn new(ended: &ArchivedMessage) -> Self {
         Row {
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Appends an entry to its audit log.
+    /// Appends an entry to the message's audit log.
     pub fn audit(&mut self, at: Micros, action: &str, actor: &str, reason: &str) {
         self.history.audit_log.push(AuditEntry {
             at,
@@ -133,21 +134,18 @@
     /// Reads a row that [`SELECT_ONE`] or [`SELECT_ALL`] found. Its checksum is not verified: see [`Row::verify`].
     ///
     /// # Errors
-    /// When a column is not as this program writes it.
+    /// When a column has a value or type that this program never writes.
     pub fn read(found: &rusqlite::Row<'_>) -> Result<Self, StoreError> {
         let number = read_number(found)?;
         if found.as_ref().column_count() != COLUMNS {
-            return Err(invalid(
-                number,
-                "it has not the columns that it should have",
-            ));
+            return Err(invalid(number, "it does not have the expected columns"));
         }
         let history: String = column(found, number, 15)?;
         let summary = read_shared_columns(found, number)?;
         let body = match found.get_ref(16) {
             Ok(ValueRef::Blob(bytes)) => Some(bytes.to_vec()),
             Ok(ValueRef::Null) => None,
-            _ => return Err(invalid(number, "its body is no blob")),
+            _ => return Err(invalid(number, "its body is not a BLOB")),
         };
         Ok(Row {
             number,
@@ -177,7 +175,7 @@
     /// Reads the summary of a row that [`SELECT_AFTER`] found.
     ///
     /// # Errors
-    /// When a column is not as this program writes it.
+    /// When a column has a value or type that this program never writes.
     pub fn read_summary(found: &rusqlite::Row<'_>) -> Result<Summary, StoreError> {
         let number = read_number(found)?;
         let length: Option<i64> = column(found, number, 15)?;
@@ -187,7 +185,7 @@
         })
     }
 
-    /// Verifies the checksum of what was read.
+    /// Verifies that the columns match the checksum that was read with them.
     ///
     /// # Errors
     /// [`StoreError::InvalidRow`] when it does not match.
@@ -200,7 +198,8 @@
         }
     }
 
-    /// The CRC-32 of all columns, each preceded by its length, so that no two can run into each other.
+    /// The CRC-32 of all columns, each preceded by its length, so that bytes that move
+    /// from one column to the next change the checksum.
     fn compute_checksum(&self, history: &str) -> i64 {
         let mut hasher = crc32fast::Hasher::new();
         let mut add = |bytes: Option<&[u8]>| {
@@ -282,7 +281,7 @@
         Ok(())
     }
 
-    /// What a list shows of the message.
+    /// The message without history and body.
     #[must_use]
     pub fn summary(&self) -> Summary {
         Summary {
@@ -304,7 +303,7 @@
         }
     }
 
-    /// The whole record, with the body or without it.
+    /// The complete record, with or without the body.
     #[must_use]
     pub fn into_record(self, body: BodyMode) -> Record {
         Record {
@@ -343,7 +342,8 @@
 
 fn read_number(found: &rusqlite::Row<'_>) -> Result<u64, StoreError> {
     let number: i64 = found.get(0)?;
-    u64::try_from(number).map_err(|_| invalid(0, &format!("a message has the number {number}")))
+    u64::try_from(number)
+        .map_err(|_| invalid(0, &format!("message number {number} is out of range")))
 }
 
 fn column<T: rusqlite::types::FromSql>(
--- a/crates/dead-letter/src/store.rs
+++ b/crates/dead-letter/src/store.rs
@@ -1,13 +1,14 @@
-//! The store's file: an SQLite database with one row a message.
+//! The store's file: an SQLite database with one row for each message.
 //!
-//! It has a rollback journal, not a write-ahead log: a damaged log ends silently at the damage, and what was committed
-//! after it would be lost without an error. Each row carries a checksum over all its columns, and the database its
-//! count of rows, so that a flipped bit or a lost page is found before anything is sent from the file.
+//! The database uses a rollback journal instead of a write-ahead log: SQLite silently ignores a write-ahead log from
+//! the first damaged frame on, so transactions committed after that frame would be lost without an error. Each row
+//! carries a checksum over all its columns, and the database stores the number of its rows, so that a flipped bit or a
+//! lost page is found before any message is sent from the file.
 //!
 //! - this module: opening the file, and reading and changing single rows;
 //! - `schema`: creation, versions and settings of the database; setting a damaged file aside;
 //! - `integrity`: verification of the whole file;
-//! - `query`: lists and statistics;
+//! - `query`: lists of messages, and statistics;
 //! - `save`: new messages and the ends of their redrives;
 //! - `prune`: freeing space;
 //! - `reconcile`: agreement with the journal after a restart.
@@ -33,12 +34,12 @@
 /// Size of a page of the database, in bytes.
 const PAGE_BYTES: u64 = 4096;
 
-/// What the store may take up.
+/// Limits of the store's size and of the age of resolved messages.
 #[derive(Debug, Clone, Copy)]
 pub struct StoreLimits {
-    /// Bytes of the file.
+    /// Maximum size of the file, in bytes.
     pub max_bytes: u64,
-    /// Messages.
+    /// Maximum number of messages.
     pub max_messages: u64,
     /// Age in microseconds at which resolved messages are pruned.
     pub max_age: Micros,
@@ -53,13 +54,13 @@
 }
 
 impl DeadLetterStore {
-    /// Opens the file, or creates it. Its rows are not looked at yet: see [`DeadLetterStore::verify`].
+    /// Opens the file, or creates it. Its rows are not verified: see [`DeadLetterStore::verify`].
     ///
     /// # Errors
-    /// When it is no database of this program, or can't be opened or created.
+    /// When the file is not a database of this program, or can't be opened or created.
     pub fn open(path: &Path, limits: StoreLimits) -> Result<Self, StoreError> {
-        // SQLite takes a file of less than a page for a new one. Here a new one gets its name when it is complete, so
-        // that a short one is known as one that was cut.
+        // SQLite treats a file shorter than a page as a new database. This program renames a new database to its
+        // final name only when it is complete, so a shorter file has been truncated.
         match std::fs::metadata(path) {
             Ok(found) if found.len() < PAGE_BYTES => {
                 let what = format!("it was cut to {} bytes", found.len());
@@ -103,7 +104,7 @@
         Ok(store)
     }
 
-    /// Makes errors that tell of a damaged file [`StoreError::Damaged`]; others stay as they are.
+    /// Converts errors that indicate a damaged file to [`StoreError::Damaged`]; returns other errors unchanged.
     fn classify(&self, error: StoreError) -> StoreError {
         match error {
             StoreError::Database(rusqlite::Error::SqliteFailure(code, what))
@@ -128,18 +129,18 @@
         }
     }
 
-    /// One row, with its body.
+    /// The row with this number, with its body; `None` if there is no such row.
     ///
     /// # Errors
-    /// When it can't be read, or its checksum does not match.
+    /// When the row can't be read, or its checksum does not match.
     pub fn row(&self, number: u64) -> Result<Option<Row>, StoreError> {
         read_row(&self.connection, number)
     }
 
-    /// All that the store has of a message, with its body or without it.
+    /// Everything that the store holds about a message; `None` if the store does not hold it.
     ///
     /// # Errors
-    /// When it can't be read, or its checksum does not match.
+    /// When the row can't be read, or its checksum does not match.
     pub fn record(&self, number: u64, body: BodyMode) -> Result<Option<Record>, StoreError> {
         Ok(self.row(number)?.map(|row| row.into_record(body)))
     }
@@ -147,7 +148,7 @@
     /// Changes a row in one transaction. `change` gets the row and returns `None` if nothing is to be written.
     ///
     /// # Errors
-    /// When it can't be read or written; then nothing has changed.
+    /// When the row can't be read or written; then nothing has changed.
     pub fn change<T>(
         &mut self,
         number: u64,
--- a/crates/dead-letter/src/store/integrity.rs
+++ b/crates/dead-letter/src/store/integrity.rs
@@ -4,11 +4,11 @@
 use crate::error::StoreError;
 use crate::row::{self, Row};
 
-/// A larger number is no message's: numbers are counted up by one a message.
+/// Message numbers are assigned one by one from 1, so they never reach this bound.
 const MAX_NUMBER: i64 = 1 << 62;
 
 impl DeadLetterStore {
-    /// Reads the whole file: its structure, the checksum of each row, and their count.
+    /// Reads the whole file, and verifies its structure, the checksum of each row, and the number of rows.
     ///
     /// # Errors
     /// [`StoreError::Damaged`] at the first fault.
@@ -47,7 +47,7 @@
         Ok(())
     }
 
-    /// The greatest number of a message in the store, 0 if it is empty.
+    /// The greatest message number in the store; 0 if the store is empty.
     ///
     /// # Errors
     /// When the file can't be read, or holds a number that no message can have.
@@ -59,7 +59,7 @@
         match u64::try_from(last.unwrap_or(0)) {
             Ok(last) if last < MAX_NUMBER as u64 => Ok(last),
             _ => {
-                let what = format!("a message has the number {}", last.unwrap_or(0));
+                let what = format!("message number {} is out of range", last.unwrap_or(0));
                 Err(self.damaged(what))
             }
         }
--- a/crates/dead-letter/src/store/prune.rs
+++ b/crates/dead-letter/src/store/prune.rs
@@ -1,4 +1,4 @@
-//! Freeing space: resolved messages are dropped when they are old, or when the store is full.
+//! Frees space: drops resolved messages when they exceed the maximum age, or when the store is full.
 
 use super::query::used_bytes;
 use super::{DeadLetterStore, StoreLimits, read_row};
@@ -6,9 +6,9 @@
 use milletturn_policy::Micros;
 use rusqlite::{Transaction, params};
 
-/// The part of the bytes that new messages leave free, for changes of the messages that are there: one in so many.
+/// New messages leave 1/10 of the maximum size free, so that rows of stored messages can still be changed and grow.
 const RESERVE_DIVISOR: u64 = 10;
-/// Resolved rows, or their bodies, that are dropped at once when space is short.
+/// Maximum number of resolved rows, or of their bodies, that are dropped in one step.
 const PRUNE_BATCH: usize = 64;
 
 /// The resolved messages whose bodies are dropped next.
@@ -32,16 +32,18 @@
         let deleted = transaction.execute(DELETE_EXPIRED, params![before, PRUNE_BATCH as i64])?;
         add_to_count(&transaction, -(deleted as i64))?;
         transaction.commit()?;
-        // what was freed goes back to the folder, a little at a time
+        // returns up to 64 free pages to the file system
         self.connection
             .execute_batch("PRAGMA incremental_vacuum(64)")?;
         Ok(deleted)
     }
 }
 
-/// Makes space for one more message of `needed` bytes; returns false if that is not possible.
+/// Makes space for one more message of `needed` bytes; returns false if there are not enough resolved messages
+/// to drop.
 ///
-/// Bodies of resolved messages are dropped first, then resolved messages, the oldest first. Unresolved ones stay.
+/// Bodies of resolved messages are dropped first, then resolved messages, the oldest first. Unresolved messages are never
+/// dropped.
 pub(super) fn free_space(
     transaction: &Transaction<'_>,
     needed: u64,
@@ -85,7 +87,7 @@
     Ok(!numbers.is_empty())
 }
 
-/// Adds to the database's own count of messages, against which [`DeadLetterStore::verify`] checks the rows.
+/// Adds to the stored count of messages, which [`DeadLetterStore::verify`] compares with the number of rows.
 pub(super) fn add_to_count(transaction: &Transaction<'_>, change: i64) -> Result<(), StoreError> {
     transaction
         .prepare_cached("UPDATE meta SET value = value + ? WHERE name = 'count'")?
--- a/crates/dead-letter/src/store/query.rs
+++ b/crates/dead-letter/src/store/query.rs
@@ -8,7 +8,7 @@
 use rusqlite::{Connection, params};
 use std::collections::BTreeSet;
 
-/// Rows that one call of [`DeadLetterStore::list`] reads at most, so that it stays short.
+/// Maximum number of rows that one call of [`DeadLetterStore::list`] reads, which bounds the time of a call.
 const MAX_ROWS_READ: usize = 2000;
 
 /// A page of a list.
@@ -22,7 +22,7 @@
 
 impl DeadLetterStore {
     /// The messages after the number `after` that match a filter, at most `limit`, in the order of their numbers. A
-    /// call reads a bounded number of rows, so a page may be short, or empty, though others follow.
+    /// call reads a bounded number of rows, so a page may be short or empty although more matching messages follow.
     ///
     /// # Errors
     /// When the file can't be read.
@@ -55,7 +55,7 @@
         Ok(page)
     }
 
-    /// A page of all messages that match.
+    /// A page of the messages that match, found by reading rows in the order of their numbers.
     fn scan(&self, filter: &Filter, after: u64, limit: usize) -> Result<Page, StoreError> {
         let mut statement = self.connection.prepare_cached(row::SELECT_AFTER)?;
         let after = i64::try_from(after).unwrap_or(i64::MAX);
@@ -85,7 +85,8 @@
         rows.map(|number| Ok(number?.unsigned_abs())).collect()
     }
 
-    /// What the store holds at `now` (Unix time in microseconds). [`Stats::full`] is not known here.
+    /// What the store holds at `now` (Unix time in microseconds). [`Stats::full`] is set by the redrive service and
+    /// is always false here.
     ///
     /// # Errors
     /// When the file can't be read.
@@ -112,7 +113,7 @@
         })
     }
 
-    /// Messages by state, in the order of [`State::ALL`].
+    /// Number of messages by state, in the order of [`State::ALL`].
     fn count_by_state(&self) -> Result<[u64; 5], StoreError> {
         let sql = "SELECT state, count(*) FROM message GROUP BY state";
         let mut statement = self.connection.prepare_cached(sql)?;
@@ -129,7 +130,7 @@
     }
 }
 
-/// Bytes of the file's pages that are in use.
+/// Size of the file's pages that are in use, in bytes.
 pub(super) fn used_bytes(connection: &Connection) -> Result<u64, StoreError> {
     let read = |name| connection.pragma_query_value(None, name, |row| row.get::<_, i64>(0));
     let (pages, free) = (read("page_count")?, read("freelist_count")?);
--- a/crates/dead-letter/src/store/reconcile.rs
+++ b/crates/dead-letter/src/store/reconcile.rs
@@ -1,4 +1,4 @@
-//! Agreement with the journal after a restart.
+//! Brings the states in the store into agreement with the journal after a restart.
 
 use super::DeadLetterStore;
 use crate::error::StoreError;
@@ -8,10 +8,11 @@
 use std::collections::BTreeSet;
 
 impl DeadLetterStore {
-    /// After a restart, puts each message that an earlier process redrove where the journal says it is.
+    /// After a restart, sets the state of each message that an earlier process redrove from what the journal says.
     ///
-    /// `redriving` are the messages that the journal has to be sent again; `journal_intact` says that it lost nothing.
-    /// A message that the journal should have and has not may have run.
+    /// `redriving` are the numbers of the messages that the journal holds as unfinished redrives; `journal_intact` is
+    /// true if the journal lost no entries. A message that the journal should hold and does not is marked as one that
+    /// may have run.
     ///
     /// # Errors
     /// When the file can't be written.
@@ -49,7 +50,8 @@
     }
 }
 
-/// The journal lost the message while it was being sent again: it may have run since the redrive was requested.
+/// Marks a message that the journal lost during a redrive: the destination may have processed an attempt sent after
+/// the redrive was requested.
 fn mark_uncertain(row: &mut Row, now: Micros) {
     row.state = State::Unresolved;
     let requested_at = row.redrive_requested_at;
--- a/crates/dead-letter/src/store/save.rs
+++ b/crates/dead-letter/src/store/save.rs
@@ -1,4 +1,4 @@
-//! Saving messages that ended undelivered, and the ends of their redrives.
+//! Saves messages that ended undelivered, and the results of their redrives.
 
 use super::prune::{add_to_count, free_space};
 use super::{DeadLetterStore, PAGE_BYTES, StoreLimits, read_row};
@@ -10,23 +10,23 @@
 use milletturn_policy::{Micros, Outcome};
 use rusqlite::{ErrorCode, Transaction};
 
-/// Rounds and audit entries that a row has at most: the first and the last ones.
+/// Maximum number of rounds, and of audit entries, in a row: the first one and the most recent ones are kept.
 const MAX_HISTORY: usize = 24;
 
-/// What became of a message that was to be saved.
+/// Whether a message could be saved.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SaveOutcome {
-    /// The store has it.
+    /// The store holds the message.
     Saved,
-    /// There is no space, and nothing resolved that could be dropped.
+    /// The store is full, and holds no resolved messages that could be dropped.
     Full,
 }
 
 impl DeadLetterStore {
-    /// Saves messages in one transaction; the outcomes are in their order.
+    /// Saves messages in one transaction; returns the outcomes in the order of the messages.
     ///
     /// # Errors
-    /// When the file can't be written; then none is saved.
+    /// When the file can't be written; then no message is saved.
     pub fn save(
         &mut self,
         messages: &[ArchivedMessage],
@@ -68,7 +68,7 @@
             trim_history(&mut row);
             row.update(transaction)?;
         }
-        // offered once more after a restart
+        // the engine offers a message again after a restart if the process ended before it learned of the save
         Some(_) => {}
         None => {
             let needed = message.body.len() as u64 + 2 * PAGE_BYTES;
@@ -77,7 +77,7 @@
             }
             let mut row = Row::new(message);
             if message.redriven {
-                // its row was lost, and with it when it may first have run
+                // the row was lost with the store that was set aside, and with it the time of the first uncertain attempt
                 row.first_uncertain_at = Some(0);
                 row.audit(
                     now,
@@ -94,9 +94,10 @@
     Ok(SaveOutcome::Saved)
 }
 
-/// Records the end of a round in the row; the same round once more replaces itself.
+/// Records the end of a round in the row; a round that is recorded already is replaced.
 fn record_round(row: &mut Row, message: &ArchivedMessage) {
-    // the client of a redriven message got its one final answer long ago: to it, returned is failed
+    // the client got its one final response when the first round ended, so a redrive can't be returned to the
+    // client: it counts as failed
     let ending = match message.ending {
         Ending::Returned { .. } if message.redriven => Ending::Failed,
         other => other,
@@ -159,7 +160,7 @@
     }
 }
 
-/// Drops rounds and audit entries beyond the bound: those after the first, the oldest first.
+/// Drops rounds and audit entries beyond [`MAX_HISTORY`]: the oldest ones, except for the first.
 pub(super) fn trim_history(row: &mut Row) {
     trim(&mut row.history.rounds);
     trim(&mut row.history.audit_log);
--- a/crates/dead-letter/src/store/schema.rs
+++ b/crates/dead-letter/src/store/schema.rs
@@ -1,4 +1,4 @@
-//! Creation, versions and settings of the database, and setting a damaged file aside.
+//! Creates, versions and configures the database, and moves damaged files aside.
 
 use super::{DeadLetterStore, PAGE_BYTES, StoreLimits};
 use crate::error::StoreError;
@@ -8,24 +8,25 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Version of the tables, in `user_version`. A file of a newer version is left alone. There has been no other yet, so
-/// there is nothing to migrate from.
+/// Version of the tables, stored in `user_version`. A file of another version is not opened. Version 1 is the first,
+/// so there are no migrations.
 const VERSION: i64 = 1;
-/// "MTUD" in `application_id`: marks the file as this program's.
+/// "MTUD" in `application_id`, which marks the file as a store of this program.
 const APPLICATION: i64 = 0x4d54_5544;
-/// SQLite's page cache, in KiB: enough for the inner pages of 100,000 rows, little beside the sender's memory.
+/// SQLite's page cache, in KiB: enough for the interior B-tree pages of 100,000 rows, and small compared with the
+/// sender's memory.
 const CACHE_KIB: i64 = 1024;
-/// How long a command waits for a sender that is in the middle of a write, and the other way round.
+/// How long a command waits while the sender writes to the file, and the sender while a command reads it.
 const BUSY_TIMEOUT: Duration = Duration::from_secs(2);
-/// The least size of the database that may be configured, in pages.
+/// The smallest size limit of the database, in pages.
 const MIN_PAGES: i64 = 16;
-/// Damaged files that may be set aside at the same time.
+/// Maximum number of damaged files that lie aside at the same time.
 const MAX_SET_ASIDE: u32 = 3;
 
 /// Moves a damaged file out of the way, with its rollback journal, and returns its new path.
 ///
 /// # Errors
-/// When it can't be moved, or three have been set aside already: nobody has looked at those.
+/// When the file can't be moved, or three damaged files that no operator has removed lie aside already.
 pub fn set_aside(path: &Path) -> io::Result<PathBuf> {
     for number in 1..=MAX_SET_ASIDE {
         let aside = path.with_extension(format!("damaged-{number}"));
@@ -40,18 +41,18 @@
     }
     Err(io::Error::new(
         io::ErrorKind::AlreadyExists,
-        "three damaged stores lie aside already",
+        "three damaged stores have been set aside already",
     ))
 }
 
-/// Where SQLite has the rollback journal of a database.
+/// The path at which SQLite keeps the rollback journal of a database.
 fn rollback_journal(path: &Path) -> PathBuf {
     let mut name = path.as_os_str().to_owned();
     name.push("-journal");
     PathBuf::from(name)
 }
 
-/// Creates the file under another name and renames it when it is complete.
+/// Creates the database under a temporary name and renames it when it is complete.
 pub(super) fn create(path: &Path, limits: StoreLimits) -> Result<(), StoreError> {
     let failed = |source: io::Error| StoreError::Create {
         path: path.to_path_buf(),
@@ -76,7 +77,7 @@
     connection.pragma_update(None, "cell_size_check", true)?;
     connection.pragma_update(None, "cache_size", -CACHE_KIB)?;
     connection.pragma_update(None, "temp_store", "MEMORY")?;
-    // kill -9 needs no sync at all; NORMAL keeps the file sound through most losses of power too
+    // no sync is needed to survive kill -9; NORMAL also keeps the file consistent through most power failures
     connection.pragma_update(None, "synchronous", "NORMAL")?;
     connection.pragma_update_and_check(None, "journal_mode", "TRUNCATE", |_| Ok(()))?;
     let tables: i64 =
@@ -113,7 +114,7 @@
     Ok(connection.busy_timeout(BUSY_TIMEOUT)?)
 }
 
-/// Checks that the file is this program's and of this version.
+/// Checks that the file was written by this program and has the supported version.
 pub(super) fn check_version(store: &DeadLetterStore) -> Result<(), StoreError> {
     let read = |name| {
         store
