--- a/crates/dead-letter/src/archive_handle.rs
+++ b/crates/dead-letter/src/archive_handle.rs
@@ -1,6 +1,6 @@
-//! The engine's view of the dead-letter store: the archive that takes messages, and the observer of attempts.
+//! The engine's interface to the dead-letter store: the archive that accepts messages, and the observer of attempts.
 //!
-//! Both hand over to the store's thread through bounded channels, and never block the engine.
+//! Both send to the store's thread through bounded channels, and never block the engine.
 
 use crate::job::Job;
 use milletturn_engine::archive::ArchivedMessage;
@@ -8,7 +8,7 @@
 use milletturn_policy::Outcome;
 use std::sync::mpsc::{SyncSender, TrySendError};
 
-/// The engine's archive: hands messages over to the store's thread.
+/// The engine's archive, which sends messages to the store's thread.
 #[derive(Debug)]
 pub struct ArchiveHandle {
     pub(crate) messages: SyncSender<Box<ArchivedMessage>>,
@@ -31,13 +31,13 @@
             .map_err(|error| match error {
                 TrySendError::Full(message) | TrySendError::Disconnected(message) => message,
             })?;
-        // if this queue is full, the thread is awake
+        // a full queue needs no wake-up: the thread has jobs to do and will look at the messages too
         let _ = self.jobs.try_send(Job::Wake);
         Ok(())
     }
 }
 
-/// An observer that tells the store's thread how attempts ended, and passes each event on to the next observer.
+/// An observer that reports the ends of attempts to the store's thread, and forwards each event to the next observer.
 #[derive(Debug)]
 pub struct AttemptObserver<O> {
     pub(crate) jobs: SyncSender<Job>,
@@ -53,7 +53,7 @@
         } = event
             && !matches!(outcome, Outcome::Cancelled | Outcome::Unsent { .. })
         {
-            // one that finds the queue full is missed; the next attempt shows the same
+            // an event is dropped if the queue is full; the destination's next attempt reports its health again
             let _ = self.jobs.try_send(Job::AttemptEnded {
                 destination: *destination,
                 succeeded: *outcome == Outcome::Success,
--- a/crates/dead-letter/src/config.rs
+++ b/crates/dead-letter/src/config.rs
@@ -1,4 +1,4 @@
-//! The settings of the dead-letter store, a TOML file of their own.
+//! The settings of the dead-letter store, which are read from a TOML file.
 
 use crate::record::parse_reason;
 use crate::redrive_schedule::RedriveRule;
@@ -8,18 +8,20 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The greatest value of a setting, in its own unit: a century of seconds, a petabyte of megabytes.
+/// The largest value of a setting, in the setting's own unit: about a century if in seconds, 3.2 petabytes if in
+/// megabytes.
 const MAX_VALUE: f64 = 3.2e9;
-/// The least size of the store in megabytes: below it SQLite's own pages leave next to no space.
+/// The smallest size limit of the store, in megabytes: in a smaller file SQLite's own pages leave almost no space for
+/// messages.
 const MIN_SIZE_MB: f64 = 0.25;
-/// The least rate of a rule, in redrives per second.
+/// The lowest rate of a rule, in redrives per second.
 const MIN_PER_SECOND: f64 = 0.001;
 
-/// Bytes that the store may take up in the state folder, in multiples of its size: itself, the pages that a
-/// transaction copies, and one damaged file set aside.
+/// Disk space to reserve in the state folder, in multiples of the store's maximum size: for the store itself, for the
+/// pages that a transaction copies to the rollback journal, and for one damaged file that is set aside.
 pub const RESERVED_STORE_SIZES: u64 = 3;
 
-/// Why the settings can't be used.
+/// Why the settings can't be read or are invalid.
 #[derive(Debug, Error)]
 pub enum ConfigError {
     /// The file can't be read.
@@ -27,48 +29,48 @@
     Read {
         /// The settings file.
         path: PathBuf,
-        /// The error of the file system.
+        /// The file system's error.
         source: std::io::Error,
     },
-    /// The file is not TOML, or has other keys.
+    /// The file is not valid TOML, or has unknown keys.
     #[error("{path}: {source}", path = path.display())]
     Toml {
         /// The settings file.
         path: PathBuf,
-        /// The fault, with line and column.
+        /// The parser's error, with line and column.
         source: Box<toml::de::Error>,
     },
-    /// A value makes no sense.
+    /// A value is out of range or not one of the allowed words.
     #[error("{path}: {name} is {found}, and must be {wanted}", path = path.display())]
     Value {
         /// The settings file.
         path: PathBuf,
-        /// The setting.
+        /// Name of the setting.
         name: String,
         /// The value in the file.
         found: String,
-        /// What it should be.
+        /// Which values are allowed.
         wanted: &'static str,
     },
 }
 
-/// What the store may take up, what it stores, and the rules by which it redrives messages.
+/// The store's limits, which messages it stores, and the rules by which it redrives messages.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// The file's name in the state folder.
+    /// Name of the store's file in the state folder.
     pub file: String,
-    /// Bytes of the file at most; its rollback journal comes on top.
+    /// Maximum size of the file, in bytes, without its rollback journal.
     pub max_bytes: u64,
-    /// Messages at most.
+    /// Maximum number of messages.
     pub max_messages: u64,
-    /// Resolved messages are pruned after this time, in microseconds.
+    /// Age in microseconds, counted from their end, at which resolved messages are pruned.
     pub max_age: Micros,
-    /// Messages that were returned to their clients are stored too.
+    /// Whether messages that were returned to their clients are stored too.
     pub store_returned: bool,
-    /// Clients may hand in again what was returned to them; then it is redriven only after an operator has confirmed
-    /// that they did not.
+    /// Whether clients may resubmit messages that were returned to them. If so, a returned message is redriven only
+    /// after an operator has confirmed that its client does not resubmit it.
     pub clients_retry: bool,
-    /// The rules, in the order in which they are tried.
+    /// The redrive rules; the first one that matches a message and has a token left is used.
     pub rules: Vec<RedriveRule>,
 }
 
@@ -86,7 +88,7 @@
     }
 }
 
-/// The file as it is written.
+/// The file's top level, as it is written in TOML.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct FileForm {
@@ -148,7 +150,7 @@
     /// Reads the file.
     ///
     /// # Errors
-    /// When it can't be read, has not the right form, or a value makes no sense.
+    /// When the file can't be read, is not valid TOML, has unknown keys, or a value is not allowed.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
             path: path.to_path_buf(),
@@ -157,7 +159,7 @@
         Config::parse(path, &text)
     }
 
-    /// Parses the text of a file, whose path stands in errors.
+    /// Parses the text of a settings file; `path` is only used in errors.
     ///
     /// # Errors
     /// As [`Config::read`].
@@ -184,7 +186,7 @@
                 return Err(checks.error(
                     "store.file",
                     format!("{name:?}"),
-                    "a plain file name other than journal",
+                    "a file name other than journal, without '/' and without a leading '.'",
                 ));
             }
             config.file = name;
@@ -240,7 +242,7 @@
     }
 }
 
-/// Checks of single values, whose errors name the file and the setting.
+/// Checks single values; the errors name the file and the setting.
 struct Checks<'a> {
     path: &'a Path,
 }
@@ -259,11 +261,15 @@
         if value.is_finite() && value >= min && value <= MAX_VALUE {
             Ok(value)
         } else {
-            Err(self.error(name, value.to_string(), "a sensible positive number"))
+            Err(self.error(
+                name,
+                value.to_string(),
+                "a positive number within the allowed range",
+            ))
         }
     }
 
-    /// A number of seconds, as microseconds.
+    /// Checks a number of seconds and converts it to microseconds.
     fn seconds(&self, name: &str, value: f64) -> Result<Micros, ConfigError> {
         Ok((self.number(name, value, 0.0)? * SECOND as f64) as Micros)
     }
--- a/crates/dead-letter/src/config/tests.rs
+++ b/crates/dead-letter/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the settings file: defaults, and errors that name the setting.
+//! Tests of the settings file: its defaults, and that errors name the invalid setting.
 
 use super::Config;
 use milletturn_policy::SECOND;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn an_empty_file_is_the_default_and_a_rule_has_careful_defaults() {
+fn an_empty_file_and_a_rule_without_limits_get_the_defaults() {
     assert_eq!(parse(""), Ok(Config::default()));
     let config = parse("[[rule]]\nname = 'licences'\nreasons = ['time-up']").expect("sound");
     let rule = &config.rules[0];
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn what_makes_no_sense_is_named() {
+fn errors_name_the_invalid_setting() {
     for (text, part) in [
         ("[store]\nmax_mb = 0.01", "store.max_mb is 0.01"),
         ("[store]\nmax_mb = nan", "store.max_mb is NaN"),
--- a/crates/dead-letter/src/error.rs
+++ b/crates/dead-letter/src/error.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why the store's file can't be used.
+/// An error of the store: its file can't be used, or its thread does not respond.
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The file is damaged.
@@ -13,7 +13,7 @@
     Damaged {
         /// The store's file.
         path: PathBuf,
-        /// What was found.
+        /// What is damaged, and how.
         what: String,
     },
     /// The file belongs to a newer version of this program, or to another program.
@@ -21,50 +21,50 @@
     Unsupported {
         /// The store's file.
         path: PathBuf,
-        /// The marks that were found.
+        /// The application id and version that were found in the file.
         what: String,
     },
     /// The file can't be created.
-    #[error("the store {path} can't be made: {source}", path = path.display())]
+    #[error("the store {path} can't be created: {source}", path = path.display())]
     Create {
         /// The store's file.
         path: PathBuf,
-        /// The error of the file system.
+        /// The file system's error.
         source: std::io::Error,
     },
     /// SQLite failed.
     #[error("the store can't be used: {0}")]
     Database(#[from] rusqlite::Error),
-    /// A row is not as this program writes it.
+    /// A row has values that this program never writes, or a checksum that does not match.
     #[error("the store's row {number} can't be read: {what}")]
     InvalidRow {
-        /// The number of its message, 0 if that can't be read.
+        /// Number of the row's message; 0 if the number can't be read.
         number: u64,
-        /// What is wrong with it.
+        /// What is wrong with the row.
         what: String,
     },
-    /// The store's thread does not run or answer.
+    /// The store's thread does not run, or did not reply.
     #[error("the store can't be used; see the log")]
     Unavailable,
 }
 
-/// Why a message was not redriven or resolved, though the store is in order.
+/// Why a message may not be redriven or resolved now; the store itself works.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Rejection {
     /// The store holds no such message.
     #[error("there is no such message")]
     NotFound,
-    /// A redrive of it is in progress.
+    /// A redrive of the message is in progress.
     #[error("it is being sent again already")]
     InProgress,
-    /// An operator has resolved it.
+    /// An operator has resolved the message.
     #[error("it has been settled")]
     Resolved,
-    /// A redrive could do harm, or can't be made.
+    /// The message may not be redriven: the destination could process it twice, or something needed is missing.
     #[error("{0}")]
     Denied(Denial),
     /// The engine did not accept the redrive.
-    #[error("{}", describe_engine_answer(*.0))]
+    #[error("{}", describe_redrive_outcome(*.0))]
     Engine(RedriveOutcome),
 }
 
@@ -74,14 +74,14 @@
     /// The message may not be redriven or resolved now.
     #[error(transparent)]
     Rejected(#[from] Rejection),
-    /// The store failed.
+    /// The store's file could not be read or written.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
 
-/// What the engine's answer to a redrive means, for operators.
-fn describe_engine_answer(answer: RedriveOutcome) -> &'static str {
-    match answer {
+/// Text for operators that says why the engine did not accept a redrive.
+fn describe_redrive_outcome(outcome: RedriveOutcome) -> &'static str {
+    match outcome {
         RedriveOutcome::InFlight => {
             "a call of it is not over, or its end is not told yet; try again shortly"
         }
--- a/crates/dead-letter/src/job.rs
+++ b/crates/dead-letter/src/job.rs
@@ -7,42 +7,42 @@
 use milletturn_policy::Micros;
 use tokio::sync::oneshot;
 
-/// Something for the store's thread to do.
+/// A unit of work for the store's thread.
 #[derive(Debug)]
 pub enum Job {
-    /// Messages to save have arrived in their own queue.
+    /// Wakes the thread, because messages to save are in their own queue.
     Wake,
-    /// An attempt at a destination ended.
+    /// Records that an attempt at a destination ended.
     AttemptEnded {
-        /// The destination.
+        /// Number of the destination.
         destination: u64,
-        /// It was delivered.
+        /// True if the attempt delivered its message.
         succeeded: bool,
     },
-    /// Read a page of a list.
+    /// Reads a page of a list.
     List(Call<ListRequest, Page>),
-    /// Read all that the store has of a message.
+    /// Reads everything that the store holds about a message.
     Get(Call<GetRequest, Option<Record>>),
-    /// Read the statistics.
+    /// Reads the store's statistics.
     Stats(Call<(), Stats>),
-    /// Redrive a message, or only decide whether that is allowed.
+    /// Redrives a message, or only decides whether a redrive is allowed.
     Redrive(Call<RedriveJob, Redriven, RedriveError>),
-    /// Resolve a message.
+    /// Resolves a message.
     Resolve(Call<ResolveJob, (), RedriveError>),
 }
 
 /// A request to the store's thread, with the channel for its reply.
 #[derive(Debug)]
 pub struct Call<Q, A, E = StoreError> {
-    /// What is requested.
+    /// The parameters of the request.
     pub request: Q,
-    /// Gets the one reply; it may have been dropped by a command that went away.
+    /// Receives the single reply; the receiver may be gone if the command's connection ended.
     pub reply: oneshot::Sender<Result<A, E>>,
 }
 
 impl<Q, A, E> Call<Q, A, E> {
-    /// Answers the call by what `handle` makes of its request.
-    pub(crate) fn answer(self, handle: impl FnOnce(Q) -> Result<A, E>) {
+    /// Runs `handle` on the request and sends the result as the reply.
+    pub(crate) fn respond(self, handle: impl FnOnce(Q) -> Result<A, E>) {
         let _ = self.reply.send(handle(self.request));
     }
 }
@@ -50,52 +50,53 @@
 /// A request for a page of a list.
 #[derive(Debug, Clone)]
 pub struct ListRequest {
-    /// Which messages.
+    /// Selects the messages.
     pub filter: Filter,
-    /// The number after which the page begins.
+    /// The page begins after this message number; 0 for the first page.
     pub after: u64,
-    /// Messages of the page at most.
+    /// Maximum number of messages on the page.
     pub limit: usize,
 }
 
-/// A request for all that the store has of a message.
+/// A request for everything that the store holds about a message.
 #[derive(Debug, Clone, Copy)]
 pub struct GetRequest {
-    /// The message's number.
+    /// Number of the message.
     pub number: u64,
-    /// Whether the record has its body.
+    /// Whether the record includes the message's body.
     pub body: BodyMode,
 }
 
 /// A request to redrive a message.
 #[derive(Debug, Clone)]
 pub struct RedriveJob {
-    /// The message's number.
+    /// Number of the message.
     pub number: u64,
-    /// Who requests it.
+    /// Name of the operator who requests the redrive, for the audit log.
     pub actor: String,
-    /// Why.
+    /// Why the redrive is requested, for the audit log.
     pub reason: String,
-    /// Only decide whether it is allowed.
+    /// Only decide whether the redrive is allowed.
     pub dry_run: bool,
 }
 
-/// A redrive that was accepted, or would be.
+/// The result of a redrive that was accepted, or of a dry run of one that is allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Redriven {
-    /// When it must have started at the latest (Unix time in microseconds), where its key's window bounds that.
+    /// Latest time at which the redrive may start (Unix time in microseconds), if the window of the message's
+    /// idempotency key limits it.
     pub until: Option<Micros>,
 }
 
 /// A request to resolve a message.
 #[derive(Debug, Clone)]
 pub struct ResolveJob {
-    /// The message's number.
+    /// Number of the message.
     pub number: u64,
-    /// How it is resolved.
+    /// How the message is resolved.
     pub resolution: Resolution,
-    /// Who resolves it.
+    /// Name of the operator who resolves the message, for the audit log.
     pub actor: String,
-    /// Why.
+    /// Why the message is resolved, for the audit log.
     pub reason: String,
 }
--- a/crates/dead-letter/src/redrive_candidates.rs
+++ b/crates/dead-letter/src/redrive_candidates.rs
@@ -1,8 +1,9 @@
-//! The messages that rules may still redrive, by destination; destinations take turns.
+//! The messages that rules may still redrive, by destination, with a round-robin order of destinations.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Messages that are remembered at most; those beyond are found again at the next start.
+/// Maximum number of candidates. Messages beyond this bound are not redriven by rule until the next start, when the
+/// store is searched again.
 const MAX_CANDIDATES: usize = 200_000;
 
 /// The numbers of the messages that rules may still redrive.
@@ -10,12 +11,12 @@
 pub(crate) struct RedriveCandidates {
     by_destination: BTreeMap<u64, BTreeSet<u64>>,
     count: usize,
-    /// The destination that was served last: the next round begins after it.
+    /// The destination that was served last; the next round begins with the destination after it.
     last_served: u64,
 }
 
 impl RedriveCandidates {
-    /// Adds a message, if there is capacity.
+    /// Adds a message, unless [`MAX_CANDIDATES`] is reached.
     pub(crate) fn insert(&mut self, destination: u64, number: u64) {
         if self.count < MAX_CANDIDATES
             && self
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Removes a message, if it is there.
+    /// Removes a message if it is a candidate.
     pub(crate) fn remove(&mut self, destination: u64, number: u64) {
         if let Some(numbers) = self.by_destination.get_mut(&destination) {
             self.count -= usize::from(numbers.remove(&number));
@@ -38,13 +39,13 @@
         }
     }
 
-    /// The message of a destination that is next.
+    /// The destination's candidate with the lowest number.
     pub(crate) fn first(&self, destination: u64) -> Option<u64> {
         self.by_destination.get(&destination)?.first().copied()
     }
 
-    /// The destinations in the order of their turns, the one that was served last at the end.
-    pub(crate) fn turns(&self) -> Vec<u64> {
+    /// The destinations in round-robin order; the one that was served last comes last.
+    pub(crate) fn destinations_in_order(&self) -> Vec<u64> {
         let after = self
             .by_destination
             .range(self.last_served.saturating_add(1)..);
@@ -55,7 +56,7 @@
             .collect()
     }
 
-    /// Notes that a message of the destination is redriven.
+    /// Records that a message of the destination is redriven, so that other destinations come first next time.
     pub(crate) fn mark_served(&mut self, destination: u64) {
         self.last_served = destination;
     }
--- a/crates/dead-letter/src/redrive_decision.rs
+++ b/crates/dead-letter/src/redrive_decision.rs
@@ -1,15 +1,15 @@
-//! The decision whether a dead letter may be sent again: one pure function, for rules and operators alike.
+//! The decision whether a dead letter may be sent again: a pure function that rules and operators' commands share.
 //!
 //! A destination drops a repeat with the same idempotency key only inside its window, counted from the first attempt
-//! that may have run; after the window a repeat takes effect again. So a message that may have run is redriven only
-//! inside that window, or never.
+//! that may have run; after the window a repeat takes effect again. So a message with a key that may have run is
+//! redriven only inside that window. If it has no key, it is redriven only if its class may run any number of times.
 
 use milletturn_engine::Ending;
 use milletturn_policy::{Effect, MILLISECOND, Micros};
 use std::fmt;
 
-/// Time reserved at the end of a key's window for the way to the destination, in microseconds: a redrive that starts
-/// within it might arrive after the window. The policy reserves a margin of its own besides.
+/// Time reserved at the end of a key's window for transmission to the destination, in microseconds: a redrive that
+/// starts later might arrive after the window has ended. The policy reserves a margin of its own in addition.
 pub const DELIVERY_MARGIN: Micros = 100 * MILLISECOND;
 
 /// The facts about a message that the decision depends on.
@@ -19,67 +19,70 @@
 )]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DecisionInput {
-    /// What a repeat of its class does; `None` for a class that the settings don't name any more.
+    /// What a repeat of a message of this class does; `None` if the settings no longer name the class.
     pub effect: Option<Effect>,
-    /// It carries an idempotency key.
+    /// The message has an idempotency key.
     pub has_key: bool,
-    /// How it ended last.
+    /// How the last round ended.
     pub ending: Ending,
-    /// When the first attempt was sent that may have run, over all rounds (Unix time in microseconds); `None` if none
-    /// may have. Attempts that an operator has confirmed not to have run don't count.
+    /// When the first attempt was sent that may have run, over all rounds (Unix time in microseconds); `None` if no
+    /// attempt may have run. Attempts that an operator has confirmed not to have run don't count.
     pub first_uncertain_at: Option<Micros>,
-    /// An operator has confirmed that what may have run did not, or that its client does not hand it in again.
+    /// An operator has confirmed that the message did not run, or that its client does not resubmit it.
     pub confirmed_not_run: bool,
-    /// Clients may hand in again what was returned to them.
+    /// Clients may resubmit messages that were returned to them.
     pub clients_retry: bool,
-    /// The store still has its body.
+    /// The store still has the message's body.
     pub has_body: bool,
 }
 
 /// Whether a message may be sent again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RedriveDecision {
-    /// It may be sent at any time.
+    /// The message may be sent at any time.
     Allowed(AllowedReason),
-    /// It may be sent with the same idempotency key, if it starts before this Unix time in microseconds.
+    /// The message may be sent with the same idempotency key, if the redrive starts before this Unix time in
+    /// microseconds.
     AllowedUntil(Micros),
-    /// It may not be sent.
+    /// The message may not be sent.
     Denied(Denial),
 }
 
-/// Why a redrive does no harm.
+/// Why a redrive can't make a message take effect twice when it must not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AllowedReason {
     /// No attempt can have run.
     NeverRan,
-    /// Its class may run any number of times.
+    /// Messages of the class may run any number of times.
     Idempotent,
-    /// An operator has confirmed that it did not run.
+    /// An operator has confirmed that the message did not run.
     ConfirmedNotRun,
 }
 
-/// Why a redrive could do harm, or can't be made.
+/// Why a message may not be redriven.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Denial {
-    /// It was delivered.
+    /// The message was delivered.
     Delivered,
-    /// It was returned, and its client told that handing it in again is harmless: both would take effect.
+    /// The message was returned with a response that permits its client to resubmit it: the redrive and the
+    /// resubmitted message could both take effect.
     Returned,
-    /// It may have run, and its class must never run twice.
+    /// The message may have run, and messages of its class must never run twice.
     Unsafe,
-    /// It may have run, and it carries no key by which a repeat could be dropped.
+    /// The message may have run, and has no key by which the destination could drop a repeat.
     NoKey,
-    /// It may have run, and its key's window has ended, or nearly.
+    /// The message may have run, and its key's window has ended, or ends within [`DELIVERY_MARGIN`].
     WindowExpired,
-    /// The clock is before an attempt: nobody knows how much of the window has passed.
+    /// The clock shows a time before the first attempt that may have run, so it is unknown how much of the window has
+    /// passed.
     ClockSetBack,
-    /// The settings don't name its class any more.
+    /// The settings no longer name the message's class.
     UnknownClass,
-    /// Its body was dropped to free space, after it had been resolved.
+    /// The message's body was dropped to free space after the message had been resolved.
     NoBody,
 }
 
-/// For operators: what forbids the redrive, and what may be done about it.
+/// The text for operators: what forbids the redrive, and what an operator can do about it.
 impl fmt::Display for Denial {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
@@ -122,7 +125,7 @@
     if !input.has_body {
         return RedriveDecision::Denied(Denial::NoBody);
     }
-    // an idempotent one does no harm even if the client hands it in again
+    // a message of an idempotent class may be redriven even if its client resubmits it
     if effect == Effect::Repeatable {
         return RedriveDecision::Allowed(AllowedReason::Idempotent);
     }
--- a/crates/dead-letter/src/redrive_decision/tests.rs
+++ b/crates/dead-letter/src/redrive_decision/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the redrive decision: a table of cases, and properties over all of them.
+//! Tests of the redrive decision: a table of cases, and properties of generated cases.
 
 use super::{
     AllowedReason, DELIVERY_MARGIN, DecisionInput, Denial, RedriveDecision, decide_redrive,
@@ -96,7 +96,7 @@
     ]
 }
 
-fn cases_that_never_can() -> Vec<Case> {
+fn cases_that_are_always_denied() -> Vec<Case> {
     let denied = RedriveDecision::Denied;
     let delivered = DecisionInput {
         ending: Ending::Delivered,
@@ -118,10 +118,10 @@
 }
 
 #[test]
-fn by_table() {
+fn decisions_match_the_table_of_cases() {
     let mut cases = cases_that_never_ran();
     cases.extend(cases_that_may_have_run());
-    cases.extend(cases_that_never_can());
+    cases.extend(cases_that_are_always_denied());
     assert_eq!(cases.len(), 17);
     for (input, now, expected) in cases {
         assert_eq!(decide_redrive(&input, now), expected, "{input:?} at {now}");
@@ -140,10 +140,10 @@
 }
 
 proptest! {
-    /// What may have run and may not be repeated is never allowed; a keyed one only with time left to arrive
-    /// inside its window.
+    /// A message that may have run is denied if its class must never run twice, and is allowed with a key only
+    /// while there is time left to arrive inside the key's window.
     #[test]
-    fn nothing_that_may_have_run_is_sent_unbounded(
+    fn a_message_that_may_have_run_is_redriven_only_inside_its_window(
         effect in effects(),
         has_key: bool,
         confirmed_not_run: bool,
@@ -175,9 +175,9 @@
         }
     }
 
-    /// Time only ever closes: what is no longer allowed is not allowed at any time after that.
+    /// A message whose window has expired is not allowed at any later time.
     #[test]
-    fn a_denial_by_the_window_is_final(
+    fn a_denial_for_an_expired_window_is_final(
         sent_at in 0..100 * SECOND,
         now in 0..200 * SECOND,
         elapsed in 0..200 * SECOND
--- a/crates/dead-letter/src/redrive_order.rs
+++ b/crates/dead-letter/src/redrive_order.rs
@@ -1,12 +1,12 @@
-//! What the engine needs to redrive a message, made from its row.
+//! Builds the engine's order to redrive a message from the message's row.
 
 use crate::row::Row;
 use bytes::Bytes;
 use milletturn_engine::{RedriveOrder, SharedStr, UncertainAttempt};
 use milletturn_policy::{Effect, Micros};
 
-/// What the engine needs to redrive a message; `None` without its body.
-pub(crate) fn order_of(row: &Row, effect: Option<Effect>) -> Option<RedriveOrder> {
+/// Builds the order to redrive a message; `None` if the row has no body, or a text that the engine can't hold.
+pub(crate) fn build_order(row: &Row, effect: Option<Effect>) -> Option<RedriveOrder> {
     let shared = |text: &str| SharedStr::new(text.as_bytes()).ok();
     let key = match &row.key {
         Some(key) => Some(shared(key)?),
@@ -26,8 +26,8 @@
     })
 }
 
-/// The attempt from which a key's window counts. Its endpoint only matters where keys are known by zone; then it is
-/// that of the attempt itself.
+/// The attempt at which the window of the message's idempotency key begins. Its endpoint only matters if the
+/// destination recognizes keys within one zone only; the endpoint is empty if the history no longer has the attempt.
 fn uncertain_attempt(row: &Row, sent_at: Micros) -> UncertainAttempt {
     let endpoint = row
         .history
--- a/crates/dead-letter/src/redrive_schedule.rs
+++ b/crates/dead-letter/src/redrive_schedule.rs
@@ -1,53 +1,54 @@
-//! Redrives by rule: which messages, when, and how many. Free of I/O and of the clock.
+//! Redrives by rule: which messages are redriven, when, and at which rate. Does no I/O and gets the time as a
+//! parameter.
 
 use milletturn_engine::EndReason;
 use milletturn_policy::{Micros, SECOND};
 use std::collections::BTreeMap;
 
-/// Destinations whose health is remembered at most. Beyond that, those with the oldest attempt are forgotten, and
-/// count as never attempted.
+/// Maximum number of destinations whose health is remembered. Beyond it, the destination with the oldest last attempt
+/// is evicted, and counts as never attempted.
 const MAX_DESTINATIONS: usize = 10_000;
-/// The longest time for which a rule's token bucket refills at once, in microseconds.
+/// The longest elapsed time that one refill of a rule's token bucket counts, in microseconds.
 const MAX_REFILL: Micros = 3600 * SECOND;
 
 /// A rule by which messages are redriven. Empty lists match all.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RedriveRule {
-    /// Its name, for the audit log of the messages that it redrives.
+    /// The rule's name, for the audit log of the messages that it redrives.
     pub name: String,
-    /// Names of classes.
+    /// Names of the classes that the rule covers.
     pub classes: Vec<String>,
-    /// Destinations.
+    /// Numbers of the destinations that the rule covers.
     pub destinations: Vec<u64>,
-    /// Reasons of the last end.
+    /// Reasons of the last round's end that the rule covers.
     pub reasons: Vec<EndReason>,
-    /// The destination must not have failed for this time, in microseconds.
+    /// Time for which attempts at the destination must not have failed, in microseconds.
     pub min_healthy: Micros,
-    /// Redrives of one message at most, by hand or by rule.
+    /// Maximum number of redrives of one message, by operators and rules together.
     pub max_redrives: u32,
     /// Messages first accepted longer ago than this, in microseconds, are not redriven.
     pub max_age: Micros,
-    /// Redrives per second by this rule at most.
+    /// Maximum rate of redrives by this rule, per second.
     pub per_second: f64,
 }
 
-/// What a rule looks at in a message.
+/// The properties of a message that rules check.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate<'a> {
-    /// The name of its class.
+    /// Name of the message's class.
     pub class: &'a str,
-    /// Its destination.
+    /// Number of the message's destination.
     pub destination: u64,
-    /// Why it ended last.
+    /// Why the last round ended.
     pub reason: EndReason,
-    /// When it was first accepted, Unix time in microseconds.
+    /// When the engine first accepted the message, Unix time in microseconds.
     pub accepted_at: Micros,
-    /// How often it has been redriven.
+    /// Number of redrives so far.
     pub redrives: u32,
 }
 
 impl RedriveRule {
-    /// True if the rule may redrive this message, now or at another time.
+    /// True if the rule covers this message, whatever the destination's health and the rule's rate limit are now.
     #[must_use]
     pub fn covers(&self, candidate: &Candidate<'_>, now: Micros) -> bool {
         let class = self.classes.iter().any(|class| class == candidate.class);
@@ -59,19 +60,20 @@
     }
 }
 
-/// How the attempts at a destination have ended.
+/// The health of a destination, from the ends of attempts.
 #[derive(Debug, Clone, Copy, Default)]
 struct DestinationHealth {
     last_attempt_at: Micros,
-    /// The last failure or rejection.
+    /// When the last attempt failed or was rejected; `None` if none did.
     failed_at: Option<Micros>,
-    /// The last attempt succeeded.
+    /// True if the last attempt succeeded.
     recovered: bool,
-    /// A redrive was released since the last failure, while nothing proved that the destination has recovered.
+    /// True if a redrive was released as a probe, because no attempt has succeeded since the last failure, and its
+    /// result is not known yet.
     probing: bool,
 }
 
-/// The token bucket of a rule.
+/// The token bucket that limits the rate of a rule.
 #[derive(Debug, Clone, Copy)]
 struct TokenBucket {
     tokens: f64,
@@ -95,7 +97,7 @@
     }
 }
 
-/// The rules with their rate limits, and the health of destinations as attempts show it.
+/// The rules with their rate limits, and the health of destinations as the ends of attempts show it.
 #[derive(Debug)]
 pub struct RedriveSchedule {
     rules: Vec<(RedriveRule, TokenBucket)>,
@@ -103,7 +105,7 @@
 }
 
 impl RedriveSchedule {
-    /// A schedule with rules in the order in which they are tried.
+    /// Creates a schedule; the rules are tried in the given order.
     #[must_use]
     pub fn new(rules: Vec<RedriveRule>) -> Self {
         let full = TokenBucket {
@@ -122,7 +124,7 @@
         self.rules.is_empty()
     }
 
-    /// Records that an attempt at a destination ended, of whatever message.
+    /// Records that an attempt at a destination ended; attempts of all messages count, not only redrives.
     pub fn on_attempt_end(&mut self, destination: u64, succeeded: bool, now: Micros) {
         if !self.health.contains_key(&destination) && self.health.len() >= MAX_DESTINATIONS {
             let oldest = self
@@ -141,10 +143,10 @@
         }
     }
 
-    /// The rule by which this message may be redriven now, if any; one of its tokens is taken.
+    /// Returns the first rule by which this message may be redriven now, and takes one token of that rule.
     ///
-    /// A destination with no attempt since a failure qualifies after the same time as one that succeeds, but gets one
-    /// message first, as a probe.
+    /// A destination with no attempt since a failure qualifies after the same time as one whose attempts succeed, but
+    /// gets only one message first, as a probe.
     pub fn try_acquire(&mut self, candidate: &Candidate<'_>, now: Micros) -> Option<&RedriveRule> {
         let health = self
             .health
@@ -169,15 +171,16 @@
         None
     }
 
-    /// Records that a redrive to a destination ended or was not accepted. Whether or not an attempt showed how the
-    /// destination is, the next message may probe it: else a redrive without an attempt would block all others.
+    /// Records that a redrive to a destination ended or was not accepted. The next message may then be a probe, even if
+    /// no attempt showed the destination's health: otherwise a redrive that ends without an attempt would block all
+    /// others to the destination.
     pub fn on_redrive_end(&mut self, destination: u64) {
         if let Some(health) = self.health.get_mut(&destination) {
             health.probing = false;
         }
     }
 
-    /// True if some rule may redrive the message, now or at another time.
+    /// True if any rule covers the message, whatever the destination's health and the rate limits are now.
     #[must_use]
     pub fn covers(&self, candidate: &Candidate<'_>, now: Micros) -> bool {
         self.rules
--- a/crates/dead-letter/src/redrive_schedule/tests.rs
+++ b/crates/dead-letter/src/redrive_schedule/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the redrive schedule: what rules cover, when they fire, and how often.
+//! Tests of the redrive schedule: which messages rules cover, when they release redrives, and at which rate.
 
 use super::{Candidate, MAX_DESTINATIONS, RedriveRule, RedriveSchedule};
 use milletturn_engine::EndReason;
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_rule_covers_what_it_names_only() {
+fn a_rule_covers_only_messages_that_match_all_its_conditions() {
     let (rule, good) = (rule(), candidate());
     assert!(rule.covers(&good, SECOND));
     for bad in [
@@ -67,7 +67,7 @@
     schedule.on_attempt_end(7, false, 111 * SECOND);
     assert!(
         schedule.try_acquire(&candidate(), 120 * SECOND).is_none(),
-        "it failed once more"
+        "the destination failed again"
     );
 }
 
@@ -78,7 +78,7 @@
     assert!(schedule.try_acquire(&candidate(), 200 * SECOND).is_some());
     assert!(
         schedule.try_acquire(&candidate(), 300 * SECOND).is_none(),
-        "the first has shown nothing yet"
+        "the probe has no result yet"
     );
     schedule.on_attempt_end(7, true, 301 * SECOND);
     assert!(schedule.try_acquire(&candidate(), 302 * SECOND).is_some());
@@ -98,12 +98,12 @@
     }
     assert!(
         (19..=22).contains(&released),
-        "{released} in 10 s at 2 a second"
+        "{released} redrives in 10 s at 2 per second"
     );
 }
 
 #[test]
-fn what_is_remembered_of_destinations_is_bounded() {
+fn the_number_of_remembered_destinations_is_bounded() {
     let mut schedule = RedriveSchedule::new(vec![rule()]);
     (0..MAX_DESTINATIONS as u64 + 50)
         .for_each(|id| schedule.on_attempt_end(id, true, id as Micros));
@@ -122,7 +122,7 @@
         schedule
             .try_acquire(&candidate, healthy_at + 10 * SECOND)
             .is_none(),
-        "one at a time"
+        "only one probe at a time"
     );
     schedule.on_redrive_end(7);
     assert!(
--- a/crates/dead-letter/src/redrive_service.rs
+++ b/crates/dead-letter/src/redrive_service.rs
@@ -1,14 +1,15 @@
-//! The redrive service: the store with its rules, step by step.
+//! The redrive service, which combines the store with the redrive rules.
 //!
-//! It decides which messages are sent again, when, and records who requested it. It knows the file but no clock, thread
-//! or socket, so that tests drive it step by step. All times are Unix time in microseconds.
+//! The service decides which messages are sent again and when, and records who requested each redrive. It accesses the
+//! store's file, but no clock, thread or socket, so that tests can drive it step by step. All times are Unix time in
+//! microseconds.
 
 use crate::config::Config;
 use crate::error::{RedriveError, Rejection, StoreError};
 use crate::record::{BodyMode, Filter, Record, State, Stats, Summary, parse_ending, parse_reason};
 use crate::redrive_candidates::RedriveCandidates;
 use crate::redrive_decision::{DecisionInput, Denial, RedriveDecision, decide_redrive};
-use crate::redrive_order::order_of;
+use crate::redrive_order::build_order;
 use crate::redrive_schedule::{Candidate, RedriveSchedule};
 use crate::row::Row;
 use crate::store::{DeadLetterStore, Page, SaveOutcome, StoreLimits};
@@ -17,30 +18,30 @@
 use milletturn_policy::{Effect, Micros};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Redrives that one tick requests at most, so that it stays short.
+/// Maximum number of redrives that one tick requests, which bounds the time of a tick.
 const MAX_REDRIVES_PER_TICK: usize = 32;
-/// Messages of a page while the store is searched for candidates after a start.
+/// Page size, in messages, of the search for candidates after a start.
 const RECOVERY_PAGE: usize = 1000;
 
 /// How an operator resolves a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Resolution {
-    /// It has been dealt with outside; nothing more is to be done.
+    /// An operator has dealt with the message outside the sender; nothing more is to be done.
     Done,
-    /// It did not run, or its client does not hand it in again: it may be redriven.
+    /// The message did not run, or its client does not resubmit it, so the message may be redriven.
     DidNotRun,
 }
 
-/// What became of messages that were to be saved.
+/// Which messages of a batch were saved.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SaveReport {
-    /// The numbers of those that the store has.
+    /// Numbers of the messages that the store holds now.
     pub saved: Vec<u64>,
-    /// How many others found the store full.
+    /// Number of messages that were not saved because the store is full.
     pub unsaved: usize,
 }
 
-/// The store, its rules, and what the settings say of the classes.
+/// The store, the redrive rules, and what a repeat of each class does.
 #[derive(Debug)]
 pub struct RedriveService {
     store: DeadLetterStore,
@@ -52,7 +53,7 @@
 }
 
 impl RedriveService {
-    /// A service on an open store; `effects` are what a repeat of each class does, by its name.
+    /// Creates a service on an open store; `effects` says by class name what a repeat of a message does.
     #[must_use]
     pub fn new(store: DeadLetterStore, config: &Config, effects: BTreeMap<String, Effect>) -> Self {
         RedriveService {
@@ -65,7 +66,7 @@
         }
     }
 
-    /// The limits that a configuration gives the store.
+    /// The store's limits from the settings.
     #[must_use]
     pub fn limits(config: &Config) -> StoreLimits {
         StoreLimits {
@@ -75,8 +76,8 @@
         }
     }
 
-    /// After a start: verifies the whole file, puts what was being redriven where the journal says it is, and finds
-    /// the messages that rules may redrive. See [`DeadLetterStore::reconcile`] for the parameters.
+    /// After a start: verifies the whole file, sets the state of each message that was being redriven from what the
+    /// journal says, and finds the messages that rules may redrive. See [`DeadLetterStore::reconcile`] for the parameters.
     ///
     /// # Errors
     /// When the file is damaged or can't be used.
@@ -106,10 +107,10 @@
         Ok(())
     }
 
-    /// Saves messages that ended undelivered, and the ends of redrives.
+    /// Saves messages that ended undelivered, and the results of redrives.
     ///
     /// # Errors
-    /// When the file can't be written; then none is saved.
+    /// When the file can't be written; then no message is saved.
     pub fn save(
         &mut self,
         messages: &[ArchivedMessage],
@@ -135,7 +136,7 @@
         Ok(report)
     }
 
-    /// Records that an attempt at a destination ended, of whatever message.
+    /// Records that an attempt at a destination ended; attempts of all messages count, not only redrives.
     pub fn on_attempt_end(&mut self, destination: u64, succeeded: bool, now: Micros) {
         if !self.schedule.is_empty() {
             self.schedule.on_attempt_end(destination, succeeded, now);
@@ -165,10 +166,10 @@
         }
     }
 
-    /// Whether an operator may redrive the message now.
+    /// Decides whether an operator may redrive the message now.
     ///
     /// # Errors
-    /// Why not.
+    /// Why the message may not be redriven.
     pub fn decide(&self, summary: &Summary, now: Micros) -> Result<RedriveDecision, Rejection> {
         match summary.state {
             State::RedriveRequested | State::Redriving => return Err(Rejection::InProgress),
@@ -181,8 +182,8 @@
         }
     }
 
-    /// Records the request to redrive a message, and returns what the engine needs for it. From then on the journal
-    /// says where the message is.
+    /// Records the request to redrive a message, and returns the engine's order for it. From then on the journal
+    /// decides in which state the message is.
     ///
     /// # Errors
     /// When the message may not be redriven now, or the file can't be read or written.
@@ -196,7 +197,7 @@
         let row = self.store.row(number)?.ok_or(Rejection::NotFound)?;
         self.decide(&row.summary(), now)?;
         let effect = self.effects.get(&row.class).copied();
-        let order = order_of(&row, effect).ok_or(Rejection::Denied(Denial::NoBody))?;
+        let order = build_order(&row, effect).ok_or(Rejection::Denied(Denial::NoBody))?;
         let changed = self.store.change(number, |row| {
             row.state = State::RedriveRequested;
             row.redrive_requested_at = now;
@@ -208,7 +209,7 @@
         Ok(order)
     }
 
-    /// Records what the engine made of a redrive. Not accepted means that the journal does not have it.
+    /// Records the engine's answer to a redrive. A redrive that was not accepted is not in the journal.
     ///
     /// # Errors
     /// When the file can't be written.
@@ -220,7 +221,7 @@
     ) -> Result<(), StoreError> {
         let accepted = answer == RedriveOutcome::Accepted;
         self.store.change(number, |row| {
-            // it may have ended meanwhile
+            // the redrive may have ended already, and its end been saved
             if row.state != State::RedriveRequested {
                 return None;
             }
@@ -243,13 +244,13 @@
         Ok(())
     }
 
-    /// Requests the redrives that the rules allow now. Destinations take turns.
+    /// Requests the redrives that the rules allow now, in round-robin order of destinations.
     ///
     /// # Errors
     /// When the file can't be read or written.
     pub fn tick(&mut self, now: Micros) -> Result<Vec<RedriveOrder>, StoreError> {
         let mut orders = Vec::new();
-        for destination in self.candidates.turns() {
+        for destination in self.candidates.destinations_in_order() {
             while orders.len() < MAX_REDRIVES_PER_TICK
                 && let Some(number) = self.candidates.first(destination)
             {
@@ -272,7 +273,7 @@
         Ok(orders)
     }
 
-    /// The summary of a candidate, if rules may still redrive it.
+    /// The summary of a candidate; `None` if rules may no longer redrive it.
     fn candidate_summary(&self, number: u64, now: Micros) -> Result<Option<Summary>, StoreError> {
         let summary = self.store.row(number)?.map(|row| row.summary());
         Ok(summary.filter(|summary| {
@@ -280,7 +281,7 @@
         }))
     }
 
-    /// Resolves a message; who did it and why goes into its audit log.
+    /// Resolves a message, and records who did it and why in the message's audit log.
     ///
     /// # Errors
     /// When the message may not be resolved now, or the file can't be written.
@@ -303,7 +304,7 @@
         Ok(())
     }
 
-    /// Drops resolved messages that are too old; returns how many.
+    /// Drops resolved messages that exceed the maximum age; returns how many.
     ///
     /// # Errors
     /// When the file can't be written.
@@ -319,7 +320,7 @@
         self.store.list(filter, after, limit)
     }
 
-    /// All that the store has of a message.
+    /// Everything that the store holds about a message; `None` if the store does not hold it.
     ///
     /// # Errors
     /// When the file can't be read.
@@ -327,7 +328,7 @@
         self.store.record(number, body)
     }
 
-    /// What the store holds.
+    /// The store's statistics.
     ///
     /// # Errors
     /// When the file can't be read.
--- a/crates/dead-letter/src/store_worker.rs
+++ b/crates/dead-letter/src/store_worker.rs
@@ -252,12 +252,12 @@
                 succeeded,
             } => service.on_attempt_end(destination, succeeded, now),
             Job::List(call) => {
-                call.answer(|list| service.list(&list.filter, list.after, list.limit));
+                call.respond(|list| service.list(&list.filter, list.after, list.limit));
             }
-            Job::Get(call) => call.answer(|get| service.record(get.number, get.body)),
-            Job::Stats(call) => call.answer(|()| service.stats(now)),
-            Job::Redrive(call) => call.answer(|job| self.redrive(&job, now)),
-            Job::Resolve(call) => call.answer(|job| {
+            Job::Get(call) => call.respond(|get| service.record(get.number, get.body)),
+            Job::Stats(call) => call.respond(|()| service.stats(now)),
+            Job::Redrive(call) => call.respond(|job| self.redrive(&job, now)),
+            Job::Resolve(call) => call.respond(|job| {
                 service.resolve(job.number, job.resolution, &job.actor, &job.reason, now)
             }),
         }
