--- a/crates/dead-letter/src/control.rs
+++ b/crates/dead-letter/src/control.rs
@@ -1,11 +1,12 @@
 //! The control socket for operators' commands: a Unix socket in the state folder that only its owner can open.
 //!
-//! A request is one line of JSON; the answer is one line for each message and a last one that ends it.
+//! A request is one line of JSON. The server answers with one line of JSON for each message, and a last line that ends
+//! the answer.
 //!
 //! - `messages`: the requests and responses;
-//! - `client`: the commands' side;
-//! - `server`: the sender's side: listening and connections;
-//! - `commands`: what the server does for each request.
+//! - `client`: the side of the operators' commands;
+//! - `server`: the sender's side, which listens and serves connections;
+//! - `commands`: executes each request.
 
 mod client;
 mod commands;
@@ -18,7 +19,8 @@
 
 use std::time::Duration;
 
-/// The socket's name in the state folder.
+/// File name of the socket in the state folder.
 pub const SOCKET_NAME: &str = "undelivered.sock";
-/// How long the server waits for a request, and for a client that does not read its answer.
+/// How long the server waits for a request, and for a client to read a response. The client waits three times as long
+/// for a response.
 const IO_TIMEOUT: Duration = Duration::from_secs(10);
--- a/crates/dead-letter/src/control/client.rs
+++ b/crates/dead-letter/src/control/client.rs
@@ -1,4 +1,4 @@
-//! The client of the control socket, for commands.
+//! The client of the control socket, which operators' commands use.
 
 use super::messages::{Request, Response};
 use super::{IO_TIMEOUT, SOCKET_NAME};
@@ -7,32 +7,34 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Bytes of a response at most: a server of this version sends less, a body of 64 KiB in base64 and the history.
+/// Maximum size of a response line, in bytes. A server of this version sends less: a body of 64 KiB in base64, and the
+/// message's history.
 const MAX_RESPONSE_BYTES: u64 = 4 << 20;
 
-/// Why a command got no answer.
+/// Why a command got no complete answer.
 #[derive(Debug, Error)]
 pub enum ControlError {
-    /// No sender listens in the folder.
+    /// No sender listens on the socket in the state folder.
     #[error("no sender answers at {path}: {source}", path = path.display())]
     NotRunning {
-        /// The socket.
+        /// Path of the socket.
         path: PathBuf,
-        /// The error of connecting.
+        /// The system's error for the failed connection.
         source: io::Error,
     },
     /// The connection failed or ended early.
-    #[error("the sender's answer broke off: {0}")]
+    #[error("the sender's response ended early: {0}")]
     Io(#[from] io::Error),
-    /// A response is not as the protocol has it.
-    #[error("the sender's answer can't be read: {0}")]
+    /// A response is not valid JSON of the protocol.
+    #[error("the sender's response can't be parsed: {0}")]
     Json(#[from] serde_json::Error),
 }
 
-/// Sends a request to the sender that runs with this state folder; `receive` gets each response, the last one too.
+/// Sends a request to the sender that runs with this state folder. Calls `receive` with each response, the last one
+/// included.
 ///
 /// # Errors
-/// When no sender runs, or its answer breaks off.
+/// When no sender runs, or its answer ends early or can't be parsed.
 pub fn send_request(
     folder: &Path,
     request: &Request,
--- a/crates/dead-letter/src/control/commands.rs
+++ b/crates/dead-letter/src/control/commands.rs
@@ -1,4 +1,4 @@
-//! What the server of the control socket does for each request: jobs for the store's thread, and responses.
+//! Executes the requests of the control socket: sends jobs to the store's thread, and writes the responses.
 
 use super::messages::{Request, Response};
 use super::server::ResponseWriter;
@@ -14,25 +14,25 @@
 use tokio::sync::oneshot;
 use tokio::time::sleep;
 
-/// Messages that one job reads from the store.
+/// Maximum number of messages that one job reads from the store.
 const PAGE: usize = 200;
-/// How often a command tries to place a job in the full queue of the store's thread.
+/// How often a command retries to add a job to the full queue of the store's thread, before it fails.
 const MAX_QUEUE_ATTEMPTS: usize = 1000;
-/// The pause between these attempts.
+/// Wait between two attempts to add a job to the full queue.
 const QUEUE_BACKOFF: Duration = Duration::from_millis(5);
 
-/// Why a command's answer ended early.
+/// Why the answer to a command ended early.
 #[derive(Debug, Error)]
 pub(super) enum CommandError {
-    /// The store failed; the client is told.
+    /// The store failed; the client gets the error.
     #[error(transparent)]
     Store(#[from] StoreError),
-    /// The client can't be written to.
+    /// The response could not be written to the client's connection.
     #[error(transparent)]
     Connection(#[from] io::Error),
 }
 
-/// Executes a request and writes its responses, all but the last one.
+/// Executes a request and writes all responses but the last one.
 pub(super) async fn execute(
     request: Request,
     jobs: &SyncSender<Job>,
@@ -136,8 +136,8 @@
     Ok(())
 }
 
-/// Changes each message that matches, and tells what became of it; numbers that the filter names and the store does
-/// not have are rejected.
+/// Changes each message that matches, and writes the result for each. Numbers that the filter names and the store does
+/// not hold are rejected.
 async fn for_each_number(
     filter: Filter,
     jobs: &SyncSender<Job>,
@@ -182,7 +182,7 @@
     Ok(responses.write(&response).await?)
 }
 
-/// The messages that match a filter, page by page.
+/// Reads the messages that match a filter, page by page.
 struct Pages<'a> {
     filter: Filter,
     next_after: Option<u64>,
@@ -214,13 +214,14 @@
     }
 }
 
-/// Has the store's thread do a job, and waits for its reply. A command may wait for its turn; the engine may not.
+/// Sends a job to the store's thread and waits for its reply. Unlike the engine, a command may wait while the thread's
+/// queue is full.
 async fn call<Q, A, E: From<StoreError>>(
     jobs: &SyncSender<Job>,
     request: Q,
     job: impl FnOnce(Call<Q, A, E>) -> Job,
 ) -> Result<A, E> {
-    let (reply, answer) = oneshot::channel();
+    let (reply, reply_receiver) = oneshot::channel();
     let mut job = job(Call { request, reply });
     for attempt in 0.. {
         match jobs.try_send(job) {
@@ -230,7 +231,7 @@
         }
         sleep(QUEUE_BACKOFF).await;
     }
-    answer
+    reply_receiver
         .await
         .unwrap_or_else(|_| Err(StoreError::Unavailable.into()))
 }
--- a/crates/dead-letter/src/control/messages.rs
+++ b/crates/dead-letter/src/control/messages.rs
@@ -1,95 +1,97 @@
 //! The requests and responses of the control socket.
 //!
-//! Their JSON keeps its text: commands of an earlier build talk to a sender of a newer one.
+//! Their JSON must not change, because commands of an earlier build talk to a sender of a newer one.
 
 use crate::record::{Filter, Record, Stats, Summary};
 use milletturn_policy::Micros;
 use serde::{Deserialize, Serialize};
 
-/// What a command requests.
+/// A request of an operator's command.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "kebab-case", deny_unknown_fields)]
 pub enum Request {
-    /// Summaries of messages.
+    /// Lists the summaries of messages.
     List {
-        /// Which messages.
+        /// Selects the messages.
         filter: Filter,
-        /// How many at most.
+        /// Maximum number of messages; `None` for no limit.
         limit: Option<usize>,
     },
-    /// Whole records of messages.
+    /// Reads the complete records of messages.
     Records {
-        /// Which messages.
+        /// Selects the messages.
         filter: Filter,
-        /// The bodies too.
+        /// Whether the records include the bodies.
         bodies: bool,
     },
-    /// Redrive messages.
+    /// Redrives messages.
     #[serde(rename = "resend")]
     Redrive {
-        /// Which messages.
+        /// Selects the messages.
         filter: Filter,
-        /// Who requests it.
+        /// Name of the operator, for the audit log.
         #[serde(rename = "who")]
         actor: String,
-        /// Why.
+        /// Why the messages are redriven, for the audit log.
         #[serde(rename = "why")]
         reason: String,
-        /// Only decide for each whether it is allowed.
+        /// Only decide for each message whether a redrive is allowed.
         dry_run: bool,
     },
-    /// Resolve messages.
+    /// Resolves messages.
     #[serde(rename = "settle")]
     Resolve {
-        /// Which messages.
+        /// Selects the messages.
         filter: Filter,
-        /// True: they did not run and may be redriven. False: they have been dealt with.
+        /// True if the messages did not run and may be redriven; false if the operator has dealt with them outside the
+        /// sender.
         did_not_run: bool,
-        /// Who resolves them.
+        /// Name of the operator, for the audit log.
         #[serde(rename = "who")]
         actor: String,
-        /// Why.
+        /// Why the messages are resolved, for the audit log.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// What the store holds.
+    /// Reads the store's statistics.
     Stats,
 }
 
-/// A line of an answer.
+/// One line of the server's answer to a request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Response {
-    /// A message of a list.
+    /// The summary of one message, in answer to [`Request::List`].
     Summary(Summary),
-    /// All that the store has of a message.
+    /// The complete record of one message, in answer to [`Request::Records`].
     Record(Box<Record>),
-    /// What became of a message that was to be redriven or resolved.
+    /// The result for one message that the request wanted to redrive or resolve.
     Done {
-        /// Its number.
+        /// Number of the message.
         number: u64,
-        /// When it must have started at the latest, where its key's window bounds that.
+        /// Latest time at which the redrive may start (Unix time in microseconds), if the window of the message's
+        /// idempotency key limits it.
         until: Option<Micros>,
-        /// Why it was not done.
+        /// Why the message was not redriven or resolved; `None` if it was.
         #[serde(rename = "declined")]
         rejection: Option<String>,
     },
-    /// What the store holds.
+    /// The store's statistics.
     Stats(Stats),
-    /// The last line of an answer.
+    /// The last line of a complete answer.
     End {
-        /// How many messages it was about.
+        /// Number of messages in the answer.
         count: usize,
-        /// Those of them for which it was not done.
+        /// Number of those that were not redriven or resolved.
         #[serde(rename = "declined")]
         rejected: usize,
     },
-    /// The last line of an answer that failed.
+    /// The last line of an answer that ended early, with the error.
     Error(String),
 }
 
 impl Response {
-    /// True for a line that ends an answer.
+    /// True if this is the last line of an answer.
     #[must_use]
     pub fn is_last(&self) -> bool {
         matches!(self, Response::End { .. } | Response::Error(_))
--- a/crates/dead-letter/src/control/server.rs
+++ b/crates/dead-letter/src/control/server.rs
@@ -1,4 +1,4 @@
-//! The server of the control socket: listening, and connections with their limits.
+//! The server of the control socket: listens, and serves connections within limits.
 
 use super::commands::{CommandError, execute};
 use super::messages::Response;
@@ -18,14 +18,15 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, timeout};
 
-/// Connections at the same time; each has a descriptor.
+/// Maximum number of concurrent connections, each of which takes a file descriptor.
 const MAX_CONNECTIONS: usize = 4;
-/// Bytes of a request at most: it names numbers of messages, and 64 KiB hold some thousands.
+/// Maximum size of a request, in bytes. A request may list message numbers, and 64 KiB hold some thousands of them.
 const MAX_REQUEST_BYTES: u64 = 64 * 1024;
-/// Backoff after a connection could not be accepted.
+/// Backoff after a connection could not be accepted, before the next attempt.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Listens in the folder; an old socket there is replaced. The file has its mode before it has its name.
+/// Listens on the socket in the folder, and replaces a socket that an earlier process left. The socket file gets its
+/// final name after its permissions are set, so that no other user can connect in between.
 ///
 /// # Errors
 /// When the socket can't be created.
@@ -41,12 +42,12 @@
     Ok(listener)
 }
 
-/// Serves commands until it is dropped, and their connections with it.
+/// Serves commands until the future is dropped; their connections end with it.
 pub async fn serve(listener: UnixListener, jobs: SyncSender<Job>) {
     let limit = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut connections = JoinSet::new();
     loop {
-        // the permit first: connections without one wait in the socket's own queue
+        // the permit is acquired before accepting, so that further connections wait in the socket's backlog
         let Ok(permit) = limit.clone().acquire_owned().await else {
             return;
         };
@@ -54,21 +55,23 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                log(format_args!("undelivered: no command accepted: {error}"));
+                log(format_args!(
+                    "undelivered: can't accept a connection on the control socket: {error}"
+                ));
                 sleep(ACCEPT_BACKOFF).await;
                 continue;
             }
         };
         let jobs = jobs.clone();
         connections.spawn_local(async move {
-            // a client that goes away before the end of its answer is no fault of the server
+            // an error means that the client closed the connection early or timed out, which needs no log line
             let _ = serve_connection(stream, &jobs).await;
             drop(permit);
         });
     }
 }
 
-/// Reads one request and answers it.
+/// Reads one request and writes the answer.
 async fn serve_connection(stream: UnixStream, jobs: &SyncSender<Job>) -> io::Result<()> {
     let (read, write) = stream.into_split();
     let mut request = String::new();
@@ -95,12 +98,12 @@
     responses.write(&last).await
 }
 
-/// Writes the responses of one answer, and counts the messages that it is about.
+/// Writes the responses of one answer, and counts the messages in it.
 pub(super) struct ResponseWriter {
     write: OwnedWriteHalf,
-    /// Messages so far.
+    /// Number of messages in the answer so far.
     pub(super) count: usize,
-    /// Those of them for which the command was rejected.
+    /// Number of those that were rejected.
     pub(super) rejected: usize,
 }
 
--- a/crates/dead-letter/src/redrive_service.rs
+++ b/crates/dead-letter/src/redrive_service.rs
@@ -77,7 +77,8 @@
     }
 
     /// After a start: verifies the whole file, sets the state of each message that was being redriven from what the
-    /// journal says, and finds the messages that rules may redrive. See [`DeadLetterStore::reconcile`] for the parameters.
+    /// journal says, and finds the messages that rules may redrive. [`DeadLetterStore::reconcile`] describes the
+    /// parameters.
     ///
     /// # Errors
     /// When the file is damaged or can't be used.
--- a/crates/dead-letter/src/store/prune.rs
+++ b/crates/dead-letter/src/store/prune.rs
@@ -42,8 +42,8 @@
 /// Makes space for one more message of `needed` bytes; returns false if there are not enough resolved messages
 /// to drop.
 ///
-/// Bodies of resolved messages are dropped first, then resolved messages, the oldest first. Unresolved messages are never
-/// dropped.
+/// Bodies of resolved messages are dropped first, then resolved messages, the oldest first. Unresolved messages are
+/// never dropped.
 pub(super) fn free_space(
     transaction: &Transaction<'_>,
     needed: u64,
--- a/crates/dead-letter/src/store/save.rs
+++ b/crates/dead-letter/src/store/save.rs
@@ -68,7 +68,7 @@
             trim_history(&mut row);
             row.update(transaction)?;
         }
-        // the engine offers a message again after a restart if the process ended before it learned of the save
+        // already saved: after a restart the engine offers a message again if it had not learned of the save
         Some(_) => {}
         None => {
             let needed = message.body.len() as u64 + 2 * PAGE_BYTES;
@@ -77,7 +77,7 @@
             }
             let mut row = Row::new(message);
             if message.redriven {
-                // the row was lost with the store that was set aside, and with it the time of the first uncertain attempt
+                // the store that was set aside held the row, and with it the time of the first uncertain attempt
                 row.first_uncertain_at = Some(0);
                 row.audit(
                     now,
--- a/crates/dead-letter/src/store_worker.rs
+++ b/crates/dead-letter/src/store_worker.rs
@@ -1,4 +1,4 @@
-//! The redrive service on a thread of its own: a slow disk delays neither the engine's turns nor its answers.
+//! Runs the redrive service on a thread of its own, so that a slow disk does not delay the engine.
 
 use crate::archive_handle::{ArchiveHandle, AttemptObserver};
 use crate::config::Config;
@@ -18,48 +18,49 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{mpsc, oneshot};
 
-/// Messages that wait for the thread, with their bodies: 64 of 64 KiB are 4 MiB at the very worst. A message that finds
-/// the queue full stays in the journal and is offered again.
+/// Capacity of the queue of messages that wait for the thread, with their bodies: 64 messages of 64 KiB take at most
+/// 4 MiB. If the queue is full, a message stays in the journal, and the engine offers it again.
 const MAX_QUEUED_MESSAGES: usize = 64;
-/// Other jobs that wait for the thread; commands wait for their answers, so there are few.
+/// Capacity of the queue of other jobs. Each command waits for its reply before its next job, so there are few.
 const MAX_QUEUED_JOBS: usize = 256;
-/// Jobs that are done before the queue of messages is looked at again.
+/// Maximum number of jobs in a row, after the first, before the thread checks the queue of messages again.
 const JOBS_PER_TURN: usize = 64;
-/// Messages that one transaction saves: more spread the cost of a sync, fewer delay commands less.
+/// Maximum number of messages that one transaction saves. Larger values spread the cost of a sync over more messages,
+/// but delay commands longer.
 const SAVE_BATCH: usize = 64;
-/// How often rules are evaluated.
+/// Interval between evaluations of the redrive rules.
 const RULE_INTERVAL: Duration = Duration::from_millis(250);
-/// How often resolved messages are checked for their age.
+/// Interval between checks for resolved messages that exceed the maximum age.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(10);
-/// Backoff after a fault of the file, before the same batch is tried again.
+/// Backoff after the file could not be written, before the same batch is retried.
 const FAULT_BACKOFF: Duration = Duration::from_secs(1);
-/// Backoff while the store is full.
+/// Backoff while the store is full, before the same batch is retried.
 const FULL_BACKOFF: Duration = Duration::from_secs(10);
 
-/// What the store's thread needs to start.
+/// The parameters of the store's thread.
 pub struct StoreWorkerOptions {
-    /// The state folder.
+    /// The folder that holds the store's file.
     pub state_dir: PathBuf,
     /// The store's settings.
     pub config: Config,
-    /// What a repeat of each class does, by its name.
+    /// What a repeat of a message does, by the name of its class.
     pub effects: BTreeMap<String, Effect>,
-    /// The numbers of the messages that the journal has to be sent again.
+    /// Numbers of the messages that the journal holds as unfinished redrives.
     pub redriving: BTreeSet<u64>,
-    /// The journal lost nothing.
+    /// True if the journal lost no entries.
     pub journal_intact: bool,
-    /// The engine's clock.
+    /// The clock that the engine uses too.
     pub clock: Clock,
-    /// The engine's inputs.
+    /// The engine's input channel, for redrives and for confirmations of saved messages.
     pub engine: mpsc::UnboundedSender<Input>,
-    /// Bytes that the store and a file set aside may take up together.
+    /// Maximum size, in bytes, of the store and a file that is set aside together.
     pub max_total_bytes: u64,
 }
 
-/// The store's running thread, as the program sees it. The thread ends when all senders of jobs are dropped.
+/// A handle of the store's thread. The thread ends when all senders of its job queue are dropped.
 #[derive(Debug)]
 pub struct StoreWorker {
-    /// The queue of jobs.
+    /// The sending half of the queue of jobs.
     pub jobs: SyncSender<Job>,
     messages: SyncSender<Box<ArchivedMessage>>,
     /// Greater than the number of any message in the store.
@@ -68,11 +69,11 @@
 }
 
 impl StoreWorker {
-    /// Opens the store and starts its thread. A damaged file is set aside, and a new one begun. The rows are verified
-    /// on the thread: until that is done, what fails stays in the journal.
+    /// Opens the store and starts its thread. A damaged file is set aside, and a new one created. The thread
+    /// verifies the rows first; until then messages that fail stay in the journal.
     ///
     /// # Errors
-    /// When there is no store that can be used; then what fails can't be saved.
+    /// When the store can't be opened, and can't be replaced by a new one; then messages that fail can't be saved.
     pub fn start(options: StoreWorkerOptions) -> Result<Self, StoreError> {
         let path = options.state_dir.join(&options.config.file);
         let (store, last_number) =
@@ -84,7 +85,9 @@
         let spawned =
             thread.spawn(move || run(options, &path, store, &received_jobs, &received_messages));
         if let Err(error) = spawned {
-            log(format_args!("undelivered: no thread: {error}"));
+            log(format_args!(
+                "undelivered: can't start the store's thread: {error}"
+            ));
         }
         Ok(StoreWorker {
             jobs,
@@ -94,7 +97,7 @@
         })
     }
 
-    /// The engine's archive.
+    /// The archive to give to the engine.
     #[must_use]
     pub fn archive_handle(&self) -> ArchiveHandle {
         ArchiveHandle {
@@ -104,7 +107,7 @@
         }
     }
 
-    /// An observer of attempts, in front of another observer.
+    /// An observer that reports the ends of attempts to the thread, and forwards all events to `next`.
     pub fn observer<O>(&self, next: O) -> AttemptObserver<O> {
         AttemptObserver {
             jobs: self.jobs.clone(),
@@ -113,6 +116,7 @@
     }
 }
 
+/// Opens the store, or replaces a damaged one; returns the store with its greatest message number.
 fn open_or_replace(
     path: &Path,
     config: &Config,
@@ -131,7 +135,7 @@
     }
 }
 
-/// Sets a damaged file aside and begins a new one, if there is space for both.
+/// Sets a damaged file aside and creates a new one, if there is space for both.
 fn replace(
     path: &Path,
     config: &Config,
@@ -146,7 +150,7 @@
     let size = std::fs::metadata(path).map_or(0, |file| file.len());
     if size.saturating_add(2 * config.max_bytes) > max_total_bytes {
         return Err(damaged(
-            "there is no room to set it aside; move it away".to_string(),
+            "there is not enough space to set it aside; move it away".to_string(),
         ));
     }
     let aside =
@@ -158,7 +162,7 @@
     DeadLetterStore::open(path, RedriveService::limits(config))
 }
 
-/// Verifies and recovers the store; a damaged one is replaced.
+/// Verifies the store and recovers its state; a damaged store is replaced by a new one.
 fn recover(
     store: DeadLetterStore,
     options: &StoreWorkerOptions,
@@ -177,7 +181,7 @@
     }
 }
 
-/// The thread: does jobs, saves messages, evaluates rules and prunes, until all senders of jobs are dropped.
+/// The main loop of the thread: does jobs, saves messages, evaluates rules and prunes, until all job senders are dropped.
 fn run(
     options: StoreWorkerOptions,
     path: &Path,
@@ -185,7 +189,8 @@
     jobs: &Receiver<Job>,
     messages: &Receiver<Box<ArchivedMessage>>,
 ) {
-    // the engine's clock is tokio's, and this thread has no runtime: it advances the time by itself
+    // the engine's clock needs the tokio runtime, which this thread does not have, so it reads the clock once and
+    // adds the time elapsed since then
     let (started_at, started) = (options.clock.now(), Instant::now());
     let now = || {
         let elapsed = Micros::try_from(started.elapsed().as_micros());
@@ -195,7 +200,7 @@
         Ok(service) => service,
         Err(error) => {
             log(format_args!(
-                "undelivered: {error}; what fails from now on stays in the ledger"
+                "undelivered: {error}; messages that fail from now on stay in the ledger"
             ));
             return;
         }
@@ -206,26 +211,26 @@
         unsaved: Vec::new(),
         backoff_until: None,
     };
-    let (mut ticked, mut pruned) = (Instant::now(), Instant::now());
+    let (mut last_tick, mut last_prune) = (Instant::now(), Instant::now());
     loop {
         match jobs.recv_timeout(RULE_INTERVAL) {
             Ok(job) => {
-                worker.work(job, now());
+                worker.do_job(job, now());
                 jobs.try_iter()
                     .take(JOBS_PER_TURN)
-                    .for_each(|job| worker.work(job, now()));
+                    .for_each(|job| worker.do_job(job, now()));
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
         worker.collect(messages);
         worker.save(now());
-        if ticked.elapsed() >= RULE_INTERVAL {
-            ticked = Instant::now();
+        if last_tick.elapsed() >= RULE_INTERVAL {
+            last_tick = Instant::now();
             worker.tick(now());
         }
-        if pruned.elapsed() >= PRUNE_INTERVAL {
-            pruned = Instant::now();
+        if last_prune.elapsed() >= PRUNE_INTERVAL {
+            last_prune = Instant::now();
             if let Err(error) = worker.service.prune(now()) {
                 log(format_args!("undelivered: {error}"));
             }
@@ -233,17 +238,18 @@
     }
 }
 
-/// The thread's own state.
+/// The state of the store's thread.
 struct Worker {
     service: RedriveService,
     engine: mpsc::UnboundedSender<Input>,
-    /// Messages to save, at most [`SAVE_BATCH`].
+    /// The batch of messages to save next, at most [`SAVE_BATCH`].
     unsaved: Vec<ArchivedMessage>,
+    /// No messages are saved before this time; `None` if there is no backoff.
     backoff_until: Option<Instant>,
 }
 
 impl Worker {
-    fn work(&mut self, job: Job, now: Micros) {
+    fn do_job(&mut self, job: Job, now: Micros) {
         let service = &mut self.service;
         match job {
             Job::Wake => {}
@@ -284,20 +290,20 @@
         }
     }
 
-    /// Submits a redrive to the engine and records what that made of it. The engine answers in its next turn and
-    /// waits for nothing here, so neither can block the other.
+    /// Submits a redrive to the engine and records the engine's answer. The engine answers in its next turn and never
+    /// waits for this thread, so the two can't deadlock.
     fn submit_redrive(
         &mut self,
         order: RedriveOrder,
         now: Micros,
     ) -> Result<RedriveOutcome, StoreError> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, engine_reply) = oneshot::channel();
         let number = order.number;
         let request = Input::Redrive(RedriveRequest { order, reply });
         let sent = self.engine.send(request).is_ok();
-        // no answer: the process ends, and the next one finds the message where the journal says it is
+        // without an answer the process is ending, and the next process takes the message's state from the journal
         let answer = if sent {
-            answer.blocking_recv().ok()
+            engine_reply.blocking_recv().ok()
         } else {
             None
         };
@@ -308,7 +314,7 @@
         Ok(answer)
     }
 
-    /// Takes messages from their queue, as many as the next batch has capacity for.
+    /// Moves messages from their queue to the batch, up to [`SAVE_BATCH`].
     fn collect(&mut self, messages: &Receiver<Box<ArchivedMessage>>) {
         let capacity = SAVE_BATCH.saturating_sub(self.unsaved.len());
         self.unsaved
