--- a/crates/dead-letter/benches/store.rs
+++ b/crates/dead-letter/benches/store.rs
@@ -1,5 +1,5 @@
-//! What the store costs: `cargo bench -p milletturn-dead-letter`. Each figure is the median of five runs, with the
-//! least and the greatest behind it.
+//! Measures the time, memory and disk space of the store: `cargo bench -p milletturn-dead-letter`. Each time or rate
+//! is the median of five runs, followed by the minimum and the maximum.
 
 use bytes::Bytes;
 use milletturn_dead_letter::config::Config;
@@ -14,7 +14,8 @@
 
 const NOW: Micros = 1_000_000 * SECOND;
 const BODY_BYTES: usize = 2_000;
-const MANY: u64 = 100_000;
+/// Messages in the large store.
+const LARGE_STORE_MESSAGES: u64 = 100_000;
 const RUNS: u64 = 5;
 
 fn message(number: u64) -> ArchivedMessage {
@@ -65,7 +66,7 @@
     RedriveService::new(store, &config(), effects)
 }
 
-/// Resident memory, KiB (proc(5)).
+/// Resident memory of this process in KiB, from /proc/self/status (proc(5)); 0 if it can't be read.
 fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     status
@@ -76,13 +77,13 @@
         .unwrap_or(0)
 }
 
-fn show(what: &str, unit: &str, mut runs: Vec<f64>) {
+fn print_result(name: &str, unit: &str, mut runs: Vec<f64>) {
     runs.sort_by(f64::total_cmp);
-    let (least, median, most) = (runs[0], runs[runs.len() / 2], runs[runs.len() - 1]);
-    println!("{what:<44} {median:>10.1} {unit:<10} ({least:.1} to {most:.1})");
+    let (min, median, max) = (runs[0], runs[runs.len() / 2], runs[runs.len() - 1]);
+    println!("{name:<44} {median:>10.1} {unit:<10} ({min:.1} to {max:.1})");
 }
 
-/// Microseconds a message, saved in transactions of `batch`.
+/// Time to save a message, in microseconds, with `batch` messages in each transaction.
 fn save(path: &Path, batch: u64) -> f64 {
     let mut service = open_service(path);
     let started = Instant::now();
@@ -93,7 +94,7 @@
     started.elapsed().as_secs_f64() * 1e6 / 512.0
 }
 
-/// Redrives a second, each with its end.
+/// Rate of redrives per second, one after the other, including the save of each result.
 fn redrive(path: &Path) -> f64 {
     let mut service = open_service(path);
     let messages: Vec<ArchivedMessage> = (1..=256).map(message).collect();
@@ -117,17 +118,21 @@
     256.0 / started.elapsed().as_secs_f64()
 }
 
-/// Saves many messages, and shows what they take.
+/// Saves [`LARGE_STORE_MESSAGES`] messages, and prints the size of the file and the memory of this process.
 fn fill(path: &Path) {
     let before = resident_kib();
     let mut service = open_service(path);
-    for first in (0..MANY).step_by(64) {
-        let messages: Vec<ArchivedMessage> =
-            (first + 1..=(first + 64).min(MANY)).map(message).collect();
+    for first in (0..LARGE_STORE_MESSAGES).step_by(64) {
+        let messages: Vec<ArchivedMessage> = (first + 1..=(first + 64).min(LARGE_STORE_MESSAGES))
+            .map(message)
+            .collect();
         service.save(&messages, NOW).expect("saved");
     }
     let size = std::fs::metadata(path).expect("there").len() as f64 / 1e6;
-    println!("{:<44} {size:>10.1} MB", "file with 100,000 of 2 KB");
+    println!(
+        "{:<44} {size:>10.1} MB",
+        "file with 100,000 messages of 2 KB"
+    );
     let after = resident_kib();
     println!(
         "{:<44} {:>10.1} MB",
@@ -136,12 +141,12 @@
     );
     println!(
         "{:<44} {:>10.1} MB",
-        "memory of this process with them kept",
+        "memory of this process after saving them",
         after as f64 / 1e3
     );
 }
 
-/// Milliseconds to open the store.
+/// Time to open the store, in milliseconds.
 fn open(path: &Path) -> f64 {
     let started = Instant::now();
     let store = DeadLetterStore::open(path, limits()).expect("opened");
@@ -149,7 +154,7 @@
     started.elapsed().as_secs_f64() * 1e3
 }
 
-/// Milliseconds to open and verify the store.
+/// Time to open and verify the store, in milliseconds.
 fn verify(path: &Path) -> f64 {
     let started = Instant::now();
     open_service(path)
@@ -163,22 +168,30 @@
     let path = |name: String| folder.path().join(name);
     for batch in [1, 64] {
         let runs = (0..RUNS).map(|run| save(&path(format!("keep-{batch}-{run}.db")), batch));
-        show(
-            &format!("keep a message of 2 KB, {batch} a transaction"),
+        print_result(
+            &format!("save a 2 KB message, {batch} per transaction"),
             "us",
             runs.collect(),
         );
     }
     let runs = (0..RUNS).map(|run| redrive(&path(format!("resend-{run}.db"))));
-    show(
-        "orders with their ends, one after the other",
-        "a second",
+    print_result(
+        "redrives with their results, one by one",
+        "per second",
+        runs.collect(),
+    );
+    let large_store = path("large.db".to_string());
+    fill(&large_store);
+    let runs = (0..RUNS).map(|_| open(&large_store));
+    print_result(
+        "open the store (before the sender is ready)",
+        "ms",
+        runs.collect(),
+    );
+    let runs = (0..RUNS).map(|_| verify(&large_store));
+    print_result(
+        "verify the store (on the store's thread)",
+        "ms",
         runs.collect(),
     );
-    let many = path("many.db".to_string());
-    fill(&many);
-    let runs = (0..RUNS).map(|_| open(&many));
-    show("open it (before the sender is ready)", "ms", runs.collect());
-    let runs = (0..RUNS).map(|_| verify(&many));
-    show("check all of it (on its thread)", "ms", runs.collect());
 }
--- a/crates/dead-letter/src/archive_handle.rs
+++ b/crates/dead-letter/src/archive_handle.rs
@@ -31,7 +31,7 @@
             .map_err(|error| match error {
                 TrySendError::Full(message) | TrySendError::Disconnected(message) => message,
             })?;
-        // a full queue needs no wake-up: the thread has jobs to do and will look at the messages too
+        // a full queue needs no wake-up: the thread has jobs to do, and checks the queue of messages after them
         let _ = self.jobs.try_send(Job::Wake);
         Ok(())
     }
--- a/crates/dead-letter/src/redrive_decision.rs
+++ b/crates/dead-letter/src/redrive_decision.rs
@@ -1,8 +1,9 @@
 //! The decision whether a dead letter may be sent again: a pure function that rules and operators' commands share.
 //!
 //! A destination drops a repeat with the same idempotency key only inside its window, counted from the first attempt
-//! that may have run; after the window a repeat takes effect again. So a message with a key that may have run is
-//! redriven only inside that window. If it has no key, it is redriven only if its class may run any number of times.
+//! that may have run; after the window a repeat takes effect again. So a message that may have run and whose class
+//! is keyed is redriven only inside that window, and only if it has a key. If its class must never run twice, it is not
+//! redriven; if its class may run any number of times, it is redriven at any time.
 
 use milletturn_engine::Ending;
 use milletturn_policy::{Effect, MILLISECOND, Micros};
@@ -48,7 +49,7 @@
     Denied(Denial),
 }
 
-/// Why a redrive can't make a message take effect twice when it must not.
+/// Why a message may be redriven at any time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AllowedReason {
     /// No attempt can have run.
--- a/crates/dead-letter/src/store_worker.rs
+++ b/crates/dead-letter/src/store_worker.rs
@@ -181,7 +181,7 @@
     }
 }
 
-/// The main loop of the thread: does jobs, saves messages, evaluates rules and prunes, until all job senders are dropped.
+/// The thread's main loop: does jobs, saves messages, evaluates rules and prunes, until all job senders are dropped.
 fn run(
     options: StoreWorkerOptions,
     path: &Path,
--- a/crates/dead-letter/tests/golden/columns.rs
+++ b/crates/dead-letter/tests/golden/columns.rs
@@ -1,12 +1,12 @@
-//! The columns of a store's file as text.
+//! Prints the columns of a store's file as text.
 
 use rusqlite::Connection;
 use rusqlite::types::Value;
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// The schema, the marks and every column of every row.
-pub(super) fn columns(path: &Path) -> String {
+/// The format pragmas, the schema, and every column of every row.
+pub(super) fn describe_columns(path: &Path) -> String {
     let connection = Connection::open(path).expect("opened");
     let mut text = String::new();
     for name in ["application_id", "user_version", "page_size", "auto_vacuum"] {
--- a/crates/dead-letter/tests/golden/control_socket.rs
+++ b/crates/dead-letter/tests/golden/control_socket.rs
@@ -1,4 +1,4 @@
-//! The control socket: each request, and each line of its answer.
+//! Tests of the control socket: each request, and each line of the answer to it.
 
 use super::{COMMANDS_AT, assert_same, copy_of_store, effects, golden_text};
 use milletturn_dead_letter::config::Config;
@@ -29,7 +29,7 @@
     .expect("a store")
 }
 
-/// A stand-in for the engine: gives each answer in turn.
+/// A fake engine, which answers redrives with each outcome in turn.
 async fn answer_redrives(mut inputs: mpsc::UnboundedReceiver<Input>) {
     use RedriveOutcome::{Accepted, Busy, InFlight, NoCapacity, TooLate};
     let mut answers = [Accepted, InFlight, Busy, NoCapacity, TooLate]
@@ -38,13 +38,16 @@
     while let Some(input) = inputs.recv().await {
         if let Input::Redrive(request) = input {
             let answer = answers.next().expect("endless");
-            request.reply.send(answer).expect("the thread waits");
+            request
+                .reply
+                .send(answer)
+                .expect("the store's thread waits for the answer");
         }
     }
 }
 
-/// Serves a copy of the golden store on its socket while `scene` talks to it.
-fn serve_while(folder: &Path, scene: impl FnOnce() + Send) {
+/// Serves a copy of the golden store on its control socket while `scenario` runs on another thread.
+fn serve_while(folder: &Path, scenario: impl FnOnce() + Send) {
     let (engine, inputs) = mpsc::unbounded_channel();
     let worker = start(folder, engine);
     assert_eq!(worker.first_number, 16);
@@ -57,7 +60,7 @@
         control::listen(folder).expect("a socket")
     };
     std::thread::scope(|threads| {
-        let client = threads.spawn(scene);
+        let client = threads.spawn(scenario);
         LocalSet::new().block_on(&runtime, async move {
             spawn_local(control::serve(listener, worker.jobs.clone()));
             spawn_local(answer_redrives(inputs));
@@ -68,7 +71,7 @@
     });
 }
 
-/// Sends one line, and gives the lines of the answer.
+/// Sends one line, and returns the lines of the answer.
 fn exchange(folder: &Path, request: &str) -> Vec<String> {
     let mut stream = UnixStream::connect(folder.join(control::SOCKET_NAME)).expect("connected");
     stream
--- a/crates/dead-letter/tests/golden/main.rs
+++ b/crates/dead-letter/tests/golden/main.rs
@@ -1,9 +1,10 @@
-//! Files and texts that an earlier build wrote, stored beside this file: this build reads each of them, and writes the
-//! very same columns and lines.
+//! Compatibility with files and texts that an earlier build wrote, which are stored beside this file. This build must
+//! read each of them, and write the same columns and lines.
 //!
 //! - `store.db`: a store with a row in each state; `columns.txt`: its schema and every column of every row.
-//! - `records.jsonl`: what commands show of each row; `verdicts.txt`: whether each may be sent again.
-//! - `control.txt`: requests on the commands' socket (`>`) and the lines of their answers (`<`).
+//! - `records.jsonl`: the record of each row, as commands print it.
+//! - `verdicts.txt`: whether each message may be sent again.
+//! - `control.txt`: requests on the control socket (`>`) and the response lines (`<`).
 //! - `settings.toml`: every key of the settings.
 
 mod columns;
@@ -19,9 +20,9 @@
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 
-/// When the store was written.
+/// Time of the first steps that wrote `store.db`.
 const NOW: Micros = 1_000_000 * SECOND;
-/// When the commands of `control.txt` were given and the decisions of `verdicts.txt` made.
+/// Time of the requests in `control.txt` and of the decisions in `verdicts.txt`.
 const COMMANDS_AT: Micros = NOW + 5 * SECOND;
 
 fn golden(name: &str) -> PathBuf {
@@ -34,7 +35,7 @@
     std::fs::read_to_string(golden(name)).expect("a golden file")
 }
 
-/// Compares line by line, so that a difference is short to read.
+/// Compares line by line, so that a failure shows only the first line that differs.
 fn assert_same(name: &str, actual: &str) {
     let wanted = golden_text(name);
     for (number, (wanted, actual)) in wanted.lines().zip(actual.lines()).enumerate() {
@@ -62,7 +63,7 @@
     RedriveService::new(store, &Config::default(), effects())
 }
 
-/// A copy of the golden store that may be written.
+/// Copies the golden store to a folder where tests may write to it; returns the path of the copy.
 fn copy_of_store(folder: &Path) -> PathBuf {
     let path = folder.join("undelivered.db");
     std::fs::copy(golden("store.db"), &path).expect("copied");
--- a/crates/dead-letter/tests/golden/settings.rs
+++ b/crates/dead-letter/tests/golden/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file: each key under its name.
+//! Tests of the settings file: each key is read under its own name.
 
 use super::golden_text;
 use milletturn_dead_letter::config::Config;
--- a/crates/dead-letter/tests/golden/store_file.rs
+++ b/crates/dead-letter/tests/golden/store_file.rs
@@ -1,6 +1,6 @@
-//! The store's file: columns, records, decisions and the texts of errors.
+//! Tests of the store's file: its columns, records, redrive decisions and error texts.
 
-use super::columns::columns;
+use super::columns::describe_columns;
 use super::store_script::write_store;
 use super::{
     COMMANDS_AT, NOW, assert_same, copy_of_store, default_limits, effects, golden_text,
@@ -37,8 +37,11 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("u.db");
     write_store(&path);
-    assert_same("columns.txt", &columns(&path));
-    assert_same("columns.txt", &columns(&copy_of_store(folder.path())));
+    assert_same("columns.txt", &describe_columns(&path));
+    assert_same(
+        "columns.txt",
+        &describe_columns(&copy_of_store(folder.path())),
+    );
 }
 
 #[test]
--- a/crates/dead-letter/tests/golden/store_script.rs
+++ b/crates/dead-letter/tests/golden/store_script.rs
@@ -1,4 +1,4 @@
-//! The steps that wrote the golden store: every state, ending, reason, outcome and kind of audit entry.
+//! The steps that wrote the golden store, which has every state, ending, reason, outcome and kind of audit entry.
 
 use super::{NOW, default_limits, open_service};
 use bytes::Bytes;
@@ -48,7 +48,7 @@
     }
 }
 
-/// An attempt that never ran.
+/// A list of one attempt that never ran.
 fn never_ran(uid: &str) -> Vec<AttemptRecord> {
     vec![attempt(uid, at(1), Some(Outcome::NoConnection))]
 }
@@ -71,7 +71,7 @@
         .collect()
 }
 
-/// The messages 1 to 14, as they ended first.
+/// Messages 1 to 14, as the engine first offers them to the store.
 fn messages() -> Vec<ArchivedMessage> {
     use EndReason::{
         AttemptsExhausted, DeadlineExceeded, NotRetryable, Rejected as RejectedByEndpoint, Unknown,
@@ -136,7 +136,7 @@
     }
 }
 
-/// The redrive of message 5 delivers it.
+/// Saves the end of a redrive that delivered message 5.
 fn deliver_redriven(service: &mut RedriveService, message: &ArchivedMessage) {
     let delivered = ArchivedMessage {
         accepted_at: at(2002),
@@ -153,7 +153,7 @@
     );
 }
 
-/// Writes the whole store.
+/// Writes the complete golden store.
 pub(super) fn write_store(path: &Path) {
     let mut service = open_service(path, default_limits());
     let messages = messages();
@@ -161,7 +161,8 @@
         service.save(&messages, at(1000)).expect("written"),
         all_saved(1..=14)
     );
-    // 13 was being sent again and 14 was about to be when a process ended whose journal has neither
+    // messages 13 and 14 lose their redrives in a restart: 13's was accepted, 14's only requested, and the journal has
+    // neither
     redrive(&mut service, 13, Some(RedriveOutcome::Accepted));
     redrive(&mut service, 14, None);
     service
@@ -177,7 +178,7 @@
     let confirmed = service.resolve(8, Resolution::DidNotRun, "ben", "asked them", at(3600));
     assert!(confirmed.is_ok());
     drop(service);
-    // the store is too small once: resolved messages lose their bodies
+    // a smaller limit forces the store to drop the bodies of resolved messages
     let small = StoreLimits {
         max_bytes: 55_000,
         ..default_limits()
--- a/crates/dead-letter/tests/kills.rs
+++ b/crates/dead-letter/tests/kills.rs
@@ -1,54 +1,55 @@
-//! A kill at every step between failure, store, redrive, journal, first byte and outcome; and many messages with many
-//! kills among them. No message takes effect twice, none is lost, none is in two places.
+//! Crashes of the process at every step from a failure through the store, the redrive, the journal and the first byte
+//! to the outcome, and runs with many messages and crashes. Guards against messages that take effect twice, are lost,
+//! or are active in the journal and the store at the same time.
 
-mod world;
+mod simulation;
 
 use milletturn_policy::{MILLISECOND, SECOND};
-use world::{Plan, World};
+use simulation::{Plan, Simulation};
 
 #[test]
-fn the_same_seed_is_the_same_run() {
-    let first = World::trace(Plan::small(3));
+fn two_runs_with_the_same_seed_have_the_same_trace() {
+    let first = Simulation::trace(Plan::small(3));
     assert!(first.len() > 12, "{first:?}");
-    assert_eq!(first, World::trace(Plan::small(3)));
-    assert_ne!(first, World::trace(Plan::small(4)));
+    assert_eq!(first, Simulation::trace(Plan::small(3)));
+    assert_ne!(first, Simulation::trace(Plan::small(4)));
 }
 
 #[test]
-fn a_kill_at_any_step_loses_nothing_and_doubles_nothing() {
+fn a_crash_at_any_step_neither_loses_nor_duplicates_a_message() {
     for seed in 0..2 {
-        let steps = World::play(Plan::small(seed), &[]);
+        let steps = Simulation::run(Plan::small(seed), &[]);
         assert!(steps > 40, "{steps}");
-        for kill in 1..steps {
-            World::play(Plan::small(seed), &[kill]);
+        for first_crash in 1..steps {
+            Simulation::run(Plan::small(seed), &[first_crash]);
         }
     }
 }
 
 #[test]
-fn two_kills_close_together_do_no_more_harm_than_one() {
-    let steps = World::play(Plan::small(7), &[]);
-    for kill in (1..steps).step_by(9) {
-        for next in [1, 2, 3, 5, 8] {
-            World::play(Plan::small(7), &[kill, next]);
+fn two_crashes_close_together_neither_lose_nor_duplicate_a_message() {
+    let steps = Simulation::run(Plan::small(7), &[]);
+    for first_crash in (1..steps).step_by(9) {
+        for second_crash in [1, 2, 3, 5, 8] {
+            Simulation::run(Plan::small(7), &[first_crash, second_crash]);
         }
     }
 }
 
-/// 600 messages over 50 destinations with 24 kills: the scaled form of the run below.
+/// 600 messages to 50 destinations with 24 crashes: a smaller version of the ignored test below.
 #[test]
-fn hundreds_of_failures_and_resends_with_kills_among_them() {
-    many(600, 11, 24);
+fn hundreds_of_failures_and_redrives_with_crashes() {
+    run_with_crashes(600, 11, 24);
 }
 
-/// The whole: `cargo test --release -p milletturn-dead-letter --test kills -- --ignored`.
+/// 10,000 messages with 200 crashes: `cargo test --release -p milletturn-dead-letter --test kills -- --ignored`.
 #[test]
 #[ignore = "takes minutes"]
-fn ten_thousand_failures_and_resends_with_kills_among_them() {
-    many(10_000, 12, 200);
+fn ten_thousand_failures_and_redrives_with_crashes() {
+    run_with_crashes(10_000, 12, 200);
 }
 
-fn many(messages: usize, seed: u64, kills: u64) {
+fn run_with_crashes(messages: usize, seed: u64, crashes: u64) {
     let plan = Plan {
         seed,
         messages,
@@ -59,9 +60,9 @@
         max_messages: 100_000,
         clients_retry: false,
     };
-    // steps between kills differ: a prime stride over a range
-    let lives: Vec<u64> = (0..kills)
-        .map(|n| 50 + n * 7919 % (messages as u64 * 6 / kills))
+    // a prime stride over a range gives different numbers of steps between crashes
+    let process_steps: Vec<u64> = (0..crashes)
+        .map(|n| 50 + n * 7919 % (messages as u64 * 6 / crashes))
         .collect();
-    World::play(plan, &lives);
+    Simulation::run(plan, &process_steps);
 }
--- a/crates/dead-letter/tests/world/clients.rs
+++ b/crates/dead-letter/tests/simulation/clients.rs
@@ -1,6 +1,6 @@
-//! The clients: they hand messages in, and read their answers.
+//! The clients, who submit messages and read the responses.
 
-use super::World;
+use super::Simulation;
 use super::plan::{DEADLINE, class_of};
 use super::process::Process;
 use super::rows;
@@ -12,22 +12,22 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Answers that clients have got, or not, with what they had handed in.
+/// The responses to submitted messages: name, destination, and the response, or `None` if the crash cut it off.
 pub(super) type Answers = Rc<RefCell<Vec<(String, DestinationId, Option<ArrivalOutcome>)>>>;
 
-impl World {
-    /// What clients make of their answers. One that was cut off from its answer hands in once more, unless the sender
-    /// had accepted it: then its end is due, though nobody was notified.
+impl Simulation {
+    /// Sorts messages by the responses that clients got. A client without a response submits its message again, unless
+    /// the sender had accepted it: then the message must be delivered or resolved like any accepted one.
     pub(super) fn read_answers(&self, answers: &Answers) {
         let mut known = None;
         for (name, destination, answer) in answers.borrow_mut().drain(..) {
             match answer {
                 Some(ArrivalOutcome::Accepted | ArrivalOutcome::AlreadyDelivered) => {
-                    _ = self.promised.borrow_mut().insert(name);
+                    _ = self.accepted_ids.borrow_mut().insert(name);
                 }
-                Some(_) => _ = self.rejected.borrow_mut().insert(name),
+                Some(_) => _ = self.rejected_ids.borrow_mut().insert(name),
                 None if known.get_or_insert_with(|| self.known()).contains(&name) => {
-                    self.promised.borrow_mut().insert(name);
+                    self.accepted_ids.borrow_mut().insert(name);
                 }
                 None => self
                     .arrivals
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Names of all that took effect, is unfinished or is in the store.
+    /// Names of all messages that took effect, are unfinished in the journal, or are in the store.
     fn known(&self) -> BTreeSet<String> {
         let (journal, _) = self.open_journal();
         let mut known: BTreeSet<String> = rows(&self.open_service())
@@ -46,25 +46,25 @@
             .collect();
         let unfinished = journal.unfinished().into_values();
         known.extend(unfinished.map(|message| message.accepted.id));
-        known.extend(self.outside.effects.borrow().message_names());
+        known.extend(self.environment.effects.borrow().message_names());
         known
     }
 
-    /// The next message that is due.
+    /// The next message that clients submit by now, if any.
     fn next_arrival(&self) -> Option<(String, DestinationId)> {
         let mut arrivals = self.arrivals.borrow_mut();
         let due = arrivals
             .front()
-            .is_some_and(|(at, ..)| *at <= self.outside.now());
+            .is_some_and(|(at, ..)| *at <= self.environment.now());
         let (_, name, destination) = due.then(|| arrivals.pop_front()).flatten()?;
         Some((name, destination))
     }
 }
 
 impl Process<'_> {
-    /// Clients hand in the messages that are due.
+    /// Clients submit the messages that are due.
     pub(super) fn submit_arrivals(&self) {
-        while let Some((name, destination)) = self.world.next_arrival() {
+        while let Some((name, destination)) = self.simulation.next_arrival() {
             let (reply, answer) = oneshot::channel();
             let id = SharedStr::new(name.as_bytes()).expect("a short text");
             let arrival = Arrival {
@@ -84,10 +84,10 @@
             let _ = self.engine.send(Input::Arrived(arrival));
             let open = self.open_replies.clone();
             open.set(open.get() + 1);
-            let (power, answers) = (self.power.clone(), self.answers.clone());
+            let (crash_point, answers) = (self.crash_point.clone(), self.answers.clone());
             tokio::task::spawn_local(async move {
-                // an answer that the kill cuts off was not read
-                let answer = answer.await.ok().filter(|_| power.try_step());
+                // a response after the crash does not reach the client
+                let answer = answer.await.ok().filter(|_| crash_point.try_step());
                 open.set(open.get() - 1);
                 answers.borrow_mut().push((name, destination, answer));
             });
--- a/crates/dead-letter/tests/world/invariants.rs
+++ b/crates/dead-letter/tests/simulation/invariants.rs
@@ -1,13 +1,13 @@
-//! What must be true between two processes and at the end: no message takes effect twice, none is lost, none is both
-//! in the journal and the store.
+//! What must be true between two processes and at the end: no message takes effect twice, none is lost, and none is
+//! active in the journal and the store at the same time.
 
 use super::plan::{REPEATABLE, class_of};
-use super::{World, rows};
+use super::{Simulation, rows};
 use milletturn_dead_letter::record::{State, Summary};
 use milletturn_engine::{Journal, Unfinished};
 use std::collections::BTreeMap;
 
-/// Where the messages are, by name.
+/// The places where each message was found, by the message's name.
 #[derive(Default)]
 struct Locations {
     by_name: BTreeMap<String, Vec<String>>,
@@ -29,21 +29,26 @@
     }
 }
 
-/// The journal's open entry decides; the store's row must know that it was redriven.
+/// Checks a row against the journal's entry with the same number: both are of the same message, and if the message has
+/// not ended in the journal, the row says that it is being redriven.
 fn check_row(summary: &Summary, in_journal: Option<&Unfinished>) {
     if in_journal.is_some_and(|message| message.end.is_none()) {
         let known = matches!(summary.state, State::RedriveRequested | State::Redriving);
-        assert!(known, "{summary:?} is in both: {in_journal:?}");
+        assert!(
+            known,
+            "{summary:?} is in the store and the journal: {in_journal:?}"
+        );
     }
     assert!(
         in_journal.is_none_or(|message| message.accepted.id == summary.id),
-        "a number for two messages"
+        "two messages have the same number"
     );
 }
 
-impl World {
-    /// Between two processes: each message that was promised is found, and in one location.
-    pub(super) fn check_between(&self) {
+impl Simulation {
+    /// Between two processes: each accepted message was delivered or is in the journal or the store, and has at most one
+    /// row in the store.
+    pub(super) fn check_between_processes(&self) {
         let (journal, _) = self.open_journal();
         let service = self.open_service();
         let unfinished = journal.unfinished();
@@ -59,12 +64,12 @@
             check_row(&summary, unfinished.get(&summary.number));
             locations.add(&summary.id, format!("store {:?}", summary.state));
         }
-        for name in self.promised.borrow().iter() {
-            let delivered = self.outside.effects.borrow().effect_count(name) > 0;
+        for name in self.accepted_ids.borrow().iter() {
+            let delivered = self.environment.effects.borrow().effect_count(name) > 0;
             let notified = self.notifications.borrow().contains_key(name);
             assert!(
                 locations.by_name.contains_key(name) || delivered && !notified,
-                "{name} is nowhere"
+                "{name} is neither in the journal nor in the store"
             );
             assert!(
                 locations.rows_of(name) <= 1,
@@ -76,7 +81,7 @@
     }
 
     fn check_effects(&self) {
-        let effects = self.outside.effects.borrow();
+        let effects = self.environment.effects.borrow();
         let doubled: Vec<&str> = effects
             .duplicated()
             .into_iter()
@@ -89,7 +94,7 @@
         );
     }
 
-    /// At the end: each message that was promised was delivered, or is resolved in the store and was notified.
+    /// At the end: each accepted message was delivered, or is resolved in the store and its client was notified.
     pub(super) fn check_end(&self) {
         self.check_effects();
         let (journal, _) = self.open_journal();
@@ -98,8 +103,8 @@
             .into_iter()
             .map(|summary| (summary.id, summary.state))
             .collect();
-        let effects = self.outside.effects.borrow();
-        for name in self.promised.borrow().iter() {
+        let effects = self.environment.effects.borrow();
+        for name in self.accepted_ids.borrow().iter() {
             let ran = effects.effect_count(name) > 0;
             let notified = self.notifications.borrow().contains_key(name);
             let seen = format!("{name}: ran {ran}, notified {notified}");
@@ -110,7 +115,7 @@
                 Some(other) => panic!("{name} is still {other:?}"),
             }
         }
-        let answered = self.promised.borrow().len() + self.rejected.borrow().len();
-        assert_eq!(answered, self.plan.messages, "each message has its answer");
+        let responses = self.accepted_ids.borrow().len() + self.rejected_ids.borrow().len();
+        assert_eq!(responses, self.plan.messages, "each message has a response");
     }
 }
--- a/crates/dead-letter/tests/world/mod.rs
+++ b/crates/dead-letter/tests/simulation/mod.rs
@@ -1,9 +1,10 @@
-//! The engine, the journal's real file and the store's real file, complete, in virtual time and from a seed; around
-//! them client systems that record effects, operators, and a switch that cuts the process off between any two
-//! steps that can be seen from outside.
+//! A simulation of a sender in virtual time, reproducible from a seed. The engine, the journal's file and the store's
+//! file are the real ones. Simulated are the destinations, which record each effect, the clients and the operators. A
+//! [`CrashPoint`] cuts the process off between any two externally visible steps, as SIGKILL does.
 //!
-//! - `plan`: what is simulated; `process`: one simulated process; `ports`: what its engine is given;
-//! - `clients`, `operators`: who uses it; `invariants`: what must be true between processes and at the end.
+//! - `plan`: the parameters of a run; `process`: one simulated process; `ports`: the ports of its engine;
+//! - `clients`, `operators`: the users of the process; `invariants`: what must be true between processes and at the
+//!   end of a run.
 
 mod clients;
 mod invariants;
@@ -33,40 +34,41 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
-/// The world's clock at its start, Unix microseconds.
+/// Time at the start of a run, Unix time in microseconds.
 const START: Micros = 1_700_000_000 * SECOND;
 
-/// All that outlasts a simulated process.
-pub(crate) struct World {
+/// The state that outlasts a simulated process.
+pub(crate) struct Simulation {
     plan: Plan,
     folder: PathBuf,
-    outside: SimulatedEnvironment,
-    /// Messages that clients still hand in, with the times: those not answered before a kill come once more.
+    environment: SimulatedEnvironment,
+    /// Messages that clients have yet to submit, with the time, name and destination of each. A message without a
+    /// response before a crash is added again.
     arrivals: RefCell<VecDeque<(Micros, String, DestinationId)>>,
-    /// Ids that were answered with 202.
-    promised: RefCell<BTreeSet<String>>,
-    /// Ids that got another answer, which ends them.
-    rejected: RefCell<BTreeSet<String>>,
-    /// Notifications that the platform has taken, by id.
+    /// Ids of the messages that the sender accepted, and those that it had delivered before.
+    accepted_ids: RefCell<BTreeSet<String>>,
+    /// Ids of the messages that got another response; clients don't submit them again.
+    rejected_ids: RefCell<BTreeSet<String>>,
+    /// Number of notifications that the platform has received, by message id.
     notifications: RefCell<BTreeMap<String, u32>>,
-    /// Every step that can be seen.
+    /// The saves and redrives, in order, for the comparison of two runs.
     trace: RefCell<Vec<String>>,
     random: RefCell<Pcg32>,
-    /// All in the store up to this number were resolved, after the last redrive by hand.
-    resolved_to: Cell<u64>,
+    /// All messages in the store up to this number were found resolved, after the operators' last redrive.
+    resolved_up_to: Cell<u64>,
 }
 
-fn in_virtual_time<T>(scene: impl Future<Output = T>) -> T {
+fn in_virtual_time<T>(scenario: impl Future<Output = T>) -> T {
     let builder = &mut tokio::runtime::Builder::new_current_thread();
     let runtime = builder
         .enable_time()
         .start_paused(true)
         .build()
         .expect("a runtime");
-    LocalSet::new().block_on(&runtime, scene)
+    LocalSet::new().block_on(&runtime, scenario)
 }
 
-/// All that the store holds after a number.
+/// The summaries of all messages in the store after a number.
 fn rows_after(service: &RedriveService, number: u64) -> Vec<Summary> {
     let (mut all, mut next_after) = (Vec::new(), Some(number));
     while let Some(after) = next_after {
@@ -79,42 +81,48 @@
     all
 }
 
-/// All that the store holds.
+/// The summaries of all messages in the store.
 fn rows(service: &RedriveService) -> Vec<Summary> {
     rows_after(service, 0)
 }
 
-impl World {
-    /// Runs a complete plan: processes one after the other, each for so many steps, the last without a bound.
-    /// Checks the invariants between them. Returns the steps that the last one took.
-    pub(crate) fn play(plan: Plan, lives: &[u64]) -> u64 {
+impl Simulation {
+    /// Runs a complete plan with one process after the other. Each process crashes after the number of steps in
+    /// `process_steps`; one more process runs to the end of the plan. Checks the invariants between processes and at
+    /// the end. Returns the number of steps that the last process took, or its bound if that was not reached.
+    pub(crate) fn run(plan: Plan, process_steps: &[u64]) -> u64 {
         let folder = tempfile::tempdir().expect("a folder");
         in_virtual_time(async {
-            let world = World::new(plan, folder.path().to_path_buf());
-            for &steps in lives {
-                if world.live(&CrashPoint::new(steps)).await == Finish::Done {
-                    world.check_end();
+            let simulation = Simulation::new(plan, folder.path().to_path_buf());
+            for &steps in process_steps {
+                if simulation.run_process(&CrashPoint::new(steps)).await == Finish::Done {
+                    simulation.check_end();
                     return steps;
                 }
-                world.check_between();
+                simulation.check_between_processes();
                 sleep(Duration::from_millis(200)).await;
             }
-            let power = CrashPoint::new(u64::MAX);
-            assert_eq!(world.live(&power).await, Finish::Done);
-            world.check_end();
-            power.steps_taken()
+            let crash_point = CrashPoint::new(u64::MAX);
+            assert_eq!(simulation.run_process(&crash_point).await, Finish::Done);
+            simulation.check_end();
+            crash_point.steps_taken()
         })
     }
 
-    /// As [`World::play`] with no kill, and the trace of what could be seen.
+    /// Runs a plan without a crash; returns the trace of received messages, saves and redrives.
     pub(crate) fn trace(plan: Plan) -> Vec<String> {
         let folder = tempfile::tempdir().expect("a folder");
         in_virtual_time(async {
-            let world = World::new(plan, folder.path().to_path_buf());
-            assert_eq!(world.live(&CrashPoint::new(u64::MAX)).await, Finish::Done);
-            let calls = world.outside.received_messages.borrow();
+            let simulation = Simulation::new(plan, folder.path().to_path_buf());
+            assert_eq!(
+                simulation.run_process(&CrashPoint::new(u64::MAX)).await,
+                Finish::Done
+            );
+            let calls = simulation.environment.received_messages.borrow();
             let sends = calls.iter().map(|(at, name)| format!("{at} {name}"));
-            sends.chain(world.trace.borrow().iter().cloned()).collect()
+            sends
+                .chain(simulation.trace.borrow().iter().cloned())
+                .collect()
         })
     }
 
@@ -127,23 +135,23 @@
                 index as u64 % plan.destinations,
             )
         });
-        World {
+        Simulation {
             folder,
-            outside: outside(&plan),
+            environment: environment(&plan),
             arrivals: RefCell::new(arrivals.collect()),
-            promised: RefCell::default(),
-            rejected: RefCell::default(),
+            accepted_ids: RefCell::default(),
+            rejected_ids: RefCell::default(),
             notifications: RefCell::default(),
             trace: RefCell::default(),
             random: RefCell::new(Pcg32::seed_from_u64(plan.seed)),
-            resolved_to: Cell::new(0),
+            resolved_up_to: Cell::new(0),
             plan,
         }
     }
 
-    /// Unix time in microseconds.
+    /// The current time, Unix time in microseconds.
     fn unix(&self) -> Micros {
-        START + self.outside.now()
+        START + self.environment.now()
     }
 
     fn open_journal(&self) -> (FileJournal, Recovery) {
@@ -166,17 +174,17 @@
     }
 }
 
-/// The client systems: how each call ends, and which effects it has.
-fn outside(plan: &Plan) -> SimulatedEnvironment {
+/// The destinations: how each call ends, and which effects it has.
+fn environment(plan: &Plan) -> SimulatedEnvironment {
     let start = Instant::now();
     let random = Rc::new(RefCell::new(Pcg32::seed_from_u64(plan.seed ^ 0x5eed)));
     let repaired_at = plan.repaired_at;
     let script = move |_: &CallItem, _: EndpointId| {
         let mut random = random.borrow_mut();
-        let travel = Duration::from_millis(u64::from(random.next_u32() % 25));
+        let network_delay = Duration::from_millis(u64::from(random.next_u32() % 25));
         let repaired = i64::try_from(start.elapsed().as_micros()).expect("short") >= repaired_at;
-        let roll = random.next_u32() % 100;
-        end_of_call(if repaired { 0 } else { roll }, travel)
+        let random_percent = random.next_u32() % 100;
+        end_of_call(if repaired { 0 } else { random_percent }, network_delay)
     };
     let window = |name: &str| if class_of(name) == 0 { WINDOW } else { 0 };
     SimulatedEnvironment {
@@ -187,25 +195,26 @@
     }
 }
 
-/// How a call ends, by a number below 100: whether it runs, and what is seen of it.
-fn end_of_call(roll: u32, travel: Duration) -> ScriptedOutcome {
-    let ends = |millis, outcome| Some((Duration::from_millis(millis) + travel, outcome));
-    let refused = |wait| ends(15, Outcome::Rejected { retry_after: wait });
-    let ran = Some(travel);
-    let (runs_after, tells) = match roll {
-        0..20 => (ran, ends(50, Outcome::Success)),
-        20..32 => (ran, ends(40, Outcome::Error)),
+/// How a call ends, by a random number below 100: whether the destination executes it, and which outcome the sender
+/// sees.
+fn end_of_call(random_percent: u32, network_delay: Duration) -> ScriptedOutcome {
+    let ends = |millis, outcome| Some((Duration::from_millis(millis) + network_delay, outcome));
+    let rejected = |wait| ends(15, Outcome::Rejected { retry_after: wait });
+    let executed = Some(network_delay);
+    let (executes_after, reported) = match random_percent {
+        0..20 => (executed, ends(50, Outcome::Success)),
+        20..32 => (executed, ends(40, Outcome::Error)),
         32..52 => (None, ends(40, Outcome::Error)),
-        52..62 => (None, refused(None)),
-        62..67 => (None, refused(Some(400 * MILLISECOND))),
+        52..62 => (None, rejected(None)),
+        62..67 => (None, rejected(Some(400 * MILLISECOND))),
         67..77 => (None, ends(1, Outcome::NoConnection)),
-        77..84 => (ran, ends(100, Outcome::Reset)),
+        77..84 => (executed, ends(100, Outcome::Reset)),
         84..90 => (None, ends(100, Outcome::Reset)),
-        90..95 => (ran, None),
+        90..95 => (executed, None),
         _ => (None, None),
     };
     ScriptedOutcome {
-        executes_after: runs_after,
-        reported: tells,
+        executes_after,
+        reported,
     }
 }
--- a/crates/dead-letter/tests/world/operators.rs
+++ b/crates/dead-letter/tests/simulation/operators.rs
@@ -1,4 +1,4 @@
-//! The operators: they redrive messages by hand, and resolve what no rule may redrive.
+//! The operators, who redrive messages, and resolve messages that no rule may redrive.
 
 use super::process::Process;
 use super::rows_after;
@@ -8,11 +8,11 @@
 use rand_pcg::rand_core::RngCore;
 
 impl Process<'_> {
-    /// An operator redrives something, sometimes twice, whatever it is.
-    pub(super) async fn redrive_some(&mut self) {
-        // few are worth it; most are rejected
-        let roll = self.world.random.borrow_mut().next_u64();
-        let after = roll % (self.world.plan.messages as u64 + 1);
+    /// An operator tries to redrive a random message twice, whatever its state.
+    pub(super) async fn redrive_random_message(&mut self) {
+        // most requests are rejected, since few messages may be redriven at the time
+        let random_number = self.simulation.random.borrow_mut().next_u64();
+        let after = random_number % (self.simulation.plan.messages as u64 + 1);
         let page = self.service.list(&Filter::default(), after, 1);
         let Some(number) = page
             .expect("the store")
@@ -23,10 +23,10 @@
             return;
         };
         for _ in 0..2 {
-            if !self.power.try_step() {
+            if !self.crash_point.try_step() {
                 return;
             }
-            let now = self.world.unix();
+            let now = self.simulation.unix();
             match self
                 .service
                 .request_redrive(number, "operator", "asked for", now)
@@ -38,45 +38,45 @@
         }
     }
 
-    /// Operators look at what no rule may redrive, ask the destination, and record what they learn. True once nothing
-    /// is left to be done.
-    pub(super) fn operators_are_done(&mut self) -> bool {
-        // nobody redrives by hand any more, so what is resolved stays so
-        let found = rows_after(&self.service, self.world.resolved_to.get());
-        let mut left = false;
+    /// Operators resolve the messages that no rule may redrive, according to whether the destination executed them.
+    /// Returns true once all messages in the store were found resolved.
+    pub(super) fn resolve_and_check_done(&mut self) -> bool {
+        // operators no longer redrive messages, so a resolved message stays resolved
+        let found = rows_after(&self.service, self.simulation.resolved_up_to.get());
+        let mut has_unresolved = false;
         for summary in &found {
             if summary.state.is_resolved() {
-                if !left {
-                    self.world.resolved_to.set(summary.number);
+                if !has_unresolved {
+                    self.simulation.resolved_up_to.set(summary.number);
                 }
                 continue;
             }
-            left = true;
-            let Some(resolution) = self.resolution_of(summary) else {
+            has_unresolved = true;
+            let Some(resolution) = self.choose_resolution(summary) else {
                 continue;
             };
-            if self.power.try_step() {
-                let now = self.world.unix();
+            if self.crash_point.try_step() {
+                let now = self.simulation.unix();
                 let resolved =
                     self.service
                         .resolve(summary.number, resolution, "operator", "asked them", now);
                 assert!(resolved.is_ok(), "{resolved:?}");
             }
         }
-        !left
+        !has_unresolved
     }
 
-    /// How an operator resolves a message; `None` if that is not needed, or not possible now.
-    fn resolution_of(&self, summary: &Summary) -> Option<Resolution> {
+    /// How an operator resolves a message; `None` if no operator has to act on it, or none can now.
+    fn choose_resolution(&self, summary: &Summary) -> Option<Resolution> {
         let ran = self
-            .world
-            .outside
+            .simulation
+            .environment
             .effects
             .borrow()
             .effect_count(&summary.id)
             > 0;
-        match self.service.decide(summary, self.world.unix()) {
-            // the rules see to it, unless it has been redriven too often
+        match self.service.decide(summary, self.simulation.unix()) {
+            // the rules redrive the message, unless it has been redriven too often
             Ok(_) if summary.redrives < 5 => None,
             Ok(_) => Some(Resolution::Done),
             Err(_) if summary.state != State::Unresolved => None,
--- a/crates/dead-letter/tests/world/plan.rs
+++ b/crates/dead-letter/tests/simulation/plan.rs
@@ -1,31 +1,31 @@
-//! What is simulated: the plan, the engine's settings and the store's.
+//! The parameters of a run, and the settings of the engine and the store.
 
 use milletturn_dead_letter::config::Config;
 use milletturn_dead_letter::redrive_schedule::RedriveRule;
 use milletturn_policy::{Class, DestinationKind, Effect, MILLISECOND, Micros, SECOND, Settings};
 
-/// The window of idempotency keys.
+/// Time for which destinations remember idempotency keys.
 pub(super) const WINDOW: Micros = 12 * SECOND;
-/// Beyond the window: what may have run is given up when that ends.
+/// Deadline of messages. It lies after the window: a message that may have run ends undelivered when the window ends.
 pub(super) const DEADLINE: Micros = 20 * SECOND;
-/// The class that may run any number of times.
+/// Index of the class whose messages may run any number of times.
 pub(super) const REPEATABLE: usize = 2;
 
-/// What is simulated.
+/// The parameters of a run.
 #[derive(Debug, Clone)]
 pub(crate) struct Plan {
     pub(crate) seed: u64,
     pub(crate) messages: usize,
     pub(crate) destinations: u64,
-    /// Time between arrivals.
+    /// Time between the submissions of two messages.
     pub(crate) arrival_interval: Micros,
-    /// From this time on all calls succeed.
+    /// Time in the run from which on all calls succeed.
     pub(crate) repaired_at: Micros,
-    /// Operators request redrives every so many ticks, never if zero.
+    /// Number of ticks between the operators' requests for redrives; zero for none.
     pub(crate) redrive_interval: u64,
-    /// Messages that the store may hold.
+    /// Maximum number of messages in the store.
     pub(crate) max_messages: u64,
-    /// Clients may hand in again what was returned to them; in this world they never do.
+    /// Whether the store must assume that clients resubmit messages returned to them; in the simulation they never do.
     pub(crate) clients_retry: bool,
 }
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// The class that a message's name tells: k keyed, u unsafe, r repeatable.
+/// Index of a message's class, from the first letter of its name: k keyed, u unsafe, r repeatable.
 pub(super) fn class_of(name: &str) -> usize {
     match name.as_bytes().first() {
         Some(b'k') => 0,
--- a/crates/dead-letter/tests/world/ports.rs
+++ b/crates/dead-letter/tests/simulation/ports.rs
@@ -1,4 +1,4 @@
-//! The engine's ports: the journal behind the switch, the archive, and the observer of attempts.
+//! The engine's ports: the journal, whose writes stop at the crash, the archive, and the observer of attempts.
 
 use milletturn_engine::archive::ArchivedMessage;
 use milletturn_engine::{
@@ -12,19 +12,19 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::Rc;
 
-/// The journal behind the switch; it also knows which messages it has.
-pub(super) struct SwitchedJournal {
+/// A journal that writes nothing after the crash. It also tracks the numbers of its unfinished messages.
+pub(super) struct CrashingJournal {
     pub(super) journal: FileJournal,
-    pub(super) power: CrashPoint,
+    pub(super) crash_point: CrashPoint,
     pub(super) unfinished: Rc<RefCell<BTreeSet<u64>>>,
 }
 
-impl SwitchedJournal {
-    fn step(
+impl CrashingJournal {
+    fn write_unless_crashed(
         &mut self,
         write: impl FnOnce(&mut FileJournal) -> Result<(), JournalError>,
     ) -> Result<(), JournalError> {
-        if self.power.try_step() {
+        if self.crash_point.try_step() {
             write(&mut self.journal)
         } else {
             Ok(())
@@ -32,14 +32,14 @@
     }
 }
 
-impl Journal for SwitchedJournal {
+impl Journal for CrashingJournal {
     fn unfinished(&self) -> BTreeMap<u64, Unfinished> {
         self.journal.unfinished()
     }
 
     fn record_accepted(&mut self, number: u64, accepted: Accepted) -> Result<(), JournalError> {
         self.unfinished.borrow_mut().insert(number);
-        self.step(|journal| journal.record_accepted(number, accepted))
+        self.write_unless_crashed(|journal| journal.record_accepted(number, accepted))
     }
 
     fn record_redrive(
@@ -49,7 +49,9 @@
         uncertain_attempt: Option<AttemptStarted>,
     ) -> Result<(), JournalError> {
         self.unfinished.borrow_mut().insert(number);
-        self.step(|journal| journal.record_redrive(number, accepted, uncertain_attempt))
+        self.write_unless_crashed(|journal| {
+            journal.record_redrive(number, accepted, uncertain_attempt)
+        })
     }
 
     fn record_attempt(
@@ -58,24 +60,24 @@
         uid: &str,
         sent_at: Micros,
     ) -> Result<(), JournalError> {
-        self.step(|journal| journal.record_attempt(number, uid, sent_at))
+        self.write_unless_crashed(|journal| journal.record_attempt(number, uid, sent_at))
     }
 
     fn record_never_ran(&mut self, number: u64, attempt: usize) -> Result<(), JournalError> {
-        self.step(|journal| journal.record_never_ran(number, attempt))
+        self.write_unless_crashed(|journal| journal.record_never_ran(number, attempt))
     }
 
     fn record_end(&mut self, number: u64, end: MessageEnd) -> Result<(), JournalError> {
-        self.step(|journal| journal.record_end(number, end))
+        self.write_unless_crashed(|journal| journal.record_end(number, end))
     }
 
     fn record_finished(&mut self, number: u64) -> Result<(), JournalError> {
         self.unfinished.borrow_mut().remove(&number);
-        self.step(|journal| journal.record_finished(number))
+        self.write_unless_crashed(|journal| journal.record_finished(number))
     }
 
     fn retry(&mut self) -> Result<(), JournalError> {
-        if self.power.has_crashed() {
+        if self.crash_point.has_crashed() {
             Ok(())
         } else {
             self.journal.retry()
@@ -83,7 +85,7 @@
     }
 }
 
-/// The messages that wait to be saved.
+/// An archive that queues messages until the service saves them.
 #[derive(Clone, Default)]
 pub(super) struct ArchiveQueue(pub(super) Rc<RefCell<VecDeque<ArchivedMessage>>>);
 
@@ -93,7 +95,7 @@
     }
 
     fn store(&mut self, message: Box<ArchivedMessage>) -> Result<(), Box<ArchivedMessage>> {
-        // so short that it is often full
+        // the queue is short, so that it is often full
         if self.0.borrow().len() >= 3 {
             return Err(message);
         }
@@ -102,7 +104,7 @@
     }
 }
 
-/// The ends of attempts that the service does not know yet: destinations, and whether they succeeded.
+/// An observer that collects the ends of attempts for the service: destinations, and whether the attempts succeeded.
 #[derive(Clone, Default)]
 pub(super) struct AttemptEnds(pub(super) Rc<RefCell<Vec<(u64, bool)>>>);
 
--- a/crates/dead-letter/tests/world/process.rs
+++ b/crates/dead-letter/tests/simulation/process.rs
@@ -1,9 +1,9 @@
-//! One simulated process: the engine with its ports, and the store's thread as steps of a loop.
+//! One simulated process: the engine with its ports, and a loop that does the work of the store's thread.
 
 use super::clients::Answers;
 use super::plan::settings;
-use super::ports::{ArchiveQueue, AttemptEnds, SwitchedJournal};
-use super::{World, rows};
+use super::ports::{ArchiveQueue, AttemptEnds, CrashingJournal};
+use super::{Simulation, rows};
 use milletturn_dead_letter::record::Summary;
 use milletturn_dead_letter::redrive_service::RedriveService;
 use milletturn_engine::archive::ArchivedMessage;
@@ -21,58 +21,58 @@
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
 
-/// The simulation's tick.
+/// Interval between the iterations of a process's loop.
 const TICK: Duration = Duration::from_millis(10);
-/// No simulated process lives longer: one that does hangs.
-const MAX_LIFE: Micros = 3_000 * SECOND;
+/// No simulated process process_steps longer: one that does hangs.
+const MAX_PROCESS_TIME: Micros = 3_000 * SECOND;
 
 /// How a simulated process ended.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Finish {
     Killed,
-    /// Nothing is unfinished any more, and nobody has anything left to do.
+    /// No message is unfinished, and neither clients nor operators have anything left to do.
     Done,
 }
 
-/// A simulated process, as its parts see it.
+/// A simulated process, with the state that its loop uses.
 pub(super) struct Process<'a> {
-    pub(super) world: &'a World,
-    pub(super) power: &'a CrashPoint,
+    pub(super) simulation: &'a Simulation,
+    pub(super) crash_point: &'a CrashPoint,
     pub(super) service: RedriveService,
     pub(super) engine: mpsc::UnboundedSender<Input>,
     archive: ArchiveQueue,
     attempt_ends: AttemptEnds,
     notifications: mpsc::UnboundedReceiver<Notification>,
     ready: watch::Sender<bool>,
-    /// The numbers of the messages that the journal has.
+    /// Numbers of the unfinished messages in the journal.
     unfinished: Rc<RefCell<BTreeSet<u64>>>,
     pub(super) open_replies: Rc<Cell<usize>>,
     pub(super) answers: Answers,
 }
 
-impl World {
-    /// Runs one simulated process to its end.
-    pub(super) async fn live(&self, power: &CrashPoint) -> Finish {
-        let (mut process, engine) = Process::start(self, power);
+impl Simulation {
+    /// Runs one simulated process until its crash, or until the plan is done.
+    pub(super) async fn run_process(&self, crash_point: &CrashPoint) -> Finish {
+        let (mut process, engine) = Process::start(self, crash_point);
         let finish = process.run().await;
         engine.abort();
         let _ = engine.await;
-        // what clients had not been answered comes once more
+        // lets the pending replies end without a response
         sleep(TICK).await;
         let accepted = process
             .answers
             .borrow()
             .iter()
             .any(|(_, _, answer)| *answer == Some(ArrivalOutcome::Accepted));
-        assert!(!accepted, "answered after its end");
+        assert!(!accepted, "a message was accepted after the crash");
         self.read_answers(&process.answers);
         finish
     }
 }
 
 impl<'a> Process<'a> {
-    fn start(world: &'a World, power: &'a CrashPoint) -> (Self, JoinHandle<()>) {
-        let (journal, recovery) = world.open_journal();
+    fn start(simulation: &'a Simulation, crash_point: &'a CrashPoint) -> (Self, JoinHandle<()>) {
+        let (journal, recovery) = simulation.open_journal();
         let in_journal = milletturn_engine::Journal::unfinished(&journal);
         let redriving = in_journal
             .iter()
@@ -80,17 +80,17 @@
             .map(|(&number, _)| number)
             .collect();
         let unfinished = Rc::new(RefCell::new(in_journal.keys().copied().collect()));
-        let first_number = world.open_store().last_number().expect("read") + 1;
-        let mut service = world.open_service();
+        let first_number = simulation.open_store().last_number().expect("read") + 1;
+        let mut service = simulation.open_service();
         let intact = recovery.damaged_bytes == 0 && !recovery.created;
         service
-            .recover(&redriving, intact, world.unix())
+            .recover(&redriving, intact, simulation.unix())
             .expect("sound");
         let (inputs, received) = mpsc::unbounded_channel();
         let (notified, notifications) = mpsc::unbounded_channel();
         let process = Process {
-            world,
-            power,
+            simulation,
+            crash_point,
             service,
             engine: inputs,
             archive: ArchiveQueue::default(),
@@ -101,9 +101,9 @@
             open_replies: Rc::default(),
             answers: Rc::default(),
         };
-        let journal = SwitchedJournal {
+        let journal = CrashingJournal {
             journal,
-            power: power.clone(),
+            crash_point: crash_point.clone(),
             unfinished: process.unfinished.clone(),
         };
         let ports = process.ports(journal, first_number, notified);
@@ -113,21 +113,21 @@
 
     fn ports(
         &self,
-        journal: SwitchedJournal,
+        journal: CrashingJournal,
         first_message_number: u64,
         notifications: mpsc::UnboundedSender<Notification>,
     ) -> Ports {
-        let world = self.world;
-        let endpoints = (0..world.plan.destinations * 2).map(|number| ListedEndpoint {
+        let simulation = self.simulation;
+        let endpoints = (0..simulation.plan.destinations * 2).map(|number| ListedEndpoint {
             destination: number / 2,
             ..serving_endpoint(number)
         });
         Ports {
             settings: settings(),
-            seed: world.plan.seed,
+            seed: simulation.plan.seed,
             zones: Vec::new(),
             kinds: vec!["one".into()],
-            clock: Clock::new(world.unix()),
+            clock: Clock::new(simulation.unix()),
             cached_endpoints: Some(EndpointListUpdate {
                 version: 1,
                 full: true,
@@ -137,8 +137,8 @@
             archive: Some(Box::new(self.archive.clone())),
             first_message_number,
             transport: Box::new(VirtualTransport::new(
-                world.outside.clone(),
-                self.power.clone(),
+                simulation.environment.clone(),
+                self.crash_point.clone(),
                 self.engine.clone(),
             )),
             notify_delivered: false,
@@ -149,113 +149,120 @@
     }
 
     async fn run(&mut self) -> Finish {
-        let world = self.world;
-        let started = world.outside.now();
+        let simulation = self.simulation;
+        let started = simulation.environment.now();
         let mut tick = 0u64;
         loop {
             sleep(TICK).await;
             tick += 1;
-            if world.outside.now() - started >= MAX_LIFE {
-                self.report_hanging();
+            if simulation.environment.now() - started >= MAX_PROCESS_TIME {
+                self.panic_unfinished();
             }
-            // answers that clients have read, and connections that broke
-            world.read_answers(&self.answers);
-            if self.power.has_crashed() {
+            // responses that clients have read, and connections that the crash broke
+            simulation.read_answers(&self.answers);
+            if self.crash_point.has_crashed() {
                 return Finish::Killed;
             }
             self.submit_arrivals();
             self.notify_platform();
             for (destination, succeeded) in self.attempt_ends.0.borrow_mut().drain(..) {
                 self.service
-                    .on_attempt_end(destination, succeeded, world.unix());
+                    .on_attempt_end(destination, succeeded, simulation.unix());
             }
             if tick.is_multiple_of(3) {
                 self.save();
             }
-            if tick.is_multiple_of(25) && self.power.try_step() {
-                for order in self.service.tick(world.unix()).expect("the store") {
+            if tick.is_multiple_of(25) && self.crash_point.try_step() {
+                for order in self.service.tick(simulation.unix()).expect("the store") {
                     self.redrive(order).await;
                 }
             }
-            // redrives by hand end some time after the repair: a person who sees the same failure repeated stops
-            let by_hand = world.outside.now() < world.plan.repaired_at + 10 * SECOND;
-            let interval = world.plan.redrive_interval;
-            if by_hand && interval > 0 && tick.is_multiple_of(interval) {
-                self.redrive_some().await;
+            // operators stop redriving messages 10 s after the repair, as people do who see the same failure repeat
+            let operators_redrive =
+                simulation.environment.now() < simulation.plan.repaired_at + 10 * SECOND;
+            let interval = simulation.plan.redrive_interval;
+            if operators_redrive && interval > 0 && tick.is_multiple_of(interval) {
+                self.redrive_random_message().await;
             }
-            let repaired = world.outside.now() > world.plan.repaired_at + 8 * SECOND;
-            if self.is_quiet()
+            let repaired = simulation.environment.now() > simulation.plan.repaired_at + 8 * SECOND;
+            if self.is_idle()
                 && repaired
                 && tick % 20 == 10
-                && self.operators_are_done()
-                && !self.power.has_crashed()
+                && self.resolve_and_check_done()
+                && !self.crash_point.has_crashed()
             {
                 return Finish::Done;
             }
         }
     }
 
-    /// True if no message is under way.
-    fn is_quiet(&self) -> bool {
-        self.world.arrivals.borrow().is_empty()
+    /// True if no message is waiting, in flight or unfinished.
+    fn is_idle(&self) -> bool {
+        self.simulation.arrivals.borrow().is_empty()
             && self.open_replies.get() == 0
             && self.answers.borrow().is_empty()
             && self.unfinished.borrow().is_empty()
             && self.archive.0.borrow().is_empty()
     }
 
-    fn report_hanging(&self) -> ! {
+    fn panic_unfinished(&self) -> ! {
         let unresolved: Vec<Summary> = rows(&self.service)
             .into_iter()
             .filter(|summary| !summary.state.is_resolved())
             .take(3)
             .collect();
         panic!(
-            "it never ends: {:?} unfinished, in the store {unresolved:#?}",
+            "the process hangs: {:?} unfinished in the journal, unresolved in the store {unresolved:#?}",
             self.unfinished.borrow()
         );
     }
 
-    /// The platform takes notifications, and the engine learns of it.
+    /// The platform receives notifications, and the engine is told which ones it received.
     fn notify_platform(&mut self) {
         let mut taken = Vec::new();
         while let Ok(notification) = self.notifications.try_recv() {
-            if self.power.try_step() {
+            if self.crash_point.try_step() {
                 let id = notification.id.to_string();
-                *self.world.notifications.borrow_mut().entry(id).or_default() += 1;
+                *self
+                    .simulation
+                    .notifications
+                    .borrow_mut()
+                    .entry(id)
+                    .or_default() += 1;
                 taken.push(notification.number);
             }
         }
-        if !taken.is_empty() && self.power.try_step() {
+        if !taken.is_empty() && self.crash_point.try_step() {
             let _ = self.engine.send(Input::Notified(taken));
         }
     }
 
-    /// The service saves what waits: a kill before it, or between it and its message to the engine.
+    /// The service saves the queued messages. The process may crash before the save, or between the save and the
+    /// confirmation to the engine.
     fn save(&mut self) {
         let batch: Vec<ArchivedMessage> = self.archive.0.borrow().iter().cloned().collect();
-        if batch.is_empty() || !self.power.try_step() {
+        if batch.is_empty() || !self.crash_point.try_step() {
             return;
         }
-        let report = self.service.save(&batch, self.world.unix());
+        let report = self.service.save(&batch, self.simulation.unix());
         let saved = report.expect("the store").saved;
         self.archive
             .0
             .borrow_mut()
             .retain(|message| !saved.contains(&message.number));
-        if !self.power.try_step() {
+        if !self.crash_point.try_step() {
             return;
         }
-        self.world
+        self.simulation
             .trace
             .borrow_mut()
-            .push(format!("kept {saved:?}"));
+            .push(format!("saved {saved:?}"));
         let _ = self.engine.send(Input::Archived(saved));
     }
 
-    /// Hands a redrive over to the engine, and records its answer.
+    /// Submits a redrive to the engine, and records the engine's answer.
     pub(super) async fn redrive(&mut self, order: RedriveOrder) {
-        if !self.power.try_step() {
+        if !self.crash_point.try_step() {
             return;
         }
         let (reply, answer) = oneshot::channel();
@@ -263,13 +270,13 @@
         let request = Input::Redrive(RedriveRequest { order, reply });
         let _ = self.engine.send(request);
         let answer = answer.await.expect("the engine answers");
-        self.world
+        self.simulation
             .trace
             .borrow_mut()
-            .push(format!("ordered {number}: {answer:?}"));
-        if self.power.try_step() {
+            .push(format!("redrive {number}: {answer:?}"));
+        if self.crash_point.try_step() {
             self.service
-                .on_engine_answer(number, answer, self.world.unix())
+                .on_engine_answer(number, answer, self.simulation.unix())
                 .expect("the store");
         }
     }
--- a/crates/dead-letter/tests/store.rs
+++ b/crates/dead-letter/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store's file: full and emptied, damaged at every place, and what one message leaves in it.
+//! Tests of the store's file: limits and pruning, damage at every seventh byte, and the rounds of a redriven message.
 
 use bytes::Bytes;
 use milletturn_dead_letter::config::Config;
@@ -66,7 +66,7 @@
         .collect()
 }
 
-/// Saves a message of 5 KB; true if the store had space for it.
+/// Saves a message of 5 KB; returns true if the store had space for it.
 fn try_save(service: &mut RedriveService, number: u64) -> bool {
     let message = message(number, 5_000, Outcome::Error);
     let report = service.save(&[message], NOW).expect("written");
@@ -74,7 +74,7 @@
     report.unsaved == 0
 }
 
-/// Saves messages from `number` on until the store is full; the number of the first that was not saved.
+/// Saves messages from `number` on until the store is full; returns the number of the first message that was not saved.
 fn fill(service: &mut RedriveService, mut number: u64) -> u64 {
     while try_save(service, number) {
         number += 1;
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_full_store_drops_what_is_resolved_and_nothing_else() {
+fn a_full_store_drops_only_resolved_messages() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("u.db");
     let config = Config {
@@ -109,9 +109,9 @@
     assert_eq!(
         all(&service).len() as u64,
         number - 1,
-        "what nobody has resolved stays"
+        "unresolved messages are not dropped"
     );
-    // five are resolved: their bodies go first, and their rows stay
+    // of resolved messages, the bodies are dropped first, and the rows stay
     for resolved in 1..=5 {
         assert_eq!(mark_done(&mut service, resolved), None);
     }
@@ -128,7 +128,7 @@
             .iter()
             .all(|record| record.body_base64.is_some())
     );
-    // then the rows themselves
+    // when no bodies are left to drop, the resolved rows are dropped
     let number = fill(&mut service, number + 1);
     let records = all(&service);
     assert!(
@@ -136,14 +136,19 @@
             .iter()
             .all(|record| record.summary.state == State::Unresolved)
     );
-    empty(&mut service, &records, &path, config.max_age);
+    resolve_and_prune_all(&mut service, &records, &path, config.max_age);
     assert!(all(&service).is_empty());
     assert!(try_save(&mut service, number));
     assert!(!service.stats(NOW).expect("read").full);
 }
 
-/// All are resolved and grow old: the file is emptied.
-fn empty(service: &mut RedriveService, records: &[Record], path: &Path, max_age: Micros) {
+/// Resolves all messages and prunes them after the maximum age, until the file has shrunk to 64 KiB.
+fn resolve_and_prune_all(
+    service: &mut RedriveService,
+    records: &[Record],
+    path: &Path,
+    max_age: Micros,
+) {
     for record in records {
         assert_eq!(mark_done(service, record.summary.number), None);
     }
@@ -155,7 +160,7 @@
 }
 
 #[test]
-fn the_number_of_messages_is_bounded_too() {
+fn the_number_of_messages_is_bounded() {
     let folder = tempfile::tempdir().expect("a folder");
     let config = Config {
         max_messages: 3,
@@ -186,7 +191,7 @@
     );
 }
 
-/// Writes six messages, one of them confirmed not to have run; their records.
+/// Writes six messages, one of them confirmed not to have run; returns their records.
 fn write_six(path: &Path, config: &Config) -> Vec<Record> {
     let mut service = open_service(path, config);
     let batch: Vec<ArchivedMessage> = (1..=6)
@@ -199,7 +204,7 @@
     all(&service)
 }
 
-/// Writes bytes as a store's file, verifies it and reads all of it.
+/// Writes bytes as a store's file, verifies the file and reads all records.
 fn read_store(path: &Path, bytes: &[u8], limits: StoreLimits) -> Result<Vec<Record>, StoreError> {
     std::fs::write(path, bytes).expect("written");
     let store = DeadLetterStore::open(path, limits)?;
@@ -243,26 +248,26 @@
             Ok(records) => {
                 assert_eq!(
                     records, sound,
-                    "a flipped bit at {at} changed what would be sent"
+                    "a flipped bit at byte {at} changed a record without an error"
                 );
                 harmless += 1;
             }
         }
     }
-    // the others are in bytes that nothing uses
+    // the harmless ones are in bytes that SQLite does not use
     assert!(found > 500, "{found} found, {harmless} harmless");
     for length in (0..bytes.len()).step_by(97) {
         assert!(open(&bytes[..length]).is_err(), "cut to {length} bytes");
     }
 }
 
-/// Redrives a message in a round of its own, and rejects whatever else is requested meanwhile.
+/// Redrives message 1, and checks that other requests for the message are rejected meanwhile.
 fn redrive_once(service: &mut RedriveService, now: Micros) {
     let order = service
         .request_redrive(1, "me", "once more", now)
         .expect("it never ran");
     assert_eq!((order.number, order.uncertain_attempt.clone()), (1, None));
-    // by hand while a rule redrives it, or the other way round
+    // a rule and an operator may request a redrive of the same message
     let second = service.request_redrive(1, "rule", "", now);
     assert_eq!(rejection(second), Some(Rejection::InProgress));
     service
@@ -274,12 +279,12 @@
     assert_eq!(
         rejection(resolved),
         Some(Rejection::InProgress),
-        "it may be delivered at any time"
+        "a message can't be resolved while a redrive may deliver it"
     );
 }
 
 #[test]
-fn a_redrive_that_fails_is_a_second_round_of_the_same_message() {
+fn a_failed_redrive_adds_a_round_to_the_same_message() {
     let folder = tempfile::tempdir().expect("a folder");
     let mut service = open_service(&folder.path().join("u.db"), &Config::default());
     let first = message(1, 10, Outcome::NoConnection);
@@ -298,7 +303,7 @@
         service
             .save(std::slice::from_ref(&redriven), now)
             .expect("written");
-        // offered once more after a restart: the same round
+        // the engine offers the message again after a restart: the round is not added twice
         service
             .save(std::slice::from_ref(&redriven), now)
             .expect("written");
@@ -309,7 +314,7 @@
         );
         assert!(
             records[0].rounds.len() <= 24 && records[0].audit_log.len() <= 24,
-            "its history is bounded"
+            "the history of a message is bounded"
         );
     }
     assert_eq!(
@@ -320,7 +325,7 @@
 }
 
 #[test]
-fn a_redrive_that_the_journal_lost_may_have_run() {
+fn a_message_whose_redrive_the_journal_lost_may_have_run() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("u.db");
     let config = Config::default();
@@ -341,7 +346,7 @@
                 .expect("written");
         }
     }
-    // the journal has 3 only: 1 was in it and is lost, 2 never came to it
+    // the journal only has message 3: it had accepted message 1 and lost it, and never received message 2
     let mut service = unrecovered_service(&path, &config);
     service
         .recover(&BTreeSet::from([3]), true, NOW)
@@ -361,7 +366,7 @@
     );
     assert!(
         rejection(service.request_redrive(1, "me", "", NOW)).is_some(),
-        "an unsafe one that may have run"
+        "an unsafe message that may have run is not redriven"
     );
     assert!(service.request_redrive(2, "me", "", NOW).is_ok());
 }
