--- a/crates/dead-letter/src/record.rs
+++ b/crates/dead-letter/src/record.rs
@@ -170,7 +170,7 @@
     /// operator has confirmed that the message did not run.
     #[serde(rename = "first_risk")]
     pub first_uncertain_at: Option<Micros>,
-    /// True if an operator has confirmed that the destination did not process the message.
+    /// True if an operator has confirmed that the message did not run, or that its client does not resubmit it.
     #[serde(rename = "stated")]
     pub confirmed_not_run: bool,
     /// Size of the body in bytes; `None` once the body was dropped to free space.
--- a/crates/dead-letter/src/row.rs
+++ b/crates/dead-letter/src/row.rs
@@ -83,7 +83,7 @@
     /// When the first attempt was sent that the destination may have processed; `None` if there is none, or an
     /// operator has confirmed that the message did not run.
     pub first_uncertain_at: Option<Micros>,
-    /// True if an operator has confirmed that the destination did not process the message.
+    /// True if an operator has confirmed that the message did not run, or that its client does not resubmit it.
     pub confirmed_not_run: bool,
     /// When the last redrive was requested; 0 if none was.
     pub redrive_requested_at: Micros,
--- a/crates/dead-letter/tests/simulation/invariants.rs
+++ b/crates/dead-letter/tests/simulation/invariants.rs
@@ -46,8 +46,8 @@
 }
 
 impl Simulation {
-    /// Between two processes: each accepted message was delivered or is in the journal or the store, and has at most one
-    /// row in the store.
+    /// Between two processes: each accepted message was delivered, or is in the journal or the store, and the store has
+    /// at most one row for it.
     pub(super) fn check_between_processes(&self) {
         let (journal, _) = self.open_journal();
         let service = self.open_service();
--- a/crates/dead-letter/tests/simulation/process.rs
+++ b/crates/dead-letter/tests/simulation/process.rs
@@ -23,13 +23,13 @@
 
 /// Interval between the iterations of a process's loop.
 const TICK: Duration = Duration::from_millis(10);
-/// No simulated process process_steps longer: one that does hangs.
+/// A simulated process that runs longer than this hangs, and fails the test.
 const MAX_PROCESS_TIME: Micros = 3_000 * SECOND;
 
 /// How a simulated process ended.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum Finish {
-    Killed,
+    Crashed,
     /// No message is unfinished, and neither clients nor operators have anything left to do.
     Done,
 }
@@ -161,7 +161,7 @@
             // responses that clients have read, and connections that the crash broke
             simulation.read_answers(&self.answers);
             if self.crash_point.has_crashed() {
-                return Finish::Killed;
+                return Finish::Crashed;
             }
             self.submit_arrivals();
             self.notify_platform();
