--- a/crates/shard-map/src/assignment.rs
+++ b/crates/shard-map/src/assignment.rs
@@ -1,13 +1,14 @@
-//! Which senders serve a shard, computed from a membership alone, so that all who know the same membership agree.
+//! The assignment of shards to senders, computed from a membership alone, so that all processes with the same membership
+//! compute the same assignment.
 //!
-//! Each pair of a shard and a sender has a score, drawn by hash (rendezvous hashing, highest random weight). A shard
-//! prefers its best scores in different zones; a sender with more shards than its capacity lets go of those in which it
-//! scores least, and they go on to their next best. Both sides go by the same score, so there is one outcome, in whatever
-//! order it is reached (a stable matching, after Gale and Shapley), and it stays as it was for all whom a change of the
-//! membership does not concern.
+//! Each pair of a shard and a sender has a score, computed by hashing (rendezvous hashing, also called highest random
+//! weight). A shard prefers the senders with which it has the highest scores, in different zones. A sender that exceeds
+//! its capacity rejects the shards with which it has the lowest scores, and they continue with their next best senders.
+//! Since both sides rank by the same score, there is only one stable matching (Gale and Shapley), whatever the order of
+//! the steps, and a change of the membership leaves shards and senders that it does not affect as they were.
 //!
-//! It is advice for where an event is handed in, and never a permission to deliver: whoever goes by an older membership
-//! hands in at a sender that accepts the event as any other would.
+//! The assignment only advises clients where to submit an event; it is not a permission to deliver. A client with an
+//! older membership submits to another sender, which accepts the event as well.
 
 mod matching;
 mod score;
@@ -19,36 +20,37 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Best scores that are cached for each shard.
+/// Number of the highest scores that are cached for each shard.
 ///
-/// A shard gets few senders, and some senders are full; for a shard that needs more, all scores are computed.
+/// A shard needs only a few senders, plus some in place of those at capacity. All scores are computed for a shard that
+/// needs more than the cached ones.
 const CACHED_SCORES: usize = 16;
 
-/// The senders of each shard under one membership.
+/// The senders of each shard for one membership.
 #[derive(Debug, Clone)]
 pub struct Assignment {
     shard_count: ShardCount,
     membership: Membership,
-    /// By index; a sender that has left leaves a free index, which the next one gets.
+    /// The senders by index. The index of a removed sender is free, and the next one that is added gets it.
     senders: Vec<Option<Sender>>,
     sender_by_name: BTreeMap<Box<str>, u32>,
-    /// The best scores of each shard, the best first.
+    /// The highest scores of each shard, in descending order.
     top_scores: Vec<Vec<Score>>,
-    /// The indices of the senders that serve each shard, the best score first.
+    /// The indices of the senders that serve each shard, in descending order of score.
     senders_of_shard: Vec<Vec<u32>>,
 }
 
-/// What a new membership changed.
+/// The number of assignments that a new membership changed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Reassignment {
-    /// Pairs of a shard and a sender that serves it and did not before.
+    /// The number of pairs of a shard and a sender that serves it now and did not before.
     pub gained: usize,
-    /// Pairs of a shard and a sender that no longer serves it.
+    /// The number of pairs of a shard and a sender that no longer serves it.
     pub lost: usize,
 }
 
 impl Assignment {
-    /// Assigns all shards to the senders of a membership.
+    /// Computes the assignment of all shards to the senders of a membership.
     #[must_use]
     pub fn new(shard_count: ShardCount, membership: Membership) -> Self {
         let senders: Vec<Sender> = membership
@@ -75,7 +77,7 @@
         assignment
     }
 
-    /// Adds a sender at the first free index, and returns that.
+    /// Adds a sender at the first free index, and returns the index.
     fn add_sender(&mut self, sender: Sender) -> u32 {
         let free = self
             .senders
@@ -90,7 +92,7 @@
         free as u32
     }
 
-    /// The best scores of a shard, at most so many, the best first.
+    /// The `count` highest scores of a shard, in descending order; fewer if there are fewer senders.
     fn best_scores(&self, shard: ShardId, count: usize) -> Vec<Score> {
         let mut scores: Vec<Score> = Vec::with_capacity(self.senders.len().min(2 * count + 1));
         let mut lowest = None;
@@ -110,9 +112,10 @@
         scores
     }
 
-    /// Goes on to a newer membership; an older one, or the same, changes nothing.
+    /// Changes to a newer membership; one that is older or the same changes nothing.
     ///
-    /// Scores are computed only for senders that came, left or changed.
+    /// Scores are computed only for senders that were added, removed or changed, except for shards with too few cached
+    /// scores left.
     pub fn update(&mut self, membership: Membership) -> Reassignment {
         if !membership.is_newer_than(&self.membership) {
             return Reassignment::default();
@@ -134,7 +137,7 @@
         reassignment(&before, &self.name_hashes())
     }
 
-    /// Removes the senders that left, or have another zone or weight in this membership; returns their indices.
+    /// Removes the senders that are absent from this membership or have another zone or weight there; returns their indices.
     fn remove_departed(&mut self, membership: &Membership) -> BTreeSet<u32> {
         let (members, senders) = (membership.members(), &mut self.senders);
         let mut removed = BTreeSet::new();
@@ -163,7 +166,7 @@
         count_before: usize,
     ) {
         let mut scores = std::mem::take(&mut self.top_scores[usize::from(shard.0)]);
-        // a score above the lowest cached one belongs to the best; where all were cached there is no lowest one
+        // only scores above the lowest cached one are sure to be among the highest; if all scores were cached, all are
         let lowest = scores
             .last()
             .filter(|_| scores.len() < count_before)
@@ -181,7 +184,7 @@
         self.top_scores[usize::from(shard.0)] = scores;
     }
 
-    /// The names of the senders that serve a shard, the best score first.
+    /// The names of the senders that serve a shard, in descending order of score.
     pub fn senders_of(&self, shard: ShardId) -> impl Iterator<Item = &str> {
         let indices = self.senders_of_shard.get(usize::from(shard.0));
         indices
@@ -191,7 +194,7 @@
             .map(|sender| &*sender.name)
     }
 
-    /// The shards that a sender serves, in order.
+    /// The shards that a sender serves, in ascending order; none for an unknown sender.
     #[must_use]
     pub fn shards_of(&self, name: &str) -> Vec<ShardId> {
         let Some(index) = self.sender_by_name.get(name) else {
@@ -219,7 +222,7 @@
         loads
     }
 
-    /// Copies of shards that no sender serves, since no other zone has capacity left.
+    /// The number of replicas of shards that have no sender, since no further zone has capacity left.
     #[must_use]
     pub fn unassigned_replicas(&self) -> usize {
         let wanted = self
@@ -232,13 +235,13 @@
             .sum()
     }
 
-    /// The membership that it was computed from.
+    /// The membership from which the assignment was computed.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.membership
     }
 
-    /// The senders of each shard by the hashes of their names, which outlast a reused index.
+    /// The senders of each shard as hashes of their names, which unlike indices are not reused by other senders.
     fn name_hashes(&self) -> Vec<Vec<u64>> {
         let name_hash = |index: &u32| {
             let sender = self.senders[*index as usize].as_ref();
@@ -251,7 +254,7 @@
     }
 }
 
-/// Orders scores, the best first, and drops all after so many.
+/// Sorts scores in descending order, and drops all but the first `count`.
 fn sort_and_truncate(scores: &mut Vec<Score>, count: usize) {
     scores.sort_unstable_by_key(|score| Reverse(*score));
     scores.truncate(count);
--- a/crates/shard-map/src/assignment/matching.rs
+++ b/crates/shard-map/src/assignment/matching.rs
@@ -1,4 +1,4 @@
-//! The stable matching of shards and senders, by deferred acceptance (Gale and Shapley).
+//! The stable matching of shards and senders by deferred acceptance (Gale and Shapley).
 
 use super::Assignment;
 use super::score::Score;
@@ -6,22 +6,22 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// A matching while it is made. Shards propose to senders in the order of their scores.
+/// The state of a matching in progress, in which shards propose to senders in descending order of score.
 pub(super) struct Matching<'a> {
     assignment: &'a Assignment,
     replication_factor: usize,
     max_replicas_per_zone: usize,
-    /// The zone of each sender, as a number.
+    /// The zone number of each sender, by the sender's index.
     zones: Vec<u32>,
-    /// Shards that each sender may serve.
+    /// The maximum number of shards of each sender, by the sender's index.
     capacities: Vec<usize>,
-    /// The shards that each sender has, the lowest score on top.
+    /// The shards that each sender has accepted so far, with the lowest score on top of the heap.
     shards_of_sender: Vec<BinaryHeap<Reverse<(Score, u16)>>>,
-    /// The senders that each shard has.
+    /// The senders that have accepted each shard so far.
     senders_of_shard: Vec<Vec<Score>>,
-    /// All scores of the shards for which the cached ones were not enough.
+    /// The scores with all senders, for each shard that used up its cached scores.
     all_scores: BTreeMap<usize, Vec<Score>>,
-    /// Shards that have fewer senders than they may get.
+    /// Shards that have not proposed yet, or that have lost a sender since.
     pending: Vec<usize>,
 }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Matches all shards; for each shard the indices of its senders, the best score first.
+    /// Matches all shards, and returns the indices of each shard's senders in descending order of score.
     pub(super) fn run(mut self) -> Vec<Vec<u32>> {
         while let Some(shard) = self.pending.pop() {
             self.match_shard(shard);
@@ -77,7 +77,7 @@
             .collect()
     }
 
-    /// Finds the best senders for a shard that accept it, in different zones.
+    /// Finds the highest-scored senders that accept a shard, within the limit for each zone.
     fn match_shard(&mut self, shard: usize) {
         let mut chosen: Vec<Score> = Vec::with_capacity(self.replication_factor);
         let mut rank = 0;
@@ -99,7 +99,7 @@
         self.senders_of_shard[shard] = chosen;
     }
 
-    /// The shard's score of this rank, from the best one on; none after that of the last sender.
+    /// The shard's score at a rank, where 0 is the highest; `None` past the last sender.
     fn score_at(&mut self, shard: usize, rank: usize) -> Option<Score> {
         let scores = self
             .all_scores
@@ -112,7 +112,7 @@
         if scores.len() >= sender_count {
             return None;
         }
-        // all cached scores were looked at: now those of every sender
+        // the cached scores are used up, so the scores with all senders are computed
         let scores = self
             .assignment
             .best_scores(ShardId(shard as u16), sender_count);
@@ -130,7 +130,9 @@
         in_zone >= self.max_replicas_per_zone
     }
 
-    /// Offers a shard to a sender, which lets go of its lowest score if it is full; whether it accepts.
+    /// Proposes a shard to a sender, and returns whether the sender accepts.
+    ///
+    /// A sender at capacity accepts only a score above its lowest one, and rejects the shard with that lowest score.
     fn propose(&mut self, shard: usize, score: Score) -> bool {
         let sender = score.sender as usize;
         let accepted = &mut self.shards_of_sender[sender];
--- a/crates/shard-map/src/assignment/score.rs
+++ b/crates/shard-map/src/assignment/score.rs
@@ -1,9 +1,9 @@
-//! Scores of shards with senders, by weighted rendezvous hashing.
+//! Scores of pairs of a shard and a sender, by weighted rendezvous hashing.
 
 use crate::shard::ShardId;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// A sender that may serve shards, with the hash of its name.
+/// A sender that may serve shards, with the precomputed hash of its name.
 #[derive(Debug, Clone)]
 pub(super) struct Sender {
     pub(super) name: Box<str>,
@@ -12,7 +12,7 @@
     pub(super) name_hash: u64,
 }
 
-/// The score of a shard with a sender, ordered by value; equal values by the hash of the sender's name.
+/// The score of a shard with a sender, ordered by value and, if values are equal, by the hash of the sender's name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Score {
     value: u64,
@@ -31,7 +31,9 @@
         }
     }
 
-    /// The best of as many draws as its weight says: so its chance to have the best score of all is in proportion to it.
+    /// Computes the score with a shard: the maximum of one hash for each unit of the sender's weight.
+    ///
+    /// The sender's probability of having the highest score of all is therefore proportional to its weight.
     pub(super) fn score(&self, index: u32, shard: ShardId) -> Score {
         let mut bytes = [0; 11];
         bytes[..8].copy_from_slice(&self.name_hash.to_le_bytes());
--- a/crates/shard-map/src/change.rs
+++ b/crates/shard-map/src/change.rs
@@ -1,22 +1,22 @@
-//! Atomic changes to the endpoints of one destination, and why one is rejected.
+//! Atomic changes to the endpoints of one destination, and the reasons for rejecting one.
 
 use crate::endpoint::{Endpoint, validate_uid};
 use crate::limits;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// What a change does to one endpoint.
+/// One step of a change: puts or removes one endpoint.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Operation {
-    /// Adds the endpoint, or replaces the one of the same name.
+    /// Adds the endpoint, or replaces the endpoint of the same name.
     Put(Endpoint),
     /// Removes the endpoint of this name from the change's destination.
     Remove(Box<str>),
 }
 
 impl Operation {
-    /// The name of the endpoint that it is about.
+    /// The unique name of the endpoint that is put or removed.
     #[must_use]
     pub fn uid(&self) -> &str {
         match self {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// An upper bound of its size on the wire, in bytes; see [`Endpoint::size_bytes`].
+    /// An upper bound of the operation's serialized size, in bytes; see [`Endpoint::size_bytes`].
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         match self {
@@ -35,9 +35,10 @@
     }
 }
 
-/// An atomic change: all of its operations are applied or none.
+/// An atomic change: either all of its operations are applied or none.
 ///
-/// All operations are of one destination, and so of one shard: no replica of some shards ever has part of a change.
+/// All operations concern one destination and therefore one shard, so that a replica of some of the shards never has
+/// only part of a change.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Change {
     /// The destination whose endpoints change.
@@ -48,11 +49,11 @@
 }
 
 impl Change {
-    /// Checks what can be checked without the state that it applies to.
+    /// Checks everything that does not depend on the endpoints to which the change is applied.
     ///
     /// # Errors
-    /// The first fault that is found: no operations or too many, a bad name or address, an endpoint of another
-    /// destination, or one that is named twice.
+    /// The first violation found: no operations or too many, an invalid name or address, an endpoint of another destination,
+    /// or an endpoint that is named twice.
     pub fn validate(&self) -> Result<(), ChangeError> {
         if self.operations.is_empty() {
             return Err(ChangeError::Empty);
@@ -81,58 +82,60 @@
     }
 }
 
-/// Why a change was rejected. Nothing of it is in force, and no version was given to it.
+/// The reason for rejecting a change. A rejected change has no effect and gets no version.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum ChangeError {
     /// The change has no operations.
-    #[error("a change without operations")]
+    #[error("change has no operations")]
     Empty,
-    /// The change has too many operations.
-    #[error("{0} operations, and a change has {max} at most", max = limits::MAX_CHANGE_OPERATIONS)]
+    /// The change has more than [`limits::MAX_CHANGE_OPERATIONS`] operations.
+    #[error("change has {0} operations, more than the maximum of {max}", max = limits::MAX_CHANGE_OPERATIONS)]
     TooManyOperations(usize),
-    /// A name is empty, too long or has control characters.
+    /// A name is empty, longer than [`limits::MAX_NAME_BYTES`] or has control characters.
     #[error(
-        "a name is empty, longer than {} bytes, or has control characters",
+        "name is empty, longer than {} bytes, or has control characters",
         limits::MAX_NAME_BYTES
     )]
     InvalidName,
-    /// No endpoint can listen on this address.
-    #[error("nothing can be reached at {0}")]
+    /// No endpoint can listen on this address: port 0, or an unspecified or multicast IP address.
+    #[error("no endpoint can listen on address {0}")]
     InvalidAddress(SocketAddr),
-    /// An endpoint belongs to this destination, which is not that of its change.
-    #[error("an endpoint of destination {0} in another one's change")]
+    /// The change contains an endpoint of this destination, which is not the destination of the change.
+    #[error("change of another destination contains an endpoint of destination {0}")]
     DestinationMismatch(u64),
-    /// The same endpoint is named twice.
-    #[error("endpoint {0} twice in a change")]
+    /// The change names this endpoint twice.
+    #[error("change names endpoint {0} twice")]
     DuplicateEndpoint(Box<str>),
-    /// The endpoint belongs to another destination, and would have to be removed from that first.
+    /// The endpoint belongs to another destination, from which it must be removed first.
     #[error("endpoint {uid} belongs to destination {destination}")]
     OwnedByOtherDestination {
         /// The name of the endpoint.
         uid: Box<str>,
-        /// The destination that it belongs to.
+        /// The destination to which the endpoint belongs.
         destination: u64,
     },
     /// The destination has no endpoint of this name.
-    #[error("no endpoint {0} of this destination")]
+    #[error("the destination has no endpoint {0}")]
     UnknownEndpoint(Box<str>),
-    /// The shard would become too long to be sent in time.
-    #[error("the shard would have {required_bytes} bytes, and has {max_bytes} at most")]
+    /// The shard would become too large to be sent within the time allowed for its snapshot.
+    #[error("the shard would have {required_bytes} bytes, more than the maximum of {max_bytes}")]
     ShardTooLarge {
-        /// Bytes that it would have.
+        /// The size of the shard with the change applied.
         required_bytes: usize,
-        /// Bytes that it may have, [`Limits::shard_bytes`](crate::Limits::shard_bytes).
+        /// The maximum size of a shard, [`Limits::shard_bytes`](crate::Limits::shard_bytes).
         max_bytes: usize,
     },
-    /// The source would store too much.
-    #[error("the list would have {required_bytes} bytes, and has {max_bytes} at most")]
+    /// The endpoint list would exceed the total size limit of the source.
+    #[error(
+        "the endpoint list would have {required_bytes} bytes, more than the maximum of {max_bytes}"
+    )]
     ListTooLarge {
-        /// Bytes that it would have.
+        /// The size of the list with the change applied.
         required_bytes: usize,
-        /// Bytes that it may have, [`Limits::total_bytes`](crate::Limits::total_bytes).
+        /// The maximum size of the list, [`Limits::total_bytes`](crate::Limits::total_bytes).
         max_bytes: usize,
     },
-    /// This source is not the leader, no longer or not yet.
+    /// This source is not the leader, or has learnt of a later leader's term.
     #[error("this source is not the leader")]
     NotLeader,
 }
--- a/crates/shard-map/src/digest.rs
+++ b/crates/shard-map/src/digest.rs
@@ -1,14 +1,14 @@
-//! 128-bit digests that add up, for anti-entropy between replicas.
+//! Additive 128-bit digests for anti-entropy between replicas.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// A digest of 128 bits: the sum, modulo 2^128, of the XXH3 hashes of what it covers.
+/// A 128-bit digest: the sum, modulo 2^128, of the XXH3 hashes of the items that it covers.
 ///
-/// One endpoint more or less costs one hash, and the digest of many shards is the sum of theirs. It detects what got
-/// lost or mixed up, as Dynamo's anti-entropy does with Merkle trees. It is no guard against someone who constructs
-/// endpoints to collide; endpoints come from the source alone.
+/// Adding or removing an endpoint costs one hash, and the digest of several shards is the sum of their digests. A digest
+/// detects lost or mixed-up data, as Merkle trees do in Dynamo's anti-entropy. It does not protect against endpoints
+/// that are constructed to collide; endpoints come from the trusted source alone.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -16,19 +16,19 @@
 pub struct Digest(pub u128);
 
 impl Digest {
-    /// The digest of these bytes.
+    /// The digest of one item, given as bytes.
     #[must_use]
     pub fn of(bytes: &[u8]) -> Self {
         Digest(xxh3_128(bytes))
     }
 
-    /// The digest of what this one and the other cover.
+    /// The digest that covers the items of both digests.
     #[must_use]
     pub fn with(self, other: Self) -> Self {
         Digest(self.0.wrapping_add(other.0))
     }
 
-    /// The digest of what this one covers and the other does not.
+    /// The digest that remains when the items of `other`, all of them covered by this digest, are removed.
     #[must_use]
     pub fn without(self, other: Self) -> Self {
         Digest(self.0.wrapping_sub(other.0))
@@ -47,7 +47,7 @@
     }
 }
 
-/// A text that is no digest. The error is part of the protocol's error responses.
+/// Error for a string that is not a digest. The message is part of the protocol's error responses.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("a digest has 32 hexadecimal digits")]
 pub struct InvalidDigest;
--- a/crates/shard-map/src/endpoint.rs
+++ b/crates/shard-map/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint of the replicated list.
+//! An endpoint of the replicated list.
 
 use crate::change::ChangeError;
 use crate::digest::Digest;
@@ -6,30 +6,31 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One endpoint of a destination, as the list has it.
+/// An entry of the endpoint list: one address at which a destination receives messages.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its unique name, the same for as long as it exists.
+    /// The name of the endpoint, unique in the whole list and unchanged for as long as the endpoint exists.
     pub uid: Box<str>,
-    /// The destination that it belongs to.
+    /// The destination to which the endpoint belongs.
     pub destination: u64,
-    /// The address that it listens on.
+    /// The address on which the endpoint listens.
     pub address: SocketAddr,
-    /// The name of its zone.
+    /// The name of the zone in which the endpoint runs.
     pub zone: Box<str>,
-    /// The name of its destination's kind.
+    /// The name of the destination's kind.
     pub kind: Box<str>,
-    /// Whether it is draining: no new message may be sent to it.
+    /// Whether the endpoint is draining and must get no new messages.
     #[serde(default)]
     pub draining: bool,
-    /// The rate that the list gives its destination, in thousandths of a call a second; an integer, so that every reader
-    /// has the same value.
+    /// The rate configured for the destination, in thousandths of a call per second. An integer, so that all processes read
+    /// exactly the same value.
     #[serde(default)]
     pub weight: u64,
 }
 
 impl Endpoint {
-    /// The digest of all fields; each text has its length before it, so that no two endpoints have the same bytes.
+    /// The digest of all fields. Each string is preceded by its length, so that different endpoints never have the same
+    /// bytes.
     #[must_use]
     pub fn digest(&self) -> Digest {
         let mut bytes = Vec::with_capacity(64 + self.uid.len() + self.zone.len() + self.kind.len());
@@ -44,16 +45,16 @@
         Digest::of(&bytes)
     }
 
-    /// An upper bound of its size on the wire, in bytes.
+    /// An upper bound of the endpoint's serialized size, in bytes.
     ///
-    /// Each byte of its texts may be written as two; the field names, two numbers of 20 digits and an address of 47
-    /// bytes take 192 at most.
+    /// Each byte of a string may be escaped to two. The field names, two numbers of 20 digits and an address of 47 bytes
+    /// take at most 192 bytes.
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         192 + 2 * (self.uid.len() + self.zone.len() + self.kind.len())
     }
 
-    /// Checks its names and its address.
+    /// Checks the names and the address.
     pub(crate) fn validate(&self) -> Result<(), ChangeError> {
         validate_uid(&self.uid)?;
         validate_name(&self.zone)?;
@@ -66,7 +67,7 @@
     }
 }
 
-/// Checks the unique name of an endpoint, which may not be empty.
+/// Checks the unique name of an endpoint, which must not be empty.
 pub(crate) fn validate_uid(uid: &str) -> Result<(), ChangeError> {
     if uid.is_empty() {
         return Err(ChangeError::InvalidName);
--- a/crates/shard-map/src/lib.rs
+++ b/crates/shard-map/src/lib.rs
@@ -1,17 +1,19 @@
-//! Shards of the endpoint list: which sender serves which destination, and how the list is replicated.
+//! The sharded endpoint list: which sender serves which destination, and how the list is replicated.
 //!
-//! - [`shard`]: destinations hashed into a fixed number of shards.
-//! - [`digest`]: 128-bit digests that add up, for anti-entropy.
-//! - [`endpoint`], [`change`]: one endpoint of the list; atomic changes to it, and why one is rejected.
-//! - [`version`]: versions of a shard, and the changes that lead from one to the next.
-//! - [`shard_replica`]: the state of one shard: its endpoints, its version, its last changes.
-//! - [`source`]: the authoritative copy; validates changes and gives them versions under a leader's term.
-//! - [`replica`]: a copy of some shards at a relay or a sender; applies changes in order, detects gaps, catches up.
-//! - [`sync`]: the requests of a replica that catches up, and the updates it gets.
-//! - [`membership`]: the senders that exist, versioned.
-//! - [`assignment`]: which senders serve a shard, computed from a membership alone.
+//! - [`shard`]: hashing of destinations into a fixed number of shards.
+//! - [`digest`]: additive 128-bit digests for anti-entropy.
+//! - [`endpoint`]: one endpoint of the list.
+//! - [`change`]: atomic changes to the endpoints of one destination, and the reasons for rejecting one.
+//! - [`version`]: versions of a shard, and changes with the version that each leads to.
+//! - [`shard_replica`]: the state of one shard: endpoints, version and recent changes.
+//! - [`source`]: the authoritative copy; validates changes and assigns versions under a leader's term.
+//! - [`replica`]: a copy of some shards at a session proxy or a sender; applies changes in order, detects gaps and
+//!   catches up.
+//! - [`sync`]: the requests of a replica that catches up, and the updates in the response.
+//! - [`membership`]: the versioned set of senders.
+//! - [`assignment`]: the senders that serve each shard, computed from a membership alone.
 //!
-//! Everything here is a state machine without I/O and without a clock. `docs/design/shard-map.md` has the reasons.
+//! The crate consists of state machines that do no I/O and read no clock. `docs/design/shard-map.md` explains the design.
 
 pub mod assignment;
 pub mod change;
--- a/crates/shard-map/src/limits.rs
+++ b/crates/shard-map/src/limits.rs
@@ -1,54 +1,57 @@
-//! Bounds on what is stored and sent, with the reason for each.
+//! Limits on stored and transmitted data, with the reason for each.
 
-/// Longest name of an endpoint, a zone or a kind, in bytes; the same bound as in the coordination service.
+/// Maximum length of the name of an endpoint, a zone or a kind, in bytes; the same as in the coordination service.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Most operations of one change. All are of one destination, and a destination has some endpoints, not hundreds.
+/// Maximum number of operations in one change. A change concerns one destination, which has a few endpoints and not
+/// hundreds.
 pub const MAX_CHANGE_OPERATIONS: usize = 64;
 
-/// Most changes that a shard's history keeps.
+/// Maximum number of changes that a shard keeps for replicas that catch up.
 ///
-/// A replica that missed more gets a snapshot of the shard, which is never more than [`Limits::shard_bytes`]. At 0.56
-/// changes a second over 65,536 shards eight changes are eleven days, and with eight changes of 200 bytes a shard of 26
-/// endpoints is no more than twice as long.
+/// A replica that missed more changes gets a snapshot of the shard, whose size is bounded by [`Limits::shard_bytes`]. At
+/// 0.56 changes a second over 65,536 shards, eight changes of one shard cover eleven days. Eight changes of 200 bytes
+/// at most double the size of a shard of 26 endpoints.
 pub const MAX_HISTORY: usize = 8;
 
-/// Most shards that one request names: 40 bytes each, so that a request is 20 KB at most.
+/// Maximum number of shards in one request. Each takes 40 bytes, so that a request has at most 20 KB.
 pub const MAX_REQUEST_SHARDS: usize = 512;
 
-/// Bytes of endpoints in one response, by [`Endpoint::size_bytes`](crate::Endpoint::size_bytes).
+/// Size of the endpoints in one response, in bytes by [`Endpoint::size_bytes`](crate::Endpoint::size_bytes), from which
+/// on no further shard is added.
 ///
-/// Shards beyond it get no update and are requested again. A request for 512 shards of the planned size has 3 MB in its
-/// response; one for shards at their bound would have 52.
+/// Shards that are left out get no update and are requested again. The response to a request for 512 shards of the
+/// planned size has 3 MB; without this limit, one for 512 shards of the maximum size would have 52 MB.
 pub const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Parts into which a span of shards is divided: 16 narrow 65,536 shards down in four steps, with 16 digests in each.
+/// Number of parts into which a span of shards is divided to find those that differ. With 16 parts, four steps of 16
+/// digests each narrow 65,536 shards down to one.
 pub const SPAN_PARTS: u32 = 16;
 
-/// Most members of a membership; as many as the coordination service has sessions.
+/// Maximum number of members in a membership, equal to the maximum number of sessions of the coordination service.
 pub const MAX_MEMBERS: usize = 32_768;
 
-/// Largest weight of a member: scores are drawn once for each unit of it.
+/// Maximum weight of a member; computing a member's score takes one hash for each unit of weight.
 pub const MAX_MEMBER_WEIGHT: u8 = 16;
 
-/// Most senders that may serve one shard.
+/// Maximum number of senders that serve one shard.
 pub const MAX_REPLICATION_FACTOR: usize = 8;
 
-/// What one replica or source may store.
+/// Limits on the data that one replica or source stores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Bytes of the endpoints of one shard, by [`Endpoint::size_bytes`](crate::Endpoint::size_bytes).
+    /// Maximum size of the endpoints of one shard, in bytes by [`Endpoint::size_bytes`](crate::Endpoint::size_bytes).
     pub shard_bytes: usize,
-    /// Bytes of all endpoints.
+    /// Maximum size of all endpoints together, in bytes.
     pub total_bytes: usize,
-    /// Changes that are kept of each shard; none at a sender, from which nobody catches up.
+    /// Number of changes kept for each shard; 0 at a sender, since no replica catches up from a sender.
     pub history: usize,
 }
 
 impl Limits {
-    /// Limits for a link of so many bytes a second, over which a shard's snapshot has to be sent in so many seconds.
+    /// Limits with which the snapshot of a shard can be sent within `seconds` over a link of `bytes_per_second`.
     ///
-    /// A history over [`MAX_HISTORY`] is cut to it.
+    /// A `history` above [`MAX_HISTORY`] is reduced to that.
     #[must_use]
     pub fn new(
         bytes_per_second: usize,
--- a/crates/shard-map/src/membership.rs
+++ b/crates/shard-map/src/membership.rs
@@ -1,6 +1,7 @@
-//! The senders that exist, versioned.
+//! The versioned set of senders that serve shards.
 //!
-//! The coordination leader gives memberships; everyone else only replaces an older one by a newer one.
+//! The leader of the coordination service creates memberships; all other processes only replace an older one by a newer
+//! one.
 
 use crate::limits;
 use crate::shard::ShardCount;
@@ -8,23 +9,23 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One sender that may serve shards.
+/// A sender that may serve shards.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// The name of its zone.
+    /// The name of the zone in which the sender runs.
     pub zone: Box<str>,
-    /// How much of the work it gets beside others, 1 to [`limits::MAX_MEMBER_WEIGHT`].
+    /// The sender's share of the work relative to other members, 1 to [`limits::MAX_MEMBER_WEIGHT`].
     #[serde(rename = "shares")]
     pub weight: u8,
 }
 
-/// The senders that may serve shards, and how many of them each shard gets.
+/// The senders that may serve shards, and the number of senders for each shard.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(try_from = "SerializedMembership", into = "SerializedMembership")]
 pub struct Membership {
     version: Version,
     replication_factor: u8,
-    /// Shards that a member serves at most for each unit of its weight.
+    /// The maximum number of shards that a member serves for each unit of its weight.
     shards_per_weight: u32,
     members: BTreeMap<Box<str>, Member>,
 }
@@ -32,19 +33,19 @@
 /// Why a membership is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipError {
-    /// No copies of a shard, or too many.
+    /// A replication factor of 0, or above [`limits::MAX_REPLICATION_FACTOR`].
     #[error("{0} copies: there are 1 to {max}", max = limits::MAX_REPLICATION_FACTOR)]
     ReplicationFactor(u8),
-    /// Too many members.
+    /// More than [`limits::MAX_MEMBERS`] members.
     #[error("{0} members, and {max} is the most", max = limits::MAX_MEMBERS)]
     TooManyMembers(usize),
-    /// A name or a zone is empty or too long.
+    /// A member whose name or zone is empty or longer than [`limits::MAX_NAME_BYTES`].
     #[error(
         "a name or a zone is empty or longer than {} bytes",
         limits::MAX_NAME_BYTES
     )]
     InvalidName,
-    /// The weight of a member is zero or too large.
+    /// A member with a weight of 0, or above [`limits::MAX_MEMBER_WEIGHT`].
     #[error("{0} shares: a member has 1 to {max}", max = limits::MAX_MEMBER_WEIGHT)]
     Weight(u8),
 }
@@ -53,7 +54,7 @@
     /// The first membership of a term, without members.
     ///
     /// # Errors
-    /// [`MembershipError::ReplicationFactor`] for no copies of a shard, or too many.
+    /// [`MembershipError::ReplicationFactor`] for a factor of 0 or above [`limits::MAX_REPLICATION_FACTOR`].
     pub fn new(term: LeaderTerm, replication_factor: u8) -> Result<Self, MembershipError> {
         if replication_factor == 0
             || usize::from(replication_factor) > limits::MAX_REPLICATION_FACTOR
@@ -68,13 +69,14 @@
         })
     }
 
-    /// The next version, with these members, each of which may serve the mean and a quarter of it for its weight.
+    /// The next version of the membership, with these members in place of the previous ones.
     ///
-    /// The bound stays as it was while the capacity of all is enough by a tenth and not half again too much: each change
-    /// of it moves shards of senders that have nothing to do with it, and at 16,000 senders there would be one an hour.
+    /// A member may serve up to 1.25 times the mean number of shards for its weight. That capacity per unit of weight is
+    /// kept while the total capacity is between 1.1 and 1.5 times the need, since each change of the capacity moves
+    /// shards of senders that did not change themselves, and with 16,000 senders would occur once an hour.
     ///
     /// # Errors
-    /// [`MembershipError`] for too many members, or one with a name, a zone or a weight that is not valid.
+    /// [`MembershipError`] for too many members, or a member with an invalid name, zone or weight.
     pub fn with_members(
         &self,
         members: BTreeMap<Box<str>, Member>,
@@ -104,13 +106,13 @@
         })
     }
 
-    /// Whether it has a later version than another one.
+    /// Whether this membership has a later version than the other one.
     #[must_use]
     pub fn is_newer_than(&self, other: &Self) -> bool {
         self.version > other.version
     }
 
-    /// Becomes the other one if that is newer; whether it was.
+    /// Replaces this membership by the other one if that is newer, and returns whether it was.
     pub fn replace_if_newer(&mut self, other: Self) -> bool {
         let is_newer = other.is_newer_than(self);
         if is_newer {
@@ -119,24 +121,24 @@
         is_newer
     }
 
-    /// Goes on under a later leader's term; an earlier one changes nothing.
+    /// Sets the term to that of a later leader; an earlier term changes nothing.
     pub fn raise_term(&mut self, term: LeaderTerm) {
         self.version.term = self.version.term.max(term);
     }
 
-    /// Its version.
+    /// The version, by which memberships are ordered.
     #[must_use]
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// Senders that serve each shard, in different zones while there are so many.
+    /// The number of senders that serve each shard, in different zones if there are enough zones.
     #[must_use]
     pub fn replication_factor(&self) -> usize {
         usize::from(self.replication_factor)
     }
 
-    /// Shards that a member serves at most for each unit of its weight.
+    /// The maximum number of shards that a member serves for each unit of its weight.
     #[must_use]
     pub fn shards_per_weight(&self) -> u32 {
         self.shards_per_weight
@@ -155,7 +157,8 @@
         zones.len()
     }
 
-    /// Senders of one zone that may serve the same shard: one, while there are as many zones as copies.
+    /// The maximum number of senders of one zone that serve the same shard; 1 if there are at least as many zones as the
+    /// replication factor.
     #[must_use]
     pub fn max_replicas_per_zone(&self) -> usize {
         self.replication_factor().div_ceil(self.zone_count().max(1))
@@ -178,7 +181,7 @@
     Ok(())
 }
 
-/// A membership as it is sent, before it is validated.
+/// The serialized form of a membership, not yet validated when it is read.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 struct SerializedMembership {
     term: LeaderTerm,
--- a/crates/shard-map/src/replica.rs
+++ b/crates/shard-map/src/replica.rs
@@ -1,12 +1,17 @@
-//! A copy of some shards, at a relay or at a sender.
+//! A copy of some shards at a session proxy or a sender.
 //!
-//! Three guards, each for itself. **The term**: an update of an earlier term than the newest that is known is ignored.
-//! **The version**: a shard moves forward only, and a change applies only as the very next one. **The digest**: a change
-//! applies only where it leads to the content that it names, and a snapshot only if it is what its digest says. So a
-//! peer that is behind, repeats itself, or is back with yesterday's state sends what is older, and nobody follows it.
+//! Three independent checks protect a replica:
 //!
-//! Nothing out of order is kept: a change that leaves a gap makes the shard stale, and the peer that is asked has the
-//! changes between.
+//! - **Term**: an update with an earlier term than the newest known one is ignored.
+//! - **Version**: the version of a shard only grows, and a change applies only if its number is the next one.
+//! - **Digest**: a change applies only if the resulting endpoints have the digest that it names, and a snapshot only if
+//!   its endpoints have its digest.
+//!
+//! A peer that lags behind, repeats updates or was restored from an old backup therefore sends only older updates, which
+//! replicas ignore.
+//!
+//! Changes that arrive out of order are not stored. A change that leaves a gap marks the shard as stale, and the replica
+//! requests the missing changes.
 
 mod spans;
 
@@ -19,60 +24,62 @@
 use crate::version::{LeaderTerm, ShardVersion, VersionedChange};
 use std::collections::BTreeSet;
 
-/// What followed from an update.
+/// The result of applying an update.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ApplyOutcome {
-    /// What is new here, for those who have their copies from this one.
+    /// The updates to forward to the replicas that get their data from this one.
     pub updates: Vec<Update>,
-    /// What to request now.
+    /// The requests to send now, for data that is missing here.
     pub requests: Vec<SyncRequest>,
 }
 
-/// Why an update was ignored. The copy is as it was.
+/// The reason for ignoring an update. The endpoints stay unchanged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ApplyError {
-    /// A later leader is known.
-    #[error("an update of term {term}, and {newest} is known")]
+    /// The update comes from an earlier leader than the newest known one.
+    #[error("update has term {term}, but the newest known term is {newest}")]
     StaleTerm {
         /// The term of the update.
         term: LeaderTerm,
-        /// The newest term that is known here.
+        /// The newest term known to the replica.
         newest: LeaderTerm,
     },
-    /// The shard is at that version already, or at a later one.
-    #[error("the shard is at that version, or at a later one")]
+    /// The shard already has the version of the update or a later one, or a confirmed span has changed since it was
+    /// requested.
+    #[error("the shard already has the version of the update or a later one")]
     NotNewer,
-    /// The same version with another content: two sources gave versions under one term, and only a later term ends it.
-    #[error("two states under one version")]
+    /// The update has the version of the shard but other endpoints: two sources assigned versions under the same term. Only
+    /// a later term resolves the conflict.
+    #[error("update has the version of the shard but different endpoints")]
     ConflictingVersion,
-    /// The shard is not stored here.
-    #[error("the shard is not subscribed to")]
+    /// The replica is not subscribed to the shard of the update.
+    #[error("not subscribed to the shard of the update")]
     NotSubscribed,
-    /// Endpoints that do not match their digest, are not in order, are of another shard, or are not valid.
-    #[error("endpoints that do not match their shard or its digest")]
+    /// The endpoints of the update do not match its digest, are unordered or invalid, or belong to another shard.
+    #[error("endpoints of the update are invalid or do not match its shard or digest")]
     InvalidContent,
-    /// It would take more room than the limits allow; the shard stays as it is, stale.
-    #[error("more than the limits allow")]
+    /// The update would exceed the size limits of the replica. The shard keeps its previous endpoints.
+    #[error("update exceeds the size limits of the replica")]
     CapacityExceeded,
-    /// A span that does not exist, or has parts that do not.
-    #[error("no such span")]
+    /// The update names a span, or a part of one, beyond the last shard, an empty one, or too many parts.
+    #[error("update names an invalid span of shards")]
     InvalidSpan,
 }
 
-/// A copy of the shards that are subscribed to.
+/// A copy of the shards to which the process is subscribed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ShardMapReplica {
     shard_count: ShardCount,
     limits: Limits,
     newest_term: LeaderTerm,
     shards: ShardReplicas,
-    /// Shards of which updates were missed.
+    /// Subscribed shards that have missed updates.
     stale: BTreeSet<ShardId>,
     size_bytes: usize,
 }
 
 impl ShardMapReplica {
-    /// A copy that is subscribed to no shard yet.
+    /// Creates a replica that is not subscribed to any shard yet.
     #[must_use]
     pub fn new(shard_count: ShardCount, limits: Limits) -> Self {
         Self {
@@ -85,9 +92,9 @@
         }
     }
 
-    /// Stores these shards from now on, and drops all others.
+    /// Replaces the subscriptions by these shards, and drops the data of all others.
     ///
-    /// A sender subscribes to the shards that it serves and those it has messages for; a relay subscribes to all.
+    /// A sender subscribes to the shards that it serves or has messages for; a session proxy subscribes to all shards.
     pub fn subscribe(&mut self, shards: impl IntoIterator<Item = ShardId>) {
         let subscribed: BTreeSet<ShardId> = shards
             .into_iter()
@@ -101,17 +108,18 @@
         self.size_bytes = self.shards.values().map(ShardReplica::size_bytes).sum();
     }
 
-    /// The requests that find out whether anything was missed, also the last change of all.
+    /// The requests that detect missed updates, including a missed update after which no other follows.
     ///
-    /// To be sent periodically, and on each new connection. A copy of all shards requests their sum, any other one the
-    /// shards one by one.
+    /// The caller sends them periodically and on each new connection. A replica of all shards compares the sum of all
+    /// digests in one request; other replicas compare each shard.
     #[must_use]
     pub fn sync_requests(&self) -> Vec<SyncRequest> {
         let span = self.shard_count.full_span();
         let has_all = self.shards.len() as u32 == span.count;
         let sum = sync::digest_of_span(&self.shards, self.shard_count, self.newest_term, span);
         if has_all && limits::SPAN_PARTS < span.count && self.newest_term > LeaderTerm::default() {
-            // without a sum (shards of several terms) the default, which equals no other: the parts come in response
+            // shards of several terms have no common sum; the default digest differs from any sum, so that the response has
+            // the digests of the parts
             return vec![self.span_request(span, sum.unwrap_or_default())];
         }
         self.shard_requests(self.shards.keys().copied())
@@ -139,10 +147,10 @@
             .collect()
     }
 
-    /// Applies an update.
+    /// Applies an update, which may also turn out to leave a gap; the missing data is then requested.
     ///
     /// # Errors
-    /// Why it is ignored; the endpoints are as they were then.
+    /// [`ApplyError`] with the reason for ignoring the update; the endpoints stay unchanged.
     pub fn apply(&mut self, update: Update) -> Result<ApplyOutcome, ApplyError> {
         let term = update.term();
         if term < self.newest_term {
@@ -201,7 +209,8 @@
         })
     }
 
-    /// A shard missed an update: it is requested once, and again with the next [`ShardMapReplica::sync_requests`].
+    /// Marks a shard as having missed an update. The shard is requested unless it was stale already; further requests come
+    /// with [`ShardMapReplica::sync_requests`].
     fn mark_stale(&mut self, id: ShardId) -> ApplyOutcome {
         let requests = if self.stale.insert(id) {
             self.shard_requests([id].into_iter())
@@ -258,60 +267,60 @@
         })
     }
 
-    /// The updates that another replica's request gets from this one, as from a relay.
+    /// The updates with which this replica, as at a session proxy, responds to the request of another replica.
     ///
-    /// What is not yet confirmed under the newest term is not sent.
+    /// Shards that are not yet confirmed under the newest term are left out.
     ///
     /// # Errors
-    /// [`SyncError`] if the request is not valid.
+    /// [`SyncError`] if the request is invalid.
     pub fn respond(&self, request: &SyncRequest) -> Result<Vec<Update>, SyncError> {
         sync::respond(&self.shards, self.shard_count, self.newest_term, request)
     }
 
-    /// One shard, if it is subscribed to.
+    /// The state of a shard; `None` if the replica is not subscribed to it.
     #[must_use]
     pub fn shard(&self, id: ShardId) -> Option<&ShardReplica> {
         self.shards.get(&id)
     }
 
-    /// The endpoints of a destination; none if its shard is not subscribed to.
+    /// The endpoints of a destination; `None` if the replica is not subscribed to its shard.
     #[must_use]
     pub fn endpoints(&self, destination: u64) -> Option<&[Endpoint]> {
         let shard = self.shards.get(&self.shard_count.shard_of(destination))?;
         Some(shard.endpoints_of(destination))
     }
 
-    /// The number of all shards.
+    /// The number of all shards, subscribed or not.
     #[must_use]
     pub fn shard_count(&self) -> ShardCount {
         self.shard_count
     }
 
-    /// The shards that are subscribed to, in order.
+    /// The subscribed shards, in ascending order.
     pub fn subscribed(&self) -> impl Iterator<Item = ShardId> {
         self.shards.keys().copied()
     }
 
-    /// The number of shards of which updates were missed.
+    /// The number of subscribed shards that have missed updates.
     #[must_use]
     pub fn stale_count(&self) -> usize {
         self.stale.len()
     }
 
-    /// The newest term that is known here.
+    /// The newest leader's term known to the replica.
     #[must_use]
     pub fn term(&self) -> LeaderTerm {
         self.newest_term
     }
 
-    /// The size of all endpoints in bytes, by [`Endpoint::size_bytes`].
+    /// The size of all stored endpoints in bytes, by [`Endpoint::size_bytes`].
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         self.size_bytes
     }
 }
 
-/// Checks that a version is later than that of the shard.
+/// Checks that a version is later than the shard's own.
 fn check_newer(version: &ShardVersion, shard: &ShardReplica) -> Result<(), ApplyError> {
     if version.version == shard.version() && version.digest != shard.digest() {
         return Err(ApplyError::ConflictingVersion);
--- a/crates/shard-map/src/replica/spans.rs
+++ b/crates/shard-map/src/replica/spans.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy over spans of shards: sums of digests that match, or lead to the shards that differ.
+//! Anti-entropy over spans of shards: compares sums of digests to find the shards that differ.
 
 use super::{ApplyError, ApplyOutcome, ShardMapReplica};
 use crate::digest::Digest;
@@ -8,9 +8,9 @@
 use crate::version::Version;
 
 impl ShardMapReplica {
-    /// A span is the same at a peer: its shards are confirmed under the newest term.
+    /// Confirms the shards of a span under the newest term, since a peer has the same sum of digests.
     ///
-    /// The sum that is confirmed has to be that of now, not of when it was requested.
+    /// The confirmed sum must match the current digests; the shards may have changed since the request.
     pub(super) fn confirm_span(
         &mut self,
         span: Span,
@@ -43,7 +43,8 @@
         })
     }
 
-    /// Requests the parts that differ: their own parts, or, where they are few, each of their shards.
+    /// Requests the parts of a span that differ or are unconfirmed. A differing part of at most [`limits::SPAN_PARTS`] shards
+    /// is requested shard by shard, any other part by the sum of its digests.
     pub(super) fn compare_parts(
         &mut self,
         first: u32,
@@ -84,7 +85,7 @@
         })
     }
 
-    /// The sum of the versioned digests of a part, and whether all of it is confirmed under the newest term.
+    /// The sum of the versioned digests of a part, and whether all of its shards are confirmed under the newest term.
     fn part_digest(&self, part: Span) -> Result<(Digest, bool), ApplyError> {
         let (mut sum, mut is_confirmed) = (Digest::default(), true);
         for id in self.shard_count.shards_in(part) {
--- a/crates/shard-map/src/shard.rs
+++ b/crates/shard-map/src/shard.rs
@@ -1,48 +1,49 @@
-//! Destinations hashed into a fixed number of shards.
+//! Hashing of destinations into a fixed number of shards.
 
 use serde::{Deserialize, Serialize};
 use std::num::NonZeroU32;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The number of shards; all processes that exchange updates need the same number.
+/// The number of shards, which must be the same in all processes that exchange updates.
 ///
-/// The hash is XXH3 with seed 0, whose values are fixed: a destination's shard is the same on every machine and in
-/// every version.
+/// Destinations are hashed by XXH3 with seed 0. Its values are fixed, so that a destination has the same shard on every
+/// machine and in every version of the program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "u32", into = "u32")]
 pub struct ShardCount(NonZeroU32);
 
-/// The number of one shard, from 0 on.
+/// The number of one shard, counted from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ShardId(pub u16);
 
-/// A number that is no valid number of shards. The text is part of the protocol's error responses.
+/// Error for a shard count outside 1 to [`ShardCount::MAX`]. The message is part of the protocol's error responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("{0} ranges: there are 1 to 65,536")]
 pub struct InvalidShardCount(pub u32);
 
-/// Neighbouring shards.
+/// A contiguous range of shards.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Span {
-    /// The number of the first.
+    /// The number of the first shard.
     pub(crate) first: u32,
-    /// How many there are.
+    /// The number of shards in the span.
     pub(crate) count: u32,
 }
 
 impl ShardCount {
     /// The largest number of shards, and the default.
     ///
-    /// At 1.7 million destinations each shard has 26, 3.5 KB as discovery sends them, so that a sender's 12 shards
-    /// arrive in 7 of 17 s at 6 KB/s, and 31 of them do too. A quarter as many would need fewer digests, but give four
-    /// shards to a sender, and to the fullest sender by chance three times the mean.
+    /// At 1.7 million destinations each shard has 26, which take 3.5 KB in a discovery response. The 12 shards of a sender
+    /// then arrive within 7 s at 6 KB/s, where 17 s are allowed; 31 shards still arrive within the 17 s. A quarter as many
+    /// shards would need fewer digests, but would leave a sender only four shards, and by chance the fullest sender would
+    /// have three times the mean.
     pub const MAX: u32 = 1 << 16;
 
-    /// A count of 1 to [`ShardCount::MAX`] shards.
+    /// Creates a count of 1 to [`ShardCount::MAX`] shards.
     ///
     /// # Errors
-    /// [`InvalidShardCount`] for none, or for more than [`ShardCount::MAX`].
+    /// [`InvalidShardCount`] for 0, or for more than [`ShardCount::MAX`].
     pub fn new(count: u32) -> Result<Self, InvalidShardCount> {
         NonZeroU32::new(count)
             .filter(|count| count.get() <= Self::MAX)
@@ -50,17 +51,17 @@
             .ok_or(InvalidShardCount(count))
     }
 
-    /// The count as a number.
+    /// The count as an integer, 1 to [`ShardCount::MAX`].
     #[must_use]
     pub fn count(self) -> u32 {
         self.0.get()
     }
 
-    /// The shard of a destination.
+    /// The shard to which a destination belongs, by its hash.
     #[must_use]
     pub fn shard_of(self, destination: u64) -> ShardId {
         let hash = u128::from(xxh3_64(&destination.to_le_bytes()));
-        // below the count, which is 65,536 at most
+        // the product's upper 64 bits are below the count of at most 65,536, and so fit into 16 bits
         ShardId(((hash * u128::from(self.count())) >> 64) as u16)
     }
 
@@ -69,13 +70,13 @@
         self.span(0, self.count())
     }
 
-    /// `count` shards from `first` on, as far as there are any.
+    /// The `count` shards from `first` on, ending early at the last shard.
     pub fn span(self, first: u32, count: u32) -> impl Iterator<Item = ShardId> {
         let end = first.saturating_add(count).min(self.count());
         (first..end).map(|number| ShardId(number as u16))
     }
 
-    /// Whether there is such a shard.
+    /// Whether the shard's number is below the count.
     #[must_use]
     pub fn contains(self, shard: ShardId) -> bool {
         u32::from(shard.0) < self.count()
@@ -95,7 +96,7 @@
 
 impl Default for ShardCount {
     fn default() -> Self {
-        // not zero
+        // 1 plus `MAX - 1`, written so that no case for zero is needed
         ShardCount(NonZeroU32::MIN.saturating_add(Self::MAX - 1))
     }
 }
--- a/crates/shard-map/src/shard_replica.rs
+++ b/crates/shard-map/src/shard_replica.rs
@@ -1,4 +1,4 @@
-//! The state of one shard: its endpoints, its version, its last changes.
+//! The state of one shard: its endpoints, its version and its most recent changes.
 
 use crate::change::{Change, Operation};
 use crate::digest::Digest;
@@ -8,27 +8,27 @@
 use crate::version::{LeaderTerm, Version, VersionedChange};
 use std::collections::VecDeque;
 
-/// What became of a change that a shard was to apply.
+/// The result of applying a change to a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ApplyStatus {
-    /// It is applied.
+    /// The change was applied.
     Applied,
-    /// It does not follow the shard's version and content.
+    /// The change does not follow the current version, or its result has another digest than the change names.
     Gap,
-    /// The limits do not allow it.
+    /// The shard with the change applied would exceed the size limits.
     CapacityExceeded,
 }
 
-/// A shard's endpoints with its version and the last changes that led there.
+/// A shard's endpoints, with its version and the most recent changes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct ShardReplica {
     version: Version,
     content: Content,
-    /// The last changes, oldest first.
+    /// The most recent changes, oldest first.
     history: VecDeque<HistoryEntry>,
 }
 
-/// Endpoints, with the digest and the size of all of them.
+/// Endpoints, with their total digest and size.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 struct Content {
     /// Ordered by destination and name.
@@ -44,7 +44,7 @@
 }
 
 impl ShardReplica {
-    /// A shard with these endpoints and no history; none if they are not in order or one is named twice.
+    /// Creates a shard with these endpoints and no history; `None` if they are not strictly ordered by destination and name.
     #[must_use]
     pub fn new(version: Version, endpoints: Vec<Endpoint>) -> Option<Self> {
         if !endpoints.is_sorted_by(|a, b| sort_key(a) < sort_key(b)) {
@@ -66,21 +66,21 @@
         })
     }
 
-    /// Its version.
+    /// The version that the last applied change or confirmation gave the shard.
     #[must_use]
     pub fn version(&self) -> Version {
         self.version
     }
 
-    /// The digest of its endpoints.
+    /// The digest of all endpoints of the shard.
     #[must_use]
     pub fn digest(&self) -> Digest {
         self.content.digest
     }
 
-    /// The digest of its number, its endpoints and its version's number.
+    /// A digest of the shard's id, its endpoints and the number of its version.
     ///
-    /// Where two are equal, the next change fits both; the term is not in it.
+    /// Two replicas with the same versioned digest can apply the same next change. The term is not included.
     #[must_use]
     pub fn versioned_digest(&self, shard: ShardId) -> Digest {
         let mut bytes = [0; 26];
@@ -90,13 +90,13 @@
         Digest::of(&bytes)
     }
 
-    /// Its endpoints, ordered by destination and name.
+    /// The endpoints of the shard, ordered by destination and name.
     #[must_use]
     pub fn endpoints(&self) -> &[Endpoint] {
         &self.content.endpoints
     }
 
-    /// The endpoints of one destination.
+    /// The endpoints of one destination; empty if it has none.
     #[must_use]
     pub fn endpoints_of(&self, destination: u64) -> &[Endpoint] {
         let endpoints = &self.content.endpoints;
@@ -105,23 +105,23 @@
         &endpoints[from..to]
     }
 
-    /// The size of its endpoints in bytes, by [`Endpoint::size_bytes`].
+    /// The size of all endpoints of the shard in bytes, by [`Endpoint::size_bytes`].
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         self.content.size_bytes
     }
 
-    /// Sets its version, as when a later leader confirms the content under its own term.
+    /// Sets the version without a change, as when a later leader confirms the endpoints under its own term.
     pub fn set_version(&mut self, version: Version) {
         self.version = version;
     }
 
-    /// Applies a change and gives it the next version, under this term; none if an endpoint to remove is not there.
+    /// Applies a change and assigns it the next version under this term; `None` if an endpoint to remove does not exist.
     ///
-    /// `check_size` gets the bytes that the shard would have, and says whether it may.
+    /// `check_size` is called with the size in bytes that the shard would have, and rejects it with an error.
     ///
     /// # Errors
-    /// The error of `check_size`; nothing has changed then.
+    /// The error of `check_size`; the shard then stays unchanged.
     pub fn assign_version<E>(
         &mut self,
         shard: ShardId,
@@ -148,10 +148,10 @@
         Ok(Some(change))
     }
 
-    /// Applies a change if it is the next one, by its number and by the content that it leads to.
+    /// Applies a change if its number is the next one and its result has the digest that it names.
     ///
-    /// `fits` gets the bytes that the shard would have, and says whether it may. Unless the change is applied, nothing
-    /// has changed.
+    /// `fits` is called with the size in bytes that the shard would have, and returns whether that is allowed. A change that
+    /// is not applied leaves the shard unchanged.
     pub fn apply(
         &mut self,
         change: &VersionedChange,
@@ -173,7 +173,7 @@
         ApplyStatus::Applied
     }
 
-    /// Goes on to the content that a change leads to, and keeps the change for those who catch up.
+    /// Replaces the content by the result of a change, and adds the change to the history for replicas that catch up.
     fn advance(&mut self, content: Content, change: VersionedChange, limits: &Limits) {
         let digest_before = std::mem::replace(&mut self.content, content).digest;
         self.version = change.version;
@@ -188,9 +188,10 @@
         }
     }
 
-    /// The changes that lead from the state of this number and digest to this one, if all of them are kept.
+    /// The changes since the state with this version number and digest; `None` if the history does not have all of them.
     ///
-    /// None if one of them has an earlier term than the shard: whoever knows the later term ignores it.
+    /// Also `None` if one of them has an earlier term than the shard, since a replica that knows the later term would ignore
+    /// that change.
     #[must_use]
     pub fn changes_since(&self, number: u64, digest: Digest) -> Option<Vec<VersionedChange>> {
         let from = self
@@ -207,7 +208,7 @@
 }
 
 impl Content {
-    /// The content with a change applied; none if an endpoint to remove is not there.
+    /// The content with a change applied; `None` if an endpoint to remove does not exist.
     fn with_change(&self, change: &Change) -> Option<Content> {
         let mut content = self.clone();
         for operation in &change.operations {
--- a/crates/shard-map/src/source.rs
+++ b/crates/shard-map/src/source.rs
@@ -1,7 +1,7 @@
-//! The authoritative copy of the list: validates changes, and gives them versions under a leader's term.
+//! The authoritative copy of the endpoint list, which validates changes and assigns versions under a leader's term.
 //!
-//! It makes no promise of its own: whoever runs it has a change committed and on disk before it is sent to anyone, as
-//! the coordination service does, and takes its term from there.
+//! The source does not itself make changes durable. The process that runs it must have each change committed and on disk
+//! before sending it to any replica, as the coordination service does, and takes the term from that service.
 
 use crate::change::{Change, ChangeError, Operation};
 use crate::limits::Limits;
@@ -11,7 +11,7 @@
 use crate::version::{LeaderTerm, Version, VersionedChange};
 use std::collections::BTreeMap;
 
-/// The list as its source has it.
+/// The authoritative endpoint list.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ShardMapSource {
     shard_count: ShardCount,
@@ -19,23 +19,24 @@
     term: LeaderTerm,
     is_leader: bool,
     shards: ShardReplicas,
-    /// The destination of each endpoint: names are unique in the whole list, and senders go by them.
+    /// The destination of each endpoint by name. Names are unique in the whole list, since senders identify endpoints by
+    /// them.
     destination_by_uid: BTreeMap<Box<str>, u64>,
     size_bytes: usize,
 }
 
-/// A term that is not above the one that is known.
+/// Error for assuming leadership under a term that is not above the source's own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("term {requested} is not above {known}")]
 pub struct StaleTerm {
-    /// The term that was to begin.
+    /// The term under which leadership was to be assumed.
     pub requested: LeaderTerm,
-    /// The newest term that is known here.
+    /// The source's own term.
     pub known: LeaderTerm,
 }
 
 impl ShardMapSource {
-    /// An empty list, whose source is the leader of this term.
+    /// Creates an empty list, with the source as leader of this term.
     #[must_use]
     pub fn new(shard_count: ShardCount, limits: Limits, term: LeaderTerm) -> Self {
         let empty = |id| {
@@ -54,9 +55,9 @@
         }
     }
 
-    /// Becomes the leader of a later term with the list as it is here.
+    /// Becomes the leader of a later term, with the list as stored in this source.
     ///
-    /// The caller has made sure that all that was committed is in it.
+    /// The caller must ensure that the list contains all committed changes.
     ///
     /// # Errors
     /// [`StaleTerm`] if the term is not above that of this source.
@@ -77,23 +78,23 @@
         Ok(())
     }
 
-    /// Learns of another leader's term; if it is later, this source gives no more versions.
+    /// Records that a leader of this term exists; if the term is above its own, the source rejects all further changes.
     pub fn observe_term(&mut self, term: LeaderTerm) {
         if term > self.term {
             self.is_leader = false;
         }
     }
 
-    /// The term of which it is the leader, or was last.
+    /// The term of which this source is the leader, or was before it was deposed.
     #[must_use]
     pub fn term(&self) -> LeaderTerm {
         self.term
     }
 
-    /// Validates a change, applies it and gives it its version.
+    /// Validates a change, applies it and assigns it a version.
     ///
     /// # Errors
-    /// Why it is rejected; nothing has changed then, and no version is used up.
+    /// [`ChangeError`] with the reason for the rejection; the list then stays unchanged, and no version is used.
     pub fn propose(&mut self, change: Change) -> Result<VersionedChange, ChangeError> {
         if !self.is_leader {
             return Err(ChangeError::NotLeader);
@@ -106,21 +107,21 @@
         let bytes_before = shard.size_bytes();
         let others_bytes = self.size_bytes - bytes_before;
         let check_size = |shard_bytes| {
-            // what makes a shard shorter is never rejected
+            // a change that does not enlarge the shard is never rejected for its size
             if shard_bytes <= bytes_before {
                 return Ok(());
             }
             check_limits(&limits, shard_bytes, others_bytes + shard_bytes)
         };
         let versioned = shard.assign_version(id, self.term, change, &limits, check_size)?;
-        // each endpoint to remove is in `destination_by_uid`, and so in its shard
+        // cannot be `None`: each endpoint to remove was found in `destination_by_uid`, and so is in its shard
         let versioned = versioned.ok_or(ChangeError::UnknownEndpoint("".into()))?;
         self.size_bytes = others_bytes + shard.size_bytes();
         self.record_ownership(&versioned.change);
         Ok(versioned)
     }
 
-    /// Checks that each endpoint to put is of no other destination, and each one to remove of this one.
+    /// Checks that no endpoint to put belongs to another destination, and each endpoint to remove to this one.
     fn check_ownership(&self, change: &Change) -> Result<(), ChangeError> {
         for operation in &change.operations {
             let uid = operation.uid();
@@ -155,21 +156,21 @@
         }
     }
 
-    /// The updates that a replica's request gets.
+    /// The updates with which the source responds to a replica's request.
     ///
     /// # Errors
-    /// [`SyncError`] if the request is not valid.
+    /// [`SyncError`] if the request is invalid.
     pub fn respond(&self, request: &SyncRequest) -> Result<Vec<Update>, SyncError> {
         sync::respond(&self.shards, self.shard_count, self.term, request)
     }
 
-    /// One shard.
+    /// The state of a shard; `None` if its number is not below the number of shards.
     #[must_use]
     pub fn shard(&self, id: ShardId) -> Option<&ShardReplica> {
         self.shards.get(&id)
     }
 
-    /// The number of shards.
+    /// The number of shards into which destinations are hashed.
     #[must_use]
     pub fn shard_count(&self) -> ShardCount {
         self.shard_count
--- a/crates/shard-map/src/sync.rs
+++ b/crates/shard-map/src/sync.rs
@@ -1,8 +1,8 @@
 //! The requests of a replica that catches up, and the updates that it gets from the source or another replica.
 //!
-//! A replica names what it has: one sum of digests for a span of shards, or version and digest of each shard. Where they
-//! differ it gets the changes that it missed, or a snapshot of the shard. The reconciliation is that of Dynamo's
-//! anti-entropy, with sums of digests in place of a Merkle tree.
+//! A request describes the state of the replica: one sum of digests for a span of shards, or the version and digest of
+//! each shard. For each shard that differs the response has the missed changes or a snapshot. This is the anti-entropy of
+//! Dynamo with sums of digests in place of a Merkle tree.
 
 use crate::change::Operation;
 use crate::digest::Digest;
@@ -14,23 +14,23 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A request for what the sender of it lacks.
+/// A request of a replica for the updates that it lacks.
 ///
-/// It names the number of shards, since updates mean nothing under another one.
+/// The request contains the number of shards, since a shard's id has another meaning under another number.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SyncRequest {
-    /// Updates of these shards, [`limits::MAX_REQUEST_SHARDS`] at most.
+    /// Requests the updates of these shards, at most [`limits::MAX_REQUEST_SHARDS`].
     #[serde(rename = "each")]
     Shards {
         /// The number of all shards.
         #[serde(rename = "ranges")]
         shard_count: ShardCount,
-        /// What the requesting replica has of them.
+        /// The versions of these shards at the requesting replica.
         #[serde(rename = "stands")]
         versions: Vec<ShardVersion>,
     },
-    /// Whether these neighbouring shards are the same on both sides.
+    /// Compares a span of shards by the sum of their digests.
     Span {
         /// The number of all shards.
         #[serde(rename = "ranges")]
@@ -39,59 +39,59 @@
         first: u32,
         /// The number of shards in the span.
         count: u32,
-        /// The sum of their [versioned digests](ShardReplica::versioned_digest) at the requesting replica.
+        /// The sum of the shards' [versioned digests](ShardReplica::versioned_digest) at the requesting replica.
         digest: Digest,
     },
 }
 
-/// What a replica is sent: a change as it happens, or part of a response to a [`SyncRequest`].
+/// A message to a replica: a change as it happens, or part of a response to a [`SyncRequest`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Update {
-    /// One change.
+    /// One change to a shard.
     Change(VersionedChange),
-    /// A shard's version, for a replica that has its content already.
+    /// A new version of a shard whose endpoints the replica already has.
     #[serde(rename = "stand")]
     Version(ShardVersion),
-    /// A shard with all of its endpoints.
+    /// A shard with all of its endpoints, which replace those of the replica.
     #[serde(rename = "whole")]
     Snapshot {
-        /// Its version.
+        /// The shard's version.
         #[serde(rename = "stand")]
         version: ShardVersion,
-        /// Its endpoints, ordered by destination and name.
+        /// The shard's endpoints, ordered by destination and name.
         #[serde(rename = "rows")]
         endpoints: Vec<Endpoint>,
     },
     /// The shards of a span are the same on both sides.
     #[serde(rename = "same")]
     SpanMatches {
-        /// The term under which the sender of it has all of them.
+        /// The term under which the responding side has all shards of the span.
         term: LeaderTerm,
         /// The first shard of the span.
         first: u32,
         /// The number of shards in the span.
         count: u32,
-        /// The sum of their versioned digests.
+        /// The sum of the shards' versioned digests.
         digest: Digest,
     },
-    /// The shards of a span differ: the sums of its parts.
+    /// The shards of a span differ; the digests of its parts show where.
     #[serde(rename = "parts")]
     SpanDigests {
-        /// The term under which the sender of it has all of them.
+        /// The term under which the responding side has all shards of the span.
         term: LeaderTerm,
         /// The first shard of the span.
         first: u32,
         /// The number of shards in each part; the last may have fewer.
         #[serde(rename = "each")]
         part_length: u32,
-        /// The sum of the versioned digests of each part.
+        /// The sum of the versioned digests of each part, in order.
         digests: Vec<Digest>,
     },
 }
 
 impl Update {
-    /// The term of the leader whose state it is.
+    /// The term of the leader whose state the update describes.
     #[must_use]
     pub fn term(&self) -> LeaderTerm {
         match self {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The size of its endpoints in bytes, by [`Endpoint::size_bytes`].
+    /// The size of the update's endpoints in bytes, by [`Endpoint::size_bytes`].
     fn size_bytes(&self) -> usize {
         match self {
             Update::Change(change) => {
@@ -114,10 +114,10 @@
     }
 }
 
-/// Why a request is rejected. The texts are part of the protocol's error responses.
+/// The reason for rejecting a request. The messages are part of the protocol's error responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SyncError {
-    /// The sides divide destinations into different numbers of shards, and mean others by the same shard.
+    /// The two sides hash destinations into different numbers of shards, so that their shard ids have different meanings.
     #[error("there are {local} ranges here and {remote} there")]
     ShardCountMismatch {
         /// The number of shards on this side.
@@ -125,7 +125,7 @@
         /// The number of shards on the requesting side.
         remote: u32,
     },
-    /// Too many shards in one request.
+    /// More than [`limits::MAX_REQUEST_SHARDS`] shards in one request.
     #[error("{0} ranges in one question, and {max} is the most", max = limits::MAX_REQUEST_SHARDS)]
     TooManyShards(usize),
     /// A shard or a span beyond the last shard, or an empty span.
@@ -133,10 +133,10 @@
     UnknownShard,
 }
 
-/// The shards that one side stores.
+/// The stored shards of a source or a replica, by id.
 pub(crate) type ShardReplicas = BTreeMap<ShardId, ShardReplica>;
 
-/// The sum of the versioned digests of a span; none if not all of it is stored, or not all under this term.
+/// The sum of the versioned digests of a span; `None` unless all of its shards are stored with a version of this term.
 pub(crate) fn digest_of_span(
     shards: &ShardReplicas,
     shard_count: ShardCount,
@@ -153,7 +153,7 @@
     Some(sum)
 }
 
-/// The version of a shard, as it is sent.
+/// The version and digest of a shard in the form that is sent.
 pub(crate) fn shard_version(id: ShardId, shard: &ShardReplica) -> ShardVersion {
     ShardVersion {
         shard: id,
@@ -162,9 +162,10 @@
     }
 }
 
-/// The updates that a request gets from what is stored here.
+/// The updates with which a source or replica that stores `shards` responds to a request.
 ///
-/// What is not stored, or not confirmed under the newest term known here, gets none: another replica knows more.
+/// Shards that are not stored, or not confirmed under `newest_term`, are left out, since another peer may have newer
+/// data.
 pub(crate) fn respond(
     shards: &ShardReplicas,
     shard_count: ShardCount,
@@ -220,7 +221,7 @@
     }
 }
 
-/// Updates of these shards, up to [`limits::MAX_RESPONSE_BYTES`] and the shard that passes it.
+/// The updates of these shards. The response ends with the shard that makes it reach [`limits::MAX_RESPONSE_BYTES`].
 fn shard_updates(
     shards: &ShardReplicas,
     newest_term: LeaderTerm,
@@ -238,7 +239,7 @@
     updates
 }
 
-/// What leads from the remote version of a shard to the one stored here.
+/// The updates that bring a shard from the remote version to the local one.
 fn updates_of_shard(
     shards: &ShardReplicas,
     newest_term: LeaderTerm,
@@ -251,7 +252,7 @@
         return Vec::new();
     };
     let local = shard_version(remote.shard, shard);
-    // the requesting side has more: it gets nothing, and nobody is moved backwards
+    // a requesting side that is ahead or equal gets nothing, so that no replica moves to an older version
     if remote.version > local.version || *remote == local {
         return Vec::new();
     }
@@ -267,7 +268,8 @@
     }
 }
 
-/// Whether a span matches the remote sum of its digests, or else the sums of its parts.
+/// Compares a span with the remote sum of its digests, and returns the digests of its parts if they differ; `None` if
+/// not all shards of the span are stored under the newest term.
 fn span_update(
     shards: &ShardReplicas,
     shard_count: ShardCount,
--- a/crates/shard-map/src/version.rs
+++ b/crates/shard-map/src/version.rs
@@ -1,4 +1,4 @@
-//! Versions of a shard, and the changes that lead from one to the next.
+//! Versions of a shard, and changes with the version that each leads to.
 
 use crate::change::Change;
 use crate::digest::Digest;
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The term of the leader that gave a version; each new leader has a higher one (as in Raft).
+/// The term of the leader that assigned a version; each new leader has a higher term, as in Raft.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -21,44 +21,44 @@
 
 /// The version of a shard or of a membership.
 ///
-/// Versions are ordered by term first, whatever the number: what an earlier leader numbered and the later one does not
-/// have was never committed.
+/// Versions are ordered by term, then by number. A change that an earlier leader numbered and a later leader does not
+/// have was never committed, so the later term takes precedence even with a lower number.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Version {
-    /// The term of the leader that gave the number, or confirmed it.
+    /// The term of the leader that assigned the number, or of a later leader that confirmed it.
     pub term: LeaderTerm,
-    /// The number of changes so far.
+    /// The number of changes so far; 0 before the first one.
     pub number: u64,
 }
 
 /// A change to a shard, with the version that it leads to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VersionedChange {
-    /// The shard that changes.
+    /// The shard to which the change applies.
     #[serde(rename = "range")]
     pub shard: ShardId,
     /// The shard's version once the change is applied.
     #[serde(rename = "position")]
     pub version: Version,
-    /// The digest of the shard's endpoints once the change is applied: it applies to the state that leads there, and to
-    /// no other.
+    /// The digest of the shard's endpoints once the change is applied. A replica whose endpoints would have another digest
+    /// does not apply the change.
     #[serde(rename = "after")]
     pub digest_after: Digest,
-    /// The change itself.
+    /// The operations on the endpoints of one destination.
     pub change: Change,
 }
 
 /// The version of one shard, with the digest of its endpoints.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ShardVersion {
-    /// The shard.
+    /// The shard whose version this is.
     #[serde(rename = "range")]
     pub shard: ShardId,
-    /// Its version.
+    /// The shard's version.
     #[serde(rename = "position")]
     pub version: Version,
-    /// The digest of its endpoints.
+    /// The digest of the shard's endpoints at this version.
     pub digest: Digest,
 }
