--- a/crates/cluster-harness/src/cluster.rs
+++ b/crates/cluster-harness/src/cluster.rs
@@ -1,4 +1,4 @@
-//! A coordination service of several replicas, with a controlled link between each two of them.
+//! A coordination service of several replicas, with a controlled link between each pair of them.
 
 use crate::controlled_link::{LinkControl, controlled_link};
 use crate::process::Process;
@@ -13,34 +13,35 @@
 
 pub use clients::{ClientLinks, SessionProxyProcess};
 
-/// The group name of each cluster.
+/// The group name in the settings of every cluster.
 pub const GROUP_NAME: &str = "trial";
-/// The lease of a member in a cluster that sets no other.
+/// The lease duration of members, in a cluster that sets no other.
 pub const DEFAULT_LEASE: &str = "2s";
+/// The heartbeat interval between the replicas.
 const HEARTBEAT: &str = "60ms";
-/// An address at which nobody listens.
-const NOBODY: &str = "127.0.0.1:1";
+/// An address on which no process listens.
+const UNREACHABLE_ADDRESS: &str = "127.0.0.1:1";
 
-/// The replicas of a coordination service, by their index from 0 on; replica 0 has the id 1.
+/// A coordination service under test. Replicas are identified by their index, counted from 0; replica 0 has the id 1.
 #[derive(Debug)]
 pub struct Cluster {
-    /// What members, proxies and operators' commands run.
+    /// The program for members, session proxies and operators' commands.
     client_program: Program,
     folder: TempDir,
     lease: String,
     replicas: Vec<Replica>,
-    /// The link from a replica to another, by their indexes.
+    /// The link from one replica to another, by the indexes of both.
     peer_links: BTreeMap<(usize, usize), PeerLink>,
 }
 
-/// A replica and what outlasts its process.
+/// A replica's current process, and the state that stays when the process ends.
 #[derive(Debug)]
 struct Replica {
     program: Program,
     process: Option<Process>,
-    /// Where it listens, or did last.
+    /// The address on which the current process listens, or the last one did.
     address: Option<SocketAddr>,
-    /// The links of members, proxies and operators that lead to it.
+    /// The links from members and session proxies to the replica.
     client_links: Vec<LinkControl>,
 }
 
@@ -51,18 +52,18 @@
 }
 
 impl Cluster {
-    /// Founds a cluster of so many replicas that all run this program, and starts them.
+    /// Creates a cluster of `count` replicas that all run this program, and starts them.
     ///
     /// # Panics
-    /// If that cannot be done.
+    /// If the files cannot be written or a replica does not start.
     pub fn start(program: impl Into<Program>, count: usize) -> Self {
         Self::start_with_lease(program, count, DEFAULT_LEASE)
     }
 
-    /// As [`start`](Self::start), with another lease.
+    /// Like [`start`](Self::start), with a lease other than [`DEFAULT_LEASE`].
     ///
     /// # Panics
-    /// If that cannot be done.
+    /// If the files cannot be written or a replica does not start.
     pub fn start_with_lease(program: impl Into<Program>, count: usize, lease: &str) -> Self {
         let program = program.into();
         let mut peer_links = BTreeMap::new();
@@ -81,13 +82,14 @@
         let mut cluster = Self {
             replicas: (0..count).map(|_| replica()).collect(),
             client_program: program.clone(),
-            folder: TempDir::new().expect("a folder"),
+            folder: TempDir::new().expect("a temporary folder is created"),
             lease: lease.to_string(),
             peer_links,
         };
         for index in cluster.replicas() {
             let settings = cluster.settings_text(index);
-            std::fs::write(cluster.settings_file(index), settings).expect("written");
+            std::fs::write(cluster.settings_file(index), settings)
+                .expect("the settings file is written");
         }
         cluster.bootstrap(&[]);
         for index in cluster.replicas() {
@@ -96,10 +98,10 @@
         cluster
     }
 
-    /// Makes the disk of each replica, with these arguments in addition.
+    /// Creates the state folder of each replica by running its coordinator command with these additional arguments.
     ///
     /// # Panics
-    /// If one cannot be made.
+    /// If a command fails.
     pub fn bootstrap(&self, arguments: &[&str]) {
         for index in self.replicas() {
             let program = &self.replicas[index].program;
@@ -108,22 +110,22 @@
                 .args([program.coordinator_command(), "--found", "--config"])
                 .arg(self.settings_file(index))
                 .args(arguments);
-            let output = command.output().expect("it starts");
+            let output = command.output().expect("the command starts");
             assert!(output.status.success(), "{output:?}");
         }
     }
 
-    /// Runs this program for a replica from its next start on, on the same disk.
+    /// Sets the program that a replica runs from its next start on, with the same state folder.
     pub fn set_replica_program(&mut self, index: usize, program: &Program) {
         self.replicas[index].program = program.clone();
     }
 
-    /// Runs this program for the members, proxies and operators' commands that are started from now on.
+    /// Sets the program for members, session proxies and operators' commands that are started from now on.
     pub fn set_client_program(&mut self, program: &Program) {
         self.client_program = program.clone();
     }
 
-    /// The folder of a replica's disk.
+    /// The state folder of a replica, which stands for its disk.
     #[must_use]
     pub fn disk_folder(&self, index: usize) -> PathBuf {
         self.folder.path().join(format!("disk{index}"))
@@ -141,11 +143,13 @@
             self.lease
         );
         for to in self.replicas() {
-            // nobody calls itself
+            // a replica never connects to itself
             let address = self
                 .peer_links
                 .get(&(index, to))
-                .map_or(NOBODY.to_string(), |link| link.address.to_string());
+                .map_or(UNREACHABLE_ADDRESS.to_string(), |link| {
+                    link.address.to_string()
+                });
             text.push_str(&format!(
                 "[[steward]]\nid = {}\naddress = \"{address}\"\n",
                 to + 1
@@ -154,10 +158,10 @@
         text
     }
 
-    /// Starts a replica that is not running; all links to it forward to its new port.
+    /// Starts a replica that is not running, and makes all links to the replica forward to its new port.
     ///
     /// # Panics
-    /// If it does not come up.
+    /// If the replica does not start and report its address within [`MAX_WAIT`](crate::process::MAX_WAIT).
     pub fn start_replica(&mut self, index: usize) {
         let program = &self.replicas[index].program;
         let arguments = [
@@ -183,13 +187,16 @@
     /// The running process of a replica.
     ///
     /// # Panics
-    /// If it is not running.
+    /// If the replica is not running.
     #[must_use]
     pub fn replica(&self, index: usize) -> &Process {
-        self.replicas[index].process.as_ref().expect("it runs")
+        self.replicas[index]
+            .process
+            .as_ref()
+            .expect("the replica has been started")
     }
 
-    /// Ends a replica as a crash would; its disk stays.
+    /// Kills a replica, as in a crash; its state folder stays.
     pub fn kill_replica(&mut self, index: usize) {
         self.replicas[index].process = None;
     }
@@ -202,15 +209,20 @@
             .map(|(_, link)| &link.control)
     }
 
-    /// The addresses of the replicas, without links.
+    /// The addresses of the replicas themselves, which bypass all links.
     ///
     /// # Panics
-    /// If one has never run.
+    /// If a replica has never run.
     #[must_use]
     pub fn addresses(&self) -> Vec<String> {
         self.replicas
             .iter()
-            .map(|replica| replica.address.expect("it runs").to_string())
+            .map(|replica| {
+                replica
+                    .address
+                    .expect("the replica has been started")
+                    .to_string()
+            })
             .collect()
     }
 
@@ -220,7 +232,7 @@
         (0..self.replicas.len()).collect()
     }
 
-    /// The folder of the replicas' settings and disks.
+    /// The temporary folder with the settings files and state folders of the replicas.
     #[must_use]
     pub fn folder(&self) -> &Path {
         self.folder.path()
--- a/crates/cluster-harness/src/cluster/clients.rs
+++ b/crates/cluster-harness/src/cluster/clients.rs
@@ -1,6 +1,6 @@
-//! What uses a cluster: members, session proxies and operators' commands, each with its own links.
+//! The clients of a cluster: members and session proxies, each with links of its own, and operators' commands.
 
-use super::{Cluster, GROUP_NAME, NOBODY};
+use super::{Cluster, GROUP_NAME, UNREACHABLE_ADDRESS};
 use crate::controlled_link::{LinkControl, controlled_link};
 use crate::history::{
     Event, check_reported_writes, check_single_owner, check_writes_within_lease, writes_of,
@@ -10,10 +10,10 @@
 use std::net::SocketAddr;
 use std::process::Command;
 
-/// The links of one client: to each replica, or to each session proxy that it uses.
+/// The links of one client, to each replica or to each session proxy that the client uses.
 #[derive(Debug)]
 pub struct ClientLinks {
-    /// The links' controls, in the order of the replicas or proxies.
+    /// The controls of the links, in the order of the replicas or session proxies.
     pub links: Vec<LinkControl>,
     addresses: Vec<SocketAddr>,
 }
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Adds a link; its control.
+    /// Adds a link, and returns its control.
     fn add(&mut self) -> LinkControl {
         let (address, control) = controlled_link();
         self.links.push(control.clone());
@@ -35,18 +35,18 @@
     }
 }
 
-/// A session proxy's process and its links.
+/// A running session proxy with its links to the replicas.
 #[derive(Debug)]
 pub struct SessionProxyProcess {
-    /// The process.
+    /// The process, which is killed when this value is dropped.
     pub process: Process,
-    /// Its own links to the replicas.
+    /// The proxy's own links to the replicas.
     pub coordinator_links: ClientLinks,
     address: SocketAddr,
 }
 
 impl SessionProxyProcess {
-    /// The address on which it listens, without a link.
+    /// The address on which the proxy itself listens, which bypasses all links.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
@@ -54,7 +54,7 @@
 }
 
 impl Cluster {
-    /// New links to all replicas, for one client.
+    /// Creates links to all replicas for one client.
     pub fn connect_client(&mut self) -> ClientLinks {
         let mut links = ClientLinks::with_capacity(self.replicas.len());
         for replica in &mut self.replicas {
@@ -67,7 +67,7 @@
         links
     }
 
-    /// New links to these session proxies, for one client.
+    /// Creates links to these session proxies for one client.
     #[must_use]
     pub fn connect_client_through(&self, proxies: &[&SessionProxyProcess]) -> ClientLinks {
         let mut links = ClientLinks::with_capacity(proxies.len());
@@ -77,10 +77,10 @@
         links
     }
 
-    /// Starts a member that wants to own a resource, and writes under its token every 40 ms while it does.
+    /// Starts a member that tries to acquire a resource, and writes with its fencing token every 40 ms while it is the owner.
     ///
     /// # Panics
-    /// If it cannot be started.
+    /// If the process cannot be started.
     #[must_use]
     pub fn start_member(&self, links: &ClientLinks, resource: &str, name: &str) -> Process {
         let mut arguments = member_arguments(resource, name);
@@ -90,13 +90,13 @@
         Process::start(&self.client_program, name, &arguments)
     }
 
-    /// As [`start_member`](Self::start_member), through session proxies and without a way to the replicas themselves.
+    /// Like [`start_member`](Self::start_member), but the member reaches the replicas only through session proxies.
     ///
     /// # Panics
-    /// If it cannot be started.
+    /// If the process cannot be started.
     pub fn start_member_through(&self, links: &ClientLinks, resource: &str, name: &str) -> Process {
         let mut arguments = member_arguments(resource, name);
-        arguments.extend(["--steward", NOBODY].map(String::from));
+        arguments.extend(["--steward", UNREACHABLE_ADDRESS].map(String::from));
         for address in &links.addresses {
             arguments.extend(["--relay".to_string(), address.to_string()]);
         }
@@ -106,7 +106,7 @@
     /// Starts a session proxy with links of its own to all replicas.
     ///
     /// # Panics
-    /// If it does not come up.
+    /// If the proxy does not start and report its address within [`MAX_WAIT`](crate::process::MAX_WAIT).
     pub fn start_session_proxy(&mut self, name: &str) -> SessionProxyProcess {
         let coordinator_links = self.connect_client();
         let file_name = format!("proxy-{name}-{}.toml", self.replicas[0].client_links.len());
@@ -120,7 +120,7 @@
             "group = \"{GROUP_NAME}\"\nname = \"{name}\"\nlisten = \"127.0.0.1:0\"\nplaces = 256\nstewards = [{}]\n",
             quoted.join(", ")
         );
-        std::fs::write(&file, settings).expect("written");
+        std::fs::write(&file, settings).expect("the settings file is written");
         let arguments = [
             self.client_program.session_proxy_command().to_string(),
             "--config".to_string(),
@@ -135,10 +135,11 @@
         }
     }
 
-    /// Runs an operator's command against these replicas, without links; its exit code and the lines that it printed.
+    /// Runs an operator's command against these replicas, bypassing the links, and returns its exit code and the lines of its
+    /// output.
     ///
     /// # Panics
-    /// If it cannot be started or prints anything but JSON.
+    /// If the command cannot be started or prints anything but JSON.
     #[must_use]
     pub fn run_fleet_command(&self, replicas: &[usize], arguments: &[&str]) -> (i32, Vec<Value>) {
         let mut command = Command::new(self.client_program.path());
@@ -148,26 +149,31 @@
             .args(["--format", "json", "--group", GROUP_NAME, "--wait", "5"]);
         for index in replicas {
             let address = self.replicas[*index].address;
-            let address = address.map_or(NOBODY.to_string(), |address| address.to_string());
+            let address = address.map_or(UNREACHABLE_ADDRESS.to_string(), |address| {
+                address.to_string()
+            });
             command.args(["--steward", &address]);
         }
-        let output = command.output().expect("it starts");
+        let output = command.output().expect("the command starts");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
         let lines = text
             .lines()
-            .map(|line| serde_json::from_str(line).expect("JSON"))
+            .map(|line| serde_json::from_str(line).expect("a line of JSON"))
             .collect();
-        (output.status.code().expect("not killed"), lines)
+        (
+            output.status.code().expect("the command was not killed"),
+            lines,
+        )
     }
 
-    /// Waits until one of these replicas leads by the word of all of them; its index.
+    /// Waits until all of these replicas report the same leader among them, and returns the leader's index.
     ///
     /// # Panics
-    /// If none does in time.
+    /// If that does not happen within [`MAX_WAIT`](crate::process::MAX_WAIT).
     #[expect(clippy::must_use_candidate, reason = "tests also call it only to wait")]
     pub fn leader(&self, among: &[usize]) -> usize {
         let mut leader_id = None;
-        wait_until("one leads and all know it", || {
+        wait_until("all replicas report the same leader", || {
             let (_, lines) = self.run_fleet_command(among, &["status"]);
             let statuses: Vec<&Value> = lines.iter().map(|line| &line["status"]).collect();
             let leads = statuses.iter().find(|status| status["role"] == "leader");
@@ -177,17 +183,19 @@
                     .iter()
                     .all(|status| status["leader"].as_u64() == leader_id)
         });
-        leader_id.map(|id| id as usize - 1).expect("known")
+        leader_id
+            .map(|id| id as usize - 1)
+            .expect("the leader is known")
     }
 
-    /// The events of a resource that the coordination service remembers.
+    /// The events of a resource in the history of the coordination service.
     ///
     /// # Panics
-    /// If no majority shows them in time.
+    /// If no majority of replicas returns them within [`MAX_WAIT`](crate::process::MAX_WAIT).
     #[must_use]
     pub fn events_of(&self, resource: &str) -> Vec<Event> {
         let mut events = Vec::new();
-        wait_until("a majority shows the history", || {
+        wait_until("a majority returns the history", || {
             let (code, lines) = self.run_fleet_command(&self.replicas(), &["work", resource]);
             events = lines.iter().filter_map(Event::read).collect();
             code == 0
@@ -195,13 +203,13 @@
         events
     }
 
-    /// Checks all that must hold of the resource `w` and of those that write for it; its events.
+    /// Checks all invariants of the resource `w` and of the processes that write to it, and returns the events of `w`.
     ///
     /// # Panics
     /// If an invariant does not hold.
     #[expect(clippy::must_use_candidate, reason = "also called only to check")]
     pub fn check_history(&self, processes: &[&Process]) -> Vec<Event> {
-        // what they reported before the history is read: what they write meanwhile is not yet in what it shows
+        // the reports are read before the history, since a write between the two reads would be missing from the history
         let reported: Vec<_> = processes
             .iter()
             .map(|process| (process.name.clone(), writes_of(process)))
@@ -218,7 +226,7 @@
     }
 }
 
-/// The arguments of a member that writes JSON lines, all but where it finds the service.
+/// The arguments of a member that prints JSON lines, without the addresses of the service.
 fn member_arguments(resource: &str, name: &str) -> Vec<String> {
     let arguments = ["fleet", "hold", resource, "--name", name, "--every", "40"];
     let output_and_group = ["--format", "json", "--group", GROUP_NAME];
--- a/crates/cluster-harness/src/controlled_link.rs
+++ b/crates/cluster-harness/src/controlled_link.rs
@@ -1,4 +1,4 @@
-//! A TCP link that the test cuts, blocks and restores while it is in use.
+//! A TCP link that a test cuts, blocks and restores while connections use it.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -6,16 +6,16 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::thread;
 
-/// What a controlled link does now with the bytes of one direction.
+/// What a controlled link does with the bytes of one direction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LinkMode {
-    /// Forwards everything, also what was buffered until now.
+    /// Forwards all bytes, including those buffered so far.
     Pass,
-    /// Forwards nothing, with connections open; new ones open too.
+    /// Forwards no bytes but keeps connections open, and accepts new ones.
     Buffer,
 }
 
-/// Switches a link's faults while it is in use; clones control the same link.
+/// Controls the faults of a link while connections use it; clones control the same link.
 #[derive(Debug, Clone)]
 pub struct LinkControl {
     shared: Arc<SharedLink>,
@@ -34,7 +34,7 @@
     to_client: LinkMode,
     is_cut: bool,
     connections: BTreeMap<usize, Connection>,
-    /// Bytes to the server that are buffered, by connection.
+    /// The bytes buffered on their way to the server, by connection.
     buffered_to_server: BTreeMap<usize, Vec<u8>>,
 }
 
@@ -51,9 +51,9 @@
 /// An open connection through the link.
 #[derive(Debug)]
 struct Connection {
-    /// The client's and the server's end.
+    /// The sockets to the client and to the server.
     ends: [TcpStream; 2],
-    /// How many of its two directions have ended.
+    /// The number of directions, 0 to 2, that have ended.
     ended_directions: u8,
 }
 
@@ -63,15 +63,16 @@
     ToClient,
 }
 
-/// Listens on a port of its own; its address, and the control over it. Which server it forwards to is set later and
-/// may change, since a process that is started again has another port.
+/// Starts a link on a free port, and returns its address and its control.
+///
+/// The server is set later by [`LinkControl::forward_to`] and may change, since a restarted process has another port.
 ///
 /// # Panics
 /// If there is no free port.
 #[must_use]
 pub fn controlled_link() -> (SocketAddr, LinkControl) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("the listener has an address");
     let state = LinkState {
         server: None,
         to_server: LinkMode::Pass,
@@ -86,27 +87,27 @@
             changed: Condvar::new(),
         }),
     };
-    let accepting = control.clone();
+    let accepting_control = control.clone();
     thread::spawn(move || {
-        for (number, near) in listener.incoming().flatten().enumerate() {
-            accepting.open(number, near);
+        for (number, client_stream) in listener.incoming().flatten().enumerate() {
+            accepting_control.open(number, client_stream);
         }
     });
     (address, control)
 }
 
 impl LinkControl {
-    /// Forwards new connections to this server from now on.
+    /// Sets the server to which new connections are forwarded; existing connections stay.
     pub fn forward_to(&self, server: SocketAddr) {
         self.change(|state| state.server = Some(server));
     }
 
-    /// Sets the mode of both directions; ends a cut.
+    /// Sets the mode of both directions, and restores the link after a cut.
     pub fn set_both(&self, mode: LinkMode) {
         self.set_directions(mode, mode);
     }
 
-    /// Sets each direction by itself, as seen from the client that connects; ends a cut.
+    /// Sets the mode of each direction, and restores the link after a cut. The client is the side that opens connections.
     pub fn set_directions(&self, to_server: LinkMode, to_client: LinkMode) {
         self.change(|state| {
             state.to_server = to_server;
@@ -115,7 +116,7 @@
         });
     }
 
-    /// Ends all connections, loses what they have buffered, and lets no new ones through.
+    /// Closes all connections, discards their buffered bytes, and closes new connections at once.
     pub fn cut(&self) {
         self.change(|state| {
             state.is_cut = true;
@@ -127,7 +128,7 @@
         });
     }
 
-    /// Whether a request to the server for this path is buffered, at the start of what its connection holds.
+    /// Whether the buffered bytes of a connection to the server begin with a POST request for this path.
     #[must_use]
     pub fn buffers_request(&self, path: &str) -> bool {
         let start = format!("POST {path} ");
@@ -149,32 +150,36 @@
             .expect("no thread panics with the lock")
     }
 
-    /// Connects a client that has come to the server; drops it if the link is cut or nobody listens there.
-    fn open(&self, number: usize, near: TcpStream) {
+    /// Connects a new client to the server; closes the client's connection if the link is cut or the connect fails.
+    fn open(&self, number: usize, client_stream: TcpStream) {
         let mut state = self.state();
         let Some(server) = state.server.filter(|_| !state.is_cut) else {
             return;
         };
-        let Ok(far) = TcpStream::connect(server) else {
+        let Ok(server_stream) = TcpStream::connect(server) else {
             return;
         };
-        for stream in [&near, &far] {
+        for stream in [&client_stream, &server_stream] {
             let _ = stream.set_nodelay(true);
         }
-        let clone = |stream: &TcpStream| stream.try_clone().expect("cloned");
+        let clone = |stream: &TcpStream| stream.try_clone().expect("the socket can be cloned");
         let connection = Connection {
-            ends: [clone(&near), clone(&far)],
+            ends: [clone(&client_stream), clone(&server_stream)],
             ended_directions: 0,
         };
         state.connections.insert(number, connection);
         drop(state);
-        let (near_clone, far_clone) = (clone(&near), clone(&far));
+        let (client_clone, server_clone) = (clone(&client_stream), clone(&server_stream));
         let (to_server, to_client) = (self.clone(), self.clone());
-        thread::spawn(move || to_server.pump(number, near, far, Direction::ToServer));
-        thread::spawn(move || to_client.pump(number, far_clone, near_clone, Direction::ToClient));
+        thread::spawn(move || {
+            to_server.pump(number, client_stream, server_stream, Direction::ToServer)
+        });
+        thread::spawn(move || {
+            to_client.pump(number, server_clone, client_clone, Direction::ToClient)
+        });
     }
 
-    /// Counts the end of one direction; with the second one the connection's descriptors go.
+    /// Records that one direction has ended, and closes the connection's sockets when both have.
     fn end_direction(&self, number: usize) {
         let mut state = self.state();
         if let Some(connection) = state.connections.get_mut(&number) {
@@ -185,14 +190,14 @@
         }
     }
 
-    /// Copies one direction of a connection until it ends.
+    /// Copies the bytes of one direction until the connection ends.
     fn pump(&self, number: usize, mut from: TcpStream, mut to: TcpStream, direction: Direction) {
         let mut buffer = [0; 16 * 1024];
         loop {
             let count = from.read(&mut buffer).unwrap_or(0);
             let is_cut = self.wait_while_buffering(number, direction, &buffer[..count]);
             if count == 0 || is_cut || to.write_all(&buffer[..count]).is_err() {
-                // an end passes on as an end
+                // the end of one direction is passed on; a cut closes both directions
                 let _ = to.shutdown(if is_cut {
                     Shutdown::Both
                 } else {
@@ -203,7 +208,7 @@
         }
     }
 
-    /// Waits for as long as the direction buffers; whether the link is cut afterwards.
+    /// Waits while the direction is in buffering mode, and returns whether the link is cut afterwards.
     fn wait_while_buffering(&self, number: usize, direction: Direction, bytes: &[u8]) -> bool {
         let mut state = self.state();
         if direction == Direction::ToServer && !bytes.is_empty() && state.buffers(direction) {
--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -1,25 +1,25 @@
-//! The history of a leased resource, the writes that processes report, and the invariants that must hold of both.
+//! The history of a leased resource and the writes that processes report, with checks of their invariants.
 
 use crate::process::Process;
 use milletturn_coordination::state::{self, EventKind};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An event of a resource, as the coordination service remembers it.
+/// An event in the coordination service's history of a resource.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// The position in the order of all events.
+    /// The event's number in the order of all events.
     pub number: u64,
-    /// The fencing token under which it happened.
+    /// The fencing token with which the event is associated.
     pub token: u64,
-    /// The name of the member that it concerns.
+    /// The name of the member that the event concerns.
     pub member: String,
     /// What happened.
     pub kind: EventKind,
 }
 
 impl Event {
-    /// Reads a line of `milletturn fleet work --format json`; `None` if it is not an event.
+    /// Parses a line of `milletturn fleet work --format json`; `None` if the line is not an event.
     #[must_use]
     pub fn read(line: &Value) -> Option<Self> {
         let event: state::Event = serde_json::from_value(line.get("event")?.clone()).ok()?;
@@ -32,16 +32,16 @@
     }
 }
 
-/// A fenced write that a process reported as done.
+/// A fenced write that a process reported as successful.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ReportedWrite {
-    /// The fencing token under which it was done.
+    /// The fencing token with which the write was made.
     pub token: u64,
-    /// Its number under this token, from 1 on.
+    /// The write's number among the writes with the same token, counted from 1.
     pub number: u64,
 }
 
-/// The member that may write, while events are replayed.
+/// The current owner of the resource while events are replayed.
 #[derive(Debug)]
 struct Owner<'a> {
     token: u64,
@@ -49,26 +49,30 @@
     writes: u64,
 }
 
-/// Checks that a resource has one owner at a time: events are in order; a token has one owner and begins once; tokens
-/// only grow; every write was done by the owner of the highest token until then, each number once and in order, none
-/// after that owner lost the lease.
+/// Checks that a resource has one owner at a time.
+///
+/// - The numbers of events increase.
+/// - The token of each acquisition is above all earlier tokens, and nobody owns the resource when it is acquired.
+/// - Each write is made by the current owner with its token, and numbered consecutively from 1.
 ///
 /// # Errors
-/// The first event that breaks it.
+/// A message with the first event that violates a rule.
 pub fn check_single_owner(events: &[Event]) -> Result<(), String> {
     let mut last_number = 0;
     let mut owner: Option<Owner<'_>> = None;
     let mut highest_token = 0;
     for event in events {
         if event.number <= last_number {
-            return Err(format!("out of order: {event:?}"));
+            return Err(format!(
+                "event {event:?} does not follow event {last_number}"
+            ));
         }
         last_number = event.number;
         match event.kind {
             EventKind::Acquired => {
                 if owner.is_some() || event.token <= highest_token {
                     return Err(format!(
-                        "owned under {owner:?}, highest token {highest_token}: {event:?}"
+                        "acquired while owned by {owner:?}, highest token {highest_token}: {event:?}"
                     ));
                 }
                 highest_token = event.token;
@@ -86,7 +90,7 @@
                 {
                     owner.writes = number;
                 }
-                _ => return Err(format!("written while {owner:?} owned: {event:?}")),
+                _ => return Err(format!("write not due from the owner {owner:?}: {event:?}")),
             },
             EventKind::Released | EventKind::Expired | EventKind::Revoked => owner = None,
             EventKind::Fenced => {}
@@ -95,11 +99,12 @@
     Ok(())
 }
 
-/// Checks that the writes which members reported, by name, are those of the history, once each: no write that its
-/// process took for done is missing, and none is another member's.
+/// Checks that the history has each write at most once, and every write that a member reported as that member's.
+///
+/// `reported` has the name of each member with its writes.
 ///
 /// # Errors
-/// The first write that breaks it.
+/// A message with the first write that violates a rule.
 pub fn check_reported_writes(
     events: &[Event],
     reported: &[(String, BTreeSet<ReportedWrite>)],
@@ -110,7 +115,7 @@
             let token = event.token;
             let write = ReportedWrite { token, number };
             if done.insert(write, &event.member).is_some() {
-                return Err(format!("done twice: {event:?}"));
+                return Err(format!("write is twice in the history: {event:?}"));
             }
         }
     }
@@ -127,10 +132,10 @@
     Ok(())
 }
 
-/// Checks that each write of a process went out while its lease was valid, by the clock and the check of its own.
+/// Checks that a process sent each write before its lease expired, by the times that the process itself reports.
 ///
 /// # Errors
-/// The first line that reports a later one.
+/// A message with the first line that reports a write at or after the expiry.
 pub fn check_writes_within_lease(process: &Process) -> Result<(), String> {
     for line in process.lines() {
         let Ok(line) = serde_json::from_str::<Value>(&line) else {
@@ -146,7 +151,7 @@
     Ok(())
 }
 
-/// The writes that a process reported as done.
+/// The writes that a process reported as successful.
 #[must_use]
 pub fn writes_of(process: &Process) -> BTreeSet<ReportedWrite> {
     let read = |line: &String| {
@@ -159,31 +164,31 @@
     process.lines().iter().filter_map(read).collect()
 }
 
-/// Whether a line of `milletturn fleet hold --format json` reports a write that was done.
+/// Whether a line of `milletturn fleet hold --format json` reports a successful write.
 #[must_use]
 pub fn is_write(line: &str) -> bool {
     line.contains("\"acted\"")
 }
 
-/// Whether such a line reports a session that was opened.
+/// Whether a line of `milletturn fleet hold --format json` reports that a session was opened.
 #[must_use]
 pub fn is_join(line: &str) -> bool {
     line.contains("\"joined\"")
 }
 
-/// The number of sessions that the process opened.
+/// The number of sessions that a process reported as opened.
 #[must_use]
 pub fn join_count(process: &Process) -> usize {
     process.lines().iter().filter(|line| is_join(line)).count()
 }
 
-/// The highest token under which the process reported a write; 0 if it reported none.
+/// The highest token of a write that a process reported; 0 if the process reported none.
 #[must_use]
 pub fn highest_token(process: &Process) -> u64 {
     writes_of(process).last().map_or(0, |write| write.token)
 }
 
-/// The number of writes that the process reported under tokens above this one.
+/// The number of writes that a process reported with a token above the given one.
 #[must_use]
 pub fn writes_above(process: &Process, token: u64) -> usize {
     let writes = writes_of(process);
--- a/crates/cluster-harness/src/lib.rs
+++ b/crates/cluster-harness/src/lib.rs
@@ -1,13 +1,14 @@
-//! Test harness for clusters of the program's processes: starts them, puts faults between them, checks what they did.
+//! Test harness that runs a cluster of processes of the program, injects network faults between them, and checks the
+//! history of their actions.
 //!
-//! - [`cluster`]: a coordination service with a link between each two replicas, and its clients.
+//! - [`cluster`]: a coordination service with a link between each pair of replicas, and its clients.
 //! - [`program`]: the build of the program that a process runs, so that two versions can run side by side.
-//! - [`process`]: one process, its output, and the signals that it gets.
-//! - [`mod@controlled_link`]: a TCP link whose faults the test switches while it is in use.
-//! - [`mod@scripted_link`]: a TCP link whose faults are set in advance, connection by connection.
-//! - [`history`]: the writes that processes report, and the invariants that a resource's history must keep.
+//! - [`process`]: one process, with its output and the signals sent to it.
+//! - [`mod@controlled_link`]: a TCP link whose faults a test switches while connections use it.
+//! - [`mod@scripted_link`]: a TCP link whose faults are set in advance for each connection.
+//! - [`history`]: the history of a resource and the writes that processes report, with checks of their invariants.
 //!
-//! Tests wait for conditions; they assert on histories and never on wall time.
+//! Tests wait for conditions and make assertions about histories, never about elapsed time.
 
 pub mod cluster;
 pub mod controlled_link;
--- a/crates/cluster-harness/src/program.rs
+++ b/crates/cluster-harness/src/program.rs
@@ -1,16 +1,16 @@
-//! The build of the program that a process runs.
+//! A build of the program that a process runs, of this version or an earlier one.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
-/// An executable file of the program, with the names that its commands have in this version.
+/// An executable of the program, with the command names that its version uses.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Program {
     path: PathBuf,
     names: CommandNames,
 }
 
-/// The names of the commands that were renamed between versions.
+/// The names of commands that were renamed between versions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct CommandNames {
     coordinator: &'static str,
@@ -22,14 +22,14 @@
     session_proxy: "session-proxy",
 };
 
-/// Names up to version 0.1.0; later versions take them as hidden aliases.
+/// Command names up to version 0.1.0; later versions accept them as hidden aliases.
 const FORMER_NAMES: CommandNames = CommandNames {
     coordinator: "steward",
     session_proxy: "relay",
 };
 
 impl Program {
-    /// A build of this version.
+    /// A build of the current version.
     pub fn new(path: impl Into<PathBuf>) -> Self {
         Self {
             path: path.into(),
@@ -37,10 +37,10 @@
         }
     }
 
-    /// A build of any version; which names it knows is found by asking it for help.
+    /// A build of any version. Runs the build with `--help` to find out which command names it has.
     ///
     /// # Panics
-    /// If it cannot be started.
+    /// If the build cannot be started.
     pub fn of_any_version(path: impl Into<PathBuf>) -> Self {
         let path = path.into();
         let knows_current_names = Command::new(&path)
@@ -58,7 +58,7 @@
         Self { path, names }
     }
 
-    /// The executable file.
+    /// The path of the executable.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
--- a/crates/cluster-harness/src/scripted_link.rs
+++ b/crates/cluster-harness/src/scripted_link.rs
@@ -1,25 +1,26 @@
-//! A TCP link that cuts, stalls or delays its connections by a script that is set in advance.
+//! A TCP link that cuts, stalls or delays each connection as a test has set in advance.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::thread;
 use std::time::Duration;
 
-/// What a scripted link does with one connection.
+/// The fault that a scripted link applies to one connection.
 #[derive(Debug, Clone, Copy)]
 pub enum ConnectionFault {
-    /// Forwards everything.
+    /// Forwards all bytes without delay.
     None,
-    /// Forwards so many bytes towards the server, then resets the connection to the client.
+    /// Forwards this number of bytes to the server, then resets the connection to the client.
     CutAfter(usize),
-    /// Forwards so many bytes, then nothing more in either direction, with both connections open.
+    /// Forwards this number of bytes to the server and none to the client, then stalls with both connections open.
     StallAfter(usize),
-    /// Forwards everything, each read so much later.
+    /// Forwards all bytes in both directions, each read delayed by this duration.
     Delay(Duration),
 }
 
-/// Listens on a port of its own and forwards to `server`; `fault_of` says what happens to each connection, counted
-/// from 0.
+/// Starts a link that forwards to `server`, and returns its address.
+///
+/// `fault_of` is called with the number of each connection, counted from 0, and returns the fault to apply.
 ///
 /// # Panics
 /// If there is no free port.
@@ -27,29 +28,29 @@
     server: SocketAddr,
     fault_of: impl Fn(usize) -> ConnectionFault + Send + 'static,
 ) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("bound");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("the listener has an address");
     thread::spawn(move || {
-        for (number, near) in listener.incoming().flatten().enumerate() {
-            let Ok(far) = TcpStream::connect(server) else {
+        for (number, client_stream) in listener.incoming().flatten().enumerate() {
+            let Ok(server_stream) = TcpStream::connect(server) else {
                 continue;
             };
             let fault = fault_of(number);
-            let near_clone = near.try_clone().expect("cloned");
-            let far_clone = far.try_clone().expect("cloned");
-            thread::spawn(move || forward(near, far, fault));
+            let client_clone = client_stream.try_clone().expect("the socket can be cloned");
+            let server_clone = server_stream.try_clone().expect("the socket can be cloned");
+            thread::spawn(move || forward(client_stream, server_stream, fault));
             let fault_back = match fault {
                 ConnectionFault::Delay(_) => fault,
                 ConnectionFault::StallAfter(_) => ConnectionFault::StallAfter(0),
                 ConnectionFault::None | ConnectionFault::CutAfter(_) => ConnectionFault::None,
             };
-            thread::spawn(move || forward(far_clone, near_clone, fault_back));
+            thread::spawn(move || forward(server_clone, client_clone, fault_back));
         }
     });
     address
 }
 
-/// Copies one direction of a connection until it ends or its fault applies.
+/// Copies the bytes of one direction until the connection ends or the fault is due.
 fn forward(mut from: TcpStream, mut to: TcpStream, fault: ConnectionFault) {
     let mut remaining_bytes = match fault {
         ConnectionFault::CutAfter(bytes) | ConnectionFault::StallAfter(bytes) => Some(bytes),
@@ -79,7 +80,7 @@
     }
 }
 
-/// Applies a fault whose bytes have been forwarded.
+/// Applies a fault after the number of bytes that precede it.
 fn apply_fault(from: &TcpStream, to: &TcpStream, fault: ConnectionFault) {
     if matches!(fault, ConnectionFault::StallAfter(_)) {
         loop {
@@ -87,7 +88,7 @@
             thread::park();
         }
     }
-    // what stands unread makes the close a reset
+    // closing with unread bytes in the receive buffer makes TCP send a reset
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
 }
