--- a/crates/shard-map/tests/assignment.rs
+++ b/crates/shard-map/tests/assignment.rs
@@ -3,7 +3,8 @@
 mod common;
 
 use common::{
-    assignment, empty_membership, members, membership, senders_by_shard, shard_count, without,
+    assignment, empty_membership, members, membership, senders_by_shard, shard_count,
+    without_members,
 };
 use milletturn_shard_map::assignment::Reassignment;
 use milletturn_shard_map::{Assignment, LeaderTerm, Member, ShardId};
@@ -124,7 +125,7 @@
 fn an_older_membership_changes_nothing() {
     let count = 512;
     let old = membership(40, 5, 3, count);
-    let new = without(&old, &["sender-3"], count);
+    let new = without_members(&old, &["sender-3"], count);
     let mut assignment = assignment(&new, count);
     let before = senders_by_shard(&assignment, count);
     assert_eq!(assignment.update(old.clone()), Reassignment::default());
@@ -144,7 +145,7 @@
     let count = 2_048;
     let old = membership(100, 7, 3, count);
     let before = assignment(&old, count);
-    let after = assignment(&without(&old, &["sender-3"], count), count);
+    let after = assignment(&without_members(&old, &["sender-3"], count), count);
     for shard in shard_count(count).shards() {
         let names: Vec<&str> = before.senders_of(shard).collect();
         let remaining = names
@@ -171,7 +172,7 @@
     let all = membership(42, 3, 3, count);
     let lost: Vec<String> = (0..42).step_by(3).map(|n| format!("sender-{n}")).collect();
     let lost: Vec<&str> = lost.iter().map(String::as_str).collect();
-    let remaining = assignment(&without(&all, &lost, count), count);
+    let remaining = assignment(&without_members(&all, &lost, count), count);
     assert_stable(&remaining, count);
     assert_eq!(remaining.unassigned_replicas(), 0);
 }
@@ -182,7 +183,7 @@
     let mut current = membership(9, 4, 3, count);
     let mut assignment = assignment(&current, count);
     for n in 0..8 {
-        current = without(&current, &[&format!("sender-{n}")], count);
+        current = without_members(&current, &[&format!("sender-{n}")], count);
         assignment.update(current.clone());
         assert_stable(&assignment, count);
         assert!(
@@ -191,7 +192,7 @@
                 .all(|shard| assignment.senders_of(shard).next().is_some())
         );
     }
-    current = without(&current, &["sender-8"], count);
+    current = without_members(&current, &["sender-8"], count);
     assignment.update(current.clone());
     assert!(
         assignment.senders_of(ShardId(0)).next().is_none(),
--- a/crates/shard-map/tests/assignment_load.rs
+++ b/crates/shard-map/tests/assignment_load.rs
@@ -3,7 +3,8 @@
 mod common;
 
 use common::{
-    assignment, empty_membership, members, membership, senders_by_shard, shard_count, without,
+    assignment, empty_membership, members, membership, senders_by_shard, shard_count,
+    without_members,
 };
 use milletturn_shard_map::Membership;
 use milletturn_shard_map::assignment::Reassignment;
@@ -92,7 +93,7 @@
     for n in (0..1_000).step_by(10) {
         let name = format!("sender-{n}");
         let load = assignment.loads()[name.as_str()];
-        current = without(&current, &[&name], count);
+        current = without_members(&current, &[&name], count);
         let moved = assignment.update(current.clone());
         assert_eq!(moved.gained, moved.lost, "each copy has a sender");
         sum += moved.gained as f64;
@@ -115,7 +116,7 @@
     let zone: Vec<&str> = zone.iter().map(String::as_str).collect();
     let loads = assignment.loads();
     let lost: usize = zone.iter().map(|name| loads[name]).sum();
-    let after = without(&current, &zone, count);
+    let after = without_members(&current, &zone, count);
     assert_eq!(after.shards_per_weight(), current.shards_per_weight());
     let moved = assignment.update(after);
     println!("a zone of {} with {lost} copies: {moved:?}", zone.len());
--- a/crates/shard-map/tests/common/mod.rs
+++ b/crates/shard-map/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Endpoints, changes, memberships, sources and replicas for these tests.
-#![allow(dead_code, reason = "each test program uses some of it")]
+//! Builders for endpoints, changes, memberships, sources and replicas, shared by the tests of this package.
+#![allow(dead_code, reason = "each test program uses only some of the builders")]
 
 use milletturn_shard_map::sync::SyncError;
 use milletturn_shard_map::{
@@ -21,7 +21,7 @@
     }
 }
 
-/// An endpoint with no field at its default, a quote and a letter outside ASCII.
+/// An endpoint with no field at its default value, whose strings have a quote and a non-ASCII letter.
 pub(crate) fn full_endpoint() -> Endpoint {
     Endpoint {
         uid: "endpoint-\"7\"".into(),
@@ -54,12 +54,12 @@
     ShardCount::new(count).expect("a number of shards")
 }
 
-/// 6 KB/s for 17 s, and a large total.
+/// Limits for a link of 6 KB/s and 17 s, with a total of 64 MiB and a history of 8 changes.
 pub(crate) fn limits() -> Limits {
     Limits::new(6_000, 17, 64 << 20, 8)
 }
 
-/// So many senders over so many zones, all of weight one.
+/// `count` senders of weight 1, distributed evenly over `zones` zones.
 pub(crate) fn members(count: usize, zones: usize) -> BTreeMap<Box<str>, Member> {
     let member = |n: usize| {
         let zone = format!("zone-{}", n % zones).into();
@@ -68,7 +68,7 @@
     (0..count).map(member).collect()
 }
 
-/// A first membership without members.
+/// The first membership of a term, without members.
 pub(crate) fn empty_membership(term: u64, replication_factor: u8) -> Membership {
     Membership::new(LeaderTerm(term), replication_factor).expect("a valid replication factor")
 }
@@ -84,12 +84,12 @@
         .expect("valid members")
 }
 
-/// An empty source that leads under this term.
+/// An empty source that is the leader of this term.
 pub(crate) fn empty_source(shard_count: ShardCount, term: u64) -> ShardMapSource {
     ShardMapSource::new(shard_count, limits(), LeaderTerm(term))
 }
 
-/// A source with one endpoint for each of so many destinations.
+/// A source with one endpoint for each of the given number of destinations.
 pub(crate) fn filled_source(shard_count: ShardCount, destinations: u64) -> ShardMapSource {
     let mut source = empty_source(shard_count, 1);
     for n in 0..destinations {
@@ -98,14 +98,14 @@
     source
 }
 
-/// The source goes on under a later term.
-pub(crate) fn lead(source: &mut ShardMapSource, term: u64) {
+/// Makes the source the leader of a later term.
+pub(crate) fn assume_leadership(source: &mut ShardMapSource, term: u64) {
     source
         .assume_leadership(LeaderTerm(term))
         .expect("a later term");
 }
 
-/// A change of the destination's endpoint to each of these ports.
+/// Proposes one change for each port, which moves the destination's endpoint to that port.
 pub(crate) fn port_changes(
     source: &mut ShardMapSource,
     destination: u64,
@@ -122,7 +122,7 @@
 }
 
 /// A replica of all shards that has caught up with the source.
-pub(crate) fn copy_of(source: &ShardMapSource) -> ShardMapReplica {
+pub(crate) fn synced_replica(source: &ShardMapSource) -> ShardMapReplica {
     let mut replica = replica(source.shard_count());
     replica.subscribe(source.shard_count().shards());
     catch_up(&mut replica, |request| source.respond(request));
@@ -130,7 +130,7 @@
     replica
 }
 
-/// Sends requests until there are none left; how many there were.
+/// Sends requests and applies the responses until no request is left; returns the number of requests.
 pub(crate) fn catch_up(
     replica: &mut ShardMapReplica,
     respond: impl Fn(&SyncRequest) -> Result<Vec<Update>, SyncError>,
@@ -138,7 +138,7 @@
     let (mut requests, mut sent) = (replica.sync_requests(), 0);
     while let Some(request) = requests.pop() {
         sent += 1;
-        assert!(sent < 10_000, "it never ends");
+        assert!(sent < 10_000, "the replica does not stop sending requests");
         for update in respond(&request).expect("a valid request") {
             if let Ok(outcome) = replica.apply(update) {
                 requests.extend(outcome.requests);
@@ -148,7 +148,7 @@
     sent
 }
 
-/// The replica's shards are what the source has.
+/// Asserts that all subscribed shards of the replica have the endpoints and versions of the source.
 pub(crate) fn assert_in_sync(replica: &ShardMapReplica, source: &ShardMapSource) {
     for id in replica.subscribed() {
         let local = replica.shard(id).expect("subscribed");
@@ -173,8 +173,8 @@
     }
 }
 
-/// The next membership, without these members.
-pub(crate) fn without(membership: &Membership, names: &[&str], shards: u32) -> Membership {
+/// The next version of the membership, without these members.
+pub(crate) fn without_members(membership: &Membership, names: &[&str], shards: u32) -> Membership {
     let mut members = membership.members().clone();
     for name in names {
         members.remove(*name).expect("it was there");
@@ -188,7 +188,7 @@
     Assignment::new(shard_count(shards), membership.clone())
 }
 
-/// The names of the senders of each shard.
+/// The names of the senders of each shard, in descending order of score.
 pub(crate) fn senders_by_shard(assignment: &Assignment, shards: u32) -> Vec<Vec<String>> {
     let names = |id| assignment.senders_of(id).map(str::to_string).collect();
     shard_count(shards).shards().map(names).collect()
--- a/crates/shard-map/tests/golden_map.rs
+++ b/crates/shard-map/tests/golden_map.rs
@@ -4,8 +4,8 @@
 mod common;
 
 use common::{
-    change_of, empty_membership, empty_source, endpoint, full_endpoint, lead, members, put, remove,
-    replica, shard_count, version_of,
+    assume_leadership, change_of, empty_membership, empty_source, endpoint, full_endpoint, members,
+    put, remove, replica, shard_count, version_of,
 };
 use milletturn_shard_map::{
     Assignment, Digest, Member, Operation, ShardCount, ShardId, ShardMapReplica, ShardMapSource,
@@ -43,7 +43,7 @@
             .propose(remove(destination, &format!("d{destination}-e1")))
             .expect("valid");
     }
-    lead(&mut source, 4);
+    assume_leadership(&mut source, 4);
     source.propose(put(17, "d17-e0", 7_777)).expect("valid");
     source
 }
@@ -153,7 +153,7 @@
     let requests = replica.sync_requests();
     record_responses(&mut transcript, "equal", &requests, &source);
     // the same content under a later term
-    lead(&mut source, 5);
+    assume_leadership(&mut source, 5);
     let request = request_for(&replica, ShardId(3));
     record_responses(&mut transcript, "confirmed", &request, &source);
     assert_equal_by_line(&transcript.0, MAP);
--- a/crates/shard-map/tests/membership.rs
+++ b/crates/shard-map/tests/membership.rs
@@ -1,4 +1,4 @@
-//! What a membership accepts, and the capacity that it gives its members.
+//! Validation of a membership, and the capacity of its members.
 
 mod common;
 
@@ -8,40 +8,44 @@
 use std::collections::BTreeMap;
 
 #[test]
-fn the_capacity_of_members_stays_while_it_is_enough() {
+fn capacity_of_members_stays_between_1_1_and_1_5_times_the_need() {
     let count = 4_096;
     let first = membership(1_000, 31, 3, count);
     assert_eq!(
         first.shards_per_weight(),
         16,
-        "12.3 on average, and a quarter of it"
+        "1.25 times the mean of 12.3 shards"
     );
     let resized = |from: &Membership, to: usize| {
         from.with_members(members(to, 31), shard_count(count))
             .expect("valid")
     };
     let few = resized(&first, 846);
-    assert_eq!(few.shards_per_weight(), 16, "a tenth more than is needed");
+    assert_eq!(few.shards_per_weight(), 16, "1.1 times the need");
     let fewest = resized(&few, 844);
     assert_eq!(fewest.shards_per_weight(), 19);
-    assert_eq!(resized(&fewest, 846).shards_per_weight(), 19, "no flapping");
+    assert_eq!(
+        resized(&fewest, 846).shards_per_weight(),
+        19,
+        "no return to 16 at once"
+    );
     assert_eq!(resized(&fewest, 970).shards_per_weight(), 19);
     assert_eq!(
         resized(&fewest, 971).shards_per_weight(),
         16,
-        "one and a half times what is needed"
+        "more than 1.5 times the need"
     );
 }
 
 #[test]
-fn an_invalid_membership_is_rejected_with_a_reason() {
+fn invalid_membership_is_rejected_with_a_reason() {
     let first = empty_membership(1, 3);
     assert_eq!(
-        Membership::new(LeaderTerm(1), 0).expect_err("none"),
+        Membership::new(LeaderTerm(1), 0).expect_err("zero senders for each shard"),
         MembershipError::ReplicationFactor(0)
     );
     assert_eq!(
-        Membership::new(LeaderTerm(1), 9).expect_err("many"),
+        Membership::new(LeaderTerm(1), 9).expect_err("too many senders for each shard"),
         MembershipError::ReplicationFactor(9)
     );
     let with_member = |name: &str, zone: &str, weight| {
--- a/crates/shard-map/tests/network/checks.rs
+++ b/crates/shard-map/tests/network/checks.rs
@@ -1,11 +1,11 @@
-//! What has to be true of every node at any time, and of all in the end.
+//! The invariants of every node at any time, and the convergence of all nodes in the end.
 
 use crate::common::shard_count;
-use crate::world::{RELAYS, SHARDS, World};
+use crate::world::{PROXIES, SHARDS, World};
 use milletturn_shard_map::{Digest, Version};
 
 impl World {
-    /// Records what a source has.
+    /// Records the current state of each shard of a source as committed.
     pub(crate) fn record_source(&mut self, source: usize) {
         for id in shard_count(SHARDS).shards() {
             let shard = self.sources[source].shard(id).expect("there");
@@ -13,7 +13,7 @@
         }
     }
 
-    /// Checks what a node has now.
+    /// Checks that each shard of a node has a committed state, without rejected changes, and never an older one at a sender.
     pub(crate) fn check_node(&mut self, node: usize) {
         let replica = &self.replicas[node - 2];
         for id in replica.subscribed() {
@@ -34,7 +34,7 @@
             assert_eq!(
                 committed,
                 Some(&shard.digest()),
-                "{node}: {id:?} {version:?} is no source's state"
+                "node {node}: {id:?} at {version:?} has a state that no source had"
             );
             let mut endpoints = shard.endpoints().iter();
             let sum = shard
@@ -43,22 +43,22 @@
                 .fold(Digest::default(), |sum, endpoint| {
                     sum.with(endpoint.digest())
                 });
-            assert_eq!(sum, shard.digest(), "endpoints are what the digest says");
+            assert_eq!(sum, shard.digest(), "the endpoints match the digest");
             assert!(
                 endpoints.all(|endpoint| !endpoint.uid.starts_with("rejected")),
-                "a rejected change"
+                "an endpoint of a rejected change"
             );
-            if node >= 2 + RELAYS {
+            if node >= 2 + PROXIES {
                 assert!(
                     version > before,
-                    "{node}: {id:?} went from {before:?} back to {version:?}"
+                    "node {node}: {id:?} went back from {before:?} to {version:?}"
                 );
                 self.applied += 1;
             }
         }
     }
 
-    /// Whether all replicas have what the leader has.
+    /// Whether all replicas have the endpoints and versions of the leader.
     pub(crate) fn is_converged(&self) -> bool {
         let source = &self.sources[self.leader];
         self.replicas.iter().all(|replica| {
--- a/crates/shard-map/tests/network/faults.rs
+++ b/crates/shard-map/tests/network/faults.rs
@@ -1,12 +1,12 @@
-//! Changes, and faults of nodes and links.
+//! Random changes, and random faults of nodes and links.
 
-use crate::common::{change_of, endpoint, lead, put, remove, replica, shard_count};
-use crate::world::{DESTINATIONS, RELAYS, SENDERS, SHARDS, World, relay, sender};
+use crate::common::{assume_leadership, change_of, endpoint, put, remove, replica, shard_count};
+use crate::world::{DESTINATIONS, PROXIES, SENDERS, SHARDS, World, proxy, sender};
 use milletturn_shard_map::{Operation, ShardId, Update};
 
 impl World {
     pub(crate) fn propose_change(&mut self) {
-        // to the leader, or to one that was it and does not know
+        // mostly to the leader; 20 % go to the other source, which may be a deposed leader that still accepts changes
         let source = if self.chance(20) {
             1 - self.leader
         } else {
@@ -33,14 +33,14 @@
         let Ok(change) = self.sources[source].propose(change) else {
             return;
         };
-        // that two leaders of one term give one version twice is the caller's to prevent; a deposed one has its own
+        // each version has one state: callers prevent two leaders of one term, and a deposed leader has an earlier term
         self.committed
             .insert((change.shard, change.version), change.digest_after);
         self.publish(source, &[Update::Change(change)]);
     }
 
     pub(crate) fn inject_fault(&mut self) {
-        let node = relay(self.below(RELAYS as u64) as usize);
+        let node = proxy(self.below(PROXIES as u64) as usize);
         match self.below(8) {
             0 => {
                 self.stopped.entry(node).or_default();
@@ -52,13 +52,13 @@
             }
             3 => self.cut_one_way(node, self.leader),
             4 => self.cut_links.clear(),
-            // back with yesterday's state
-            5 => self.replicas[node - 2] = self.yesterday[node - 2].clone(),
-            6 => self.yesterday = self.replicas.clone(),
+            // restored from a backup
+            5 => self.replicas[node - 2] = self.backups[node - 2].clone(),
+            6 => self.backups = self.replicas.clone(),
             _ => self.elect_other_source(),
         }
         if self.chance(10) {
-            self.restart_a_sender();
+            self.restart_random_sender();
         }
     }
 
@@ -71,26 +71,26 @@
         self.cut_links.insert(link);
     }
 
-    /// The other source becomes the leader, with all that the one before had committed.
+    /// Makes the other source the leader, with all changes that the previous leader had committed.
     fn elect_other_source(&mut self) {
         self.term += 1;
         let next = 1 - self.leader;
         self.sources[next] = self.sources[self.leader].clone();
-        lead(&mut self.sources[next], self.term);
+        assume_leadership(&mut self.sources[next], self.term);
         self.leader = next;
         self.record_source(next);
     }
 
-    /// A sender starts again, with nothing.
-    fn restart_a_sender(&mut self) {
+    /// Restarts a random sender with the same subscriptions and no data.
+    fn restart_random_sender(&mut self) {
         let index = self.below(SENDERS as u64) as usize;
-        let subscribed: Vec<ShardId> = self.replicas[RELAYS + index].subscribed().collect();
-        self.replicas[RELAYS + index] = replica(shard_count(SHARDS));
-        self.replicas[RELAYS + index].subscribe(subscribed);
+        let subscribed: Vec<ShardId> = self.replicas[PROXIES + index].subscribed().collect();
+        self.replicas[PROXIES + index] = replica(shard_count(SHARDS));
+        self.replicas[PROXIES + index].subscribe(subscribed);
         self.last_seen.retain(|(node, _), _| *node != sender(index));
     }
 
-    /// A stopped node goes on with the packets that came to it meanwhile.
+    /// Resumes a stopped node, which then receives the packets that arrived while it was stopped.
     pub(crate) fn resume(&mut self, node: usize) {
         for (from, packet) in self.stopped.remove(&node).unwrap_or_default() {
             self.receive(from, node, packet);
--- a/crates/shard-map/tests/network/main.rs
+++ b/crates/shard-map/tests/network/main.rs
@@ -1,8 +1,9 @@
-//! Sources, relays and senders over a network that loses, duplicates, reorders and partitions, in virtual time.
+//! Simulates sources, session proxies and senders in virtual time, over a network that loses, duplicates, delays and
+//! reorders packets, and has partitions.
 //!
-//! Every state that a sender had, in its order, is checked against the versions that the sources gave: never backwards,
-//! never a state that no source had, never anything of a rejected change. Once the faults are over, all are equal within
-//! two rounds of requests.
+//! Each state that a sender reaches is checked against the versions that the sources assigned. A sender must never go
+//! back to an older version, never have a state that no source had, and never have an endpoint of a rejected change.
+//! Once the faults end, all nodes must be equal within two rounds of requests.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -11,35 +12,39 @@
 mod faults;
 mod world;
 
-use world::{FAULTS_END_MS, RELAYS, SENDERS, SHARDS, SYNC_INTERVAL_MS, World, relay};
+use world::{FAULTS_END_MS, PROXIES, SENDERS, SHARDS, SYNC_INTERVAL_MS, World, proxy};
 
 #[test]
-fn all_are_equal_in_the_end_and_nobody_was_ever_wrong() {
+fn nodes_have_only_committed_states_and_converge_after_faults() {
     let (mut applied, mut lost, mut terms) = (0, 0, 0);
     for seed in 1..=30 {
         let mut world = World::new(seed);
         world.run(FAULTS_END_MS);
         world.faults_enabled = false;
         world.cut_links.clear();
-        for n in 0..RELAYS {
-            world.resume(relay(n));
+        for n in 0..PROXIES {
+            world.resume(proxy(n));
         }
         let before = world.packets;
-        // packets in transit arrive; then one round of requests of each relay, and one of each sender
+        // time for the packets in transit, then for one round of requests by each session proxy and one by each sender
         world.run(FAULTS_END_MS + 400 + 2 * SYNC_INTERVAL_MS);
-        assert!(world.is_converged(), "seed {seed}: not all are equal");
+        assert!(
+            world.is_converged(),
+            "seed {seed}: nodes have not converged"
+        );
         let sent = world.packets - before;
-        // each round at most: a request and its response for a span, its parts and all shards, and each update to all
+        // maximum in three rounds: requests and responses for the whole span, its parts and each shard, and each
+        // update forwarded to all senders
         let bound =
-            3 * (RELAYS + SENDERS) as u64 * 2 * u64::from(SHARDS + 17 + SHARDS * SENDERS as u32);
+            3 * (PROXIES + SENDERS) as u64 * 2 * u64::from(SHARDS + 17 + SHARDS * SENDERS as u32);
         assert!(sent < bound, "seed {seed}: {sent} packets to converge");
         world.run(world.now_ms + 2 * SYNC_INTERVAL_MS);
         let before = world.packets;
         world.run(world.now_ms + SYNC_INTERVAL_MS);
-        // when all are equal a round is one request, and of relays one response
+        // after convergence a round is one request by each node, and one response to each session proxy
         assert!(
-            world.packets - before <= (2 * RELAYS + SENDERS) as u64 + 2,
-            "seed {seed}: never quiet"
+            world.packets - before <= (2 * PROXIES + SENDERS) as u64 + 2,
+            "seed {seed}: packets other than one round of requests after convergence"
         );
         applied += world.applied;
         lost += world.lost;
@@ -48,6 +53,6 @@
     println!("{applied} states at senders, {lost} packets lost, {terms} terms");
     assert!(
         applied > 10_000 && lost > 10_000 && terms > 60,
-        "{applied} {lost} {terms}: the faults are there"
+        "too few states, lost packets or terms to cover the faults: {applied} {lost} {terms}"
     );
 }
--- a/crates/shard-map/tests/network/world.rs
+++ b/crates/shard-map/tests/network/world.rs
@@ -12,11 +12,11 @@
 
 pub(crate) const SHARDS: u32 = 64;
 pub(crate) const DESTINATIONS: u64 = 150;
-pub(crate) const RELAYS: usize = 4;
+pub(crate) const PROXIES: usize = 4;
 pub(crate) const SENDERS: usize = 12;
-/// How often a node sends its requests, in virtual milliseconds.
+/// Interval at which a node sends its requests, in virtual milliseconds.
 pub(crate) const SYNC_INTERVAL_MS: u64 = 1_000;
-/// How long there are faults.
+/// Virtual time at which changes and faults end, in milliseconds.
 pub(crate) const FAULTS_END_MS: u64 = 30_000;
 
 #[derive(Debug, Clone)]
@@ -37,7 +37,7 @@
     Fault,
 }
 
-/// All nodes. Numbers 0 and 1 are sources, then there are relays, then senders.
+/// All nodes and the network. Nodes 0 and 1 are sources, followed by the session proxies and then the senders.
 pub(crate) struct World {
     random: Pcg64,
     pub(crate) now_ms: u64,
@@ -48,40 +48,40 @@
     pub(crate) leader: usize,
     pub(crate) term: u64,
     pub(crate) replicas: Vec<ShardMapReplica>,
-    /// Stopped nodes, and the packets that came to them meanwhile.
+    /// Stopped nodes, with the sender and content of each packet that arrived since they were stopped.
     pub(crate) stopped: BTreeMap<usize, Vec<(usize, Packet)>>,
     pub(crate) cut_links: BTreeSet<(usize, usize)>,
-    /// An earlier state of all replicas.
-    pub(crate) yesterday: Vec<ShardMapReplica>,
+    /// An earlier state of all replicas, from which a session proxy may be restored.
+    pub(crate) backups: Vec<ShardMapReplica>,
     pub(crate) faults_enabled: bool,
-    /// What the sources had: the digest of each shard at each version.
+    /// The digest of each shard at each version that a source had.
     pub(crate) committed: HashMap<(ShardId, Version), Digest>,
-    /// The last version of each shard at each node.
+    /// The last version of each shard at each node, as of the last check.
     pub(crate) last_seen: HashMap<(usize, ShardId), Version>,
     pub(crate) applied: usize,
     pub(crate) lost: usize,
     pub(crate) packets: u64,
 }
 
-pub(crate) fn relay(n: usize) -> usize {
+pub(crate) fn proxy(n: usize) -> usize {
     2 + n
 }
 
 pub(crate) fn sender(n: usize) -> usize {
-    2 + RELAYS + n
+    2 + PROXIES + n
 }
 
 fn replicas() -> Vec<ShardMapReplica> {
-    let mut replicas = vec![replica(shard_count(SHARDS)); RELAYS + SENDERS];
+    let mut replicas = vec![replica(shard_count(SHARDS)); PROXIES + SENDERS];
     let membership = empty_membership(1, 3)
         .with_members(members(SENDERS, 4), shard_count(SHARDS))
         .expect("valid");
     let assignment = Assignment::new(shard_count(SHARDS), membership);
-    for replica in &mut replicas[..RELAYS] {
+    for replica in &mut replicas[..PROXIES] {
         replica.subscribe(shard_count(SHARDS).shards());
     }
     for n in 0..SENDERS {
-        replicas[RELAYS + n].subscribe(assignment.shards_of(&format!("sender-{n}")));
+        replicas[PROXIES + n].subscribe(assignment.shards_of(&format!("sender-{n}")));
     }
     replicas
 }
@@ -94,7 +94,7 @@
             let change = source.propose(put(n, &format!("u{n}"), 80)).expect("valid");
             committed.insert((change.shard, change.version), change.digest_after);
         }
-        // two are never leaders of one term
+        // the second source must not accept changes, since there is only one leader for each term
         let mut second = source.clone();
         second.observe_term(LeaderTerm(2));
         let replicas = replicas();
@@ -107,7 +107,7 @@
             sources: vec![source, second],
             leader: 0,
             term: 1,
-            yesterday: replicas.clone(),
+            backups: replicas.clone(),
             replicas,
             stopped: BTreeMap::new(),
             cut_links: BTreeSet::new(),
@@ -119,7 +119,7 @@
             packets: 0,
         };
         world.record_source(0);
-        for node in 2..2 + RELAYS + SENDERS {
+        for node in 2..2 + PROXIES + SENDERS {
             let at_ms = world.below(SYNC_INTERVAL_MS);
             world.schedule(at_ms, Event::Sync(node));
         }
@@ -164,12 +164,14 @@
         }
     }
 
-    /// Whom a node sends its requests to: senders to a relay, relays to the leader or to the one that was it.
+    /// The node to which a node sends its requests: a session proxy for senders, a source for session proxies.
+    ///
+    /// While faults are enabled, 20 % go to another session proxy, or to the source that is not the leader.
     fn upstream(&mut self, node: usize) -> usize {
-        if node >= 2 + RELAYS {
-            let own = node % RELAYS;
+        if node >= 2 + PROXIES {
+            let own = node % PROXIES;
             let use_next = self.faults_enabled && self.chance(20);
-            return relay(if use_next { (own + 1) % RELAYS } else { own });
+            return proxy(if use_next { (own + 1) % PROXIES } else { own });
         }
         if self.faults_enabled && self.chance(20) {
             1 - self.leader
@@ -184,13 +186,13 @@
         }
     }
 
-    /// What is new at a relay goes to its senders, at a source to all relays.
+    /// Forwards new updates from a source to all session proxies, or from a session proxy to its senders.
     pub(crate) fn publish(&mut self, node: usize, updates: &[Update]) {
         let downstream: Vec<usize> = match node {
-            0 | 1 => (0..RELAYS).map(relay).collect(),
-            node if node < 2 + RELAYS => (0..SENDERS)
+            0 | 1 => (0..PROXIES).map(proxy).collect(),
+            node if node < 2 + PROXIES => (0..SENDERS)
                 .map(sender)
-                .filter(|sender| sender % RELAYS == node % RELAYS)
+                .filter(|sender| sender % PROXIES == node % PROXIES)
                 .collect(),
             _ => Vec::new(),
         };
@@ -203,7 +205,7 @@
 
     pub(crate) fn receive(&mut self, from: usize, to: usize, packet: Packet) {
         if let Some(buffer) = self.stopped.get_mut(&to) {
-            // as much as a socket's buffers would have
+            // at most 200 packets, like the limited buffers of a socket
             if buffer.len() < 200 {
                 buffer.push((from, packet));
             }
--- a/crates/shard-map/tests/replica_changes.rs
+++ b/crates/shard-map/tests/replica_changes.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::{
-    assert_in_sync, catch_up, change_of, copy_of, endpoint, filled_source, lead, port_changes,
-    replica, shard_count, snapshot_of, version_of,
+    assert_in_sync, assume_leadership, catch_up, change_of, endpoint, filled_source, port_changes,
+    replica, shard_count, snapshot_of, synced_replica, version_of,
 };
 use milletturn_shard_map::replica::{ApplyError, ApplyOutcome};
 use milletturn_shard_map::{
@@ -14,7 +14,7 @@
 #[test]
 fn changes_apply_in_order_and_once_and_a_gap_is_requested() {
     let mut source = filled_source(shard_count(1), 3);
-    let mut replica = copy_of(&source);
+    let mut replica = synced_replica(&source);
     let changes = port_changes(&mut source, 1, 100..104);
     assert_eq!(
         replica.apply(changes[0].clone()).expect("next").updates,
@@ -55,7 +55,7 @@
 fn an_endpoint_of_another_shard_is_not_applied() {
     let shard_count = shard_count(64);
     let source = filled_source(shard_count, 1);
-    let mut replica = copy_of(&source);
+    let mut replica = synced_replica(&source);
     let shard = shard_count.shard_of(0);
     let other = (1..)
         .map(|n| shard_count.shard_of(n))
@@ -95,7 +95,7 @@
     // of the same number, but from a source whose change before it was never committed
     let mut source = filled_source(shard_count(1), 3);
     let mut other = source.clone();
-    let mut replica = copy_of(&source);
+    let mut replica = synced_replica(&source);
     port_changes(&mut other, 2, 500..501);
     let committed = port_changes(&mut source, 1, 100..102);
     let uncommitted = port_changes(&mut other, 2, 501..502);
@@ -109,7 +109,7 @@
 #[test]
 fn a_change_that_does_not_lead_to_its_digest_is_not_applied() {
     let mut source = filled_source(shard_count(1), 3);
-    let mut replica = copy_of(&source);
+    let mut replica = synced_replica(&source);
     let Update::Change(mut change) = port_changes(&mut source, 1, 100..101).remove(0) else {
         unreachable!()
     };
@@ -131,8 +131,8 @@
 fn an_earlier_term_is_ignored_whatever_its_numbers() {
     let mut source = filled_source(shard_count(16), 100);
     let mut deposed = source.clone();
-    let mut replica = copy_of(&source);
-    lead(&mut source, 2);
+    let mut replica = synced_replica(&source);
+    assume_leadership(&mut source, 2);
     let new = port_changes(&mut source, 5, 100..101);
     replica
         .apply(new[0].clone())
@@ -163,13 +163,13 @@
 fn changes_of_an_earlier_term_that_the_new_leader_lacks_are_undone() {
     let mut source = filled_source(shard_count(4), 40);
     let mut deposed = source.clone();
-    let mut replica = copy_of(&source);
+    let mut replica = synced_replica(&source);
     for update in port_changes(&mut deposed, 6, 200..203) {
         replica
             .apply(update)
             .expect("its term is the newest that is known");
     }
-    lead(&mut source, 2);
+    assume_leadership(&mut source, 2);
     let new = port_changes(&mut source, 6, 300..301);
     let outcome = replica.apply(new[0].clone()).expect("a gap");
     assert!(
@@ -187,11 +187,11 @@
 #[test]
 fn a_peer_with_yesterdays_state_moves_nobody_backwards() {
     let mut source = filled_source(shard_count(32), 100);
-    let yesterday = copy_of(&source);
+    let yesterday = synced_replica(&source);
     for n in 0..50 {
         port_changes(&mut source, n, 100..103);
     }
-    let mut replica = copy_of(&source);
+    let mut replica = synced_replica(&source);
     let before = replica.clone();
     let requests = [replica.sync_requests(), yesterday.sync_requests()];
     for request in requests.into_iter().flatten() {
@@ -226,10 +226,10 @@
 #[test]
 fn a_relay_sends_nothing_that_the_newest_term_has_not_confirmed() {
     let mut source = filled_source(shard_count(32), 100);
-    let mut relay = copy_of(&source);
+    let mut relay = synced_replica(&source);
     let mut sender = replica(shard_count(32));
     sender.subscribe((0..4).map(ShardId));
-    lead(&mut source, 2);
+    assume_leadership(&mut source, 2);
     // the relay knows of the term by one shard, and of no other
     let shard = source.shard(ShardId(0)).expect("there");
     relay
@@ -253,7 +253,7 @@
 fn two_sources_of_one_term_are_detected() {
     let mut source = filled_source(shard_count(1), 3);
     let mut other = source.clone();
-    let mut copy = copy_of(&source);
+    let mut copy = synced_replica(&source);
     let change = port_changes(&mut source, 1, 100..101).remove(0);
     port_changes(&mut other, 1, 200..201);
     copy.apply(change).expect("next");
@@ -268,7 +268,7 @@
     );
     assert_in_sync(&copy, &source);
     // a later term ends it
-    lead(&mut other, 2);
+    assume_leadership(&mut other, 2);
     catch_up(&mut copy, |request| other.respond(request));
     assert_in_sync(&copy, &other);
 }
--- a/crates/shard-map/tests/replica_limits.rs
+++ b/crates/shard-map/tests/replica_limits.rs
@@ -1,10 +1,10 @@
-//! What bounds a replica and its requests: subscriptions, capacity, the size of a response, invalid requests.
+//! Limits of a replica and its requests: subscriptions, capacity, size of a response, and invalid requests.
 
 mod common;
 
 use common::{
-    assert_in_sync, catch_up, copy_of, empty_source, endpoint, filled_source, put, replica,
-    shard_count, snapshot_of,
+    assert_in_sync, catch_up, empty_source, endpoint, filled_source, put, replica, shard_count,
+    snapshot_of, synced_replica,
 };
 use milletturn_shard_map::replica::ApplyError;
 use milletturn_shard_map::sync::SyncError;
@@ -14,7 +14,7 @@
 };
 
 #[test]
-fn a_sender_stores_the_shards_it_subscribes_to_and_drops_the_others() {
+fn sender_stores_subscribed_shards_and_drops_all_others() {
     let source = filled_source(shard_count(64), 1_000);
     let mut replica = replica(shard_count(64));
     replica.subscribe([ShardId(3), ShardId(9)]);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn the_size_of_a_replica_is_bounded() {
+fn replica_rejects_updates_beyond_its_size_limits() {
     let source = filled_source(shard_count(1), 10);
     let one = endpoint(0, "u0", 80).size_bytes();
     let small_total = Limits::new(6_000, 17, 9 * one, 0);
@@ -57,7 +57,7 @@
             Err(ApplyError::CapacityExceeded)
         );
         assert_eq!(replica.size_bytes(), 0);
-        // change by change
+        // the same limits hold for single changes
         let mut source = empty_source(shard_count(1), 1);
         for n in 0..9 {
             let change = source.propose(put(n, &format!("u{n}"), 80)).expect("valid");
@@ -73,11 +73,11 @@
 }
 
 #[test]
-fn a_response_is_bounded_and_the_remainder_is_requested_again() {
-    // shards at their bound: 64 of 100 KB
+fn response_size_is_bounded_and_the_remainder_is_requested_again() {
+    // fills 64 shards to their maximum of about 100 KB each
     let mut source = empty_source(shard_count(64), 1);
     for n in 0..40_000 {
-        // a full shard accepts no more
+        // rejected if the shard is full
         let _full = source.propose(put(n, &format!("{n}{}", "u".repeat(100)), 80));
     }
     assert!(source.size_bytes() > 6_000_000);
@@ -96,7 +96,10 @@
     };
     while has_empty_shard(&replica) {
         rounds += 1;
-        assert!(rounds <= 2, "each response has as much as it may");
+        assert!(
+            rounds <= 2,
+            "each response but the last fills the maximum size"
+        );
         let response = source.respond(&requests[0]).expect("valid");
         let text = serde_json::to_string(&response).expect("written");
         assert!(text.len() < (4 << 20) + 102_000, "{}", text.len());
@@ -110,7 +113,7 @@
 }
 
 #[test]
-fn an_invalid_request_is_rejected_with_a_reason() {
+fn invalid_request_is_rejected_with_a_reason() {
     let source = filled_source(shard_count(64), 10);
     let version = |id| ShardVersion {
         shard: ShardId(id),
@@ -156,9 +159,9 @@
 }
 
 #[test]
-fn digests_of_an_invalid_span_are_ignored() {
+fn digests_of_an_invalid_span_leave_the_replica_unchanged() {
     let source = filled_source(shard_count(64), 10);
-    let mut replica = copy_of(&source);
+    let mut replica = synced_replica(&source);
     let before = replica.clone();
     for (first, part_length, parts) in [
         (0, 0, 1),
--- a/crates/shard-map/tests/replica_sync.rs
+++ b/crates/shard-map/tests/replica_sync.rs
@@ -1,17 +1,18 @@
-//! How a replica catches up: requests, responses, snapshots and sums of digests.
+//! Catching up of a replica by requests, with changes, snapshots and sums of digests in response.
 
 mod common;
 
 use common::{
-    assert_in_sync, catch_up, copy_of, filled_source, lead, port_changes, put, remove, shard_count,
+    assert_in_sync, assume_leadership, catch_up, filled_source, port_changes, put, remove,
+    shard_count, synced_replica,
 };
 use milletturn_shard_map::replica::ApplyError;
 use milletturn_shard_map::{ShardCount, Update};
 
 #[test]
-fn a_replica_that_missed_more_than_the_history_gets_a_snapshot() {
+fn replica_that_missed_more_changes_than_the_history_has_gets_a_snapshot() {
     let mut source = filled_source(shard_count(1), 3);
-    let mut replica = copy_of(&source);
+    let mut replica = synced_replica(&source);
     let missed = port_changes(&mut source, 1, 100..109);
     assert_eq!(missed.len(), 9);
     let response = source.respond(&replica.sync_requests()[0]).expect("valid");
@@ -20,7 +21,7 @@
         "{response:?}"
     );
     let before = replica.clone();
-    // cut short, or with an endpoint twice: not applied
+    // a truncated snapshot, or one with an endpoint twice, is not applied
     let Update::Snapshot { version, endpoints } = &response[0] else {
         unreachable!()
     };
@@ -34,7 +35,7 @@
         endpoints: [&endpoints[..], &endpoints[2..]].concat(),
     };
     assert_eq!(replica.apply(repeated), Err(ApplyError::InvalidContent));
-    // the sum is the same in any order, but a search needs the right one
+    // the digest does not depend on the order of endpoints, but the binary search needs them sorted
     let reversed = Update::Snapshot {
         version: *version,
         endpoints: endpoints.iter().rev().cloned().collect(),
@@ -46,12 +47,12 @@
 }
 
 #[test]
-fn changes_of_an_earlier_term_are_no_response() {
-    // whoever knows the newer term would ignore them, and request them for ever
+fn response_has_a_snapshot_in_place_of_changes_of_an_earlier_term() {
+    // a replica that knows the newer term would ignore such changes, and request them again and again
     let mut source = filled_source(shard_count(1), 3);
-    let mut replica = copy_of(&source);
+    let mut replica = synced_replica(&source);
     port_changes(&mut source, 1, 100..102);
-    lead(&mut source, 2);
+    assume_leadership(&mut source, 2);
     let response = source.respond(&replica.sync_requests()[0]).expect("valid");
     assert!(
         matches!(response[..], [Update::Snapshot { .. }]),
@@ -68,11 +69,12 @@
 }
 
 #[test]
-fn changes_since_another_state_are_no_response() {
-    // the replica's last change is of a source whose change was never committed: it gets a snapshot
+fn replica_with_an_uncommitted_change_gets_a_snapshot() {
+    // the replica's last change comes from another source and was never committed, so that the changes of the history
+    // do not fit the replica's endpoints
     let mut source = filled_source(shard_count(1), 3);
     let mut other = source.clone();
-    let mut replica = copy_of(&source);
+    let mut replica = synced_replica(&source);
     replica
         .apply(port_changes(&mut other, 2, 500..501).remove(0))
         .expect("next");
@@ -87,32 +89,34 @@
 }
 
 #[test]
-fn an_outdated_sum_confirms_nothing_of_now() {
+fn confirmation_of_an_outdated_sum_is_ignored() {
     let mut source = filled_source(shard_count(64), 200);
-    let mut replica = copy_of(&source);
+    let mut replica = synced_replica(&source);
     let request = replica.sync_requests().remove(0);
     let response = source.respond(&request).expect("valid");
     assert!(
         matches!(response[..], [Update::SpanMatches { .. }]),
         "{response:?}"
     );
-    lead(&mut source, 2);
+    assume_leadership(&mut source, 2);
     let late = source.respond(&request).expect("valid").remove(0);
-    // meanwhile a change of the old term came
+    // before the response arrives, the replica applies a change of the old term
     let mut deposed = filled_source(shard_count(64), 200);
     replica
         .apply(port_changes(&mut deposed, 9, 100..101).remove(0))
         .expect("next");
-    replica.apply(late).expect_err("not what was requested");
+    replica
+        .apply(late)
+        .expect_err("the sum has changed since the request");
     catch_up(&mut replica, |request| source.respond(request));
     assert_in_sync(&replica, &source);
 }
 
 #[test]
-fn a_put_and_a_removal_that_cancel_out_still_count_as_changes() {
-    // the endpoints are what they were, the number is not: the next change has to fit
+fn put_and_removal_that_cancel_out_still_count_as_changes() {
+    // the endpoints are the same as before, but the version is not, and the next change must have the next number
     let mut source = filled_source(shard_count(64), 100);
-    let mut replica = copy_of(&source);
+    let mut replica = synced_replica(&source);
     let _lost = source.propose(put(5, "brief", 80)).expect("valid");
     let _lost = source.propose(remove(5, "brief")).expect("valid");
     let mut other = replica.clone();
@@ -121,7 +125,7 @@
     let next = port_changes(&mut source, 5, 100..101).remove(0);
     replica.apply(next.clone()).expect("next");
     assert_in_sync(&replica, &source);
-    // a replica that did not catch up: the change fits the endpoints, and is not the next
+    // at a replica that did not catch up, the change fits the endpoints but its number is not the next one
     let outcome = other.apply(next).expect("a gap");
     assert!(
         outcome.updates.is_empty() && outcome.requests.len() == 1,
@@ -130,27 +134,28 @@
 }
 
 #[test]
-fn a_relay_finds_the_shards_that_differ_in_few_requests() {
+fn session_proxy_finds_differing_shards_in_few_requests() {
     let mut source = filled_source(ShardCount::default(), 2_000);
-    let mut relay = copy_of(&source);
+    let mut proxy = synced_replica(&source);
     assert_eq!(
-        catch_up(&mut relay, |request| source.respond(request)),
+        catch_up(&mut proxy, |request| source.respond(request)),
         1,
         "nothing differs"
     );
     port_changes(&mut source, 77, 100..104);
-    // 65,536 shards in four steps of 16, the last one for each of 16 shards
-    assert_eq!(catch_up(&mut relay, |request| source.respond(request)), 4);
-    assert_in_sync(&relay, &source);
-    // a new term that changed nothing
-    lead(&mut source, 2);
-    assert_eq!(catch_up(&mut relay, |request| source.respond(request)), 1);
-    assert_in_sync(&relay, &source);
-    // a new term known by one change: the span of all, then each of 16 parts
-    lead(&mut source, 3);
-    relay
+    // 65,536 shards are divided by 16 in four requests, the last of which names each of 16 shards
+    assert_eq!(catch_up(&mut proxy, |request| source.respond(request)), 4);
+    assert_in_sync(&proxy, &source);
+    // after a new term without changes, one request confirms all shards
+    assume_leadership(&mut source, 2);
+    assert_eq!(catch_up(&mut proxy, |request| source.respond(request)), 1);
+    assert_in_sync(&proxy, &source);
+    // after a new term that the session proxy knows from one change: one request for all shards, then one for each of
+    // 16 parts
+    assume_leadership(&mut source, 3);
+    proxy
         .apply(port_changes(&mut source, 77, 104..105).remove(0))
         .expect("next");
-    assert_eq!(catch_up(&mut relay, |request| source.respond(request)), 17);
-    assert_in_sync(&relay, &source);
+    assert_eq!(catch_up(&mut proxy, |request| source.respond(request)), 17);
+    assert_in_sync(&proxy, &source);
 }
