--- a/crates/shard-map/tests/assignment.rs
+++ b/crates/shard-map/tests/assignment.rs
@@ -1,4 +1,4 @@
-//! Which senders serve a shard: agreed by all, in different zones, and a stable matching.
+//! The assignment of shards to senders: the same for all processes, in different zones, and a stable matching.
 
 mod common;
 
@@ -13,7 +13,8 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// No shard and no sender would both prefer each other to what they have.
+/// Asserts that senders stay within their capacity and zones within their limit, and that no sender with free capacity
+/// could serve a shard that has too few senders.
 fn assert_stable(assignment: &Assignment, count: u32) {
     let membership = assignment.membership();
     let zone = |name: &str| &membership.members()[name].zone;
@@ -42,7 +43,7 @@
             assert!(same_zone <= membership.max_replicas_per_zone(), "{names:?}");
         }
         if names.len() < wanted {
-            // too few: whoever has capacity is in a zone that has its copies
+            // each other sender is at capacity, or its zone has the maximum number of replicas of the shard
             for (free, load) in &loads {
                 let same_zone = in_zone_of(names, free);
                 let serves = names.iter().any(|name| name == free);
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn all_who_know_the_same_membership_agree_however_they_came_to_know_it() {
+fn updated_assignment_equals_one_computed_from_the_same_membership() {
     let count = 2_048;
     let mut random = Pcg64::seed_from_u64(7);
     let mut current = membership(100, 7, 3, count);
@@ -92,8 +93,9 @@
 }
 
 #[test]
-fn cached_scores_are_right_however_many_senders_come_and_go() {
-    // so many that few of a shard's cached scores are left, and those of new senders are mixed with them
+fn cached_scores_are_correct_after_many_senders_are_replaced() {
+    // 5 % to 60 % of the senders are replaced at once, so that few cached scores of a shard are left, and scores of new
+    // senders are inserted among them
     let count = 512;
     let mut random = Pcg64::seed_from_u64(11);
     let mut current = membership(80, 6, 3, count);
@@ -122,7 +124,7 @@
 }
 
 #[test]
-fn an_older_membership_changes_nothing() {
+fn update_with_an_older_or_equal_membership_changes_nothing() {
     let count = 512;
     let old = membership(40, 5, 3, count);
     let new = without_members(&old, &["sender-3"], count);
@@ -133,15 +135,15 @@
     assert_eq!(senders_by_shard(&assignment, count), before);
     let mut known = new.clone();
     assert!(!known.replace_if_newer(old.clone()) && known == new);
-    // a later term counts, whatever its number
+    // a later term is newer even with a lower number
     let mut raised = old;
     raised.raise_term(LeaderTerm(2));
     assert!(known.replace_if_newer(raised));
 }
 
 #[test]
-fn by_an_older_membership_a_sender_is_found_that_still_serves() {
-    // the advice is older, not wrong: of three copies of a shard, one loss leaves two as they were
+fn older_membership_still_names_two_current_senders_after_one_loss() {
+    // removing one sender changes at most one of the three senders of a shard
     let count = 2_048;
     let old = membership(100, 7, 3, count);
     let before = assignment(&old, count);
@@ -157,7 +159,7 @@
 }
 
 #[test]
-fn copies_are_in_different_zones_while_there_are_zones() {
+fn replicas_of_a_shard_are_in_different_zones_if_there_are_enough() {
     let count = 512;
     for (zones, max_per_zone) in [(7, 1), (3, 1), (2, 2), (1, 3)] {
         let assignment = assignment(&membership(42, zones, 3, count), count);
@@ -168,7 +170,7 @@
         );
         assert_eq!(assignment.unassigned_replicas(), 0, "{zones} zones");
     }
-    // one zone of three is lost: two are left, and each shard has both
+    // after the loss of one zone of three, each shard still has all its replicas in the other two
     let all = membership(42, 3, 3, count);
     let lost: Vec<String> = (0..42).step_by(3).map(|n| format!("sender-{n}")).collect();
     let lost: Vec<&str> = lost.iter().map(String::as_str).collect();
@@ -178,7 +180,7 @@
 }
 
 #[test]
-fn each_shard_has_a_sender_as_long_as_there_is_any() {
+fn each_shard_has_a_sender_until_the_last_sender_leaves() {
     let count = 256;
     let mut current = membership(9, 4, 3, count);
     let mut assignment = assignment(&current, count);
@@ -196,7 +198,7 @@
     assignment.update(current.clone());
     assert!(
         assignment.senders_of(ShardId(0)).next().is_none(),
-        "nobody is there"
+        "no sender is left"
     );
     current = current
         .with_members(members(9, 4), shard_count(count))
@@ -208,8 +210,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(64))]
     #[test]
-    fn any_small_group_is_matched_stably(
-        group in proptest::collection::btree_map("[a-z]{1,6}", (0u8..5, 1u8..=16), 0..24), copies in 1u8..=5,
+    fn matching_of_any_small_membership_is_stable(
+        group in proptest::collection::btree_map("[a-z]{1,6}", (0u8..5, 1u8..=16), 0..24), replication_factor in 1u8..=5,
         lost in 0usize..24,
     ) {
         let count = 96;
@@ -219,7 +221,7 @@
                 (name.as_str().into(), Member { zone: format!("zone-{zone}").into(), weight: *weight })
             })
             .collect();
-        let first = empty_membership(1, copies).with_members(all.clone(), shard_count(count)).expect("valid");
+        let first = empty_membership(1, replication_factor).with_members(all.clone(), shard_count(count)).expect("valid");
         let mut updated = assignment(&first, count);
         assert_stable(&updated, count);
         let mut fewer = all.clone();
--- a/crates/shard-map/tests/assignment_load.rs
+++ b/crates/shard-map/tests/assignment_load.rs
@@ -1,4 +1,4 @@
-//! How evenly senders are loaded, and how many shards move with a change of the membership.
+//! The balance of load between senders, and the number of shards that move when the membership changes.
 
 mod common;
 
@@ -10,8 +10,8 @@
 use milletturn_shard_map::assignment::Reassignment;
 
 #[test]
-fn with_capacity_for_all_a_loss_moves_only_what_was_lost() {
-    // rendezvous hashing alone: nobody is full
+fn loss_of_a_sender_moves_only_its_own_shards_if_no_sender_is_full() {
+    // capacity is unlimited here, so that rendezvous hashing alone decides
     let count = 2_048;
     let mut wide = serde_json::to_value(membership(100, 7, 3, count)).expect("written");
     wide["places"] = 100_000.into();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn weights_divide_the_work() {
+fn load_of_a_sender_is_proportional_to_its_weight() {
     let count = 8_192;
     let mut all = members(60, 6);
     for n in 0..20 {
@@ -63,11 +63,11 @@
     let ratio = average(0, 20) / average(20, 60);
     assert!(
         (2.7..3.3).contains(&ratio),
-        "weight three bears {ratio} times as much as one"
+        "a sender of weight 3 has {ratio} times the load of one of weight 1"
     );
 }
 
-/// Of 1,000 senders in 31 zones, the members that are in zone 5.
+/// The members in zone 5, out of 1,000 senders in 31 zones.
 fn remaining_in_zone_5(membership: &Membership) -> Vec<String> {
     (0..1_000)
         .filter(|n| n % 31 == 5)
@@ -76,14 +76,19 @@
         .collect()
 }
 
-/// The plan's 16,000 senders in 31 zones, over a sixteenth of its shards for its twelve a sender: 1,000 senders.
+/// Scales the planned 16,000 senders in 31 zones and 65,536 shards down to a sixteenth: 1,000 senders and 4,096 shards,
+/// with the same 12 shards for each sender.
 #[test]
-fn loads_and_moves_are_bounded_and_counted() {
+fn loads_and_moves_are_bounded() {
     let count = 4_096;
     let mut current = membership(1_000, 31, 3, count);
     let mut assignment = assignment(&current, count);
     let average = f64::from(count) * 3.0 / 1_000.0;
-    let fullest = *assignment.loads().values().max().expect("someone");
+    let fullest = *assignment
+        .loads()
+        .values()
+        .max()
+        .expect("there are senders");
     assert!(
         fullest as f64 <= (average * 1.25).ceil(),
         "{fullest} of {average} on average"
@@ -95,12 +100,13 @@
         let load = assignment.loads()[name.as_str()];
         current = without_members(&current, &[&name], count);
         let moved = assignment.update(current.clone());
-        assert_eq!(moved.gained, moved.lost, "each copy has a sender");
+        assert_eq!(moved.gained, moved.lost, "each replica has a sender");
         sum += moved.gained as f64;
         worst = worst.max(moved.gained as f64 / load.max(1) as f64);
     }
-    // a lost copy displaces one that its new sender scores less, which goes on: a chain, and a short one; where the first
-    // to come stayed, there would be 1.36 moves for a copy here, and 1.41 for a zone's
+    // a replica that moves to a full sender displaces the one with the lowest score there, which moves in turn; such chains
+    // are short. If the first shards to propose kept their place, there would be 1.36 moves for each lost replica here,
+    // and 1.41 for each one of a lost zone
     let average_moves = sum / 100.0;
     println!(
         "worst {worst} moves for each copy lost, {average_moves} moves a loss of {average} copies"
@@ -111,7 +117,7 @@
     );
     assert!(worst <= 3.0, "{worst}");
 
-    // a zone at once
+    // loss of a whole zone at once
     let zone: Vec<String> = remaining_in_zone_5(&current);
     let zone: Vec<&str> = zone.iter().map(String::as_str).collect();
     let loads = assignment.loads();
--- a/crates/shard-map/tests/golden.rs
+++ b/crates/shard-map/tests/golden.rs
@@ -1,12 +1,13 @@
-//! Serialized forms and fixed bounds of this package, as the build before the renaming wrote them.
+//! Guards the serialized forms and fixed limits of this package against changes, since earlier builds use the same ones.
 //!
-//! `golden/messages.txt` has one form a line: a label, a tab, the JSON text. Each text is read and compared with a value
-//! that is built here field by field, and the value is written again and compared byte for byte.
+//! Each line of `golden/messages.txt` has a label, a tab and the JSON text that an earlier build wrote. A test parses the
+//! text, compares the result with a value that is built field by field, and compares the value's own JSON text with the
+//! golden one byte for byte.
 
 mod common;
 
 use common::{empty_membership, endpoint, full_endpoint, shard_count};
-use milletturn_shard_map::limits as limit;
+use milletturn_shard_map::limits;
 use milletturn_shard_map::sync::SyncError;
 use milletturn_shard_map::{
     Change, Digest, Endpoint, LeaderTerm, Limits, Member, Membership, Operation, ShardCount,
@@ -31,18 +32,18 @@
     text
 }
 
-/// The text reads as this value, and the value is written as this text.
+/// Checks that the golden text of this label parses as the value, and that the value serializes to the same text.
 fn check<T: Serialize + DeserializeOwned + PartialEq + Debug>(label: &str, value: &T) {
     let text = text_of(label);
     assert_eq!(
         serde_json::to_string(value).expect("written"),
         text,
-        "{label} is written as before"
+        "{label} serializes to the golden text"
     );
     assert_eq!(
         serde_json::from_str::<T>(text).expect("read"),
         *value,
-        "{label} is read as before"
+        "the golden text of {label} parses to the same value"
     );
 }
 
@@ -180,7 +181,7 @@
     );
 }
 
-/// The responding side sends these texts as the reason of an error response.
+/// The responding side sends these messages as the reason in an error response.
 #[test]
 fn texts_of_rejected_requests() {
     assert_eq!(
@@ -201,7 +202,7 @@
     );
     assert_eq!(
         serde_json::from_str::<ShardCount>("0")
-            .expect_err("none")
+            .expect_err("zero shards")
             .to_string(),
         text_of("no ranges")
     );
@@ -261,21 +262,25 @@
     check("membership led", &raised);
 }
 
-/// Bounds that are agreed with the other side.
+/// Limits that all processes must have in common.
 #[test]
-fn bounds_are_the_same() {
+fn limits_are_unchanged() {
     let numbers = [
-        limit::MAX_NAME_BYTES,
-        limit::MAX_CHANGE_OPERATIONS,
-        limit::MAX_HISTORY,
-        limit::MAX_REQUEST_SHARDS,
-        limit::MAX_RESPONSE_BYTES,
-        limit::MAX_MEMBERS,
-        limit::MAX_REPLICATION_FACTOR,
+        limits::MAX_NAME_BYTES,
+        limits::MAX_CHANGE_OPERATIONS,
+        limits::MAX_HISTORY,
+        limits::MAX_REQUEST_SHARDS,
+        limits::MAX_RESPONSE_BYTES,
+        limits::MAX_MEMBERS,
+        limits::MAX_REPLICATION_FACTOR,
     ];
     assert_eq!(numbers, [128, 64, 8, 512, 4 << 20, 32_768, 8]);
     assert_eq!(
-        (limit::SPAN_PARTS, limit::MAX_MEMBER_WEIGHT, ShardCount::MAX),
+        (
+            limits::SPAN_PARTS,
+            limits::MAX_MEMBER_WEIGHT,
+            ShardCount::MAX
+        ),
         (16, 16, 65_536)
     );
     assert_eq!(
--- a/crates/shard-map/tests/golden_map.rs
+++ b/crates/shard-map/tests/golden_map.rs
@@ -1,5 +1,5 @@
-//! A fixed map and a fixed membership, with the digests, responses and assignments that the build before the renaming
-//! computed: `golden/map.txt` and `golden/assignment.txt`.
+//! Guards digests, responses and assignments against changes: those of a fixed map and a fixed membership must be the
+//! ones that an earlier build computed and that `golden/map.txt` and `golden/assignment.txt` contain.
 
 mod common;
 
@@ -17,7 +17,7 @@
 const MAP: &str = include_str!("golden/map.txt");
 const ASSIGNMENT: &str = include_str!("golden/assignment.txt");
 
-/// A map with endpoints of each form, some of them changed, drained and removed.
+/// A map with several endpoints for some destinations, of which some are changed, draining or removed.
 fn fixed_map() -> ShardMapSource {
     let mut source = empty_source(shard_count(64), 3);
     for destination in 0..200u64 {
@@ -48,7 +48,7 @@
     source
 }
 
-/// What a test saw, to be compared line by line with what is stored.
+/// The results of a test as text, to be compared line by line with a golden file.
 #[derive(Default)]
 struct Transcript(String);
 
@@ -97,7 +97,7 @@
     }
 }
 
-/// A replica of all shards catches up from nothing, with snapshots.
+/// Records the requests and updates with which an empty replica of all shards catches up by snapshots.
 fn record_first_sync(transcript: &mut Transcript, source: &ShardMapSource) -> ShardMapReplica {
     let mut replica = replica(shard_count(64));
     replica.subscribe(shard_count(64).shards());
@@ -125,7 +125,7 @@
     }
 }
 
-/// The request of a replica for one shard.
+/// The request of a replica for the updates of one shard.
 fn request_for(replica: &ShardMapReplica, id: ShardId) -> [SyncRequest; 1] {
     let shard = replica.shard(id).expect("subscribed");
     [SyncRequest::Shards {
@@ -134,15 +134,15 @@
     }]
 }
 
-/// Digests of endpoints, shards and spans, sizes, and the responses that name them.
+/// Compares digests and sizes of endpoints, shards and spans, and the responses that contain them.
 #[test]
-fn a_fixed_map_has_the_same_digests_and_responses() {
+fn digests_and_responses_of_a_fixed_map_are_unchanged() {
     let mut transcript = Transcript::default();
     record_digests(&mut transcript);
     let mut source = fixed_map();
     record_source(&mut transcript, &source);
     let mut replica = record_first_sync(&mut transcript, &source);
-    // one change behind
+    // the replica lacks one change
     let missed = source.propose(put(17, "d17-e1", 1_117)).expect("valid");
     transcript.record_json("missed", &missed);
     let request = request_for(&replica, missed.shard);
@@ -152,7 +152,7 @@
     replica.apply(Update::Change(missed)).expect("next");
     let requests = replica.sync_requests();
     record_responses(&mut transcript, "equal", &requests, &source);
-    // the same content under a later term
+    // the same endpoints, confirmed under a later term
     assume_leadership(&mut source, 5);
     let request = request_for(&replica, ShardId(3));
     record_responses(&mut transcript, "confirmed", &request, &source);
@@ -166,9 +166,9 @@
     assert_eq!(written, golden);
 }
 
-/// Each shard's senders in their order: from nothing, and along three changes of the membership.
+/// Compares the senders of each shard, in order, for a first membership and after each of three changes to it.
 #[test]
-fn a_fixed_membership_assigns_the_same_senders() {
+fn assignments_of_a_fixed_membership_are_unchanged() {
     let count = 256;
     let mut written = String::new();
     let mut all = members(40, 5);
--- a/crates/shard-map/tests/model.rs
+++ b/crates/shard-map/tests/model.rs
@@ -1,6 +1,9 @@
-//! The real source, relays and sender, model-checked in every order of events that a small world allows: a source that is
-//! deposed and does not know, a relay that is back with an earlier state, messages that are lost, duplicated, late and
-//! in any order.
+//! Model checking of the real source and replica code, over all orders of events in a small system of two sources, two
+//! session proxies and a sender.
+//!
+//! The events include changes by a deposed source that does not know of its successor, a session proxy restored from a
+//! backup, and updates that are lost, duplicated, delayed or reordered. In every state, each replica must have a state
+//! that a source had, and all replicas must converge with the leader after one round of requests.
 
 mod common;
 
@@ -13,56 +16,64 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// A promise of whoever runs a source that is broken, to see that it is needed.
+/// An assumption about the process that runs a source, violated in one test to show that the model detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum BrokenPromise {
+enum ViolatedAssumption {
     None,
-    /// A second source is the leader of the first one's term.
+    /// The second source becomes a leader of the same term as the first.
     OneLeaderPerTerm,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct World {
-    broken: BrokenPromise,
-    /// Changes that each source gives a version.
+    broken: ViolatedAssumption,
+    /// The maximum number of changes by each source.
     changes: u64,
-    /// Updates that are in transit to each replica at most.
+    /// The maximum number of updates in transit to each replica.
     in_transit: usize,
 }
 
-/// Two relays and a sender.
-const RELAYS: usize = 2;
+/// The number of session proxies, which are the first replicas by index.
+const PROXIES: usize = 2;
+/// The index of the sender, which is the last replica.
 const SENDER: usize = 2;
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
-    /// The first is the leader at the beginning; the second one from its election on.
+    /// The first source is the leader at the beginning, and the second one after its election.
     sources: Vec<ShardMapSource>,
+    /// The number of changes that each source has accepted.
     proposed: [u64; 2],
     replicas: Vec<ShardMapReplica>,
-    /// Sent to each replica; any of it may arrive at any time, again, or never.
+    /// The updates sent to each replica. Each may arrive at any time, several times or never.
     in_transit: Vec<Vec<Update>>,
-    /// The second relay's earlier state, to which it goes back once.
+    /// An earlier state of the second session proxy, to which it is restored at most once.
     backup: Option<ShardMapReplica>,
     is_restored: bool,
-    /// What sources had; where two had the same version with different endpoints, both.
+    /// The digests at each version that a source had; more than one if sources had different endpoints at one version.
     committed: BTreeMap<Version, BTreeSet<Digest>>,
-    /// The sender went backwards.
+    /// Whether the sender ever went back to an older version.
     went_backwards: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Action {
+    /// A source (0, 1) accepts one of the changes of [`proposals`], by index.
     Propose(usize, usize),
-    Lead,
-    /// A replica sends its requests to a source (0, 1) or a relay (2, 3).
+    /// The second source becomes the leader.
+    ElectSecondSource,
+    /// A replica sends its requests to a source (0, 1) or a session proxy (2, 3).
     Sync(usize, usize),
+    /// A replica receives one of the updates in transit to it, by index.
     Arrive(usize, usize),
+    /// The state of the second session proxy is backed up.
     BackUp,
+    /// The second session proxy is restored from the backup.
     Restore,
 }
 
-/// Changes to one destination: to one endpoint, and one that comes and goes, so that a state recurs.
+/// The possible changes, all to one destination: one endpoint is changed, and another is added and removed, so that the
+/// same endpoints occur at different versions.
 fn proposals() -> [Change; 3] {
     [put(1, "one", 81), put(1, "two", 80), remove(1, "two")]
 }
@@ -79,7 +90,7 @@
         let in_transit = &mut self.in_transit[to];
         if !in_transit.contains(&update) && in_transit.len() < world.in_transit {
             in_transit.push(update);
-            // one state, in whatever order they were sent
+            // sorted, so that states that differ only in the order of sending are equal
             in_transit.sort_by_key(fingerprint);
         }
     }
@@ -95,7 +106,7 @@
     fn respond(&self, from: usize, request: &SyncRequest) -> Vec<Update> {
         match from {
             0 | 1 => self.sources[from].respond(request).expect("valid"),
-            relay => self.replicas[relay - 2].respond(request).expect("valid"),
+            proxy => self.replicas[proxy - 2].respond(request).expect("valid"),
         }
     }
 
@@ -105,16 +116,16 @@
             .ok()?;
         self.proposed[source] += 1;
         self.record(source);
-        // to one relay each, and both to the first
+        // each source sends to its own session proxy, and the second one also to the first proxy
         self.send(world, source, Update::Change(change.clone()));
         self.send(world, 0, Update::Change(change));
         Some(())
     }
 
-    /// The second source becomes the leader with all that the first had committed; that goes on, and does not know.
+    /// Makes the second source the leader with all changes of the first, which continues without knowing of the election.
     fn elect_second_source(&mut self, world: &World) -> Option<()> {
         let mut next = self.sources[0].clone();
-        if world.broken == BrokenPromise::OneLeaderPerTerm {
+        if world.broken == ViolatedAssumption::OneLeaderPerTerm {
             self.proposed[1] = 0;
         } else {
             next.assume_leadership(LeaderTerm(2)).ok()?;
@@ -131,7 +142,7 @@
         let version_before = self.sender_version();
         let update = self.in_transit[to][index].clone();
         let outcome = self.replicas[to].apply(update).ok()?;
-        if to < RELAYS {
+        if to < PROXIES {
             for update in outcome.updates {
                 self.send(world, SENDER, update);
             }
@@ -140,7 +151,7 @@
         Some(())
     }
 
-    /// The leader of the newest term.
+    /// The source that is the leader of the newest term.
     fn leader(&self) -> &ShardMapSource {
         let [first, second] = &self.sources[..] else {
             unreachable!()
@@ -152,7 +163,7 @@
         }
     }
 
-    /// Whether all are equal, once each has sent its requests upstream and got the response.
+    /// Whether all replicas equal the leader once each has sent its requests upstream and applied the responses.
     fn converges(&self) -> bool {
         let mut after = self.clone();
         let leader = usize::from(self.sources[1].term() > self.sources[0].term());
@@ -197,8 +208,8 @@
         let mut state = State {
             sources: vec![first, second],
             proposed: [0, 0],
-            replicas: vec![replica; RELAYS + 1],
-            in_transit: vec![Vec::new(); RELAYS + 1],
+            replicas: vec![replica; PROXIES + 1],
+            in_transit: vec![Vec::new(); PROXIES + 1],
             backup: None,
             is_restored: false,
             committed: BTreeMap::new(),
@@ -216,11 +227,11 @@
             }
         }
         if state.sources[1].term() == LeaderTerm(1) && state.proposed[1] == 0 {
-            actions.push(Action::Lead);
+            actions.push(Action::ElectSecondSource);
         }
-        for relay in 0..RELAYS {
-            actions.extend((0..2).map(|source| Action::Sync(relay, source)));
-            actions.push(Action::Sync(SENDER, 2 + relay));
+        for proxy in 0..PROXIES {
+            actions.extend((0..2).map(|source| Action::Sync(proxy, source)));
+            actions.push(Action::Sync(SENDER, 2 + proxy));
         }
         for (to, updates) in state.in_transit.iter().enumerate() {
             actions.extend((0..updates.len()).map(|index| Action::Arrive(to, index)));
@@ -236,7 +247,7 @@
         let mut state = before.clone();
         match action {
             Action::Propose(source, change) => state.propose(self, source, change)?,
-            Action::Lead => state.elect_second_source(self)?,
+            Action::ElectSecondSource => state.elect_second_source(self)?,
             Action::Sync(replica, from) => {
                 for request in before.replicas[replica].sync_requests() {
                     for update in before.respond(from, &request) {
@@ -257,7 +268,7 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "what a replica has is what a source had",
+                "each state of a replica was a state of a source",
                 |_, state: &State| {
                     state.replicas.iter().all(|replica| {
                         let shard = replica.shard(ShardId(0)).expect("subscribed");
@@ -268,17 +279,18 @@
                     })
                 },
             ),
-            Property::always("a version is one state", |_, state: &State| {
+            Property::always("each version has only one state", |_, state: &State| {
                 state.committed.values().all(|digests| digests.len() == 1)
             }),
-            Property::always("a sender never goes backwards", |_, state: &State| {
-                !state.went_backwards
-            }),
             Property::always(
-                "all converge by one round of requests each",
+                "the sender never goes back to an older version",
+                |_, state: &State| !state.went_backwards,
+            ),
+            Property::always(
+                "all replicas converge after one round of requests",
                 |_, state: &State| state.converges(),
             ),
-            Property::sometimes("a sender reaches the second term", |_, state: &State| {
+            Property::sometimes("the sender reaches the second term", |_, state: &State| {
                 state.sender_version()
                     > Version {
                         term: LeaderTerm(2),
@@ -286,7 +298,7 @@
                     }
             }),
             Property::sometimes(
-                "a sender has what was never committed",
+                "the sender applies an uncommitted change",
                 |world, state: &State| {
                     state.sources[1].term() == LeaderTerm(2)
                         && state.sender_version()
@@ -314,14 +326,14 @@
 }
 
 const SOMETIMES: [&str; 2] = [
-    "a sender reaches the second term",
-    "a sender has what was never committed",
+    "the sender reaches the second term",
+    "the sender applies an uncommitted change",
 ];
 
 #[test]
-fn in_every_order_nobody_is_wrong_and_all_converge() {
+fn replicas_are_correct_and_converge_in_every_order_of_events() {
     let world = World {
-        broken: BrokenPromise::None,
+        broken: ViolatedAssumption::None,
         changes: 1,
         in_transit: 2,
     };
@@ -329,14 +341,14 @@
 }
 
 #[test]
-fn two_leaders_of_one_term_are_detected() {
+fn model_detects_two_leaders_of_one_term() {
     let discoveries = discoveries(World {
-        broken: BrokenPromise::OneLeaderPerTerm,
+        broken: ViolatedAssumption::OneLeaderPerTerm,
         changes: 1,
         in_transit: 2,
     });
     assert!(
-        discoveries.contains("a version is one state"),
+        discoveries.contains("each version has only one state"),
         "{discoveries:?}"
     );
 }
--- a/crates/shard-map/tests/replica_changes.rs
+++ b/crates/shard-map/tests/replica_changes.rs
@@ -1,4 +1,4 @@
-//! Which changes and versions a replica applies, and which it ignores: each guard for itself.
+//! Changes, versions and snapshots that a replica applies or ignores, by its checks of term, version and digest.
 
 mod common;
 
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn changes_apply_in_order_and_once_and_a_gap_is_requested() {
+fn changes_apply_once_and_in_order_and_missing_ones_are_requested() {
     let mut source = filled_source(shard_count(1), 3);
     let mut replica = synced_replica(&source);
     let changes = port_changes(&mut source, 1, 100..104);
@@ -23,7 +23,7 @@
     assert_eq!(
         replica.apply(changes[0].clone()),
         Err(ApplyError::NotNewer),
-        "twice"
+        "the same change again"
     );
     let outcome = replica.apply(changes[2].clone()).expect("a gap");
     assert!(
@@ -33,15 +33,15 @@
     assert_eq!(
         replica.apply(changes[3].clone()).expect("a gap"),
         ApplyOutcome::default(),
-        "requested once"
+        "the gap is requested only once"
     );
     assert_eq!(replica.stale_count(), 1);
     assert_eq!(
         replica.endpoints(1).expect("subscribed")[0].address.port(),
         100,
-        "nothing out of order"
+        "no change is applied out of order"
     );
-    // the response is the changes that are missing, not a snapshot
+    // the response has the missing changes and no snapshot
     let response = source.respond(&outcome.requests[0]).expect("valid");
     assert_eq!(response, changes[1..]);
     for update in response {
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_endpoint_of_another_shard_is_not_applied() {
+fn endpoint_of_another_shard_is_not_applied() {
     let shard_count = shard_count(64);
     let source = filled_source(shard_count, 1);
     let mut replica = synced_replica(&source);
@@ -91,8 +91,8 @@
 }
 
 #[test]
-fn a_change_to_another_state_is_not_applied() {
-    // of the same number, but from a source whose change before it was never committed
+fn change_that_follows_another_state_is_not_applied() {
+    // the change has the next number, but the source that made it had an uncommitted change before
     let mut source = filled_source(shard_count(1), 3);
     let mut other = source.clone();
     let mut replica = synced_replica(&source);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_change_that_does_not_lead_to_its_digest_is_not_applied() {
+fn change_whose_result_has_another_digest_is_not_applied() {
     let mut source = filled_source(shard_count(1), 3);
     let mut replica = synced_replica(&source);
     let Update::Change(mut change) = port_changes(&mut source, 1, 100..101).remove(0) else {
@@ -123,12 +123,12 @@
     assert_eq!(
         replica.endpoints(1).expect("subscribed").len(),
         1,
-        "no part of it is in force"
+        "no operation of the change is applied"
     );
 }
 
 #[test]
-fn an_earlier_term_is_ignored_whatever_its_numbers() {
+fn updates_of_an_earlier_term_are_ignored_even_with_higher_numbers() {
     let mut source = filled_source(shard_count(16), 100);
     let mut deposed = source.clone();
     let mut replica = synced_replica(&source);
@@ -148,7 +148,7 @@
         );
     }
     assert_eq!(replica, before);
-    // nor does the replica apply the deposed one's snapshots
+    // the replica also ignores the snapshots of the deposed leader
     for request in replica.sync_requests() {
         for update in deposed.respond(&request).expect("valid") {
             replica.apply(update).expect_err("an earlier term");
@@ -160,21 +160,19 @@
 }
 
 #[test]
-fn changes_of_an_earlier_term_that_the_new_leader_lacks_are_undone() {
+fn uncommitted_changes_of_an_earlier_term_are_undone() {
     let mut source = filled_source(shard_count(4), 40);
     let mut deposed = source.clone();
     let mut replica = synced_replica(&source);
     for update in port_changes(&mut deposed, 6, 200..203) {
-        replica
-            .apply(update)
-            .expect("its term is the newest that is known");
+        replica.apply(update).expect("the newest known term");
     }
     assume_leadership(&mut source, 2);
     let new = port_changes(&mut source, 6, 300..301);
     let outcome = replica.apply(new[0].clone()).expect("a gap");
     assert!(
         outcome.updates.is_empty(),
-        "its number was given before: {outcome:?}"
+        "the change has a number that was assigned before: {outcome:?}"
     );
     catch_up(&mut replica, |request| source.respond(request));
     assert_in_sync(&replica, &source);
@@ -185,90 +183,90 @@
 }
 
 #[test]
-fn a_peer_with_yesterdays_state_moves_nobody_backwards() {
+fn peer_with_outdated_state_moves_no_replica_backwards() {
     let mut source = filled_source(shard_count(32), 100);
-    let yesterday = synced_replica(&source);
+    let outdated = synced_replica(&source);
     for n in 0..50 {
         port_changes(&mut source, n, 100..103);
     }
     let mut replica = synced_replica(&source);
     let before = replica.clone();
-    let requests = [replica.sync_requests(), yesterday.sync_requests()];
+    let requests = [replica.sync_requests(), outdated.sync_requests()];
     for request in requests.into_iter().flatten() {
-        for update in yesterday.respond(&request).expect("valid") {
+        for update in outdated.respond(&request).expect("valid") {
             if let Ok(outcome) = replica.apply(update) {
                 assert!(outcome.updates.is_empty(), "{outcome:?}");
             }
         }
     }
     assert_eq!(replica, before);
-    // asked for each shard, it sends nothing of those where it has less
+    // the outdated peer does not respond for shards of which it has an older version
     for id in replica.shard_count().shards() {
         let request = SyncRequest::Shards {
             shard_count: replica.shard_count(),
             versions: vec![version_of(id, replica.shard(id).expect("subscribed"))],
         };
-        assert_eq!(yesterday.respond(&request).expect("valid"), []);
+        assert_eq!(outdated.respond(&request).expect("valid"), []);
     }
-    // snapshots of all of it that nobody requested
+    // versions and snapshots of the outdated peer are ignored, also when they were not requested
     for id in replica.shard_count().shards() {
-        let shard = yesterday.shard(id).expect("subscribed");
+        let shard = outdated.shard(id).expect("subscribed");
         replica
             .apply(Update::Version(version_of(id, shard)))
-            .expect_err("older, or the same");
+            .expect_err("not a newer version");
         replica
             .apply(snapshot_of(id, shard))
-            .expect_err("older, or the same");
+            .expect_err("not a newer version");
     }
     assert_eq!(replica, before);
 }
 
 #[test]
-fn a_relay_sends_nothing_that_the_newest_term_has_not_confirmed() {
+fn session_proxy_sends_nothing_unconfirmed_under_the_newest_term() {
     let mut source = filled_source(shard_count(32), 100);
-    let mut relay = synced_replica(&source);
+    let mut proxy = synced_replica(&source);
     let mut sender = replica(shard_count(32));
     sender.subscribe((0..4).map(ShardId));
     assume_leadership(&mut source, 2);
-    // the relay knows of the term by one shard, and of no other
+    // the session proxy learns of the new term from one shard; its other shards are unconfirmed
     let shard = source.shard(ShardId(0)).expect("there");
-    relay
+    proxy
         .apply(Update::Version(version_of(ShardId(0), shard)))
-        .expect("confirms one");
+        .expect("confirms one shard");
     let updates: Vec<Update> = sender
         .sync_requests()
         .iter()
-        .flat_map(|request| relay.respond(request).expect("valid"))
+        .flat_map(|request| proxy.respond(request).expect("valid"))
         .collect();
     assert!(
         updates.iter().all(|update| update.term() == LeaderTerm(2)),
         "{updates:?}"
     );
-    catch_up(&mut relay, |request| source.respond(request));
-    catch_up(&mut sender, |request| relay.respond(request));
+    catch_up(&mut proxy, |request| source.respond(request));
+    catch_up(&mut sender, |request| proxy.respond(request));
     assert_in_sync(&sender, &source);
 }
 
 #[test]
-fn two_sources_of_one_term_are_detected() {
+fn conflicting_versions_of_two_sources_with_one_term_are_detected() {
     let mut source = filled_source(shard_count(1), 3);
     let mut other = source.clone();
-    let mut copy = synced_replica(&source);
+    let mut replica = synced_replica(&source);
     let change = port_changes(&mut source, 1, 100..101).remove(0);
     port_changes(&mut other, 1, 200..201);
-    copy.apply(change).expect("next");
+    replica.apply(change).expect("next");
     let conflicting = other.shard(ShardId(0)).expect("there");
     assert_eq!(
-        copy.apply(Update::Version(version_of(ShardId(0), conflicting))),
+        replica.apply(Update::Version(version_of(ShardId(0), conflicting))),
         Err(ApplyError::ConflictingVersion)
     );
     assert_eq!(
-        copy.apply(snapshot_of(ShardId(0), conflicting)),
+        replica.apply(snapshot_of(ShardId(0), conflicting)),
         Err(ApplyError::ConflictingVersion)
     );
-    assert_in_sync(&copy, &source);
-    // a later term ends it
+    assert_in_sync(&replica, &source);
+    // a later term resolves the conflict
     assume_leadership(&mut other, 2);
-    catch_up(&mut copy, |request| other.respond(request));
-    assert_in_sync(&copy, &other);
+    catch_up(&mut replica, |request| other.respond(request));
+    assert_in_sync(&replica, &other);
 }
--- a/crates/shard-map/tests/source.rs
+++ b/crates/shard-map/tests/source.rs
@@ -1,4 +1,4 @@
-//! Which changes a source rejects, and the versions that it gives to the others.
+//! The changes that a source rejects, and the versions that it assigns to accepted ones.
 
 mod common;
 
@@ -16,7 +16,7 @@
     source
 }
 
-/// Changes with a fault of their own, and the errors that reject them.
+/// Changes that are invalid by themselves, with the expected errors.
 fn invalid_changes() -> Vec<(Change, ChangeError)> {
     let put_second = |endpoint| {
         let valid = Operation::Put(endpoint_of_seven("valid"));
@@ -58,7 +58,7 @@
     ]
 }
 
-/// Changes that do not fit what the source has, and the errors that reject them.
+/// Changes that conflict with the endpoints in the source, with the expected errors.
 fn conflicting_changes() -> Vec<(Change, ChangeError)> {
     let after_valid = |operation| {
         let valid = Operation::Put(endpoint_of_seven("valid"));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_rejected_change_leaves_no_trace_and_uses_up_no_number() {
+fn rejected_change_leaves_the_source_unchanged() {
     for (change, expected) in [invalid_changes(), conflicting_changes()].concat() {
         let mut source = source();
         let before = source.clone();
@@ -99,11 +99,11 @@
 }
 
 #[test]
-fn the_sizes_of_a_shard_and_of_the_list_are_bounded() {
-    let one = endpoint(7, "a", 80).size_bytes();
+fn sizes_of_a_shard_and_of_the_list_are_bounded() {
+    let endpoint_bytes = endpoint(7, "a", 80).size_bytes();
     let mut source = ShardMapSource::new(
         shard_count(1),
-        Limits::new(one, 2, one * 100, 0),
+        Limits::new(endpoint_bytes, 2, endpoint_bytes * 100, 0),
         LeaderTerm(1),
     );
     source.propose(put(7, "a", 80)).expect("fits");
@@ -112,8 +112,8 @@
     assert_eq!(
         source.propose(put(9, "c", 80)),
         Err(ChangeError::ShardTooLarge {
-            required_bytes: 3 * one,
-            max_bytes: 2 * one
+            required_bytes: 3 * endpoint_bytes,
+            max_bytes: 2 * endpoint_bytes
         })
     );
     assert_eq!(source, before);
@@ -122,7 +122,7 @@
 
     let mut source = ShardMapSource::new(
         shard_count(64),
-        Limits::new(one, 50, 2 * one, 0),
+        Limits::new(endpoint_bytes, 50, 2 * endpoint_bytes, 0),
         LeaderTerm(1),
     );
     source.propose(put(7, "a", 80)).expect("fits");
@@ -131,20 +131,20 @@
     assert_eq!(
         source.propose(put(9, "c", 80)),
         Err(ChangeError::ListTooLarge {
-            required_bytes: 3 * one,
-            max_bytes: 2 * one
+            required_bytes: 3 * endpoint_bytes,
+            max_bytes: 2 * endpoint_bytes
         })
     );
     assert_eq!(source, before);
 }
 
 #[test]
-fn a_source_that_is_not_the_leader_gives_no_version() {
+fn source_that_is_not_the_leader_rejects_changes() {
     let mut source = source();
     source.observe_term(LeaderTerm(1));
     source
         .propose(put(9, "nine", 80))
-        .expect("it is the source's own term");
+        .expect("the observed term is the source's own");
     source.observe_term(LeaderTerm(2));
     let before = source.clone();
     assert_eq!(
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn the_versions_of_a_shard_are_consecutive() {
+fn versions_of_a_shard_are_consecutive() {
     let mut source = empty_source(shard_count(1), 4);
     let mut digest = Digest::default();
     for n in 1..=20u64 {
@@ -190,15 +190,15 @@
 }
 
 #[test]
-fn a_destination_is_in_the_same_shard_everywhere() {
-    // fixed by XXH3: another hash or another arithmetic would tear a group of two versions apart
+fn destinations_hash_to_fixed_shards() {
+    // processes of different versions run side by side, so that neither the hash nor the arithmetic may change
     let shard_count = ShardCount::default();
     let shards: Vec<u16> = [0, 1, 2, 1_000_000, u64::MAX]
         .map(|n| shard_count.shard_of(n).0)
         .into();
     assert_eq!(shards, FIXED_SHARDS);
     assert_eq!(shard_count.count(), 65_536);
-    ShardCount::new(0).expect_err("none");
+    ShardCount::new(0).expect_err("zero shards");
     ShardCount::new(65_537).expect_err("too many");
 }
 
@@ -206,7 +206,7 @@
 
 proptest! {
     #[test]
-    fn an_endpoint_is_never_longer_on_the_wire_than_its_size(
+    fn serialized_endpoint_is_never_longer_than_its_size_bound(
         uid in "[^\\p{Cc}]{1,40}", zone in "[\"\\\\a-zé]{0,60}", destination: u64, weight: u64, port: u16, ip: u128,
         draining: bool,
     ) {
