--- a/crates/cluster-harness/src/cluster.rs
+++ b/crates/cluster-harness/src/cluster.rs
@@ -193,7 +193,7 @@
         self.replicas[index]
             .process
             .as_ref()
-            .expect("the replica has been started")
+            .expect("the replica is running")
     }
 
     /// Kills a replica, as in a crash; its state folder stays.
--- a/crates/cluster-harness/src/controlled_link.rs
+++ b/crates/cluster-harness/src/controlled_link.rs
@@ -172,10 +172,10 @@
         let (client_clone, server_clone) = (clone(&client_stream), clone(&server_stream));
         let (to_server, to_client) = (self.clone(), self.clone());
         thread::spawn(move || {
-            to_server.pump(number, client_stream, server_stream, Direction::ToServer)
+            to_server.pump(number, client_stream, server_stream, Direction::ToServer);
         });
         thread::spawn(move || {
-            to_client.pump(number, server_clone, client_clone, Direction::ToClient)
+            to_client.pump(number, server_clone, client_clone, Direction::ToClient);
         });
     }
 
--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -14,7 +14,7 @@
     pub token: u64,
     /// The name of the member that the event concerns.
     pub member: String,
-    /// What happened.
+    /// The kind of the event, such as an acquisition, a write or an expiry of the lease.
     pub kind: EventKind,
 }
 
@@ -90,7 +90,11 @@
                 {
                     owner.writes = number;
                 }
-                _ => return Err(format!("write not due from the owner {owner:?}: {event:?}")),
+                _ => {
+                    return Err(format!(
+                        "not the next write of the owner {owner:?}: {event:?}"
+                    ));
+                }
             },
             EventKind::Released | EventKind::Expired | EventKind::Revoked => owner = None,
             EventKind::Fenced => {}
--- a/crates/cluster-harness/src/process.rs
+++ b/crates/cluster-harness/src/process.rs
@@ -150,7 +150,7 @@
     /// # Panics
     /// If waiting for the process fails.
     pub fn kill(&mut self) {
-        let _ = self.child.kill(); // gone already
+        let _ = self.child.kill(); // the process may have ended already
         self.child.wait().expect("the process can be waited for");
     }
 
--- a/crates/shard-map/src/membership.rs
+++ b/crates/shard-map/src/membership.rs
@@ -30,7 +30,7 @@
     members: BTreeMap<Box<str>, Member>,
 }
 
-/// Why a membership is not valid.
+/// The reason for rejecting a membership.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipError {
     /// A replication factor of 0, or above [`limits::MAX_REPLICATION_FACTOR`].
--- a/crates/shard-map/src/replica.rs
+++ b/crates/shard-map/src/replica.rs
@@ -58,10 +58,10 @@
     /// The endpoints of the update do not match its digest, are unordered or invalid, or belong to another shard.
     #[error("endpoints of the update are invalid or do not match its shard or digest")]
     InvalidContent,
-    /// The update would exceed the size limits of the replica. The shard keeps its previous endpoints.
+    /// The shard or the whole replica would exceed its size limit. The shard keeps its previous endpoints.
     #[error("update exceeds the size limits of the replica")]
     CapacityExceeded,
-    /// The update names a span, or a part of one, beyond the last shard, an empty one, or too many parts.
+    /// The update has digests of empty parts, of parts beyond the last shard, or of too many parts.
     #[error("update names an invalid span of shards")]
     InvalidSpan,
 }
@@ -147,7 +147,8 @@
             .collect()
     }
 
-    /// Applies an update, which may also turn out to leave a gap; the missing data is then requested.
+    /// Applies an update. A change that leaves a gap is not applied; the outcome then has a request for the shard, unless
+    /// the shard was requested before.
     ///
     /// # Errors
     /// [`ApplyError`] with the reason for ignoring the update; the endpoints stay unchanged.
--- a/crates/shard-map/src/source.rs
+++ b/crates/shard-map/src/source.rs
@@ -27,7 +27,7 @@
 
 /// Error for assuming leadership under a term that is not above the source's own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("term {requested} is not above {known}")]
+#[error("term {requested} is not above the known term {known}")]
 pub struct StaleTerm {
     /// The term under which leadership was to be assumed.
     pub requested: LeaderTerm,
--- a/crates/shard-map/tests/network/world.rs
+++ b/crates/shard-map/tests/network/world.rs
@@ -1,4 +1,4 @@
-//! The simulated nodes, and the network between them.
+//! The simulated nodes, and the network that loses, duplicates and delays the packets between them.
 
 use crate::common::{empty_membership, empty_source, members, put, replica, shard_count};
 use milletturn_shard_map::{
--- a/crates/shard-map/tests/replica_sync.rs
+++ b/crates/shard-map/tests/replica_sync.rs
@@ -1,4 +1,4 @@
-//! Catching up of a replica by requests, with changes, snapshots and sums of digests in response.
+//! How a replica catches up: its requests, and the changes, snapshots and sums of digests in the responses.
 
 mod common;
 
