--- a/tests/dead_letter.rs
+++ b/tests/dead_letter.rs
@@ -89,7 +89,7 @@
     let agent = one(&endpoint);
     let node = Node::with_store(&agent, "[store]\nmax_mb = 2").ready();
     assert_eq!(code(&node, &["list"]), 3, "nothing is there yet");
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"licence 5"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"licence 5"), 202);
     let stored = only(&node);
     let number = &stored["number"].to_string();
     assert_eq!(
@@ -140,7 +140,7 @@
     let rule =
         "[store]\nmax_mb = 2\n[[rule]]\nname = 'orders'\nwell_for_s = 0.2\nper_second = 50.0";
     let node = Node::with_store(&one(&endpoint), rule).ready();
-    assert_eq!(node.hand_in("order", "fails", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "fails", 7, 20_000, b"x"), 202);
     let stored = only(&node);
     let number = stored["number"].to_string();
     std::thread::sleep(std::time::Duration::from_millis(600)); // several beats of the rules
@@ -175,7 +175,7 @@
     let (endpoint, _) = broken();
     let node = Node::with_store(&one(&endpoint), "[store]\nmax_mb = 2").ready();
     assert_eq!(
-        node.hand_in("order", "m1", 7, 20_000, b"a body to damage"),
+        node.submit("order", "m1", 7, 20_000, b"a body to damage"),
         202
     );
     only(&node);
@@ -199,7 +199,7 @@
     wait_until("it is logged", || {
         node.logged("checksum") && node.logged("nothing is sent from it")
     });
-    assert_eq!(node.hand_in("order", "m2", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m2", 7, 20_000, b"x"), 202);
     assert_eq!(only(&node)["id"], "m2");
 }
 
@@ -213,7 +213,7 @@
     for pause_ms in [0, 3, 17, 60, 5, 200] {
         for _ in 0..5 {
             assert_eq!(
-                node.hand_in("order", &format!("m{submitted}"), 7, 2_000, b"x"),
+                node.submit("order", &format!("m{submitted}"), 7, 2_000, b"x"),
                 202
             );
             submitted += 1;
@@ -262,11 +262,11 @@
     lock.execute_batch("BEGIN EXCLUSIVE").expect("locked");
     for number in 0..5 {
         assert_eq!(
-            node.hand_in("order", &format!("bad-{number}"), 7, 1_000, b"x"),
+            node.submit("order", &format!("bad-{number}"), 7, 1_000, b"x"),
             202
         );
         assert_eq!(
-            node.hand_in("order", &format!("good-{number}"), 8, 20_000, b"x"),
+            node.submit("order", &format!("good-{number}"), 8, 20_000, b"x"),
             202
         );
     }
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -109,7 +109,7 @@
 }
 
 /// Tries until a connection gets its turn: a new one may be shut unread.
-fn hand_in(node: &Node, id: &str, destination: u64, time_ms: u64) {
+fn submit(node: &Node, id: &str, destination: u64, time_ms: u64) {
     wait_until("taken on", || {
         let Ok(mut stream) = TcpStream::connect(node.address) else {
             return false;
@@ -138,17 +138,17 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
     let before = Discovery::at(listener, lists("up", "draining"));
-    let mut node = Node::narrow_at(address, DESCRIPTORS).ready();
+    let mut node = Node::with_discovery_and_descriptor_limit(address, DESCRIPTORS).ready();
     let ends = Arc::new(AtomicBool::new(false));
     crowd(node.address, 3 * DESCRIPTORS, &ends);
-    crowd(node.operators.expect("an address"), DESCRIPTORS, &ends);
-    hand_in(&node, "m1", 7, 20_000);
+    crowd(node.admin_address.expect("an address"), DESCRIPTORS, &ends);
+    submit(&node, "m1", 7, 20_000);
     wait_until("m1 is delivered", || old.attempt_count("m1") == 1);
     before.goes();
     wait_until("discovery is gone", || node.logged("no connection"));
     // no endpoint takes it, and its notice has to wait for discovery
-    hand_in(&node, "m2", 9, 200);
-    hand_in(&node, "m3", 7, 20_000);
+    submit(&node, "m2", 9, 200);
+    submit(&node, "m3", 7, 20_000);
     wait_until("m3 is delivered", || old.attempt_count("m3") == 1);
     let listener = TcpListener::bind(address).expect("the same port");
     let after = Discovery::at(listener, lists("draining", "up"));
@@ -160,7 +160,7 @@
     wait_until("the list counts", || {
         round += 1;
         let id = format!("l{round}");
-        hand_in(&node, &id, 7, 20_000);
+        submit(&node, &id, 7, 20_000);
         wait_until("delivered", || {
             old.attempt_count(&id) + new.attempt_count(&id) > 0
         });
--- a/tests/duplicate_responses.rs
+++ b/tests/duplicate_responses.rs
@@ -1,4 +1,6 @@
-//! The real sender behind a proxy that sends an endpoint's responses twice: a response ends no call but its own.
+//! Runs the sender behind a proxy that sends some of an endpoint's responses twice. The tests guard against a duplicate
+//! response that the sender takes for the response to the next call on the same connection: that call's message would
+//! count as delivered though the endpoint rejected it, or would be sent again though it ran.
 
 mod node;
 
@@ -8,55 +10,58 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long the endpoint takes.
+/// Time that the endpoint takes to process a request.
 const SERVICE_TIME: Duration = Duration::from_millis(80);
-/// How long each message may take.
+/// Time from the submission of a message to its deadline.
 const TIME_TO_LIVE_MS: u64 = 3_000;
-/// A message without an end so long after its time is lost (the protocol page).
+/// A message that has neither been delivered nor ended by a notification this long after its deadline counts as lost
+/// (the protocol page).
 const LOST_AFTER_MS: u64 = 300;
-/// Time between two messages: a connection is idle by then.
-const PAUSE: Duration = Duration::from_millis(160);
-/// Messages of one test.
+/// Time between two submissions, long enough that the connection to the endpoint is idle again.
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(160);
+/// Number of messages that a test submits.
 const MESSAGES: usize = 20;
 
-/// What the endpoint does with a request, by its number; true for the flag if a copy crosses it.
-type Script = fn(crossed: bool, number: usize) -> Reply;
+/// Chooses the endpoint's reply to a request. The flag is true if the proxy sends a duplicate response while the request is
+/// in flight; the number counts the requests.
+type Script = fn(overlaps_duplicate: bool, number: usize) -> Reply;
 
-/// Rejects what a copy crosses. Its other responses differ, as those with a load report do.
-fn reject_crossed(crossed: bool, number: usize) -> Reply {
-    match crossed {
+/// Rejects requests that overlap with a duplicate response. All other responses have different bodies, as responses with a
+/// load report do.
+fn reject_overlapping(overlaps_duplicate: bool, number: usize) -> Reply {
+    match overlaps_duplicate {
         true => Reply::Respond(REJECTED, String::new()),
         false => Reply::Respond("200 OK", number.to_string()),
     }
 }
 
-/// Rejects what a copy crosses. Its other responses are the same bytes.
-fn reject_crossed_alike(crossed: bool, _: usize) -> Reply {
-    match crossed {
+/// Rejects requests that overlap with a duplicate response. All other responses are the same bytes.
+fn reject_overlapping_with_identical_responses(overlaps_duplicate: bool, _: usize) -> Reply {
+    match overlaps_duplicate {
         true => Reply::Respond(REJECTED, String::new()),
         false => OK,
     }
 }
 
-/// Delivers nothing but what a copy crosses.
-fn deliver_crossed(crossed: bool, _: usize) -> Reply {
-    match crossed {
+/// Delivers only the requests that overlap with a duplicate response.
+fn deliver_overlapping(overlaps_duplicate: bool, _: usize) -> Reply {
+    match overlaps_duplicate {
         true => OK,
         false => Reply::Respond(REJECTED, String::new()),
     }
 }
 
-/// Never answers what a copy crosses.
-fn ignore_crossed(crossed: bool, number: usize) -> Reply {
-    match crossed {
+/// Never responds to requests that overlap with a duplicate response.
+fn ignore_overlapping(overlaps_duplicate: bool, number: usize) -> Reply {
+    match overlaps_duplicate {
         true => Reply::NoResponse,
         false => Reply::Respond("200 OK", number.to_string()),
     }
 }
 
-/// Closes the connection on what a copy crosses.
-fn close_crossed(crossed: bool, number: usize) -> Reply {
-    match crossed {
+/// Closes the connection on requests that overlap with a duplicate response.
+fn close_overlapping(overlaps_duplicate: bool, number: usize) -> Reply {
+    match overlaps_duplicate {
         true => Reply::Close,
         false => Reply::Respond("200 OK", number.to_string()),
     }
@@ -68,27 +73,27 @@
 struct Fixture {
     proxy: DuplicatingProxy,
     endpoint: FakeEndpoint,
-    /// Ids that the endpoint has answered with 200, each time.
+    /// Message ids that the endpoint answered with 200, one entry for each response.
     delivered: Arc<Mutex<Vec<String>>>,
     agent: FakeDiscovery,
     node: Node,
 }
 
 impl Fixture {
-    /// Of each connection's responses, every second one is sent twice.
-    fn new(script: Script, moment: DuplicateTiming) -> Self {
-        Self::with(script, SERVICE_TIME, moment, DuplicateContent::Identical)
+    /// Starts a fixture whose proxy sends every second response of each connection twice, with the same bytes.
+    fn new(script: Script, timing: DuplicateTiming) -> Self {
+        Self::with(script, SERVICE_TIME, timing, DuplicateContent::Identical)
     }
 
-    /// `usual_time` is what the endpoint takes for a call that no copy crosses.
+    /// `usual_time` is the time that the endpoint takes for a request that does not overlap with a duplicate response.
     fn with(
         script: Script,
         usual_time: Duration,
-        moment: DuplicateTiming,
+        timing: DuplicateTiming,
         content: DuplicateContent,
     ) -> Self {
         let duplication = Duplication {
-            timing: moment,
+            timing,
             content,
             every_nth_response: 2,
         };
@@ -97,13 +102,18 @@
 
     fn behind(script: Script, usual_time: Duration, duplication: Duplication) -> Self {
         let delivered: Arc<Mutex<Vec<String>>> = Arc::default();
-        let ran = delivered.clone();
+        let delivered_ids = delivered.clone();
         let endpoint = FakeEndpoint::new(move |request, number| {
-            let crossed = !request.header(DUPLICATE_SENT_HEADER).is_empty();
-            thread::sleep(if crossed { SERVICE_TIME } else { usual_time });
-            let reply = script(crossed, number);
+            let overlaps_duplicate = !request.header(DUPLICATE_SENT_HEADER).is_empty();
+            thread::sleep(if overlaps_duplicate {
+                SERVICE_TIME
+            } else {
+                usual_time
+            });
+            let reply = script(overlaps_duplicate, number);
             if matches!(reply, Reply::Respond("200 OK", _)) {
-                ran.lock()
+                delivered_ids
+                    .lock()
                     .expect("not poisoned")
                     .extend(request.message_ids());
             }
@@ -111,7 +121,7 @@
         });
         let proxy = DuplicatingProxy::new(endpoint.address, duplication);
         let agent = FakeDiscovery::new(vec![list_json(&[("s-1", proxy.address, "one", 7, "up")])]);
-        let node = Node::traced(&agent).ready();
+        let node = Node::with_trace(&agent).ready();
         Fixture {
             proxy,
             endpoint,
@@ -125,202 +135,209 @@
         self.delivered.lock().expect("not poisoned").clone()
     }
 
-    fn copies(&self) -> usize {
+    fn duplicate_count(&self) -> usize {
         self.proxy.duplicates_sent.load(Ordering::SeqCst)
     }
 
-    /// Hands messages in one after the other.
-    fn hand_in(&self, class: &str, count: usize) -> Vec<String> {
+    /// Submits this number of messages one after the other.
+    fn submit(&self, class: &str, count: usize) -> Vec<String> {
         let ids: Vec<String> = (0..count).map(|number| format!("m{number}")).collect();
         for id in &ids {
-            assert_eq!(self.node.hand_in(class, id, 7, TIME_TO_LIVE_MS, b"x"), 202);
-            thread::sleep(PAUSE);
+            assert_eq!(self.node.submit(class, id, 7, TIME_TO_LIVE_MS, b"x"), 202);
+            thread::sleep(SUBMIT_INTERVAL);
         }
         ids
     }
 
     fn is_ended(&self, id: &String) -> bool {
         let quoted = format!("\"{id}\"");
-        let notices = self.agent.notifications();
-        self.delivered().contains(id) || notices.iter().any(|line| line.contains(&quoted))
+        let notifications = self.agent.notifications();
+        self.delivered().contains(id) || notifications.iter().any(|line| line.contains(&quoted))
     }
 
-    /// The messages that are neither delivered nor ended by a notice once their time is up.
+    /// The messages that are neither delivered nor ended by a notification once their deadline and [`LOST_AFTER_MS`] are
+    /// over.
     fn lost(&self, ids: &[String]) -> Vec<String> {
-        let open = || ids.iter().filter(|id| !self.is_ended(id));
-        let until =
+        let unfinished = || ids.iter().filter(|id| !self.is_ended(id));
+        let wait_end =
             std::time::Instant::now() + Duration::from_millis(TIME_TO_LIVE_MS + LOST_AFTER_MS);
-        while open().next().is_some() && std::time::Instant::now() < until {
+        while unfinished().next().is_some() && std::time::Instant::now() < wait_end {
             thread::sleep(Duration::from_millis(10));
         }
-        open().cloned().collect()
+        unfinished().cloned().collect()
     }
 
-    /// Each message ran once at most.
+    /// Checks that the endpoint delivered each message at most once.
     fn assert_none_repeated(&self) {
-        let mut ran = self.delivered();
-        let runs = ran.len();
-        ran.sort();
-        ran.dedup();
-        assert_eq!(runs, ran.len(), "each ran once at most");
+        let mut delivered = self.delivered();
+        let run_count = delivered.len();
+        delivered.sort();
+        delivered.dedup();
+        assert_eq!(run_count, delivered.len(), "each ran once at most");
     }
 
     fn assert_none_lost(&self, ids: &[String]) {
         let lost = self.lost(ids);
-        let first = lost.first().map(|id| self.node.records_of(id));
+        let first = lost.first().map(|id| self.node.log_lines_of(id));
         assert!(
             lost.is_empty(),
-            "{} of {} lost, {} copies: {lost:?}\n{}",
+            "{} of {} lost, {} duplicate responses: {lost:?}\n{}",
             lost.len(),
             ids.len(),
-            self.copies(),
+            self.duplicate_count(),
             first.unwrap_or_default()
         );
     }
 }
 
-/// Hands in messages that may be repeated, and checks that none is lost though copies are sent.
-fn assert_loses_nothing(fixture: &Fixture) {
-    let ids = fixture.hand_in("webhook", MESSAGES);
+/// Submits messages that may be repeated, and checks that duplicate responses were sent and no message is lost.
+fn assert_none_is_lost(fixture: &Fixture) {
+    let ids = fixture.submit("webhook", MESSAGES);
     fixture.assert_none_lost(&ids);
-    assert!(fixture.copies() > 0, "copies were sent");
+    assert!(
+        fixture.duplicate_count() > 0,
+        "duplicate responses were sent"
+    );
 }
 
-/// The same with messages that must run once, of which none may run twice.
-fn assert_runs_once(fixture: &Fixture) {
-    let ids = fixture.hand_in("order", MESSAGES);
+/// Submits messages that must run at most once, and checks that none is lost or run twice.
+fn assert_each_runs_at_most_once(fixture: &Fixture) {
+    let ids = fixture.submit("order", MESSAGES);
     fixture.assert_none_lost(&ids);
     fixture.assert_none_repeated();
 }
 
-/// Copies of 200s that cross the next request.
+/// Checks that no message is lost when a 200 is sent a second time, this long after the next request.
 fn assert_no_loss(script: Script, delay: Duration) {
-    assert_loses_nothing(&Fixture::new(
+    assert_none_is_lost(&Fixture::new(
         script,
         DuplicateTiming::DuringNextRequest(delay),
     ));
 }
 
 #[test]
-fn a_copy_of_a_200_in_the_middle_of_the_next_call_delivers_nothing_where_all_are_alike() {
-    assert_no_loss(reject_crossed_alike, SERVICE_TIME / 2);
+fn a_duplicate_200_during_the_next_call_delivers_nothing_when_responses_are_identical() {
+    assert_no_loss(
+        reject_overlapping_with_identical_responses,
+        SERVICE_TIME / 2,
+    );
 }
 
 #[test]
-fn what_must_run_once_is_neither_lost_nor_repeated_where_all_are_alike() {
+fn at_most_once_messages_are_neither_lost_nor_repeated_when_responses_are_identical() {
     let fixture = Fixture::new(
-        reject_crossed_alike,
+        reject_overlapping_with_identical_responses,
         DuplicateTiming::DuringNextRequest(SERVICE_TIME - SERVICE_TIME / 20),
     );
-    assert_runs_once(&fixture);
+    assert_each_runs_at_most_once(&fixture);
 }
 
 #[test]
 fn a_copy_of_a_200_with_the_next_request_delivers_nothing() {
-    assert_no_loss(reject_crossed, Duration::ZERO);
+    assert_no_loss(reject_overlapping, Duration::ZERO);
 }
 
 #[test]
-fn a_copy_of_a_200_in_the_middle_of_the_next_call_delivers_nothing() {
-    assert_no_loss(reject_crossed, SERVICE_TIME / 2);
+fn a_duplicate_200_during_the_next_call_delivers_nothing() {
+    assert_no_loss(reject_overlapping, SERVICE_TIME / 2);
 }
 
 #[test]
-fn a_copy_of_a_200_with_the_next_request_delivers_nothing_where_all_are_alike() {
-    assert_no_loss(reject_crossed_alike, Duration::ZERO);
+fn a_duplicate_200_with_the_next_request_delivers_nothing_when_responses_are_identical() {
+    assert_no_loss(reject_overlapping_with_identical_responses, Duration::ZERO);
 }
 
 #[test]
-fn a_copy_of_a_200_on_an_idle_connection_delivers_nothing() {
+fn a_duplicate_200_on_an_idle_connection_delivers_nothing() {
     let duplication = Duplication {
         timing: DuplicateTiming::AfterResponse(Duration::from_millis(10)),
         content: DuplicateContent::Identical,
         every_nth_response: 1,
     };
-    let fixture = Fixture::behind(reject_crossed, SERVICE_TIME, duplication);
-    assert_loses_nothing(&fixture);
+    let fixture = Fixture::behind(reject_overlapping, SERVICE_TIME, duplication);
+    assert_none_is_lost(&fixture);
     assert_eq!(
         fixture.endpoint.request_count(),
         MESSAGES,
-        "and none was repeated"
+        "no message was sent again"
     );
 }
 
 #[test]
-fn a_copy_of_a_200_behind_the_last_response_of_a_connection_loses_nothing() {
-    let moment = DuplicateTiming::AfterResponse(Duration::from_millis(10));
-    let fixture = Fixture::new(reject_crossed, moment);
-    assert_loses_nothing(&fixture);
+fn a_duplicate_200_after_the_last_response_of_a_connection_loses_no_message() {
+    let timing = DuplicateTiming::AfterResponse(Duration::from_millis(10));
+    let fixture = Fixture::new(reject_overlapping, timing);
+    assert_none_is_lost(&fixture);
 }
 
 #[test]
 fn a_copy_of_a_rejection_repeats_no_message_that_runs() {
     let fixture = Fixture::new(
-        deliver_crossed,
+        deliver_overlapping,
         DuplicateTiming::DuringNextRequest(Duration::ZERO),
     );
-    assert_runs_once(&fixture);
+    assert_each_runs_at_most_once(&fixture);
 }
 
-/// Second 200s with other headers than those before, so long after the next request.
-fn assert_no_loss_by_other_headers(script: Script, delay: Duration) {
+/// Checks that no message is lost when a second 200 with other headers is sent, this long after the next request.
+fn assert_no_loss_with_different_headers(script: Script, delay: Duration) {
     let fixture = Fixture::with(
         script,
         SERVICE_TIME,
         DuplicateTiming::DuringNextRequest(delay),
         DuplicateContent::DifferentHeaders,
     );
-    assert_loses_nothing(&fixture);
+    assert_none_is_lost(&fixture);
 }
 
 #[test]
-fn a_second_200_with_other_headers_delivers_nothing() {
-    assert_no_loss_by_other_headers(reject_crossed, Duration::ZERO);
+fn a_second_200_with_different_headers_delivers_nothing() {
+    assert_no_loss_with_different_headers(reject_overlapping, Duration::ZERO);
 }
 
 #[test]
-fn a_second_200_with_other_headers_in_the_middle_of_the_next_call_delivers_nothing() {
-    assert_no_loss_by_other_headers(reject_crossed, SERVICE_TIME / 2);
+fn a_second_200_with_different_headers_during_the_next_call_delivers_nothing() {
+    assert_no_loss_with_different_headers(reject_overlapping, SERVICE_TIME / 2);
 }
 
 #[test]
-fn a_second_200_with_other_headers_delivers_nothing_where_no_response_follows() {
-    assert_no_loss_by_other_headers(ignore_crossed, Duration::ZERO);
+fn a_second_200_with_different_headers_delivers_nothing_when_the_endpoint_does_not_respond() {
+    assert_no_loss_with_different_headers(ignore_overlapping, Duration::ZERO);
 }
 
 #[test]
-fn a_copy_of_a_200_delivers_nothing_where_the_endpoint_closes() {
+fn a_duplicate_200_delivers_nothing_when_the_endpoint_closes_the_connection() {
     let fixture = Fixture::new(
-        close_crossed,
+        close_overlapping,
         DuplicateTiming::DuringNextRequest(Duration::ZERO),
     );
-    assert_loses_nothing(&fixture);
+    assert_none_is_lost(&fixture);
 }
 
 #[test]
 fn a_200_made_for_the_present_call_delivers_nothing_where_the_endpoint_closes_in_place_of_its_own()
 {
-    assert_no_loss_by_other_headers(close_crossed, Duration::ZERO);
+    assert_no_loss_with_different_headers(close_overlapping, Duration::ZERO);
 }
 
 #[test]
-fn a_copy_of_a_200_delivers_nothing_where_all_are_alike_and_fast() {
+fn a_duplicate_200_delivers_nothing_when_responses_are_identical_and_fast() {
     let fixture = Fixture::with(
-        reject_crossed_alike,
+        reject_overlapping_with_identical_responses,
         SERVICE_TIME / 8,
         DuplicateTiming::DuringNextRequest(Duration::from_millis(1)),
         DuplicateContent::Identical,
     );
-    assert_loses_nothing(&fixture);
+    assert_none_is_lost(&fixture);
 }
 
 #[test]
-fn a_second_rejection_with_other_headers_repeats_no_message_that_runs() {
+fn a_second_rejection_with_different_headers_repeats_no_running_message() {
     let fixture = Fixture::with(
-        deliver_crossed,
+        deliver_overlapping,
         SERVICE_TIME,
         DuplicateTiming::DuringNextRequest(Duration::ZERO),
         DuplicateContent::DifferentHeaders,
     );
-    assert_runs_once(&fixture);
+    assert_each_runs_at_most_once(&fixture);
 }
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -113,7 +113,7 @@
     });
     let node = node.ready();
     assert!(matches!(
-        node.hand_in("webhook", "new", 8, 20_000, b"x"),
+        node.submit("webhook", "new", 8, 20_000, b"x"),
         202 | 429
     ));
 }
@@ -143,7 +143,7 @@
 #[test]
 fn a_damaged_and_full_journal_does_not_prevent_readiness() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let node = Node::prepared(one(&endpoint).address, 0.3, NOTHING_KNOWN, |state| {
+    let node = Node::prepared(one(&endpoint).address, 0.3, EMPTY_ENDPOINT_LIST, |state| {
         // small messages: what each may have lost takes up much beside them
         let (mut journal, _) = FileJournal::open(state, 300_000, 1).expect("a journal");
         let full = (0..).find(|&n| {
@@ -160,7 +160,7 @@
     assert!(node.logged("damaged"));
     // all may have run: none may be sent
     wait_until("a new one is taken on as the old ones end", || {
-        node.hand_in("webhook", "new", 7, 20_000, b"x") == 202
+        node.submit("webhook", "new", 7, 20_000, b"x") == 202
     });
     wait_until("it is delivered", || endpoint.attempt_count("new") >= 1);
     assert_eq!(endpoint.request_count(), endpoint.attempt_count("new"));
@@ -170,8 +170,8 @@
 fn a_process_that_is_not_ready_ends_at_sigterm_and_drops_nothing() {
     let hangs = unresponsive();
     let address = hangs.local_addr().expect("bound");
-    let mut node = Node::prepared(address, 3.0, NOTHING_KNOWN, |state| owing(state, 300));
-    assert_eq!(node.get_ready(), 503);
+    let mut node = Node::prepared(address, 3.0, EMPTY_ENDPOINT_LIST, |state| owing(state, 300));
+    assert_eq!(node.readiness_status(), 503);
     node.terminate();
     assert!(node.process.wait().expect("it ends").success());
     // nor do kills while it resumes, whatever they leave of a new file
@@ -183,7 +183,7 @@
     }
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = one(&endpoint);
-    let node = node.moved_to(agent.address).ready();
+    let node = node.restart_with_discovery(agent.address).ready();
     assert!(node.logged("300 messages owed"));
     wait_until("all are delivered", || endpoint.request_count() >= 300);
     let ids: Vec<String> = (0..300).map(|number| format!("m{number}")).collect();
@@ -237,7 +237,7 @@
     let left = [records[..whole].concat(), next.to_vec()].concat();
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = one(&endpoint);
-    let node = Node::prepared(agent.address, 3.0, NOTHING_KNOWN, |state| {
+    let node = Node::prepared(agent.address, 3.0, EMPTY_ENDPOINT_LIST, |state| {
         std::fs::write(state.join("journal"), left).expect("written");
     });
     let node = node.ready();
@@ -258,9 +258,9 @@
         }
         _ => 0,
     };
-    assert_eq!(node.hand_in("webhook", "m2", 7, 120_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m2", 7, 120_000, b"x"), 202);
     wait_until("another is over", || {
-        node.hand_in("webhook", "m2", 7, 120_000, b"x") == 200
+        node.submit("webhook", "m2", 7, 120_000, b"x") == 200
     });
     assert_eq!(endpoint.attempt_count("m1"), calls, "{case}");
     assert_eq!(
@@ -278,9 +278,9 @@
         let endpoint = FakeEndpoint::new(|_, _| OK);
         let agent = one(&endpoint);
         let mut node = Node::new(&agent).ready();
-        assert_eq!(node.hand_in(class, "m1", 7, 120_000, b"x"), 202);
+        assert_eq!(node.submit(class, "m1", 7, 120_000, b"x"), 202);
         wait_until("its end is known", || {
-            node.hand_in(class, "m1", 7, 120_000, b"x") == 200
+            node.submit(class, "m1", 7, 120_000, b"x") == 200
         });
         node.kill();
         let journal = std::fs::read(node.journal()).expect("the journal");
@@ -303,11 +303,11 @@
         ("s-1", endpoint.address, "one", 7, "up"),
         draining("d-9", 9),
     ])]);
-    let node = Node::traced(&agent).ready();
+    let node = Node::with_trace(&agent).ready();
     // one with a call that may have run, and two with none, for which nobody took calls
-    assert_eq!(node.hand_in("order", "tried", 7, 20_000, b"x"), 202);
-    assert_eq!(node.hand_in("webhook", "untried", 9, 300, b"x"), 202);
-    assert_eq!(node.hand_in("order", "untried-too", 9, 300, b"x"), 202);
+    assert_eq!(node.submit("order", "tried", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "untried", 9, 300, b"x"), 202);
+    assert_eq!(node.submit("order", "untried-too", 9, 300, b"x"), 202);
     wait_until("all three notices", || agent.notifications().len() == 3);
     wait_until("all three are in the log", || {
         let log = node.log.lock().expect("not poisoned");
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -1,4 +1,4 @@
-//! The sender as a process of its own, beside the stand-ins.
+//! Runs the sender as a separate process against the fake endpoints and the fake discovery service.
 #![allow(dead_code)]
 
 pub(crate) use milletturn_test_support::*;
@@ -10,35 +10,35 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// The list in a configuration that names none.
-pub(crate) const NOTHING_KNOWN: &str = r#"{"rev":0,"all":true,"targets":[]}"#;
+/// The endpoint list of a configuration that names no endpoints.
+pub(crate) const EMPTY_ENDPOINT_LIST: &str = r#"{"rev":0,"all":true,"targets":[]}"#;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_milletturn");
 
 static FOLDERS: AtomicUsize = AtomicUsize::new(0);
 
-/// The sender and what outlasts its processes.
+/// A sender process, with the folder and settings that are kept when the process is restarted.
 pub(crate) struct Node {
     pub folder: PathBuf,
     setup: Setup,
     pub process: Child,
     pub address: SocketAddr,
-    /// Where its operators connect.
-    pub operators: Option<SocketAddr>,
+    /// Address of the admin server.
+    pub admin_address: Option<SocketAddr>,
     pub log: Arc<Mutex<Vec<String>>>,
-    reading: Arc<AtomicBool>,
+    keeps_reading_log: Arc<AtomicBool>,
 }
 
-/// What each process of a sender is started with, beside its folder.
+/// The settings with which each process of a sender is started, other than its folder.
 #[derive(Debug, Clone)]
 struct Setup {
     program: PathBuf,
     discovery: SocketAddr,
     disk_mb: f64,
     idle_s: f64,
-    /// The number of descriptors that the system gives it.
+    /// Limit on open file descriptors, set by `ulimit -n` and in the configuration.
     sockets: usize,
-    /// The settings of its dead-letter store, if it has one.
+    /// Settings of the dead-letter store; `None`: the sender has no store.
     store: Option<String>,
 }
 
@@ -55,12 +55,12 @@
     }
 }
 
-/// A new folder for a sender, with room for its state.
+/// Creates a folder for a sender, with an empty state folder in it.
 fn new_folder() -> PathBuf {
     let number = FOLDERS.fetch_add(1, Ordering::SeqCst);
     let name = format!("node-{}-{number}", std::process::id());
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
-    std::fs::create_dir_all(folder.join("state")).expect("a folder");
+    std::fs::create_dir_all(folder.join("state")).expect("the folder is created");
     folder
 }
 
@@ -69,8 +69,8 @@
         Node::start(new_folder(), Setup::new(agent.address))
     }
 
-    /// One that runs another build of the program.
-    pub(crate) fn of_program(program: &Path, agent: &FakeDiscovery) -> Self {
+    /// Starts a sender that runs another build of the program.
+    pub(crate) fn with_program(program: &Path, agent: &FakeDiscovery) -> Self {
         let program = program.to_path_buf();
         let setup = Setup {
             program,
@@ -79,7 +79,7 @@
         Node::start(new_folder(), setup)
     }
 
-    pub(crate) fn with(discovery: SocketAddr, disk_mb: f64, idle_s: f64) -> Self {
+    pub(crate) fn with_limits(discovery: SocketAddr, disk_mb: f64, idle_s: f64) -> Self {
         let setup = Setup {
             disk_mb,
             idle_s,
@@ -88,7 +88,7 @@
         Node::start(new_folder(), setup)
     }
 
-    /// One that keeps the undelivered as these settings say.
+    /// Starts a sender with a dead-letter store that has these settings.
     pub(crate) fn with_store(agent: &FakeDiscovery, settings: &str) -> Self {
         let node = Node::new(agent);
         let folder = node.folder.clone();
@@ -101,12 +101,12 @@
         Node::start(folder, setup)
     }
 
-    /// Runs a command about what is undelivered; its exit code and the lines that it printed.
-    pub(crate) fn undelivered(&self, words: &[&str]) -> (i32, Vec<serde_json::Value>) {
+    /// Runs `milletturn undelivered` with these arguments; returns its exit code and the JSON lines that it printed.
+    pub(crate) fn undelivered(&self, arguments: &[&str]) -> (i32, Vec<serde_json::Value>) {
         let output = Command::new(PROGRAM)
             .args(["undelivered", "--format", "json", "--folder"])
             .arg(self.folder.join("state"))
-            .args(words)
+            .args(arguments)
             .output()
             .expect("the command runs");
         let text = String::from_utf8(output.stdout).expect("text");
@@ -114,17 +114,20 @@
             .lines()
             .map(|line| serde_json::from_str(line).expect("JSON"))
             .collect();
-        (output.status.code().expect("it ended by itself"), lines)
+        (
+            output.status.code().expect("no signal ended the command"),
+            lines,
+        )
     }
 
-    /// One that writes the lines for the account of all senders.
-    pub(crate) fn traced(agent: &FakeDiscovery) -> Self {
+    /// Starts a sender that writes trace lines, from which `milletturn account` makes its report.
+    pub(crate) fn with_trace(agent: &FakeDiscovery) -> Self {
         let node = Node::new(agent);
         std::fs::write(node.folder.join("trace"), "").expect("written");
         node.restart()
     }
 
-    /// One whose folder has been prepared, or that knows this list at its start.
+    /// Starts a sender whose state folder `prepare` has filled, and whose configuration holds the endpoint list `known`.
     pub(crate) fn prepared(
         discovery: SocketAddr,
         disk_mb: f64,
@@ -140,17 +143,20 @@
         Node::write_config(&folder, discovery, disk_mb, setup.idle_s, setup.sockets);
         let file = folder.join("config.json");
         let text = std::fs::read_to_string(&file).expect("the configuration");
-        std::fs::write(&file, text.replace(NOTHING_KNOWN, known)).expect("written");
+        std::fs::write(&file, text.replace(EMPTY_ENDPOINT_LIST, known)).expect("written");
         Node::launch(folder, setup)
     }
 
-    /// One that may hold so few descriptors: the system gives it no more.
-    pub(crate) fn narrow(agent: &FakeDiscovery, sockets: usize) -> Self {
-        Node::narrow_at(agent.address, sockets)
+    /// Starts a sender that may open no more than this number of file descriptors.
+    pub(crate) fn with_descriptor_limit(agent: &FakeDiscovery, sockets: usize) -> Self {
+        Node::with_discovery_and_descriptor_limit(agent.address, sockets)
     }
 
-    pub(crate) fn narrow_at(discovery: SocketAddr, sockets: usize) -> Self {
-        let node = Node::with(discovery, 3.0, 5.0);
+    pub(crate) fn with_discovery_and_descriptor_limit(
+        discovery: SocketAddr,
+        sockets: usize,
+    ) -> Self {
+        let node = Node::with_limits(discovery, 3.0, 5.0);
         let (folder, setup) = (node.folder.clone(), node.setup.clone());
         drop(node);
         Node::start(folder, Setup { sockets, ..setup })
@@ -168,7 +174,7 @@
         Node::launch(folder, setup)
     }
 
-    /// Writes a configuration.
+    /// Writes the sender's configuration file to a folder.
     pub(crate) fn write_config(
         folder: &Path,
         discovery: SocketAddr,
@@ -179,7 +185,7 @@
         let config = format!(
             r#"{{"name":"n1","listen":"127.0.0.1:0","management":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f",
             "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets},"disk_mb":{disk_mb}}},
-            "known":{NOTHING_KNOWN},
+            "known":{EMPTY_ENDPOINT_LIST},
             "settings":{{"az":"a","balancers":1,"zones":["a"],"machineTypes":["one","bulk"],
               "caps":{{"maxOpen":50,"mostTries":12,"mayCancel":true,"secondCopies":true,"connIdle":{idle_s},
                 "dialTimeout":0.5,"retryAfter":true,"maxRetryAfter":3.0}},
@@ -195,12 +201,12 @@
         std::fs::write(folder.join("config.json"), config).expect("written");
     }
 
-    /// Another process with the same folder and configuration; if this one runs, it takes over.
+    /// Starts another process with the same folder and configuration, which takes over from this one if this one runs.
     pub(crate) fn upgrade(&self) -> Self {
         Node::launch(self.folder.clone(), self.setup.clone())
     }
 
-    /// As [`upgrade`](Self::upgrade), by another build of the program.
+    /// Does the same as [`upgrade`](Self::upgrade), with another build of the program.
     pub(crate) fn upgrade_to(&self, program: &Path) -> Self {
         let program = program.to_path_buf();
         let setup = Setup {
@@ -211,7 +217,8 @@
     }
 
     fn launch(folder: PathBuf, setup: Setup) -> Self {
-        let mut command = bounded(&command_of(&setup.program, &folder), setup.sockets);
+        let mut command =
+            with_descriptor_ulimit(&program_command(&setup.program, &folder), setup.sockets);
         if let Some(settings) = &setup.store {
             let file = folder.join("undelivered.toml");
             std::fs::write(&file, settings).expect("written");
@@ -222,18 +229,19 @@
         }
         let mut process = command.spawn().expect("the sender starts");
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
-        let reading = Arc::new(AtomicBool::new(true));
+        let keeps_reading_log = Arc::new(AtomicBool::new(true));
         let errors = process.stderr.take().expect("piped");
-        collect_lines(errors, log.clone(), reading.clone());
+        collect_lines(errors, log.clone(), keeps_reading_log.clone());
         let logged_value = |label: &str| {
             let log = log.lock().expect("not poisoned");
             log.iter()
                 .find_map(|line| line.split_once(label)?.1.parse().ok())
         };
-        let (mut address, mut operators) = (None, None);
+        let (mut address, mut admin_address) = (None, None);
         wait_until("the sender listens", || {
-            (address, operators) = (logged_value("listening on "), logged_value("operators on "));
-            address.is_some() && operators.is_some()
+            (address, admin_address) =
+                (logged_value("listening on "), logged_value("operators on "));
+            address.is_some() && admin_address.is_some()
         });
         let address = address.expect("found");
         Node {
@@ -241,39 +249,39 @@
             setup,
             process,
             address,
-            operators,
+            admin_address,
             log,
-            reading,
+            keeps_reading_log,
         }
     }
 
-    /// Waits until it is ready.
+    /// Waits until the sender answers `GET /ready` with 200.
     pub(crate) fn ready(self) -> Self {
-        wait_until("ready", || self.get_ready() == 200);
+        wait_until("ready", || self.readiness_status() == 200);
         self
     }
 
-    pub(crate) fn get_ready(&self) -> u16 {
+    pub(crate) fn readiness_status(&self) -> u16 {
         self.raw("GET /ready HTTP/1.1\r\nHost: a\r\n\r\n".as_bytes())
             .0
     }
 
-    /// A call by an operator; its status.
-    pub(crate) fn operate(&self, method: &str, path: &str) -> u16 {
-        self.operators_call(method, path).0
+    /// Sends a request to the admin server; returns the status, 0 if no response comes.
+    pub(crate) fn admin_status(&self, method: &str, path: &str) -> u16 {
+        self.admin_request(method, path).0
     }
 
-    fn operators_call(&self, method: &str, path: &str) -> (u16, Request) {
-        let mut client = Client::new(self.operators.expect("an address"));
+    fn admin_request(&self, method: &str, path: &str) -> (u16, Request) {
+        let mut client = Client::new(self.admin_address.expect("an address"));
         let text = format!("{method} {path} HTTP/1.1\r\nHost: a\r\n\r\n");
         client.send(text.as_bytes()).unwrap_or_default()
     }
 
-    /// A figure; `u64::MAX` where it is not told.
-    pub(crate) fn figure(&self, name: &str) -> u64 {
-        let (status, answer) = self.operators_call("GET", "/-/metrics");
+    /// The value of a metric; `u64::MAX` if the sender does not report the metric.
+    pub(crate) fn metric(&self, name: &str) -> u64 {
+        let (status, response) = self.admin_request("GET", "/-/metrics");
         assert_eq!(status, 200);
-        let text = String::from_utf8(answer.body).expect("text");
+        let text = String::from_utf8(response.body).expect("text");
         let value = |line: &str| {
             let (found, rest) = line.strip_prefix("relay.")?.split_once(':')?;
             rest.split_once('|')
@@ -285,14 +293,14 @@
         text.lines().find_map(value).unwrap_or(u64::MAX)
     }
 
-    /// Sends the bytes on a connection of their own; the status and head of the answer, 0 if none comes.
+    /// Sends the bytes on a new connection; returns the status and the response, status 0 if no response comes.
     pub(crate) fn raw(&self, bytes: &[u8]) -> (u16, Request) {
         let mut client = Client::new(self.address);
         client.send(bytes).unwrap_or_default()
     }
 
-    /// Hands a message in.
-    pub(crate) fn hand_in(
+    /// Submits a message to the sender; returns the status.
+    pub(crate) fn submit(
         &self,
         class: &str,
         id: &str,
@@ -303,15 +311,15 @@
         self.raw(&message_request(class, id, dest, time_ms, body)).0
     }
 
-    /// The lines of its log that name a message.
-    pub(crate) fn records_of(&self, id: &str) -> String {
+    /// The lines of the sender's log that name a message.
+    pub(crate) fn log_lines_of(&self, id: &str) -> String {
         let log = self.log.lock().expect("not poisoned");
         let quoted = format!("\"{id}\"");
         let of_message = log.iter().filter(|line| line.contains(&quoted));
         of_message.cloned().collect::<Vec<_>>().join("\n")
     }
 
-    /// Ends the process with no warning.
+    /// Ends the process by SIGKILL.
     pub(crate) fn kill(&mut self) {
         let _ = self.process.kill();
         self.process.wait().expect("ended");
@@ -344,14 +352,14 @@
         self.signal("-HUP");
     }
 
-    /// Kills it if it runs, and starts it again with the same folder.
+    /// Kills the process if it runs, and starts a new one with the same folder and a newly written configuration.
     pub(crate) fn restart(mut self) -> Self {
         self.kill();
         Node::start(self.folder.clone(), self.setup.clone())
     }
 
-    /// The same, with another discovery.
-    pub(crate) fn moved_to(self, discovery: SocketAddr) -> Self {
+    /// Kills the process, and starts a new one that uses another discovery service.
+    pub(crate) fn restart_with_discovery(self, discovery: SocketAddr) -> Self {
         Node::write_config(
             &self.folder,
             discovery,
@@ -359,11 +367,11 @@
             self.setup.idle_s,
             self.setup.sockets,
         );
-        self.restart_as_it_is()
+        self.restart_keeping_config()
     }
 
-    /// The same, with its configuration as a reload has left it.
-    pub(crate) fn restart_as_it_is(mut self) -> Self {
+    /// Kills the process, and starts a new one with the configuration file as the last reload left it.
+    pub(crate) fn restart_keeping_config(mut self) -> Self {
         self.kill();
         self.upgrade()
     }
@@ -372,11 +380,12 @@
         self.folder.join("state/journal")
     }
 
-    /// The log is read up to its next line, then its pipe is closed.
-    pub(crate) fn log_closes(&mut self) {
-        self.reading.store(false, Ordering::SeqCst);
+    /// Closes the pipe of the log once one more line has been read.
+    pub(crate) fn close_log(&mut self) {
+        self.keeps_reading_log.store(false, Ordering::SeqCst);
     }
 
+    /// True if a line of the sender's log contains the text.
     pub(crate) fn logged(&self, text: &str) -> bool {
         self.log
             .lock()
@@ -393,46 +402,47 @@
     }
 }
 
-/// Reads a process' lines into its log, until one comes after `reading` was set to false.
+/// Reads a process' standard error into a log, line by line; stops after the first line that comes once
+/// `keeps_reading` is false.
 fn collect_lines(
     errors: impl Read + Send + 'static,
     log: Arc<Mutex<Vec<String>>>,
-    reading: Arc<AtomicBool>,
+    keeps_reading: Arc<AtomicBool>,
 ) {
     thread::spawn(move || {
         for line in BufReader::new(errors).lines().map_while(Result::ok) {
             log.lock().expect("not poisoned").push(line);
-            if !reading.load(Ordering::SeqCst) {
+            if !keeps_reading.load(Ordering::SeqCst) {
                 return;
             }
         }
     });
 }
 
-/// The same command in a process to which the system gives no more descriptors.
-fn bounded(command: &Command, descriptors: usize) -> Command {
-    let mut bounded = Command::new("sh");
-    bounded.args([
+/// Wraps a command in a shell that sets the limit on open file descriptors first.
+fn with_descriptor_ulimit(command: &Command, descriptors: usize) -> Command {
+    let mut limited = Command::new("sh");
+    limited.args([
         "-c",
         &format!("ulimit -n {descriptors} && exec \"$0\" \"$@\""),
     ]);
-    bounded.arg(command.get_program()).args(command.get_args());
+    limited.arg(command.get_program()).args(command.get_args());
     for (name, value) in command.get_envs() {
-        bounded.env(name, value.unwrap_or_default());
+        limited.env(name, value.unwrap_or_default());
     }
-    bounded
+    limited
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(Stdio::piped());
-    bounded
+    limited
 }
 
-/// The program with the variables that name its configuration and its lasting folder.
+/// A command that runs the program with the environment variables that name its configuration and state folder.
 pub(crate) fn command(folder: &Path) -> Command {
-    command_of(Path::new(PROGRAM), folder)
+    program_command(Path::new(PROGRAM), folder)
 }
 
-fn command_of(program: &Path, folder: &Path) -> Command {
+fn program_command(program: &Path, folder: &Path) -> Command {
     let mut command = Command::new(program);
     command
         .env("RELAY_CONFIG", folder.join("config.json"))
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -24,23 +24,23 @@
     });
     let node = Node::new(&one(&endpoint)).ready();
     for id in ["a", "b"] {
-        assert_eq!(node.hand_in("webhook", id, 7, 20_000, b"x"), 202);
+        assert_eq!(node.submit("webhook", id, 7, 20_000, b"x"), 202);
     }
     // known to have run perhaps, and unsafe: its end is a failure
-    assert_eq!(node.hand_in("order", "fails", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "fails", 7, 20_000, b"x"), 202);
     wait_until("ended", || {
-        node.figure("responses.order.errors") == 1 && node.figure("responses.webhook.ok") == 2
+        node.metric("responses.order.errors") == 1 && node.metric("responses.webhook.ok") == 2
     });
-    assert_eq!(node.hand_in("order", "hangs", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "hangs", 7, 20_000, b"x"), 202);
     // counted while it is out, not at its end
-    wait_until("written", || node.figure("tries") == 4);
-    assert_eq!((node.figure("active"), node.figure("pool_size")), (1, 1));
+    wait_until("written", || node.metric("tries") == 4);
+    assert_eq!((node.metric("active"), node.metric("pool_size")), (1, 1));
     // no endpoint for it was ever listed
-    assert_eq!(node.hand_in("webhook", "nowhere", 99, 20_000, b"x"), 429);
-    wait_until("turned away", || node.figure("responses.webhook.shed") == 1);
+    assert_eq!(node.submit("webhook", "nowhere", 99, 20_000, b"x"), 429);
+    wait_until("turned away", || node.metric("responses.webhook.shed") == 1);
     node.reload(|_| "{".to_string());
-    wait_until("turned down", || node.figure("config_rejected") == 1);
-    assert_eq!(node.figure("config_applied"), 0);
+    wait_until("turned down", || node.metric("config_rejected") == 1);
+    assert_eq!(node.metric("config_applied"), 0);
 }
 
 #[test]
@@ -60,10 +60,13 @@
             .map(|answer| answer.0),
         Some(202)
     );
-    assert_eq!(node.operate("GET", "/-/ready"), 200);
-    assert_eq!(node.operate("POST", "/-/drain"), 200);
+    assert_eq!(node.admin_status("GET", "/-/ready"), 200);
+    assert_eq!(node.admin_status("POST", "/-/drain"), 200);
     assert_eq!(
-        (node.get_ready(), node.operate("GET", "/-/ready")),
+        (
+            node.readiness_status(),
+            node.admin_status("GET", "/-/ready")
+        ),
         (503, 503)
     );
     // a client that has not heard of it is served, and its connection closed behind that
@@ -73,14 +76,17 @@
     assert_eq!((answer.0, answer.1.header("connection")), (202, "close"));
     wait_until("the idle one is closed", || idle.is_closed());
     wait_until("nothing is taken on any more", || {
-        node.hand_in("webhook", "late", 7, 20_000, b"x") == 503
+        node.submit("webhook", "late", 7, 20_000, b"x") == 503
     });
     wait_until("all is delivered", || {
-        endpoint.request_count() >= 3 && node.figure("active") == 0
+        endpoint.request_count() >= 3 && node.metric("active") == 0
     });
-    assert_eq!(node.operate("POST", "/-/resume"), 200);
+    assert_eq!(node.admin_status("POST", "/-/resume"), 200);
     assert_eq!(
-        (node.get_ready(), node.operate("GET", "/-/ready")),
+        (
+            node.readiness_status(),
+            node.admin_status("GET", "/-/ready")
+        ),
         (200, 200)
     );
     let mut client = Client::new(node.address);
@@ -96,14 +102,14 @@
 fn callers_that_do_not_finish_keep_nobody_out() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
-    let operators = node.operators.expect("an address");
+    let operators = node.admin_address.expect("an address");
     let mut silent: Vec<Client> = (0..8).map(|_| Client::new(operators)).collect();
     silent
         .iter_mut()
         .skip(4)
         .for_each(|client| client.write(b"GET /-/metr"));
     let began = Instant::now();
-    assert_eq!(node.operate("GET", "/-/ready"), 200);
+    assert_eq!(node.admin_status("GET", "/-/ready"), 200);
     // before the silent ones are closed
     assert!(
         began.elapsed() < Duration::from_millis(1000),
@@ -116,9 +122,9 @@
         ("GET", "/-/x", 404),
         ("GET", "/ready", 404),
     ] {
-        assert_eq!(node.operate(method, path), status, "{method} {path}");
+        assert_eq!(node.admin_status(method, path), status, "{method} {path}");
     }
-    assert_eq!(node.get_ready(), 200, "a GET of the drain drained");
+    assert_eq!(node.readiness_status(), 200, "a GET of the drain drained");
     wait_until("they are closed", || {
         silent.iter_mut().all(Client::is_closed)
     });
@@ -140,25 +146,25 @@
         );
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("licence", "m1", 7, 20_000, b"x"), 400);
+    assert_eq!(node.submit("licence", "m1", 7, 20_000, b"x"), 400);
     // unsafe, and may run: it must never go out again, whatever its class's name means later
-    assert_eq!(node.hand_in("order", "slow-order", 7, 3_000, b"x"), 202);
+    assert_eq!(node.submit("order", "slow-order", 7, 3_000, b"x"), 202);
     wait_until("it is out", || endpoint.attempt_count("slow-order") == 1);
     node.reload(|text| {
         text.replace(r#"{"name":"order""#, NEW)
             .replace("at_most_once", "idempotent")
             .replace("\"mostTries\":12", "\"mostTries\":2")
     });
-    wait_until("taken over", || node.figure("config_applied") == 1);
-    assert_eq!(node.hand_in("licence", "m2", 7, 20_000, b"x"), 202);
+    wait_until("taken over", || node.metric("config_applied") == 1);
+    assert_eq!(node.submit("licence", "m2", 7, 20_000, b"x"), 202);
     wait_until("counted under its name", || {
-        node.figure("responses.licence.ok") == 1
+        node.metric("responses.licence.ok") == 1
     });
     // an order may be repeated now, but only so often
-    assert_eq!(node.hand_in("order", "bad-order", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "bad-order", 7, 20_000, b"x"), 202);
     // handed back, since a repeat does no harm now; the other may have run, and has failed
-    wait_until("handed back", || node.figure("responses.order.shed") == 1);
-    wait_until("failed", || node.figure("responses.order.errors") == 1);
+    wait_until("handed back", || node.metric("responses.order.shed") == 1);
+    wait_until("failed", || node.metric("responses.order.errors") == 1);
     assert_eq!(
         (
             endpoint.attempt_count("bad-order"),
@@ -174,9 +180,9 @@
     });
     // and the new one goes again
     node.reload(|text| text.replace(NEW, r#"{"name":"order""#));
-    wait_until("taken over", || node.figure("config_applied") == 2);
-    assert_eq!(node.hand_in("licence", "m3", 7, 20_000, b"x"), 400);
-    assert_eq!(node.hand_in("order", "m4", 7, 20_000, b"x"), 202);
+    wait_until("taken over", || node.metric("config_applied") == 2);
+    assert_eq!(node.submit("licence", "m3", 7, 20_000, b"x"), 400);
+    assert_eq!(node.submit("order", "m4", 7, 20_000, b"x"), 202);
 }
 
 #[test]
@@ -215,13 +221,13 @@
     }
     for (number, text) in broken.iter().enumerate() {
         node.reload(|_| text.clone());
-        wait_until(text, || node.figure("config_rejected") == number as u64 + 1);
+        wait_until(text, || node.metric("config_rejected") == number as u64 + 1);
     }
-    assert_eq!(node.figure("config_applied"), 0);
-    assert_eq!(node.hand_in("licence", "m1", 7, 20_000, b"x"), 400);
+    assert_eq!(node.metric("config_applied"), 0);
+    assert_eq!(node.submit("licence", "m1", 7, 20_000, b"x"), 400);
     node.reload(|_| with_new.clone());
     wait_until("a sound one is taken", || {
-        node.figure("config_applied") == 1
+        node.metric("config_applied") == 1
     });
 }
 
@@ -235,16 +241,16 @@
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
     for (class, id) in [("order", "m1"), ("webhook", "m2")] {
-        assert_eq!(node.hand_in(class, id, 7, 20_000, b"x"), 202);
+        assert_eq!(node.submit(class, id, 7, 20_000, b"x"), 202);
         wait_until("it is out", || endpoint.attempt_count(id) == 1);
     }
     node.reload(|text| {
         text.replace("at_most_once", "idempotent")
             .replace("\"webhook\"", "\"licence\"")
     });
-    wait_until("taken over", || node.figure("config_applied") == 1);
+    wait_until("taken over", || node.metric("config_applied") == 1);
     // the next life reads the changed file
-    let node = node.restart_as_it_is().ready();
+    let node = node.restart_keeping_config().ready();
     wait_until("the unsafe one has failed", || {
         agent
             .notifications()
@@ -255,5 +261,5 @@
         endpoint.attempt_count("m2") == 2
     });
     assert_eq!(endpoint.attempt_count("m1"), 1);
-    assert_eq!(node.hand_in("order", "m3", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m3", 7, 20_000, b"x"), 202);
 }
--- a/tests/response_faults.rs
+++ b/tests/response_faults.rs
@@ -1,5 +1,6 @@
-//! The real sender before endpoints that keep to no rule of HTTP, by seeds: whatever they send, each message that was
-//! accepted is delivered or ended by a notice, and what must run once runs once. `MILLETTURN_SEEDS=40..90` plays others.
+//! Runs the sender against endpoints that break the rules of HTTP at random, by seed: whatever they send, each accepted
+//! message is delivered or ended by a notification, and at-most-once messages run at most once.
+//! `MILLETTURN_SEEDS=40..90` selects other seeds.
 
 mod node;
 
@@ -9,25 +10,26 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Seeds of a run with no other wish.
-const SEEDS: Range<u64> = 1..5;
-/// Time in which messages are handed in.
-const HAND_IN_TIME: Duration = Duration::from_secs(6);
-const PAUSE: Duration = Duration::from_millis(15);
+/// Seeds that are used unless `MILLETTURN_SEEDS` is set.
+const DEFAULT_SEEDS: Range<u64> = 1..5;
+/// Time during which messages are submitted.
+const SUBMIT_TIME: Duration = Duration::from_secs(6);
+const SUBMIT_INTERVAL: Duration = Duration::from_millis(15);
 const TIME_TO_LIVE_MS: u64 = 3_000;
-/// A notice may come this long behind a message's time, and as long behind a restart (the protocol page).
-const GRACE: Duration = Duration::from_millis(1_800);
+/// A notification may come up to this long after a message's deadline, and up to this long after a restart (the protocol
+/// page).
+const NOTIFICATION_GRACE: Duration = Duration::from_millis(1_800);
 
 fn seeds() -> Range<u64> {
     let Ok(text) = std::env::var("MILLETTURN_SEEDS") else {
-        return SEEDS;
+        return DEFAULT_SEEDS;
     };
     let (first, end) = text.split_once("..").expect("a range such as 40..90");
     first.parse().expect("a seed")..end.parse().expect("a seed")
 }
 
-/// One play of a seed.
-struct Play {
+/// The sender and its endpoints during the run of one seed.
+struct Scenario {
     seed: u64,
     executions: Arc<Mutex<Executions>>,
     agent: FakeDiscovery,
@@ -35,7 +37,7 @@
     accepted: Vec<String>,
 }
 
-impl Play {
+impl Scenario {
     fn new(seed: u64) -> Self {
         let executions: Arc<Mutex<Executions>> = Arc::default();
         let endpoint = |number| spawn_unreliable_endpoint(seed * 10 + number, &executions);
@@ -45,8 +47,8 @@
             ("s-3", endpoint(3), "one", 8, "up"),
             ("s-4", endpoint(4), "bulk", 9, "up"),
         ])]);
-        let node = Node::traced(&agent).ready();
-        Play {
+        let node = Node::with_trace(&agent).ready();
+        Scenario {
             seed,
             executions,
             agent,
@@ -55,12 +57,13 @@
         }
     }
 
-    /// Hands messages of both effects in to all destinations. Every second seed kills the sender in between.
+    /// Submits repeatable and at-most-once messages to all destinations. Every second seed kills and restarts the sender half
+    /// way.
     fn run(mut self) -> Self {
         let begin = Instant::now();
-        let mut restart_at = (self.seed.is_multiple_of(2)).then_some(HAND_IN_TIME / 2);
+        let mut restart_at = (self.seed.is_multiple_of(2)).then_some(SUBMIT_TIME / 2);
         for number in 0.. {
-            if begin.elapsed() > HAND_IN_TIME {
+            if begin.elapsed() > SUBMIT_TIME {
                 break;
             }
             if restart_at.take_if(|at| begin.elapsed() > *at).is_some() {
@@ -73,46 +76,48 @@
             let id = format!("{class}-{number}");
             if self
                 .node
-                .hand_in(class, &id, destination, TIME_TO_LIVE_MS, b"x")
+                .submit(class, &id, destination, TIME_TO_LIVE_MS, b"x")
                 == 202
             {
                 self.accepted.push(id);
             }
-            thread::sleep(PAUSE);
+            thread::sleep(SUBMIT_INTERVAL);
         }
         self
     }
 
-    fn open(&self) -> Vec<&String> {
-        let notices = self.agent.notifications();
+    /// The accepted messages that are neither delivered nor ended by a notification.
+    fn unfinished(&self) -> Vec<&String> {
+        let notifications = self.agent.notifications();
         let executions = self.executions.lock().expect("not poisoned");
         let is_ended = |id: &String| {
             let quoted = format!("\"{id}\"");
             executions.success_responses.contains_key(id)
-                || notices.iter().any(|line| line.contains(&quoted))
+                || notifications.iter().any(|line| line.contains(&quoted))
         };
         self.accepted.iter().filter(|id| !is_ended(id)).collect()
     }
 
+    /// Waits for the end of all messages; fails if one is lost or an at-most-once message ran twice.
     fn check(&self) {
-        let until = Instant::now() + Duration::from_millis(TIME_TO_LIVE_MS) + GRACE;
-        while !self.open().is_empty() && Instant::now() < until {
+        let wait_end = Instant::now() + Duration::from_millis(TIME_TO_LIVE_MS) + NOTIFICATION_GRACE;
+        while !self.unfinished().is_empty() && Instant::now() < wait_end {
             thread::sleep(Duration::from_millis(20));
         }
-        let (open, seed) = (self.open(), self.seed);
-        let records = open
+        let (unfinished, seed) = (self.unfinished(), self.seed);
+        let records = unfinished
             .first()
-            .map(|id| self.node.records_of(id))
+            .map(|id| self.node.log_lines_of(id))
             .unwrap_or_default();
         assert!(
-            open.is_empty(),
-            "seed {seed}: {} of {} lost: {open:?}\n{records}",
-            open.len(),
+            unfinished.is_empty(),
+            "seed {seed}: {} of {} lost: {unfinished:?}\n{records}",
+            unfinished.len(),
             self.accepted.len()
         );
         let executions = self.executions.lock().expect("not poisoned");
         for (id, runs) in &executions.runs {
-            let records = || self.node.records_of(id);
+            let records = || self.node.log_lines_of(id);
             assert!(
                 *runs <= 1 || !id.starts_with("order"),
                 "seed {seed}: {id} ran {runs} times\n{}",
@@ -120,23 +125,27 @@
             );
         }
         println!(
-            "seed {seed}: {} accepted, {} delivered, {} copies",
+            "seed {seed}: {} accepted, {} delivered, {} duplicate responses",
             self.accepted.len(),
             executions.success_responses.len(),
             executions.duplicates_sent
         );
         assert!(
             executions.duplicates_sent > 20,
-            "seed {seed}: copies were sent"
+            "seed {seed}: duplicate responses were sent"
         );
     }
 }
 
 #[test]
 fn whatever_endpoints_send_each_message_has_its_one_end() {
-    let plays: Vec<_> = seeds()
-        .map(|seed| thread::spawn(move || Play::new(seed).run().check()))
+    let runs: Vec<_> = seeds()
+        .map(|seed| thread::spawn(move || Scenario::new(seed).run().check()))
         .collect();
-    let failed = plays.into_iter().map(thread::JoinHandle::join);
-    assert_eq!(failed.filter(Result::is_err).count(), 0, "seeds failed");
+    let failed = runs.into_iter().map(thread::JoinHandle::join);
+    assert_eq!(
+        failed.filter(Result::is_err).count(),
+        0,
+        "number of failed seeds"
+    );
 }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -34,7 +34,7 @@
     );
     old.remaining_faults.store(usize::MAX, Ordering::SeqCst);
     let node = Node::new(&old).ready();
-    assert_eq!(node.hand_in("order", "owed", 8, 5_000, b"x"), 202);
+    assert_eq!(node.submit("order", "owed", 8, 5_000, b"x"), 202);
     wait_until("its notification is pending", || {
         node.logged("notices answered 500")
     });
@@ -45,7 +45,7 @@
     wait_until("the bad file is reported", || {
         node.logged("nothing changed")
     });
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("delivered as before", || first.attempt_count("m1") == 1);
     node.reload(|_| sound.replace(&old.address.to_string(), &new.address.to_string()));
     wait_until("the pending notification comes to the new address", || {
@@ -53,7 +53,7 @@
     });
     wait_until("the new list holds", || {
         let id = format!("n{}", first.request_count());
-        assert_eq!(node.hand_in("webhook", &id, 7, 20_000, b"x"), 202);
+        assert_eq!(node.submit("webhook", &id, 7, 20_000, b"x"), 202);
         wait_until("delivered", || {
             first.attempt_count(&id) + second.attempt_count(&id) > 0
         });
@@ -86,7 +86,7 @@
 fn when_connection_slots_run_out_the_oldest_silent_connection_is_closed() {
     // guards against new clients that wait unaccepted behind silent ones
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let node = Node::narrow(&agent_with_one(&endpoint), 64).ready();
+    let node = Node::with_descriptor_limit(&agent_with_one(&endpoint), 64).ready();
     let text = message_request("webhook", "half", 7, 20_000, b"12345");
     let mut silent: Vec<Client> = (0..40).map(|_| Client::new(node.address)).collect();
     // half a request counts as silence
@@ -95,7 +95,7 @@
         .skip(20)
         .for_each(|client| client.write(&text[..text.len() - 2]));
     let began = Instant::now();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     // far sooner than the silent ones' time is up
     assert!(
         began.elapsed() < Duration::from_millis(1500),
@@ -164,16 +164,16 @@
         FakeEndpoint::new(move |_, number| if number == 0 { Reply::Raw(first) } else { OK });
     let agent = agent_with_one(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("order", "m1", 7, 3_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 3_000, b"x"), 202);
     wait_until("it is out", || endpoint.attempt_count("m1") == 1);
     wait_until("it is over", || {
         // with no time left it would not be sent anew
-        !agent.notifications().is_empty() || node.hand_in("order", "m1", 7, 0, b"x") == 200
+        !agent.notifications().is_empty() || node.submit("order", "m1", 7, 0, b"x") == 200
     });
     // what came behind an answer must not become the next call's
-    assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"x"), 202);
     wait_until("the next is delivered", || {
-        node.hand_in("webhook", "m2", 7, 20_000, b"x") == 200
+        node.submit("webhook", "m2", 7, 20_000, b"x") == 200
     });
     assert_eq!(endpoint.attempt_count("m2"), 1, "{first}");
     (endpoint.attempt_count("m1"), agent.notifications())
@@ -228,14 +228,14 @@
     });
     let agent = agent_with_one(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("delivered", || {
-        node.hand_in("webhook", "m1", 7, 20_000, b"x") == 200
+        node.submit("webhook", "m1", 7, 20_000, b"x") == 200
     });
     std::thread::sleep(Duration::from_millis(100)); // until the late bytes are there
-    assert_eq!(node.hand_in("order", "m2", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m2", 7, 20_000, b"x"), 202);
     wait_until("delivered", || {
-        node.hand_in("order", "m2", 7, 20_000, b"x") == 200
+        node.submit("order", "m2", 7, 20_000, b"x") == 200
     });
     assert_eq!(
         (
@@ -251,7 +251,7 @@
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = agent_with_one(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("delivered", || endpoint.attempt_count("m1") == 1);
     let next = FakeDiscovery::new(vec![list_json(&[(
         "s-2",
@@ -263,7 +263,7 @@
     node.reload(|text| text.replace(&agent.address.to_string(), &next.address.to_string()));
     // an unknown destination is refused, with a time to come again, until the list names it
     wait_until("it is known", || {
-        node.hand_in("webhook", "m2", 8, 20_000, b"x") == 202
+        node.submit("webhook", "m2", 8, 20_000, b"x") == 202
     });
     wait_until("delivered", || endpoint.attempt_count("m2") == 1);
     assert_eq!(endpoint.request(1).connection, 1);
@@ -277,7 +277,7 @@
     let (status, answer) = node.raw(&message_request("webhook", "m1", 4711, 20_000, b"x"));
     assert_eq!(status, 429);
     assert!(!answer.header("retry-after").is_empty());
-    assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"x"), 202);
     wait_until("the other is delivered", || {
         endpoint.attempt_count("m2") == 1
     });
@@ -296,10 +296,10 @@
     });
     let agent = FakeDiscovery::new(vec![list_json(&[("s-1", cuts, "one", 7, "up")])]);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("delivered", || endpoint.attempt_count("m1") == 1);
     wait_until("its end is known", || {
-        node.hand_in("webhook", "m1", 7, 0, b"x") == 200
+        node.submit("webhook", "m1", 7, 0, b"x") == 200
     });
     assert!(agent.notifications().is_empty());
 }
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -112,7 +112,7 @@
             .map_or(0, |(status, _)| status)
     }
 
-    fn hand_in(&self, class: &str, id: &str, dest: u64) -> u16 {
+    fn submit(&self, class: &str, id: &str, dest: u64) -> u16 {
         self.status(&message_request(class, id, dest, 2_000, b"x"))
     }
 
@@ -228,7 +228,7 @@
                 ("notice", 1)
             };
             let id = format!("m{handed}");
-            if sidecar.hand_in(class, &id, dest) == 202 {
+            if sidecar.submit(class, &id, dest) == 202 {
                 taken.push(id);
             }
             // the reader is dropped in the middle, and comes again with its cursor
@@ -269,13 +269,13 @@
     let (good, bad) = endpoints();
     let sidecar = Sidecar::new(&destinations(good.address, bad.address));
     assert_eq!(sidecar.get("/v1/messages/none").0, 404);
-    assert_eq!(sidecar.hand_in("notice", "m1", 1), 202);
+    assert_eq!(sidecar.submit("notice", "m1", 1), 202);
     let mut text = String::new();
     wait_until("it is delivered", || {
         text = sidecar.get("/v1/messages/m1").1;
         text.contains("delivered")
     });
-    assert_eq!(sidecar.hand_in("order", "m2", 2), 202);
+    assert_eq!(sidecar.submit("order", "m2", 2), 202);
     wait_until("it has failed", || {
         sidecar.get("/v1/messages/m2").1.contains("failed")
     });
@@ -299,7 +299,7 @@
     let gone = FakeEndpoint::new(|_, _| Reply::Respond("410 Gone", String::new()));
     let (good, _) = endpoints();
     let sidecar = Sidecar::new(&destinations(gone.address, good.address));
-    assert_eq!(sidecar.hand_in("notice", "m1", 1), 202);
+    assert_eq!(sidecar.submit("notice", "m1", 1), 202);
     wait_until("it has ended", || {
         sidecar.get("/v1/messages/m1").1.contains("failed")
     });
@@ -323,18 +323,18 @@
         free(),
         "[endpoints]\nfile = 'endpoints.toml'\n",
     );
-    assert_eq!(sidecar.hand_in("notice", "m1", 1), 202);
+    assert_eq!(sidecar.submit("notice", "m1", 1), 202);
     wait_until("delivered to the first", || first.attempt_count("m1") == 1);
     write("[destination.1]\nendpoints = ['nonsense']\n".to_string());
     wait_until("the broken file is told", || {
         sidecar.logged("nothing changed")
     });
-    assert_eq!(sidecar.hand_in("notice", "m2", 1), 202);
+    assert_eq!(sidecar.submit("notice", "m2", 1), 202);
     wait_until("delivered as before", || first.attempt_count("m2") == 1);
     write(of(second.address));
     wait_until("the new list counts", || {
         let id = format!("n{}", first.request_count());
-        assert_eq!(sidecar.hand_in("notice", &id, 1), 202);
+        assert_eq!(sidecar.submit("notice", &id, 1), 202);
         wait_until("delivered", || {
             first.attempt_count(&id) + second.attempt_count(&id) > 0
         });
@@ -442,7 +442,7 @@
     });
     assert!(sidecar.logged("MT005"));
     assert_eq!(rejected().as_deref(), Some("1|c"));
-    assert_eq!(sidecar.hand_in("notice", "m1", 1), 202);
+    assert_eq!(sidecar.submit("notice", "m1", 1), 202);
     wait_until("it goes on", || good.attempt_count("m1") == 1);
     std::fs::write(&sidecar.file, text).expect("written");
     hangup();
@@ -489,7 +489,7 @@
         let file = folder.join(format!("{effect}.toml"));
         std::fs::write(&file, text).expect("written");
         let sidecar = Sidecar::run(file, http, outcomes);
-        assert_eq!(sidecar.hand_in("notice", effect, 1), 202);
+        assert_eq!(sidecar.submit("notice", effect, 1), 202);
         wait_until("delivered", || good.attempt_count(effect) == 1);
     }
 }
@@ -557,7 +557,7 @@
         };
         let sidecar = Sidecar::run(file, http, outcomes);
         let id = format!("v{started}");
-        assert_eq!(sidecar.hand_in(class, &id, 7), 202, "{variant}");
+        assert_eq!(sidecar.submit(class, &id, 7), 202, "{variant}");
         wait_until(&format!("delivered, {variant}"), || {
             good.attempt_count(&id) >= 1
         });
@@ -589,7 +589,7 @@
             } else {
                 ("notice", 1)
             };
-            if sidecar.hand_in(class, &id, dest) == 202 {
+            if sidecar.submit(class, &id, dest) == 202 {
                 taken.push(id);
             }
         }
@@ -636,7 +636,7 @@
     let sidecar = Sidecar::new(&format!(
         "[limits]\ndisk = '60MB'\n[retry]\nattempts = 2\n{store}{rest}"
     ));
-    assert_eq!(sidecar.hand_in("notice", "m1", 2), 202);
+    assert_eq!(sidecar.submit("notice", "m1", 2), 202);
     wait_until("it is returned", || {
         sidecar.get("/v1/messages/m1").1.contains("returned")
     });
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -28,7 +28,7 @@
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&one(&endpoint)).ready();
     let body = b"any \0 bytes\r\n\xff";
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, body), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, body), 202);
     wait_until("delivered", || endpoint.request_count() == 1);
     let call = endpoint.request(0);
     assert_eq!(call.line, "POST /inbox HTTP/1.1");
@@ -40,7 +40,7 @@
     assert_eq!(call.body, body);
     // delivered: answered as such if it comes again, and not sent again, not even after a restart
     wait_until("its end is known", || {
-        node.hand_in("webhook", "m1", 7, 20_000, body) == 200
+        node.submit("webhook", "m1", 7, 20_000, body) == 200
     });
     let node = node.restart().ready();
     assert!(node.logged("0 messages owed"));
@@ -51,11 +51,11 @@
 fn connections_are_kept_and_left_before_the_endpoint_closes_them() {
     // guards against a handshake for each call, and against writing to a connection about to close
     let endpoint = FakeEndpoint::new(|request, _| repeating_id(request));
-    let node = Node::with(one(&endpoint).address, 3.0, 1.0).ready();
+    let node = Node::with_limits(one(&endpoint).address, 3.0, 1.0).ready();
     hand_in_three(&node, &endpoint);
     assert_eq!(endpoint.connection_count.load(Ordering::SeqCst), 1);
     std::thread::sleep(Duration::from_millis(1000)); // the idle time itself
-    assert_eq!(node.hand_in("webhook", "late", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "late", 7, 20_000, b"x"), 202);
     wait_until("delivered", || endpoint.request_count() == 4);
     assert_eq!(endpoint.request(3).connection, 1);
 }
@@ -63,7 +63,7 @@
 #[test]
 fn a_connection_carries_two_calls_where_responses_name_no_request() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let node = Node::with(one(&endpoint).address, 3.0, 1.0).ready();
+    let node = Node::with_limits(one(&endpoint).address, 3.0, 1.0).ready();
     hand_in_three(&node, &endpoint);
     assert_eq!(endpoint.connection_count.load(Ordering::SeqCst), 2);
     let asked: Vec<bool> = (0..3)
@@ -82,11 +82,11 @@
 fn hand_in_three(node: &Node, endpoint: &FakeEndpoint) {
     for n in 0..3 {
         assert_eq!(
-            node.hand_in("webhook", &format!("m{n}"), 7, 20_000, b"x"),
+            node.submit("webhook", &format!("m{n}"), 7, 20_000, b"x"),
             202
         );
         wait_until("its end is known", || {
-            node.hand_in("webhook", &format!("m{n}"), 7, 0, b"x") == 200
+            node.submit("webhook", &format!("m{n}"), 7, 0, b"x") == 200
         });
         assert_eq!(endpoint.request_count(), n + 1);
         std::thread::sleep(Duration::from_millis(20)); // the rest that a connection gets behind an answer
@@ -147,7 +147,7 @@
         .replace("\r\n\r\nx", "\r\n\r\n");
     assert_eq!(node.raw((large + &chunks).as_bytes()).0, 413);
     assert_eq!(
-        node.hand_in("webhook", "most", 7, 20_000, &[b'z'; 65_536]),
+        node.submit("webhook", "most", 7, 20_000, &[b'z'; 65_536]),
         202
     );
     wait_until("the largest body goes out", || {
@@ -160,9 +160,9 @@
 fn the_same_id_while_held_is_one_message() {
     let endpoint = FakeEndpoint::new(|_, _| Reply::NoResponse);
     let node = Node::new(&one(&endpoint)).ready();
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
-    assert_eq!(node.hand_in("order", "m2", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m2", 7, 20_000, b"x"), 202);
     // each has a connection of its own, and the endpoint may read either first
     wait_until("both are out", || {
         endpoint.attempt_count("m1") >= 1 && endpoint.attempt_count("m2") >= 1
@@ -188,7 +188,7 @@
     });
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "keyed", 7, 8_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "keyed", 7, 8_000, b"x"), 202);
     wait_until("keyed is out", || endpoint.attempt_count("keyed") > 0);
     let settled = |id: &str| {
         endpoint.attempt_count(id) > 1 || agent.notifications().iter().any(|line| line.contains(id))
@@ -196,10 +196,10 @@
     let over =
         |id: &str| settled(id) || node.raw(&message_request("webhook", id, 7, 1, b"x")).0 == 200;
     wait_until("keyed is settled", || over("keyed"));
-    assert_eq!(node.hand_in("order", "unsafe", 7, 3_000, b"x"), 202);
+    assert_eq!(node.submit("order", "unsafe", 7, 3_000, b"x"), 202);
     wait_until("unsafe is out", || endpoint.attempt_count("unsafe") > 0);
     wait_until("unsafe is settled", || {
-        settled("unsafe") || node.hand_in("order", "unsafe", 7, 1, b"x") == 200
+        settled("unsafe") || node.submit("order", "unsafe", 7, 1, b"x") == 200
     });
     (
         endpoint.attempt_count("keyed"),
@@ -270,10 +270,10 @@
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("410 Gone", String::new()));
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 400, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 400, b"x"), 202);
     wait_until("it is out", || endpoint.request_count() == 1);
     // a later message's notice shows that none came for the first, whose time was up before
-    assert_eq!(node.hand_in("webhook", "m2", 99, 900, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m2", 99, 900, b"x"), 202);
     wait_until("the later one's notice", || {
         !agent.notifications().is_empty()
     });
@@ -292,7 +292,7 @@
         "up",
     )])]);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("order", "m1", 7, 700, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 700, b"x"), 202);
     wait_until("its notice", || !agent.notifications().is_empty());
     // an unsafe message may be returned only if none of its calls ran
     assert!(
@@ -314,10 +314,10 @@
         _ => OK,
     });
     let node = Node::new(&one(&endpoint)).ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("it is out", || endpoint.request_count() == 1);
     let told = Instant::now();
-    assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"x"), 202);
     wait_until("both are delivered", || endpoint.request_count() == 3);
     assert!(
         told.elapsed() > Duration::from_millis(1100),
@@ -362,13 +362,13 @@
     let node = Node::new(&agent).ready();
     for n in 0..2 {
         assert_eq!(
-            node.hand_in("order", &format!("first{n}"), 7, 20_000, b"x"),
+            node.submit("order", &format!("first{n}"), 7, 20_000, b"x"),
             202
         );
     }
     wait_until("the window is full", || endpoint.request_count() == 2);
     for n in 0..5 {
-        assert_eq!(node.hand_in("order", &format!("b{n}"), 7, 4_000, b"x"), 202);
+        assert_eq!(node.submit("order", &format!("b{n}"), 7, 4_000, b"x"), 202);
     }
     *held.lock().expect("not poisoned") = false;
     wait_until("a bulk call", || {
@@ -403,17 +403,17 @@
     });
     let agent = one(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "sent", 7, 20_000, b"body"), 202);
-    assert_eq!(node.hand_in("order", "unsafe", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "sent", 7, 20_000, b"body"), 202);
+    assert_eq!(node.submit("order", "unsafe", 7, 20_000, b"x"), 202);
     wait_until("both are out", || {
         endpoint.attempt_count("sent") == 1 && endpoint.attempt_count("unsafe") == 1
     });
     assert_eq!(
-        node.hand_in("webhook", "unsent", 8, 20_000, b"unsent body"),
+        node.submit("webhook", "unsent", 8, 20_000, b"unsent body"),
         202
     );
     agent.remaining_faults.store(usize::MAX, Ordering::SeqCst);
-    assert_eq!(node.hand_in("webhook", "owed", 9, 100, b"x"), 202);
+    assert_eq!(node.submit("webhook", "owed", 9, 100, b"x"), 202);
     wait_until("its notice fails", || node.logged("notices answered 500"));
     let mut node = node;
     node.kill();
@@ -452,7 +452,7 @@
     let endpoint = FakeEndpoint::new(|_, _| Reply::NoResponse);
     let agent = one(&endpoint);
     let mut node = Node::new(&agent).ready();
-    assert_eq!(node.hand_in("webhook", "m1", 7, 600, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 600, b"x"), 202);
     node.kill();
     std::thread::sleep(Duration::from_millis(700)); // until its time is up
     assert!(agent.notifications().is_empty());
@@ -472,7 +472,7 @@
     ])]);
     let mut node = Node::new(&agent).ready();
     for id in ["m1", "m2"] {
-        assert_eq!(node.hand_in("webhook", id, 7, 20_000, b"x"), 202);
+        assert_eq!(node.submit("webhook", id, 7, 20_000, b"x"), 202);
     }
     node.kill();
     let sound = std::fs::read(node.journal()).expect("the journal");
@@ -497,7 +497,7 @@
 fn a_full_journal_refuses_and_stays_within_its_limit() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = one(&endpoint);
-    let node = Node::with(agent.address, 0.3, 5.0).ready();
+    let node = Node::with_limits(agent.address, 0.3, 5.0).ready();
     let size = || {
         let files = std::fs::read_dir(node.folder.join("state")).expect("the folder");
         files
@@ -507,7 +507,7 @@
     };
     let mut statuses = Vec::new();
     for n in 0..10 {
-        statuses.push(node.hand_in("webhook", &format!("m{n}"), 99, 20_000, &[b'x'; 30_000]));
+        statuses.push(node.submit("webhook", &format!("m{n}"), 99, 20_000, &[b'x'; 30_000]));
         assert!(size() <= 300_000, "{}", size());
     }
     assert!(
@@ -516,7 +516,7 @@
     );
     // small ones that come and go are compacted away, so that the room is never used up by the past
     for n in 0..400 {
-        let status = node.hand_in("webhook", &format!("s{n}"), 7, 20_000, &[b'x'; 1_000]);
+        let status = node.submit("webhook", &format!("s{n}"), 7, 20_000, &[b'x'; 1_000]);
         assert!(status == 202 || status == 429 || status == 503);
         assert!(size() <= 300_000, "{}", size());
     }
@@ -535,14 +535,14 @@
 fn a_folder_that_fills_up_and_empties_takes_messages_again() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = one(&endpoint);
-    let node = Node::with(agent.address, 0.3, 5.0).ready();
+    let node = Node::with_limits(agent.address, 0.3, 5.0).ready();
     let mut full = false;
     for n in 0..10 {
-        full |= node.hand_in("webhook", &format!("m{n}"), 99, 1_500, &[b'x'; 30_000]) == 503;
+        full |= node.submit("webhook", &format!("m{n}"), 99, 1_500, &[b'x'; 30_000]) == 503;
     }
     assert!(full);
     wait_until("they have ended", || {
-        node.hand_in("webhook", "after", 7, 9_000, &[b'x'; 30_000]) == 202
+        node.submit("webhook", "after", 7, 9_000, &[b'x'; 30_000]) == 202
     });
     wait_until("the new one is delivered", || {
         endpoint.attempt_count("after") == 1
@@ -571,11 +571,11 @@
         .expect("answered");
     assert_eq!((status, answer.header("connection")), (202, "close"));
     assert_eq!(
-        node.hand_in("webhook", "m3", 7, 20_000, b"x"),
+        node.submit("webhook", "m3", 7, 20_000, b"x"),
         202,
         "connections come for a while"
     );
-    assert_eq!(node.get_ready(), 503);
+    assert_eq!(node.readiness_status(), 503);
     wait_until("all are delivered", || {
         ["m1", "m2", "m3"]
             .iter()
@@ -599,7 +599,7 @@
     node.terminate();
     wait_until("draining", || node.logged("draining"));
     std::thread::sleep(Duration::from_millis(2450)); // into the last second, which an unknown latency needs
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     let mut node = node;
     assert!(node.process.wait().expect("it ends").success());
     assert_eq!(endpoint.request_count(), 0);
@@ -625,7 +625,7 @@
     });
     for n in 0..6 {
         let id = format!("m{n}");
-        assert_eq!(node.hand_in("webhook", &id, 7, 20_000, b"x"), 202);
+        assert_eq!(node.submit("webhook", &id, 7, 20_000, b"x"), 202);
         wait_until("delivered", || {
             new.attempt_count(&id) + old.attempt_count(&id) > 0
         });
@@ -644,8 +644,8 @@
     let node = Node::new(&agent);
     wait_until("a watch", || agent.watch_count.load(Ordering::SeqCst) > 0);
     let began = Instant::now();
-    assert_eq!(node.get_ready(), 503, "no list is known");
-    assert_eq!(node.hand_in("webhook", "early", 7, 20_000, b"x"), 503);
+    assert_eq!(node.readiness_status(), 503, "no list is known");
+    assert_eq!(node.submit("webhook", "early", 7, 20_000, b"x"), 503);
     *agent.watch_lines.lock().expect("not poisoned") =
         vec![list_json(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.ready();
@@ -655,7 +655,7 @@
         "{:?}",
         began.elapsed()
     );
-    assert_eq!(node.hand_in("webhook", "m1", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("delivered", || endpoint.attempt_count("m1") == 1);
 }
 
@@ -665,8 +665,8 @@
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("418 Teapot", String::new()));
     let agent = one(&endpoint);
     let mut node = Node::new(&agent).ready();
-    node.log_closes();
-    assert_eq!(node.hand_in("order", "m1", 7, 20_000, b"x"), 202);
+    node.close_log();
+    assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     wait_until("its notice", || {
         agent.notifications().contains(&failed("m1"))
     });
@@ -683,7 +683,7 @@
     let mut stream = std::net::TcpStream::connect(node.address).expect("accepts");
     stream.write_all(&text[..text.len() - 2]).expect("written");
     drop(stream);
-    assert_eq!(node.hand_in("webhook", "m2", 7, 20_000, b"x"), 202);
+    assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"x"), 202);
     wait_until("the other is delivered", || {
         endpoint.attempt_count("m2") == 1
     });
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -108,7 +108,7 @@
     let endpoint = blocked_until(&release);
     let old = Node::new(&one(&endpoint)).ready();
     // out in the old process while it is replaced; unsafe, so a second send would be seen as harm
-    assert_eq!(old.hand_in("order", "blocked-order", 7, 20_000, b"x"), 202);
+    assert_eq!(old.submit("order", "blocked-order", 7, 20_000, b"x"), 202);
     wait_until("it is out", || endpoint.attempt_count("blocked-order") == 1);
     let load = Load::start(old.address);
     load.wait_for_more(50);
@@ -117,10 +117,10 @@
     assert!(new.logged("takes over"));
     load.wait_for_more(50);
     // the call that is out in the old process ends in the new one
-    assert_eq!(new.hand_in("order", "blocked-order", 7, 20_000, b"x"), 202);
+    assert_eq!(new.submit("order", "blocked-order", 7, 20_000, b"x"), 202);
     release.store(true, Ordering::SeqCst);
     wait_until("its end is known", || {
-        new.hand_in("order", "blocked-order", 7, 0, b"x") == 200
+        new.submit("order", "blocked-order", 7, 0, b"x") == 200
     });
     let mut old = old;
     wait_until("the old process ends by itself", || {
@@ -130,7 +130,7 @@
     load.wait_for_more(50);
     let accepted = load.stop();
     wait_until("all delivered", || {
-        endpoint.request_count() > accepted.len() && new.figure("active") == 0
+        endpoint.request_count() > accepted.len() && new.metric("active") == 0
     });
     assert_eq!(endpoint.attempt_count("blocked-order"), 1);
     // one each, the one that was blocked, and none that was rejected
@@ -145,15 +145,15 @@
         _ => OK,
     });
     let old = Node::new(&one(&endpoint)).ready();
-    assert_eq!(old.hand_in("webhook", "first", 7, 20_000, b"x"), 202);
+    assert_eq!(old.submit("webhook", "first", 7, 20_000, b"x"), 202);
     wait_until("told", || {
-        endpoint.attempt_count("first") == 1 && old.figure("active") <= 1
+        endpoint.attempt_count("first") == 1 && old.metric("active") <= 1
     });
     thread::sleep(Duration::from_millis(100)); // the answer's way
     let new = old.upgrade().ready();
-    let _ = new.hand_in("webhook", "second", 7, 20_000, b"x");
+    let _ = new.submit("webhook", "second", 7, 20_000, b"x");
     // another destination, later than that: had it been sent, it would have been seen
-    assert_eq!(new.hand_in("webhook", "other", 8, 20_000, b"x"), 202);
+    assert_eq!(new.submit("webhook", "other", 8, 20_000, b"x"), 202);
     wait_until("the other goes", || endpoint.attempt_count("other") == 1);
     assert_eq!(
         (
@@ -171,7 +171,7 @@
     let agent = one(&endpoint);
     let mut old = Node::new(&agent).ready();
     for (class, id) in [("order", "blocked-order"), ("webhook", "blocked-webhook")] {
-        assert_eq!(old.hand_in(class, id, 7, 20_000, b"x"), 202);
+        assert_eq!(old.submit(class, id, 7, 20_000, b"x"), 202);
         wait_until("it is out", || endpoint.attempt_count(id) >= 1);
     }
     let new = old.upgrade().ready();
@@ -188,7 +188,7 @@
             .any(|line| line.contains("blocked-order") && line.contains("failed"))
     });
     wait_until("delivered", || {
-        new.hand_in("webhook", "blocked-webhook", 7, 0, b"x") == 200
+        new.submit("webhook", "blocked-webhook", 7, 0, b"x") == 200
     });
     assert_eq!(endpoint.attempt_count("blocked-order"), 1);
     assert!(endpoint.attempt_count("blocked-webhook") >= 2);
@@ -217,12 +217,12 @@
         }
         drop(caller);
         wait_until("it goes on", || {
-            node.hand_in("webhook", "m1", 7, 20_000, b"x") == 200
+            node.submit("webhook", "m1", 7, 20_000, b"x") == 200
         });
     }
     // and a real one takes over all the same
     let new = node.upgrade().ready();
-    assert_eq!(new.hand_in("webhook", "m1", 7, 20_000, b"x"), 200);
+    assert_eq!(new.submit("webhook", "m1", 7, 20_000, b"x"), 200);
 }
 
 #[test]
@@ -230,7 +230,7 @@
     let release = Arc::new(AtomicBool::new(false));
     let endpoint = blocked_until(&release);
     let mut old = Node::new(&one(&endpoint)).ready();
-    assert_eq!(old.hand_in("webhook", "blocked-1", 7, 20_000, b"x"), 202);
+    assert_eq!(old.submit("webhook", "blocked-1", 7, 20_000, b"x"), 202);
     wait_until("it is out", || endpoint.attempt_count("blocked-1") == 1);
     let mut caller = UnixStream::connect(old.folder.join("state/handover")).expect("it listens");
     caller.write_all(b"MTH1\x01\0\0\0").expect("written");
@@ -244,7 +244,7 @@
     release.store(true, Ordering::SeqCst);
     let new = new.ready();
     wait_until("delivered", || {
-        new.hand_in("webhook", "blocked-1", 7, 0, b"x") == 200
+        new.submit("webhook", "blocked-1", 7, 0, b"x") == 200
     });
 }
 
@@ -252,14 +252,14 @@
 fn a_drain_outlasts_an_upgrade() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let old = Node::new(&one(&endpoint)).ready();
-    assert_eq!(old.operate("POST", "/-/drain"), 200);
+    assert_eq!(old.admin_status("POST", "/-/drain"), 200);
     let new = old.upgrade();
     wait_until("it has taken over", || new.logged("takes over"));
     assert_eq!(
-        (new.get_ready(), new.operate("GET", "/-/ready")),
+        (new.readiness_status(), new.admin_status("GET", "/-/ready")),
         (503, 503)
     );
-    assert_eq!(new.operate("POST", "/-/resume"), 200);
-    assert_eq!(new.get_ready(), 200);
+    assert_eq!(new.admin_status("POST", "/-/resume"), 200);
+    assert_eq!(new.readiness_status(), 200);
     let _ = new.ready();
 }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -167,10 +167,10 @@
         7,
         "up",
     )])]);
-    let mut old = Node::of_program(from.path(), &agent).ready();
+    let mut old = Node::with_program(from.path(), &agent).ready();
     // two calls are out while the process is replaced; a second call of the unsafe one would be harm
     for (class, id) in [("order", "waiting-order"), ("webhook", "waiting-webhook")] {
-        assert_eq!(old.hand_in(class, id, 7, 20_000, b"x"), 202);
+        assert_eq!(old.submit(class, id, 7, 20_000, b"x"), 202);
         wait_until("it is out", || endpoint.attempt_count(id) >= 1);
     }
     let mut client = Client::new(old.address);
@@ -179,12 +179,12 @@
     // what is accepted from now on is the new one's, whoever the client was connected to
     let accepted = client.send(&message_request("webhook", "after", 7, 20_000, b"x"));
     assert!(matches!(accepted, Some((202, _)) | None), "{accepted:?}");
-    assert_eq!(new.hand_in("webhook", "after-too", 7, 20_000, b"x"), 202);
+    assert_eq!(new.submit("webhook", "after-too", 7, 20_000, b"x"), 202);
     wait_until("delivered", || endpoint.attempt_count("after-too") == 1);
     release.store(true, Ordering::SeqCst);
     for (class, id) in [("order", "waiting-order"), ("webhook", "waiting-webhook")] {
         wait_until("its end is known to the new process", || {
-            new.hand_in(class, id, 7, 0, b"x") == 200
+            new.submit(class, id, 7, 0, b"x") == 200
         });
     }
     wait_until("the old process ends by itself", || {
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -102,7 +102,7 @@
             let before = self.old.request_count();
             for n in 0..24 {
                 let id = format!("m-{round}-{n}");
-                assert_eq!(node.hand_in("webhook", &id, 7, 20_000, b"x"), 202);
+                assert_eq!(node.submit("webhook", &id, 7, 20_000, b"x"), 202);
                 wait_until("delivered", || {
                     self.new.attempt_count(&id) + self.old.attempt_count(&id) > 0
                 });
@@ -113,7 +113,7 @@
 }
 
 fn started(agent: &Agent) -> Node {
-    Node::with(agent.address, 3.0, 5.0).ready()
+    Node::with_limits(agent.address, 3.0, 5.0).ready()
 }
 
 #[test]
