--- a/tests/dead_letter.rs
+++ b/tests/dead_letter.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-fn one(endpoint: &FakeEndpoint) -> FakeDiscovery {
+fn discovery_with(endpoint: &FakeEndpoint) -> FakeDiscovery {
     FakeDiscovery::new(vec![list_json(&[(
         "s-1",
         endpoint.address,
@@ -86,7 +86,7 @@
 #[test]
 fn a_failed_message_is_stored_explained_confirmed_and_redriven_once() {
     let (endpoint, repaired) = broken();
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let node = Node::with_store(&agent, "[store]\nmax_mb = 2").ready();
     assert_eq!(code(&node, &["list"]), 3, "nothing is there yet");
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"licence 5"), 202);
@@ -127,7 +127,7 @@
 #[test]
 fn only_the_owner_may_command() {
     let (endpoint, _) = broken();
-    let node = Node::with_store(&one(&endpoint), "[store]\nmax_mb = 2").ready();
+    let node = Node::with_store(&discovery_with(&endpoint), "[store]\nmax_mb = 2").ready();
     let mode = std::fs::metadata(node.folder.join("state/undelivered.sock"))
         .expect("a socket")
         .permissions();
@@ -139,7 +139,7 @@
     let (endpoint, repaired) = broken();
     let rule =
         "[store]\nmax_mb = 2\n[[rule]]\nname = 'orders'\nwell_for_s = 0.2\nper_second = 50.0";
-    let node = Node::with_store(&one(&endpoint), rule).ready();
+    let node = Node::with_store(&discovery_with(&endpoint), rule).ready();
     assert_eq!(node.submit("order", "fails", 7, 20_000, b"x"), 202);
     let stored = only(&node);
     let number = stored["number"].to_string();
@@ -173,7 +173,7 @@
 #[test]
 fn a_damaged_store_is_set_aside_and_the_sender_starts() {
     let (endpoint, _) = broken();
-    let node = Node::with_store(&one(&endpoint), "[store]\nmax_mb = 2").ready();
+    let node = Node::with_store(&discovery_with(&endpoint), "[store]\nmax_mb = 2").ready();
     assert_eq!(
         node.submit("order", "m1", 7, 20_000, b"a body to damage"),
         202
@@ -207,8 +207,11 @@
 fn a_process_killed_at_any_time_leaves_each_failure_to_be_found_once() {
     // the engine's own test cuts every step in virtual time; here the system does it, at moments of its own
     let (endpoint, _) = broken();
-    let mut node =
-        Node::with_store(&one(&endpoint), "[store]\nmax_mb = 2\nkeep_returned = true").ready();
+    let mut node = Node::with_store(
+        &discovery_with(&endpoint),
+        "[store]\nmax_mb = 2\nkeep_returned = true",
+    )
+    .ready();
     let mut submitted = 0;
     for pause_ms in [0, 3, 17, 60, 5, 200] {
         for _ in 0..5 {
@@ -284,7 +287,7 @@
 fn a_store_too_large_for_the_folder_is_rejected_at_the_start() {
     // the platform's folder holds 3 MB, and the journal needs half of it
     let (endpoint, _) = broken();
-    let mut node = Node::new(&one(&endpoint)).ready();
+    let mut node = Node::new(&discovery_with(&endpoint)).ready();
     node.kill();
     let file = node.folder.join("undelivered.toml");
     let start = |settings: &str| {
@@ -313,7 +316,7 @@
 #[test]
 fn the_flag_of_the_store_has_its_name_of_before_as_an_alias() {
     let (endpoint, _) = broken();
-    let mut node = Node::new(&one(&endpoint)).ready();
+    let mut node = Node::new(&discovery_with(&endpoint)).ready();
     node.kill();
     let file = node.folder.join("undelivered.toml");
     std::fs::write(&file, "[store]\nmax_mb = 2").expect("written");
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,4 +1,4 @@
-//! Idle clients that take every descriptor they can get, while discovery goes and comes back.
+//! Idle clients take every file descriptor they can get, while the discovery service stops and starts again.
 
 mod node;
 
@@ -10,32 +10,33 @@
 use std::thread;
 use std::time::Duration;
 
-/// Descriptors of the sender, by its file and by the system.
+/// File descriptors that the sender may open, by its configuration and by `ulimit -n`.
 const DESCRIPTORS: usize = 64;
 
-/// Discovery until it goes.
+/// A fake discovery service that can be stopped.
 #[derive(Default)]
 struct Discovery {
-    gone: AtomicBool,
-    watches: AtomicUsize,
-    open: AtomicUsize,
-    notices: Mutex<String>,
+    is_stopped: AtomicBool,
+    watch_count: AtomicUsize,
+    open_connections: AtomicUsize,
+    notifications: Mutex<String>,
 }
 
 impl Discovery {
-    fn at(listener: TcpListener, list: String) -> Arc<Self> {
-        let here = Arc::new(Discovery::default());
-        let discovery = here.clone();
+    /// Serves this endpoint list on a listener, on threads of its own.
+    fn start(listener: TcpListener, list: String) -> Arc<Self> {
+        let server = Arc::new(Discovery::default());
+        let discovery = server.clone();
         listener.set_nonblocking(true).expect("set");
         thread::spawn(move || {
-            while !here.gone.load(Ordering::SeqCst) {
+            while !server.is_stopped.load(Ordering::SeqCst) {
                 if let Ok((stream, _)) = listener.accept() {
                     stream.set_nonblocking(false).expect("set");
-                    here.open.fetch_add(1, Ordering::SeqCst);
-                    let (here, list) = (here.clone(), list.clone());
+                    server.open_connections.fetch_add(1, Ordering::SeqCst);
+                    let (server, list) = (server.clone(), list.clone());
                     thread::spawn(move || {
-                        let _ = here.serve(stream, &list);
-                        here.open.fetch_sub(1, Ordering::SeqCst);
+                        let _ = server.serve(stream, &list);
+                        server.open_connections.fetch_sub(1, Ordering::SeqCst);
                     });
                 }
                 thread::sleep(Duration::from_millis(2));
@@ -50,7 +51,7 @@
         while line != "\r\n" {
             line.clear();
             if reader.read_line(&mut line)? == 0 {
-                // a sender may leave a connection with no request
+                // the sender may close a connection without a request
                 return Ok(());
             }
             if first.is_empty() {
@@ -63,35 +64,37 @@
         if first.starts_with("POST ") {
             let mut body = vec![0; length];
             reader.read_exact(&mut body)?;
-            *self.notices.lock().expect("not poisoned") +=
+            *self.notifications.lock().expect("not poisoned") +=
                 std::str::from_utf8(&body).expect("text");
             return stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n");
         }
-        self.watches.fetch_add(1, Ordering::SeqCst);
+        self.watch_count.fetch_add(1, Ordering::SeqCst);
         let chunk = |line: &str| format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         stream.write_all(format!("{head}{}", chunk(list)).as_bytes())?;
-        while !self.gone.load(Ordering::SeqCst) {
+        while !self.is_stopped.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(50));
             stream.write_all(chunk("").as_bytes())?;
         }
         Ok(())
     }
 
-    fn goes(&self) {
-        self.gone.store(true, Ordering::SeqCst);
-        wait_until("its connections are closed", || {
-            self.open.load(Ordering::SeqCst) == 0
+    /// Stops the service and waits until its connections are closed.
+    fn stop(&self) {
+        self.is_stopped.store(true, Ordering::SeqCst);
+        wait_until("the connections of discovery are closed", || {
+            self.open_connections.load(Ordering::SeqCst) == 0
         });
     }
 }
 
-/// Clients that say nothing, and come again when they are sent away.
-fn crowd(address: SocketAddr, count: usize, ends: &Arc<AtomicBool>) {
-    let ends = ends.clone();
+/// Keeps this number of idle clients connected, each of which reconnects when its connection is closed, until `stop` is
+/// set.
+fn connect_idle_clients(address: SocketAddr, count: usize, stop: &Arc<AtomicBool>) {
+    let stop = stop.clone();
     thread::spawn(move || {
         let mut clients: Vec<TcpStream> = Vec::new();
-        while !ends.load(Ordering::SeqCst) {
+        while !stop.load(Ordering::SeqCst) {
             clients.retain_mut(|client| {
                 let read = client.read(&mut [0; 16]);
                 read.is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
@@ -108,67 +111,75 @@
     });
 }
 
-/// Tries until a connection gets its turn: a new one may be shut unread.
-fn submit(node: &Node, id: &str, destination: u64, time_ms: u64) {
-    wait_until("taken on", || {
+/// Submits a message, again and again until the sender accepts it: a new connection may be closed without a response.
+fn submit_until_accepted(node: &Node, id: &str, destination: u64, time_ms: u64) {
+    wait_until("the message is accepted", || {
         let Ok(mut stream) = TcpStream::connect(node.address) else {
             return false;
         };
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
-        let mut answer = [0; 12];
+        let mut status_line = [0; 12];
         stream
             .write_all(&message_request("webhook", id, destination, time_ms, b"x"))
             .is_ok()
-            && stream.read_exact(&mut answer).is_ok()
-            && answer.ends_with(b"202")
+            && stream.read_exact(&mut status_line).is_ok()
+            && status_line.ends_with(b"202")
     });
 }
 
 #[test]
-fn idle_clients_that_fill_the_table_keep_nobody_from_discovery_calls_and_ends() {
+fn idle_clients_that_take_all_descriptors_block_neither_discovery_nor_calls_nor_shutdown() {
     let (old, new) = (FakeEndpoint::new(|_, _| OK), FakeEndpoint::new(|_, _| OK));
     let lists = |old_state, new_state| {
-        let away = ("d-9", old.address, "one", 9, "draining");
+        let draining = ("d-9", old.address, "one", 9, "draining");
         list_json(&[
             ("s-1", old.address, "one", 7, old_state),
             ("s-2", new.address, "one", 7, new_state),
-            away,
+            draining,
         ])
     };
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("bound");
-    let before = Discovery::at(listener, lists("up", "draining"));
+    let discovery = Discovery::start(listener, lists("up", "draining"));
     let mut node = Node::with_discovery_and_descriptor_limit(address, DESCRIPTORS).ready();
-    let ends = Arc::new(AtomicBool::new(false));
-    crowd(node.address, 3 * DESCRIPTORS, &ends);
-    crowd(node.admin_address.expect("an address"), DESCRIPTORS, &ends);
-    submit(&node, "m1", 7, 20_000);
+    let stop = Arc::new(AtomicBool::new(false));
+    connect_idle_clients(node.address, 3 * DESCRIPTORS, &stop);
+    connect_idle_clients(node.admin_address.expect("an address"), DESCRIPTORS, &stop);
+    submit_until_accepted(&node, "m1", 7, 20_000);
     wait_until("m1 is delivered", || old.attempt_count("m1") == 1);
-    before.goes();
-    wait_until("discovery is gone", || node.logged("no connection"));
-    // no endpoint takes it, and its notice has to wait for discovery
-    submit(&node, "m2", 9, 200);
-    submit(&node, "m3", 7, 20_000);
+    discovery.stop();
+    wait_until("the sender has lost discovery", || {
+        node.logged("no connection")
+    });
+    // the only endpoint drains, so the message expires, and its notification waits for discovery
+    submit_until_accepted(&node, "m2", 9, 200);
+    submit_until_accepted(&node, "m3", 7, 20_000);
     wait_until("m3 is delivered", || old.attempt_count("m3") == 1);
     let listener = TcpListener::bind(address).expect("the same port");
-    let after = Discovery::at(listener, lists("draining", "up"));
-    wait_until("a watch", || after.watches.load(Ordering::SeqCst) > 0);
-    wait_until("the notice", || {
-        after.notices.lock().expect("not poisoned").contains("m2")
+    let restarted = Discovery::start(listener, lists("draining", "up"));
+    wait_until("the sender watches the list again", || {
+        restarted.watch_count.load(Ordering::SeqCst) > 0
+    });
+    wait_until("the notification arrives", || {
+        restarted
+            .notifications
+            .lock()
+            .expect("not poisoned")
+            .contains("m2")
     });
     let mut round = 0;
-    wait_until("the list counts", || {
+    wait_until("the new endpoint list is used", || {
         round += 1;
         let id = format!("l{round}");
-        submit(&node, &id, 7, 20_000);
+        submit_until_accepted(&node, &id, 7, 20_000);
         wait_until("delivered", || {
             old.attempt_count(&id) + new.attempt_count(&id) > 0
         });
         new.attempt_count(&id) > 0
     });
     node.terminate();
-    assert!(node.process.wait().expect("it ends").success());
-    ends.store(true, Ordering::SeqCst);
+    assert!(node.process.wait().expect("the process ends").success());
+    stop.store(true, Ordering::SeqCst);
     let log = node.log.lock().expect("not poisoned").join("\n");
     assert!(
         !log.contains("os error 24") && !log.contains("no descriptor"),
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,4 +1,5 @@
-//! What ends the real process, at each step of its start and of a message's way, and what is owed then.
+//! Ends the sender process at each step of its start and of a message's delivery, and checks that it becomes ready, ends
+//! cleanly, and neither loses nor repeats a message.
 
 mod node;
 
@@ -13,9 +14,10 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 const MAX_JOURNAL_BYTES: u64 = 3_000_000;
+/// The bytes with which each record of a journal begins.
 const MAGIC: &[u8] = b"MTJ1";
 
-fn one(endpoint: &FakeEndpoint) -> FakeDiscovery {
+fn discovery_with(endpoint: &FakeEndpoint) -> FakeDiscovery {
     FakeDiscovery::new(vec![list_json(&[(
         "s-1",
         endpoint.address,
@@ -25,7 +27,8 @@
     )])])
 }
 
-fn accepted(id: &str, class: &str, body: usize) -> Accepted {
+/// A message as the journal records it on acceptance, with a deadline 120 s from now.
+fn accepted(id: &str, class: &str, body_bytes: usize) -> Accepted {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .expect("after 1970")
@@ -40,12 +43,12 @@
         destination: 7,
         accepted_at: now,
         deadline: now + 120_000_000,
-        body: vec![b'x'; body],
+        body: vec![b'x'; body_bytes],
     }
 }
 
-/// A journal with so many untried messages that may not be repeated.
-fn owing(state: &Path, count: u64) {
+/// Writes a journal with this number of messages that have not been attempted and may be attempted only once.
+fn write_unfinished(state: &Path, count: u64) {
     let (mut journal, _) = FileJournal::open(state, MAX_JOURNAL_BYTES, 1000).expect("a journal");
     for number in 0..count {
         journal
@@ -54,8 +57,8 @@
     }
 }
 
-/// One that accepts connections and says nothing.
-fn unresponsive() -> TcpListener {
+/// A listener that lets clients connect and never responds.
+fn unresponsive_listener() -> TcpListener {
     TcpListener::bind("127.0.0.1:0").expect("a port")
 }
 
@@ -72,9 +75,9 @@
 
 #[test]
 fn hung_peers_do_not_delay_readiness() {
-    // the agent, with its lists and for notices, and every endpoint: all accept, and say nothing for ever
-    let hangs = unresponsive();
-    let address = hangs.local_addr().expect("bound");
+    // discovery, for lists and notifications, and every endpoint accept connections and never respond
+    let hanging = unresponsive_listener();
+    let address = hanging.local_addr().expect("bound");
     let known = list_json(&[
         ("s-1", address, "one", 7, "up"),
         ("s-2", address, "bulk", 8, "up"),
@@ -82,7 +85,7 @@
     let node = Node::prepared(address, 3.0, &known, |state| {
         let (mut journal, _) =
             FileJournal::open(state, MAX_JOURNAL_BYTES, 1000).expect("a journal");
-        // as much as there is room for: untried ones, tried ones, and ended ones whose notices are owed
+        // fill the journal with messages that were not attempted, were attempted, or ended without a sent notification
         for number in 0.. {
             let class = ["order", "webhook"][number as usize % 2];
             if journal
@@ -108,7 +111,7 @@
             }
         }
         assert!(journal.unfinished().len() > 1000);
-        // and a file that a kill in the middle of its writing left
+        // a partly written new journal, as a kill during compaction leaves it
         std::fs::write(state.join("journal.new"), [0; 100_000]).expect("written");
     });
     let node = node.ready();
@@ -119,22 +122,22 @@
 }
 
 #[test]
-fn simultaneous_starts_on_one_disk_are_all_ready() {
+fn senders_started_at_once_on_one_disk_all_become_ready() {
     const STARTS: usize = 30;
-    let hangs = unresponsive();
-    let address = hangs.local_addr().expect("bound");
+    let hanging = unresponsive_listener();
+    let address = hanging.local_addr().expect("bound");
     let known = list_json(&[("s-1", address, "one", 7, "up")]);
-    let together = std::sync::Barrier::new(STARTS);
+    let start_barrier = std::sync::Barrier::new(STARTS);
     std::thread::scope(|scope| {
         for _ in 0..STARTS {
             scope.spawn(|| {
                 let node = Node::prepared(address, 3.0, &known, |state| {
-                    owing(state, 1000);
-                    together.wait();
+                    write_unfinished(state, 1000);
+                    start_barrier.wait();
                 });
                 let node = node.ready();
                 assert!(node.logged("1000 messages owed"));
-                together.wait();
+                start_barrier.wait();
             });
         }
     });
@@ -143,66 +146,79 @@
 #[test]
 fn a_damaged_and_full_journal_does_not_prevent_readiness() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let node = Node::prepared(one(&endpoint).address, 0.3, EMPTY_ENDPOINT_LIST, |state| {
-        // small messages: what each may have lost takes up much beside them
-        let (mut journal, _) = FileJournal::open(state, 300_000, 1).expect("a journal");
-        let full = (0..).find(|&n| {
-            journal
-                .record_accepted(n, accepted(&format!("m{n}"), "order", 1))
-                .is_err()
-        });
-        assert!(full.expect("it has an end") > 500);
-        let mut bytes = std::fs::read(state.join("journal")).expect("the journal");
-        bytes[20] ^= 0xff;
-        std::fs::write(state.join("journal"), bytes).expect("damaged");
-    });
+    let node = Node::prepared(
+        discovery_with(&endpoint).address,
+        0.3,
+        EMPTY_ENDPOINT_LIST,
+        |state| {
+            // with small messages, the record of what damage may have lost is large in comparison
+            let (mut journal, _) = FileJournal::open(state, 300_000, 1).expect("a journal");
+            let first_rejected = (0..).find(|&n| {
+                journal
+                    .record_accepted(n, accepted(&format!("m{n}"), "order", 1))
+                    .is_err()
+            });
+            assert!(first_rejected.expect("the journal fills up") > 500);
+            let mut bytes = std::fs::read(state.join("journal")).expect("the journal");
+            bytes[20] ^= 0xff;
+            std::fs::write(state.join("journal"), bytes).expect("damaged");
+        },
+    );
     let node = node.ready();
     assert!(node.logged("damaged"));
-    // all may have run: none may be sent
-    wait_until("a new one is taken on as the old ones end", || {
+    // after the damage each old message may have run, so none may be sent
+    wait_until("a new message is accepted as the old ones end", || {
         node.submit("webhook", "new", 7, 20_000, b"x") == 202
     });
-    wait_until("it is delivered", || endpoint.attempt_count("new") >= 1);
+    wait_until("the new message is delivered", || {
+        endpoint.attempt_count("new") >= 1
+    });
     assert_eq!(endpoint.request_count(), endpoint.attempt_count("new"));
 }
 
 #[test]
-fn a_process_that_is_not_ready_ends_at_sigterm_and_drops_nothing() {
-    let hangs = unresponsive();
-    let address = hangs.local_addr().expect("bound");
-    let mut node = Node::prepared(address, 3.0, EMPTY_ENDPOINT_LIST, |state| owing(state, 300));
+fn sigterm_before_readiness_ends_the_process_and_loses_no_message() {
+    let hanging = unresponsive_listener();
+    let address = hanging.local_addr().expect("bound");
+    let mut node = Node::prepared(address, 3.0, EMPTY_ENDPOINT_LIST, |state| {
+        write_unfinished(state, 300)
+    });
     assert_eq!(node.readiness_status(), 503);
     node.terminate();
     assert!(node.process.wait().expect("it ends").success());
-    // nor do kills while it resumes, whatever they leave of a new file
-    for part in [0, 1000, 400_000] {
-        std::fs::write(node.folder.join("state/journal.new"), vec![b'M'; part]).expect("written");
+    // kills during the start lose nothing either, however much of a new journal file they leave
+    for byte_count in [0, 1000, 400_000] {
+        std::fs::write(
+            node.folder.join("state/journal.new"),
+            vec![b'M'; byte_count],
+        )
+        .expect("written");
         node = node.restart();
         assert!(node.logged("300 messages owed"));
         node.kill();
     }
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let node = node.restart_with_discovery(agent.address).ready();
     assert!(node.logged("300 messages owed"));
     wait_until("all are delivered", || endpoint.request_count() >= 300);
     let ids: Vec<String> = (0..300).map(|number| format!("m{number}")).collect();
     assert!(
         ids.iter().all(|id| endpoint.attempt_count(id) == 1),
-        "each once: none may be repeated"
+        "each message was attempted exactly once"
     );
     assert!(agent.notifications().is_empty());
 }
 
 #[test]
-fn a_process_whose_folder_is_another_ones_ends_at_sigterm() {
+fn a_process_that_waits_for_the_lock_of_its_folder_ends_at_sigterm() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("folder-of-another-{}", std::process::id()));
     create_dir_all(folder.join("state")).expect("a folder");
     let agent = UnusedAddress::bind_on([127, 0, 0, 1]);
     Node::write_config(&folder, agent.address, 3.0, 5.0, 1024);
     let lock = File::create(folder.join("state/lock")).expect("a file");
-    lock.lock().expect("ours");
+    lock.lock().expect("the lock is free");
     let mut process = command(&folder).spawn().expect("it starts");
     let mut log = std::io::BufReader::new(process.stderr.take().expect("piped"));
     let mut line = String::new();
@@ -210,14 +226,14 @@
     assert!(line.contains("another process owns"), "{line}");
     send_signal(&process, "-TERM");
     let mut status = None;
-    wait_until("it ends", || {
+    wait_until("the process ends", || {
         status = process.try_wait().expect("known");
         status.is_some()
     });
     assert!(status.expect("ended").success());
 }
 
-/// The records of a journal.
+/// Splits a journal's bytes into its records.
 fn records(journal: &[u8]) -> Vec<&[u8]> {
     let starts: Vec<usize> = (0..journal.len())
         .filter(|&at| journal[at..].starts_with(MAGIC))
@@ -230,19 +246,19 @@
         .collect()
 }
 
-/// Starts a process on so many whole records and so many bytes of the next one: it sends the message again where that
-/// is safe, gives it up where it may have run, and forgets it where it has ended.
+/// Starts a process on a journal with the first `whole` records and the first `torn` bytes of the next one. It must send
+/// the message again where that is safe, fail it where it may have run, and not send it where it has ended.
 fn check_start_after_kill(class: &str, records: &[&[u8]], whole: usize, torn: usize) {
     let next = records.get(whole).map_or(&[][..], |record| &record[..torn]);
-    let left = [records[..whole].concat(), next.to_vec()].concat();
+    let journal = [records[..whole].concat(), next.to_vec()].concat();
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let node = Node::prepared(agent.address, 3.0, EMPTY_ENDPOINT_LIST, |state| {
-        std::fs::write(state.join("journal"), left).expect("written");
+        std::fs::write(state.join("journal"), journal).expect("written");
     });
     let node = node.ready();
     let case = format!("{class}, {whole} records and {torn} bytes");
-    let calls = match (class, whole) {
+    let expected_attempts = match (class, whole) {
         (_, 1) | ("webhook", 2) => {
             wait_until(&case, || endpoint.attempt_count("m1") == 1);
             1
@@ -259,10 +275,10 @@
         _ => 0,
     };
     assert_eq!(node.submit("webhook", "m2", 7, 120_000, b"x"), 202);
-    wait_until("another is over", || {
+    wait_until("another message is delivered", || {
         node.submit("webhook", "m2", 7, 120_000, b"x") == 200
     });
-    assert_eq!(endpoint.attempt_count("m1"), calls, "{case}");
+    assert_eq!(endpoint.attempt_count("m1"), expected_attempts, "{case}");
     assert_eq!(
         agent.notifications().len(),
         usize::from(class == "order" && whole == 2),
@@ -271,23 +287,23 @@
 }
 
 #[test]
-fn a_kill_between_any_two_steps_of_a_message_leaves_what_the_journal_has() {
-    // what a process leaves when it is killed behind its first, second ... record, with all that would have followed it
-    // undone: the 202 behind the first, the call's first byte behind the second, the end of the call
+fn a_kill_between_any_two_steps_of_a_message_resumes_from_the_journal() {
+    // A process killed after a record has done nothing of what follows that record: the 202 follows the first record, the
+    // first byte of the call follows the second, the end of the call comes before the third.
     for class in ["order", "webhook"] {
         let endpoint = FakeEndpoint::new(|_, _| OK);
-        let agent = one(&endpoint);
+        let agent = discovery_with(&endpoint);
         let mut node = Node::new(&agent).ready();
         assert_eq!(node.submit(class, "m1", 7, 120_000, b"x"), 202);
-        wait_until("its end is known", || {
+        wait_until("the message has ended", || {
             node.submit(class, "m1", 7, 120_000, b"x") == 200
         });
         node.kill();
         let journal = std::fs::read(node.journal()).expect("the journal");
         let records = records(&journal);
-        assert_eq!(records.len(), 3, "taken, sent, over");
+        assert_eq!(records.len(), 3, "accepted, attempted, ended");
         for whole in 0..=3 {
-            // the record behind them cut short, too
+            // with and without the first 5 bytes of the next record
             for torn in [0, 5].into_iter().filter(|torn| whole < 3 || *torn == 0) {
                 check_start_after_kill(class, &records, whole, torn);
             }
@@ -296,7 +312,7 @@
 }
 
 #[test]
-fn messages_given_up_without_a_call_are_counted_by_reason() {
+fn the_account_counts_expired_messages_without_an_attempt_by_reason() {
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("418 Teapot", String::new()));
     let draining = |uid, destination| (uid, endpoint.address, "one", destination, "draining");
     let agent = FakeDiscovery::new(vec![list_json(&[
@@ -304,11 +320,13 @@
         draining("d-9", 9),
     ])]);
     let node = Node::with_trace(&agent).ready();
-    // one with a call that may have run, and two with none, for which nobody took calls
+    // one message has an attempt that may have run; two have none, since their only endpoint drains
     assert_eq!(node.submit("order", "tried", 7, 20_000, b"x"), 202);
     assert_eq!(node.submit("webhook", "untried", 9, 300, b"x"), 202);
     assert_eq!(node.submit("order", "untried-too", 9, 300, b"x"), 202);
-    wait_until("all three notices", || agent.notifications().len() == 3);
+    wait_until("all three notifications arrive", || {
+        agent.notifications().len() == 3
+    });
     wait_until("all three are in the log", || {
         let log = node.log.lock().expect("not poisoned");
         log.iter()
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -5,7 +5,7 @@
 use node::*;
 use std::time::{Duration, Instant};
 
-fn one(endpoint: &FakeEndpoint) -> FakeDiscovery {
+fn discovery_with(endpoint: &FakeEndpoint) -> FakeDiscovery {
     FakeDiscovery::new(vec![list_json(&[(
         "s-1",
         endpoint.address,
@@ -22,7 +22,7 @@
         "fails" => Reply::Respond("500 Oops", String::new()),
         _ => OK,
     });
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&discovery_with(&endpoint)).ready();
     for id in ["a", "b"] {
         assert_eq!(node.submit("webhook", id, 7, 20_000, b"x"), 202);
     }
@@ -47,7 +47,7 @@
 fn a_drained_sender_loses_its_clients_and_a_resumed_one_takes_them_again() {
     // guards against idle connections that stay through a drain, and against one that never ends
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&discovery_with(&endpoint)).ready();
     let mut idle = Client::new(node.address);
     assert_eq!(
         idle.send(&message_request("webhook", "m1", 7, 20_000, b"x"))
@@ -101,7 +101,7 @@
 #[test]
 fn callers_that_do_not_finish_keep_nobody_out() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&discovery_with(&endpoint)).ready();
     let operators = node.admin_address.expect("an address");
     let mut silent: Vec<Client> = (0..8).map(|_| Client::new(operators)).collect();
     silent
@@ -144,7 +144,7 @@
                 _ => OK,
             },
         );
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.submit("licence", "m1", 7, 20_000, b"x"), 400);
     // unsafe, and may run: it must never go out again, whatever its class's name means later
@@ -188,7 +188,7 @@
 #[test]
 fn nothing_is_taken_from_a_broken_file() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
     let sound =
         std::fs::read_to_string(node.folder.join("config.json")).expect("the configuration");
@@ -238,7 +238,7 @@
         "m1" | "m2" => Reply::NoResponse,
         _ => OK,
     });
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
     for (class, id) in [("order", "m1"), ("webhook", "m2")] {
         assert_eq!(node.submit(class, id, 7, 20_000, b"x"), 202);
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -1,4 +1,5 @@
-//! Messages of one subject go one at a time, where their class asks for it: whatever ends the one before.
+//! Messages of one subject in a class with `oneAtATime` are sent one at a time: the next one waits until the end of the
+//! message before is recorded and notified, also across restarts.
 
 mod node;
 
@@ -6,8 +7,8 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Hands a message about something in.
-fn about(node: &Node, subject: &str, id: &str, time_ms: u64) -> u16 {
+/// Submits a message of a subject; returns the status.
+fn submit_about(node: &Node, subject: &str, id: &str, time_ms: u64) -> u16 {
     let text = String::from_utf8(message_request("posting", id, 7, time_ms, b"x")).expect("text");
     node.raw(
         text.replace(
@@ -19,7 +20,7 @@
     .0
 }
 
-fn agent(endpoint: &FakeEndpoint) -> FakeDiscovery {
+fn discovery_with(endpoint: &FakeEndpoint) -> FakeDiscovery {
     FakeDiscovery::new(vec![list_json(&[(
         "s-1",
         endpoint.address,
@@ -29,65 +30,68 @@
     )])])
 }
 
-/// Position of a message's first call, among all calls.
-fn first_of(endpoint: &FakeEndpoint, id: &str) -> Option<usize> {
-    let seen = endpoint.requests.lock().expect("not poisoned");
-    seen.iter()
+/// Position of a message's first call among all calls that the endpoint received.
+fn first_call_position(endpoint: &FakeEndpoint, id: &str) -> Option<usize> {
+    let requests = endpoint.requests.lock().expect("not poisoned");
+    requests
+        .iter()
         .position(|call| call.message_ids().iter().any(|other| other == id))
 }
 
 #[test]
-fn messages_of_one_subject_go_one_at_a_time_also_across_a_kill() {
-    let open = Arc::new(AtomicBool::new(false));
-    let answers = open.clone();
+fn messages_of_one_subject_are_sent_one_at_a_time_also_across_a_kill() {
+    let succeeds = Arc::new(AtomicBool::new(false));
+    let succeeds_now = succeeds.clone();
     let endpoint = FakeEndpoint::new(move |request, _| {
-        let held = ["m1", "m2"].contains(&request.header("x-request-id"))
-            && !answers.load(Ordering::SeqCst);
-        if held {
+        let fails = ["m1", "m2"].contains(&request.header("x-request-id"))
+            && !succeeds_now.load(Ordering::SeqCst);
+        if fails {
             Reply::Respond("500 Oops", String::new())
         } else {
             OK
         }
     });
-    let agent = agent(&endpoint);
+    let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
-    assert_eq!(about(&node, "a", "m1", 20_000), 202);
-    wait_until("the first is out", || endpoint.attempt_count("m1") >= 1);
+    assert_eq!(submit_about(&node, "a", "m1", 20_000), 202);
+    wait_until("the first is sent", || endpoint.attempt_count("m1") >= 1);
     assert_eq!(
         (
-            about(&node, "a", "m2", 20_000),
-            about(&node, "b", "other", 20_000)
+            submit_about(&node, "a", "m2", 20_000),
+            submit_about(&node, "b", "other", 20_000)
         ),
         (202, 202)
     );
-    wait_until("another subject goes on", || {
+    wait_until("a message of another subject is delivered", || {
         endpoint.attempt_count("other") == 1
     });
-    wait_until("the first is tried again", || {
-        endpoint.attempt_count("m1") >= 3
-    });
+    wait_until("the first is retried", || endpoint.attempt_count("m1") >= 3);
     assert_eq!(
         endpoint.attempt_count("m2"),
         0,
-        "the one before it is not over"
+        "the message before it has not ended"
     );
     let node = node.restart().ready();
     assert!(node.logged("2 messages owed"));
     let before = endpoint.attempt_count("m1");
-    wait_until("the first is tried in the new life", || {
+    wait_until("the first is retried after the restart", || {
         endpoint.attempt_count("m1") > before
     });
-    assert_eq!(endpoint.attempt_count("m2"), 0, "nor is it in the new life");
-    open.store(true, Ordering::SeqCst);
-    wait_until("the second goes", || endpoint.attempt_count("m2") >= 1);
-    assert!(first_of(&endpoint, "m1") < first_of(&endpoint, "m2"));
-    // a subject that stands twice is none that anybody meant
-    assert_eq!(about(&node, "a&subject=b", "m3", 20_000), 400);
-    assert_eq!(about(&node, "", "m4", 20_000), 400);
+    assert_eq!(
+        endpoint.attempt_count("m2"),
+        0,
+        "the second still waits after the restart"
+    );
+    succeeds.store(true, Ordering::SeqCst);
+    wait_until("the second is sent", || endpoint.attempt_count("m2") >= 1);
+    assert!(first_call_position(&endpoint, "m1") < first_call_position(&endpoint, "m2"));
+    // two subjects in one request are ambiguous, and an empty subject is invalid
+    assert_eq!(submit_about(&node, "a&subject=b", "m3", 20_000), 400);
+    assert_eq!(submit_about(&node, "", "m4", 20_000), 400);
 }
 
 #[test]
-fn the_next_of_a_subject_waits_until_the_platform_knows_of_the_end_before() {
+fn the_next_message_of_a_subject_waits_until_the_platform_is_notified_of_the_previous_end() {
     let endpoint = FakeEndpoint::new(|request, _| {
         let busy = Reply::Respond("503 Busy", String::new());
         if request.header("x-request-id") == "m1" {
@@ -96,40 +100,41 @@
             OK
         }
     });
-    let agent = agent(&endpoint);
+    let agent = discovery_with(&endpoint);
     agent.remaining_faults.store(usize::MAX, Ordering::SeqCst);
     let node = Node::new(&agent).ready();
-    assert_eq!(about(&node, "a", "m1", 400), 202);
-    assert_eq!(about(&node, "a", "m2", 20_000), 202);
-    wait_until("the first has ended, and nobody knows", || {
+    assert_eq!(submit_about(&node, "a", "m1", 400), 202);
+    assert_eq!(submit_about(&node, "a", "m2", 20_000), 202);
+    wait_until("the first has ended, and its notification fails", || {
         node.logged("notices answered 500")
     });
-    assert_eq!(about(&node, "b", "other", 20_000), 202);
-    wait_until("another subject goes on", || {
+    assert_eq!(submit_about(&node, "b", "other", 20_000), 202);
+    wait_until("a message of another subject is delivered", || {
         endpoint.attempt_count("other") == 1
     });
     assert_eq!(
         endpoint.attempt_count("m2"),
         0,
-        "the end of the one before is not known"
+        "the platform has not been notified of the previous end"
     );
-    // nor does a new process forget it
+    // a new process still has the notification to send
     let node = node.restart().ready();
-    wait_until("the notice is owed again", || {
+    wait_until("the notification is attempted again", || {
         node.logged("notices answered 500")
     });
-    assert_eq!(about(&node, "b", "another", 20_000), 202);
-    wait_until("another subject goes on", || {
+    assert_eq!(submit_about(&node, "b", "another", 20_000), 202);
+    wait_until("a message of another subject is delivered", || {
         endpoint.attempt_count("another") == 1
     });
     assert_eq!(
         endpoint.attempt_count("m2"),
         0,
-        "the end of the one before is still not known"
+        "the platform has still not been notified of the previous end"
     );
     agent.remaining_faults.store(0, Ordering::SeqCst);
-    wait_until("the second goes once the notice is in", || {
-        endpoint.attempt_count("m2") >= 1
-    });
+    wait_until(
+        "the second is sent once the notification has arrived",
+        || endpoint.attempt_count("m2") >= 1,
+    );
     assert!(agent.notifications().iter().any(|line| line.contains("m1")));
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-fn one(endpoint: &FakeEndpoint) -> FakeDiscovery {
+fn discovery_with(endpoint: &FakeEndpoint) -> FakeDiscovery {
     FakeDiscovery::new(vec![only(endpoint)])
 }
 
@@ -26,7 +26,7 @@
 #[test]
 fn a_message_goes_on_unchanged_and_is_over() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&discovery_with(&endpoint)).ready();
     let body = b"any \0 bytes\r\n\xff";
     assert_eq!(node.submit("webhook", "m1", 7, 20_000, body), 202);
     wait_until("delivered", || endpoint.request_count() == 1);
@@ -51,7 +51,7 @@
 fn connections_are_kept_and_left_before_the_endpoint_closes_them() {
     // guards against a handshake for each call, and against writing to a connection about to close
     let endpoint = FakeEndpoint::new(|request, _| repeating_id(request));
-    let node = Node::with_limits(one(&endpoint).address, 3.0, 1.0).ready();
+    let node = Node::with_limits(discovery_with(&endpoint).address, 3.0, 1.0).ready();
     hand_in_three(&node, &endpoint);
     assert_eq!(endpoint.connection_count.load(Ordering::SeqCst), 1);
     std::thread::sleep(Duration::from_millis(1000)); // the idle time itself
@@ -63,7 +63,7 @@
 #[test]
 fn a_connection_carries_two_calls_where_responses_name_no_request() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let node = Node::with_limits(one(&endpoint).address, 3.0, 1.0).ready();
+    let node = Node::with_limits(discovery_with(&endpoint).address, 3.0, 1.0).ready();
     hand_in_three(&node, &endpoint);
     assert_eq!(endpoint.connection_count.load(Ordering::SeqCst), 2);
     let asked: Vec<bool> = (0..3)
@@ -96,7 +96,7 @@
 #[test]
 fn bad_input_is_answered_and_harms_nobody() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&discovery_with(&endpoint)).ready();
     let good = String::from_utf8(message_request("webhook", "m1", 7, 9000, b"x")).expect("text");
     let without = |name: &str| {
         let lines = good
@@ -159,7 +159,7 @@
 #[test]
 fn the_same_id_while_held_is_one_message() {
     let endpoint = FakeEndpoint::new(|_, _| Reply::NoResponse);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&discovery_with(&endpoint)).ready();
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     assert_eq!(node.submit("order", "m2", 7, 20_000, b"x"), 202);
@@ -186,7 +186,7 @@
         failed.push(id);
         first.clone()
     });
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.submit("webhook", "keyed", 7, 8_000, b"x"), 202);
     wait_until("keyed is out", || endpoint.attempt_count("keyed") > 0);
@@ -268,7 +268,7 @@
 #[test]
 fn a_message_that_is_gone_is_over_without_a_notice() {
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("410 Gone", String::new()));
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 400, b"x"), 202);
     wait_until("it is out", || endpoint.request_count() == 1);
@@ -313,7 +313,7 @@
         0 => Reply::Respond("429 Later\r\nRetry-After: 1.2", String::new()),
         _ => OK,
     });
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&discovery_with(&endpoint)).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("it is out", || endpoint.request_count() == 1);
     let told = Instant::now();
@@ -401,7 +401,7 @@
             OK
         }
     });
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.submit("webhook", "sent", 7, 20_000, b"body"), 202);
     assert_eq!(node.submit("order", "unsafe", 7, 20_000, b"x"), 202);
@@ -450,7 +450,7 @@
 #[test]
 fn a_deadline_that_passed_while_down_ends_by_a_notice_at_once() {
     let endpoint = FakeEndpoint::new(|_, _| Reply::NoResponse);
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let mut node = Node::new(&agent).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 600, b"x"), 202);
     node.kill();
@@ -496,7 +496,7 @@
 #[test]
 fn a_full_journal_refuses_and_stays_within_its_limit() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let node = Node::with_limits(agent.address, 0.3, 5.0).ready();
     let size = || {
         let files = std::fs::read_dir(node.folder.join("state")).expect("the folder");
@@ -534,7 +534,7 @@
 #[test]
 fn a_folder_that_fills_up_and_empties_takes_messages_again() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let node = Node::with_limits(agent.address, 0.3, 5.0).ready();
     let mut full = false;
     for n in 0..10 {
@@ -553,7 +553,7 @@
 fn sigterm_drains_with_an_answer_for_every_client() {
     // guards against connections that end with a request on them, and against an exit with calls out
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let mut node = Node::new(&agent).ready();
     let mut client = Client::new(node.address);
     assert_eq!(
@@ -594,7 +594,7 @@
 #[test]
 fn near_the_end_of_a_drain_no_call_starts_that_would_be_cut_off() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
     node.terminate();
     wait_until("draining", || node.logged("draining"));
@@ -663,7 +663,7 @@
 fn a_log_that_nobody_reads_does_not_end_the_sender() {
     // guards against eprintln, which panics when its pipe is gone
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("418 Teapot", String::new()));
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let mut node = Node::new(&agent).ready();
     node.close_log();
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
@@ -678,7 +678,7 @@
 #[test]
 fn a_client_that_leaves_before_its_answer_is_no_client() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&discovery_with(&endpoint)).ready();
     let text = message_request("webhook", "m1", 7, 20_000, b"12345");
     let mut stream = std::net::TcpStream::connect(node.address).expect("accepts");
     stream.write_all(&text[..text.len() - 2]).expect("written");
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-fn one(endpoint: &FakeEndpoint) -> FakeDiscovery {
+fn discovery_with(endpoint: &FakeEndpoint) -> FakeDiscovery {
     FakeDiscovery::new(vec![list_json(&[
         ("s-1", endpoint.address, "one", 7, "up"),
         ("s-2", endpoint.address, "one", 8, "up"),
@@ -106,7 +106,7 @@
 fn an_upgrade_under_load_loses_nothing_sends_nothing_twice_and_cuts_no_client_off() {
     let release = Arc::new(AtomicBool::new(false));
     let endpoint = blocked_until(&release);
-    let old = Node::new(&one(&endpoint)).ready();
+    let old = Node::new(&discovery_with(&endpoint)).ready();
     // out in the old process while it is replaced; unsafe, so a second send would be seen as harm
     assert_eq!(old.submit("order", "blocked-order", 7, 20_000, b"x"), 202);
     wait_until("it is out", || endpoint.attempt_count("blocked-order") == 1);
@@ -144,7 +144,7 @@
         "first" => Reply::Respond("429 No\r\nRetry-After: 600", String::new()),
         _ => OK,
     });
-    let old = Node::new(&one(&endpoint)).ready();
+    let old = Node::new(&discovery_with(&endpoint)).ready();
     assert_eq!(old.submit("webhook", "first", 7, 20_000, b"x"), 202);
     wait_until("told", || {
         endpoint.attempt_count("first") == 1 && old.metric("active") <= 1
@@ -168,7 +168,7 @@
 fn calls_of_an_old_process_that_is_killed_may_have_run() {
     let release = Arc::new(AtomicBool::new(false));
     let endpoint = blocked_until(&release);
-    let agent = one(&endpoint);
+    let agent = discovery_with(&endpoint);
     let mut old = Node::new(&agent).ready();
     for (class, id) in [("order", "blocked-order"), ("webhook", "blocked-webhook")] {
         assert_eq!(old.submit(class, id, 7, 20_000, b"x"), 202);
@@ -197,7 +197,7 @@
 #[test]
 fn callers_at_the_socket_who_know_nothing_change_nothing() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let node = Node::new(&one(&endpoint)).ready();
+    let node = Node::new(&discovery_with(&endpoint)).ready();
     let socket = node.folder.join("state/handover");
     let hello = b"MTH1\x01\0\0\0";
     // noise, silence, half a hello; then one that asks and goes, and one that asks and answers noise
@@ -229,7 +229,7 @@
 fn a_process_that_can_not_read_the_offer_goes_on_from_the_journal() {
     let release = Arc::new(AtomicBool::new(false));
     let endpoint = blocked_until(&release);
-    let mut old = Node::new(&one(&endpoint)).ready();
+    let mut old = Node::new(&discovery_with(&endpoint)).ready();
     assert_eq!(old.submit("webhook", "blocked-1", 7, 20_000, b"x"), 202);
     wait_until("it is out", || endpoint.attempt_count("blocked-1") == 1);
     let mut caller = UnixStream::connect(old.folder.join("state/handover")).expect("it listens");
@@ -251,7 +251,7 @@
 #[test]
 fn a_drain_outlasts_an_upgrade() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let old = Node::new(&one(&endpoint)).ready();
+    let old = Node::new(&discovery_with(&endpoint)).ready();
     assert_eq!(old.admin_status("POST", "/-/drain"), 200);
     let new = old.upgrade();
     wait_until("it has taken over", || new.logged("takes over"));
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the endpoint list, when what comes on it can't be read, comes in pieces, or never ends.
+//! The watch of the endpoint list when discovery sends lines that can't be parsed, sends a list in parts, or hangs.
 
 mod node;
 
@@ -10,60 +10,64 @@
 use std::thread;
 use std::time::Duration;
 
-/// What one watch brings.
+/// What the fake discovery service sends on one watch.
 #[derive(Clone)]
 enum Script {
-    /// This text, and then nothing.
+    /// Sends this text, and then nothing more.
     Text(String),
-    /// This text, and then the other one, a byte now and then without end.
+    /// Sends the first text, and then the second one over and over, a byte every 200 ms.
     Trickle(String, &'static str),
-    /// No answer at all.
+    /// Does not respond at all.
     Hang,
 }
 
-/// An agent with a script for each watch; the last one serves for all that follow.
-struct Agent {
+/// A fake discovery service with a script for each watch; the last script serves all further watches.
+struct ScriptedDiscovery {
     address: SocketAddr,
-    watches: Arc<AtomicUsize>,
-    asked: Arc<Mutex<Vec<String>>>,
+    watch_count: Arc<AtomicUsize>,
+    request_lines: Arc<Mutex<Vec<String>>>,
 }
 
-fn agent(scripts: Vec<Script>) -> Agent {
+fn start_discovery(scripts: Vec<Script>) -> ScriptedDiscovery {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let agent = Agent {
+    let discovery = ScriptedDiscovery {
         address: listener.local_addr().expect("bound"),
-        watches: Arc::default(),
-        asked: Arc::default(),
+        watch_count: Arc::default(),
+        request_lines: Arc::default(),
     };
-    let (watches, asked) = (agent.watches.clone(), agent.asked.clone());
+    let (watch_count, request_lines) = (
+        discovery.watch_count.clone(),
+        discovery.request_lines.clone(),
+    );
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let (watches, asked, scripts) = (watches.clone(), asked.clone(), scripts.clone());
+            let (watch_count, request_lines, scripts) =
+                (watch_count.clone(), request_lines.clone(), scripts.clone());
             thread::spawn(move || {
                 let mut line = String::new();
                 let read = BufReader::new(stream.try_clone().expect("cloned")).read_line(&mut line);
                 if read.is_err() || !line.starts_with("GET /v1/endpoints?watch=1") {
                     return;
                 }
-                asked.lock().expect("not poisoned").push(line);
-                let number = watches.fetch_add(1, Ordering::SeqCst);
+                request_lines.lock().expect("not poisoned").push(line);
+                let number = watch_count.fetch_add(1, Ordering::SeqCst);
                 serve(stream, &scripts[number.min(scripts.len() - 1)]);
             });
         }
     });
-    agent
+    discovery
 }
 
 fn serve(mut stream: TcpStream, script: &Script) {
-    let (text, rest) = match script {
+    let (text, trickled) = match script {
         Script::Text(text) => (text.as_str(), ""),
-        Script::Trickle(text, rest) => (text.as_str(), *rest),
+        Script::Trickle(text, trickled) => (text.as_str(), *trickled),
         Script::Hang => return thread::sleep(WAIT_TIMEOUT),
     };
     let chunk = |text: &str| format!("{:x}\r\n{text}\r\n", text.len());
     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     let _ = stream.write_all(format!("{head}{}", chunk(text)).as_bytes());
-    for byte in rest.split("").filter(|byte| !byte.is_empty()).cycle() {
+    for byte in trickled.split("").filter(|byte| !byte.is_empty()).cycle() {
         thread::sleep(Duration::from_millis(200));
         if stream.write_all(chunk(byte).as_bytes()).is_err() {
             return;
@@ -72,20 +76,21 @@
     thread::sleep(WAIT_TIMEOUT);
 }
 
-/// Two endpoints of one destination: the old one, in this state, and the new one.
-struct Two {
+/// Two endpoints of one destination.
+struct EndpointPair {
     old: FakeEndpoint,
     new: FakeEndpoint,
 }
 
-impl Two {
+impl EndpointPair {
     fn new() -> Self {
-        Two {
+        EndpointPair {
             old: FakeEndpoint::new(|_, _| OK),
             new: FakeEndpoint::new(|_, _| OK),
         }
     }
 
+    /// An endpoint list with the old endpoint in this state and the new one up.
     fn list(&self, state: &str) -> String {
         let old = ("s-1", self.old.address, "one", 7, state);
         format!(
@@ -94,14 +99,14 @@
         )
     }
 
-    /// From some moment on all goes to the new one: of so many messages in a row the old one gets some otherwise.
-    fn only_the_new_one_is_called(&self, node: &Node) {
+    /// Waits until 24 messages in a row all go to the new endpoint: while both are up, the old one gets some of them.
+    fn wait_until_only_new_is_called(&self, node: &Node) {
         let mut round = 0;
-        wait_until("the old one is left alone", || {
+        wait_until("only the new endpoint is called", || {
             round += 1;
             let before = self.old.request_count();
-            for n in 0..24 {
-                let id = format!("m-{round}-{n}");
+            for number in 0..24 {
+                let id = format!("m-{round}-{number}");
                 assert_eq!(node.submit("webhook", &id, 7, 20_000, b"x"), 202);
                 wait_until("delivered", || {
                     self.new.attempt_count(&id) + self.old.attempt_count(&id) > 0
@@ -112,56 +117,56 @@
     }
 }
 
-fn started(agent: &Agent) -> Node {
-    Node::with_limits(agent.address, 3.0, 5.0).ready()
+fn start_sender(discovery: &ScriptedDiscovery) -> Node {
+    Node::with_limits(discovery.address, 3.0, 5.0).ready()
 }
 
 #[test]
-fn what_can_not_be_read_is_not_passed_over() {
-    let two = Two::new();
-    for bad in [
+fn a_line_that_can_not_be_parsed_makes_the_sender_request_the_whole_list() {
+    let pair = EndpointPair::new();
+    for invalid in [
         "{not json\n",
         "{\"rev\":8,\"all\":false,\"targets\":[{\"uid\":\"s-1\"}]}\n",
     ] {
-        // what the bad line said stands in the whole list only
-        let agent = agent(vec![
-            Script::Text(format!("{}{bad}", two.list("up"))),
-            Script::Text(two.list("draining")),
+        // only the whole list of the second watch has the change that the invalid line announced
+        let discovery = start_discovery(vec![
+            Script::Text(format!("{}{invalid}", pair.list("up"))),
+            Script::Text(pair.list("draining")),
         ]);
-        let node = started(&agent);
-        wait_until("the list is asked for anew", || {
-            agent.watches.load(Ordering::SeqCst) == 2
+        let node = start_sender(&discovery);
+        wait_until("the list is requested again", || {
+            discovery.watch_count.load(Ordering::SeqCst) == 2
         });
         assert!(
-            agent.asked.lock().expect("not poisoned")[1].contains("from=0 "),
-            "the whole of it"
+            discovery.request_lines.lock().expect("not poisoned")[1].contains("from=0 "),
+            "the whole list is requested"
         );
-        two.only_the_new_one_is_called(&node);
+        pair.wait_until_only_new_is_called(&node);
     }
 }
 
 #[test]
 fn a_list_may_be_indented() {
-    let two = Two::new();
-    let value: serde_json::Value = serde_json::from_str(&two.list("draining")).expect("JSON");
+    let pair = EndpointPair::new();
+    let value: serde_json::Value = serde_json::from_str(&pair.list("draining")).expect("JSON");
     let text = serde_json::to_string_pretty(&value).expect("JSON");
-    let agent = agent(vec![Script::Text(format!("{text}\n"))]);
-    let node = started(&agent);
-    two.only_the_new_one_is_called(&node);
+    let discovery = start_discovery(vec![Script::Text(format!("{text}\n"))]);
+    let node = start_sender(&discovery);
+    pair.wait_until_only_new_is_called(&node);
 }
 
 #[test]
-fn a_watch_that_trickles_and_one_that_is_not_answered_are_left() {
-    let two = Two::new();
-    let agent = agent(vec![
-        Script::Trickle(two.list("up"), "{\"rev\": "),
+fn a_watch_that_trickles_or_gets_no_response_is_replaced_by_a_new_one() {
+    let pair = EndpointPair::new();
+    let discovery = start_discovery(vec![
+        Script::Trickle(pair.list("up"), "{\"rev\": "),
         Script::Hang,
-        Script::Text(two.list("draining")),
+        Script::Text(pair.list("draining")),
     ]);
-    let node = started(&agent);
+    let node = start_sender(&discovery);
     wait_until("a third watch", || {
-        agent.watches.load(Ordering::SeqCst) >= 3
+        discovery.watch_count.load(Ordering::SeqCst) >= 3
     });
     assert!(node.logged("silent") && node.logged("no answer in time"));
-    two.only_the_new_one_is_called(&node);
+    pair.wait_until_only_new_is_called(&node);
 }
