--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! The operators' door: readiness, figures, drain and resume, beside clients and callers that misbehave.
+//! Tests of the admin server and of reloads: readiness, metrics, drain and resume, with misbehaving clients.
 
 mod node;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_figures_tell_each_end_and_what_is_held() {
+fn metrics_count_each_outcome_and_the_pending_messages() {
     let endpoint = FakeEndpoint::new(|request, _| match request.header("x-request-id") {
         "hangs" => Reply::NoResponse,
         "fails" => Reply::Respond("500 Oops", String::new()),
@@ -26,26 +26,32 @@
     for id in ["a", "b"] {
         assert_eq!(node.submit("webhook", id, 7, 20_000, b"x"), 202);
     }
-    // known to have run perhaps, and unsafe: its end is a failure
+    // an at-most-once message that may have run fails
     assert_eq!(node.submit("order", "fails", 7, 20_000, b"x"), 202);
-    wait_until("ended", || {
+    wait_until("all three have ended", || {
         node.metric("responses.order.errors") == 1 && node.metric("responses.webhook.ok") == 2
     });
     assert_eq!(node.submit("order", "hangs", 7, 20_000, b"x"), 202);
-    // counted while it is out, not at its end
-    wait_until("written", || node.metric("tries") == 4);
+    // an attempt is counted while it is in flight, not at its end
+    wait_until("the fourth attempt is counted", || {
+        node.metric("tries") == 4
+    });
     assert_eq!((node.metric("active"), node.metric("pool_size")), (1, 1));
-    // no endpoint for it was ever listed
+    // no endpoint of destination 99 was ever listed
     assert_eq!(node.submit("webhook", "nowhere", 99, 20_000, b"x"), 429);
-    wait_until("turned away", || node.metric("responses.webhook.shed") == 1);
+    wait_until("the rejection is counted", || {
+        node.metric("responses.webhook.shed") == 1
+    });
     node.reload(|_| "{".to_string());
-    wait_until("turned down", || node.metric("config_rejected") == 1);
+    wait_until("the invalid reload is counted", || {
+        node.metric("config_rejected") == 1
+    });
     assert_eq!(node.metric("config_applied"), 0);
 }
 
 #[test]
-fn a_drained_sender_loses_its_clients_and_a_resumed_one_takes_them_again() {
-    // guards against idle connections that stay through a drain, and against one that never ends
+fn a_drain_closes_client_connections_and_a_resume_accepts_clients_again() {
+    // guards against idle connections that stay open through a drain, and against a drain that never ends
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&discovery_with(&endpoint)).ready();
     let mut idle = Client::new(node.address);
@@ -69,16 +75,16 @@
         ),
         (503, 503)
     );
-    // a client that has not heard of it is served, and its connection closed behind that
+    // a client that does not know of the drain is served, and its connection is closed after the response
     let answer = used
         .send(&message_request("webhook", "m3", 7, 20_000, b"x"))
-        .expect("an answer");
+        .expect("a response");
     assert_eq!((answer.0, answer.1.header("connection")), (202, "close"));
-    wait_until("the idle one is closed", || idle.is_closed());
-    wait_until("nothing is taken on any more", || {
+    wait_until("the idle connection is closed", || idle.is_closed());
+    wait_until("no message is accepted any more", || {
         node.submit("webhook", "late", 7, 20_000, b"x") == 503
     });
-    wait_until("all is delivered", || {
+    wait_until("all messages are delivered", || {
         endpoint.request_count() >= 3 && node.metric("active") == 0
     });
     assert_eq!(node.admin_status("POST", "/-/resume"), 200);
@@ -93,24 +99,23 @@
     for id in ["m4", "m5"] {
         let answer = client
             .send(&message_request("webhook", id, 7, 20_000, b"x"))
-            .expect("kept open again");
+            .expect("connections stay open again");
         assert_eq!(answer.0, 202);
     }
 }
 
 #[test]
-fn callers_that_do_not_finish_keep_nobody_out() {
+fn incomplete_admin_requests_do_not_block_other_admin_requests() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&discovery_with(&endpoint)).ready();
-    let operators = node.admin_address.expect("an address");
-    let mut silent: Vec<Client> = (0..8).map(|_| Client::new(operators)).collect();
-    silent
-        .iter_mut()
+    let admin_address = node.admin_address.expect("an address");
+    let mut idle: Vec<Client> = (0..8).map(|_| Client::new(admin_address)).collect();
+    idle.iter_mut()
         .skip(4)
         .for_each(|client| client.write(b"GET /-/metr"));
     let began = Instant::now();
     assert_eq!(node.admin_status("GET", "/-/ready"), 200);
-    // before the silent ones are closed
+    // within 1 s, which is before the idle connections are closed
     assert!(
         began.elapsed() < Duration::from_millis(1000),
         "{:?}",
@@ -125,17 +130,18 @@
         assert_eq!(node.admin_status(method, path), status, "{method} {path}");
     }
     assert_eq!(node.readiness_status(), 200, "a GET of the drain drained");
-    wait_until("they are closed", || {
-        silent.iter_mut().all(Client::is_closed)
+    wait_until("the idle connections are closed", || {
+        idle.iter_mut().all(Client::is_closed)
     });
 }
 
-const NEW: &str =
+/// A class `licence` in front of the class `order`, to replace the start of the latter in a configuration.
+const LICENCE_BEFORE_ORDER: &str =
     r#"{"name":"licence","aim":4.0,"deadline":20.0,"effect":"idempotent"},{"name":"order""#;
 
 #[test]
-fn a_reload_brings_classes_and_takes_them_away_and_what_is_open_keeps_its_own() {
-    // guards against rules that change under a message that is out, and against positions that are mixed up
+fn a_reload_adds_and_removes_classes_and_pending_messages_keep_their_rules() {
+    // guards against rules that change for a message in flight, and against classes mixed up by their changed positions
     let endpoint =
         FakeEndpoint::new(
             |request, _| match request.header("x-request-id").split('-').next() {
@@ -147,24 +153,32 @@
     let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.submit("licence", "m1", 7, 20_000, b"x"), 400);
-    // unsafe, and may run: it must never go out again, whatever its class's name means later
+    // an at-most-once message that may run must never be sent again, whatever effect its class gets later
     assert_eq!(node.submit("order", "slow-order", 7, 3_000, b"x"), 202);
-    wait_until("it is out", || endpoint.attempt_count("slow-order") == 1);
+    wait_until("the message is sent", || {
+        endpoint.attempt_count("slow-order") == 1
+    });
     node.reload(|text| {
-        text.replace(r#"{"name":"order""#, NEW)
+        text.replace(r#"{"name":"order""#, LICENCE_BEFORE_ORDER)
             .replace("at_most_once", "idempotent")
             .replace("\"mostTries\":12", "\"mostTries\":2")
     });
-    wait_until("taken over", || node.metric("config_applied") == 1);
+    wait_until("the reload is applied", || {
+        node.metric("config_applied") == 1
+    });
     assert_eq!(node.submit("licence", "m2", 7, 20_000, b"x"), 202);
-    wait_until("counted under its name", || {
+    wait_until("the new class has its own metric", || {
         node.metric("responses.licence.ok") == 1
     });
-    // an order may be repeated now, but only so often
+    // orders are idempotent now, with at most 2 attempts
     assert_eq!(node.submit("order", "bad-order", 7, 20_000, b"x"), 202);
-    // handed back, since a repeat does no harm now; the other may have run, and has failed
-    wait_until("handed back", || node.metric("responses.order.shed") == 1);
-    wait_until("failed", || node.metric("responses.order.errors") == 1);
+    // the new order is shed, since a repeat does no harm now; the old one may have run, and fails
+    wait_until("the new order is shed", || {
+        node.metric("responses.order.shed") == 1
+    });
+    wait_until("the old order has failed", || {
+        node.metric("responses.order.errors") == 1
+    });
     assert_eq!(
         (
             endpoint.attempt_count("bad-order"),
@@ -172,32 +186,34 @@
         ),
         (2, 1)
     );
-    wait_until("told", || {
+    wait_until("the failure is notified", || {
         agent
             .notifications()
             .iter()
             .any(|line| line.contains("slow-order") && line.contains("failed"))
     });
-    // and the new one goes again
-    node.reload(|text| text.replace(NEW, r#"{"name":"order""#));
-    wait_until("taken over", || node.metric("config_applied") == 2);
+    // and the new class is removed again
+    node.reload(|text| text.replace(LICENCE_BEFORE_ORDER, r#"{"name":"order""#));
+    wait_until("the reload is applied", || {
+        node.metric("config_applied") == 2
+    });
     assert_eq!(node.submit("licence", "m3", 7, 20_000, b"x"), 400);
     assert_eq!(node.submit("order", "m4", 7, 20_000, b"x"), 202);
 }
 
 #[test]
-fn nothing_is_taken_from_a_broken_file() {
+fn a_reload_from_an_invalid_file_changes_nothing() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
-    let sound =
+    let valid =
         std::fs::read_to_string(node.folder.join("config.json")).expect("the configuration");
-    let with_new = sound.replace(r#"{"name":"order""#, NEW);
-    let elsewhere = with_new.replace(&agent.address.to_string(), "127.0.0.1:1");
-    let mut broken = vec![String::new(), "{}".to_string(), "null".to_string()];
-    broken.extend(
-        [1, 3, 10].map(|part| elsewhere[..elsewhere.len() - elsewhere.len() / part].to_string()),
-    );
+    let with_new = valid.replace(r#"{"name":"order""#, LICENCE_BEFORE_ORDER);
+    let with_new_address = with_new.replace(&agent.address.to_string(), "127.0.0.1:1");
+    let mut invalid = vec![String::new(), "{}".to_string(), "null".to_string()];
+    invalid.extend([1, 3, 10].map(|part| {
+        with_new_address[..with_new_address.len() - with_new_address.len() / part].to_string()
+    }));
     for (from, to) in [
         ("\"deadline\":20.0", "\"deadline\":0"),
         ("\"deadline\":20.0", "\"deadline\":-4.0"),
@@ -216,24 +232,24 @@
         ("\"discovery\":\"127.0.0.1:1\"", "\"discovery\":\"nowhere\""),
         ("\"discovery\":\"127.0.0.1:1\",", ""),
     ] {
-        assert!(elsewhere.contains(from), "{from}");
-        broken.push(elsewhere.replacen(from, to, 1));
+        assert!(with_new_address.contains(from), "{from}");
+        invalid.push(with_new_address.replacen(from, to, 1));
     }
-    for (number, text) in broken.iter().enumerate() {
+    for (number, text) in invalid.iter().enumerate() {
         node.reload(|_| text.clone());
         wait_until(text, || node.metric("config_rejected") == number as u64 + 1);
     }
     assert_eq!(node.metric("config_applied"), 0);
     assert_eq!(node.submit("licence", "m1", 7, 20_000, b"x"), 400);
     node.reload(|_| with_new.clone());
-    wait_until("a sound one is taken", || {
+    wait_until("a valid file is applied", || {
         node.metric("config_applied") == 1
     });
 }
 
 #[test]
-fn a_message_keeps_its_effect_through_a_kill_behind_a_reload() {
-    // guards against an unsafe message that goes again since its class's name means another effect by then
+fn a_pending_message_keeps_its_effect_through_a_reload_and_a_kill() {
+    // guards against an at-most-once message that is sent again because a reload gave its class another effect
     let endpoint = FakeEndpoint::new(|request, _| match request.header("x-request-id") {
         "m1" | "m2" => Reply::NoResponse,
         _ => OK,
@@ -242,24 +258,27 @@
     let node = Node::new(&agent).ready();
     for (class, id) in [("order", "m1"), ("webhook", "m2")] {
         assert_eq!(node.submit(class, id, 7, 20_000, b"x"), 202);
-        wait_until("it is out", || endpoint.attempt_count(id) == 1);
+        wait_until("the message is sent", || endpoint.attempt_count(id) == 1);
     }
     node.reload(|text| {
         text.replace("at_most_once", "idempotent")
             .replace("\"webhook\"", "\"licence\"")
     });
-    wait_until("taken over", || node.metric("config_applied") == 1);
-    // the next life reads the changed file
+    wait_until("the reload is applied", || {
+        node.metric("config_applied") == 1
+    });
+    // the restarted process reads the changed file
     let node = node.restart_keeping_config().ready();
-    wait_until("the unsafe one has failed", || {
+    wait_until("the at-most-once message has failed", || {
         agent
             .notifications()
             .iter()
             .any(|line| line.contains("m1") && line.contains("failed"))
     });
-    wait_until("the keyed one goes again, though its class is gone", || {
-        endpoint.attempt_count("m2") == 2
-    });
+    wait_until(
+        "the keyed message is sent again, though its class was removed",
+        || endpoint.attempt_count("m2") == 2,
+    );
     assert_eq!(endpoint.attempt_count("m1"), 1);
     assert_eq!(node.submit("order", "m3", 7, 20_000, b"x"), 202);
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -1,4 +1,4 @@
-//! The real sender over loopback sockets: what its clients, its endpoints and a restart may do to it.
+//! Tests of the sender process over loopback sockets: its clients, its endpoints, its discovery service and restarts.
 
 mod node;
 
@@ -9,22 +9,22 @@
 use std::time::{Duration, Instant};
 
 fn discovery_with(endpoint: &FakeEndpoint) -> FakeDiscovery {
-    FakeDiscovery::new(vec![only(endpoint)])
+    FakeDiscovery::new(vec![endpoint_list(endpoint)])
 }
 
-/// One endpoint, and destinations that are known but have none that takes anything.
-fn only(endpoint: &FakeEndpoint) -> String {
-    let away = |uid, destination| (uid, endpoint.address, "one", destination, "draining");
+/// A list with one endpoint for destination 7; destinations 8, 9 and 99 are known, but their only endpoint drains.
+fn endpoint_list(endpoint: &FakeEndpoint) -> String {
+    let draining = |uid, destination| (uid, endpoint.address, "one", destination, "draining");
     list_json(&[
         ("s-1", endpoint.address, "one", 7, "up"),
-        away("d-8", 8),
-        away("d-9", 9),
-        away("d-99", 99),
+        draining("d-8", 8),
+        draining("d-9", 9),
+        draining("d-99", 99),
     ])
 }
 
 #[test]
-fn a_message_goes_on_unchanged_and_is_over() {
+fn a_message_is_forwarded_unchanged_and_not_sent_again_after_delivery() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&discovery_with(&endpoint)).ready();
     let body = b"any \0 bytes\r\n\xff";
@@ -38,8 +38,8 @@
     );
     assert!(call.header("x-timeout").ends_with('m'));
     assert_eq!(call.body, body);
-    // delivered: answered as such if it comes again, and not sent again, not even after a restart
-    wait_until("its end is known", || {
+    // a delivered message that is submitted again gets 200 and is not sent again, not even after a restart
+    wait_until("the message has ended", || {
         node.submit("webhook", "m1", 7, 20_000, body) == 200
     });
     let node = node.restart().ready();
@@ -48,101 +48,102 @@
 }
 
 #[test]
-fn connections_are_kept_and_left_before_the_endpoint_closes_them() {
-    // guards against a handshake for each call, and against writing to a connection about to close
-    let endpoint = FakeEndpoint::new(|request, _| repeating_id(request));
+fn connections_are_reused_and_closed_before_the_endpoint_closes_them() {
+    // guards against a handshake for each call, and against writing to a connection that is about to close
+    let endpoint = FakeEndpoint::new(|request, _| respond_with_request_id(request));
     let node = Node::with_limits(discovery_with(&endpoint).address, 3.0, 1.0).ready();
     hand_in_three(&node, &endpoint);
     assert_eq!(endpoint.connection_count.load(Ordering::SeqCst), 1);
-    std::thread::sleep(Duration::from_millis(1000)); // the idle time itself
+    std::thread::sleep(Duration::from_millis(1000)); // the configured idle time of 1 s
     assert_eq!(node.submit("webhook", "late", 7, 20_000, b"x"), 202);
     wait_until("delivered", || endpoint.request_count() == 4);
     assert_eq!(endpoint.request(3).connection, 1);
 }
 
 #[test]
-fn a_connection_carries_two_calls_where_responses_name_no_request() {
+fn a_connection_carries_two_calls_when_responses_do_not_name_their_request() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::with_limits(discovery_with(&endpoint).address, 3.0, 1.0).ready();
     hand_in_three(&node, &endpoint);
     assert_eq!(endpoint.connection_count.load(Ordering::SeqCst), 2);
-    let asked: Vec<bool> = (0..3)
+    let requests_close: Vec<bool> = (0..3)
         .map(|number| endpoint.request(number).header("connection") == "close")
         .collect();
-    assert_eq!(asked, [false, true, false]);
+    assert_eq!(requests_close, [false, true, false]);
 }
 
-/// Delivered, and the response repeats the request's id.
-fn repeating_id(request: &Request) -> Reply {
+/// A 200 response that repeats the request's id.
+fn respond_with_request_id(request: &Request) -> Reply {
     let head = format!("200 OK\r\nX-Request-ID: {}", request.header("x-request-id"));
     Reply::Respond(head.leak(), String::new())
 }
 
-/// Hands in three messages, each once the one before is delivered.
+/// Submits three messages, each once the one before is delivered.
 fn hand_in_three(node: &Node, endpoint: &FakeEndpoint) {
     for n in 0..3 {
         assert_eq!(
             node.submit("webhook", &format!("m{n}"), 7, 20_000, b"x"),
             202
         );
-        wait_until("its end is known", || {
+        wait_until("the message has ended", || {
             node.submit("webhook", &format!("m{n}"), 7, 0, b"x") == 200
         });
         assert_eq!(endpoint.request_count(), n + 1);
-        std::thread::sleep(Duration::from_millis(20)); // the rest that a connection gets behind an answer
+        std::thread::sleep(Duration::from_millis(20)); // the pause after a response before the connection is used again
     }
 }
 
 #[test]
-fn bad_input_is_answered_and_harms_nobody() {
+fn invalid_requests_are_rejected_and_do_not_affect_valid_ones() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&discovery_with(&endpoint)).ready();
-    let good = String::from_utf8(message_request("webhook", "m1", 7, 9000, b"x")).expect("text");
-    let without = |name: &str| {
-        let lines = good
+    let valid = String::from_utf8(message_request("webhook", "m1", 7, 9000, b"x")).expect("text");
+    let without_header = |name: &str| {
+        let lines = valid
             .split_inclusive("\r\n")
             .filter(|line| !line.starts_with(name));
         lines.collect::<String>()
     };
-    let doubled = |line: &str| good.replace("Host: app.svc", &format!("Host: app.svc\r\n{line}"));
+    let with_extra_header =
+        |line: &str| valid.replace("Host: app.svc", &format!("Host: app.svc\r\n{line}"));
     let cases = [
-        (without("X-Request-ID"), 400),
-        (without("X-Priority-Class"), 400),
-        (without("X-Timeout"), 400),
-        (without("Idempotency-Key"), 400),
-        (without("Envelope"), 400),
-        (doubled("X-Request-ID: m2"), 400),
-        (doubled("X-Timeout: 5m"), 400),
-        (doubled("Envelope: dest=7"), 400),
-        (doubled("X-Priority-Class: webhook"), 400),
-        (doubled("Content-Length: 2"), 400),
-        (good.replace("Request-ID: m1", "Request-ID: m 1"), 400),
-        (good.replace("Request-ID: m1", "Request-ID: "), 400),
-        (good.replace("9000m", "9000"), 400),
-        (good.replace("9000m", "soonm"), 400),
-        (good.replace("9000m", "-5m"), 400),
-        (good.replace("9000m", "99999999999999999999m"), 400),
-        (good.replace("9000m", "é"), 400),
-        (good.replace("dest=7", "dest=x"), 400),
-        (good.replace("dest=7", "dest=-7"), 400),
-        (good.replace("dest=7", "dest=7;dest=8"), 400),
-        (good.replace("webhook", "gossip"), 400),
-        (good.replace("Class: webhook", "Class: order"), 400),
-        (good.replace("/webhook", "/elsewhere"), 404),
-        (good.replace("POST /webhook", "PUT /webhook"), 405),
-        (good.replace("POST /webhook", "POST /ready"), 405),
+        (without_header("X-Request-ID"), 400),
+        (without_header("X-Priority-Class"), 400),
+        (without_header("X-Timeout"), 400),
+        (without_header("Idempotency-Key"), 400),
+        (without_header("Envelope"), 400),
+        (with_extra_header("X-Request-ID: m2"), 400),
+        (with_extra_header("X-Timeout: 5m"), 400),
+        (with_extra_header("Envelope: dest=7"), 400),
+        (with_extra_header("X-Priority-Class: webhook"), 400),
+        (with_extra_header("Content-Length: 2"), 400),
+        (valid.replace("Request-ID: m1", "Request-ID: m 1"), 400),
+        (valid.replace("Request-ID: m1", "Request-ID: "), 400),
+        (valid.replace("9000m", "9000"), 400),
+        (valid.replace("9000m", "soonm"), 400),
+        (valid.replace("9000m", "-5m"), 400),
+        (valid.replace("9000m", "99999999999999999999m"), 400),
+        (valid.replace("9000m", "é"), 400),
+        (valid.replace("dest=7", "dest=x"), 400),
+        (valid.replace("dest=7", "dest=-7"), 400),
+        (valid.replace("dest=7", "dest=7;dest=8"), 400),
+        (valid.replace("webhook", "gossip"), 400),
+        (valid.replace("Class: webhook", "Class: order"), 400),
+        (valid.replace("/webhook", "/elsewhere"), 404),
+        (valid.replace("POST /webhook", "PUT /webhook"), 405),
+        (valid.replace("POST /webhook", "POST /ready"), 405),
         (
-            good.replace("Content-Length: 1", "Content-Length: 65537"),
+            valid.replace("Content-Length: 1", "Content-Length: 65537"),
             413,
         ),
-        (good.replace("Content-Length: 1", "Content-Length: x"), 400),
+        (valid.replace("Content-Length: 1", "Content-Length: x"), 400),
         ("no request at all\r\n\r\n".to_string(), 400),
     ];
     for (text, expected) in cases {
         assert_eq!(node.raw(text.as_bytes()).0, expected, "{text}");
     }
     let chunks = format!("{:x}\r\n{}\r\n", 70_000, "y".repeat(70_000));
-    let large = good
+    let large = valid
         .replace("Content-Length: 1\r\n", "Transfer-Encoding: chunked\r\n")
         .replace("\r\n\r\nx", "\r\n\r\n");
     assert_eq!(node.raw((large + &chunks).as_bytes()).0, 413);
@@ -157,14 +158,14 @@
 }
 
 #[test]
-fn the_same_id_while_held_is_one_message() {
+fn a_pending_message_submitted_again_with_the_same_id_is_sent_once() {
     let endpoint = FakeEndpoint::new(|_, _| Reply::NoResponse);
     let node = Node::new(&discovery_with(&endpoint)).ready();
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     assert_eq!(node.submit("order", "m2", 7, 20_000, b"x"), 202);
-    // each has a connection of its own, and the endpoint may read either first
-    wait_until("both are out", || {
+    // each call has a connection of its own, and the endpoint may read either first
+    wait_until("both are sent", || {
         endpoint.attempt_count("m1") >= 1 && endpoint.attempt_count("m2") >= 1
     });
     assert_eq!(
@@ -173,33 +174,41 @@
     );
 }
 
-/// One keyed and one unsafe message whose first call fares as given: how often each comes in all. An unsafe
-/// one is sent again only if it never ran; a keyed one in any case that leaves it undelivered.
-fn fares(first: Reply) -> (usize, usize, Vec<String>) {
-    let failed: Arc<Mutex<Vec<String>>> = Arc::default();
+/// Submits one message with an idempotency key and one at-most-once message, to each of which the endpoint's first reply is
+/// the given one. Returns the number of attempts of each, and the notifications. An at-most-once message may be sent again
+/// only if it never ran; a message with a key whenever it is undelivered.
+fn attempts_and_notifications_after(first: Reply) -> (usize, usize, Vec<String>) {
+    let already_failed: Arc<Mutex<Vec<String>>> = Arc::default();
     let endpoint = FakeEndpoint::new(move |request, _| {
         let id = request.header("x-request-id").to_string();
-        let mut failed = failed.lock().expect("not poisoned");
-        if failed.contains(&id) {
+        let mut already_failed = already_failed.lock().expect("not poisoned");
+        if already_failed.contains(&id) {
             return OK;
         }
-        failed.push(id);
+        already_failed.push(id);
         first.clone()
     });
     let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.submit("webhook", "keyed", 7, 8_000, b"x"), 202);
-    wait_until("keyed is out", || endpoint.attempt_count("keyed") > 0);
-    let settled = |id: &str| {
+    wait_until("the keyed message is sent", || {
+        endpoint.attempt_count("keyed") > 0
+    });
+    let is_retried_or_notified = |id: &str| {
         endpoint.attempt_count(id) > 1 || agent.notifications().iter().any(|line| line.contains(id))
     };
-    let over =
-        |id: &str| settled(id) || node.raw(&message_request("webhook", id, 7, 1, b"x")).0 == 200;
-    wait_until("keyed is settled", || over("keyed"));
+    let is_settled = |id: &str| {
+        is_retried_or_notified(id) || node.raw(&message_request("webhook", id, 7, 1, b"x")).0 == 200
+    };
+    wait_until("the keyed message is retried or has ended", || {
+        is_settled("keyed")
+    });
     assert_eq!(node.submit("order", "unsafe", 7, 3_000, b"x"), 202);
-    wait_until("unsafe is out", || endpoint.attempt_count("unsafe") > 0);
-    wait_until("unsafe is settled", || {
-        settled("unsafe") || node.submit("order", "unsafe", 7, 1, b"x") == 200
+    wait_until("the at-most-once message is sent", || {
+        endpoint.attempt_count("unsafe") > 0
+    });
+    wait_until("the at-most-once message is retried or has ended", || {
+        is_retried_or_notified("unsafe") || node.submit("order", "unsafe", 7, 1, b"x") == 200
     });
     (
         endpoint.attempt_count("keyed"),
@@ -208,45 +217,52 @@
     )
 }
 
+/// The notification of a message that failed.
 fn failed(id: &str) -> String {
     format!(r#"{{"id":"{id}","state":"failed"}}"#)
 }
 
 #[test]
-fn success_ends_a_message() {
-    assert_eq!(fares(OK), (1, 1, vec![]));
-    assert_eq!(fares(Reply::RespondAndClose("200 OK")), (1, 1, vec![]));
+fn a_200_ends_a_message_without_a_retry() {
+    assert_eq!(attempts_and_notifications_after(OK), (1, 1, vec![]));
+    assert_eq!(
+        attempts_and_notifications_after(Reply::RespondAndClose("200 OK")),
+        (1, 1, vec![])
+    );
 }
 
 #[test]
-fn an_error_may_have_run() {
+fn after_an_error_response_the_message_may_have_run() {
     assert_eq!(
-        fares(Reply::Respond("500 Oops", String::new())),
+        attempts_and_notifications_after(Reply::Respond("500 Oops", String::new())),
         (2, 1, vec![failed("unsafe")])
     );
     assert_eq!(
-        fares(Reply::Respond("418 Teapot", String::new())),
+        attempts_and_notifications_after(Reply::Respond("418 Teapot", String::new())),
         (2, 1, vec![failed("unsafe")])
     );
 }
 
 #[test]
-fn a_malformed_answer_fails_that_call_only() {
+fn a_malformed_response_fails_that_call_only() {
     assert_eq!(
-        fares(Reply::RespondAndClose("nonsense\r\n\x01")),
+        attempts_and_notifications_after(Reply::RespondAndClose("nonsense\r\n\x01")),
         (2, 1, vec![failed("unsafe")])
     );
 }
 
 #[test]
-fn a_reset_may_have_run() {
-    assert_eq!(fares(Reply::Close), (2, 1, vec![failed("unsafe")]));
+fn after_a_closed_connection_the_message_may_have_run() {
+    assert_eq!(
+        attempts_and_notifications_after(Reply::Close),
+        (2, 1, vec![failed("unsafe")])
+    );
 }
 
 #[test]
-fn silence_may_have_run_and_ends_in_time() {
-    let (_, times, notices) = fares(Reply::NoResponse);
-    assert_eq!((times, notices), (1, vec![failed("unsafe")]));
+fn without_a_response_the_message_may_have_run_and_fails_at_its_deadline() {
+    let (_, attempts, notifications) = attempts_and_notifications_after(Reply::NoResponse);
+    assert_eq!((attempts, notifications), (1, vec![failed("unsafe")]));
 }
 
 #[test]
@@ -258,7 +274,7 @@
         "504 Spent",
     ] {
         assert_eq!(
-            fares(Reply::Respond(head, String::new())),
+            attempts_and_notifications_after(Reply::Respond(head, String::new())),
             (2, 2, vec![]),
             "{head}"
         );
@@ -266,15 +282,15 @@
 }
 
 #[test]
-fn a_message_that_is_gone_is_over_without_a_notice() {
+fn a_410_ends_a_message_without_a_retry_or_a_notification() {
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("410 Gone", String::new()));
     let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 400, b"x"), 202);
-    wait_until("it is out", || endpoint.request_count() == 1);
-    // a later message's notice shows that none came for the first, whose time was up before
+    wait_until("the message is sent", || endpoint.request_count() == 1);
+    // the notification of a message with a later deadline shows that none was sent for the first one
     assert_eq!(node.submit("webhook", "m2", 99, 900, b"x"), 202);
-    wait_until("the later one's notice", || {
+    wait_until("the later message's notification arrives", || {
         !agent.notifications().is_empty()
     });
     assert_eq!(endpoint.request_count(), 1);
@@ -282,19 +298,15 @@
 }
 
 #[test]
-fn a_refused_connection_never_ran() {
-    let refusing = UnusedAddress::bind_on([127, 0, 0, 1]);
-    let agent = FakeDiscovery::new(vec![list_json(&[(
-        "s-1",
-        refusing.address,
-        "one",
-        7,
-        "up",
-    )])]);
+fn a_message_whose_connections_were_refused_is_returned_as_never_run() {
+    let unused = UnusedAddress::bind_on([127, 0, 0, 1]);
+    let agent = FakeDiscovery::new(vec![list_json(&[("s-1", unused.address, "one", 7, "up")])]);
     let node = Node::new(&agent).ready();
     assert_eq!(node.submit("order", "m1", 7, 700, b"x"), 202);
-    wait_until("its notice", || !agent.notifications().is_empty());
-    // an unsafe message may be returned only if none of its calls ran
+    wait_until("the message's notification arrives", || {
+        !agent.notifications().is_empty()
+    });
+    // an at-most-once message may be returned only if none of its calls ran
     assert!(
         agent.notifications()[0].contains("returned"),
         "{:?}",
@@ -308,47 +320,49 @@
 }
 
 #[test]
-fn a_told_wait_is_heeded() {
+fn a_retry_after_delays_the_next_attempt() {
     let endpoint = FakeEndpoint::new(|_, number| match number {
         0 => Reply::Respond("429 Later\r\nRetry-After: 1.2", String::new()),
         _ => OK,
     });
     let node = Node::new(&discovery_with(&endpoint)).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("it is out", || endpoint.request_count() == 1);
-    let told = Instant::now();
+    wait_until("the message is sent", || endpoint.request_count() == 1);
+    let retry_after_seen = Instant::now();
     assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"x"), 202);
     wait_until("both are delivered", || endpoint.request_count() == 3);
     assert!(
-        told.elapsed() > Duration::from_millis(1100),
+        retry_after_seen.elapsed() > Duration::from_millis(1100),
         "{:?}",
-        told.elapsed()
+        retry_after_seen.elapsed()
     );
 }
 
 #[test]
-fn a_bulk_answer_tells_each_messages_end() {
-    // the first call holds the destination's window, so that the rest gathers and travels together
-    let held: Arc<Mutex<bool>> = Arc::new(Mutex::new(true));
-    let gate = held.clone();
+fn a_batch_response_decides_the_outcome_of_each_message() {
+    // the first calls stay unanswered and fill the destination's window, so that the rest is sent as a batch
+    let blocked: Arc<Mutex<bool>> = Arc::new(Mutex::new(true));
+    let first_blocked = blocked.clone();
     let endpoint = FakeEndpoint::new(move |request, _| {
         if request.line.starts_with("POST /inbox ") {
             if request.message_ids()[0].starts_with("first") {
-                wait_until("the gate opens", || !*gate.lock().expect("not poisoned"));
+                wait_until("the first calls are released", || {
+                    !*first_blocked.lock().expect("not poisoned")
+                });
             }
             return OK;
         }
         let ids = request.message_ids();
-        let ends = ["ok", "error", "later", "gone", "exhausted"];
-        let word = |id: &String| {
+        let outcomes = ["ok", "error", "later", "gone", "exhausted"];
+        let outcome = |id: &String| {
             id.strip_prefix('b')
                 .and_then(|n| n.parse().ok())
-                .map_or("ok", |n: usize| ends[n])
+                .map_or("ok", |n: usize| outcomes[n])
         };
         Reply::Respond(
             "200 OK",
             ids.iter()
-                .map(|id| format!("{id} {}\r\n", word(id)))
+                .map(|id| format!("{id} {}\r\n", outcome(id)))
                 .collect(),
         )
     });
@@ -370,14 +384,14 @@
     for n in 0..5 {
         assert_eq!(node.submit("order", &format!("b{n}"), 7, 4_000, b"x"), 202);
     }
-    *held.lock().expect("not poisoned") = false;
-    wait_until("a bulk call", || {
+    *blocked.lock().expect("not poisoned") = false;
+    wait_until("a batch call is sent", || {
         (0..endpoint.request_count()).any(|n| endpoint.request(n).line.contains("/inbox/bulk"))
     });
-    wait_until("the error's notice", || {
+    wait_until("the notification of the failed message arrives", || {
         agent.notifications().contains(&failed("b1"))
     });
-    wait_until("what never ran goes again", || {
+    wait_until("the messages that never ran are sent again", || {
         endpoint.attempt_count("b2") > 1 && endpoint.attempt_count("b4") > 1
     });
     for id in ["b0", "b1", "b3"] {
@@ -392,8 +406,9 @@
 }
 
 #[test]
-fn a_killed_sender_resumes_what_it_owes() {
-    // each step: taken on and not sent; sent with no outcome, keyed and unsafe; its notice owed
+fn a_restarted_sender_resumes_unfinished_messages_after_a_kill() {
+    // one message at each step: accepted and not sent; sent without an outcome, keyed and at-most-once; ended with an
+    // unsent notification
     let endpoint = FakeEndpoint::new(|request, number| {
         if number < 2 || request.header("x-request-id") == "unsafe" {
             Reply::NoResponse
@@ -405,7 +420,7 @@
     let node = Node::new(&agent).ready();
     assert_eq!(node.submit("webhook", "sent", 7, 20_000, b"body"), 202);
     assert_eq!(node.submit("order", "unsafe", 7, 20_000, b"x"), 202);
-    wait_until("both are out", || {
+    wait_until("both are sent", || {
         endpoint.attempt_count("sent") == 1 && endpoint.attempt_count("unsafe") == 1
     });
     assert_eq!(
@@ -414,7 +429,9 @@
     );
     agent.remaining_faults.store(usize::MAX, Ordering::SeqCst);
     assert_eq!(node.submit("webhook", "owed", 9, 100, b"x"), 202);
-    wait_until("its notice fails", || node.logged("notices answered 500"));
+    wait_until("the notification fails", || {
+        node.logged("notices answered 500")
+    });
     let mut node = node;
     node.kill();
     agent.remaining_faults.store(0, Ordering::SeqCst);
@@ -426,17 +443,18 @@
     *agent.watch_lines.lock().expect("not poisoned") = vec![lines];
     let node = node.restart().ready();
     assert!(node.logged("4 messages owed"));
-    wait_until("the unsent one goes out", || {
+    wait_until("the unsent message is sent", || {
         other.attempt_count("unsent") == 1
     });
     assert_eq!(other.request(0).body, b"unsent body");
     assert_eq!(other.request(0).header("idempotency-key"), "key-unsent");
-    wait_until("the keyed one goes out again", || {
+    wait_until("the keyed message is sent again", || {
         endpoint.attempt_count("sent") >= 2
     });
-    wait_until("the unsafe one's and the owed one's notices", || {
-        let notices = agent.notifications();
-        notices.contains(&failed("unsafe")) && notices.iter().any(|line| line.contains("owed"))
+    wait_until("both notifications arrive", || {
+        let notifications = agent.notifications();
+        notifications.contains(&failed("unsafe"))
+            && notifications.iter().any(|line| line.contains("owed"))
     });
     assert_eq!(endpoint.attempt_count("unsafe"), 1);
     assert_eq!(
@@ -448,53 +466,53 @@
 }
 
 #[test]
-fn a_deadline_that_passed_while_down_ends_by_a_notice_at_once() {
+fn a_message_that_expired_while_the_sender_was_down_is_notified_at_start() {
     let endpoint = FakeEndpoint::new(|_, _| Reply::NoResponse);
     let agent = discovery_with(&endpoint);
     let mut node = Node::new(&agent).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 600, b"x"), 202);
     node.kill();
-    std::thread::sleep(Duration::from_millis(700)); // until its time is up
+    std::thread::sleep(Duration::from_millis(700)); // until its deadline has passed
     assert!(agent.notifications().is_empty());
     let _node = node.restart();
-    wait_until("its notice", || {
+    wait_until("the message's notification arrives", || {
         agent.notifications().iter().any(|line| line.contains("m1"))
     });
 }
 
 #[test]
-fn a_torn_record_is_dropped_and_damage_keeps_what_is_sound() {
+fn a_torn_record_is_dropped_and_records_behind_a_damaged_one_are_kept() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let away = ("s-7", endpoint.address, "one", 7, "draining");
+    let draining = ("s-7", endpoint.address, "one", 7, "draining");
     let agent = FakeDiscovery::new(vec![list_json(&[
         ("s-9", endpoint.address, "one", 5, "up"),
-        away,
+        draining,
     ])]);
     let mut node = Node::new(&agent).ready();
     for id in ["m1", "m2"] {
         assert_eq!(node.submit("webhook", id, 7, 20_000, b"x"), 202);
     }
     node.kill();
-    let sound = std::fs::read(node.journal()).expect("the journal");
-    std::fs::write(node.journal(), &sound[..sound.len() - 3]).expect("torn");
+    let intact = std::fs::read(node.journal()).expect("the journal");
+    std::fs::write(node.journal(), &intact[..intact.len() - 3]).expect("torn");
     let mut node = node.restart().ready();
     assert!(node.logged("1 messages owed") && !node.logged("damaged"));
     node.kill();
-    let mut damaged = sound.clone();
+    let mut damaged = intact.clone();
     damaged[20] ^= 0xff;
     std::fs::write(node.journal(), &damaged).expect("damaged");
     *agent.watch_lines.lock().expect("not poisoned") =
         vec![list_json(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.restart().ready();
     assert!(node.logged("1 messages owed") && node.logged("damaged"));
-    wait_until("the sound one is delivered", || {
+    wait_until("the message of the intact record is delivered", || {
         endpoint.attempt_count("m2") == 1
     });
     assert_eq!(endpoint.attempt_count("m1"), 0);
 }
 
 #[test]
-fn a_full_journal_refuses_and_stays_within_its_limit() {
+fn a_full_journal_rejects_messages_and_stays_within_its_limit() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = discovery_with(&endpoint);
     let node = Node::with_limits(agent.address, 0.3, 5.0).ready();
@@ -514,13 +532,13 @@
         statuses.contains(&202) && statuses.last() == Some(&503),
         "{statuses:?}"
     );
-    // small ones that come and go are compacted away, so that the room is never used up by the past
+    // ended small messages are compacted away, so they never use up the space
     for n in 0..400 {
         let status = node.submit("webhook", &format!("s{n}"), 7, 20_000, &[b'x'; 1_000]);
         assert!(status == 202 || status == 429 || status == 503);
         assert!(size() <= 300_000, "{}", size());
     }
-    // once for the fault, not once for each message
+    // one log line for the fault, not one for each message
     let lines = node
         .log
         .lock()
@@ -532,26 +550,27 @@
 }
 
 #[test]
-fn a_folder_that_fills_up_and_empties_takes_messages_again() {
+fn messages_are_accepted_again_once_a_full_folder_has_space() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = discovery_with(&endpoint);
     let node = Node::with_limits(agent.address, 0.3, 5.0).ready();
-    let mut full = false;
+    let mut is_full = false;
     for n in 0..10 {
-        full |= node.submit("webhook", &format!("m{n}"), 99, 1_500, &[b'x'; 30_000]) == 503;
+        is_full |= node.submit("webhook", &format!("m{n}"), 99, 1_500, &[b'x'; 30_000]) == 503;
     }
-    assert!(full);
-    wait_until("they have ended", || {
-        node.submit("webhook", "after", 7, 9_000, &[b'x'; 30_000]) == 202
-    });
-    wait_until("the new one is delivered", || {
+    assert!(is_full);
+    wait_until(
+        "the first messages have ended, and a new one is accepted",
+        || node.submit("webhook", "after", 7, 9_000, &[b'x'; 30_000]) == 202,
+    );
+    wait_until("the new message is delivered", || {
         endpoint.attempt_count("after") == 1
     });
 }
 
 #[test]
-fn sigterm_drains_with_an_answer_for_every_client() {
-    // guards against connections that end with a request on them, and against an exit with calls out
+fn a_drain_after_sigterm_responds_to_every_client() {
+    // guards against connections that are closed with a request on them, and against an exit while calls are in flight
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = discovery_with(&endpoint);
     let mut node = Node::new(&agent).ready();
@@ -565,15 +584,15 @@
     );
     let began = Instant::now();
     node.terminate();
-    wait_until("draining", || node.logged("draining"));
-    let (status, answer) = client
+    wait_until("the sender drains", || node.logged("draining"));
+    let (status, response) = client
         .send(&message_request("webhook", "m2", 7, 20_000, b"x"))
         .expect("answered");
-    assert_eq!((status, answer.header("connection")), (202, "close"));
+    assert_eq!((status, response.header("connection")), (202, "close"));
     assert_eq!(
         node.submit("webhook", "m3", 7, 20_000, b"x"),
         202,
-        "connections come for a while"
+        "new connections are accepted for a while"
     );
     assert_eq!(node.readiness_status(), 503);
     wait_until("all are delivered", || {
@@ -581,7 +600,7 @@
             .iter()
             .all(|id| endpoint.attempt_count(id) == 1)
     });
-    let status = node.process.wait().expect("it ends");
+    let status = node.process.wait().expect("the process ends");
     assert!(
         status.success() && began.elapsed() < Duration::from_millis(3700),
         "{status} {:?}",
@@ -592,25 +611,25 @@
 }
 
 #[test]
-fn near_the_end_of_a_drain_no_call_starts_that_would_be_cut_off() {
+fn no_call_starts_in_the_last_second_of_a_drain() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
     node.terminate();
-    wait_until("draining", || node.logged("draining"));
-    std::thread::sleep(Duration::from_millis(2450)); // into the last second, which an unknown latency needs
+    wait_until("the sender drains", || node.logged("draining"));
+    std::thread::sleep(Duration::from_millis(2450)); // into the last second, in which no call with unknown latency is started
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     let mut node = node;
-    assert!(node.process.wait().expect("it ends").success());
+    assert!(node.process.wait().expect("the process ends").success());
     assert_eq!(endpoint.request_count(), 0);
     let _node = node.restart();
-    wait_until("the next life sends it", || {
+    wait_until("the restarted process sends the message", || {
         endpoint.attempt_count("m1") == 1
     });
 }
 
 #[test]
-fn a_draining_endpoint_gets_nothing_new_and_bad_lines_are_skipped() {
+fn a_draining_endpoint_gets_no_new_messages_and_invalid_lines_are_skipped() {
     let (old, new) = (FakeEndpoint::new(|_, _| OK), FakeEndpoint::new(|_, _| OK));
     let agent = FakeDiscovery::new(vec![
         list_json(&[("s-1", old.address, "one", 7, "up"), ("s-2", new.address, "one", 7, "up")]),
@@ -620,9 +639,10 @@
         list_json(&[("s-1", old.address, "one", 7, "draining")]).replace("\"all\":true", "\"all\":false"),
     ]);
     let node = Node::new(&agent).ready();
-    wait_until("both lines are skipped", || {
-        node.logged("line skipped") && node.logged("entry skipped")
-    });
+    wait_until(
+        "both the invalid line and the invalid entry are skipped",
+        || node.logged("line skipped") && node.logged("entry skipped"),
+    );
     for n in 0..6 {
         let id = format!("m{n}");
         assert_eq!(node.submit("webhook", &id, 7, 20_000, b"x"), 202);
@@ -638,18 +658,20 @@
 }
 
 #[test]
-fn a_silent_watch_is_left_for_a_new_one() {
+fn an_unresponsive_watch_is_replaced_by_a_new_one() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let agent = FakeDiscovery::new(Vec::new());
     let node = Node::new(&agent);
-    wait_until("a watch", || agent.watch_count.load(Ordering::SeqCst) > 0);
+    wait_until("a watch is open", || {
+        agent.watch_count.load(Ordering::SeqCst) > 0
+    });
     let began = Instant::now();
     assert_eq!(node.readiness_status(), 503, "no list is known");
     assert_eq!(node.submit("webhook", "early", 7, 20_000, b"x"), 503);
     *agent.watch_lines.lock().expect("not poisoned") =
         vec![list_json(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.ready();
-    // what was missed counts as told after 6 s
+    // without a new watch the changed list would arrive only after 6 s
     assert!(
         began.elapsed() < Duration::from_secs(5),
         "{:?}",
@@ -660,23 +682,25 @@
 }
 
 #[test]
-fn a_log_that_nobody_reads_does_not_end_the_sender() {
-    // guards against eprintln, which panics when its pipe is gone
+fn a_closed_log_pipe_does_not_end_the_sender() {
+    // guards against `eprintln!`, which panics when the pipe is closed
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("418 Teapot", String::new()));
     let agent = discovery_with(&endpoint);
     let mut node = Node::new(&agent).ready();
     node.close_log();
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
-    wait_until("its notice", || {
+    wait_until("the message's notification arrives", || {
         agent.notifications().contains(&failed("m1"))
     });
-    wait_until("the last line that is read", || node.logged("418"));
-    node.terminate(); // which logs two lines more
-    assert!(node.process.wait().expect("it ends").success());
+    wait_until("the last line before the pipe is closed", || {
+        node.logged("418")
+    });
+    node.terminate(); // the shutdown logs two more lines
+    assert!(node.process.wait().expect("the process ends").success());
 }
 
 #[test]
-fn a_client_that_leaves_before_its_answer_is_no_client() {
+fn a_client_that_disconnects_mid_request_submits_nothing_and_affects_no_other() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&discovery_with(&endpoint)).ready();
     let text = message_request("webhook", "m1", 7, 20_000, b"12345");
@@ -684,14 +708,14 @@
     stream.write_all(&text[..text.len() - 2]).expect("written");
     drop(stream);
     assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"x"), 202);
-    wait_until("the other is delivered", || {
+    wait_until("the other client's message is delivered", || {
         endpoint.attempt_count("m2") == 1
     });
     assert_eq!(endpoint.attempt_count("m1"), 0);
 }
 
 #[test]
-fn a_bad_configuration_is_one_line_and_no_success() {
+fn an_invalid_configuration_fails_with_one_line_on_stderr() {
     let folder = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("bad-config");
     std::fs::create_dir_all(&folder).expect("a folder");
     for text in [
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! One sender in two processes: an upgrade under load, and all that can go wrong in the middle of it.
+//! Hot restarts: a new process takes over from the old one under load, and faults during the takeover.
 
 mod node;
 
@@ -107,54 +107,58 @@
     let release = Arc::new(AtomicBool::new(false));
     let endpoint = blocked_until(&release);
     let old = Node::new(&discovery_with(&endpoint)).ready();
-    // out in the old process while it is replaced; unsafe, so a second send would be seen as harm
+    // an at-most-once call is in flight in the old process during the upgrade, and must not be sent twice
     assert_eq!(old.submit("order", "blocked-order", 7, 20_000, b"x"), 202);
-    wait_until("it is out", || endpoint.attempt_count("blocked-order") == 1);
+    wait_until("the message is sent", || {
+        endpoint.attempt_count("blocked-order") == 1
+    });
     let load = Load::start(old.address);
     load.wait_for_more(50);
     let new = old.upgrade().ready();
     assert_eq!(new.address, old.address);
     assert!(new.logged("takes over"));
     load.wait_for_more(50);
-    // the call that is out in the old process ends in the new one
+    // the call that is in flight in the old process ends in the new one
     assert_eq!(new.submit("order", "blocked-order", 7, 20_000, b"x"), 202);
     release.store(true, Ordering::SeqCst);
-    wait_until("its end is known", || {
+    wait_until("the message has ended", || {
         new.submit("order", "blocked-order", 7, 0, b"x") == 200
     });
     let mut old = old;
-    wait_until("the old process ends by itself", || {
-        old.process.try_wait().expect("ours").is_some()
+    wait_until("the old process exits", || {
+        old.process.try_wait().expect("a child process").is_some()
     });
     assert!(old.process.wait().expect("ended").success());
     load.wait_for_more(50);
     let accepted = load.stop();
-    wait_until("all delivered", || {
+    wait_until("all messages are delivered", || {
         endpoint.request_count() > accepted.len() && new.metric("active") == 0
     });
     assert_eq!(endpoint.attempt_count("blocked-order"), 1);
-    // one each, the one that was blocked, and none that was rejected
+    // one call for each accepted message and one for the blocked message, none for a rejected one
     assert!(accepted.iter().all(|id| endpoint.attempt_count(id) == 1));
     assert_eq!(endpoint.request_count(), accepted.len() + 1);
 }
 
 #[test]
-fn a_retry_after_to_the_old_process_binds_the_new_one() {
+fn a_retry_after_sent_to_the_old_process_applies_to_the_new_one() {
     let endpoint = FakeEndpoint::new(|request, _| match request.header("x-request-id") {
         "first" => Reply::Respond("429 No\r\nRetry-After: 600", String::new()),
         _ => OK,
     });
     let old = Node::new(&discovery_with(&endpoint)).ready();
     assert_eq!(old.submit("webhook", "first", 7, 20_000, b"x"), 202);
-    wait_until("told", || {
+    wait_until("the Retry-After response is sent", || {
         endpoint.attempt_count("first") == 1 && old.metric("active") <= 1
     });
-    thread::sleep(Duration::from_millis(100)); // the answer's way
+    thread::sleep(Duration::from_millis(100)); // until the response has arrived
     let new = old.upgrade().ready();
     let _ = new.submit("webhook", "second", 7, 20_000, b"x");
-    // another destination, later than that: had it been sent, it would have been seen
+    // once this later message to another destination arrives, a call for the second one would have arrived too
     assert_eq!(new.submit("webhook", "other", 8, 20_000, b"x"), 202);
-    wait_until("the other goes", || endpoint.attempt_count("other") == 1);
+    wait_until("the message to another destination is sent", || {
+        endpoint.attempt_count("other") == 1
+    });
     assert_eq!(
         (
             endpoint.attempt_count("first"),
@@ -165,29 +169,29 @@
 }
 
 #[test]
-fn calls_of_an_old_process_that_is_killed_may_have_run() {
+fn calls_of_a_killed_old_process_count_as_possibly_run() {
     let release = Arc::new(AtomicBool::new(false));
     let endpoint = blocked_until(&release);
     let agent = discovery_with(&endpoint);
     let mut old = Node::new(&agent).ready();
     for (class, id) in [("order", "blocked-order"), ("webhook", "blocked-webhook")] {
         assert_eq!(old.submit(class, id, 7, 20_000, b"x"), 202);
-        wait_until("it is out", || endpoint.attempt_count(id) >= 1);
+        wait_until("the message is sent", || endpoint.attempt_count(id) >= 1);
     }
     let new = old.upgrade().ready();
     old.kill();
-    wait_until("its calls are told as cut off", || {
+    wait_until("its calls are logged as cut off", || {
         new.logged("calls cut off")
     });
     release.store(true, Ordering::SeqCst);
-    // the unsafe one has failed for good, the keyed one goes again
-    wait_until("failed", || {
+    // the at-most-once message has failed for good, the keyed one is sent again
+    wait_until("the at-most-once message has failed", || {
         agent
             .notifications()
             .iter()
             .any(|line| line.contains("blocked-order") && line.contains("failed"))
     });
-    wait_until("delivered", || {
+    wait_until("the message is delivered", || {
         new.submit("webhook", "blocked-webhook", 7, 0, b"x") == 200
     });
     assert_eq!(endpoint.attempt_count("blocked-order"), 1);
@@ -195,12 +199,12 @@
 }
 
 #[test]
-fn callers_at_the_socket_who_know_nothing_change_nothing() {
+fn invalid_callers_at_the_handover_socket_change_nothing() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&discovery_with(&endpoint)).ready();
     let socket = node.folder.join("state/handover");
     let hello = b"MTH1\x01\0\0\0";
-    // noise, silence, half a hello; then one that asks and goes, and one that asks and answers noise
+    // invalid bytes, nothing, part of a hello; a hello and then a close, and twice a hello followed by invalid bytes
     for (first, then) in [
         (&b"GET / HTTP/1.1\r\n\r\n"[..], None),
         (b"", None),
@@ -216,45 +220,49 @@
             let _ = caller.write_all(then);
         }
         drop(caller);
-        wait_until("it goes on", || {
+        wait_until("the sender still works", || {
             node.submit("webhook", "m1", 7, 20_000, b"x") == 200
         });
     }
-    // and a real one takes over all the same
+    // a valid new process still takes over
     let new = node.upgrade().ready();
     assert_eq!(new.submit("webhook", "m1", 7, 20_000, b"x"), 200);
 }
 
 #[test]
-fn a_process_that_can_not_read_the_offer_goes_on_from_the_journal() {
+fn a_restart_after_an_unreadable_handover_resumes_from_the_journal() {
     let release = Arc::new(AtomicBool::new(false));
     let endpoint = blocked_until(&release);
     let mut old = Node::new(&discovery_with(&endpoint)).ready();
     assert_eq!(old.submit("webhook", "blocked-1", 7, 20_000, b"x"), 202);
-    wait_until("it is out", || endpoint.attempt_count("blocked-1") == 1);
+    wait_until("the message is sent", || {
+        endpoint.attempt_count("blocked-1") == 1
+    });
     let mut caller = UnixStream::connect(old.folder.join("state/handover")).expect("it listens");
     caller.write_all(b"MTH1\x01\0\0\0").expect("written");
     let _ = caller.read(&mut [0; 8]).expect("a hello");
     caller.write_all(b"\x01\0\0\0\x01").expect("leave");
-    wait_until("it ends at once", || {
-        old.process.try_wait().expect("ours").is_some()
+    wait_until("the old process exits at once", || {
+        old.process.try_wait().expect("a child process").is_some()
     });
     let new = old.restart();
     assert!(new.logged("1 messages owed"));
     release.store(true, Ordering::SeqCst);
     let new = new.ready();
-    wait_until("delivered", || {
+    wait_until("the message is delivered", || {
         new.submit("webhook", "blocked-1", 7, 0, b"x") == 200
     });
 }
 
 #[test]
-fn a_drain_outlasts_an_upgrade() {
+fn a_drained_sender_stays_drained_after_an_upgrade() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let old = Node::new(&discovery_with(&endpoint)).ready();
     assert_eq!(old.admin_status("POST", "/-/drain"), 200);
     let new = old.upgrade();
-    wait_until("it has taken over", || new.logged("takes over"));
+    wait_until("the new process has taken over", || {
+        new.logged("takes over")
+    });
     assert_eq!(
         (new.readiness_status(), new.admin_status("GET", "/-/ready")),
         (503, 503)
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -1,8 +1,8 @@
-//! Two versions side by side: replicas that are replaced one by one, clients of the other version, a backup restored
-//! by the other version, and a hot restart from one version to the other, in both directions.
+//! Compatibility of two versions, in both directions: a rolling replacement of replicas, clients of the other version, a
+//! backup restored by the other version, and a hot restart from one version to the other.
 //!
 //! `MILLETTURN_OTHER_VERSION` names the other version's executable file. Without it the same scenarios run with this
-//! version in both parts.
+//! version on both sides.
 
 mod node;
 
@@ -19,10 +19,9 @@
 use std::time::Duration;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_milletturn");
-/// Outlasts the elections of a rolling replacement, also on a slow machine.
+/// A lease that is longer than the elections of a rolling replacement, also on a slow machine.
 const LONG_LEASE: &str = "12s";
 
-/// This version.
 fn this_version() -> Program {
     Program::new(PROGRAM)
 }
@@ -35,13 +34,13 @@
     }
 }
 
-/// Waits until a process has done three more writes.
+/// Waits until a member has done three more writes.
 fn wait_for_progress(what: &str, process: &Process) {
     let done = writes_of(process).len();
     wait_for(what, || writes_of(process).len() >= done + 3);
 }
 
-/// Replaces the replicas of a cluster one by one, with a member of each version that writes all the while.
+/// Replaces the replicas of a cluster one by one, while a member of each version writes.
 fn replace_replicas(from: &Program, to: &Program) {
     let mut cluster = Cluster::start_with_lease(from.clone(), 3, LONG_LEASE);
     let all = cluster.replicas();
@@ -55,7 +54,7 @@
     for index in all.iter().copied() {
         cluster.kill_replica(index);
         cluster.set_replica_program(index, to);
-        // while it is away, and with it back
+        // both members write while the replica is down, and after its return
         wait_for_progress("the former member writes", &former_member);
         wait_for_progress("the new member writes", &new_member);
         cluster.start_replica(index);
@@ -68,21 +67,21 @@
     let events = cluster.check_history(&[&former_member]);
     assert!(events.iter().all(|event| event.member == "former"));
     check_single_owner(&cluster.events_of("v")).expect("one owner at a time");
-    check_writes_within_lease(&new_member).expect("none after its lease");
+    check_writes_within_lease(&new_member).expect("no write after the lease");
 }
 
 #[test]
-fn replicas_of_the_other_version_are_replaced_by_this_one_and_writes_go_on() {
+fn writes_continue_while_replicas_of_the_other_version_are_replaced_by_this_one() {
     replace_replicas(&other_version(), &this_version());
 }
 
 #[test]
-fn replicas_of_this_version_are_replaced_by_the_other_one_and_writes_go_on() {
+fn writes_continue_while_replicas_of_this_version_are_replaced_by_the_other_one() {
     replace_replicas(&this_version(), &other_version());
 }
 
-/// Runs members directly and through a session proxy, all of one version, against replicas of another; one of them
-/// takes over when the owner is suspended.
+/// Runs two members and a session proxy of one version against replicas of another. The owner is connected through the
+/// proxy; when it is suspended, the directly connected member takes over.
 fn run_clients(replicas: &Program, clients: &Program) {
     let mut cluster = Cluster::start(replicas.clone(), 3);
     cluster.set_client_program(clients);
@@ -132,11 +131,12 @@
     for index in cluster.replicas() {
         cluster.start_replica(index);
     }
-    wait_for("it owns under a token of the restored group", || {
-        highest_token(&member) > 1 << 40
-    });
+    wait_for(
+        "the member owns under a token of the restored group",
+        || highest_token(&member) > 1 << 40,
+    );
     check_single_owner(&cluster.events_of("w")).expect("one owner at a time");
-    check_writes_within_lease(&member).expect("none after its lease");
+    check_writes_within_lease(&member).expect("no write after the lease");
 }
 
 #[test]
@@ -149,13 +149,13 @@
     restore_backup(&this_version(), &other_version());
 }
 
-/// Starts a sender of one version, and one of another that takes over its sockets and messages.
+/// Starts a sender of one version, and one of another version that takes over its sockets and messages.
 fn hot_restart(from: &Program, to: &Program) {
     let release = Arc::new(AtomicBool::new(false));
     let is_released = release.clone();
     let endpoint = FakeEndpoint::new(move |request, _| {
-        let is_held_back = request.header("x-request-id").starts_with("waiting");
-        while is_held_back && !is_released.load(Ordering::SeqCst) {
+        let is_blocked = request.header("x-request-id").starts_with("waiting");
+        while is_blocked && !is_released.load(Ordering::SeqCst) {
             thread::sleep(Duration::from_millis(3));
         }
         OK
@@ -168,38 +168,41 @@
         "up",
     )])]);
     let mut old = Node::with_program(from.path(), &agent).ready();
-    // two calls are out while the process is replaced; a second call of the unsafe one would be harm
+    // two calls are in flight while the process is replaced; the at-most-once message must not be called twice
     for (class, id) in [("order", "waiting-order"), ("webhook", "waiting-webhook")] {
         assert_eq!(old.submit(class, id, 7, 20_000, b"x"), 202);
-        wait_until("it is out", || endpoint.attempt_count(id) >= 1);
+        wait_until("the message is sent", || endpoint.attempt_count(id) >= 1);
     }
     let mut client = Client::new(old.address);
     let new = old.upgrade_to(to.path()).ready();
-    assert_eq!(new.address, old.address, "it has the same socket");
-    // what is accepted from now on is the new one's, whoever the client was connected to
+    assert_eq!(
+        new.address, old.address,
+        "the new process has the same socket"
+    );
+    // messages accepted from now on belong to the new process, whichever process the client was connected to
     let accepted = client.send(&message_request("webhook", "after", 7, 20_000, b"x"));
     assert!(matches!(accepted, Some((202, _)) | None), "{accepted:?}");
     assert_eq!(new.submit("webhook", "after-too", 7, 20_000, b"x"), 202);
     wait_until("delivered", || endpoint.attempt_count("after-too") == 1);
     release.store(true, Ordering::SeqCst);
     for (class, id) in [("order", "waiting-order"), ("webhook", "waiting-webhook")] {
-        wait_until("its end is known to the new process", || {
+        wait_until("the new process knows of the message's end", || {
             new.submit(class, id, 7, 0, b"x") == 200
         });
     }
-    wait_until("the old process ends by itself", || {
-        old.process.try_wait().expect("ours").is_some()
+    wait_until("the old process exits", || {
+        old.process.try_wait().expect("a child process").is_some()
     });
     assert_eq!(endpoint.attempt_count("waiting-order"), 1, "not sent twice");
     assert!(agent.notifications().is_empty(), "nothing failed");
 }
 
 #[test]
-fn a_sender_of_the_other_version_restarts_hot_into_this_one() {
+fn a_sender_of_the_other_version_hands_over_to_this_one() {
     hot_restart(&other_version(), &this_version());
 }
 
 #[test]
-fn a_sender_of_this_version_restarts_hot_into_the_other_one() {
+fn a_sender_of_this_version_hands_over_to_the_other_one() {
     hot_restart(&this_version(), &other_version());
 }
