--- a/tests/dead_letter.rs
+++ b/tests/dead_letter.rs
@@ -1,4 +1,4 @@
-//! Dead letters, over a real sender and its commands.
+//! Tests of the dead-letter store with a running sender and the `undelivered` commands.
 
 mod node;
 
@@ -21,18 +21,18 @@
 }
 
 /// An endpoint that answers 500 until it is repaired.
-fn broken() -> (FakeEndpoint, Arc<AtomicBool>) {
+fn broken_endpoint() -> (FakeEndpoint, Arc<AtomicBool>) {
     let repaired = Arc::new(AtomicBool::new(false));
-    let seen = repaired.clone();
-    let answer = move |_: &Request, _| match seen.load(Ordering::SeqCst) {
+    let is_repaired = repaired.clone();
+    let respond = move |_: &Request, _| match is_repaired.load(Ordering::SeqCst) {
         true => OK,
         false => Reply::Respond("500 Oops", String::new()),
     };
-    (FakeEndpoint::new(answer), repaired)
+    (FakeEndpoint::new(respond), repaired)
 }
 
-/// The only message in the store, once there is one.
-fn only(node: &Node) -> Value {
+/// Waits until a message is stored, and returns the first one that `list` prints.
+fn wait_for_stored(node: &Node) -> Value {
     let mut found = None;
     wait_until("a message is stored", || {
         found = node.undelivered(&["list"]).1.into_iter().next();
@@ -41,19 +41,21 @@
     found.expect("found")
 }
 
+/// The state of a stored message.
 fn state(node: &Node, number: &str) -> String {
     let (_, records) = node.undelivered(&["show", number]);
     records[0]["state"].as_str().expect("a state").to_string()
 }
 
-/// The answer to a command about one message: its exit code.
-fn code(node: &Node, words: &[&str]) -> i32 {
-    node.undelivered(words).0
+/// Runs a command about dead letters; returns its exit code.
+fn exit_code(node: &Node, arguments: &[&str]) -> i32 {
+    node.undelivered(arguments).0
 }
 
+/// The command that resolves a message as not run, with a reason.
 const CONFIRM: [&str; 5] = ["settle", "--as", "did-not-run", "--why", "asked them"];
 
-/// The record of a message whose one attempt may have run.
+/// Checks the record of a message whose only attempt may have run.
 fn check_record(node: &Node, number: &str) {
     let (_, records) = node.undelivered(&["show", "--bodies", number]);
     let attempt = &records[0]["rounds"][0]["attempts"][0];
@@ -65,32 +67,32 @@
     assert_eq!(records[0]["body_base64"], "bGljZW5jZSA1");
 }
 
-/// It may have run, and its class must never run twice: an operator has to confirm that it did not.
+/// Checks that an at-most-once message that may have run is redriven only after an operator confirms that it did not run.
 fn check_confirmation(node: &Node, number: &str) {
-    let (exit_code, answer) = node.undelivered(&["resend", number]);
-    assert_eq!(exit_code, 4);
+    let (resend_code, response) = node.undelivered(&["resend", number]);
+    assert_eq!(resend_code, 4);
     assert!(
-        answer[0]["done"]["declined"]
+        response[0]["done"]["declined"]
             .as_str()
             .is_some_and(|reason| reason.contains("never run twice"))
     );
     assert_eq!(
-        code(node, &["settle", "--as", "did-not-run", number]),
+        exit_code(node, &["settle", "--as", "did-not-run", number]),
         2,
         "without a reason"
     );
-    assert_eq!(code(node, &[&CONFIRM[..], &[number]].concat()), 0);
-    assert_eq!(code(node, &["resend", "--dry-run", number]), 0);
+    assert_eq!(exit_code(node, &[&CONFIRM[..], &[number]].concat()), 0);
+    assert_eq!(exit_code(node, &["resend", "--dry-run", number]), 0);
 }
 
 #[test]
-fn a_failed_message_is_stored_explained_confirmed_and_redriven_once() {
-    let (endpoint, repaired) = broken();
+fn a_failed_message_is_stored_confirmed_as_not_run_and_redriven_once() {
+    let (endpoint, repaired) = broken_endpoint();
     let agent = discovery_with(&endpoint);
     let node = Node::with_store(&agent, "[store]\nmax_mb = 2").ready();
-    assert_eq!(code(&node, &["list"]), 3, "nothing is there yet");
+    assert_eq!(exit_code(&node, &["list"]), 3, "the store is empty");
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"licence 5"), 202);
-    let stored = only(&node);
+    let stored = wait_for_stored(&node);
     let number = &stored["number"].to_string();
     assert_eq!(
         (stored["id"].as_str(), stored["reason"].as_str()),
@@ -103,21 +105,27 @@
     check_confirmation(&node, number);
     assert_eq!(endpoint.attempt_count("m1"), 1, "a dry run sends nothing");
     repaired.store(true, Ordering::SeqCst);
-    assert_eq!(code(&node, &["resend", number]), 0);
-    wait_until("it is delivered", || state(&node, number) == "delivered");
+    assert_eq!(exit_code(&node, &["resend", number]), 0);
+    wait_until("the message is delivered", || {
+        state(&node, number) == "delivered"
+    });
     assert_eq!(endpoint.attempt_count("m1"), 2);
-    assert_eq!(code(&node, &["resend", number]), 4, "it was delivered");
+    assert_eq!(
+        exit_code(&node, &["resend", number]),
+        4,
+        "a delivered message is not redriven"
+    );
     assert_eq!(
         agent.notifications().len(),
         1,
-        "one final answer, and no second one for the redrive"
+        "one notification, and no second one for the redrive"
     );
-    // one history, also in the next process and with no sender at all
+    // both rounds are in the record, also after a restart and while no sender runs
     let mut node = node.restart().ready();
     node.kill();
     let (_, records) = node.undelivered(&["show", number]);
     assert_eq!(records[0]["rounds"].as_array().map(Vec::len), Some(2));
-    assert_eq!(code(&node, &["resend", number]), 5, "no sender runs");
+    assert_eq!(exit_code(&node, &["resend", number]), 5, "no sender runs");
     assert_eq!(
         node.undelivered(&["stats"]).1[0]["by_state"],
         serde_json::json!([0, 0, 0, 1, 0])
@@ -125,8 +133,8 @@
 }
 
 #[test]
-fn only_the_owner_may_command() {
-    let (endpoint, _) = broken();
+fn only_the_owner_of_the_process_can_use_the_command_socket() {
+    let (endpoint, _) = broken_endpoint();
     let node = Node::with_store(&discovery_with(&endpoint), "[store]\nmax_mb = 2").ready();
     let mode = std::fs::metadata(node.folder.join("state/undelivered.sock"))
         .expect("a socket")
@@ -135,15 +143,15 @@
 }
 
 #[test]
-fn a_rule_redrives_once_the_destination_is_healthy() {
-    let (endpoint, repaired) = broken();
+fn a_rule_redrives_a_confirmed_message_once_the_destination_is_healthy() {
+    let (endpoint, repaired) = broken_endpoint();
     let rule =
         "[store]\nmax_mb = 2\n[[rule]]\nname = 'orders'\nwell_for_s = 0.2\nper_second = 50.0";
     let node = Node::with_store(&discovery_with(&endpoint), rule).ready();
     assert_eq!(node.submit("order", "fails", 7, 20_000, b"x"), 202);
-    let stored = only(&node);
+    let stored = wait_for_stored(&node);
     let number = stored["number"].to_string();
-    std::thread::sleep(std::time::Duration::from_millis(600)); // several beats of the rules
+    std::thread::sleep(std::time::Duration::from_millis(600)); // several evaluations of the rules
     assert_eq!(
         endpoint.attempt_count("fails"),
         1,
@@ -155,14 +163,16 @@
             .0,
         0
     );
-    wait_until("the rule sends it", || state(&node, &number) == "delivered");
+    wait_until("the rule redrives the message", || {
+        state(&node, &number) == "delivered"
+    });
     assert_eq!(endpoint.attempt_count("fails"), 2);
     let (_, records) = node.undelivered(&["show", &number]);
     assert!(records[0]["notes"].to_string().contains("by rule"));
 }
 
-/// Whether a process that started now would find nothing owed: read from a copy of the journal.
-fn owes_nothing(node: &Node) -> bool {
+/// True if a process that started now would find no unfinished message; read from a copy of the journal.
+fn has_no_unfinished(node: &Node) -> bool {
     let copy = node.folder.join("copy");
     std::fs::create_dir_all(&copy).expect("a folder");
     std::fs::copy(node.journal(), copy.join("journal")).expect("copied");
@@ -172,15 +182,17 @@
 
 #[test]
 fn a_damaged_store_is_set_aside_and_the_sender_starts() {
-    let (endpoint, _) = broken();
+    let (endpoint, _) = broken_endpoint();
     let node = Node::with_store(&discovery_with(&endpoint), "[store]\nmax_mb = 2").ready();
     assert_eq!(
         node.submit("order", "m1", 7, 20_000, b"a body to damage"),
         202
     );
-    only(&node);
-    // a message that the journal still has would be stored anew behind the restart
-    wait_until("the journal owes nothing", || owes_nothing(&node));
+    wait_for_stored(&node);
+    // a message that is still in the journal would be stored again after the restart
+    wait_until("the journal has no unfinished message", || {
+        has_no_unfinished(&node)
+    });
     let mut node = node;
     node.kill();
     let file = node.folder.join("state/undelivered.db");
@@ -192,21 +204,21 @@
     bytes[at] ^= 1;
     std::fs::write(&file, bytes).expect("written");
     let node = node.restart().ready();
-    wait_until("it is set aside", || {
+    wait_until("the damaged store is set aside", || {
         node.folder.join("state/undelivered.damaged-1").exists()
     });
-    // its log is read by a thread of its own, which may come later than its answer
-    wait_until("it is logged", || {
+    // the log is read by another thread, which may be behind
+    wait_until("the damage is logged", || {
         node.logged("checksum") && node.logged("nothing is sent from it")
     });
     assert_eq!(node.submit("order", "m2", 7, 20_000, b"x"), 202);
-    assert_eq!(only(&node)["id"], "m2");
+    assert_eq!(wait_for_stored(&node)["id"], "m2");
 }
 
 #[test]
-fn a_process_killed_at_any_time_leaves_each_failure_to_be_found_once() {
-    // the engine's own test cuts every step in virtual time; here the system does it, at moments of its own
-    let (endpoint, _) = broken();
+fn kills_at_any_time_leave_each_failed_message_stored_once() {
+    // the engine's test stops at every step in virtual time; here processes are killed after real pauses
+    let (endpoint, _) = broken_endpoint();
     let mut node = Node::with_store(
         &discovery_with(&endpoint),
         "[store]\nmax_mb = 2\nkeep_returned = true",
@@ -225,7 +237,7 @@
         node = node.restart().ready();
     }
     let mut ids = Vec::new();
-    wait_until("all are found", || {
+    wait_until("all failed messages are listed", || {
         let (_, summaries) = node.undelivered(&["list", "--limit", "1000"]);
         ids = summaries
             .iter()
@@ -234,18 +246,18 @@
         ids.len() >= submitted
     });
     ids.sort();
-    let mut wanted: Vec<String> = (0..submitted).map(|number| format!("m{number}")).collect();
-    wanted.sort();
-    assert_eq!(ids, wanted);
+    let mut expected: Vec<String> = (0..submitted).map(|number| format!("m{number}")).collect();
+    expected.sort();
+    assert_eq!(ids, expected);
     assert!(
         (0..submitted).all(|number| endpoint.attempt_count(&format!("m{number}")) <= 1),
-        "unsafe ones ran once at most"
+        "each at-most-once message ran at most once"
     );
 }
 
 #[test]
-fn a_store_that_can_not_be_written_delays_no_answer_and_loses_nothing() {
-    let (broken, _) = broken();
+fn a_store_that_can_not_be_written_delays_no_response_and_loses_no_message() {
+    let (broken, _) = broken_endpoint();
     let healthy = FakeEndpoint::new(|_, _| OK);
     let targets = list_json(&[
         ("s-1", broken.address, "one", 7, "up"),
@@ -256,8 +268,8 @@
         "[store]\nmax_mb = 2\nkeep_returned = true",
     )
     .ready();
-    // the store's worker begins beside the start; a lock that comes first would turn it off for this life
-    wait_until("the store answers that it is empty", || {
+    // the store's worker starts concurrently; a lock taken before it opens the store would disable the store in this process
+    wait_until("the store reports that it is empty", || {
         node.undelivered(&["list"]).0 == 3
     });
     let lock =
@@ -273,20 +285,22 @@
             202
         );
     }
-    // calls go on while the store can't take anything
-    wait_until("the good ones are delivered", || {
+    // calls continue while the store can't be written
+    wait_until("the messages to the healthy endpoint are delivered", || {
         healthy.request_count() == 5
     });
-    wait_until("the fault is told", || node.logged("wait in the ledger"));
-    lock.execute_batch("COMMIT").expect("free again");
+    wait_until("the fault is logged", || node.logged("wait in the ledger"));
+    lock.execute_batch("COMMIT").expect("unlocked");
     drop(lock);
-    wait_until("all are kept", || node.undelivered(&["list"]).1.len() == 5);
+    wait_until("all failed messages are stored", || {
+        node.undelivered(&["list"]).1.len() == 5
+    });
 }
 
 #[test]
 fn a_store_too_large_for_the_folder_is_rejected_at_the_start() {
-    // the platform's folder holds 3 MB, and the journal needs half of it
-    let (endpoint, _) = broken();
+    // the state folder is limited to 3 MB, and the journal needs half of it
+    let (endpoint, _) = broken_endpoint();
     let mut node = Node::new(&discovery_with(&endpoint)).ready();
     node.kill();
     let file = node.folder.join("undelivered.toml");
@@ -295,7 +309,7 @@
         let output = command(&node.folder)
             .env("MILLETTURN_UNDELIVERED", &file)
             .output()
-            .expect("it ends");
+            .expect("the process ends");
         (
             output.status.code(),
             String::from_utf8(output.stderr).expect("text"),
@@ -314,8 +328,8 @@
 }
 
 #[test]
-fn the_flag_of_the_store_has_its_name_of_before_as_an_alias() {
-    let (endpoint, _) = broken();
+fn the_former_name_of_the_store_flag_is_an_alias() {
+    let (endpoint, _) = broken_endpoint();
     let mut node = Node::new(&discovery_with(&endpoint)).ready();
     node.kill();
     let file = node.folder.join("undelivered.toml");
@@ -325,7 +339,7 @@
             .arg(flag)
             .arg(&file)
             .output()
-            .expect("it ends");
+            .expect("the process ends");
         let text = String::from_utf8(output.stderr).expect("text");
         assert_eq!(output.status.code(), Some(1), "{flag}: {text}");
         assert!(
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -1,8 +1,8 @@
-//! The sidecar as a process of its own: starts, refusals to start, endpoints from a file, final answers.
+//! Tests of the sidecar process: valid and rejected configurations, endpoints from a file, and final outcomes.
 
 #![expect(
     clippy::needless_pass_by_value,
-    reason = "scenarios of this file have not had their turn yet"
+    reason = "functions of this file have not been refactored yet"
 )]
 
 use milletturn_test_support::*;
@@ -17,7 +17,8 @@
 
 static FOLDERS: AtomicUsize = AtomicUsize::new(0);
 
-fn folder() -> PathBuf {
+/// Creates an empty folder for a sidecar.
+fn new_folder() -> PathBuf {
     let number = FOLDERS.fetch_add(1, Ordering::SeqCst);
     let name = format!("sidecar-{}-{number}", std::process::id());
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -26,25 +27,26 @@
     folder
 }
 
-/// A port that was free just now, on an address that nothing else uses: on 127.0.0.1 a client's connection could take
-/// it before the sidecar does.
-fn free() -> SocketAddr {
+/// A free port on a loopback address that nothing else uses: on 127.0.0.1 a client's connection could take the port
+/// before the sidecar does.
+fn unused_address() -> SocketAddr {
     static ADDRESSES: AtomicUsize = AtomicUsize::new(1);
     let number = ADDRESSES.fetch_add(1, Ordering::SeqCst) as u32 + (std::process::id() << 8);
     let [_, b, c, d] = number.to_be_bytes();
     UnusedAddress::bind_on([127, b | 1, c, d]).address
 }
 
-fn command(words: &[&str]) -> Command {
+fn command(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_milletturn"));
     command
-        .args(words)
+        .args(arguments)
         .stdin(Stdio::null())
         .stdout(Stdio::null())
         .stderr(Stdio::piped());
     command
 }
 
+/// A sidecar process, its configuration file and its listeners.
 struct Sidecar {
     file: PathBuf,
     http: SocketAddr,
@@ -53,6 +55,7 @@
     log: Arc<Mutex<Vec<String>>>,
 }
 
+/// A configuration with two classes, to which `rest` is appended.
 fn config(http: SocketAddr, outcomes: SocketAddr, rest: &str) -> String {
     format!(
         "name = 'app'\nstate = 'app.state'\n[listen]\nhttp = '{http}'\noutcomes = '{outcomes}'\n\
@@ -63,24 +66,26 @@
 
 impl Sidecar {
     fn new(rest: &str) -> Self {
-        Sidecar::start(folder(), free(), free(), rest)
+        Sidecar::start(new_folder(), unused_address(), unused_address(), rest)
     }
 
+    /// Writes the configuration file, and starts a sidecar with it.
     fn start(folder: PathBuf, http: SocketAddr, outcomes: SocketAddr, rest: &str) -> Self {
         let file = folder.join("app.toml");
         std::fs::write(&file, config(http, outcomes, rest)).expect("written");
         Sidecar::run(file, http, outcomes)
     }
 
+    /// Starts a sidecar with a configuration file, and waits until it is ready.
     fn run(file: PathBuf, http: SocketAddr, outcomes: SocketAddr) -> Self {
         let mut process = command(&["sidecar", "--config", file.to_str().expect("text")])
             .spawn()
             .expect("it starts");
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
-        let (here, errors) = (log.clone(), process.stderr.take().expect("piped"));
+        let (lines, errors) = (log.clone(), process.stderr.take().expect("piped"));
         std::thread::spawn(move || {
             for line in BufReader::new(errors).lines().map_while(Result::ok) {
-                here.lock().expect("not poisoned").push(line);
+                lines.lock().expect("not poisoned").push(line);
             }
         });
         let mut sidecar = Sidecar {
@@ -90,9 +95,9 @@
             process,
             log,
         };
-        // by its own word: it says so once both doors are open
-        wait_until("it listens for readers", || {
-            let ended = sidecar.process.try_wait().expect("asked");
+        // the sidecar logs this line once both listeners are open
+        wait_until("the sidecar listens for outcome readers", || {
+            let ended = sidecar.process.try_wait().expect("a child process");
             assert!(
                 ended.is_none(),
                 "{ended:?}: {:#?}",
@@ -100,12 +105,13 @@
             );
             sidecar.logged("outcomes on")
         });
-        wait_until("it is ready", || {
+        wait_until("the sidecar is ready", || {
             sidecar.status(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n") == 200
         });
         sidecar
     }
 
+    /// Sends the bytes to the HTTP listener; returns the status, 0 if no response comes.
     fn status(&self, bytes: &[u8]) -> u16 {
         Client::new(self.http)
             .send(bytes)
@@ -131,13 +137,14 @@
             .any(|line| line.contains(text))
     }
 
+    /// Sends a GET to the outcomes listener; returns status and body.
     fn get(&self, path: &str) -> (u16, String) {
-        let mut stream = TcpStream::connect(self.outcomes).expect("it accepts");
+        let mut stream = TcpStream::connect(self.outcomes).expect("the listener accepts");
         let request = format!("GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
         stream.write_all(request.as_bytes()).expect("written");
         let mut text = String::new();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).expect("set");
-        stream.read_to_string(&mut text).expect("an answer");
+        stream.read_to_string(&mut text).expect("a response");
         let status = text
             .split(' ')
             .nth(1)
@@ -149,8 +156,9 @@
         )
     }
 
+    /// Opens a stream of outcomes after a cursor, which acknowledges all outcomes up to that cursor.
     fn reader(&self, from: u64) -> Reader {
-        let mut stream = TcpStream::connect(self.outcomes).expect("it accepts");
+        let mut stream = TcpStream::connect(self.outcomes).expect("the listener accepts");
         let request = format!("GET /v1/outcomes?from={from} HTTP/1.1\r\nHost: a\r\n\r\n");
         stream.write_all(request.as_bytes()).expect("written");
         stream
@@ -177,8 +185,8 @@
 }
 
 impl Reader {
-    /// The next outcome: none while nothing comes, an error at the end of the connection. Lines of heads and chunk
-    /// sizes are passed over.
+    /// The next outcome; `None` if none has arrived, an error at the end of the connection. Lines of response heads and
+    /// chunk sizes are skipped.
     fn next(&mut self) -> Result<Option<serde_json::Value>, ()> {
         loop {
             match self.stream.read_until(b'\n', &mut self.line) {
@@ -203,7 +211,8 @@
     )
 }
 
-fn endpoints() -> (FakeEndpoint, FakeEndpoint) {
+/// An endpoint that answers 200, and one that answers 500.
+fn good_and_bad_endpoint() -> (FakeEndpoint, FakeEndpoint) {
     (
         FakeEndpoint::new(|_, _| OK),
         FakeEndpoint::new(|_, _| Reply::Respond("500 Oops", String::new())),
@@ -211,31 +220,31 @@
 }
 
 #[test]
-fn each_message_has_exactly_one_final_answer_across_kills_and_reconnects() {
-    let (good, bad) = endpoints();
+fn each_message_has_exactly_one_outcome_across_kills_and_reconnects() {
+    let (good, bad) = good_and_bad_endpoint();
     let rest = destinations(good.address, bad.address);
     let mut sidecar = Sidecar::new(&format!("[limits]\nheld = 4000\ndisk = '60MB'\n{rest}"));
-    let (mut cursor, mut handed, mut answers) = (0, 0u32, BTreeMap::<String, u32>::new());
-    let mut taken = Vec::new();
+    let (mut cursor, mut submitted, mut outcome_counts) = (0, 0u32, BTreeMap::<String, u32>::new());
+    let mut accepted = Vec::new();
     for round in 0..12u32 {
         let mut reader = sidecar.reader(cursor);
         let mut read = 0;
         for _ in 0..440 {
-            handed += 1;
-            let (class, dest) = if handed % 9 == 0 {
+            submitted += 1;
+            let (class, dest) = if submitted % 9 == 0 {
                 ("order", 2)
             } else {
                 ("notice", 1)
             };
-            let id = format!("m{handed}");
+            let id = format!("m{submitted}");
             if sidecar.submit(class, &id, dest) == 202 {
-                taken.push(id);
+                accepted.push(id);
             }
-            // the reader is dropped in the middle, and comes again with its cursor
-            if handed % (70 + round) == 0 {
+            // the reader is dropped in the middle of the stream, and reconnects with its cursor
+            if submitted % (70 + round) == 0 {
                 while let Ok(Some(outcome)) = reader.next() {
                     cursor = outcome["cursor"].as_u64().expect("a cursor");
-                    *answers
+                    *outcome_counts
                         .entry(outcome["id"].as_str().expect("an id").to_string())
                         .or_default() += 1;
                     read += 1;
@@ -251,43 +260,46 @@
         }
     }
     let mut reader = sidecar.reader(cursor);
-    wait_until("all are answered", || {
+    wait_until("each accepted message has an outcome", || {
         while let Ok(Some(outcome)) = reader.next() {
-            *answers
+            *outcome_counts
                 .entry(outcome["id"].as_str().expect("an id").to_string())
                 .or_default() += 1;
         }
-        taken.iter().all(|id| answers.contains_key(id))
+        accepted.iter().all(|id| outcome_counts.contains_key(id))
     });
-    assert!(taken.len() > 5_000, "{}", taken.len());
-    let doubled: Vec<_> = answers.iter().filter(|(_, count)| **count != 1).collect();
-    assert!(doubled.is_empty(), "{doubled:?}");
+    assert!(accepted.len() > 5_000, "{}", accepted.len());
+    let repeated: Vec<_> = outcome_counts
+        .iter()
+        .filter(|(_, count)| **count != 1)
+        .collect();
+    assert!(repeated.is_empty(), "{repeated:?}");
 }
 
 #[test]
-fn a_message_is_found_by_its_id_and_acknowledged_answers_go() {
-    let (good, bad) = endpoints();
+fn a_message_is_found_by_its_id_until_its_outcome_is_acknowledged() {
+    let (good, bad) = good_and_bad_endpoint();
     let sidecar = Sidecar::new(&destinations(good.address, bad.address));
     assert_eq!(sidecar.get("/v1/messages/none").0, 404);
     assert_eq!(sidecar.submit("notice", "m1", 1), 202);
     let mut text = String::new();
-    wait_until("it is delivered", || {
+    wait_until("the message is delivered", || {
         text = sidecar.get("/v1/messages/m1").1;
         text.contains("delivered")
     });
     assert_eq!(sidecar.submit("order", "m2", 2), 202);
-    wait_until("it has failed", || {
+    wait_until("the message has failed", || {
         sidecar.get("/v1/messages/m2").1.contains("failed")
     });
     let (status, text) = sidecar.get("/v1/outcomes?from=99");
     assert_eq!((status, text.contains("never given")), (409, true));
     assert_eq!(sidecar.get("/v1/outcomes?from=x").0, 400);
     let mut reader = sidecar.reader(1);
-    wait_until("the first is acknowledged", || {
+    wait_until("the first outcome is acknowledged", || {
         sidecar.get("/v1/messages/m1").0 == 404
     });
     let mut found = None;
-    wait_until("the second is read", || {
+    wait_until("the second outcome is read", || {
         found = reader.next().expect("the stream is open");
         found.is_some()
     });
@@ -295,44 +307,45 @@
 }
 
 #[test]
-fn a_message_that_its_destination_says_is_over_has_a_final_answer_too() {
+fn a_message_that_gets_a_410_has_a_failed_outcome() {
     let gone = FakeEndpoint::new(|_, _| Reply::Respond("410 Gone", String::new()));
-    let (good, _) = endpoints();
+    let (good, _) = good_and_bad_endpoint();
     let sidecar = Sidecar::new(&destinations(gone.address, good.address));
     assert_eq!(sidecar.submit("notice", "m1", 1), 202);
-    wait_until("it has ended", || {
+    wait_until("the message has failed", || {
         sidecar.get("/v1/messages/m1").1.contains("failed")
     });
     assert_eq!(gone.attempt_count("m1"), 1);
 }
 
 #[test]
-fn a_changed_file_of_endpoints_counts_and_a_broken_one_changes_nothing() {
+fn a_changed_endpoints_file_is_applied_and_an_invalid_one_changes_nothing() {
     let (first, second) = (FakeEndpoint::new(|_, _| OK), FakeEndpoint::new(|_, _| OK));
-    let folder = folder();
+    let folder = new_folder();
     let file = folder.join("endpoints.toml");
     let write = |text: String| {
         std::fs::write(folder.join("new"), text).expect("written");
         std::fs::rename(folder.join("new"), &file).expect("replaced");
     };
-    let of = |address: SocketAddr| format!("[destination.1]\nendpoints = ['{address}']\n");
-    write(of(first.address));
+    let endpoints_toml =
+        |address: SocketAddr| format!("[destination.1]\nendpoints = ['{address}']\n");
+    write(endpoints_toml(first.address));
     let sidecar = Sidecar::start(
         folder.clone(),
-        free(),
-        free(),
+        unused_address(),
+        unused_address(),
         "[endpoints]\nfile = 'endpoints.toml'\n",
     );
     assert_eq!(sidecar.submit("notice", "m1", 1), 202);
     wait_until("delivered to the first", || first.attempt_count("m1") == 1);
     write("[destination.1]\nendpoints = ['nonsense']\n".to_string());
-    wait_until("the broken file is told", || {
+    wait_until("the invalid file is logged", || {
         sidecar.logged("nothing changed")
     });
     assert_eq!(sidecar.submit("notice", "m2", 1), 202);
     wait_until("delivered as before", || first.attempt_count("m2") == 1);
-    write(of(second.address));
-    wait_until("the new list counts", || {
+    write(endpoints_toml(second.address));
+    wait_until("the new endpoint list is used", || {
         let id = format!("n{}", first.request_count());
         assert_eq!(sidecar.submit("notice", &id, 1), 202);
         wait_until("delivered", || {
@@ -342,55 +355,56 @@
     });
 }
 
-fn refused(file: &Path) -> String {
+/// Starts a sidecar that must reject its configuration; returns its standard error.
+fn rejection_text(file: &Path) -> String {
     let output: Output = command(&["sidecar", "--config", file.to_str().expect("text")])
         .output()
-        .expect("it ends");
+        .expect("the process ends");
     assert_eq!(output.status.code(), Some(1));
     String::from_utf8(output.stderr).expect("text")
 }
 
 #[test]
-fn what_a_check_finds_a_start_refuses_with_the_same_words() {
-    let folder = folder();
+fn a_start_rejects_what_config_check_finds_with_the_same_text() {
+    let folder = new_folder();
     let file = folder.join("app.toml");
-    let (http, outcomes) = (free(), free());
+    let (http, outcomes) = (unused_address(), unused_address());
     let rest = "[destination.a]\nid = 1\nendpoints = ['127.0.0.1:9']\n";
-    // broken by itself
+    // a configuration that is invalid in itself
     std::fs::write(
         &file,
         config(http, outcomes, rest).replace("'12s'\n[class.order]", "'30s'\n[class.order]"),
     )
     .expect("written");
-    let text = refused(&file);
+    let text = rejection_text(&file);
     let check = command(&["config", "check", file.to_str().expect("text")])
         .output()
-        .expect("it ends");
+        .expect("the process ends");
     let checked = String::from_utf8(check.stderr).expect("text");
     assert_eq!(check.status.code(), Some(1));
     assert!(
         text.contains("MT035") && checked.contains("MT035"),
         "{text}\n{checked}"
     );
-    let picture = |text: &str| text.split("\n\n").next().unwrap_or("").to_string();
-    assert_eq!(picture(&text), picture(&checked));
+    let first_finding = |text: &str| text.split("\n\n").next().unwrap_or("").to_string();
+    assert_eq!(first_finding(&text), first_finding(&checked));
     assert!(!folder.join("app.state").exists(), "nothing is started");
-    // a folder of somebody else
+    // a state folder with files of another program
     std::fs::write(&file, config(http, outcomes, rest)).expect("written");
     std::fs::create_dir(folder.join("app.state")).expect("made");
     std::fs::write(folder.join("app.state/precious.doc"), "x").expect("written");
-    assert!(refused(&file).contains("MT052"));
+    assert!(rejection_text(&file).contains("MT052"));
     std::fs::remove_file(folder.join("app.state/precious.doc")).expect("removed");
-    // a folder and ports in use
+    // a state folder and ports that are in use
     let sidecar = Sidecar::run(file.clone(), http, outcomes);
-    let text = refused(&file);
+    let text = rejection_text(&file);
     assert!(text.contains("MT053") && text.contains("MT054"), "{text}");
     drop(sidecar);
-    // a file of endpoints that is not there
+    // an endpoints file that does not exist
     let rest = "[endpoints]\nfile = 'none.toml'\n";
     std::fs::write(&file, config(http, outcomes, rest)).expect("written");
-    assert!(refused(&file).contains("MT055"));
-    // a folder that can't be made
+    assert!(rejection_text(&file).contains("MT055"));
+    // a state folder that can't be created
     let text = config(
         http,
         outcomes,
@@ -398,27 +412,33 @@
     );
     std::fs::write(folder.join("plain"), "").expect("written");
     std::fs::write(&file, text.replace("'app.state'", "'plain/state'")).expect("written");
-    assert!(refused(&file).contains("MT050"));
+    assert!(rejection_text(&file).contains("MT050"));
 }
 
 #[test]
-fn a_reload_that_would_be_rejected_changes_nothing_and_says_so() {
-    let (good, bad) = endpoints();
+fn a_reload_of_an_invalid_configuration_is_logged_and_counted_and_changes_nothing() {
+    let (good, bad) = good_and_bad_endpoint();
     let rest = destinations(good.address, bad.address);
-    let (folder, http, outcomes, operators) = (folder(), free(), free(), free());
+    let (folder, http, outcomes, admin_address) = (
+        new_folder(),
+        unused_address(),
+        unused_address(),
+        unused_address(),
+    );
     let file = folder.join("app.toml");
     let text = config(http, outcomes, &rest);
     let text = text.replace(
         "[class.notice]",
-        &format!("operators = '{operators}'\n[class.notice]"),
+        &format!("operators = '{admin_address}'\n[class.notice]"),
     );
     std::fs::write(&file, &text).expect("written");
     let sidecar = Sidecar::run(file, http, outcomes);
     let rejected = || {
-        let asked = Client::new(operators).send(b"GET /-/metrics HTTP/1.1\r\nHost: a\r\n\r\n");
-        let (status, answer) = asked.expect("an answer");
+        let response =
+            Client::new(admin_address).send(b"GET /-/metrics HTTP/1.1\r\nHost: a\r\n\r\n");
+        let (status, response) = response.expect("a response");
         assert_eq!(status, 200);
-        let lines = String::from_utf8(answer.body).expect("text");
+        let lines = String::from_utf8(response.body).expect("text");
         lines
             .lines()
             .find_map(|line| line.strip_prefix("relay.config_rejected:"))
@@ -426,7 +446,7 @@
     };
     assert_eq!(rejected().as_deref(), Some("0|c"));
     std::fs::write(&sidecar.file, text.replace("name = 'app'", "nam = 'app'")).expect("written");
-    let hangup = || {
+    let send_sighup = || {
         let id = sidecar.process.id().to_string();
         assert!(
             Command::new("kill")
@@ -436,25 +456,29 @@
                 .success()
         );
     };
-    hangup();
-    wait_until("it is told", || {
+    send_sighup();
+    wait_until("the invalid configuration is logged", || {
         sidecar.logged("would be rejected at a start")
     });
     assert!(sidecar.logged("MT005"));
     assert_eq!(rejected().as_deref(), Some("1|c"));
     assert_eq!(sidecar.submit("notice", "m1", 1), 202);
-    wait_until("it goes on", || good.attempt_count("m1") == 1);
+    wait_until("the sidecar still delivers", || {
+        good.attempt_count("m1") == 1
+    });
     std::fs::write(&sidecar.file, text).expect("written");
-    hangup();
-    wait_until("it is sound", || sidecar.logged("is sound"));
+    send_sighup();
+    wait_until("the valid configuration is logged", || {
+        sidecar.logged("is sound")
+    });
 }
 
 #[test]
-fn the_demo_delivers_one_message_with_nothing_to_set_up() {
+fn the_demo_delivers_one_message_without_any_setup() {
     let output = command(&["demo", "--once"])
         .stdout(Stdio::piped())
         .output()
-        .expect("it ends");
+        .expect("the process ends");
     let text = String::from_utf8(output.stdout).expect("text");
     assert!(output.status.success(), "{text}");
     assert!(
@@ -464,9 +488,9 @@
 }
 
 #[test]
-fn a_new_configuration_is_sound_and_starts() {
+fn a_configuration_from_config_new_is_valid_and_starts() {
     let good = FakeEndpoint::new(|_, _| OK);
-    let folder = folder();
+    let folder = new_folder();
     for effect in ["keyed", "unsafe", "repeatable"] {
         let words = [
             "config",
@@ -481,9 +505,9 @@
             .arg(good.address.to_string())
             .stdout(Stdio::piped())
             .output()
-            .expect("it ends");
+            .expect("the process ends");
         let text = String::from_utf8(output.stdout).expect("text");
-        let (http, outcomes) = (free(), free());
+        let (http, outcomes) = (unused_address(), unused_address());
         let text = text.replace("127.0.0.1:7001", &http.to_string());
         let text = text.replace("127.0.0.1:7101", &outcomes.to_string());
         let file = folder.join(format!("{effect}.toml"));
@@ -495,25 +519,25 @@
 }
 
 #[test]
-fn the_reference_page_is_the_programs() {
+fn the_reference_page_is_what_config_reference_prints() {
     let output = command(&["config", "reference"])
         .stdout(Stdio::piped())
         .output()
-        .expect("it ends");
+        .expect("the process ends");
     let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/reference/configuration.md");
-    let kept = std::fs::read_to_string(page).expect("the page");
+    let page_text = std::fs::read_to_string(page).expect("the page");
     assert_eq!(
         String::from_utf8(output.stdout).expect("text"),
-        kept,
-        "write it anew by `milletturn config reference`"
+        page_text,
+        "regenerate the page with `milletturn config reference`"
     );
 }
 
-/// A seeded sample of variants of the good examples, by a real start: what the check takes starts, and delivers.
+/// Takes a seeded sample of variants of the valid examples: each one that `config check` accepts must start and deliver.
 #[test]
-fn what_the_check_takes_starts_and_delivers() {
+fn configurations_that_config_check_accepts_start_and_deliver() {
     let good = FakeEndpoint::new(|_, _| OK);
-    let folder = folder();
+    let folder = new_folder();
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/sidecar");
     let text = ["billing", "ordering"].map(|name| {
         let text = std::fs::read_to_string(examples.join(format!("{name}.toml"))).expect("read");
@@ -524,7 +548,7 @@
     });
     let mut all: Vec<(String, String)> =
         text.iter().flat_map(|text| config_variants(text)).collect();
-    // a seed of its own: a multiplier and an increment from Knuth's MMIX generator
+    // a linear congruential generator with the multiplier and increment of Knuth's MMIX, from a fixed seed
     let mut state = 20_261_201u64;
     let mut started = 0;
     while started < 12 {
@@ -532,7 +556,7 @@
             .wrapping_mul(6_364_136_223_846_793_005)
             .wrapping_add(1_442_695_040_888_963_407);
         let (variant, text) = all.swap_remove((state >> 33) as usize % all.len());
-        let (http, outcomes) = (free(), free());
+        let (http, outcomes) = (unused_address(), unused_address());
         let text = text
             .replace("127.0.0.1:7002", &http.to_string())
             .replace("127.0.0.1:7102", &outcomes.to_string());
@@ -544,10 +568,11 @@
         std::fs::write(&file, &text).expect("written");
         let check = command(&["config", "check", "--here", file.to_str().expect("text")])
             .output()
-            .expect("it ends");
-        // what is rejected is seen elsewhere; a class or address of another name would need another client
-        let usual = text.contains(&format!("{http}\"")) && text.contains(&format!("{outcomes}\""));
-        if !check.status.success() || !usual || !text.contains("id = 7\n") {
+            .expect("the process ends");
+        // other tests cover rejected variants; variants with another class or address would need another client
+        let is_reachable =
+            text.contains(&format!("{http}\"")) && text.contains(&format!("{outcomes}\""));
+        if !check.status.success() || !is_reachable || !text.contains("id = 7\n") {
             continue;
         }
         let class = if text.contains("[class.order]") {
@@ -566,21 +591,26 @@
 }
 
 #[test]
-fn final_answers_go_to_the_callback_until_they_are_taken_also_across_kills() {
-    let (good, bad) = endpoints();
-    let calls = Arc::new(AtomicUsize::new(0));
-    let seen = calls.clone();
-    // it turns away every third, and the first ones
-    let callback = FakeEndpoint::new(move |_, _| match seen.fetch_add(1, Ordering::SeqCst) {
-        number if number < 4 || number % 3 == 0 => Reply::Respond("500 Oops", String::new()),
-        _ => OK,
-    });
+fn outcomes_are_sent_to_the_callback_until_it_accepts_them_also_across_kills() {
+    let (good, bad) = good_and_bad_endpoint();
+    let call_count = Arc::new(AtomicUsize::new(0));
+    let callback_count = call_count.clone();
+    // the callback rejects the first 4 calls and every third one
+    let callback =
+        FakeEndpoint::new(
+            move |_, _| match callback_count.fetch_add(1, Ordering::SeqCst) {
+                number if number < 4 || number % 3 == 0 => {
+                    Reply::Respond("500 Oops", String::new())
+                }
+                _ => OK,
+            },
+        );
     let rest = destinations(good.address, bad.address);
     let mut sidecar = Sidecar::new(&format!(
         "[outcomes]\ncallback = '{}'\n{rest}",
         callback.address
     ));
-    let mut taken = Vec::new();
+    let mut accepted = Vec::new();
     for round in 0..3 {
         for n in 0..20 {
             let id = format!("m{round}-{n}");
@@ -590,68 +620,69 @@
                 ("notice", 1)
             };
             if sidecar.submit(class, &id, dest) == 202 {
-                taken.push(id);
+                accepted.push(id);
             }
         }
         sidecar = sidecar.restart();
     }
-    assert!(taken.len() > 40, "{}", taken.len());
-    let answered = || -> Vec<serde_json::Value> {
+    assert!(accepted.len() > 40, "{}", accepted.len());
+    let received_outcomes = || -> Vec<serde_json::Value> {
         let requests = (0..callback.request_count()).map(|number| callback.request(number));
         requests
             .map(|request| serde_json::from_slice(&request.body).expect("JSON"))
             .collect()
     };
-    wait_until("each answer has come", || {
-        let ids: Vec<String> = answered()
+    wait_until("each outcome has arrived", || {
+        let ids: Vec<String> = received_outcomes()
             .iter()
-            .map(|one| one["id"].as_str().expect("an id").to_string())
+            .map(|outcome| outcome["id"].as_str().expect("an id").to_string())
             .collect();
-        taken.iter().all(|id| ids.contains(id))
+        accepted.iter().all(|id| ids.contains(id))
     });
-    // one answer each: repeats have the same cursor and say the same
-    let mut said = BTreeMap::<String, serde_json::Value>::new();
-    for answer in answered() {
-        let id = answer["id"].as_str().expect("an id").to_string();
+    // one outcome for each message: repeated callbacks have the same cursor and the same content
+    let mut first_outcomes = BTreeMap::<String, serde_json::Value>::new();
+    for outcome in received_outcomes() {
+        let id = outcome["id"].as_str().expect("an id").to_string();
         assert!(
             !id.starts_with("outcome:"),
-            "an answer about an answer: {answer}"
+            "an outcome of an outcome's own delivery: {outcome}"
         );
-        let first = said.entry(id).or_insert_with(|| answer.clone());
-        assert_eq!(*first, answer);
+        let first = first_outcomes.entry(id).or_insert_with(|| outcome.clone());
+        assert_eq!(*first, outcome);
     }
-    wait_until("all are acknowledged", || {
+    wait_until("the last outcome is acknowledged", || {
         sidecar
-            .get(&format!("/v1/messages/{}", taken[taken.len() - 1]))
+            .get(&format!("/v1/messages/{}", accepted[accepted.len() - 1]))
             .0
             == 404
     });
 }
 
 #[test]
-fn what_was_returned_is_kept_and_is_found_by_the_configuration() {
-    let (good, bad) = endpoints();
+fn a_returned_message_is_stored_and_listed_by_the_configuration_file() {
+    let (good, bad) = good_and_bad_endpoint();
     let rest = destinations(good.address, bad.address);
     let store = "[undelivered]\nkeep = true\n[resend.soon]\nclass = 'notice'\nwell_for = '0s'\n";
     let sidecar = Sidecar::new(&format!(
         "[limits]\ndisk = '60MB'\n[retry]\nattempts = 2\n{store}{rest}"
     ));
     assert_eq!(sidecar.submit("notice", "m1", 2), 202);
-    wait_until("it is returned", || {
+    wait_until("the message is returned", || {
         sidecar.get("/v1/messages/m1").1.contains("returned")
     });
     let file = sidecar.file.to_str().expect("text");
-    let ask = |words: &[&str]| {
-        let output = command(words)
+    let run_command = |arguments: &[&str]| {
+        let output = command(arguments)
             .stdout(Stdio::piped())
             .output()
-            .expect("it ends");
+            .expect("the process ends");
         String::from_utf8(output.stdout).expect("text")
     };
-    wait_until("it is in the store", || {
-        ask(&["undelivered", "--config", file, "--format", "json", "list"]).contains("\"m1\"")
+    wait_until("the message is in the store", || {
+        run_command(&["undelivered", "--config", file, "--format", "json", "list"])
+            .contains("\"m1\"")
     });
-    let shown = ask(&["config", "show", file]);
+    let shown = run_command(&["config", "show", file]);
     assert!(
         shown.contains("what failed or was returned is kept; sent again by soon, but"),
         "{shown}"
@@ -659,9 +690,9 @@
 }
 
 #[test]
-fn a_list_of_endpoints_is_checked_as_one_and_with_those_who_name_it() {
+fn config_check_compares_the_endpoints_file_with_the_configurations_that_use_it() {
     let examples = Path::new(env!("CARGO_MANIFEST_DIR")).join("examples/sidecar");
-    let folder = folder();
+    let folder = new_folder();
     let mut files = Vec::new();
     for name in ["billing", "catalogue", "ordering", "endpoints"] {
         let file = folder.join(format!("{name}.toml"));
@@ -669,9 +700,9 @@
         files.push(file.to_str().expect("text").to_string());
     }
     let check = || {
-        let mut words = vec!["config", "check"];
-        words.extend(files.iter().map(String::as_str));
-        let output = command(&words).output().expect("it ends");
+        let mut arguments = vec!["config", "check"];
+        arguments.extend(files.iter().map(String::as_str));
+        let output = command(&arguments).output().expect("the process ends");
         (
             output.status.code(),
             String::from_utf8(output.stderr).expect("text"),
