--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Processes of the program with faults between them: one owner of a resource at a time, and an
-//! owner that wakes up late does no harm.
+//! Runs coordinators and members as processes with network faults, kills and suspensions. A resource must have one owner at
+//! a time, and a former owner that resumes late must not write.
 
 use milletturn_cluster_harness::history::{
     Event, check_single_owner, check_writes_within_lease, highest_token, is_join, is_write,
@@ -11,20 +11,19 @@
 use milletturn_coordination_protocol::messages::{COMMAND_PATH, HEARTBEAT_PATH};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_milletturn");
-/// Elections in a row, each while a write is held, after which a test gives up.
+/// Attempts after which a test fails if another leader was elected in each of them while a write was held back.
 const MAX_ELECTIONS: usize = 5;
 
-/// How many writes the process did under this token.
-fn writes_under(process: &Process, token: u64) -> usize {
+/// The number of writes that the process did with this fencing token.
+fn write_count_under(process: &Process, token: u64) -> usize {
     writes_of(process)
         .iter()
         .filter(|write| write.token == token)
         .count()
 }
 
-/// Holds what leaves a member by its links, until a write to the leader and a heartbeat are on their way. A write to another
-/// replica is let through: its response would only name the leader, and a suspended member can't follow that. Returns the
-/// leader.
+/// Buffers the requests of a member until the buffers hold a write to the leader and a heartbeat. A write to another replica
+/// is let through: its response would only name the leader, which a suspended member can't follow. Returns the leader.
 fn buffer_outgoing(cluster: &Cluster, links: &ClientLinks) -> usize {
     let set_outgoing = |mode| {
         let links = links.links.iter();
@@ -32,25 +31,23 @@
     };
     let is_buffered = |path| links.links.iter().any(|link| link.buffers_request(path));
     let mut leader = 0;
-    wait_until(
-        "a write to the leader and a heartbeat are on their way",
-        || {
-            set_outgoing(LinkMode::Buffer);
-            if !is_buffered(COMMAND_PATH) || !is_buffered(HEARTBEAT_PATH) {
-                return false;
-            }
-            leader = cluster.leader(&cluster.replicas());
-            let is_to_leader = links.links[leader].buffers_request(COMMAND_PATH);
-            if !is_to_leader {
-                set_outgoing(LinkMode::Pass);
-            }
-            is_to_leader
-        },
-    );
+    wait_until("a write to the leader and a heartbeat are buffered", || {
+        set_outgoing(LinkMode::Buffer);
+        if !is_buffered(COMMAND_PATH) || !is_buffered(HEARTBEAT_PATH) {
+            return false;
+        }
+        leader = cluster.leader(&cluster.replicas());
+        let is_to_leader = links.links[leader].buffers_request(COMMAND_PATH);
+        if !is_to_leader {
+            set_outgoing(LinkMode::Pass);
+        }
+        is_to_leader
+    });
     leader
 }
 
-/// A group of three, an owner that writes with its links, and another member that waits for the resource.
+/// Starts three coordinators, an owner that writes, and a second member that waits for the resource. Returns the cluster,
+/// the owner's links, the owner and the second member.
 fn owner_and_next() -> (Cluster, ClientLinks, Process, Process) {
     let mut cluster = Cluster::start(PROGRAM, 3);
     let (links_a, links_b) = (cluster.connect_client(), cluster.connect_client());
@@ -62,29 +59,31 @@
 }
 
 #[test]
-fn a_suspended_owner_does_no_write_once_another_member_owns() {
+fn a_suspended_owner_writes_nothing_once_another_member_owns_the_resource() {
     let (cluster, _links, a, b) = owner_and_next();
-    // one owns, is stopped, loses to the other, and wakes up
+    // the owner is suspended, loses the resource to the other member, and is resumed
     for _ in 0..3 {
         let (owner, next) = if highest_token(&a) > highest_token(&b) {
             (&a, &b)
         } else {
             (&b, &a)
         };
-        wait_until("it writes under its token", || {
-            writes_under(owner, highest_token(owner)) >= 3
+        wait_until("the owner writes with its token", || {
+            write_count_under(owner, highest_token(owner)) >= 3
         });
         owner.suspend();
         let (token, joined) = (highest_token(owner), join_count(owner));
-        let writes_before = writes_under(owner, token);
-        wait_until("the other one writes", || writes_above(next, token) >= 3);
+        let writes_before = write_count_under(owner, token);
+        wait_until("the other member writes", || writes_above(next, token) >= 3);
         owner.resume();
-        wait_until("it has joined anew", || join_count(owner) > joined);
-        // one write may have been on its way when it stopped: done then, reported now
-        let late = writes_under(owner, token) - writes_before;
+        wait_until("the former owner has joined again", || {
+            join_count(owner) > joined
+        });
+        // one write may have been in flight at the suspension: it was done then and is reported now
+        let late = write_count_under(owner, token) - writes_before;
         assert!(
             late <= 1,
-            "{late} writes under token {token} after it was over"
+            "{late} writes with token {token} after the loss of the resource"
         );
         cluster.check_history(&[&a, &b]);
     }
@@ -93,18 +92,18 @@
 #[test]
 fn a_write_that_arrives_late_is_rejected_by_its_fencing_token() {
     let is_checked = (0..MAX_ELECTIONS).any(|_| check_late_write());
-    assert!(is_checked, "another leader was elected each time");
+    assert!(is_checked, "another leader was elected in each attempt");
 }
 
-/// Has a write arrive late and checks what becomes of it; `false` if another leader was elected while it was held, so that it
-/// would arrive at a replica that does no writes.
+/// Delays a write until another member owns the resource, and checks that it is rejected. Returns `false` if another leader
+/// was elected in the meantime, so that the write would arrive at a replica that does no writes.
 fn check_late_write() -> bool {
     let (cluster, links_a, a, b) = owner_and_next();
-    // the write has passed its check and left its process, and hangs on the way: the link holds it and a heartbeat
+    // the write has passed the member's own lease check and has been sent; the link buffers it and a heartbeat
     let leader = buffer_outgoing(&cluster, &links_a);
     a.suspend();
     let (token, joined) = (highest_token(&a), join_count(&a));
-    wait_until("the other one writes", || writes_above(&b, token) >= 3);
+    wait_until("the other member writes", || writes_above(&b, token) >= 3);
     if cluster.leader(&cluster.replicas()) != leader {
         return false;
     }
@@ -117,7 +116,9 @@
         cluster.events_of("w").iter().any(is_rejected)
     });
     a.resume();
-    wait_until("it has joined anew", || join_count(&a) > joined);
+    wait_until("the former owner has joined again", || {
+        join_count(&a) > joined
+    });
     let events = cluster.check_history(&[&a, &b]);
     assert!(
         events.iter().all(|event| event.member != "a"
@@ -128,9 +129,9 @@
 }
 
 #[test]
-fn an_owner_that_gets_no_responses_stops_by_itself() {
+fn an_owner_that_gets_no_responses_stops_writing_by_itself() {
     let (cluster, links_a, a, b) = owner_and_next();
-    // it reaches the leader and no other one: its heartbeats and writes arrive, and no answer comes back
+    // the owner's heartbeats and writes reach only the leader, and no response comes back
     let leader = cluster.leader(&cluster.replicas());
     for (replica, link) in links_a.links.iter().enumerate() {
         if replica == leader {
@@ -141,12 +142,14 @@
     }
     a.wait_for_lines(1, |line| line.contains("\"alone\""));
     let (token, joined) = (highest_token(&a), join_count(&a));
-    wait_until("the other one writes", || writes_above(&b, token) >= 3);
+    wait_until("the other member writes", || writes_above(&b, token) >= 3);
     links_a
         .links
         .iter()
         .for_each(|link| link.set_both(LinkMode::Pass));
-    wait_until("it has joined anew", || join_count(&a) > joined);
+    wait_until("the former owner has joined again", || {
+        join_count(&a) > joined
+    });
     cluster.check_history(&[&a, &b]);
 }
 
@@ -168,7 +171,7 @@
         .for_each(milletturn_cluster_harness::LinkControl::cut);
     let new = cluster.leader(&others);
     assert_ne!(old, new);
-    // whoever asks the one that was cut off gets an error and nothing of its state
+    // requests to the partitioned leader get an error and none of its state
     let (code, lines) = cluster.run_fleet_command(&[old], &["work"]);
     assert_eq!((code, lines), (3, Vec::new()));
     let (code, lines) = cluster.run_fleet_command(&[old], &["status"]);
@@ -179,7 +182,7 @@
     let (code, lines) = cluster.run_fleet_command(&[old], &["release-work", "w"]);
     assert_eq!((code, lines), (3, Vec::new()));
     let writes_before = writes_of(&a).len();
-    wait_until("the owner writes on", || {
+    wait_until("the owner continues to write", || {
         writes_of(&a).len() >= writes_before + 3
     });
     cluster
@@ -195,23 +198,27 @@
     let links = cluster.connect_client();
     let a = cluster.start_member(&links, "w", "a");
     a.wait_for_lines(3, is_write);
-    let alone = |line: &str| line.contains("\"alone\"");
-    let times = || a.lines().iter().filter(|line| alone(line)).count();
+    let is_alone_event = |line: &str| line.contains("\"alone\"");
+    let alone_event_count = || a.lines().iter().filter(|line| is_alone_event(line)).count();
     for order in [[2, 0, 1], [1, 2, 0]] {
-        let before = times();
+        let before = alone_event_count();
         cluster
             .replicas()
             .into_iter()
             .for_each(|replica| cluster.kill_replica(replica));
-        a.wait_for_lines(before + 1, alone);
+        a.wait_for_lines(before + 1, is_alone_event);
         let writes_before = writes_of(&a).len();
-        // one alone is no majority, and what it says is no answer
+        // one replica is no majority, so the command must fail
         cluster.start_replica(order[0]);
         assert_eq!(cluster.run_fleet_command(&order[..1], &["work"]).0, 3);
-        assert_eq!(times(), before + 1, "said once");
+        assert_eq!(
+            alone_event_count(),
+            before + 1,
+            "the event is reported once"
+        );
         cluster.start_replica(order[1]);
         cluster.start_replica(order[2]);
-        wait_until("the owner writes on", || {
+        wait_until("the owner continues to write", || {
             writes_of(&a).len() >= writes_before + 3
         });
         cluster.check_history(&[&a]);
@@ -219,7 +226,7 @@
 }
 
 #[test]
-fn a_group_restored_from_a_backup_rejects_writes_of_the_lost_one() {
+fn a_group_restored_from_a_backup_rejects_writes_of_the_lost_group() {
     let mut cluster = Cluster::start(PROGRAM, 3);
     let (links_a, links_b) = (cluster.connect_client(), cluster.connect_client());
     let a = cluster.start_member(&links_a, "w", "a");
@@ -230,7 +237,7 @@
         &["backup", backup.to_str().expect("text")],
     );
     assert_eq!(code, 0);
-    // what is given out behind the backup is lost with the disks
+    // tokens granted after the backup are lost with the disks
     for _ in 0..3 {
         let token = highest_token(&a);
         assert_eq!(
@@ -239,12 +246,14 @@
                 .0,
             0
         );
-        wait_until("it owns anew", || writes_above(&a, token) >= 3);
+        wait_until("the member owns the resource again", || {
+            writes_above(&a, token) >= 3
+        });
     }
-    // a write of the lost group's owner is on its way
+    // hold back a write of the lost group's owner
     buffer_outgoing(&cluster, &links_a);
     a.suspend();
-    let (lost, joined) = (highest_token(&a), join_count(&a));
+    let (lost_token, joined) = (highest_token(&a), join_count(&a));
     for replica in cluster.replicas() {
         cluster.kill_replica(replica);
         std::fs::remove_dir_all(cluster.disk_folder(replica)).expect("a lost disk");
@@ -261,18 +270,20 @@
         .for_each(|replica| cluster.start_replica(replica));
     let b = cluster.start_member(&links_b, "w", "b");
     b.wait_for_lines(3, is_write);
-    let token = writes_of(&b).first().expect("an act").token;
+    let token = writes_of(&b).first().expect("a write").token;
     assert!(
         token > 1 << 40,
-        "above all that can have been granted: {token}"
+        "above every token that the lost group can have granted: {token}"
     );
-    // the connections of the lost coordinators are gone: it asks the new ones
+    // the connections to the lost coordinators are closed, so the former owner connects to the new ones
     links_a
         .links
         .iter()
         .for_each(|link| link.set_both(LinkMode::Pass));
     a.resume();
-    wait_until("it has joined anew", || join_count(&a) > joined);
+    wait_until("the former owner has joined again", || {
+        join_count(&a) > joined
+    });
     let events = cluster.events_of("w");
     let text = format!("{events:#?}");
     check_single_owner(&events).unwrap_or_else(|why| panic!("{why}\n{text}"));
@@ -280,7 +291,7 @@
     assert!(
         events
             .iter()
-            .all(|event| event.token != lost || event.kind == EventKind::Fenced),
+            .all(|event| event.token != lost_token || event.kind == EventKind::Fenced),
         "{text}"
     );
 }
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -1,9 +1,9 @@
-//! Session proxies between members and coordinators, as processes with faults between them: one that is stopped, cut off one way,
-//! late, doubled or gone does no harm.
+//! Runs session proxies between members and coordinators as processes with faults. A proxy that is suspended, partitioned in
+//! one direction, late, duplicated or killed must neither prolong a lease nor lose a session.
 
 #![expect(
     clippy::too_many_lines,
-    reason = "scenarios of this file have not had their turn yet"
+    reason = "tests of this file have not been split up yet"
 )]
 
 use milletturn_cluster_harness::history::{
@@ -21,7 +21,8 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_milletturn");
 
-/// An owner behind a session proxy of its own, another member behind another one, and the first one's way.
+/// Starts an owner and a second member, each behind a session proxy of its own. Returns the cluster, the proxies of the
+/// owner and of the second member, the owner's links, the owner and the second member.
 fn owner_and_next() -> (
     Cluster,
     SessionProxyProcess,
@@ -31,34 +32,36 @@
     Process,
 ) {
     let mut cluster = Cluster::start(PROGRAM, 3);
-    let (mine, others) = (
+    let (owner_proxy, other_proxy) = (
         cluster.start_session_proxy("r1"),
         cluster.start_session_proxy("r2"),
     );
     let (links_a, links_b) = (
-        cluster.connect_client_through(&[&mine]),
-        cluster.connect_client_through(&[&others]),
+        cluster.connect_client_through(&[&owner_proxy]),
+        cluster.connect_client_through(&[&other_proxy]),
     );
     let a = cluster.start_member_through(&links_a, "w", "a");
     a.wait_for_lines(3, is_write);
     let b = cluster.start_member_through(&links_b, "w", "b");
     b.wait_for_lines(1, is_join);
-    (cluster, mine, others, links_a, a, b)
+    (cluster, owner_proxy, other_proxy, links_a, a, b)
 }
 
 #[test]
-fn an_owner_behind_a_suspended_proxy_stops_by_itself_and_its_late_heartbeats_renew_nothing() {
-    let (cluster, mine, _others, _links, a, b) = owner_and_next();
+fn an_owner_behind_a_suspended_proxy_stops_writing_and_late_heartbeats_do_not_renew_its_lease() {
+    let (cluster, owner_proxy, _other_proxy, _links, a, b) = owner_and_next();
     let (token, before) = (highest_token(&a), join_count(&a));
-    mine.process.suspend();
-    wait_until("the other one writes", || writes_above(&b, token) >= 3);
-    mine.process.resume();
-    wait_until("it has joined anew", || join_count(&a) > before);
+    owner_proxy.process.suspend();
+    wait_until("the other member writes", || writes_above(&b, token) >= 3);
+    owner_proxy.process.resume();
+    wait_until("the former owner has joined again", || {
+        join_count(&a) > before
+    });
     cluster.check_history(&[&a, &b]);
 }
 
 #[test]
-fn an_owner_that_gets_no_responses_of_its_proxy_loses_its_resource() {
+fn an_owner_that_gets_no_responses_from_its_proxy_loses_its_resource() {
     let mut cluster = Cluster::start(PROGRAM, 3);
     let proxy = cluster.start_session_proxy("r1");
     let (links_a, links_b) = (
@@ -69,18 +72,20 @@
     a.wait_for_lines(3, is_write);
     let b = cluster.start_member_through(&links_b, "w", "b");
     b.wait_for_lines(1, is_join);
-    // its heartbeats arrive at the session proxy and at the coordinators, and no answer comes back
+    // the owner's heartbeats reach the session proxy and the coordinators, and no response comes back to the owner
     links_a.links[0].set_directions(LinkMode::Pass, LinkMode::Buffer);
     let (token, before) = (highest_token(&a), join_count(&a));
-    wait_until("the other one writes", || writes_above(&b, token) >= 3);
+    wait_until("the other member writes", || writes_above(&b, token) >= 3);
     links_a.links[0].set_both(LinkMode::Pass);
-    wait_until("it has joined anew", || join_count(&a) > before);
+    wait_until("the former owner has joined again", || {
+        join_count(&a) > before
+    });
     cluster.check_history(&[&a, &b]);
 }
 
 #[test]
-fn members_keep_their_tokens_when_their_proxy_is_partitioned_doubled_or_killed() {
-    // a lease that a slow machine does not cost
+fn a_member_keeps_its_token_when_its_proxies_are_partitioned_duplicated_or_killed() {
+    // a lease long enough not to expire on a slow machine
     let mut cluster = Cluster::start_with_lease(PROGRAM, 3, "12s");
     let proxies = [
         cluster.start_session_proxy("r1"),
@@ -90,9 +95,9 @@
     let a = cluster.start_member_through(&links, "w", "a");
     a.wait_for_lines(3, is_write);
     let token = highest_token(&a);
-    let goes_on = |what: &str, proxies: &[&SessionProxyProcess]| {
-        let done = writes_of(&a).len();
-        let renewed = proxies
+    let assert_continues = |what: &str, proxies: &[&SessionProxyProcess]| {
+        let writes_before = writes_of(&a).len();
+        let confirmed_before = proxies
             .iter()
             .map(|proxy| confirmed_batches(proxy.address()))
             .sum::<u64>();
@@ -101,19 +106,19 @@
                 .iter()
                 .map(|proxy| confirmed_batches(proxy.address()))
                 .sum::<u64>();
-            writes_of(&a).len() >= done + 3 && now > renewed
+            writes_of(&a).len() >= writes_before + 3 && now > confirmed_before
         });
-        assert_eq!(highest_token(&a), token, "{what}: under the same term");
+        assert_eq!(highest_token(&a), token, "{what}: with the same token");
     };
     for (index, proxy) in proxies.iter().enumerate() {
-        // it is reached, and reaches no coordinator
+        // members reach this proxy, but the proxy reaches no coordinator
         proxy
             .coordinator_links
             .links
             .iter()
             .for_each(milletturn_cluster_harness::LinkControl::cut);
-        goes_on(
-            "its relay is cut off from the stewards",
+        assert_continues(
+            "its session proxy is partitioned from the coordinators",
             &[&proxies[1 - index]],
         );
         proxy
@@ -122,24 +127,24 @@
             .iter()
             .for_each(|link| link.set_both(LinkMode::Pass));
     }
-    let twins = [
+    let same_name_proxies = [
         cluster.start_session_proxy("r1"),
         cluster.start_session_proxy("r1"),
     ];
     links
         .links
         .iter()
-        .zip(&twins)
-        .for_each(|(link, twin)| link.forward_to(twin.address()));
+        .zip(&same_name_proxies)
+        .for_each(|(link, proxy)| link.forward_to(proxy.address()));
     drop(proxies);
-    goes_on(
-        "the relays that it knew are killed, and two others have one name",
-        &[&twins[0], &twins[1]],
+    assert_continues(
+        "the first session proxies are killed, and two others share a name",
+        &[&same_name_proxies[0], &same_name_proxies[1]],
     );
     cluster.check_history(&[&a]);
 }
 
-/// Batches that the coordinators have answered at this session proxy.
+/// The number of heartbeat batches of this session proxy that the coordinators have answered.
 fn confirmed_batches(address: SocketAddr) -> u64 {
     let status = proxy_status(address);
     status.heartbeat_batches.saturating_sub(
@@ -148,43 +153,48 @@
 }
 
 fn proxy_status(address: SocketAddr) -> SessionProxyStatus {
-    let answer = response_to(address, &call("GET", "/v1/relay", "trial", "1", ""));
-    serde_json::from_str(body(&answer)).expect("a relay's figures")
+    let response = response_to(address, &call("GET", "/v1/relay", "trial", "1", ""));
+    serde_json::from_str(body(&response)).expect("a session proxy's status")
 }
 
-/// The body of an answer.
-fn body(answer: &str) -> &str {
-    answer.split("\r\n\r\n").nth(1).unwrap_or_default()
+/// The body of a response.
+fn body(response: &str) -> &str {
+    response.split("\r\n\r\n").nth(1).unwrap_or_default()
 }
 
 #[test]
-fn late_responses_to_a_proxy_renew_nothing() {
-    let (cluster, mine, _others, _links, a, b) = owner_and_next();
+fn late_responses_to_a_proxy_do_not_renew_a_lease() {
+    let (cluster, owner_proxy, _other_proxy, _links, a, b) = owner_and_next();
     let (token, before) = (highest_token(&a), join_count(&a));
-    // batches reach the coordinators, and their answers hang on the way back until others own
-    mine.coordinator_links
+    // heartbeat batches reach the coordinators, and the responses are held back until another member owns the resource
+    owner_proxy
+        .coordinator_links
         .links
         .iter()
         .for_each(|link| link.set_directions(LinkMode::Pass, LinkMode::Buffer));
-    wait_until("the other one writes", || writes_above(&b, token) >= 3);
-    mine.coordinator_links
+    wait_until("the other member writes", || writes_above(&b, token) >= 3);
+    owner_proxy
+        .coordinator_links
         .links
         .iter()
         .for_each(|link| link.set_both(LinkMode::Pass));
-    wait_until("it has joined anew", || join_count(&a) > before);
+    wait_until("the former owner has joined again", || {
+        join_count(&a) > before
+    });
     cluster.check_history(&[&a, &b]);
 }
 
-/// Sends bytes, and returns what is answered until the other side closes.
+/// Sends bytes on a new connection, and returns everything received until the other side closes.
 fn response_to(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).expect("connected");
-    // a refusal may come before all is written
+    // a rejection may come before all bytes are written
     let _ = stream.write_all(bytes);
     let mut text = Vec::new();
     let _ = stream.read_to_end(&mut text);
     String::from_utf8_lossy(&text).into_owned()
 }
 
+/// The bytes of a call of the coordination protocol.
 fn call(method: &str, path: &str, group: &str, version: &str, body: &str) -> Vec<u8> {
     let length = body.len();
     format!(
@@ -195,7 +205,7 @@
 }
 
 #[test]
-fn calls_that_a_proxy_can_not_serve_are_rejected_and_harm_nobody() {
+fn calls_that_a_proxy_does_not_serve_are_rejected_and_do_not_affect_members() {
     let mut cluster = Cluster::start(PROGRAM, 3);
     let proxy = cluster.start_session_proxy("r1");
     let links = cluster.connect_client_through(&[&proxy]);
@@ -206,7 +216,7 @@
         "{{\"session\":1,\"run_out\":false,\"more\":\"{}\"}}",
         "x".repeat(100_000)
     );
-    for (bytes, status, says) in [
+    for (bytes, status, expected_text) in [
         (
             call("POST", "/v1/renew", "other", "1", renewal),
             "409",
@@ -266,35 +276,39 @@
         ),
         (b"\0\xff no protocol at all\r\n\r\n".to_vec(), "400", ""),
     ] {
-        let answer = response_to(proxy.address(), &bytes);
+        let response = response_to(proxy.address(), &bytes);
         assert!(
-            answer.starts_with(&format!("HTTP/1.1 {status}")) && answer.contains(says),
-            "{answer}"
+            response.starts_with(&format!("HTTP/1.1 {status}")) && response.contains(expected_text),
+            "{response}"
         );
     }
-    // a call that is cut
-    let cut = call("POST", "/v1/renew", "trial", "1", renewal);
+    // a call that ends 5 bytes early
+    let truncated = call("POST", "/v1/renew", "trial", "1", renewal);
     let mut stream = TcpStream::connect(proxy.address()).expect("connected");
-    stream.write_all(&cut[..cut.len() - 5]).expect("written");
+    stream
+        .write_all(&truncated[..truncated.len() - 5])
+        .expect("written");
     stream.shutdown(Shutdown::Write).expect("open");
-    let mut answer = String::new();
-    // it may be refused by name or dropped
-    let _ = stream.read_to_string(&mut answer);
+    let mut response = String::new();
+    // the proxy may reject the call or close the connection
+    let _ = stream.read_to_string(&mut response);
     assert!(
-        answer.is_empty() || answer.starts_with("HTTP/1.1 400"),
-        "{answer}"
+        response.is_empty() || response.starts_with("HTTP/1.1 400"),
+        "{response}"
     );
-    // a session that nobody has
-    let none = call(
+    // a session that does not exist
+    let unknown_session = call(
         "POST",
         "/v1/renew",
         "trial",
         "1",
         "{\"session\":99,\"run_out\":false}",
     );
-    assert!(response_to(proxy.address(), &none).contains("no_session"));
-    let (token, done) = (highest_token(&a), writes_of(&a).len());
-    wait_until("the member writes on", || writes_of(&a).len() >= done + 3);
+    assert!(response_to(proxy.address(), &unknown_session).contains("no_session"));
+    let (token, writes_before) = (highest_token(&a), writes_of(&a).len());
+    wait_until("the member continues to write", || {
+        writes_of(&a).len() >= writes_before + 3
+    });
     assert_eq!(highest_token(&a), token);
     cluster.check_history(&[&a]);
 }
@@ -305,8 +319,9 @@
     let file = folder.path().join("relay.toml");
     let text = "group = \"g\"\nname = \"r\"\nlisten = \"127.0.0.1:0\"\nstewards = [\"127.0.0.1:1\"]\nplaces = 300\n";
     std::fs::write(&file, text).expect("written");
-    let check = |most: u32| {
-        let line = format!("ulimit -n {most} && exec \"$0\" relay --check --config \"$1\"");
+    let check = |max_descriptors: u32| {
+        let line =
+            format!("ulimit -n {max_descriptors} && exec \"$0\" relay --check --config \"$1\"");
         let mut command = std::process::Command::new("sh");
         let output = command
             .args(["-c", &line, PROGRAM])
@@ -318,57 +333,55 @@
             String::from_utf8_lossy(&output.stderr).into_owned(),
         )
     };
-    let (sound, said) = check(200);
+    let (is_accepted, stderr) = check(200);
     assert!(
-        !sound
-            && said.contains("MT083")
-            && said.contains("364 descriptors in all, 200 are allowed"),
-        "{said}"
+        !is_accepted
+            && stderr.contains("MT083")
+            && stderr.contains("364 descriptors in all, 200 are allowed"),
+        "{stderr}"
     );
     assert_eq!(check(400), (true, String::new()));
 }
 
 fn open_request(name: &str, nonce: u64) -> OpenSession {
-    let about = MemberInfo {
+    let member = MemberInfo {
         name: name.to_string(),
         zone: String::new(),
         version: String::new(),
         role: String::new(),
     };
-    OpenSession {
-        member: about,
-        nonce,
-    }
+    OpenSession { member, nonce }
 }
 
-/// Asks a session proxy for a session, as its member does until there is an answer.
+/// Requests a session from a session proxy, again and again until the response is not a 503, as a member does.
 fn open_until_answered(proxy: SocketAddr, name: &str, nonce: u64) -> String {
-    let mut answer = String::new();
-    wait_until("there is an answer", || {
-        answer = open(proxy, name, nonce);
-        !answer.starts_with("HTTP/1.1 503")
+    let mut response = String::new();
+    wait_until("the session request is answered", || {
+        response = open(proxy, name, nonce);
+        !response.starts_with("HTTP/1.1 503")
     });
-    answer
+    response
 }
 
-/// Asks a session proxy for a session; its answer.
+/// Requests a session from a session proxy once; returns the response.
 fn open(proxy: SocketAddr, name: &str, nonce: u64) -> String {
     let text = serde_json::to_string(&open_request(name, nonce)).expect("written");
     response_to(proxy, &call("POST", "/v1/open", "trial", "1", &text))
 }
 
-fn session(answer: &str) -> SessionId {
-    match serde_json::from_str(body(answer)) {
+/// The id of the session that a response has opened.
+fn opened_session(response: &str) -> SessionId {
+    match serde_json::from_str(body(response)) {
         Ok(CommandOutcome::SessionOpened { session, .. }) => session,
-        other => panic!("{other:?}: {answer}"),
+        other => panic!("{other:?}: {response}"),
     }
 }
 
-/// What the leading coordinator says of itself, and its state. One that has lost its leadership since it was asked
-/// gives no state; then the next leader is asked.
-fn leader(cluster: &Cluster) -> (CoordinatorStatus, StateView) {
+/// The leader's status and state. A coordinator that loses its leadership in between returns no state; then the next
+/// leader is asked.
+fn leader_status_and_state(cluster: &Cluster) -> (CoordinatorStatus, StateView) {
     let mut found = None;
-    wait_until("the leader gives its state", || {
+    wait_until("the leader returns its state", || {
         let address = cluster.addresses()[cluster.leader(&cluster.replicas())]
             .parse()
             .expect("an address");
@@ -384,46 +397,46 @@
     found.expect("found")
 }
 
-/// The sessions of members whose names begin so.
-fn sessions_named(state: &StateView, begin: &str) -> Vec<(String, SessionId)> {
+/// The sessions of members whose names begin with the prefix.
+fn sessions_named(state: &StateView, prefix: &str) -> Vec<(String, SessionId)> {
     let sessions = state
         .sessions
         .iter()
         .map(|(id, session)| (session.member.name.clone(), *id));
     sessions
-        .filter(|(name, _)| name.starts_with(begin))
+        .filter(|(name, _)| name.starts_with(prefix))
         .collect()
 }
 
 #[test]
-fn batched_session_opens_are_few_log_entries_and_each_gets_its_own_outcome() {
+fn session_opens_are_batched_into_few_log_entries_and_each_gets_its_own_outcome() {
     const MEMBERS: u64 = 60;
-    // a lease that outlasts the trial: no entry but those of session opens
+    // a lease longer than the test, so that only session opens make log entries
     let mut cluster = Cluster::start_with_lease(PROGRAM, 3, "60s");
     let proxy = cluster.start_session_proxy("r1");
     let address = proxy.address();
-    let before = leader(&cluster).0.last_applied;
+    let before = leader_status_and_state(&cluster).0.last_applied;
     proxy
         .coordinator_links
         .links
         .iter()
         .for_each(|link| link.set_directions(LinkMode::Buffer, LinkMode::Pass));
-    let ask = |number: u64| {
+    let open_in_thread = |number: u64| {
         std::thread::spawn(move || open_until_answered(address, &format!("m{number}"), number))
     };
-    let mut pending: Vec<_> = (0..1).map(ask).collect();
-    wait_until("the first one's batch has left", || {
+    let mut pending: Vec<_> = (0..1).map(open_in_thread).collect();
+    wait_until("the batch of the first session open is sent", || {
         proxy_status(address).command_batches > 0
     });
-    pending.extend((1..MEMBERS).map(ask));
-    // one of an other name that has a live session, and one that nobody can open
+    pending.extend((1..MEMBERS).map(open_in_thread));
+    // a second session open for the name m1, and one with an invalid name
     pending.push(std::thread::spawn(move || {
         open_until_answered(address, "m1", 1_000_000)
     }));
     pending.push(std::thread::spawn(move || {
         open_until_answered(address, "", 1)
     }));
-    wait_until("all are gathered", || {
+    wait_until("all session opens have arrived", || {
         proxy_status(address).commands >= MEMBERS + 2
     });
     proxy
@@ -431,38 +444,38 @@
         .links
         .iter()
         .for_each(|link| link.set_both(LinkMode::Pass));
-    let mut answers: Vec<String> = pending
+    let mut responses: Vec<String> = pending
         .into_iter()
         .map(|pending| pending.join().expect("answered"))
         .collect();
-    let (nobody, taken) = (answers.pop().expect("one"), answers.pop().expect("one"));
-    assert!(nobody.contains("bad_text"), "{nobody}");
-    // which of the two that wanted one name came first is open
-    let answers_of_m1 = [&answers[1], &taken];
+    let (invalid_name, second_m1) = (responses.pop().expect("one"), responses.pop().expect("one"));
+    assert!(invalid_name.contains("bad_text"), "{invalid_name}");
+    // either of the two session opens for m1 may have been first
+    let responses_for_m1 = [&responses[1], &second_m1];
     assert_eq!(
-        answers_of_m1
+        responses_for_m1
             .iter()
-            .filter(|answer| answer.contains("name_taken"))
+            .filter(|response| response.contains("name_taken"))
             .count(),
         1,
-        "{taken}"
+        "{second_m1}"
     );
-    let (status, state) = leader(&cluster);
+    let (status, state) = leader_status_and_state(&cluster);
     let opened = sessions_named(&state, "m");
     assert_eq!(opened.len() as u64, MEMBERS);
-    for (number, answer) in answers
+    for (number, response) in responses
         .iter()
         .enumerate()
         .filter(|(number, _)| *number != 1)
     {
-        let own = (format!("m{number}"), session(answer));
+        let own = (format!("m{number}"), opened_session(response));
         assert!(
             opened.contains(&own),
-            "{own:?} is not the one that the book has: {opened:?}"
+            "{own:?} is not in the leader's state: {opened:?}"
         );
     }
     let log_entries = status.last_applied - before;
-    // those that hung on their way may have been sent to each coordinator, and again
+    // the delayed batches may have been sent to each coordinator, and more than once
     assert!(
         4 * log_entries <= MEMBERS,
         "{log_entries} log entries for {MEMBERS} session opens"
@@ -470,41 +483,41 @@
 }
 
 #[test]
-fn an_unanswered_session_open_is_unknown_and_its_retry_leaves_one_session() {
+fn an_unanswered_session_open_has_an_unknown_outcome_and_its_retry_leaves_one_session() {
     let mut cluster = Cluster::start_with_lease(PROGRAM, 3, "60s");
     let (first, second) = (
         cluster.start_session_proxy("r1"),
         cluster.start_session_proxy("r2"),
     );
-    // it reaches the coordinators, and no answer comes back
+    // the session open reaches the coordinators, and no response comes back
     first
         .coordinator_links
         .links
         .iter()
         .for_each(|link| link.set_directions(LinkMode::Pass, LinkMode::Buffer));
-    wait_until("it was written all the same", || {
-        let answer = open(first.address(), "m", 7);
-        assert!(answer.starts_with("HTTP/1.1 503"), "{answer}");
+    wait_until("the session is in the leader's state", || {
+        let response = open(first.address(), "m", 7);
+        assert!(response.starts_with("HTTP/1.1 503"), "{response}");
         assert!(
-            answer.contains("\"may_have_happened\":true"),
-            "unknown is not no: {answer}"
+            response.contains("\"may_have_happened\":true"),
+            "the response must say that the outcome is unknown: {response}"
         );
-        sessions_named(&leader(&cluster).1, "m").len() == 1
+        sessions_named(&leader_status_and_state(&cluster).1, "m").len() == 1
     });
-    let again = session(&open_until_answered(second.address(), "m", 7));
+    let retried = opened_session(&open_until_answered(second.address(), "m", 7));
     first
         .coordinator_links
         .links
         .iter()
         .for_each(|link| link.set_both(LinkMode::Pass));
-    let once_more = session(&open_until_answered(first.address(), "m", 7));
-    assert_eq!(once_more, again);
+    let retried_at_first = opened_session(&open_until_answered(first.address(), "m", 7));
+    assert_eq!(retried_at_first, retried);
     assert_eq!(
-        sessions_named(&leader(&cluster).1, "m"),
-        [("m".to_string(), again)],
-        "and no second one"
+        sessions_named(&leader_status_and_state(&cluster).1, "m"),
+        [("m".to_string(), retried)],
+        "no second session is opened"
     );
-    // a session proxy that is gone with a session open on its way: the same
+    // the same holds for a session proxy that is killed while a session open is in flight
     first
         .coordinator_links
         .links
@@ -515,32 +528,33 @@
         proxy_status(first.address()).command_batches,
     );
     let pending = std::thread::spawn(move || open(address, "n", 8));
-    wait_until("it is on its way", || {
+    wait_until("the session open is sent", || {
         proxy_status(address).command_batches > before
     });
     drop(first);
-    let answer = pending.join().expect("ended");
+    let response = pending.join().expect("ended");
     assert!(
-        answer.is_empty() || answer.starts_with("HTTP/1.1 503"),
-        "it is not told no: {answer}"
+        response.is_empty() || response.starts_with("HTTP/1.1 503"),
+        "the session open must not be rejected: {response}"
     );
-    let again = session(&open_until_answered(second.address(), "n", 8));
+    let retried = opened_session(&open_until_answered(second.address(), "n", 8));
     assert_eq!(
-        sessions_named(&leader(&cluster).1, "n"),
-        [("n".to_string(), again)]
+        sessions_named(&leader_status_and_state(&cluster).1, "n"),
+        [("n".to_string(), retried)]
     );
 }
 
 #[test]
-fn a_session_open_of_a_gone_caller_does_not_leave_a_proxy_and_a_close_does() {
+fn a_proxy_drops_the_session_open_of_a_disconnected_caller_but_forwards_its_close() {
     let mut cluster = Cluster::start_with_lease(PROGRAM, 3, "60s");
     let proxy = cluster.start_session_proxy("r1");
     let address = proxy.address();
-    let mut crossed = false;
-    // a batch is out for 2.3 s at most: on a slow machine the callers may not be gone before the next one leaves
+    let mut is_disconnected_in_time = false;
+    // A batch is in flight for 2.3 s at most. On a slow machine the callers may still be connected when the next batch is
+    // sent; then the scenario is repeated.
     for number in 0..20 {
         let [kept, ahead, gone] = ["kept", "ahead", "gone"].map(|what| format!("{what}-{number}"));
-        let session = session(&open_until_answered(address, &kept, 1));
+        let session = opened_session(&open_until_answered(address, &kept, 1));
         proxy
             .coordinator_links
             .links
@@ -548,48 +562,54 @@
             .for_each(|link| link.set_directions(LinkMode::Buffer, LinkMode::Pass));
         let before = proxy_status(address);
         let ahead = std::thread::spawn(move || open(address, &ahead, 2));
-        wait_until("a batch is on its way", || {
+        wait_until("a batch is sent", || {
             proxy_status(address).command_batches > before.command_batches
         });
         let close = format!("{{\"close\":{{\"session\":{session}}}}}");
         let text = serde_json::to_string(&open_request(&gone, 3)).expect("written");
-        let leave = [("/v1/open", &text), ("/v1/order", &close)].map(|(path, text)| {
+        let disconnecting = [("/v1/open", &text), ("/v1/order", &close)].map(|(path, text)| {
             let mut stream = TcpStream::connect(address).expect("connected");
             stream
                 .write_all(&call("POST", path, "trial", "1", text))
                 .expect("written");
             stream
         });
-        wait_until("both are gathered", || {
+        wait_until("both calls have arrived", || {
             proxy_status(address).commands >= before.commands + 3
         });
-        drop(leave);
-        // the session proxy has seen it: but for the one ahead and the one that asks, their connections are closed
-        wait_until("they are gone", || proxy_status(address).connections <= 2);
-        crossed = proxy_status(address).command_batches == before.command_batches + 1;
+        drop(disconnecting);
+        // once the proxy has seen the disconnects, only the call in flight and the status request are connected
+        wait_until("both callers are disconnected", || {
+            proxy_status(address).connections <= 2
+        });
+        is_disconnected_in_time =
+            proxy_status(address).command_batches == before.command_batches + 1;
         proxy
             .coordinator_links
             .links
             .iter()
             .for_each(|link| link.set_both(LinkMode::Pass));
         let _ = ahead.join().expect("answered");
-        wait_until("the close is written", || {
-            sessions_named(&leader(&cluster).1, &kept).is_empty()
+        wait_until("the session is closed", || {
+            sessions_named(&leader_status_and_state(&cluster).1, &kept).is_empty()
         });
-        if crossed {
+        if is_disconnected_in_time {
             assert_eq!(
-                sessions_named(&leader(&cluster).1, &gone),
+                sessions_named(&leader_status_and_state(&cluster).1, &gone),
                 [],
-                "nobody would renew it"
+                "no session that nobody renews is opened"
             );
             break;
         }
     }
-    assert!(crossed, "never did both go while a batch was out");
+    assert!(
+        is_disconnected_in_time,
+        "the callers never disconnected while a batch was in flight"
+    );
 }
 
 #[test]
-fn coordinators_accept_command_batches_within_their_bounds_only() {
+fn coordinators_reject_command_batches_that_are_empty_too_large_or_invalid() {
     let cluster = Cluster::start(PROGRAM, 3);
     let address = cluster.addresses()[cluster.leader(&cluster.replicas())]
         .parse()
@@ -602,7 +622,7 @@
             .collect();
         serde_json::to_string(&CommandBatchRequest { requests }).expect("written")
     };
-    for (text, status, says) in [
+    for (text, status, expected_text) in [
         ("{\"wishes\":[]}".to_string(), "400", "from 1 to 512"),
         (requests(513), "400", "513 wishes in one call"),
         (requests(3)[..40].to_string(), "400", "EOF"),
@@ -623,15 +643,15 @@
             "unknown variant `lend`",
         ),
     ] {
-        let answer = send(&text);
+        let response = send(&text);
         assert!(
-            answer.starts_with(&format!("HTTP/1.1 {status}")) && answer.contains(says),
-            "{answer}"
+            response.starts_with(&format!("HTTP/1.1 {status}")) && response.contains(expected_text),
+            "{response}"
         );
     }
     assert_eq!(
-        leader(&cluster).1.sessions.len(),
+        leader_status_and_state(&cluster).1.sessions.len(),
         0,
-        "nothing of them was written"
+        "no rejected batch opened a session"
     );
 }
