--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -1,14 +1,14 @@
-//! The pages name what there is: every file, every relative link, and in the tables of ARCHITECTURE.md and GLOSSARY.md
-//! every type in the file beside it.
+//! Checks the documentation against the repository: relative links and named files must exist, and each type in the tables
+//! of ARCHITECTURE.md and GLOSSARY.md must occur in the file named in its row.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Pages that tell what was: their paths are those of then.
-const PAGES_OF_THE_PAST: [&str; 2] = ["CHANGELOG.md", "docs/history"];
-/// Folders at the root; a path in backticks that begins with one is a file or folder of this repository.
-const FOLDERS: [&str; 8] = [
+/// Pages about earlier versions, which may name files that no longer exist.
+const HISTORICAL_PAGES: [&str; 2] = ["CHANGELOG.md", "docs/history"];
+/// Folders at the repository's root. Text in backticks that begins with one of them is the path of a file or folder.
+const ROOT_FOLDERS: [&str; 8] = [
     "benches/",
     "crates/",
     "deploy/",
@@ -27,7 +27,7 @@
     fs::read_to_string(page).unwrap_or_else(|error| panic!("{}: {error}", page.display()))
 }
 
-/// All pages: those at the root and all below docs/.
+/// The paths of README.md, CHANGELOG.md and all pages below docs/.
 fn pages() -> Vec<PathBuf> {
     let mut pages = vec![root().join("README.md"), root().join("CHANGELOG.md")];
     let mut folders = vec![root().join("docs")];
@@ -44,7 +44,7 @@
     pages
 }
 
-/// The targets of a page's links: what stands in `](...)`, outside of blocks of code.
+/// The targets of a page's links, which are the texts in `](...)` outside code blocks.
 fn links(text: &str) -> Vec<&str> {
     let outside = text.split("\n```").step_by(2);
     outside
@@ -53,13 +53,13 @@
         .collect()
 }
 
-/// What stands in backticks on a line.
+/// The texts in backticks on a line.
 fn quoted(line: &str) -> impl Iterator<Item = &str> {
     line.split('`').skip(1).step_by(2)
 }
 
-/// Rows of the tables of a page that have a column `type` and a column `file`: the two cells, as they stand.
-fn rows_of_types(text: &str) -> Vec<(&str, &str)> {
+/// The texts of the cells `type` and `file` of each row, from all tables of a page that have both columns.
+fn type_and_file_cells(text: &str) -> Vec<(&str, &str)> {
     let (mut rows, mut columns) = (Vec::new(), None);
     for line in text.lines() {
         if !line.starts_with('|') {
@@ -70,9 +70,9 @@
         let find = |name: &str| cells.iter().position(|cell| *cell == name);
         match columns {
             None => columns = Some(find("type").zip(find("file"))),
-            Some(Some((of_type, of_file))) => {
-                let cell = |at: usize| cells.get(at).copied().unwrap_or_default();
-                rows.push((cell(of_type), cell(of_file)));
+            Some(Some((type_column, file_column))) => {
+                let cell = |column: usize| cells.get(column).copied().unwrap_or_default();
+                rows.push((cell(type_column), cell(file_column)));
             }
             Some(None) => {}
         }
@@ -80,19 +80,19 @@
     rows
 }
 
-/// True if a text holds a name as a whole word.
-fn holds(text: &str, name: &str) -> bool {
-    let is_part =
+/// True if a text contains a name as a whole word.
+fn contains_word(text: &str, name: &str) -> bool {
+    let is_word_byte =
         |byte: Option<&u8>| byte.is_some_and(|byte| byte.is_ascii_alphanumeric() || *byte == b'_');
     text.match_indices(name).any(|(at, _)| {
         let bytes = text.as_bytes();
         let before = at.checked_sub(1).and_then(|before| bytes.get(before));
-        !is_part(before) && !is_part(bytes.get(at + name.len()))
+        !is_word_byte(before) && !is_word_byte(bytes.get(at + name.len()))
     })
 }
 
 #[test]
-fn every_relative_link_of_every_page_leads_to_a_file() {
+fn relative_links_of_all_pages_lead_to_files() {
     let (mut broken, mut count) = (Vec::new(), 0);
     for page in pages() {
         let text = text(&page);
@@ -108,20 +108,23 @@
         }
     }
     assert!(broken.is_empty(), "{broken:#?}");
-    assert!(count > 50, "only {count} links were found: are they read?");
+    assert!(
+        count > 50,
+        "only {count} links were found: does the check still find links?"
+    );
 }
 
 #[test]
-fn every_file_that_a_page_names_exists() {
+fn files_named_by_pages_exist() {
     let (mut broken, mut count) = (Vec::new(), 0);
     for page in pages() {
-        let of_the_past = |past: &str| page.starts_with(root().join(past));
-        if PAGES_OF_THE_PAST.iter().any(|past| of_the_past(past)) {
+        let is_below = |path: &str| page.starts_with(root().join(path));
+        if HISTORICAL_PAGES.iter().any(|path| is_below(path)) {
             continue;
         }
         let text = text(&page);
         for name in text.lines().flat_map(quoted) {
-            let is_path = FOLDERS.iter().any(|folder| name.starts_with(folder));
+            let is_path = ROOT_FOLDERS.iter().any(|folder| name.starts_with(folder));
             if !is_path || name.contains(['*', ' ', '<']) {
                 continue;
             }
@@ -132,36 +135,42 @@
         }
     }
     assert!(broken.is_empty(), "{broken:#?}");
-    assert!(count > 50, "only {count} files were found: are they read?");
+    assert!(
+        count > 50,
+        "only {count} files were found: does the check still find paths?"
+    );
 }
 
 #[test]
-fn every_type_of_the_tables_stands_in_its_file() {
+fn types_of_the_tables_occur_in_their_files() {
     let (mut broken, mut count) = (Vec::new(), 0);
     for page in ["docs/ARCHITECTURE.md", "docs/GLOSSARY.md"] {
         let text = text(&root().join(page));
-        for (types, files) in rows_of_types(&text) {
+        for (types, files) in type_and_file_cells(&text) {
             let sources: Vec<String> = quoted(files)
                 .filter_map(|file| fs::read_to_string(root().join(file)).ok())
                 .collect();
             for name in quoted(types).flat_map(|path| path.split("::")) {
                 count += 1;
-                if !sources.iter().any(|source| holds(source, name)) {
+                if !sources.iter().any(|source| contains_word(source, name)) {
                     broken.push(format!("{page}: {name} is not in {files}"));
                 }
             }
         }
     }
     assert!(broken.is_empty(), "{broken:#?}");
-    assert!(count > 80, "only {count} types were found: are they read?");
+    assert!(
+        count > 80,
+        "only {count} types were found: does the check still find the tables?"
+    );
 }
 
-/// All sources below a folder, as one text.
-fn sources(folder: &Path, text: &mut String) {
+/// Appends all Rust sources below a folder to a text.
+fn append_sources(folder: &Path, text: &mut String) {
     for entry in fs::read_dir(folder).expect("a folder") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
-            sources(&path, text);
+            append_sources(&path, text);
         } else if path.extension().is_some_and(|extension| extension == "rs") {
             text.push_str(&fs::read_to_string(path).expect("text"));
         }
@@ -169,22 +178,25 @@
 }
 
 #[test]
-fn every_variant_and_method_of_the_architecture_stands_in_the_sources() {
+fn variants_and_methods_named_by_the_architecture_page_occur_in_the_sources() {
     let mut all = String::new();
-    sources(&root().join("crates"), &mut all);
+    append_sources(&root().join("crates"), &mut all);
     let page = text(&root().join("docs/ARCHITECTURE.md"));
     let named = page.lines().flat_map(quoted);
     let paths: Vec<(&str, &str)> = named.filter_map(|name| name.split_once("::")).collect();
     let missing: Vec<&(&str, &str)> = paths
         .iter()
-        .filter(|(of, name)| !holds(&all, of) || !holds(&all, name))
+        .filter(|(type_name, name)| !contains_word(&all, type_name) || !contains_word(&all, name))
         .collect();
     assert!(missing.is_empty(), "{missing:?}");
-    assert!(paths.len() > 4, "only {paths:?}: are they read?");
+    assert!(
+        paths.len() > 4,
+        "only {paths:?}: does the check still find names?"
+    );
 }
 
 #[test]
-fn every_package_has_its_row_in_the_architecture() {
+fn the_architecture_page_names_every_package() {
     let page = text(&root().join("docs/ARCHITECTURE.md"));
     let named: BTreeSet<&str> = page.lines().flat_map(quoted).collect();
     let packages = fs::read_dir(root().join("crates")).expect("a folder");
@@ -202,31 +214,34 @@
 }
 
 #[test]
-fn what_the_checks_read_is_read() {
+fn links_table_cells_and_words_are_found() {
     assert_eq!(
         links("[a](b.md) and [c](d.md#e)\n```\n[x](y)\n```\n[f](g)"),
         ["b.md", "d.md#e", "g"]
     );
     assert_eq!(
-        rows_of_types(
+        type_and_file_cells(
             "| what | type | file |\n| --- | --- | --- |\n| a | `B` | `c` |\n\n| x | y |\n| 1 | 2 |"
         ),
         [("---", "---"), ("`B`", "`c`")]
     );
-    assert!(holds("struct Sender;", "Sender") && !holds("struct SenderSet;", "Sender"));
+    assert!(
+        contains_word("struct Sender;", "Sender") && !contains_word("struct SenderSet;", "Sender")
+    );
 }
 
 #[test]
-fn every_page_that_a_source_names_exists() {
+fn pages_named_by_sources_exist() {
     let mut all = String::new();
     for folder in ["src", "crates", "tests", "benches"] {
-        sources(&root().join(folder), &mut all);
+        append_sources(&root().join(folder), &mut all);
     }
-    // a page's path, from `docs/` to `.md`, with nothing but a path's letters between
+    // the path of a page begins with `docs/`, ends with `.md`, and has only characters of paths in between
     let mut pages = BTreeSet::new();
     for part in all.split("docs/").skip(1) {
-        let is_of_path = |letter: char| letter.is_ascii_alphanumeric() || "/._-".contains(letter);
-        let path = part.split(|letter| !is_of_path(letter)).next();
+        let is_path_character =
+            |letter: char| letter.is_ascii_alphanumeric() || "/._-".contains(letter);
+        let path = part.split(|letter| !is_path_character(letter)).next();
         if let Some((page, _)) = path.and_then(|path| path.split_once(".md")) {
             pages.insert(format!("docs/{page}.md"));
         }
@@ -236,5 +251,8 @@
         .filter(|page| !root().join(page).exists())
         .collect();
     assert!(missing.is_empty(), "{missing:?}");
-    assert!(pages.len() > 5, "only {pages:?}: are they read?");
+    assert!(
+        pages.len() > 5,
+        "only {pages:?}: does the check still find pages?"
+    );
 }
--- a/tests/fleet_commands/golden.rs
+++ b/tests/fleet_commands/golden.rs
@@ -1,7 +1,8 @@
-//! Golden data: texts as they were before the sources got their present names. Scripts and other versions read them.
+//! Golden data: texts of an earlier build. They must not change, since scripts and other versions parse them.
 
 use std::path::Path;
 
+/// The content of the golden file of this name.
 fn golden_text(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
@@ -9,25 +10,25 @@
     std::fs::read_to_string(path).expect("golden data")
 }
 
-/// That a text is the golden file of this name.
-pub(super) fn compare(name: &str, text: &str) {
+/// Fails if a text differs from the golden file of this name.
+pub(super) fn assert_matches_golden(name: &str, text: &str) {
     assert_eq!(text, golden_text(name), "{name}");
 }
 
-/// Replaces the number behind each of these marks: it differs from run to run.
+/// Replaces the number after each of these marks by `#`, since these numbers differ from run to run.
 pub(super) fn masked(text: &str, marks: &[&str]) -> String {
     let mut text = text.to_string();
     for mark in marks {
         let mut parts = text.split(mark);
-        let mut out = parts.next().unwrap_or_default().to_string();
+        let mut masked = parts.next().unwrap_or_default().to_string();
         for part in parts {
-            out.push_str(mark);
+            masked.push_str(mark);
             if part.starts_with(|letter: char| letter.is_ascii_digit()) {
-                out.push('#');
+                masked.push('#');
             }
-            out.push_str(part.trim_start_matches(|letter: char| letter.is_ascii_digit()));
+            masked.push_str(part.trim_start_matches(|letter: char| letter.is_ascii_digit()));
         }
-        text = out;
+        text = masked;
     }
     text
 }
--- a/tests/fleet_commands/held.rs
+++ b/tests/fleet_commands/held.rs
@@ -1,19 +1,19 @@
-//! What `milletturn fleet hold` prints as JSON, and what its member asks.
+//! The JSON events that `milletturn fleet hold` prints and the calls that its member sends, compared with a golden file.
 
 use crate::PROGRAM;
-use crate::golden::{compare, masked};
-use crate::stand_in::{NONE, StandIn};
+use crate::golden::{assert_matches_golden, masked};
+use crate::stand_in::{FakeCoordinator, NO_LEADER};
 use milletturn_cluster_harness::Process;
 use milletturn_cluster_harness::process::wait_until;
 use std::collections::BTreeSet;
 use std::sync::{Arc, Mutex};
 
-/// An answer with status 200.
+/// A response with status 200.
 fn ok(text: impl Into<String>) -> Option<(u16, String)> {
     Some((200, text.into()))
 }
 
-/// Answers a member so that it goes through every event that it can report; the number counts the steps.
+/// Answers a member's calls so that the member reports each kind of event once; `stage` counts the steps of the scenario.
 fn scenario(stage: &Mutex<u32>, path: &str, body: &str) -> Option<(u16, String)> {
     let mut stage = stage.lock().expect("no holder panics");
     match path {
@@ -21,7 +21,7 @@
         "/v1/order" if body.starts_with("{\"claim\"") => claim(*stage),
         "/v1/order" => command(&mut stage, body),
         "/v1/renew" => heartbeat(&mut stage),
-        _ => Some((404, NONE.to_string())),
+        _ => Some((404, NO_LEADER.to_string())),
     }
 }
 
@@ -60,7 +60,7 @@
             *stage = 2;
             ok(r#"{"refused":{"out_of_order":{"work":"list","term":3,"number":8,"last":7}}}"#)
         }
-        // unanswered, and again on another connection before its time is over
+        // no response: the member sends the write again on another connection before its timeout
         2 | 3 if is_write(3, 9) => {
             *stage += 1;
             None
@@ -85,7 +85,7 @@
             owned("")
         }
         6 => owned(r#"["list",4]"#),
-        // for so long that the lease expires by the member's own count
+        // no responses until the lease expires by the member's own clock
         7 | 8 => {
             *stage += 1;
             None
@@ -103,26 +103,30 @@
     }
 }
 
-/// Not an act or its record, but for the first of each term: how many there are differs from run to run.
+/// True unless the line is about a write other than the first one of its term: the number of writes differs from run to
+/// run.
 fn is_compared(line: &str) -> bool {
-    let act = ["\"acting\":", "\"acted\":", "\"act\":"]
+    let is_about_write = ["\"acting\":", "\"acted\":", "\"act\":"]
         .iter()
         .any(|mark| line.contains(mark));
-    let first = ["\"acting\":6,", "\"acted\":6,\"term\":3", "\"number\":6,"];
-    let of_next = ["\"acting\":1,", "\"acted\":1,", "\"number\":1,"];
-    let under = |term: u64| {
+    let first_of_initial_term = ["\"acting\":6,", "\"acted\":6,\"term\":3", "\"number\":6,"];
+    let first_of_later_term = ["\"acting\":1,", "\"acted\":1,", "\"number\":1,"];
+    let is_of_term = |term: u64| {
         line.contains(&format!("\"under\":{term}}}")) || line.contains(&format!("\"term\":{term}"))
     };
-    let is = |marks: &[&str]| marks.iter().any(|mark| line.contains(mark));
-    !act || (is(&first) && under(3)) || (is(&of_next) && !under(3))
+    let contains_any = |marks: &[&str]| marks.iter().any(|mark| line.contains(mark));
+    !is_about_write
+        || (contains_any(&first_of_initial_term) && is_of_term(3))
+        || (contains_any(&first_of_later_term) && !is_of_term(3))
 }
 
 #[test]
-fn a_held_resource_tells_the_same_events_and_asks_the_same() {
+fn events_and_calls_of_fleet_hold_match_the_golden_file() {
     let stage = Mutex::new(0);
-    let stand_in = StandIn::start(Arc::new(move |path, body| scenario(&stage, path, body)));
-    let address = stand_in.address.to_string();
-    let words = [
+    let coordinator =
+        FakeCoordinator::start(Arc::new(move |path, body| scenario(&stage, path, body)));
+    let address = coordinator.address.to_string();
+    let arguments = [
         "fleet",
         "hold",
         "list",
@@ -137,16 +141,22 @@
         "--steward",
         &address,
     ];
-    let process = Process::start(&PROGRAM.into(), "hold", &words.map(String::from));
+    let process = Process::start(&PROGRAM.into(), "hold", &arguments.map(String::from));
     process.wait_for_lines(1, |line| line.contains("{\"acted\":1,\"term\":6}"));
     process.terminate();
-    let asked = || stand_in.asked.lock().expect("no holder panics").clone();
-    wait_until("it leaves", || {
-        asked().iter().any(|line| line.contains("\"close\""))
+    let requests = || {
+        coordinator
+            .requests
+            .lock()
+            .expect("no holder panics")
+            .clone()
+    };
+    wait_until("the member closes its session", || {
+        requests().iter().any(|line| line.contains("\"close\""))
     });
     let mask = |text: &String| {
         masked(
-            &stand_in.mask(text),
+            &coordinator.mask(text),
             &["within ", "\"at_us\":", "\"last_safe_us\":", "\"nonce\":"],
         )
     };
@@ -156,14 +166,14 @@
         .filter(|line| is_compared(line))
         .map(mask)
         .collect();
-    let asked: BTreeSet<String> = asked()
+    let requests: BTreeSet<String> = requests()
         .iter()
         .filter(|line| is_compared(line))
         .map(mask)
         .collect();
     let text = |lines: BTreeSet<String>| lines.into_iter().collect::<Vec<_>>().join("\n");
-    compare(
+    assert_matches_golden(
         "hold.txt",
-        &format!("{}\n----\n{}\n", text(printed), text(asked)),
+        &format!("{}\n----\n{}\n", text(printed), text(requests)),
     );
 }
--- a/tests/fleet_commands/main.rs
+++ b/tests/fleet_commands/main.rs
@@ -1,4 +1,4 @@
-//! The commands over the coordination service, and what its processes answer.
+//! Compares the `fleet` commands and the responses of coordinators and session proxies with golden files.
 
 mod answers;
 mod golden;
--- a/tests/fleet_commands/output.rs
+++ b/tests/fleet_commands/output.rs
@@ -1,23 +1,24 @@
-//! Commands over the coordination service whose reader has gone, as `head -1` goes: they end quietly.
+//! `fleet` commands whose output can't be written: with a closed pipe, as behind `head -1`, they end without an error; with
+//! a full device they fail.
 
 use crate::PROGRAM;
-use crate::stand_in::{BOOK, NONE, STATUS, StandIn};
+use crate::stand_in::{FakeCoordinator, NO_LEADER, STATE, STATUS};
 use std::process::{Command, Stdio};
 use std::sync::Arc;
 
 #[test]
-fn a_command_whose_reader_is_gone_exits_quietly_with_its_usual_code() {
-    let coordinator = StandIn::start(Arc::new(|path, _| {
+fn a_command_with_a_closed_output_pipe_exits_with_its_usual_code_and_no_error() {
+    let coordinator = FakeCoordinator::start(Arc::new(|path, _| {
         Some(match path {
             "/v1/status" => (200, STATUS.to_string()),
-            "/v1/book" => (200, BOOK.to_string()),
+            "/v1/book" => (200, STATE.to_string()),
             "/v1/order" => (200, "\"done\"".to_string()),
-            _ => (404, NONE.to_string()),
+            _ => (404, NO_LEADER.to_string()),
         })
     }));
     let address = coordinator.address.to_string();
     for format in ["json", "text"] {
-        for words in [
+        for arguments in [
             &["status"][..],
             &["members"],
             &["resources"],
@@ -25,11 +26,11 @@
             &["revoke", "list"],
         ] {
             let (reader, writer) = std::io::pipe().expect("a pipe");
-            // nobody reads from the first byte on
+            // the reader is closed before the first byte
             drop(reader);
             let output = Command::new(PROGRAM)
                 .arg("fleet")
-                .args(words)
+                .args(arguments)
                 .args([
                     "--format",
                     format,
@@ -46,7 +47,7 @@
             assert_eq!(
                 (output.status.code(), stderr.as_ref()),
                 (Some(0), ""),
-                "{words:?} {format}"
+                "{arguments:?} {format}"
             );
         }
     }
@@ -54,7 +55,7 @@
 
 #[test]
 fn a_command_that_can_not_write_its_output_fails_with_a_message() {
-    let coordinator = StandIn::start(Arc::new(|_, _| Some((200, BOOK.to_string()))));
+    let coordinator = FakeCoordinator::start(Arc::new(|_, _| Some((200, STATE.to_string()))));
     let full = std::fs::File::options()
         .write(true)
         .open("/dev/full")
--- a/tests/fleet_commands/printed.rs
+++ b/tests/fleet_commands/printed.rs
@@ -1,27 +1,29 @@
-//! What the commands print as text and as JSON, and their exit codes.
+//! The text and JSON that the `fleet` commands print and their exit codes, compared with a golden file.
 
 use crate::PROGRAM;
-use crate::golden::compare;
-use crate::stand_in::{BACKUP, BOOK, NONE, STATUS, StandIn};
+use crate::golden::assert_matches_golden;
+use crate::stand_in::{BACKUP, FakeCoordinator, NO_LEADER, STATE, STATUS};
 use std::process::Command;
 use std::sync::Arc;
 
-/// Runs a command of an operator: exit code and standard output.
-fn run_fleet(at: &[&StandIn], words: &[impl AsRef<str>]) -> String {
+/// Runs a `fleet` command against these coordinators; returns its standard output and exit code as one text.
+fn run_fleet(coordinators: &[&FakeCoordinator], arguments: &[impl AsRef<str>]) -> String {
     let mut command = Command::new(PROGRAM);
     command
         .arg("fleet")
-        .args(words.iter().map(AsRef::as_ref))
+        .args(arguments.iter().map(AsRef::as_ref))
         .args(["--group", "north", "--wait", "10"]);
-    for one in at {
-        command.args(["--steward", &one.address.to_string()]);
+    for coordinator in coordinators {
+        command.args(["--steward", &coordinator.address.to_string()]);
     }
     let output = command.output().expect("it starts");
     let text = String::from_utf8(output.stdout).expect("text");
-    let text = at.iter().fold(text, |text, one| one.mask(&text));
+    let text = coordinators
+        .iter()
+        .fold(text, |text, coordinator| coordinator.mask(&text));
     format!(
         "> {}\n{text}< {}\n\n",
-        words
+        arguments
             .iter()
             .map(AsRef::as_ref)
             .collect::<Vec<_>>()
@@ -30,12 +32,12 @@
     )
 }
 
-/// A coordinator that leads and does what it is asked.
-fn leading() -> StandIn {
-    StandIn::start(Arc::new(|path, body| {
+/// A coordinator that leads and carries out commands.
+fn start_leader() -> FakeCoordinator {
+    FakeCoordinator::start(Arc::new(|path, body| {
         Some(match path {
             "/v1/status" => (200, STATUS.to_string()),
-            "/v1/book" => (200, BOOK.to_string()),
+            "/v1/book" => (200, STATE.to_string()),
             "/v1/backup" => (200, BACKUP.to_string()),
             _ if body.contains("\"term\":5") => (200, "\"done\"".to_string()),
             _ => (
@@ -46,12 +48,12 @@
     }))
 }
 
-/// A coordinator that rejects what it is asked.
-fn rejecting() -> StandIn {
-    StandIn::start(Arc::new(|path, _| {
+/// A coordinator that rejects commands.
+fn start_rejecting() -> FakeCoordinator {
+    FakeCoordinator::start(Arc::new(|path, _| {
         Some(match path {
-            "/v1/status" => (409, NONE.replace("another steward", "who knows who")),
-            "/v1/book" => (200, BOOK.to_string()),
+            "/v1/status" => (409, NO_LEADER.replace("another steward", "who knows who")),
+            "/v1/book" => (200, STATE.to_string()),
             _ => (
                 200,
                 r#"{"refused":{"fenced":{"work":"list","term":5,"now":6}}}"#.to_string(),
@@ -60,17 +62,21 @@
     }))
 }
 
-/// What each command prints in this format.
-fn printed(leader: &StandIn, rejects: &StandIn, format: &str) -> String {
+/// The output of each command in this format.
+fn output_of_commands(
+    leader: &FakeCoordinator,
+    rejecting: &FakeCoordinator,
+    format: &str,
+) -> String {
     let mut text = String::new();
-    let with = |words: &[&'static str]| -> Vec<String> {
-        let words = words.iter().chain(&["--format"]);
-        let words = words.map(ToString::to_string);
-        words.chain([format.to_string()]).collect()
+    let with_format = |arguments: &[&'static str]| -> Vec<String> {
+        let arguments = arguments.iter().chain(&["--format"]);
+        let arguments = arguments.map(ToString::to_string);
+        arguments.chain([format.to_string()]).collect()
     };
-    text += &run_fleet(&[leader, rejects], &with(&["status"]));
-    text += &run_fleet(&[rejects], &with(&["status"]));
-    for words in [
+    text += &run_fleet(&[leader, rejecting], &with_format(&["status"]));
+    text += &run_fleet(&[rejecting], &with_format(&["status"]));
+    for arguments in [
         &["members"][..],
         &["work"],
         &["work", "list"],
@@ -78,25 +84,25 @@
         &["release-work", "list"],
         &["release-work", "limits"],
     ] {
-        text += &run_fleet(&[leader], &with(words));
+        text += &run_fleet(&[leader], &with_format(arguments));
     }
-    text += &run_fleet(&[rejects], &with(&["release-work", "list"]));
+    text += &run_fleet(&[rejecting], &with_format(&["release-work", "list"]));
     text
 }
 
 #[test]
-fn commands_print_the_same_text_and_json_and_end_with_the_same_code() {
-    let (leader, rejects) = (leading(), rejecting());
+fn output_and_exit_codes_of_fleet_commands_match_the_golden_file() {
+    let (leader, rejecting) = (start_leader(), start_rejecting());
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("backup.json");
-    let formats = ["json", "text"].map(|format| printed(&leader, &rejects, format));
-    compare("fleet.txt", &formats.concat());
+    let formats = ["json", "text"].map(|format| output_of_commands(&leader, &rejecting, format));
+    assert_matches_golden("fleet.txt", &formats.concat());
     let path = file.to_str().expect("text");
     let output = run_fleet(&[&leader], &["backup", path]);
     assert_eq!(output, format!("> backup {path}\n< 0\n\n"));
     assert_eq!(std::fs::read_to_string(&file).expect("written"), BACKUP);
     let requests: Vec<String> = leader
-        .asked
+        .requests
         .lock()
         .expect("no holder panics")
         .iter()
@@ -111,7 +117,7 @@
             "POST /v1/order HTTP/1.1 {\"free\":{\"work\":\"list\",\"term\":5}}",
         ]
     );
-    // a missing argument, and a group of which nobody answers
+    // no coordinator is named, and no coordinator answers
     assert_eq!(run_fleet(&[], &["status"]), "> status\n< 2\n\n");
     let unanswered = Command::new(PROGRAM)
         .args([
--- a/tests/golden_dead_letter.rs
+++ b/tests/golden_dead_letter.rs
@@ -1,6 +1,6 @@
-//! What `milletturn undelivered` printed in an earlier build, command by command (`tests/golden/dead_letter.txt`):
-//! tables, JSON lines, messages and exit codes, and what it requests of a running sender. The store that it reads is
-//! the one under the store's own package. Ages of five digits of days stand as `#####d`.
+//! Compares `milletturn undelivered` with an earlier build, command by command (`tests/golden/dead_letter.txt`): tables, JSON
+//! lines, messages and exit codes, and the requests to a running sender. The commands read the golden store of the
+//! dead-letter package. Ages with five digits of days are written as `#####d`.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write as _};
@@ -15,8 +15,8 @@
 );
 const COMMANDS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/dead_letter.txt");
 
-/// What a sender answers, by the kind of the request.
-fn answer(request: &str) -> &'static str {
+/// The response of a fake sender to a request.
+fn response_to(request: &str) -> &'static str {
     match request {
         list if list.contains(r#""limit":13"#) => {
             "{\"error\":\"the store can't be used; see the log\"}\n"
@@ -49,10 +49,10 @@
     }
 }
 
-/// Answers on the socket of a folder, and notes what was requested.
-fn sender(folder: &Path) -> Arc<Mutex<Vec<String>>> {
+/// Starts a fake sender on the command socket of a folder; returns the list in which it records the requests.
+fn start_fake_sender(folder: &Path) -> Arc<Mutex<Vec<String>>> {
     let requests = Arc::new(Mutex::new(Vec::new()));
-    let seen = requests.clone();
+    let received = requests.clone();
     let listener = UnixListener::bind(folder.join("undelivered.sock")).expect("a socket");
     std::thread::spawn(move || {
         for stream in listener.incoming() {
@@ -61,15 +61,15 @@
             BufReader::new(&stream)
                 .read_line(&mut request)
                 .expect("a request");
-            let lines = answer(&request);
-            seen.lock().expect("whole").push(request);
+            let lines = response_to(&request);
+            received.lock().expect("not poisoned").push(request);
             stream.write_all(lines.as_bytes()).expect("answered");
         }
     });
     requests
 }
 
-/// Replaces ages of five digits of days, and times that a filter counts from now.
+/// Replaces ages with five digits of days, and filter times that are relative to now.
 fn without_clock(text: &str) -> String {
     let mut out = String::new();
     let mut remaining = text;
@@ -77,14 +77,14 @@
         let end = remaining[at..]
             .find(|c: char| !c.is_ascii_digit())
             .map_or(remaining.len(), |length| at + length);
-        let counted = ["\"before\":", "\"since\":"]
+        let is_relative_time = ["\"before\":", "\"since\":"]
             .iter()
             .any(|key| remaining[..at].ends_with(key));
-        let days = end - at == 5 && remaining[end..].starts_with('d');
+        let is_age_in_days = end - at == 5 && remaining[end..].starts_with('d');
         out.push_str(&remaining[..at]);
         match () {
-            () if days => out.push_str("#####"),
-            () if counted => out.push_str("NOW-AGE"),
+            () if is_age_in_days => out.push_str("#####"),
+            () if is_relative_time => out.push_str("NOW-AGE"),
             () => out.push_str(&remaining[at..end]),
         }
         remaining = &remaining[end..];
@@ -92,13 +92,20 @@
     out + remaining
 }
 
-fn run(folder: &Path, words: &str, requests: Option<&Arc<Mutex<Vec<String>>>>) -> String {
-    run_command(folder, &format!("undelivered {words}"), requests)
+/// Runs `milletturn undelivered` with these arguments; see [`run_command`].
+fn run(folder: &Path, arguments: &str, requests: Option<&Arc<Mutex<Vec<String>>>>) -> String {
+    run_command(folder, &format!("undelivered {arguments}"), requests)
 }
 
-fn run_command(folder: &Path, words: &str, requests: Option<&Arc<Mutex<Vec<String>>>>) -> String {
+/// Runs a command on a state folder. Returns the requests that the fake sender got, standard output, standard error and the
+/// exit code as one text.
+fn run_command(
+    folder: &Path,
+    arguments: &str,
+    requests: Option<&Arc<Mutex<Vec<String>>>>,
+) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_milletturn"))
-        .args(words.split_whitespace())
+        .args(arguments.split_whitespace())
         .env("RELAY_STATE", folder)
         .env("USER", "ann")
         .env_remove("MILLETTURN_UNDELIVERED")
@@ -107,7 +114,7 @@
     let mut text = String::new();
     for request in requests
         .into_iter()
-        .flat_map(|requests| std::mem::take(&mut *requests.lock().expect("whole")))
+        .flat_map(|requests| std::mem::take(&mut *requests.lock().expect("not poisoned")))
     {
         write!(text, "asked: {request}").expect("text");
     }
@@ -116,42 +123,42 @@
     writeln!(
         text,
         "exit {}",
-        output.status.code().expect("it ended by itself")
+        output.status.code().expect("no signal ended the command")
     )
     .expect("text");
     without_clock(&text.replace(&folder.display().to_string(), "FOLDER"))
 }
 
 #[test]
-fn every_command_prints_and_requests_the_same() {
+fn commands_print_and_request_what_the_golden_file_has() {
     let folder = tempfile::tempdir().expect("a folder");
     let (stopped, running) = (folder.path().join("stopped"), folder.path().join("running"));
     std::fs::create_dir(&stopped).expect("a folder");
     std::fs::create_dir(&running).expect("a folder");
     std::fs::copy(STORE, stopped.join("undelivered.db")).expect("copied");
-    let requests = sender(&running);
-    let wanted = std::fs::read_to_string(COMMANDS).expect("a golden file");
+    let requests = start_fake_sender(&running);
+    let expected = std::fs::read_to_string(COMMANDS).expect("a golden file");
     let (mut actual, mut commands) = (String::new(), 0);
-    for line in wanted.lines() {
+    for line in expected.lines() {
         let output = match line.split_once("$ ") {
-            Some(("stopped", words)) => run(&stopped, words, None),
-            Some(("running", words)) => run(&running, words, Some(&requests)),
+            Some(("stopped", arguments)) => run(&stopped, arguments, None),
+            Some(("running", arguments)) => run(&running, arguments, Some(&requests)),
             _ => continue,
         };
         writeln!(actual, "{line}\n{output}").expect("text");
         commands += 1;
     }
     assert_eq!(commands, 33);
-    for (number, (wanted, actual)) in wanted.lines().zip(actual.lines()).enumerate() {
-        assert_eq!(actual, wanted, "line {}", number + 1);
+    for (number, (expected, actual)) in expected.lines().zip(actual.lines()).enumerate() {
+        assert_eq!(actual, expected, "line {}", number + 1);
     }
-    assert_eq!(actual, wanted);
+    assert_eq!(actual, expected);
 }
 
 #[test]
-fn the_new_names_of_commands_do_what_the_old_ones_do() {
+fn commands_behave_the_same_under_their_old_and_new_names() {
     let folder = tempfile::tempdir().expect("a folder");
-    let requests = sender(folder.path());
+    let requests = start_fake_sender(folder.path());
     for (old, new) in [
         ("undelivered resend --all", "dead-letter redrive --all"),
         (
@@ -160,8 +167,8 @@
         ),
         ("undelivered stats", "dead-letter stats"),
     ] {
-        let wanted = run_command(folder.path(), old, Some(&requests));
-        assert!(wanted.starts_with("asked: "), "{wanted}");
-        assert_eq!(run_command(folder.path(), new, Some(&requests)), wanted);
+        let expected = run_command(folder.path(), old, Some(&requests));
+        assert!(expected.starts_with("asked: "), "{expected}");
+        assert_eq!(run_command(folder.path(), new, Some(&requests)), expected);
     }
 }
--- a/tests/golden_reports.rs
+++ b/tests/golden_reports.rs
@@ -1,36 +1,37 @@
-//! What `account` and `config` print for people and for programs, held by data that was written before names in the code
-//! changed: columns, JSON keys, words and exit codes.
+//! Compares what `account` and `config` print with golden files that an earlier build wrote: columns, JSON keys, wording and
+//! exit codes.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 
+/// The path of a golden file or folder.
 fn golden(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(name)
 }
 
-/// Runs a command where its files lie, so that paths in what it prints are the same everywhere; its exit code and both
-/// its streams, as one text.
-fn run(folder: &str, words: &[&str]) -> String {
+/// Runs a command in the folder of its input files, so that printed paths are the same everywhere. Returns both output
+/// streams and the exit code as one text.
+fn run(folder: &str, arguments: &[&str]) -> String {
     let output = Command::new(env!("CARGO_BIN_EXE_milletturn"))
-        .args(words)
+        .args(arguments)
         .current_dir(golden(folder))
         .stdin(Stdio::null())
         .output()
         .expect("it runs");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
-    let code = output.status.code().expect("it ended by itself");
+    let code = output.status.code().expect("no signal ended the command");
     format!(
         "> {}\n{}--- standard error\n{}--- exit code {code}\n",
-        words.join(" "),
+        arguments.join(" "),
         text(output.stdout),
         text(output.stderr)
     )
 }
 
-/// Fails when a text differs from the stored one.
-fn same(name: &str, text: &str) {
+/// Fails if a text differs from the golden file of this name.
+fn assert_matches_golden(name: &str, text: &str) {
     assert_eq!(
         text,
         std::fs::read_to_string(golden(name)).expect("stored"),
@@ -39,11 +40,11 @@
 }
 
 #[test]
-fn the_account_of_stored_logs_is_printed_as_it_was() {
+fn account_reports_of_stored_logs_match_the_golden_files() {
     let logs = ["first.log", "second.log"];
     let table = run("account", &["account", logs[0], logs[1]]);
-    same("account/table.txt", &table);
-    same(
+    assert_matches_golden("account/table.txt", &table);
+    assert_matches_golden(
         "account/rows.txt",
         &run(
             "account",
@@ -61,19 +62,19 @@
         "--format",
         "json",
     ];
-    same("account/options.txt", &run("account", &options));
-    same(
+    assert_matches_golden("account/options.txt", &run("account", &options));
+    assert_matches_golden(
         "account/nothing.txt",
         &run("account", &["account", "table.txt"]),
     );
-    same(
+    assert_matches_golden(
         "account/missing.txt",
         &run("account", &["account", "none.log"]),
     );
 }
 
 #[test]
-fn configurations_are_reported_as_they_were() {
+fn config_commands_match_the_golden_files() {
     for (name, words) in [
         (
             "broken.json.txt",
@@ -107,7 +108,7 @@
             ],
         ),
     ] {
-        same(&format!("config/{name}"), &run("config", words));
+        assert_matches_golden(&format!("config/{name}"), &run("config", words));
     }
     let all = Path::new(env!("CARGO_MANIFEST_DIR")).join("crates/config/tests/golden");
     let schema = run("config", &["config", "schema"]);
@@ -119,7 +120,7 @@
 }
 
 #[test]
-fn commands_end_quietly_when_nobody_reads_what_they_print() {
+fn commands_exit_without_an_error_when_their_output_pipe_is_closed() {
     for (folder, words) in [
         ("account", &["access-log", "first.log", "second.log"][..]),
         ("account", &["access-log", "first.log", "--format", "json"]),
@@ -144,7 +145,7 @@
 }
 
 #[test]
-fn the_commands_have_their_names_of_before_as_aliases() {
+fn former_command_names_are_aliases() {
     let old = run("account", &["account", "first.log", "second.log"]);
     let new = run("account", &["access-log", "first.log", "second.log"]);
     assert_eq!(
@@ -158,7 +159,11 @@
         ("account", "access-log"),
     ] {
         let help = |command: &str| run("config", &[command, "--help"]);
-        let without_words = |text: String| text.split_once('\n').expect("lines").1.to_string();
-        assert_eq!(without_words(help(old)), without_words(help(new)), "{old}");
+        let without_first_line = |text: String| text.split_once('\n').expect("lines").1.to_string();
+        assert_eq!(
+            without_first_line(help(old)),
+            without_first_line(help(new)),
+            "{old}"
+        );
     }
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -671,7 +671,7 @@
     *agent.watch_lines.lock().expect("not poisoned") =
         vec![list_json(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.ready();
-    // without a new watch the changed list would arrive only after 6 s
+    // well before the 6 s within which any change must be known to the sender
     assert!(
         began.elapsed() < Duration::from_secs(5),
         "{:?}",
