--- a/tests/dead_letter.rs
+++ b/tests/dead_letter.rs
@@ -174,9 +174,9 @@
 /// True if a process that started now would find no unfinished message; read from a copy of the journal.
 fn has_no_unfinished(node: &Node) -> bool {
     let copy = node.folder.join("copy");
-    std::fs::create_dir_all(&copy).expect("a folder");
+    std::fs::create_dir_all(&copy).expect("the folder is created");
     std::fs::copy(node.journal(), copy.join("journal")).expect("copied");
-    let (journal, _) = FileJournal::open(&copy, 1 << 20, 100).expect("it opens");
+    let (journal, _) = FileJournal::open(&copy, 1 << 20, 100).expect("the journal opens");
     journal.unfinished().is_empty()
 }
 
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -172,7 +172,7 @@
         round += 1;
         let id = format!("l{round}");
         submit_until_accepted(&node, &id, 7, 20_000);
-        wait_until("delivered", || {
+        wait_until("the message is delivered", || {
             old.attempt_count(&id) + new.attempt_count(&id) > 0
         });
         new.attempt_count(&id) > 0
--- a/tests/duplicate_responses.rs
+++ b/tests/duplicate_responses.rs
@@ -69,7 +69,7 @@
 
 const REJECTED: &str = "503 Service Unavailable";
 
-/// An endpoint, and the proxy between it and the sender.
+/// A sender, an endpoint, and the proxy between the two.
 struct Fixture {
     proxy: DuplicatingProxy,
     endpoint: FakeEndpoint,
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -181,11 +181,11 @@
     let hanging = unresponsive_listener();
     let address = hanging.local_addr().expect("bound");
     let mut node = Node::prepared(address, 3.0, EMPTY_ENDPOINT_LIST, |state| {
-        write_unfinished(state, 300)
+        write_unfinished(state, 300);
     });
     assert_eq!(node.readiness_status(), 503);
     node.terminate();
-    assert!(node.process.wait().expect("it ends").success());
+    assert!(node.process.wait().expect("the process ends").success());
     // kills during the start lose nothing either, however much of a new journal file they leave
     for byte_count in [0, 1000, 400_000] {
         std::fs::write(
@@ -214,12 +214,12 @@
 fn a_process_that_waits_for_the_lock_of_its_folder_ends_at_sigterm() {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("folder-of-another-{}", std::process::id()));
-    create_dir_all(folder.join("state")).expect("a folder");
+    create_dir_all(folder.join("state")).expect("the folder is created");
     let agent = UnusedAddress::bind_on([127, 0, 0, 1]);
     Node::write_config(&folder, agent.address, 3.0, 5.0, 1024);
     let lock = File::create(folder.join("state/lock")).expect("a file");
     lock.lock().expect("the lock is free");
-    let mut process = command(&folder).spawn().expect("it starts");
+    let mut process = command(&folder).spawn().expect("the process starts");
     let mut log = std::io::BufReader::new(process.stderr.take().expect("piped"));
     let mut line = String::new();
     std::io::BufRead::read_line(&mut log, &mut line).expect("a line");
@@ -341,7 +341,7 @@
             .args(["account", "--span", "1000000", "--format", format])
             .arg(&file)
             .output()
-            .expect("it runs");
+            .expect("the command runs");
         String::from_utf8(output.stdout).expect("text")
     };
     let rows: Vec<serde_json::Value> = account("json")
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -76,9 +76,7 @@
         let writes_before = write_count_under(owner, token);
         wait_until("the other member writes", || writes_above(next, token) >= 3);
         owner.resume();
-        wait_until("the former owner has joined again", || {
-            join_count(owner) > joined
-        });
+        wait_until("the former owner rejoins", || join_count(owner) > joined);
         // one write may have been in flight at the suspension: it was done then and is reported now
         let late = write_count_under(owner, token) - writes_before;
         assert!(
@@ -116,9 +114,7 @@
         cluster.events_of("w").iter().any(is_rejected)
     });
     a.resume();
-    wait_until("the former owner has joined again", || {
-        join_count(&a) > joined
-    });
+    wait_until("the former owner rejoins", || join_count(&a) > joined);
     let events = cluster.check_history(&[&a, &b]);
     assert!(
         events.iter().all(|event| event.member != "a"
@@ -147,9 +143,7 @@
         .links
         .iter()
         .for_each(|link| link.set_both(LinkMode::Pass));
-    wait_until("the former owner has joined again", || {
-        join_count(&a) > joined
-    });
+    wait_until("the former owner rejoins", || join_count(&a) > joined);
     cluster.check_history(&[&a, &b]);
 }
 
@@ -246,9 +240,7 @@
                 .0,
             0
         );
-        wait_until("the member owns the resource again", || {
-            writes_above(&a, token) >= 3
-        });
+        wait_until("the member owns again", || writes_above(&a, token) >= 3);
     }
     // hold back a write of the lost group's owner
     buffer_outgoing(&cluster, &links_a);
@@ -281,9 +273,7 @@
         .iter()
         .for_each(|link| link.set_both(LinkMode::Pass));
     a.resume();
-    wait_until("the former owner has joined again", || {
-        join_count(&a) > joined
-    });
+    wait_until("the former owner rejoins", || join_count(&a) > joined);
     let events = cluster.events_of("w");
     let text = format!("{events:#?}");
     check_single_owner(&events).unwrap_or_else(|why| panic!("{why}\n{text}"));
--- a/tests/fleet_commands/held.rs
+++ b/tests/fleet_commands/held.rs
@@ -13,7 +13,7 @@
     Some((200, text.into()))
 }
 
-/// Answers a member's calls so that the member reports each kind of event once; `stage` counts the steps of the scenario.
+/// Answers a member's calls so that the member reports every kind of event; `stage` counts the steps of the scenario.
 fn scenario(stage: &Mutex<u32>, path: &str, body: &str) -> Option<(u16, String)> {
     let mut stage = stage.lock().expect("no holder panics");
     match path {
--- a/tests/fleet_commands/output.rs
+++ b/tests/fleet_commands/output.rs
@@ -42,7 +42,7 @@
                 .stdout(writer)
                 .stderr(Stdio::piped())
                 .output()
-                .expect("it starts");
+                .expect("the process starts");
             let stderr = String::from_utf8_lossy(&output.stderr);
             assert_eq!(
                 (output.status.code(), stderr.as_ref()),
@@ -74,7 +74,7 @@
         .stdout(full)
         .stderr(Stdio::piped())
         .output()
-        .expect("it starts");
+        .expect("the process starts");
     let stderr = String::from_utf8_lossy(&output.stderr);
     assert!(
         !output.status.success() && stderr.contains("standard output"),
--- a/tests/fleet_commands/printed.rs
+++ b/tests/fleet_commands/printed.rs
@@ -16,7 +16,7 @@
     for coordinator in coordinators {
         command.args(["--steward", &coordinator.address.to_string()]);
     }
-    let output = command.output().expect("it starts");
+    let output = command.output().expect("the process starts");
     let text = String::from_utf8(output.stdout).expect("text");
     let text = coordinators
         .iter()
@@ -93,7 +93,7 @@
 #[test]
 fn output_and_exit_codes_of_fleet_commands_match_the_golden_file() {
     let (leader, rejecting) = (start_leader(), start_rejecting());
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("the folder is created");
     let file = folder.path().join("backup.json");
     let formats = ["json", "text"].map(|format| output_of_commands(&leader, &rejecting, format));
     assert_matches_golden("fleet.txt", &formats.concat());
@@ -131,7 +131,7 @@
             "1",
         ])
         .output()
-        .expect("it starts");
+        .expect("the process starts");
     assert_eq!(
         (unanswered.status.code(), unanswered.stdout.len()),
         (Some(3), 0)
--- a/tests/golden_dead_letter.rs
+++ b/tests/golden_dead_letter.rs
@@ -131,10 +131,10 @@
 
 #[test]
 fn commands_print_and_request_what_the_golden_file_has() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("the folder is created");
     let (stopped, running) = (folder.path().join("stopped"), folder.path().join("running"));
-    std::fs::create_dir(&stopped).expect("a folder");
-    std::fs::create_dir(&running).expect("a folder");
+    std::fs::create_dir(&stopped).expect("the folder is created");
+    std::fs::create_dir(&running).expect("the folder is created");
     std::fs::copy(STORE, stopped.join("undelivered.db")).expect("copied");
     let requests = start_fake_sender(&running);
     let expected = std::fs::read_to_string(COMMANDS).expect("a golden file");
@@ -157,7 +157,7 @@
 
 #[test]
 fn commands_behave_the_same_under_their_old_and_new_names() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("the folder is created");
     let requests = start_fake_sender(folder.path());
     for (old, new) in [
         ("undelivered resend --all", "dead-letter redrive --all"),
--- a/tests/golden_reports.rs
+++ b/tests/golden_reports.rs
@@ -19,7 +19,7 @@
         .current_dir(golden(folder))
         .stdin(Stdio::null())
         .output()
-        .expect("it runs");
+        .expect("the command runs");
     let text = |bytes: Vec<u8>| String::from_utf8(bytes).expect("text");
     let code = output.status.code().expect("no signal ended the command");
     format!(
@@ -137,7 +137,7 @@
             .stdin(Stdio::null())
             .stdout(writer)
             .output()
-            .expect("it runs");
+            .expect("the command runs");
         let errors = String::from_utf8(output.stderr).expect("text");
         assert!(output.status.success(), "{words:?}: {errors}");
         assert!(!errors.contains("panicked"), "{words:?}: {errors}");
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -54,7 +54,7 @@
     wait_until("the new endpoint list is used", || {
         let id = format!("n{}", first.request_count());
         assert_eq!(node.submit("webhook", &id, 7, 20_000, b"x"), 202);
-        wait_until("delivered", || {
+        wait_until("the message is delivered", || {
             first.attempt_count(&id) + second.attempt_count(&id) > 0
         });
         second.request_count() > 0
@@ -228,12 +228,12 @@
     let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || {
+    wait_until("the message is delivered", || {
         node.submit("webhook", "m1", 7, 20_000, b"x") == 200
     });
     std::thread::sleep(Duration::from_millis(100)); // until the late bytes have arrived
     assert_eq!(node.submit("order", "m2", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || {
+    wait_until("the message is delivered", || {
         node.submit("order", "m2", 7, 20_000, b"x") == 200
     });
     assert_eq!(
@@ -251,7 +251,9 @@
     let agent = discovery_with(&endpoint);
     let node = Node::new(&agent).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.attempt_count("m1") == 1);
+    wait_until("the message is delivered", || {
+        endpoint.attempt_count("m1") == 1
+    });
     let next = FakeDiscovery::new(vec![list_json(&[(
         "s-2",
         endpoint.address,
@@ -264,7 +266,9 @@
     wait_until("the destination is known", || {
         node.submit("webhook", "m2", 8, 20_000, b"x") == 202
     });
-    wait_until("delivered", || endpoint.attempt_count("m2") == 1);
+    wait_until("the message is delivered", || {
+        endpoint.attempt_count("m2") == 1
+    });
     assert_eq!(endpoint.request(1).connection, 1);
 }
 
@@ -296,7 +300,9 @@
     let agent = FakeDiscovery::new(vec![list_json(&[("s-1", faulty_address, "one", 7, "up")])]);
     let node = Node::new(&agent).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.attempt_count("m1") == 1);
+    wait_until("the message is delivered", || {
+        endpoint.attempt_count("m1") == 1
+    });
     wait_until("the message has ended", || {
         node.submit("webhook", "m1", 7, 0, b"x") == 200
     });
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -54,9 +54,7 @@
     owner_proxy.process.suspend();
     wait_until("the other member writes", || writes_above(&b, token) >= 3);
     owner_proxy.process.resume();
-    wait_until("the former owner has joined again", || {
-        join_count(&a) > before
-    });
+    wait_until("the former owner rejoins", || join_count(&a) > before);
     cluster.check_history(&[&a, &b]);
 }
 
@@ -77,9 +75,7 @@
     let (token, before) = (highest_token(&a), join_count(&a));
     wait_until("the other member writes", || writes_above(&b, token) >= 3);
     links_a.links[0].set_both(LinkMode::Pass);
-    wait_until("the former owner has joined again", || {
-        join_count(&a) > before
-    });
+    wait_until("the former owner rejoins", || join_count(&a) > before);
     cluster.check_history(&[&a, &b]);
 }
 
@@ -178,9 +174,7 @@
         .links
         .iter()
         .for_each(|link| link.set_both(LinkMode::Pass));
-    wait_until("the former owner has joined again", || {
-        join_count(&a) > before
-    });
+    wait_until("the former owner rejoins", || join_count(&a) > before);
     cluster.check_history(&[&a, &b]);
 }
 
@@ -315,7 +309,7 @@
 
 #[test]
 fn a_proxy_with_more_connections_than_descriptors_does_not_start() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("the folder is created");
     let file = folder.path().join("relay.toml");
     let text = "group = \"g\"\nname = \"r\"\nlisten = \"127.0.0.1:0\"\nstewards = [\"127.0.0.1:1\"]\nplaces = 300\n";
     std::fs::write(&file, text).expect("written");
@@ -327,7 +321,7 @@
             .args(["-c", &line, PROGRAM])
             .arg(&file)
             .output()
-            .expect("it starts");
+            .expect("the process starts");
         (
             output.status.success(),
             String::from_utf8_lossy(&output.stderr).into_owned(),
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -23,7 +23,7 @@
     let name = format!("sidecar-{}-{number}", std::process::id());
     let folder = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the folder is created");
     folder
 }
 
@@ -80,7 +80,7 @@
     fn run(file: PathBuf, http: SocketAddr, outcomes: SocketAddr) -> Self {
         let mut process = command(&["sidecar", "--config", file.to_str().expect("text")])
             .spawn()
-            .expect("it starts");
+            .expect("the process starts");
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
         let (lines, errors) = (log.clone(), process.stderr.take().expect("piped"));
         std::thread::spawn(move || {
@@ -348,7 +348,7 @@
     wait_until("the new endpoint list is used", || {
         let id = format!("n{}", first.request_count());
         assert_eq!(sidecar.submit("notice", &id, 1), 202);
-        wait_until("delivered", || {
+        wait_until("the message is delivered", || {
             first.attempt_count(&id) + second.attempt_count(&id) > 0
         });
         second.request_count() > 0
@@ -514,7 +514,9 @@
         std::fs::write(&file, text).expect("written");
         let sidecar = Sidecar::run(file, http, outcomes);
         assert_eq!(sidecar.submit("notice", effect, 1), 202);
-        wait_until("delivered", || good.attempt_count(effect) == 1);
+        wait_until("the message is delivered", || {
+            good.attempt_count(effect) == 1
+        });
     }
 }
 
@@ -594,17 +596,12 @@
 fn outcomes_are_sent_to_the_callback_until_it_accepts_them_also_across_kills() {
     let (good, bad) = good_and_bad_endpoint();
     let call_count = Arc::new(AtomicUsize::new(0));
-    let callback_count = call_count.clone();
+    let count = call_count.clone();
     // the callback rejects the first 4 calls and every third one
-    let callback =
-        FakeEndpoint::new(
-            move |_, _| match callback_count.fetch_add(1, Ordering::SeqCst) {
-                number if number < 4 || number % 3 == 0 => {
-                    Reply::Respond("500 Oops", String::new())
-                }
-                _ => OK,
-            },
-        );
+    let callback = FakeEndpoint::new(move |_, _| match count.fetch_add(1, Ordering::SeqCst) {
+        number if number < 4 || number % 3 == 0 => Reply::Respond("500 Oops", String::new()),
+        _ => OK,
+    });
     let rest = destinations(good.address, bad.address);
     let mut sidecar = Sidecar::new(&format!(
         "[outcomes]\ncallback = '{}'\n{rest}",
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -29,7 +29,7 @@
     let node = Node::new(&discovery_with(&endpoint)).ready();
     let body = b"any \0 bytes\r\n\xff";
     assert_eq!(node.submit("webhook", "m1", 7, 20_000, body), 202);
-    wait_until("delivered", || endpoint.request_count() == 1);
+    wait_until("the message is delivered", || endpoint.request_count() == 1);
     let call = endpoint.request(0);
     assert_eq!(call.line, "POST /inbox HTTP/1.1");
     assert_eq!(
@@ -56,7 +56,7 @@
     assert_eq!(endpoint.connection_count.load(Ordering::SeqCst), 1);
     std::thread::sleep(Duration::from_millis(1000)); // the configured idle time of 1 s
     assert_eq!(node.submit("webhook", "late", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.request_count() == 4);
+    wait_until("the message is delivered", || endpoint.request_count() == 4);
     assert_eq!(endpoint.request(3).connection, 1);
 }
 
@@ -342,13 +342,11 @@
 fn a_batch_response_decides_the_outcome_of_each_message() {
     // the first calls stay unanswered and fill the destination's window, so that the rest is sent as a batch
     let blocked: Arc<Mutex<bool>> = Arc::new(Mutex::new(true));
-    let first_blocked = blocked.clone();
+    let is_blocked = blocked.clone();
     let endpoint = FakeEndpoint::new(move |request, _| {
         if request.line.starts_with("POST /inbox ") {
             if request.message_ids()[0].starts_with("first") {
-                wait_until("the first calls are released", || {
-                    !*first_blocked.lock().expect("not poisoned")
-                });
+                wait_until("released", || !*is_blocked.lock().expect("not poisoned"));
             }
             return OK;
         }
@@ -646,7 +644,7 @@
     for n in 0..6 {
         let id = format!("m{n}");
         assert_eq!(node.submit("webhook", &id, 7, 20_000, b"x"), 202);
-        wait_until("delivered", || {
+        wait_until("the message is delivered", || {
             new.attempt_count(&id) + old.attempt_count(&id) > 0
         });
     }
@@ -678,7 +676,9 @@
         began.elapsed()
     );
     assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.attempt_count("m1") == 1);
+    wait_until("the message is delivered", || {
+        endpoint.attempt_count("m1") == 1
+    });
 }
 
 #[test]
@@ -717,7 +717,7 @@
 #[test]
 fn an_invalid_configuration_fails_with_one_line_on_stderr() {
     let folder = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("bad-config");
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("the folder is created");
     for text in [
         "",
         "{",
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -89,7 +89,7 @@
             .expect("a response");
         match status {
             202 => accepted.push(id),
-            // fifty are in flight already, as on a machine that others use: it is not accepted, so not sent
+            // 50 messages are in flight already, as happens on a busy machine; a rejected message must not be sent
             429 => thread::sleep(Duration::from_millis(20)),
             other => panic!("{id} is answered {other}"),
         }
@@ -180,7 +180,7 @@
     }
     let new = old.upgrade().ready();
     old.kill();
-    wait_until("its calls are logged as cut off", || {
+    wait_until("the old calls are logged as cut off", || {
         new.logged("calls cut off")
     });
     release.store(true, Ordering::SeqCst);
@@ -213,7 +213,7 @@
         (hello, Some(&b"\x01\0\0\0\x63"[..])),
         (hello, Some(b"\xff\xff\xff\xff")),
     ] {
-        let mut caller = UnixStream::connect(&socket).expect("it listens");
+        let mut caller = UnixStream::connect(&socket).expect("the socket listens");
         caller.write_all(first).expect("written");
         if let Some(then) = then {
             let _ = caller.read(&mut [0; 8]);
@@ -238,7 +238,8 @@
     wait_until("the message is sent", || {
         endpoint.attempt_count("blocked-1") == 1
     });
-    let mut caller = UnixStream::connect(old.folder.join("state/handover")).expect("it listens");
+    let mut caller =
+        UnixStream::connect(old.folder.join("state/handover")).expect("the socket listens");
     caller.write_all(b"MTH1\x01\0\0\0").expect("written");
     let _ = caller.read(&mut [0; 8]).expect("a hello");
     caller.write_all(b"\x01\0\0\0\x01").expect("leave");
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -183,7 +183,9 @@
     let accepted = client.send(&message_request("webhook", "after", 7, 20_000, b"x"));
     assert!(matches!(accepted, Some((202, _)) | None), "{accepted:?}");
     assert_eq!(new.submit("webhook", "after-too", 7, 20_000, b"x"), 202);
-    wait_until("delivered", || endpoint.attempt_count("after-too") == 1);
+    wait_until("the message is delivered", || {
+        endpoint.attempt_count("after-too") == 1
+    });
     release.store(true, Ordering::SeqCst);
     for (class, id) in [("order", "waiting-order"), ("webhook", "waiting-webhook")] {
         wait_until("the new process knows of the message's end", || {
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -108,7 +108,7 @@
             for number in 0..24 {
                 let id = format!("m-{round}-{number}");
                 assert_eq!(node.submit("webhook", &id, 7, 20_000, b"x"), 202);
-                wait_until("delivered", || {
+                wait_until("the message is delivered", || {
                     self.new.attempt_count(&id) + self.old.attempt_count(&id) > 0
                 });
             }
