--- a/tests/dead_letter.rs
+++ b/tests/dead_letter.rs
@@ -88,8 +88,8 @@
 #[test]
 fn a_failed_message_is_stored_confirmed_as_not_run_and_redriven_once() {
     let (endpoint, repaired) = broken_endpoint();
-    let agent = discovery_with(&endpoint);
-    let node = Node::with_store(&agent, "[store]\nmax_mb = 2").ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::with_store(&discovery, "[store]\nmax_mb = 2").ready();
     assert_eq!(exit_code(&node, &["list"]), 3, "the store is empty");
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"licence 5"), 202);
     let stored = wait_for_stored(&node);
@@ -99,7 +99,7 @@
         (Some("m1"), Some("no-repeat"))
     );
     wait_until("the platform is notified", || {
-        agent.notifications().len() == 1
+        discovery.notifications().len() == 1
     });
     check_record(&node, number);
     check_confirmation(&node, number);
@@ -116,7 +116,7 @@
         "a delivered message is not redriven"
     );
     assert_eq!(
-        agent.notifications().len(),
+        discovery.notifications().len(),
         1,
         "one notification, and no second one for the redrive"
     );
--- a/tests/duplicate_responses.rs
+++ b/tests/duplicate_responses.rs
@@ -75,7 +75,7 @@
     endpoint: FakeEndpoint,
     /// Message ids that the endpoint answered with 200, one entry for each response.
     delivered: Arc<Mutex<Vec<String>>>,
-    agent: FakeDiscovery,
+    discovery: FakeDiscovery,
     node: Node,
 }
 
@@ -120,13 +120,14 @@
             reply
         });
         let proxy = DuplicatingProxy::new(endpoint.address, duplication);
-        let agent = FakeDiscovery::new(vec![list_json(&[("s-1", proxy.address, "one", 7, "up")])]);
-        let node = Node::with_trace(&agent).ready();
+        let discovery =
+            FakeDiscovery::new(vec![list_json(&[("s-1", proxy.address, "one", 7, "up")])]);
+        let node = Node::with_trace(&discovery).ready();
         Fixture {
             proxy,
             endpoint,
             delivered,
-            agent,
+            discovery,
             node,
         }
     }
@@ -151,7 +152,7 @@
 
     fn is_ended(&self, id: &String) -> bool {
         let quoted = format!("\"{id}\"");
-        let notifications = self.agent.notifications();
+        let notifications = self.discovery.notifications();
         self.delivered().contains(id) || notifications.iter().any(|line| line.contains(&quoted))
     }
 
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -198,8 +198,8 @@
         node.kill();
     }
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = discovery_with(&endpoint);
-    let node = node.restart_with_discovery(agent.address).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = node.restart_with_discovery(discovery.address).ready();
     assert!(node.logged("300 messages owed"));
     wait_until("all are delivered", || endpoint.request_count() >= 300);
     let ids: Vec<String> = (0..300).map(|number| format!("m{number}")).collect();
@@ -207,7 +207,7 @@
         ids.iter().all(|id| endpoint.attempt_count(id) == 1),
         "each message was attempted exactly once"
     );
-    assert!(agent.notifications().is_empty());
+    assert!(discovery.notifications().is_empty());
 }
 
 #[test]
@@ -215,8 +215,8 @@
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR"))
         .join(format!("folder-of-another-{}", std::process::id()));
     create_dir_all(folder.join("state")).expect("the folder is created");
-    let agent = UnusedAddress::bind_on([127, 0, 0, 1]);
-    Node::write_config(&folder, agent.address, 3.0, 5.0, 1024);
+    let discovery = UnusedAddress::bind_on([127, 0, 0, 1]);
+    Node::write_config(&folder, discovery.address, 3.0, 5.0, 1024);
     let lock = File::create(folder.join("state/lock")).expect("a file");
     lock.lock().expect("the lock is free");
     let mut process = command(&folder).spawn().expect("the process starts");
@@ -252,8 +252,8 @@
     let next = records.get(whole).map_or(&[][..], |record| &record[..torn]);
     let journal = [records[..whole].concat(), next.to_vec()].concat();
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = discovery_with(&endpoint);
-    let node = Node::prepared(agent.address, 3.0, EMPTY_ENDPOINT_LIST, |state| {
+    let discovery = discovery_with(&endpoint);
+    let node = Node::prepared(discovery.address, 3.0, EMPTY_ENDPOINT_LIST, |state| {
         std::fs::write(state.join("journal"), journal).expect("written");
     });
     let node = node.ready();
@@ -265,7 +265,7 @@
         }
         ("order", 2) => {
             wait_until(&case, || {
-                agent
+                discovery
                     .notifications()
                     .iter()
                     .any(|line| line.contains(r#""m1","state":"failed""#))
@@ -280,7 +280,7 @@
     });
     assert_eq!(endpoint.attempt_count("m1"), expected_attempts, "{case}");
     assert_eq!(
-        agent.notifications().len(),
+        discovery.notifications().len(),
         usize::from(class == "order" && whole == 2),
         "{case}"
     );
@@ -292,8 +292,8 @@
     // first byte of the call follows the second, the end of the call comes before the third.
     for class in ["order", "webhook"] {
         let endpoint = FakeEndpoint::new(|_, _| OK);
-        let agent = discovery_with(&endpoint);
-        let mut node = Node::new(&agent).ready();
+        let discovery = discovery_with(&endpoint);
+        let mut node = Node::new(&discovery).ready();
         assert_eq!(node.submit(class, "m1", 7, 120_000, b"x"), 202);
         wait_until("the message has ended", || {
             node.submit(class, "m1", 7, 120_000, b"x") == 200
@@ -315,17 +315,17 @@
 fn the_account_counts_expired_messages_without_an_attempt_by_reason() {
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("418 Teapot", String::new()));
     let draining = |uid, destination| (uid, endpoint.address, "one", destination, "draining");
-    let agent = FakeDiscovery::new(vec![list_json(&[
+    let discovery = FakeDiscovery::new(vec![list_json(&[
         ("s-1", endpoint.address, "one", 7, "up"),
         draining("d-9", 9),
     ])]);
-    let node = Node::with_trace(&agent).ready();
+    let node = Node::with_trace(&discovery).ready();
     // one message has an attempt that may have run; two have none, since their only endpoint drains
     assert_eq!(node.submit("order", "tried", 7, 20_000, b"x"), 202);
     assert_eq!(node.submit("webhook", "untried", 9, 300, b"x"), 202);
     assert_eq!(node.submit("order", "untried-too", 9, 300, b"x"), 202);
     wait_until("all three notifications arrive", || {
-        agent.notifications().len() == 3
+        discovery.notifications().len() == 3
     });
     wait_until("all three are in the log", || {
         let log = node.log.lock().expect("not poisoned");
@@ -359,5 +359,5 @@
         "{rows:?}"
     );
     assert!(account("text").contains("untried"), "{}", account("text"));
-    assert!(agent.watch_count.load(Ordering::SeqCst) > 0);
+    assert!(discovery.watch_count.load(Ordering::SeqCst) > 0);
 }
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -65,16 +65,16 @@
 }
 
 impl Node {
-    pub(crate) fn new(agent: &FakeDiscovery) -> Self {
-        Node::start(new_folder(), Setup::new(agent.address))
+    pub(crate) fn new(discovery: &FakeDiscovery) -> Self {
+        Node::start(new_folder(), Setup::new(discovery.address))
     }
 
     /// Starts a sender that runs another build of the program.
-    pub(crate) fn with_program(program: &Path, agent: &FakeDiscovery) -> Self {
+    pub(crate) fn with_program(program: &Path, discovery: &FakeDiscovery) -> Self {
         let program = program.to_path_buf();
         let setup = Setup {
             program,
-            ..Setup::new(agent.address)
+            ..Setup::new(discovery.address)
         };
         Node::start(new_folder(), setup)
     }
@@ -89,14 +89,14 @@
     }
 
     /// Starts a sender with a dead-letter store that has these settings.
-    pub(crate) fn with_store(agent: &FakeDiscovery, settings: &str) -> Self {
-        let node = Node::new(agent);
+    pub(crate) fn with_store(discovery: &FakeDiscovery, settings: &str) -> Self {
+        let node = Node::new(discovery);
         let folder = node.folder.clone();
         drop(node);
         let setup = Setup {
             disk_mb: 30.0,
             store: Some(settings.to_string()),
-            ..Setup::new(agent.address)
+            ..Setup::new(discovery.address)
         };
         Node::start(folder, setup)
     }
@@ -121,8 +121,8 @@
     }
 
     /// Starts a sender that writes trace lines, from which `milletturn account` makes its report.
-    pub(crate) fn with_trace(agent: &FakeDiscovery) -> Self {
-        let node = Node::new(agent);
+    pub(crate) fn with_trace(discovery: &FakeDiscovery) -> Self {
+        let node = Node::new(discovery);
         std::fs::write(node.folder.join("trace"), "").expect("written");
         node.restart()
     }
@@ -148,8 +148,8 @@
     }
 
     /// Starts a sender that may open no more than this number of file descriptors.
-    pub(crate) fn with_descriptor_limit(agent: &FakeDiscovery, sockets: usize) -> Self {
-        Node::with_discovery_and_descriptor_limit(agent.address, sockets)
+    pub(crate) fn with_descriptor_limit(discovery: &FakeDiscovery, sockets: usize) -> Self {
+        Node::with_discovery_and_descriptor_limit(discovery.address, sockets)
     }
 
     pub(crate) fn with_discovery_and_descriptor_limit(
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -150,8 +150,8 @@
                 _ => OK,
             },
         );
-    let agent = discovery_with(&endpoint);
-    let node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::new(&discovery).ready();
     assert_eq!(node.submit("licence", "m1", 7, 20_000, b"x"), 400);
     // an at-most-once message that may run must never be sent again, whatever effect its class gets later
     assert_eq!(node.submit("order", "slow-order", 7, 3_000, b"x"), 202);
@@ -187,7 +187,7 @@
         (2, 1)
     );
     wait_until("the failure is notified", || {
-        agent
+        discovery
             .notifications()
             .iter()
             .any(|line| line.contains("slow-order") && line.contains("failed"))
@@ -204,12 +204,12 @@
 #[test]
 fn a_reload_from_an_invalid_file_changes_nothing() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = discovery_with(&endpoint);
-    let node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::new(&discovery).ready();
     let valid =
         std::fs::read_to_string(node.folder.join("config.json")).expect("the configuration");
     let with_new = valid.replace(r#"{"name":"order""#, LICENCE_BEFORE_ORDER);
-    let with_new_address = with_new.replace(&agent.address.to_string(), "127.0.0.1:1");
+    let with_new_address = with_new.replace(&discovery.address.to_string(), "127.0.0.1:1");
     let mut invalid = vec![String::new(), "{}".to_string(), "null".to_string()];
     invalid.extend([1, 3, 10].map(|part| {
         with_new_address[..with_new_address.len() - with_new_address.len() / part].to_string()
@@ -254,8 +254,8 @@
         "m1" | "m2" => Reply::NoResponse,
         _ => OK,
     });
-    let agent = discovery_with(&endpoint);
-    let node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::new(&discovery).ready();
     for (class, id) in [("order", "m1"), ("webhook", "m2")] {
         assert_eq!(node.submit(class, id, 7, 20_000, b"x"), 202);
         wait_until("the message is sent", || endpoint.attempt_count(id) == 1);
@@ -270,7 +270,7 @@
     // the restarted process reads the changed file
     let node = node.restart_keeping_config().ready();
     wait_until("the at-most-once message has failed", || {
-        agent
+        discovery
             .notifications()
             .iter()
             .any(|line| line.contains("m1") && line.contains("failed"))
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -51,8 +51,8 @@
             OK
         }
     });
-    let agent = discovery_with(&endpoint);
-    let node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::new(&discovery).ready();
     assert_eq!(submit_about(&node, "a", "m1", 20_000), 202);
     wait_until("the first is sent", || endpoint.attempt_count("m1") >= 1);
     assert_eq!(
@@ -100,9 +100,11 @@
             OK
         }
     });
-    let agent = discovery_with(&endpoint);
-    agent.remaining_faults.store(usize::MAX, Ordering::SeqCst);
-    let node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    discovery
+        .remaining_faults
+        .store(usize::MAX, Ordering::SeqCst);
+    let node = Node::new(&discovery).ready();
     assert_eq!(submit_about(&node, "a", "m1", 400), 202);
     assert_eq!(submit_about(&node, "a", "m2", 20_000), 202);
     wait_until("the first has ended, and its notification fails", || {
@@ -131,10 +133,15 @@
         0,
         "the platform has still not been notified of the previous end"
     );
-    agent.remaining_faults.store(0, Ordering::SeqCst);
+    discovery.remaining_faults.store(0, Ordering::SeqCst);
     wait_until(
         "the second is sent once the notification has arrived",
         || endpoint.attempt_count("m2") >= 1,
     );
-    assert!(agent.notifications().iter().any(|line| line.contains("m1")));
+    assert!(
+        discovery
+            .notifications()
+            .iter()
+            .any(|line| line.contains("m1"))
+    );
 }
--- a/tests/response_faults.rs
+++ b/tests/response_faults.rs
@@ -32,7 +32,7 @@
 struct Scenario {
     seed: u64,
     executions: Arc<Mutex<Executions>>,
-    agent: FakeDiscovery,
+    discovery: FakeDiscovery,
     node: Node,
     accepted: Vec<String>,
 }
@@ -41,17 +41,17 @@
     fn new(seed: u64) -> Self {
         let executions: Arc<Mutex<Executions>> = Arc::default();
         let endpoint = |number| spawn_unreliable_endpoint(seed * 10 + number, &executions);
-        let agent = FakeDiscovery::new(vec![list_json(&[
+        let discovery = FakeDiscovery::new(vec![list_json(&[
             ("s-1", endpoint(1), "one", 7, "up"),
             ("s-2", endpoint(2), "one", 7, "up"),
             ("s-3", endpoint(3), "one", 8, "up"),
             ("s-4", endpoint(4), "bulk", 9, "up"),
         ])]);
-        let node = Node::with_trace(&agent).ready();
+        let node = Node::with_trace(&discovery).ready();
         Scenario {
             seed,
             executions,
-            agent,
+            discovery,
             node,
             accepted: Vec::new(),
         }
@@ -88,7 +88,7 @@
 
     /// The accepted messages that are neither delivered nor ended by a notification.
     fn unfinished(&self) -> Vec<&String> {
-        let notifications = self.agent.notifications();
+        let notifications = self.discovery.notifications();
         let executions = self.executions.lock().expect("not poisoned");
         let is_ended = |id: &String| {
             let quoted = format!("\"{id}\"");
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -161,13 +161,13 @@
 fn attempts_and_notifications_after(first: &'static str) -> (usize, Vec<String>) {
     let endpoint =
         FakeEndpoint::new(move |_, number| if number == 0 { Reply::Raw(first) } else { OK });
-    let agent = discovery_with(&endpoint);
-    let node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::new(&discovery).ready();
     assert_eq!(node.submit("order", "m1", 7, 3_000, b"x"), 202);
     wait_until("the message is sent", || endpoint.attempt_count("m1") == 1);
     wait_until("the message has ended", || {
         // with a timeout of 0 a resubmission is never sent
-        !agent.notifications().is_empty() || node.submit("order", "m1", 7, 0, b"x") == 200
+        !discovery.notifications().is_empty() || node.submit("order", "m1", 7, 0, b"x") == 200
     });
     // bytes after the first response must not be read as the next call's response
     assert_eq!(node.submit("webhook", "m2", 7, 20_000, b"x"), 202);
@@ -175,7 +175,7 @@
         node.submit("webhook", "m2", 7, 20_000, b"x") == 200
     });
     assert_eq!(endpoint.attempt_count("m2"), 1, "{first}");
-    (endpoint.attempt_count("m1"), agent.notifications())
+    (endpoint.attempt_count("m1"), discovery.notifications())
 }
 
 #[test]
@@ -225,8 +225,8 @@
         0 => Reply::RawInTwoParts("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", LATE),
         _ => OK,
     });
-    let agent = discovery_with(&endpoint);
-    let node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::new(&discovery).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("the message is delivered", || {
         node.submit("webhook", "m1", 7, 20_000, b"x") == 200
@@ -248,8 +248,8 @@
 #[test]
 fn a_new_endpoint_at_an_old_address_gets_a_connection_of_its_own() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = discovery_with(&endpoint);
-    let node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::new(&discovery).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("the message is delivered", || {
         endpoint.attempt_count("m1") == 1
@@ -261,7 +261,7 @@
         8,
         "up",
     )])]);
-    node.reload(|text| text.replace(&agent.address.to_string(), &next.address.to_string()));
+    node.reload(|text| text.replace(&discovery.address.to_string(), &next.address.to_string()));
     // an unknown destination is rejected with a Retry-After until the endpoint list contains it
     wait_until("the destination is known", || {
         node.submit("webhook", "m2", 8, 20_000, b"x") == 202
@@ -275,8 +275,8 @@
 #[test]
 fn an_unknown_destination_is_rejected_with_a_retry_after() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = discovery_with(&endpoint);
-    let node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::new(&discovery).ready();
     let (status, response) = node.raw(&message_request("webhook", "m1", 4711, 20_000, b"x"));
     assert_eq!(status, 429);
     assert!(!response.header("retry-after").is_empty());
@@ -284,7 +284,7 @@
     wait_until("the message to a known destination is delivered", || {
         endpoint.attempt_count("m2") == 1
     });
-    assert!(agent.notifications().is_empty());
+    assert!(discovery.notifications().is_empty());
 }
 
 #[test]
@@ -297,8 +297,8 @@
         2 => ConnectionFault::Delay(Duration::from_millis(20)),
         _ => ConnectionFault::None,
     });
-    let agent = FakeDiscovery::new(vec![list_json(&[("s-1", faulty_address, "one", 7, "up")])]);
-    let node = Node::new(&agent).ready();
+    let discovery = FakeDiscovery::new(vec![list_json(&[("s-1", faulty_address, "one", 7, "up")])]);
+    let node = Node::new(&discovery).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
     wait_until("the message is delivered", || {
         endpoint.attempt_count("m1") == 1
@@ -306,5 +306,5 @@
     wait_until("the message has ended", || {
         node.submit("webhook", "m1", 7, 0, b"x") == 200
     });
-    assert!(agent.notifications().is_empty());
+    assert!(discovery.notifications().is_empty());
 }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -188,14 +188,18 @@
         already_failed.push(id);
         first.clone()
     });
-    let agent = discovery_with(&endpoint);
-    let node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::new(&discovery).ready();
     assert_eq!(node.submit("webhook", "keyed", 7, 8_000, b"x"), 202);
     wait_until("the keyed message is sent", || {
         endpoint.attempt_count("keyed") > 0
     });
     let is_retried_or_notified = |id: &str| {
-        endpoint.attempt_count(id) > 1 || agent.notifications().iter().any(|line| line.contains(id))
+        endpoint.attempt_count(id) > 1
+            || discovery
+                .notifications()
+                .iter()
+                .any(|line| line.contains(id))
     };
     let is_settled = |id: &str| {
         is_retried_or_notified(id) || node.raw(&message_request("webhook", id, 7, 1, b"x")).0 == 200
@@ -213,7 +217,7 @@
     (
         endpoint.attempt_count("keyed"),
         endpoint.attempt_count("unsafe"),
-        agent.notifications(),
+        discovery.notifications(),
     )
 }
 
@@ -284,38 +288,43 @@
 #[test]
 fn a_410_ends_a_message_without_a_retry_or_a_notification() {
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("410 Gone", String::new()));
-    let agent = discovery_with(&endpoint);
-    let node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::new(&discovery).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 400, b"x"), 202);
     wait_until("the message is sent", || endpoint.request_count() == 1);
     // the notification of a message with a later deadline shows that none was sent for the first one
     assert_eq!(node.submit("webhook", "m2", 99, 900, b"x"), 202);
     wait_until("the later message's notification arrives", || {
-        !agent.notifications().is_empty()
+        !discovery.notifications().is_empty()
     });
     assert_eq!(endpoint.request_count(), 1);
-    assert!(agent.notifications().iter().all(|line| line.contains("m2")));
+    assert!(
+        discovery
+            .notifications()
+            .iter()
+            .all(|line| line.contains("m2"))
+    );
 }
 
 #[test]
 fn a_message_whose_connections_were_refused_is_returned_as_never_run() {
     let unused = UnusedAddress::bind_on([127, 0, 0, 1]);
-    let agent = FakeDiscovery::new(vec![list_json(&[("s-1", unused.address, "one", 7, "up")])]);
-    let node = Node::new(&agent).ready();
+    let discovery = FakeDiscovery::new(vec![list_json(&[("s-1", unused.address, "one", 7, "up")])]);
+    let node = Node::new(&discovery).ready();
     assert_eq!(node.submit("order", "m1", 7, 700, b"x"), 202);
     wait_until("the message's notification arrives", || {
-        !agent.notifications().is_empty()
+        !discovery.notifications().is_empty()
     });
     // an at-most-once message may be returned only if none of its calls ran
     assert!(
-        agent.notifications()[0].contains("returned"),
+        discovery.notifications()[0].contains("returned"),
         "{:?}",
-        agent.notifications()
+        discovery.notifications()
     );
     assert!(
-        agent.notifications()[0].contains("after_ms"),
+        discovery.notifications()[0].contains("after_ms"),
         "{:?}",
-        agent.notifications()
+        discovery.notifications()
     );
 }
 
@@ -364,14 +373,14 @@
                 .collect(),
         )
     });
-    let agent = FakeDiscovery::new(vec![list_json(&[(
+    let discovery = FakeDiscovery::new(vec![list_json(&[(
         "s-1",
         endpoint.address,
         "bulk",
         7,
         "up",
     )])]);
-    let node = Node::new(&agent).ready();
+    let node = Node::new(&discovery).ready();
     for n in 0..2 {
         assert_eq!(
             node.submit("order", &format!("first{n}"), 7, 20_000, b"x"),
@@ -387,7 +396,7 @@
         (0..endpoint.request_count()).any(|n| endpoint.request(n).line.contains("/inbox/bulk"))
     });
     wait_until("the notification of the failed message arrives", || {
-        agent.notifications().contains(&failed("b1"))
+        discovery.notifications().contains(&failed("b1"))
     });
     wait_until("the messages that never ran are sent again", || {
         endpoint.attempt_count("b2") > 1 && endpoint.attempt_count("b4") > 1
@@ -396,7 +405,7 @@
         assert_eq!(endpoint.attempt_count(id), 1, "{id}");
     }
     assert!(
-        !agent
+        !discovery
             .notifications()
             .iter()
             .any(|line| line.contains("b0") || line.contains("b3"))
@@ -414,8 +423,8 @@
             OK
         }
     });
-    let agent = discovery_with(&endpoint);
-    let node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::new(&discovery).ready();
     assert_eq!(node.submit("webhook", "sent", 7, 20_000, b"body"), 202);
     assert_eq!(node.submit("order", "unsafe", 7, 20_000, b"x"), 202);
     wait_until("both are sent", || {
@@ -425,20 +434,22 @@
         node.submit("webhook", "unsent", 8, 20_000, b"unsent body"),
         202
     );
-    agent.remaining_faults.store(usize::MAX, Ordering::SeqCst);
+    discovery
+        .remaining_faults
+        .store(usize::MAX, Ordering::SeqCst);
     assert_eq!(node.submit("webhook", "owed", 9, 100, b"x"), 202);
     wait_until("the notification fails", || {
         node.logged("notices answered 500")
     });
     let mut node = node;
     node.kill();
-    agent.remaining_faults.store(0, Ordering::SeqCst);
+    discovery.remaining_faults.store(0, Ordering::SeqCst);
     let other = FakeEndpoint::new(|_, _| OK);
     let lines = list_json(&[
         ("s-1", endpoint.address, "one", 7, "up"),
         ("s-2", other.address, "one", 8, "up"),
     ]);
-    *agent.watch_lines.lock().expect("not poisoned") = vec![lines];
+    *discovery.watch_lines.lock().expect("not poisoned") = vec![lines];
     let node = node.restart().ready();
     assert!(node.logged("4 messages owed"));
     wait_until("the unsent message is sent", || {
@@ -450,31 +461,34 @@
         endpoint.attempt_count("sent") >= 2
     });
     wait_until("both notifications arrive", || {
-        let notifications = agent.notifications();
+        let notifications = discovery.notifications();
         notifications.contains(&failed("unsafe"))
             && notifications.iter().any(|line| line.contains("owed"))
     });
     assert_eq!(endpoint.attempt_count("unsafe"), 1);
     assert_eq!(
-        agent.notifications().len(),
+        discovery.notifications().len(),
         2,
         "{:?}",
-        agent.notifications()
+        discovery.notifications()
     );
 }
 
 #[test]
 fn a_message_that_expired_while_the_sender_was_down_is_notified_at_start() {
     let endpoint = FakeEndpoint::new(|_, _| Reply::NoResponse);
-    let agent = discovery_with(&endpoint);
-    let mut node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let mut node = Node::new(&discovery).ready();
     assert_eq!(node.submit("webhook", "m1", 7, 600, b"x"), 202);
     node.kill();
     std::thread::sleep(Duration::from_millis(700)); // until its deadline has passed
-    assert!(agent.notifications().is_empty());
+    assert!(discovery.notifications().is_empty());
     let _node = node.restart();
     wait_until("the message's notification arrives", || {
-        agent.notifications().iter().any(|line| line.contains("m1"))
+        discovery
+            .notifications()
+            .iter()
+            .any(|line| line.contains("m1"))
     });
 }
 
@@ -482,11 +496,11 @@
 fn a_torn_record_is_dropped_and_records_behind_a_damaged_one_are_kept() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let draining = ("s-7", endpoint.address, "one", 7, "draining");
-    let agent = FakeDiscovery::new(vec![list_json(&[
+    let discovery = FakeDiscovery::new(vec![list_json(&[
         ("s-9", endpoint.address, "one", 5, "up"),
         draining,
     ])]);
-    let mut node = Node::new(&agent).ready();
+    let mut node = Node::new(&discovery).ready();
     for id in ["m1", "m2"] {
         assert_eq!(node.submit("webhook", id, 7, 20_000, b"x"), 202);
     }
@@ -499,7 +513,7 @@
     let mut damaged = intact.clone();
     damaged[20] ^= 0xff;
     std::fs::write(node.journal(), &damaged).expect("damaged");
-    *agent.watch_lines.lock().expect("not poisoned") =
+    *discovery.watch_lines.lock().expect("not poisoned") =
         vec![list_json(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.restart().ready();
     assert!(node.logged("1 messages owed") && node.logged("damaged"));
@@ -512,8 +526,8 @@
 #[test]
 fn a_full_journal_rejects_messages_and_stays_within_its_limit() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = discovery_with(&endpoint);
-    let node = Node::with_limits(agent.address, 0.3, 5.0).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::with_limits(discovery.address, 0.3, 5.0).ready();
     let size = || {
         let files = std::fs::read_dir(node.folder.join("state")).expect("the folder");
         files
@@ -550,8 +564,8 @@
 #[test]
 fn messages_are_accepted_again_once_a_full_folder_has_space() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = discovery_with(&endpoint);
-    let node = Node::with_limits(agent.address, 0.3, 5.0).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::with_limits(discovery.address, 0.3, 5.0).ready();
     let mut is_full = false;
     for n in 0..10 {
         is_full |= node.submit("webhook", &format!("m{n}"), 99, 1_500, &[b'x'; 30_000]) == 503;
@@ -570,8 +584,8 @@
 fn a_drain_after_sigterm_responds_to_every_client() {
     // guards against connections that are closed with a request on them, and against an exit while calls are in flight
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = discovery_with(&endpoint);
-    let mut node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let mut node = Node::new(&discovery).ready();
     let mut client = Client::new(node.address);
     assert_eq!(
         client
@@ -611,8 +625,8 @@
 #[test]
 fn no_call_starts_in_the_last_second_of_a_drain() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = discovery_with(&endpoint);
-    let node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let node = Node::new(&discovery).ready();
     node.terminate();
     wait_until("the sender drains", || node.logged("draining"));
     std::thread::sleep(Duration::from_millis(2450)); // into the last second, in which no call with unknown latency is started
@@ -629,14 +643,14 @@
 #[test]
 fn a_draining_endpoint_gets_no_new_messages_and_invalid_lines_are_skipped() {
     let (old, new) = (FakeEndpoint::new(|_, _| OK), FakeEndpoint::new(|_, _| OK));
-    let agent = FakeDiscovery::new(vec![
+    let discovery = FakeDiscovery::new(vec![
         list_json(&[("s-1", old.address, "one", 7, "up"), ("s-2", new.address, "one", 7, "up")]),
         "{not json".to_string(),
         r#"{"rev":8,"all":false,"targets":[{"uid":5},{"uid":"s-3","endpoint":"nowhere","pod_group":7,"state":"up"}]}"#
             .to_string(),
         list_json(&[("s-1", old.address, "one", 7, "draining")]).replace("\"all\":true", "\"all\":false"),
     ]);
-    let node = Node::new(&agent).ready();
+    let node = Node::new(&discovery).ready();
     wait_until(
         "both the invalid line and the invalid entry are skipped",
         || node.logged("line skipped") && node.logged("entry skipped"),
@@ -658,15 +672,15 @@
 #[test]
 fn an_unresponsive_watch_is_replaced_by_a_new_one() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
-    let agent = FakeDiscovery::new(Vec::new());
-    let node = Node::new(&agent);
+    let discovery = FakeDiscovery::new(Vec::new());
+    let node = Node::new(&discovery);
     wait_until("a watch is open", || {
-        agent.watch_count.load(Ordering::SeqCst) > 0
+        discovery.watch_count.load(Ordering::SeqCst) > 0
     });
     let began = Instant::now();
     assert_eq!(node.readiness_status(), 503, "no list is known");
     assert_eq!(node.submit("webhook", "early", 7, 20_000, b"x"), 503);
-    *agent.watch_lines.lock().expect("not poisoned") =
+    *discovery.watch_lines.lock().expect("not poisoned") =
         vec![list_json(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.ready();
     // well before the 6 s within which any change must be known to the sender
@@ -685,12 +699,12 @@
 fn a_closed_log_pipe_does_not_end_the_sender() {
     // guards against `eprintln!`, which panics when the pipe is closed
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("418 Teapot", String::new()));
-    let agent = discovery_with(&endpoint);
-    let mut node = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let mut node = Node::new(&discovery).ready();
     node.close_log();
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     wait_until("the message's notification arrives", || {
-        agent.notifications().contains(&failed("m1"))
+        discovery.notifications().contains(&failed("m1"))
     });
     wait_until("the last line before the pipe is closed", || {
         node.logged("418")
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -172,8 +172,8 @@
 fn calls_of_a_killed_old_process_count_as_possibly_run() {
     let release = Arc::new(AtomicBool::new(false));
     let endpoint = blocked_until(&release);
-    let agent = discovery_with(&endpoint);
-    let mut old = Node::new(&agent).ready();
+    let discovery = discovery_with(&endpoint);
+    let mut old = Node::new(&discovery).ready();
     for (class, id) in [("order", "blocked-order"), ("webhook", "blocked-webhook")] {
         assert_eq!(old.submit(class, id, 7, 20_000, b"x"), 202);
         wait_until("the message is sent", || endpoint.attempt_count(id) >= 1);
@@ -186,7 +186,7 @@
     release.store(true, Ordering::SeqCst);
     // the at-most-once message has failed for good, the keyed one is sent again
     wait_until("the at-most-once message has failed", || {
-        agent
+        discovery
             .notifications()
             .iter()
             .any(|line| line.contains("blocked-order") && line.contains("failed"))
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -160,14 +160,14 @@
         }
         OK
     });
-    let agent = FakeDiscovery::new(vec![list_json(&[(
+    let discovery = FakeDiscovery::new(vec![list_json(&[(
         "s-1",
         endpoint.address,
         "one",
         7,
         "up",
     )])]);
-    let mut old = Node::with_program(from.path(), &agent).ready();
+    let mut old = Node::with_program(from.path(), &discovery).ready();
     // two calls are in flight while the process is replaced; the at-most-once message must not be called twice
     for (class, id) in [("order", "waiting-order"), ("webhook", "waiting-webhook")] {
         assert_eq!(old.submit(class, id, 7, 20_000, b"x"), 202);
@@ -196,7 +196,7 @@
         old.process.try_wait().expect("a child process").is_some()
     });
     assert_eq!(endpoint.attempt_count("waiting-order"), 1, "not sent twice");
-    assert!(agent.notifications().is_empty(), "nothing failed");
+    assert!(discovery.notifications().is_empty(), "nothing failed");
 }
 
 #[test]
