--- a/tests/duplicate_responses.rs
+++ b/tests/duplicate_responses.rs
@@ -192,7 +192,7 @@
 }
 
 /// Submits messages that may be repeated, and checks that duplicate responses were sent and no message is lost.
-fn assert_none_is_lost(fixture: &Fixture) {
+fn submit_and_assert_none_lost(fixture: &Fixture) {
     let ids = fixture.submit("webhook", MESSAGES);
     fixture.assert_none_lost(&ids);
     assert!(
@@ -202,7 +202,7 @@
 }
 
 /// Submits messages that must run at most once, and checks that none is lost or run twice.
-fn assert_each_runs_at_most_once(fixture: &Fixture) {
+fn submit_and_assert_each_runs_at_most_once(fixture: &Fixture) {
     let ids = fixture.submit("order", MESSAGES);
     fixture.assert_none_lost(&ids);
     fixture.assert_none_repeated();
@@ -210,7 +210,7 @@
 
 /// Checks that no message is lost when a 200 is sent a second time, this long after the next request.
 fn assert_no_loss(script: Script, delay: Duration) {
-    assert_none_is_lost(&Fixture::new(
+    submit_and_assert_none_lost(&Fixture::new(
         script,
         DuplicateTiming::DuringNextRequest(delay),
     ));
@@ -230,7 +230,7 @@
         reject_overlapping_with_identical_responses,
         DuplicateTiming::DuringNextRequest(SERVICE_TIME - SERVICE_TIME / 20),
     );
-    assert_each_runs_at_most_once(&fixture);
+    submit_and_assert_each_runs_at_most_once(&fixture);
 }
 
 #[test]
@@ -256,7 +256,7 @@
         every_nth_response: 1,
     };
     let fixture = Fixture::behind(reject_overlapping, SERVICE_TIME, duplication);
-    assert_none_is_lost(&fixture);
+    submit_and_assert_none_lost(&fixture);
     assert_eq!(
         fixture.endpoint.request_count(),
         MESSAGES,
@@ -268,7 +268,7 @@
 fn a_duplicate_200_after_the_last_response_of_a_connection_loses_no_message() {
     let timing = DuplicateTiming::AfterResponse(Duration::from_millis(10));
     let fixture = Fixture::new(reject_overlapping, timing);
-    assert_none_is_lost(&fixture);
+    submit_and_assert_none_lost(&fixture);
 }
 
 #[test]
@@ -277,7 +277,7 @@
         deliver_overlapping,
         DuplicateTiming::DuringNextRequest(Duration::ZERO),
     );
-    assert_each_runs_at_most_once(&fixture);
+    submit_and_assert_each_runs_at_most_once(&fixture);
 }
 
 /// Checks that no message is lost when a second 200 with other headers is sent, this long after the next request.
@@ -288,7 +288,7 @@
         DuplicateTiming::DuringNextRequest(delay),
         DuplicateContent::DifferentHeaders,
     );
-    assert_none_is_lost(&fixture);
+    submit_and_assert_none_lost(&fixture);
 }
 
 #[test]
@@ -312,7 +312,7 @@
         close_overlapping,
         DuplicateTiming::DuringNextRequest(Duration::ZERO),
     );
-    assert_none_is_lost(&fixture);
+    submit_and_assert_none_lost(&fixture);
 }
 
 #[test]
@@ -329,7 +329,7 @@
         DuplicateTiming::DuringNextRequest(Duration::from_millis(1)),
         DuplicateContent::Identical,
     );
-    assert_none_is_lost(&fixture);
+    submit_and_assert_none_lost(&fixture);
 }
 
 #[test]
@@ -340,5 +340,5 @@
         DuplicateTiming::DuringNextRequest(Duration::ZERO),
         DuplicateContent::DifferentHeaders,
     );
-    assert_each_runs_at_most_once(&fixture);
+    submit_and_assert_each_runs_at_most_once(&fixture);
 }
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -257,7 +257,7 @@
 
     /// Waits until the sender answers `GET /ready` with 200.
     pub(crate) fn ready(self) -> Self {
-        wait_until("ready", || self.readiness_status() == 200);
+        wait_until("the sender is ready", || self.readiness_status() == 200);
         self
     }
 
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -52,7 +52,7 @@
     // guards against a handshake for each call, and against writing to a connection that is about to close
     let endpoint = FakeEndpoint::new(|request, _| respond_with_request_id(request));
     let node = Node::with_limits(discovery_with(&endpoint).address, 3.0, 1.0).ready();
-    hand_in_three(&node, &endpoint);
+    submit_three(&node, &endpoint);
     assert_eq!(endpoint.connection_count.load(Ordering::SeqCst), 1);
     std::thread::sleep(Duration::from_millis(1000)); // the configured idle time of 1 s
     assert_eq!(node.submit("webhook", "late", 7, 20_000, b"x"), 202);
@@ -64,7 +64,7 @@
 fn a_connection_carries_two_calls_when_responses_do_not_name_their_request() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::with_limits(discovery_with(&endpoint).address, 3.0, 1.0).ready();
-    hand_in_three(&node, &endpoint);
+    submit_three(&node, &endpoint);
     assert_eq!(endpoint.connection_count.load(Ordering::SeqCst), 2);
     let requests_close: Vec<bool> = (0..3)
         .map(|number| endpoint.request(number).header("connection") == "close")
@@ -79,7 +79,7 @@
 }
 
 /// Submits three messages, each once the one before is delivered.
-fn hand_in_three(node: &Node, endpoint: &FakeEndpoint) {
+fn submit_three(node: &Node, endpoint: &FakeEndpoint) {
     for n in 0..3 {
         assert_eq!(
             node.submit("webhook", &format!("m{n}"), 7, 20_000, b"x"),
@@ -151,7 +151,7 @@
         node.submit("webhook", "most", 7, 20_000, &[b'z'; 65_536]),
         202
     );
-    wait_until("the largest body goes out", || {
+    wait_until("the message with the largest body is sent", || {
         endpoint.attempt_count("most") == 1
     });
     assert_eq!(endpoint.request_count(), 1);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -56,7 +56,7 @@
 
     fn wait_for_more(&self, count: usize) {
         let before = self.accepted.load(Ordering::SeqCst);
-        wait_until("the load goes on", || {
+        wait_until("the load continues", || {
             self.accepted.load(Ordering::SeqCst) >= before + count
         });
     }
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -94,7 +94,9 @@
     next.wait_for_lines(1, is_join);
     owner.suspend();
     let token = highest_token(&owner);
-    wait_for("the next one writes", || writes_above(&next, token) >= 3);
+    wait_for("the second member writes", || {
+        writes_above(&next, token) >= 3
+    });
     owner.resume();
     owner.wait_for_lines(2, is_join);
     let (code, members) = cluster.run_fleet_command(&cluster.replicas(), &["members"]);
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -164,7 +164,7 @@
         Script::Text(pair.list("draining")),
     ]);
     let node = start_sender(&discovery);
-    wait_until("a third watch", || {
+    wait_until("a third watch is opened", || {
         discovery.watch_count.load(Ordering::SeqCst) >= 3
     });
     assert!(node.logged("silent") && node.logged("no answer in time"));
