--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -1,4 +1,4 @@
-//! Faults at size: what becomes of a change that is published when something fails.
+//! Fault scenarios with a whole fleet: how long a change published during a fault takes to reach all senders.
 
 use super::discovery::Form;
 use super::process::LOOK;
@@ -17,32 +17,32 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// How many take part.
+/// Numbers of senders in a fault scenario.
 #[derive(Debug, Clone, Copy)]
 pub struct Size {
-    /// Hollow senders.
+    /// Simulated senders.
     pub senders: u64,
-    /// Those of them with sessions.
+    /// Simulated senders that open sessions.
     pub sessions: u64,
-    /// Real senders that deliver.
+    /// Real senders, which deliver messages.
     pub real: u64,
-    /// Hollow senders in one process.
+    /// Simulated senders in one process.
     pub each: u64,
 }
 
-/// A zone: 3.2% of the senders, one of so many.
+/// One sender in this many belongs to the zone that fails, 3.2% of all senders.
 const ZONE: u64 = 31;
-/// Senders that restart one after the other.
+/// Number of senders that restart one after the other.
 const RESTARTS: u64 = 1_000;
-/// Each sender restarts every eight hours, 16,000 of them; and a hundred times that.
+/// Restarts per second: 100 times the rate at which each of 16,000 senders restarts every eight hours.
 const RESTART_RATE: f64 = 100.0 * 16_000.0 / (8.0 * 3_600.0);
-/// Parts in which a release restarts all senders, a second each.
+/// Number of waves in which a release restarts all senders, one wave a second.
 const WAVES: u64 = 20;
-/// Longer than a lease of 9 s.
+/// How long an outage lasts; longer than the lease of 9 s.
 const AWAY: Duration = Duration::from_secs(12);
-/// Changes that a region misses in an hour: 48,000 a day.
+/// Changes that a region cut off for an hour misses, at 48,000 changes a day.
 const MISSED: u64 = 2_000;
-/// They are published in so many steps: what an hour brings, in seconds.
+/// Number of steps in which the missed changes are published, spread over `AWAY` instead of an hour.
 const STEPS: u64 = 40;
 
 type Fault = fn(&mut Stage) -> Result<(), Error>;
@@ -61,10 +61,10 @@
     ("rolling restart of all stewards", rolling),
 ];
 
-/// Runs the faults one after the other over one fleet, and writes each as it ends.
+/// Runs the fault scenarios one after the other against one fleet, and writes each result as it is known.
 ///
 /// # Errors
-/// A part does not come up, or a process ends.
+/// A process does not start or ends early.
 pub fn run(
     plan: &Plan,
     sheet: &mut Sheet,
@@ -90,7 +90,7 @@
             .ok_or_else(|| Error::Wrong("no stewards".into()))?;
         let (discovery, addresses) = (rig.discovery.addresses[0], group.addresses(0));
         let numbers = size.senders..size.senders + size.real;
-        // the book is full with the hollow ones: real senders keep sessions where there is room
+        // with every session slot taken by simulated senders, real senders run without sessions
         let room = milletturn_coordination::bounds::MAX_SESSIONS as u64 - size.sessions.min(1024)
             >= size.real;
         let addresses = if room { addresses } else { Vec::new() };
@@ -125,7 +125,7 @@
             write(out, &sheet.lines)?;
         }
         clients.iter().for_each(tokio::task::AbortHandle::abort);
-        // a message has 20 s, and its notice may have to wait for discovery
+        // a message expires after 20 s, and its notification may have to wait for discovery
         sleep(Duration::from_secs(22));
         let noticed = stage.rig.discovery.notices();
         let ((handed, taken), (seen, again)) = (reals.handed(), stage.rig.endpoint.seen());
@@ -187,7 +187,7 @@
     stage.rig.herd.kill(&victims)?;
     stage.publish_marked()?;
     stage.until_known(stage.size.senders - victims.len() as u64)?;
-    // their leases run out meanwhile
+    // the leases of the killed senders expire while the others receive the change
     let begun = Instant::now();
     let left = stage.size.sessions - owners;
     let group = stage.group()?;
@@ -221,7 +221,7 @@
     let begun = Instant::now();
     let mut next = 0;
     while next < count {
-        // one by one where the machine keeps up, and otherwise those that are due by now together
+        // restart senders one by one if the machine keeps up, otherwise all that are due by now together
         let due = ((begun.elapsed().as_secs_f64() * RESTART_RATE) as u64 + 1).min(count);
         let numbers: Vec<u64> = (next..due).collect();
         if numbers.is_empty() {
@@ -275,7 +275,7 @@
         begun.elapsed().as_secs_f64()
     ));
     stage.until_well()?;
-    // renewals of a whole lease pass under the new leader
+    // let all senders renew once under the new leader; a lease lasts 9 s
     stage.pass(Duration::from_secs(4))?;
     stage.group_mut()?.start_one(leader)
 }
@@ -287,7 +287,7 @@
         .clone()
         .for_each(|place| drop(stage.group_mut().map(|group| group.kill(place))));
     sleep(AWAY);
-    // told while nobody listened
+    // publish changes while no sender is connected
     for _ in 0..3 {
         stage.rig.discovery.publish();
     }
@@ -361,7 +361,7 @@
     stage.until_well()
 }
 
-/// Discovery that each sender asks for itself is away; how long until all have the list again.
+/// Measures how long 10 s without discovery delay the list when each sender polls for it.
 fn on_request(plan: &Plan, sheet: &mut Sheet, name: &str, senders: u64) -> Result<(), Error> {
     let form = Form {
         destinations: 1_000,
--- a/crates/scale/src/fleet/herd.rs
+++ b/crates/scale/src/fleet/herd.rs
@@ -1,4 +1,4 @@
-//! Hollow senders in processes of their own, as the run sees them.
+//! Control of the processes that host the simulated senders.
 
 use super::discovery::Discovery;
 use super::hollow::{Answer, Common, Order};
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
 
-/// Hollow senders in one process: each takes two descriptors, and a few more while it dials.
+/// Default number of simulated senders in one process; each takes two descriptors, and a few more while it connects.
 pub const EACH: u64 = 2_000;
 
 #[derive(Debug)]
@@ -22,20 +22,20 @@
 
 impl Drop for Hall {
     fn drop(&mut self) {
-        // gone already, or gone now
+        // the process may have ended already
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// All hollow senders of a run.
+/// All simulated senders of a run.
 #[derive(Debug)]
 pub struct Herd {
     halls: Vec<Hall>,
 }
 
 impl Herd {
-    /// Starts the processes for so many senders; none has begun.
+    /// Starts the processes for the given number of senders; no sender is running yet.
     ///
     /// # Errors
     /// A process can't be started.
@@ -67,22 +67,22 @@
         Ok(herd)
     }
 
-    /// Numbers of the processes.
+    /// Ids of the processes.
     #[must_use]
     pub fn ids(&self) -> Vec<u32> {
         self.halls.iter().map(|hall| hall.child.id()).collect()
     }
 
-    /// What they have cost so far.
+    /// Returns what the processes have cost so far.
     ///
     /// # Errors
-    /// One is gone.
+    /// A process has ended.
     pub fn cost(&self) -> Result<Cost, Error> {
         Cost::of_all(self.ids())
     }
 
-    /// Each process obeys the order that is made from the chosen numbers that are its own; those without any are
-    /// left alone.
+    /// Sends each process an order for those of the chosen senders that it hosts; processes that host none of them get
+    /// no order.
     fn each(&mut self, numbers: &[u64], order: impl Fn(Vec<u64>) -> Order) -> Result<(), Error> {
         let mut asked = Vec::new();
         for (place, hall) in self.halls.iter_mut().enumerate() {
@@ -106,50 +106,50 @@
         self.halls.iter_mut().map(Hall::hear).collect()
     }
 
-    /// Begins these.
+    /// Starts these senders.
     ///
     /// # Errors
-    /// A process is gone, or their settings can't be read.
+    /// A process has ended, or the settings can't be read.
     pub fn begin(&mut self, numbers: &[u64]) -> Result<(), Error> {
         self.each(numbers, Order::Begin)
     }
 
-    /// Ends these as a crash would.
+    /// Stops these senders as a crash would.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn kill(&mut self, numbers: &[u64]) -> Result<(), Error> {
         self.each(numbers, Order::Kill)
     }
 
-    /// Ends these as SIGTERM would.
+    /// Stops these senders as SIGTERM would.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn leave(&mut self, numbers: &[u64]) -> Result<(), Error> {
         self.each(numbers, Order::Leave)
     }
 
-    /// Counts from now on who hears of this version.
+    /// Measures from now on when each sender receives the version.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn mark(&mut self, mark: Mark) -> Result<(), Error> {
         self.all(&Order::Mark(mark)).map(drop)
     }
 
-    /// Looks at each sender's leave to act every so many milliseconds; 0 for no more.
+    /// Checks each sender's permission to act at this interval in milliseconds; 0 stops the checks.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn watch(&mut self, every: u64) -> Result<(), Error> {
         self.all(&Order::Watch(every)).map(drop)
     }
 
-    /// Reads the settings of all senders anew; microseconds that the slowest process took.
+    /// Reloads the settings of all senders; returns the microseconds that the slowest process took.
     ///
     /// # Errors
-    /// A process is gone, or the settings can't be read.
+    /// A process has ended, or the settings can't be read.
     pub fn reload(&mut self) -> Result<u64, Error> {
         let took = self.all(&Order::Reload)?;
         Ok(took
@@ -165,10 +165,10 @@
             .unwrap_or(0))
     }
 
-    /// Figures since the last report, with the list as it is now.
+    /// Returns the counters since the last report, compared with the current list.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn report(&mut self, discovery: &Discovery) -> Result<Report, Error> {
         let order = Order::Report {
             version: discovery.version(),
@@ -183,19 +183,19 @@
         Ok(sum)
     }
 
-    /// How many know this version, and how many may act for their work now.
+    /// Returns how many senders know this version, and how many may act on their resource now.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn ask(&mut self, version: u64) -> Result<(u64, u64), Error> {
         let (know, may, _) = self.counts(version)?;
         Ok((know, may))
     }
 
-    /// How many hold a session that they may believe now.
+    /// Returns how many senders hold a session whose lease has not expired.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn holding(&mut self) -> Result<u64, Error> {
         Ok(self.counts(0)?.2)
     }
--- a/crates/scale/src/fleet/hollow.rs
+++ b/crates/scale/src/fleet/hollow.rs
@@ -1,5 +1,6 @@
-//! Hollow senders: the real member, list and settings code on real sockets, thousands in a process, with no data
-//! path and no disk. This process takes orders as JSON lines on its standard input and answers each with one.
+//! Simulated senders: the real member, endpoint list and settings code on real sockets, thousands in one process,
+//! without a data path and without a disk. The process reads orders as JSON lines from its standard input and writes
+//! one response line for each.
 
 use super::bare;
 use super::tally::{Mark, Report, Tally, sum_of};
@@ -22,33 +23,33 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
 
-/// What all hollow senders of a run have in common.
+/// Settings shared by all simulated senders of a run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct Common {
-    /// The file of their settings, as a real sender has it.
+    /// The senders' configuration file, in the format that a real sender reads.
     pub config: PathBuf,
-    /// The stewards' group.
+    /// Name of the coordination group.
     pub group: String,
-    /// The stewards' addresses, by region; empty where there are no sessions.
+    /// Coordinator addresses by region; empty where there are no sessions.
     pub stewards: Vec<Vec<String>>,
-    /// These are relays' addresses, and each sender has its own order of them.
+    /// Whether `stewards` holds session proxy addresses; each sender then tries them in an order of its own.
     pub through_relays: bool,
-    /// Where the list is watched, by region.
+    /// Address of the discovery service by region.
     pub discovery: Vec<SocketAddr>,
-    /// Destinations of the first list.
+    /// Number of destinations in the first list.
     pub destinations: u64,
-    /// Senders with lower numbers open sessions.
+    /// Senders with numbers below this one open sessions.
     pub sessions: u64,
-    /// Each session wants a piece of work of its own.
+    /// Whether each session claims a resource of its own.
     pub works: bool,
-    /// Each has a real engine behind its list.
+    /// Whether each sender runs a real engine that receives its list.
     pub engines: bool,
-    /// Of all that is drawn at random.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
 impl Common {
-    /// A sender's way to the stewards.
+    /// Returns a client for the coordinators of a region, or for its session proxies.
     fn way(&self, region: usize, number: u64) -> CoordinatorClient {
         let addresses = &self.stewards[region];
         if self.through_relays {
@@ -62,49 +63,49 @@
     }
 }
 
-/// An order to the process.
+/// An order to the process, written as a JSON line.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Order {
-    /// Begin these senders.
+    /// Start these senders.
     Begin(Vec<u64>),
-    /// End these as a crash would: their connections close and they say nothing.
+    /// Stop these senders as a crash would: their connections close without a message.
     Kill(Vec<u64>),
-    /// End these as SIGTERM would: each gives its session back first.
+    /// Stop these senders as SIGTERM would: each closes its session first.
     Leave(Vec<u64>),
-    /// Count who hears of this version from now on.
+    /// Measure from now on when each sender receives this version.
     Mark(Mark),
-    /// Read the settings anew, all senders, one after the other.
+    /// Reload the settings of all senders, one after the other.
     Reload,
-    /// Look at leave to act every so many milliseconds; 0 for no more.
+    /// Check each sender's permission to act at this interval in milliseconds; 0 stops the checks.
     Watch(u64),
-    /// Tell all figures since the last report. The list has so many destinations now, the last of this version.
+    /// Return all counters since the last report; lists are compared with the newest version given here.
     Report {
-        /// The newest version.
+        /// The newest published version.
         version: u64,
-        /// Destinations in it.
+        /// Number of destinations in the newest version.
         destinations: u64,
     },
-    /// How many know this version, and how many may act for their work now.
+    /// Count the senders that know this version and those that may act on their resource now.
     Ask(u64),
 }
 
-/// An answer.
+/// The response to an order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Answer {
-    /// It is done; how long it took in microseconds.
+    /// The order was carried out; holds the time taken in microseconds.
     Done(u64),
-    /// The figures.
+    /// Counters since the last report.
     Report(Box<Report>),
-    /// So many know the version, so many may act.
+    /// Numbers of senders by state.
     Counts {
         /// Senders that know this version or a later one.
         know: u64,
-        /// Senders that have leave to act for their work.
+        /// Senders that may act on their resource.
         may: u64,
-        /// Senders that hold a session whose last safe moment is ahead.
+        /// Senders whose session lease has not expired.
         hold: u64,
     },
-    /// It could not be done.
+    /// The order failed; holds the error message.
     Failed(String),
 }
 
@@ -115,7 +116,7 @@
     member: Option<Rc<Member>>,
     work: String,
     tasks: Vec<AbortHandle>,
-    /// Held for as long as the sender lives: its agent does not move.
+    /// Kept so that the channel stays open; the agent's address never changes.
     _agent: watch::Sender<SocketAddr>,
 }
 
@@ -128,7 +129,7 @@
 /// Runs the process until its standard input ends.
 ///
 /// # Errors
-/// Its input can't be read.
+/// Standard input can't be read or holds an invalid order, or standard output can't be written.
 pub fn run() -> Result<(), Error> {
     let (orders, mut received) = mpsc::unbounded_channel();
     std::thread::spawn(move || {
@@ -190,7 +191,7 @@
                 for number in numbers {
                     let sender = self.begin(number)?;
                     self.senders.insert(number, sender);
-                    // those that run go on meanwhile
+                    // let the senders that already run make progress
                     tokio::task::yield_now().await;
                 }
             }
@@ -268,12 +269,12 @@
             }));
         }
         for one in leaving {
-            // a sender that could not leave is gone all the same
+            // a sender that failed to close its session is removed all the same
             let _ = one.await;
         }
     }
 
-    /// Looks at each sender's leave to act; what changes goes into its tally.
+    /// Checks each sender's permission to act at an interval and records changes in the sender's tally.
     fn watch(&mut self, every: u64) {
         if let Some(watching) = self.watching.take() {
             watching.abort();
@@ -305,7 +306,7 @@
             "RELAY_CONFIG" => Some(path.clone()),
             "RELAY_NAME" => Some(name.clone()),
             "RELAY_DISCOVERY" => Some(discovery.to_string()),
-            // nothing is written there
+            // a path is required, but simulated senders write no state
             "RELAY_STATE" => Some("state".to_string()),
             _ => None,
         });
@@ -378,7 +379,7 @@
     }
 }
 
-/// Whose leave is looked at, for which work, and where it is told.
+/// A member whose permission is checked, the resource, and the tally that records changes.
 type Seen = (Rc<Member>, String, Rc<RefCell<Tally>>);
 
 impl Sender {
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -1,12 +1,12 @@
-//! Slopes of control, from hollow senders; and faults at size.
+//! Load and fault experiments that run the coordination service and discovery against thousands of simulated senders.
 //!
-//! A change is a numbered version of the endpoint list, published by a stand-in for the platform's discovery: the
-//! product has no other way to bring a change to a running sender but files with SIGHUP. In force is it at a sender
-//! at the moment at which the sender's real watch hands the version on as `Input::EndpointsListed`.
+//! A change is a numbered version of the endpoint list, published by a test double of the platform's discovery service.
+//! The product has no other way to bring a change to a running sender except files and SIGHUP. A change counts as in
+//! force at a sender when the sender's real watch passes the version on as `Input::EndpointsListed`.
 //!
-//! - [`rig`]: all parts together, made of [`mod@stewards`], [`discovery`], [`herd`] and [`real`].
-//! - [`hollow`]: the process of hollow senders; [`tally`]: what each has heard.
-//! - [`slopes`], [`compare`] and [`mod@faults`]: what is measured; [`sheet`]: as lines.
+//! - [`rig`]: the harness that starts all parts: [`mod@stewards`], [`discovery`], [`herd`] and [`real`].
+//! - [`hollow`]: the process that hosts simulated senders; [`tally`]: the updates that each of them received.
+//! - [`slopes`], [`compare`] and [`mod@faults`]: the measurements; [`sheet`]: their results as JSON lines.
 
 pub mod bare;
 pub mod compare;
@@ -180,10 +180,10 @@
     }
 }
 
-/// Measures the slopes of control.
+/// Measures how the cost of coordination and of the endpoint list grows with the fleet.
 ///
 /// # Errors
-/// What kept it from its figures.
+/// A process or measurement failed, or the results could not be written.
 pub fn run(words: &Slopes) -> Result<(), Error> {
     let plan = Plan {
         sessions: words.sessions.clone(),
@@ -196,7 +196,7 @@
     let mut sheet = Sheet::default();
     let refit = words.parts.iter().any(|part| part == "refit");
     if refit {
-        // what was measured stays, with its head
+        // keep the measured points and their head
         sheet.lines = crate::figures::read(&words.common.out)?;
         sheet.lines.retain(|line| match line {
             Line::Fit(_) => false,
@@ -215,7 +215,7 @@
     };
     for part in &words.parts {
         match part.as_str() {
-            // the first list is told before the span: what is compared are renewals and changes
+            // the first list arrives before the measured span, so that only renewals and changes are compared
             "compare" => compare::run(&plan, &mut sheet, words.compare, 10.0)?,
             "sessions" => plan.by_sessions(&mut sheet, stewards(3, 9))?,
             "beyond" => plan.beyond(
@@ -241,10 +241,10 @@
     Ok(())
 }
 
-/// Measures control behind relays.
+/// Measures the coordinators' load when senders reach them through session proxies.
 ///
 /// # Errors
-/// What kept it from its figures.
+/// A process or measurement failed, or the results could not be written.
 pub fn relays(words: &Relayed) -> Result<(), Error> {
     let plan = Plan {
         senders: words.senders.clone(),
@@ -265,10 +265,10 @@
     ended
 }
 
-/// Runs the faults at size.
+/// Runs the fault scenarios against a whole fleet.
 ///
 /// # Errors
-/// What kept it from its figures.
+/// A process or measurement failed, or the results could not be written.
 pub fn faults(words: &Faults) -> Result<(), Error> {
     let plan = words.common.plan()?;
     let size = faults::Size {
@@ -282,11 +282,11 @@
     faults::run(&plan, &mut sheet, size, &words.only, &words.common.out)
 }
 
-/// A run of few senders whose counted figures a test looks at: so many hollow senders with sessions, three stewards
-/// and some real senders that deliver; changes at 100 times the rate over a few seconds.
+/// Runs a small fleet whose counters a test checks: the given number of simulated senders with sessions, three
+/// coordinators and some real senders that deliver, with changes at 100 times the usual rate over 3 s.
 ///
 /// # Errors
-/// A part does not come up, or a process ends.
+/// A process does not start or ends early.
 pub fn small(program: &Path, scale: &Path, hollow: u64, real: u64) -> Result<report::Small, Error> {
     let plan = Plan {
         programs: rig::Programs {
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! What the figures of a run say: fits, plots, and the small form's counts.
+//! Fits and plots of the results, and the counters of the small run.
 
 use super::discovery::Form;
 use super::real::Reals;
@@ -10,7 +10,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// What in the code makes a figure grow.
+/// The code that causes a quantity to grow, by role and quantity.
 const TERMS: [(&str, &str, &str); 17] = [
     (
         "steward.leader",
@@ -96,7 +96,7 @@
     ),
 ];
 
-/// Fits all figures along their axes.
+/// Fits all quantities along their axes.
 pub fn fits(sheet: &mut Sheet) {
     let setups = [stewards(3, 9), stewards(3, 2), stewards(5, 9)].map(set_of);
     let kinds = [LIST_STILL, LIST_BUSY].map(|kind| other([("kind", json!(kind))]));
@@ -146,7 +146,7 @@
     }
 }
 
-/// Draws the figures.
+/// Draws the plots.
 ///
 /// # Errors
 /// A file can't be written.
@@ -226,41 +226,41 @@
     )
 }
 
-/// What the small form counted.
+/// Counters of the small run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Small {
-    /// Hollow senders that lived to the end.
+    /// Simulated senders still running at the end.
     pub senders: u64,
     /// Changes that were published.
     pub published: u64,
-    /// Changes that hollow senders heard, all together.
+    /// Changes that simulated senders received, all together.
     pub heard: u64,
-    /// Destinations that some sender lacked in the end.
+    /// Destinations that some sender lacked at the end.
     pub lost: u64,
-    /// What came twice.
+    /// Changes or lines received twice.
     pub doubled: u64,
-    /// What came behind something newer.
+    /// Lines received after a newer one.
     pub wrong_order: u64,
-    /// Sessions that hollow senders opened.
+    /// Sessions that simulated senders opened.
     pub joined: u64,
-    /// Those that ended without the sender's wish.
+    /// Sessions that ended without the sender closing them.
     pub left: u64,
-    /// Sessions in the book, of hollow and real senders.
+    /// Sessions in the coordination state, of simulated and real senders.
     pub book: u64,
-    /// Watches that were opened, by hollow and real senders.
+    /// Watches that were opened, by simulated and real senders.
     pub watches: u64,
-    /// Messages that real senders took on.
+    /// Messages that real senders accepted.
     pub taken: u64,
-    /// Messages that the endpoint saw.
+    /// Messages that the endpoint received.
     pub delivered: u64,
-    /// Requests of sessions.
+    /// Session requests that coordinators received.
     pub requests: u64,
 }
 
-/// Runs the small form.
+/// Runs the small fleet and returns its counters.
 ///
 /// # Errors
-/// A part does not come up, or a process ends.
+/// A process does not start or ends early.
 pub fn small(plan: &Plan, hollow: u64, real: u64, rate: f64) -> Result<Small, Error> {
     let setup = stewards(3, 9);
     let form = Form {
@@ -294,7 +294,8 @@
     rig.until_all(hollow, hollow)?;
     let after = rig.read()?;
     clients.iter().for_each(tokio::task::AbortHandle::abort);
-    // what a client had handed in when it ended may still be taken on: only what was counted as taken is asked for
+    // the last message of a client may still be accepted after the client ended; only messages counted as accepted are
+    // awaited
     super::process::until("what was taken on is delivered", || {
         Ok(rig.endpoint.seen().0 >= reals.handed().1)
     })?;
--- a/crates/scale/src/fleet/rig.rs
+++ b/crates/scale/src/fleet/rig.rs
@@ -1,4 +1,4 @@
-//! All parts of a run together: stewards, discovery, hollow senders and real ones; and what a span has cost each.
+//! The harness: starts coordinators, discovery and simulated senders together, and reads what each has cost.
 
 use super::discovery::{Discovery, Form};
 use super::herd::Herd;
@@ -15,85 +15,85 @@
 use std::time::{Duration, Instant};
 use tempfile::TempDir;
 
-/// The programs of a run.
+/// Paths of the programs that a run starts.
 #[derive(Debug, Clone)]
 pub struct Programs {
-    /// The product's.
+    /// The product's program.
     pub sender: PathBuf,
-    /// This one, which is a process of hollow senders by its command `hollow`.
+    /// The program of this crate; its command `hollow` runs a process of simulated senders.
     pub scale: PathBuf,
 }
 
-/// What a rig is made of.
+/// Configuration of a harness.
 #[derive(Debug, Clone)]
 pub struct Parts {
-    /// Hollow senders, of which none begins by itself.
+    /// Number of simulated senders; none starts by itself.
     pub senders: u64,
-    /// Those in one process.
+    /// Simulated senders in one process.
     pub each: u64,
-    /// Those of them that open sessions; none without stewards.
+    /// Simulated senders that open sessions; without coordinators, none does.
     pub sessions: u64,
-    /// The stewards, if there are any.
+    /// The coordinators, if there are any.
     pub stewards: Option<Setup>,
-    /// The product's relays between senders and stewards; none: senders ask the stewards.
+    /// Number of the product's session proxies between senders and coordinators; with 0, senders connect directly.
     pub relays: usize,
-    /// Each session wants a piece of work of its own; the book holds 4,096.
+    /// Whether each session claims a resource of its own; the coordination state holds 4,096.
     pub works: bool,
-    /// Groups of senders that can be cut off for themselves.
+    /// Number of sender groups whose network can be cut off separately.
     pub regions: usize,
-    /// The first list.
+    /// Form of the first list.
     pub form: Form,
-    /// The list is asked for by each sender (the settings' `on_request`), not pushed.
+    /// Whether each sender polls for the list (the setting `on_request`) instead of having it pushed.
     pub on_request: bool,
-    /// Each hollow sender has a real engine behind its list.
+    /// Whether each simulated sender runs a real engine that receives its list.
     pub engines: bool,
-    /// Of all that is drawn at random.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
-/// The parts, running.
+/// A running harness.
 #[derive(Debug)]
 pub struct Rig {
-    /// The list.
+    /// Test double of the platform's discovery service.
     pub discovery: Discovery,
-    /// The book.
+    /// The coordinators, if there are any.
     pub stewards: Option<Group>,
-    /// The relays, if there are any.
+    /// The session proxies, if there are any.
     pub relays: Option<Relays>,
-    /// The hollow senders.
+    /// The simulated senders.
     pub herd: Herd,
-    /// Where real senders deliver to.
+    /// The endpoint that real senders deliver to.
     pub endpoint: Endpoint,
-    /// The file of all senders' settings.
+    /// Configuration file of all senders.
     pub config: PathBuf,
-    /// What runs the list's stand-in and nothing else.
+    /// Thread that runs only the discovery test double, so that its processor time is known.
     pub list: Thread,
-    /// What runs the ways to the stewards, the endpoint and the clients.
+    /// Thread that runs the network proxies, the endpoint and the clients.
     pub ways: Thread,
     parts: Parts,
     _folder: TempDir,
 }
 
-/// What has been so far.
+/// Accumulated cost and traffic at one moment.
 #[derive(Debug, Clone, Default)]
 pub struct Reading {
-    /// When.
+    /// When the values were read.
     pub at: Option<Instant>,
-    /// The stewards by place: cost, what passed with senders, what it asked the others, what they asked it.
+    /// Per coordinator: cost, traffic with senders, its requests to other coordinators, and their requests to it.
     pub stewards: Vec<(Cost, Passed, Passed, Passed)>,
-    /// The hollow senders together.
+    /// Cost of all simulated senders together.
     pub herd: Cost,
-    /// The list.
+    /// Traffic of the endpoint list.
     pub list: Passed,
-    /// Processor time of the list's stand-in, in seconds.
+    /// Processor time of the discovery test double, in seconds.
     pub list_cpu_s: f64,
 }
 
 impl Rig {
-    /// Starts all; no sender has begun.
+    /// Starts all parts; no sender is running yet.
     ///
     /// # Errors
-    /// A part does not come up.
+    /// A part does not start.
     pub fn start(programs: &Programs, parts: Parts) -> Result<Self, Error> {
         let folder = TempDir::new().map_err(Error::io("a folder"))?;
         let path = folder.path().join("config.json");
@@ -103,7 +103,7 @@
         let endpoint = Endpoint::start(ways.handle())?;
         let discovery =
             Discovery::start(list.handle(), parts.regions, parts.form, endpoint.address)?;
-        // each relay's ways to the stewards are a region of its own
+        // each session proxy connects to the coordinators as a region of its own
         let setup = parts.stewards.map(|setup| Setup {
             regions: parts.regions + parts.relays,
             ..setup
@@ -161,16 +161,16 @@
         })
     }
 
-    /// What it is made of.
+    /// Returns the configuration.
     #[must_use]
     pub fn parts(&self) -> &Parts {
         &self.parts
     }
 
-    /// Begins these, and waits until each has the list and leave to act where it has a session.
+    /// Starts these senders and waits until each knows the list and, if it has a session, holds its resource.
     ///
     /// # Errors
-    /// They do not get there.
+    /// They do not within the time limit.
     pub fn begin(&mut self, numbers: std::ops::Range<u64>) -> Result<(), Error> {
         let all: Vec<u64> = numbers.clone().collect();
         self.herd.begin(&all)?;
@@ -182,10 +182,10 @@
         self.until_all(numbers.end, sessions)
     }
 
-    /// Waits until so many know the list as it is, and so many may act for their work.
+    /// Waits until `know` senders know the current list and `may` senders may act on their resource.
     ///
     /// # Errors
-    /// They do not get there.
+    /// They do not within the time limit.
     pub fn until_all(&mut self, know: u64, may: u64) -> Result<(), Error> {
         let mut last = (0, 0);
         let reached = until("all senders know the list and have their work", || {
@@ -196,10 +196,10 @@
         reached.map_err(|error| Error::Wrong(format!("{error}: {last:?} of {know} and {may}")))
     }
 
-    /// All that has been so far.
+    /// Reads the accumulated cost and traffic.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn read(&self) -> Result<Reading, Error> {
         let mut stewards = Vec::new();
         if let Some(group) = &self.stewards {
@@ -217,10 +217,11 @@
         })
     }
 
-    /// Lets a span pass, with changes at this rate a second; the readings round it, and how many were published.
+    /// Publishes changes at `rate` per second for a span; returns the readings before and after and the number
+    /// published.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn span(&mut self, span: Duration, rate: f64) -> Result<(Reading, Reading, u64), Error> {
         let before = self.read()?;
         let published = publish_for(&self.discovery, span, rate);
@@ -228,14 +229,14 @@
     }
 }
 
-/// Publishes changes at this rate a second over a span; how many.
+/// Publishes changes at `rate` per second for a span; returns the number published.
 #[must_use]
 pub fn publish_for(discovery: &Discovery, span: Duration, rate: f64) -> u64 {
     let begun = Instant::now();
     let mut published = 0;
     loop {
         let next = if rate > 0.0 {
-            // in the middle of its part of the span: nothing happens right at either end
+            // publish in the middle of each interval, so that nothing happens at either end of the span
             begun + Duration::from_secs_f64((published as f64 + 0.5) / rate)
         } else {
             begun + span
@@ -250,10 +251,10 @@
     }
 }
 
-/// The programs beside this one.
+/// Locates the product's program and this one.
 ///
 /// # Errors
-/// The product's is not there: `cargo build --release -p milletturn`.
+/// The product's program does not exist; `cargo build --release -p milletturn` builds it.
 pub fn programs(sender: Option<&Path>) -> Result<Programs, Error> {
     let scale = std::env::current_exe().map_err(Error::io("this program"))?;
     let sender = sender.map_or_else(|| scale.with_file_name("milletturn"), Path::to_path_buf);
--- a/crates/scale/src/fleet/sheet.rs
+++ b/crates/scale/src/fleet/sheet.rs
@@ -1,4 +1,4 @@
-//! The figures of a run as lines, and the fits through them.
+//! Results of a run as JSON lines, and the fits through them.
 
 use super::rig::Reading;
 use crate::Error;
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// What is set beside the axis.
+/// Settings of a measurement besides the axis, by name.
 pub type Other = BTreeMap<String, Value>;
 
 /// Builds [`Other`].
@@ -20,26 +20,26 @@
         .collect()
 }
 
-/// Figures of a run.
+/// All results of a run.
 #[derive(Debug, Default)]
 pub struct Sheet {
-    /// So far.
+    /// Lines recorded so far.
     pub lines: Vec<Line>,
 }
 
-/// Where a figure belongs.
+/// The measurement that a result belongs to.
 #[derive(Debug, Clone)]
 pub struct Place<'a> {
-    /// What was varied.
+    /// Name of the quantity that was varied.
     pub axis: &'a str,
-    /// Its size.
+    /// Value on the axis.
     pub at: f64,
-    /// What else was set.
+    /// Settings besides the axis.
     pub other: Other,
 }
 
 impl Sheet {
-    /// One figure; what is no number, such as the longest of no times, is none.
+    /// Records one result; a value that is not finite, such as the maximum of no samples, is skipped.
     pub fn point(&mut self, role: &str, quantity: &str, unit: &str, place: &Place<'_>, value: f64) {
         if !value.is_finite() {
             return;
@@ -55,8 +55,8 @@
         }));
     }
 
-    /// All figures of a span. `senders` of them live, `sessions` of these have one; `leader` is the leading
-    /// steward's place.
+    /// Records all results of a span. `senders` senders were running, `sessions` of them with a session; `leader` is
+    /// the index of the leading coordinator.
     pub fn span(
         &mut self,
         place: &Place<'_>,
@@ -178,12 +178,12 @@
         }
     }
 
-    /// The points of one figure along an axis, with these set beside it.
+    /// Returns the points of one quantity along an axis that were measured with these settings.
     #[must_use]
     pub fn points(&self, role: &str, quantity: &str, axis: &str, set: &Other) -> Vec<(f64, f64)> {
         let such = |point: &&Point| {
             (point.role == role && point.quantity == quantity && point.axis == axis)
-                // another kind at the same size is a figure of its own
+                // points of another kind at the same size belong to another curve
                 && point.other.get("kind") == set.get("kind")
                 && set.iter().all(|(name, value)| point.other.get(name) == Some(value))
         };
@@ -200,7 +200,8 @@
             .collect()
     }
 
-    /// Fits one figure along an axis; `term` says what in the code makes it grow. None without three sizes.
+    /// Fits a curve to one quantity along an axis; `term` names the code that causes the growth. None with fewer than
+    /// three distinct sizes.
     pub fn fit(
         &mut self,
         role: &str,
@@ -247,7 +248,7 @@
         Some(fitted)
     }
 
-    /// Draws figures along an axis, each with the line through it.
+    /// Draws quantities along an axis, each with its fitted curve.
     ///
     /// # Errors
     /// The file can't be written.
--- a/crates/scale/src/fleet/stage.rs
+++ b/crates/scale/src/fleet/stage.rs
@@ -1,4 +1,4 @@
-//! A fleet to which a fault happens, and what is asked of it each time.
+//! Runs one fault scenario against a fleet and collects the measurements that all scenarios share.
 
 use super::faults::Size;
 use super::process::PATIENCE;
@@ -16,47 +16,47 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// Rest between two looks.
+/// Pause between two polls of the fleet.
 const LOOK: Duration = Duration::from_millis(250);
 
-/// What a second costs while nothing fails.
+/// Cost per second while nothing fails.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Mean {
-    /// Messages of the list.
+    /// Endpoint list messages.
     pub list_messages: f64,
-    /// Bytes of the list.
+    /// Endpoint list bytes.
     pub list_bytes: f64,
-    /// Messages between senders and stewards.
+    /// Messages between senders and coordinators.
     pub steward_messages: f64,
-    /// Bytes between senders and stewards.
+    /// Bytes between senders and coordinators.
     pub steward_bytes: f64,
-    /// Cores of all stewards.
+    /// Processor cores used by all coordinators together.
     pub steward_cpu: f64,
 }
 
-/// The fleet, and the fault that it goes through.
+/// A running fleet and the fault scenario under way.
 #[derive(Debug)]
 pub struct Stage {
-    /// All parts.
+    /// The harness with all running parts.
     pub rig: Rig,
-    /// How many take part.
+    /// Numbers of senders.
     pub size: Size,
     mean: Mean,
     name: String,
     begun: u64,
     notes: Vec<String>,
     collected: Report,
-    /// Processor time of the stewards at the last look, and the highest second so far.
+    /// Time and processor seconds of the coordinators at the last sample.
     cpu: Option<(Instant, f64)>,
     cpu_peak: f64,
-    /// Processor time of the hollow senders as the fault began.
+    /// Time and processor seconds of the simulated senders when the fault began.
     herd: (Instant, f64),
-    /// When the next change of the usual rate is due.
+    /// When the next change at the usual rate is due.
     next: Instant,
 }
 
 impl Stage {
-    /// A fleet that is well.
+    /// Wraps a healthy fleet.
     #[must_use]
     pub fn new(rig: Rig, size: Size, mean: Mean) -> Self {
         Stage {
@@ -74,10 +74,10 @@
         }
     }
 
-    /// A fault comes next.
+    /// Resets the measurements before a fault scenario.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn begin(&mut self, name: &str) -> Result<(), Error> {
         self.rig.herd.report(&self.rig.discovery)?;
         (self.name, self.begun, self.notes) = (name.to_string(), now().0, Vec::new());
@@ -88,10 +88,10 @@
         self.look()
     }
 
-    /// The stewards.
+    /// Returns the coordinators.
     ///
     /// # Errors
-    /// There are none.
+    /// The fleet has no coordinators.
     pub fn group(&self) -> Result<&Group, Error> {
         self.rig
             .stewards
@@ -99,10 +99,10 @@
             .ok_or_else(|| Error::Wrong("no stewards".into()))
     }
 
-    /// The stewards.
+    /// Returns the coordinators for changes.
     ///
     /// # Errors
-    /// There are none.
+    /// The fleet has no coordinators.
     pub fn group_mut(&mut self) -> Result<&mut Group, Error> {
         self.rig
             .stewards
@@ -110,12 +110,12 @@
             .ok_or_else(|| Error::Wrong("no stewards".into()))
     }
 
-    /// Something to say besides the figures.
+    /// Adds a remark to the result of the scenario.
     pub fn note(&mut self, text: String) {
         self.notes.push(text);
     }
 
-    /// What all regions meet at discovery and on their ways to the stewards.
+    /// Sets how the network treats every region's connections to discovery and to the coordinators.
     pub fn all_regions(&self, way: Way) {
         for region in 0..self.rig.parts().regions {
             self.rig.discovery.set(region, way);
@@ -125,20 +125,20 @@
         }
     }
 
-    /// Counts from now on who hears of this version.
+    /// Measures from now on when each sender receives the version.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn mark(&mut self, mark: Mark) -> Result<(), Error> {
         self.rig.herd.mark(mark)
     }
 
-    /// Publishes a change whose way to all is measured.
+    /// Publishes a change and measures when each sender receives it.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn publish_marked(&mut self) -> Result<(), Error> {
-        // no version is later than its publishing, and none of before is later than now
+        // versions are publishing times, so that every later change counts as this one and no earlier one does
         let from = now().0;
         self.mark(Mark {
             version: from,
@@ -148,10 +148,10 @@
         Ok(())
     }
 
-    /// Publishes the changes that are due at the usual rate, and looks at what the stewards cost now.
+    /// Publishes the changes due at the usual rate and samples the coordinators' processor time.
     ///
     /// # Errors
-    /// There are none where there should be.
+    /// Never returned at present.
     pub fn look(&mut self) -> Result<(), Error> {
         while self.next < Instant::now() {
             self.rig.discovery.publish();
@@ -160,7 +160,7 @@
         let Some(group) = &self.rig.stewards else {
             return Ok(());
         };
-        // one may be gone right now
+        // a coordinator may be stopped at this moment
         let cpu: f64 = group
             .ids()
             .into_iter()
@@ -181,7 +181,7 @@
         Ok(())
     }
 
-    /// Lets a time pass.
+    /// Keeps publishing and sampling for the given time.
     ///
     /// # Errors
     /// As [`look`](Self::look).
@@ -194,10 +194,10 @@
         Ok(())
     }
 
-    /// Waits until a steward leads; its place.
+    /// Waits until a coordinator leads and returns its index.
     ///
     /// # Errors
-    /// None does.
+    /// No coordinator leads within the time limit.
     pub fn until_led(&mut self) -> Result<usize, Error> {
         let begun = Instant::now();
         while begun.elapsed() < PATIENCE {
@@ -209,10 +209,10 @@
         Err(Error::Wrong("no steward leads".into()))
     }
 
-    /// Waits until so many know the list as it is.
+    /// Waits until the given number of senders know the current list.
     ///
     /// # Errors
-    /// They never do.
+    /// They do not within the time limit.
     pub fn until_known(&mut self, senders: u64) -> Result<(), Error> {
         let known = self.until_known_within(senders, PATIENCE)?;
         if known < senders {
@@ -222,10 +222,10 @@
         }
     }
 
-    /// Waits until so many know the list as it is, or the time is over; how many do.
+    /// Waits until the given number of senders know the current list or the time is over; returns how many do.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn until_known_within(&mut self, senders: u64, time: Duration) -> Result<u64, Error> {
         let (begun, version) = (Instant::now(), self.rig.discovery.version());
         loop {
@@ -237,10 +237,10 @@
         }
     }
 
-    /// Waits until all know the list and have their work.
+    /// Waits until all senders know the list and hold their resources; on timeout, a note is added to the result.
     ///
     /// # Errors
-    /// They never do.
+    /// A process has ended.
     pub fn until_well(&mut self) -> Result<(), Error> {
         let (begun, version) = (Instant::now(), self.rig.discovery.version());
         loop {
@@ -261,10 +261,10 @@
         }
     }
 
-    /// Takes up what was heard so far, when the last change has had its time to reach the senders that live.
+    /// Waits until the living senders know the current list, then adds their counters to the result.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn collect(&mut self, senders: u64) -> Result<(), Error> {
         let (begun, version) = (Instant::now(), self.rig.discovery.version());
         while self.rig.herd.ask(version)?.0 < senders && begun.elapsed() < PATIENCE {
@@ -275,14 +275,14 @@
         Ok(())
     }
 
-    /// What came of the fault.
+    /// Ends the scenario and returns its result.
     ///
     /// # Errors
-    /// A process is gone.
+    /// A process has ended.
     pub fn end(&mut self) -> Result<Fault, Error> {
         self.pass(Duration::from_secs(1))?;
         self.collect(self.size.senders)?;
-        // what was watched before the senders of this fault began anew is watched anew
+        // senders started during this fault are not sampled yet; begin sampling with the present set
         self.rig
             .herd
             .watch(if self.size.sessions > 0 { 50 } else { 0 })?;
@@ -335,7 +335,7 @@
                 ));
             }
         }
-        // no sender heard of it: no time is one
+        // a percentile of no samples is not finite; it is recorded as -1
         let known = |seconds: f64| if seconds.is_finite() { seconds } else { -1.0 };
         Ok(Fault {
             name: self.name.clone(),
--- a/crates/scale/src/fleet/stewards.rs
+++ b/crates/scale/src/fleet/stewards.rs
@@ -1,4 +1,4 @@
-//! A group of real stewards as processes, with a counted way between each two and from each region to each.
+//! A group of real coordinator processes, with a metered network proxy between each two and from each region to each.
 
 use super::meter::{Meter, Passed};
 use super::process::{Process, until};
@@ -17,25 +17,25 @@
 use tempfile::TempDir;
 use tokio::runtime::Handle;
 
-/// The group's name.
+/// Name of the coordination group.
 pub const GROUP: &str = "scale";
-/// Longest wait for a steward's word.
+/// Longest wait for a coordinator's response.
 const WORD: Duration = Duration::from_secs(3);
 
-/// How the group is set up.
+/// Configuration of the group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Setup {
-    /// Stewards: three, five or seven.
+    /// Number of coordinators: three, five or seven.
     pub count: usize,
-    /// Seconds of a lease.
+    /// Lease duration in seconds.
     pub lease_s: u64,
-    /// Milliseconds between two calls of the leader.
+    /// Interval between two heartbeats of the leader, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Groups of senders that can be cut off for themselves.
+    /// Number of sender groups whose network can be cut off separately.
     pub regions: usize,
 }
 
-/// The group.
+/// The running group.
 #[derive(Debug)]
 pub struct Group {
     setup: Setup,
@@ -43,18 +43,18 @@
     folder: TempDir,
     processes: Vec<Option<Process>>,
     listens: Vec<Option<SocketAddr>>,
-    /// From one steward, by its place, to another.
+    /// Proxies between coordinators, by the index of the caller and the callee.
     between: BTreeMap<(usize, usize), Relay>,
-    /// From a region to each steward.
+    /// Proxies from each region to each coordinator.
     regions: Vec<Vec<Relay>>,
     runtime: Handle,
 }
 
 impl Group {
-    /// Makes the disks and starts all.
+    /// Creates the coordinators' state directories and starts all of them.
     ///
     /// # Errors
-    /// A steward can't be started.
+    /// A coordinator can't be started, or none leads.
     pub fn start(program: &Path, setup: Setup, runtime: &Handle) -> Result<Self, Error> {
         let relay = |meter: &Meter| Relay::start(runtime, meter.clone());
         let mut between = BTreeMap::new();
@@ -115,7 +115,7 @@
             place + 1
         );
         for to in 0..self.setup.count {
-            // nobody calls itself
+            // a coordinator never calls itself
             let address = self
                 .between
                 .get(&(place, to))
@@ -128,10 +128,10 @@
         text
     }
 
-    /// Starts a steward that is not running; all ways lead to its new port.
+    /// Starts a coordinator that is not running and points all proxies at its new port.
     ///
     /// # Errors
-    /// It does not come up.
+    /// The coordinator does not start.
     pub fn start_one(&mut self, place: usize) -> Result<(), Error> {
         let mut command = Command::new(&self.program);
         command.args(["steward", "--config"]).arg(self.file(place));
@@ -148,7 +148,7 @@
         Ok(())
     }
 
-    /// All ways that lead to a steward.
+    /// All proxies that lead to a coordinator.
     fn towards(&self, place: usize) -> impl Iterator<Item = &Relay> {
         let between = self
             .between
@@ -158,42 +158,42 @@
         between.chain(self.regions.iter().map(move |ways| &ways[place]))
     }
 
-    /// Ends a steward as a crash would; its disk stays.
+    /// Stops a coordinator as a crash would; its state directory stays.
     pub fn kill(&mut self, place: usize) {
         self.processes[place] = None;
         self.listens[place] = None;
         self.towards(place).for_each(|way| way.lead_to(None));
     }
 
-    /// The running process of a steward.
+    /// Returns the running process of a coordinator.
     ///
     /// # Errors
-    /// It is not running.
+    /// The coordinator is not running.
     pub fn process(&self, place: usize) -> Result<&Process, Error> {
         let process = self.processes.get(place).and_then(Option::as_ref);
         process.ok_or_else(|| Error::Wrong(format!("steward {place} is not running")))
     }
 
-    /// Numbers of the running processes.
+    /// Process ids of the running coordinators.
     pub fn ids(&self) -> Vec<u32> {
         self.processes.iter().flatten().map(Process::id).collect()
     }
 
-    /// What a steward has cost so far.
+    /// Returns what a coordinator process has cost so far.
     ///
     /// # Errors
-    /// It is not running.
+    /// The coordinator is not running.
     pub fn cost(&self, place: usize) -> Result<Cost, Error> {
         Cost::of(self.process(place)?.id())
     }
 
-    /// All places.
+    /// Indices of all coordinators.
     #[must_use]
     pub fn places(&self) -> std::ops::Range<usize> {
         0..self.setup.count
     }
 
-    /// Where the senders of a region reach the stewards.
+    /// Addresses at which the senders of a region reach the coordinators.
     #[must_use]
     pub fn addresses(&self, region: usize) -> Vec<String> {
         self.regions[region]
@@ -202,19 +202,19 @@
             .collect()
     }
 
-    /// Cuts a region off, or brings it back.
+    /// Sets how a region's connections to the coordinators behave, such as cut off or passing.
     pub fn set(&self, region: usize, way: Way) {
         self.regions[region].iter().for_each(|relay| relay.set(way));
     }
 
-    /// What senders asked a steward and were told.
+    /// Traffic between senders and a coordinator.
     #[must_use]
     pub fn members(&self, place: usize) -> Passed {
         let ways = self.regions.iter().map(|ways| ways[place].meter.sum());
         ways.fold(Passed::default(), |sum, next| sum + next)
     }
 
-    /// What passed between a steward and the others: what it asked them, and what they asked it.
+    /// Traffic among coordinators: this one's requests to the others, and their requests to this one.
     #[must_use]
     pub fn others(&self, place: usize) -> (Passed, Passed) {
         let sum = |such: &dyn Fn(&(usize, usize)) -> bool| {
@@ -224,8 +224,8 @@
         (sum(&|ends| ends.0 == place), sum(&|ends| ends.1 == place))
     }
 
-    /// Highest second of all that senders asked and were told, from this moment on: messages and bytes. Seconds of
-    /// different ways are added at their highest, which can only be too much.
+    /// Highest traffic within one second after `from`, as messages and bytes. The peaks of separate proxies are added,
+    /// which can overstate but never understate the true peak.
     #[must_use]
     pub fn peak(&self, from: u64) -> (u64, u64) {
         let ways = self
@@ -236,7 +236,7 @@
         ways.fold((0, 0), |sum, next| (sum.0 + next.0, sum.1 + next.1))
     }
 
-    /// The place of the steward that leads by the word of a majority, if one does now.
+    /// Index of the leader that a majority of coordinators names at present, if there is one.
     #[must_use]
     pub fn leader(&self) -> Option<usize> {
         let running = self.places().filter(|place| self.listens[*place].is_some());
@@ -249,10 +249,10 @@
         (known > self.setup.count / 2).then_some(usize::try_from(leads.coordinator).ok()? - 1)
     }
 
-    /// Waits until one leads; its place.
+    /// Waits until a coordinator leads and returns its index.
     ///
     /// # Errors
-    /// None does.
+    /// None leads within the time limit.
     pub fn until_led(&self) -> Result<usize, Error> {
         let mut leader = None;
         until("a steward leads", || {
@@ -266,13 +266,13 @@
         self.ask(place, STATUS_PATH)
     }
 
-    /// Entries of the log that the leader has applied.
+    /// Number of log entries that the leader has applied.
     #[must_use]
     pub fn applied(&self) -> Option<u64> {
         Some(self.status(self.leader()?)?.last_applied)
     }
 
-    /// The book, by the word of a majority, if the leader answers now.
+    /// The coordination state as the leader reports it, if it responds now.
     #[must_use]
     pub fn look(&self) -> Option<StateView> {
         self.ask(self.leader()?, STATE_PATH)
@@ -281,7 +281,7 @@
     fn ask<A: serde::de::DeserializeOwned>(&self, place: usize, path: &str) -> Option<A> {
         let mut line = Client::new(self.listens[place]?.to_string(), GROUP);
         let path = path.to_string();
-        // the calling thread waits; the runtime of the ways does the work
+        // the calling thread blocks here while the proxies' runtime makes the call
         let (answer, answered) = std::sync::mpsc::channel();
         self.runtime.spawn(async move {
             let reply = line
@@ -292,7 +292,7 @@
         serde_json::from_value(answered.recv().ok()??).ok()
     }
 
-    /// What a steward has said.
+    /// Lines that a coordinator has printed.
     pub fn said(&self, place: usize) -> Vec<String> {
         self.processes[place]
             .as_ref()
--- a/crates/scale/src/fleet/tally.rs
+++ b/crates/scale/src/fleet/tally.rs
@@ -1,56 +1,56 @@
-//! What a hollow sender has heard, and what that says of the changes that were published.
+//! Counters of what a simulated sender received, compared with the changes that were published.
 
 use milletturn_engine::EndpointListUpdate;
 use milletturn_member::MemberEvent;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A change that is waited for.
+/// A version whose arrival at each sender is measured.
 #[derive(Debug, Clone, Copy, Serialize, Deserialize)]
 pub struct Mark {
-    /// Its version.
+    /// The version.
     pub version: u64,
-    /// Times count from this moment, in microseconds since the machine's start.
+    /// Start of the measurement, in microseconds since the machine's start.
     pub from: u64,
 }
 
-/// Times in microseconds, each with how often it was seen.
+/// Histogram of durations: microseconds to number of samples.
 pub type Times = BTreeMap<u64, u64>;
 
-/// What all senders of a process have heard since the last report.
+/// Counters of all senders of a process since the last report.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct Report {
-    /// Senders that live.
+    /// Senders that are running.
     pub senders: u64,
-    /// From the publishing of a change until it was in force, for each that came by itself: several that a busy
-    /// machine brought in one line are not among them.
+    /// Time from the publishing of a change until it was in force. Counts only changes that arrived in a line of their
+    /// own, not several that a busy machine merged into one line.
     pub in_force: Times,
-    /// From the mark's moment until its version was in force.
+    /// Time from the start of the mark until its version was in force.
     pub marked: Times,
-    /// From a sender's beginning until its first list was whole.
+    /// Time from a sender's start until its first list was complete.
     pub begun: Times,
-    /// Destinations that a sender does not have at the report.
+    /// Destinations missing at a sender when the report was made.
     pub lost: u64,
-    /// Changes, or lines, that came twice.
+    /// Changes or lines received twice.
     pub doubled: u64,
-    /// Lines that came behind a newer one.
+    /// Lines received after a newer one.
     pub wrong_order: u64,
     /// Lines with a list.
     pub lines: u64,
     /// Sessions that were opened.
     pub joined: u64,
-    /// Sessions that ended without the sender's wish.
+    /// Sessions that ended without the sender closing them.
     pub left: u64,
-    /// Words of refusal from the stewards.
+    /// Requests that coordinators rejected.
     pub refused: u64,
-    /// What was said with a refusal, and how often.
+    /// Number of rejections by reason.
     pub refusals: BTreeMap<String, u64>,
-    /// Spans in which a sender had no leave to act for its work, while that was looked at.
+    /// Periods in which a sender had no permission to act on its resource, while permissions were sampled.
     pub without: Times,
 }
 
 impl Report {
-    /// Adds another one to it.
+    /// Adds the counters of another report.
     pub fn add(&mut self, other: Report) {
         let add = |to: &mut Times, from: Times| {
             from.into_iter()
@@ -74,27 +74,27 @@
     }
 }
 
-/// What one sender has heard.
+/// Counters of one sender.
 #[derive(Debug)]
 pub struct Tally {
-    /// Where it stands.
+    /// Region of the sender.
     pub region: usize,
     begun: u64,
     version: u64,
-    /// Destinations that it knows, and the sum of their numbers' hashes: a list that lacks one and has another one
-    /// twice differs by it.
+    /// Known destinations, and the sum of their hashes. The sum differs for a list of the right length that lacks one
+    /// destination and holds another one twice.
     destinations: u64,
     sum: u64,
-    /// Destinations of a first list that is whole.
+    /// Number of destinations in a complete first list.
     first: u64,
     whole: bool,
     marked: bool,
-    /// Since when it has no leave to act.
+    /// Start of the present period without permission to act, if there is one.
     without: Option<u64>,
     since: Report,
 }
 
-/// Spreads numbers so that sums of them tell sets apart.
+/// Mixes a number so that sums of hashes distinguish sets.
 fn hash(number: u64) -> u64 {
     let mixed = (number ^ (number >> 30))
         .wrapping_add(1)
@@ -102,13 +102,13 @@
     (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb)
 }
 
-/// The sum over a list of so many destinations.
+/// Sum of the hashes of a list with the given number of destinations.
 #[must_use]
 pub fn sum_of(destinations: u64) -> u64 {
     (0..destinations).fold(0, |sum: u64, number| sum.wrapping_add(hash(number)))
 }
 
-/// So many entries of a time are told apart: 1 part in 256.
+/// Durations are rounded down to a precision of 2^8 steps per power of two, 1 part in 256.
 const STEPS: u32 = 8;
 
 fn add(times: &mut Times, micros: u64) {
@@ -117,7 +117,7 @@
 }
 
 impl Tally {
-    /// Of a sender that begins now; a first list has so many destinations.
+    /// Counters of a sender that starts at `begun` and whose first list has `first` destinations.
     #[must_use]
     pub fn new(region: usize, begun: u64, first: u64) -> Self {
         Tally {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// A list has come.
+    /// Records a list update that arrived at `at`.
     pub fn listed(&mut self, at: u64, update: &EndpointListUpdate, mark: Option<Mark>) {
         self.since.lines += 1;
         match update.version.cmp(&self.version) {
@@ -158,18 +158,18 @@
             self.whole = true;
             add(&mut self.since.begun, at.saturating_sub(self.begun));
         }
-        // pieces of the first list have small versions, changes the moment of their publishing
+        // pieces of the first list have small versions; the version of a change is the time of its publishing
         if update.endpoints.len() == 1 && update.version > self.begun {
             add(&mut self.since.in_force, at.saturating_sub(update.version));
         }
         if let Some(mark) = mark
             && !self.marked
-            // who knew it before the mark was set waits for nothing
+            // a sender that knew the version before the mark was set is not measured
             && before < mark.version
             && self.version >= mark.version
         {
             self.marked = true;
-            // a sender that began later can't have heard before
+            // for a sender started after the mark, time counts from its start
             add(
                 &mut self.since.marked,
                 at.saturating_sub(mark.from.max(self.begun)),
@@ -177,12 +177,12 @@
         }
     }
 
-    /// A new mark counts anew.
+    /// Forgets that the marked version has arrived, before a new mark is set.
     pub fn unmark(&mut self) {
         self.marked = false;
     }
 
-    /// The member tells something.
+    /// Records an event of the member.
     pub fn news(&mut self, news: &MemberEvent) {
         match news {
             MemberEvent::SessionOpened(_) => self.since.joined += 1,
@@ -201,7 +201,7 @@
         }
     }
 
-    /// Whether it has leave to act for its work now.
+    /// Records whether the sender has permission to act on its resource at the time `at`.
     pub fn may(&mut self, at: u64, may: bool) {
         match (self.without, may) {
             (None, false) => self.without = Some(at),
@@ -213,20 +213,20 @@
         }
     }
 
-    /// Whether it knows this version or a later one.
+    /// Returns whether the sender knows this version or a later one.
     #[must_use]
     pub fn knows(&self, version: u64) -> bool {
         self.version >= version
     }
 
-    /// Adds what it heard since the last report. The list is at this version, of so many destinations with this sum
-    /// of hashes.
+    /// Adds the counters since the last report to `report`. The published list is at `version`, with `destinations`
+    /// destinations whose hashes sum to `sum`.
     pub fn report(&mut self, version: u64, destinations: u64, sum: u64, report: &mut Report) {
         let mut since = std::mem::take(&mut self.since);
         since.senders = 1;
         since.lost = destinations.saturating_sub(self.destinations);
         since.doubled += self.destinations.saturating_sub(destinations);
-        // as many as there should be, and not the same ones; or all, and under an old version
+        // the number of destinations is right, but they differ or the version is old
         if self.destinations == destinations && (self.sum != sum || self.version < version) {
             since.lost += 1;
         }
