--- a/crates/scale/src/cost.rs
+++ b/crates/scale/src/cost.rs
@@ -1,4 +1,4 @@
-//! What a process has cost so far, by proc(5); and the head of a file of figures.
+//! The cost of a process so far, from proc(5); and the head record of a results file.
 
 use crate::Error;
 use crate::figures::Head;
@@ -6,32 +6,33 @@
 use std::ops::{Add, Sub};
 use std::process::Command;
 
-/// What a process, or several, have cost so far.
+/// What a process, or several together, have used so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Cost {
-    /// Seconds of processor time, user and system.
+    /// Processor time in seconds, user and system.
     pub cpu_s: f64,
-    /// Bytes in memory (resident).
+    /// Resident memory in bytes.
     pub resident: u64,
-    /// Open descriptors.
+    /// Open file descriptors.
     pub descriptors: u64,
-    /// Bytes handed to the disk.
+    /// Bytes written to the disk.
     pub written: u64,
 }
 
-/// The clock's ticks in a second, as Linux has it on every machine that this runs on.
+/// Clock ticks per second; 100 on every Linux machine that this tool runs on.
 const TICKS: f64 = 100.0;
 
 impl Cost {
-    /// Of a process by its number.
+    /// Reads the cost of a process by its id.
     ///
     /// # Errors
-    /// It is gone, or not this user's.
+    /// The process has ended or belongs to another user.
     pub fn of(process: u32) -> Result<Self, Error> {
         let path = |file: &str| format!("/proc/{process}/{file}");
         let read = |file: &str| fs::read_to_string(path(file)).map_err(Error::io(path(file)));
         let stat = read("stat")?;
-        // behind the name in parentheses, which may hold anything; user and system time are fields 14 and 15
+        // skip to the part after the process name in parentheses, which may hold any character; user and system time
+        // are fields 14 and 15
         let words = stat
             .rsplit(") ")
             .next()
@@ -40,8 +41,8 @@
             .skip(11)
             .take(2);
         let ticks: f64 = words.filter_map(|ticks| ticks.parse::<f64>().ok()).sum();
-        // the ticks are coarse beside what a quiet process takes; the threads' own count is fine, but lacks those
-        // that have ended
+        // ticks are too coarse for a process that uses little time; the threads' own counters are precise but lack
+        // threads that have ended, so the larger value counts
         let threads = fs::read_dir(path("task")).map_err(Error::io(path("task")))?;
         let nanos: f64 = threads
             .flatten()
@@ -59,10 +60,10 @@
         })
     }
 
-    /// Of several processes together.
+    /// Reads the cost of several processes together.
     ///
     /// # Errors
-    /// One of them is gone, or not this user's.
+    /// A process has ended or belongs to another user.
     pub fn of_all(processes: impl IntoIterator<Item = u32>) -> Result<Self, Error> {
         processes
             .into_iter()
@@ -86,7 +87,7 @@
 impl Sub for Cost {
     type Output = Cost;
 
-    /// What a span has cost; memory and descriptors are those at its end.
+    /// The cost of a span; memory and descriptors are those at its end.
     fn sub(self, before: Cost) -> Cost {
         Cost {
             cpu_s: self.cpu_s - before.cpu_s,
@@ -96,23 +97,23 @@
     }
 }
 
-/// The first number behind a name at the start of a line.
+/// Returns the first number after `name` at the start of a line.
 fn field(text: &str, name: &str) -> Option<u64> {
     let line = text.lines().find_map(|line| line.strip_prefix(name))?;
     line.split_whitespace().next()?.parse().ok()
 }
 
-/// Descriptors that this process, and each that it starts, may hold.
+/// Largest number of file descriptors that this process, and each that it starts, may open.
 #[must_use]
 pub fn descriptors_most() -> u64 {
     let limits = fs::read_to_string("/proc/self/limits").unwrap_or_default();
     field(&limits, "Max open files").unwrap_or(1024)
 }
 
-/// The head of a file that is begun now.
+/// Builds the head record of a results file that is started now.
 ///
 /// # Errors
-/// The machine does not say what stands in it.
+/// The system's load or memory can't be read.
 pub fn head(seed: u64) -> Result<Head, Error> {
     let mut words = std::env::args();
     let program = words.next().unwrap_or_default();
@@ -144,7 +145,7 @@
     })
 }
 
-/// What a command prints; empty where it can't be run.
+/// Returns a command's output; empty if the command can't be run.
 fn said_by(program: &str, words: &[&str]) -> String {
     let output = Command::new(program).args(words).output();
     output
--- a/crates/scale/src/figures.rs
+++ b/crates/scale/src/figures.rs
@@ -1,4 +1,5 @@
-//! The lines of a file of figures (`docs/capacity/NAME.jsonl`): the head first, then points, fits and faults.
+//! The records of a results file (`docs/capacity/NAME.jsonl`), one a line: the head first, then points, fits and
+//! faults.
 
 use crate::Error;
 use serde::{Deserialize, Deserializer, Serialize};
@@ -7,105 +8,105 @@
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
 
-/// One line.
+/// One record.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Line {
     /// What was run, and where.
     Head(Head),
-    /// One measured figure.
+    /// One measured value.
     Point(Point),
-    /// How a figure grows.
+    /// A curve fitted to measured values.
     Fit(Fit),
-    /// A fault at size.
+    /// The result of a fault scenario.
     Fault(Fault),
 }
 
 /// What was run, and where.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Head {
-    /// As it was typed.
+    /// Command line of the run.
     pub command: String,
-    /// Of the repository.
+    /// Commit of the repository; ends in `with changes` if tracked files were modified.
     pub commit: String,
-    /// Day and time, UTC.
+    /// Start of the run, UTC.
     pub date: String,
-    /// Processors of the machine.
+    /// Number of processors of the machine.
     pub cores: u64,
-    /// The machine's load over 1, 5 and 15 minutes as the run began.
+    /// Load averages of the machine over 1, 5 and 15 minutes at the start of the run.
     pub load: [f64; 3],
-    /// Of all that is drawn at random.
+    /// Seed of all random numbers.
     pub seed: u64,
-    /// Megabytes of memory of the machine.
+    /// Memory of the machine in megabytes.
     pub memory_mb: u64,
 }
 
-/// One measured figure.
+/// One measured value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// Whose figure, such as `steward.leader`.
+    /// Role that was measured, such as `steward.leader`.
     pub role: String,
-    /// Which, such as `cpu`.
+    /// Quantity that was measured, such as `cpu`.
     pub quantity: String,
-    /// In which unit, such as `core`.
+    /// Unit of the value, such as `core`.
     pub unit: String,
-    /// What was varied, such as `senders`.
+    /// Name of the size that was varied, such as `senders`.
     pub axis: String,
-    /// Its size here.
+    /// Size at which the value was measured.
     pub at: f64,
-    /// The figure; not a number where it never came, which a file has as `null`.
+    /// The measured value; not a number, written as `null`, if the measured event never happened.
     #[serde(deserialize_with = "or_never")]
     pub value: f64,
-    /// What else was set.
+    /// Other settings of the measurement.
     #[serde(default)]
     pub other: BTreeMap<String, serde_json::Value>,
 }
 
-/// How a figure grows along an axis.
+/// How a quantity grows along an axis.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// Whose figure.
+    /// Role that was measured.
     pub role: String,
-    /// Which.
+    /// Quantity that was measured.
     pub quantity: String,
-    /// In which unit.
+    /// Unit of the values.
     pub unit: String,
-    /// What was varied.
+    /// Name of the size that was varied.
     pub axis: String,
-    /// The terms, such as `constant+linear`, `constant+n log n`, `constant+quadratic`.
+    /// Form of the curve, such as `constant+linear`, `constant+n log n`, `constant+quadratic`.
     pub form: String,
-    /// One for each term, in the order of the form.
+    /// Coefficient of each term, in the order of the form.
     pub coefficients: Vec<f64>,
-    /// Root of the mean square of the residuals, in the unit.
+    /// Root mean square of the residuals, in the unit of the values.
     pub residual_rms: f64,
-    /// The residual of largest size, in the unit.
+    /// Residual with the largest absolute value, in the unit of the values.
     pub worst_residual: f64,
-    /// What in the code causes the growth.
+    /// The code that causes the growth.
     pub term: String,
 }
 
-/// A fault at size.
+/// The result of a fault scenario.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Fault {
-    /// Which.
+    /// Name of the scenario.
     pub name: String,
-    /// Senders in the run.
+    /// Number of senders in the run.
     pub senders: u64,
-    /// Seconds until a change is in force: half of the senders.
+    /// Seconds from publishing a change until it is in force at half of the senders.
     pub p50_s: f64,
-    /// 99 of 100 senders.
+    /// Seconds until the change is in force at 99% of the senders.
     pub p99_s: f64,
-    /// The last sender.
+    /// Seconds until the change is in force at the last sender.
     pub worst_s: f64,
-    /// The highest second beside the mean, for messages, bytes and processor time.
+    /// Highest second relative to the mean before the fault, for messages, bytes and processor time.
     pub peak_over_mean: BTreeMap<String, f64>,
-    /// Changes that a sender never saw and that nothing newer replaced.
+    /// Destinations missing at a sender at the end; where no change is published, sessions that senders lost.
     pub lost: u64,
-    /// Changes that came to a sender twice.
+    /// Changes that a sender received twice.
     pub doubled: u64,
-    /// Changes that came behind a newer one.
+    /// Changes that a sender received after a newer one.
     pub wrong_order: u64,
-    /// What else there is to say.
+    /// Further observations.
     pub note: String,
 }
 
@@ -113,10 +114,10 @@
     Ok(Option::<f64>::deserialize(from)?.unwrap_or(f64::NAN))
 }
 
-/// Reads a file of figures.
+/// Reads a results file.
 ///
 /// # Errors
-/// The file can't be read, or one of its lines is none of these.
+/// The file can't be read, or a line is not a valid record.
 pub fn read(path: &Path) -> Result<Vec<Line>, Error> {
     let file = File::open(path).map_err(Error::io(path.display().to_string()))?;
     let mut lines = Vec::new();
@@ -130,7 +131,7 @@
     Ok(lines)
 }
 
-/// Writes a file of figures, the one before it replaced whole.
+/// Writes a results file and replaces an existing one atomically.
 ///
 /// # Errors
 /// The file can't be written.
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -1,6 +1,6 @@
-//! Least squares over a constant and one term that grows.
+//! Least-squares fits of a constant and one growing term.
 
-/// How a figure may grow with n.
+/// How a quantity may grow with the size n.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Form {
     /// a + b·n.
@@ -12,10 +12,10 @@
 }
 
 impl Form {
-    /// All, the simplest first.
+    /// All forms, the simplest first.
     pub const ALL: [Form; 3] = [Form::Linear, Form::LogLinear, Form::Quadratic];
 
-    /// As a file of figures names it.
+    /// Name of the form in a results file.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The term that grows, without its coefficient.
+    /// The growing term at size n, without its coefficient.
     #[must_use]
     pub fn term(self, n: f64) -> f64 {
         match self {
@@ -36,30 +36,30 @@
     }
 }
 
-/// A line through the points, and how far they lie from it.
+/// A curve fitted to points, and its residuals.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Fitted {
-    /// Of the term that grows.
+    /// Form of the growing term.
     pub form: Form,
-    /// The value at none.
+    /// The constant term, a.
     pub constant: f64,
-    /// Before the term.
+    /// Coefficient of the growing term, b.
     pub slope: f64,
-    /// Root of the mean square of the residuals.
+    /// Root mean square of the residuals.
     pub rms: f64,
-    /// The residual of largest size, with its sign.
+    /// Residual with the largest absolute value, with its sign.
     pub worst: f64,
 }
 
 impl Fitted {
-    /// The value at n.
+    /// The fitted value at size n.
     #[must_use]
     pub fn at(&self, n: f64) -> f64 {
         self.constant + self.slope * self.form.term(n)
     }
 }
 
-/// The line of this form with the least squares; none through fewer than two different sizes.
+/// Fits a curve of this form by least squares; none for fewer than two different sizes.
 #[must_use]
 pub fn fit(form: Form, points: &[(f64, f64)]) -> Option<Fitted> {
     let count = points.len() as f64;
@@ -104,11 +104,11 @@
     Some(fitted)
 }
 
-/// A more complicated form has to halve the residuals of a simpler one, or the simpler one stands: a machine under
-/// load bends any line.
+/// A more complex form replaces a simpler one only if its residuals are below this fraction of the simpler one's,
+/// because other load on the machine bends any straight line.
 const CLEARLY: f64 = 0.5;
 
-/// The form that the points show.
+/// Fits all forms and returns the one that the points support; none for fewer than two different sizes.
 #[must_use]
 pub fn best(points: &[(f64, f64)]) -> Option<Fitted> {
     let fitted = Form::ALL.into_iter().filter_map(|form| fit(form, points));
--- a/crates/scale/src/fleet/bare.rs
+++ b/crates/scale/src/fleet/bare.rs
@@ -1,5 +1,5 @@
-//! The real engine of a hollow sender: it takes lists and settings as a real one does, and has no door, no disk and
-//! no connection to an endpoint.
+//! Runs the real engine in a simulated sender: the engine receives lists and settings as in a real sender, but has no
+//! listener, no disk and no connection to an endpoint.
 
 use super::tally::Mark;
 use super::tally::Tally;
@@ -20,7 +20,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::task::{AbortHandle, spawn_local};
 
-/// A ledger and a transport that get nothing to do: no message is handed in.
+/// A journal and transport that do nothing, because no message is ever submitted.
 struct Idle;
 
 impl Journal for Idle {
@@ -69,10 +69,10 @@
     }
 }
 
-/// Runs an engine behind what the sender hears; the tally is told first.
+/// Starts an engine that receives the sender's list updates; the counters are updated before the engine gets an update.
 ///
 /// # Errors
-/// The settings make no sense together.
+/// The engine rejects the settings.
 pub fn start(
     config: &Config,
     mut heard: mpsc::UnboundedReceiver<Input>,
--- a/crates/scale/src/fleet/compare.rs
+++ b/crates/scale/src/fleet/compare.rs
@@ -1,4 +1,4 @@
-//! The same number of senders, real and hollow: what each costs control, and itself.
+//! Compares real senders with the same number of simulated ones: what they cost the coordinators, and their own cost.
 
 use super::real::Reals;
 use super::rig::Rig;
@@ -14,11 +14,11 @@
 pub enum Kind {
     /// Processes of the product.
     Real,
-    /// Hollow ones, all in one process.
+    /// Simulated senders, all in one process.
     Hollow,
-    /// Hollow ones, each in a process of its own.
+    /// Simulated senders, each in a process of its own.
     HollowApart,
-    /// Hollow ones with a real engine behind each list, each in a process of its own.
+    /// Simulated senders with a real engine that receives the list, each in a process of its own.
     EngineApart,
 }
 
@@ -33,16 +33,16 @@
     }
 }
 
-/// Rest from the senders' beginning until what that brought is over.
+/// Pause after senders start, before a measurement begins.
 const SETTLE: Duration = Duration::from_secs(4);
 
-/// Rounds of all kinds in turn: what else runs on the machine changes from one to the next.
+/// Rounds in which the kinds take turns, so that changes in the machine's other load affect all kinds.
 const ROUNDS: usize = 2;
 
 /// Runs the kinds one after the other, with the same list and the same changes.
 ///
 /// # Errors
-/// A part does not come up, or a process ends.
+/// A process does not start or ends early.
 pub fn run(plan: &Plan, sheet: &mut Sheet, senders: u64, rate: f64) -> Result<(), Error> {
     for _ in 0..ROUNDS {
         for kind in [
@@ -57,10 +57,10 @@
     Ok(())
 }
 
-/// Runs one kind; each has one region, so that all reach the same addresses.
+/// Runs one kind in a single region, so that all senders use the same addresses.
 ///
 /// # Errors
-/// A part does not come up, or a process ends.
+/// A process does not start or ends early.
 pub fn one(
     plan: &Plan,
     sheet: &mut Sheet,
@@ -120,7 +120,7 @@
     };
     let mut spans = Sheet::default();
     spans.span(&place, &before, &after, senders, senders, leader);
-    // the cost of real ones is that of their processes, below
+    // the senders' own cost is recorded below, for real senders from their processes
     spans.lines.retain(|line| {
         !matches!(line, crate::figures::Line::Point(point) if point.role == "sender"
             && ["cpu", "resident", "descriptors"].contains(&point.quantity.as_str()))
--- a/crates/scale/src/fleet/discovery.rs
+++ b/crates/scale/src/fleet/discovery.rs
@@ -1,9 +1,10 @@
-//! A stand-in for the platform's discovery: the watch of the endpoint list, as the platform's protocol page has it,
-//! and its notices. It is none of the product's processes; what it costs is told as the stand-in's.
+//! Test double of the platform's discovery service: the watch of the endpoint list as the platform's protocol page
+//! describes it, and the notification endpoint. It is not a process of the product, and its cost is recorded
+//! separately.
 //!
-//! A version of the list is the moment at which it was published, in microseconds since the machine's start, so that
-//! a sender knows by the version alone how late it hears. The first list goes out in pieces, under the versions 1, 2
-//! and so on: a sender drops a line longer than 1 MiB.
+//! A version of the list is the time of its publishing in microseconds since the machine's start, so that a sender's
+//! delay follows from the version alone. The first list is sent in pieces with the versions 1, 2 and so on, because a
+//! sender drops a line longer than 1 MiB.
 
 use super::meter::{Meter, Passed};
 use super::relay::{Way, listen, reset};
@@ -19,21 +20,21 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// While nothing changes, an empty line comes so often.
+/// Interval of empty keepalive lines while nothing changes.
 const EMPTY: Duration = Duration::from_secs(2);
-/// Longest request that is read.
+/// Longest request that is read, in bytes.
 const REQUEST_MOST: usize = 1 << 20;
 
-/// How the list goes out.
+/// How the first list is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Form {
     /// Destinations in the first list.
     pub destinations: u64,
-    /// Entries in one line of the first list; a line takes some 150 bytes for each.
+    /// Entries in one line of the first list; each takes about 150 bytes.
     pub piece: u64,
 }
 
-/// One published state: its version and its entries, without the line round them.
+/// Entries that were published together as one version, without the line's JSON around them.
 #[derive(Debug, Clone)]
 struct Entries {
     version: u64,
@@ -43,18 +44,18 @@
 #[derive(Debug)]
 struct State {
     entries: Vec<Entries>,
-    /// Destinations so far.
+    /// Number of destinations so far.
     destinations: u64,
     notices: u64,
     watches: u64,
 }
 
-/// Discovery; clones share it.
+/// The running test double; clones share its state.
 #[derive(Debug, Clone)]
 pub struct Discovery {
-    /// Where each region reaches it.
+    /// Address for each region.
     pub addresses: Vec<SocketAddr>,
-    /// What passes.
+    /// Counts the list's traffic.
     pub meter: Meter,
     state: Arc<Mutex<State>>,
     told: Arc<watch::Sender<usize>>,
@@ -63,10 +64,11 @@
 }
 
 impl Discovery {
-    /// Begins to serve so many regions on this runtime; every endpoint of the list has this address.
+    /// Starts serving the given number of regions on the runtime; all endpoints of the list have the address
+    /// `endpoint`.
     ///
     /// # Errors
-    /// No port is to be had.
+    /// No port is available.
     pub fn start(
         runtime: &Handle,
         regions: usize,
@@ -117,7 +119,7 @@
         Ok(discovery)
     }
 
-    /// Publishes a change: one new destination with one endpoint. Its version.
+    /// Publishes a change, one new destination with one endpoint, and returns its version.
     #[expect(clippy::must_use_candidate, reason = "some callers only want a change")]
     pub fn publish(&self) -> u64 {
         let mut state = self.state();
@@ -135,7 +137,7 @@
         version
     }
 
-    /// The version of the list now.
+    /// Newest version of the list.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.state()
@@ -144,31 +146,31 @@
             .map_or(0, |entries| entries.version)
     }
 
-    /// Destinations of the list now.
+    /// Number of destinations in the newest version.
     #[must_use]
     pub fn destinations(&self) -> u64 {
         self.state().destinations
     }
 
-    /// Lines of notices so far.
+    /// Number of notification lines received so far.
     #[must_use]
     pub fn notices(&self) -> u64 {
         self.state().notices
     }
 
-    /// Watches that were opened so far.
+    /// Number of watches opened so far.
     #[must_use]
     pub fn watches(&self) -> u64 {
         self.state().watches
     }
 
-    /// What a region meets from now on.
+    /// Sets how connections of a region are treated from now on.
     pub fn set(&self, region: usize, way: Way) {
         self.ways[region].send_replace(way);
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        // each change of it is whole or not there
+        // the state is changed with one assignment at a time, so that a poisoned lock holds usable data
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -188,7 +190,7 @@
                 let _ = stream.set_nodelay(true);
                 if *way.borrow() == Way::Pass {
                     tokio::select! {
-                        // a sender that has gone away has heard enough
+                        // an error means that the sender closed its watch
                         _ = here.serve_one(&mut stream) => return,
                         _ = way.wait_for(|way| *way != Way::Pass) => {}
                     }
@@ -230,7 +232,7 @@
             .state()
             .entries
             .partition_point(|entries| entries.version <= from);
-        // a watch is answered at once, also where nothing has changed
+        // a watch gets a first line at once, even if nothing has changed
         let mut owed = true;
         loop {
             let _ = told.borrow_and_update();
@@ -245,8 +247,8 @@
         }
     }
 
-    /// The line that goes out at this place, and the place behind it. A piece of the first list goes by itself, and
-    /// all changes that a watch has missed go together.
+    /// Returns the line that starts with the entries at index `at`, and the index after them. A piece of the first list
+    /// has a line of its own; all changes that a watch has missed share one line.
     fn line(&self, at: usize) -> Option<(Vec<u8>, usize)> {
         let state = self.state();
         let first = state.entries.get(at)?;
@@ -313,7 +315,7 @@
     bytes
 }
 
-/// Entries of these destinations, each with one endpoint.
+/// JSON entries of these destinations, each with one endpoint.
 fn targets(numbers: std::ops::Range<u64>, endpoint: SocketAddr) -> Bytes {
     let entries: Vec<String> = numbers
         .map(|number| {
--- a/crates/scale/src/fleet/meter.rs
+++ b/crates/scale/src/fleet/meter.rs
@@ -1,33 +1,33 @@
-//! Messages and bytes by the second, counted where they pass.
+//! Counts messages and bytes per second.
 
 use milletturn_coordination_protocol::clock::now;
 use std::collections::BTreeMap;
 use std::ops::{Add, Sub};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// What has passed. Bytes are those of the program: the headers of TCP and IP are not in them.
+/// Amount of traffic; bytes are those of the application, without the headers of TCP and IP.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Passed {
     /// Connections that were opened.
     pub opened: u64,
-    /// Requests, by senders or stewards.
+    /// Requests, by senders, coordinators or session proxies.
     pub asked: u64,
-    /// Answers and lines that were pushed.
+    /// Responses, and lines pushed to a watch.
     pub told: u64,
-    /// Bytes of what was asked.
+    /// Bytes of the requests.
     pub bytes_asked: u64,
-    /// Bytes of what was told.
+    /// Bytes of the responses and pushed lines.
     pub bytes_told: u64,
 }
 
 impl Passed {
-    /// Both ways together.
+    /// Messages in both directions.
     #[must_use]
     pub fn messages(&self) -> u64 {
         self.asked + self.told
     }
 
-    /// Both ways together.
+    /// Bytes in both directions.
     #[must_use]
     pub fn bytes(&self) -> u64 {
         self.bytes_asked + self.bytes_told
@@ -62,19 +62,19 @@
     }
 }
 
-/// Counts by the second since the machine's start; clones share it.
+/// Traffic counters by second since the machine's start; clones share the counters.
 #[derive(Debug, Clone, Default)]
 pub struct Meter(Arc<Mutex<BTreeMap<u64, Passed>>>);
 
 impl Meter {
-    /// Counts this now.
+    /// Adds traffic to the present second.
     pub fn count(&self, passed: Passed) {
         let mut seconds = self.seconds();
         let second = seconds.entry(now().0 / 1_000_000).or_default();
         *second = *second + passed;
     }
 
-    /// All so far.
+    /// Total so far.
     #[must_use]
     pub fn sum(&self) -> Passed {
         self.seconds()
@@ -82,8 +82,8 @@
             .fold(Passed::default(), |sum, second| sum + *second)
     }
 
-    /// The second in which most messages passed and the one in which most bytes did, from this moment (microseconds
-    /// since the machine's start) on.
+    /// Highest number of messages and highest number of bytes in one second; seconds before `from` (microseconds since
+    /// the machine's start) are ignored.
     pub fn peak(&self, from: u64) -> (u64, u64) {
         let seconds = self.seconds();
         let late = || seconds.range(from / 1_000_000..).map(|(_, second)| second);
@@ -92,7 +92,7 @@
     }
 
     fn seconds(&self) -> MutexGuard<'_, BTreeMap<u64, Passed>> {
-        // a count is whole or not there
+        // a counter is updated with one assignment, so that a poisoned lock holds usable data
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/scale/src/fleet/process.rs
+++ b/crates/scale/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! A process that this one started: its lines, signals to it by its number, its end.
+//! A child process: its output, signals to it, and its end.
 
 use crate::Error;
 use rustix::process::{Pid, Signal, kill_process};
@@ -10,23 +10,23 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Longest wait for what a process has to say or do: far above what any takes.
+/// Longest wait for a process; far longer than any of the awaited steps takes.
 pub const PATIENCE: Duration = Duration::from_secs(60);
-/// Rest between two looks.
+/// Pause between two polls.
 pub const LOOK: Duration = Duration::from_millis(10);
 
-/// Processes that run: a signal that ends this one ends them too, each by its number.
+/// Ids of running child processes, which are killed when a signal ends this process.
 static RUNNING: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
 fn running(change: impl FnOnce(&mut BTreeSet<u32>)) {
-    // a number is in it or not
+    // an id is in the set or not, so that a poisoned lock holds usable data
     change(&mut RUNNING.lock().unwrap_or_else(PoisonError::into_inner));
 }
 
-/// From now on SIGTERM and SIGINT end the processes that this one has started, and then this one.
+/// From now on, SIGTERM and SIGINT kill the child processes and then end this process.
 ///
 /// # Errors
-/// The system gives no thread, no runtime or no signals.
+/// The system provides no thread, no runtime or no signals.
 pub fn end_all_at_signals() -> Result<(), Error> {
     use tokio::signal::unix::{SignalKind, signal};
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -49,7 +49,7 @@
                 .iter()
                 .filter_map(|number| Pid::from_raw(number.cast_signed()))
             {
-                // gone already
+                // the process may have ended already
                 let _ = kill_process(number, Signal::KILL);
             }
         });
@@ -61,10 +61,10 @@
     Ok(())
 }
 
-/// Looks until it is so.
+/// Polls until the condition holds.
 ///
 /// # Errors
-/// It is not so after [`PATIENCE`].
+/// The condition fails, or does not hold within [`PATIENCE`].
 pub fn until(what: &str, mut so: impl FnMut() -> Result<bool, Error>) -> Result<(), Error> {
     let begun = Instant::now();
     while !so()? {
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-/// A process; is killed with this value.
+/// A child process; dropping the value kills the process.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -87,10 +87,10 @@
 }
 
 impl Process {
-    /// Starts it; what it says on either output goes to this file.
+    /// Starts the process; standard output and standard error go to the file `log`.
     ///
     /// # Errors
-    /// It can't be started, or the file not written.
+    /// The process can't be started, or the file can't be created.
     pub fn start(command: &mut Command, log: &Path) -> Result<Self, Error> {
         let file = || File::create(log).map_err(Error::io(log.display().to_string()));
         let out = file()?;
@@ -112,13 +112,13 @@
         })
     }
 
-    /// Its number.
+    /// Process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// What it has said, by lines.
+    /// All lines of output so far.
     #[must_use]
     pub fn lines(&self) -> Vec<String> {
         let file = File::open(&self.log);
@@ -126,10 +126,10 @@
             .unwrap_or_default()
     }
 
-    /// Waits until it has said this; the rest of that line.
+    /// Waits until the output contains a text, and returns the rest of that line.
     ///
     /// # Errors
-    /// It never does, or has ended.
+    /// The text does not appear in time, or the process has ended.
     pub fn until_said(&mut self, what: &str) -> Result<String, Error> {
         let mut said = None;
         until(&format!("a process says {what:?}"), || {
@@ -148,19 +148,19 @@
         Ok(said.unwrap_or_default())
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
-    /// It is gone.
+    /// The process has ended.
     pub fn signal(&self, signal: Signal) -> Result<(), Error> {
         let sent = kill_process(Pid::from_child(&self.child), signal);
         sent.map_err(|error| Error::Io(format!("a signal to process {}", self.id()), error.into()))
     }
 
-    /// Waits until it has ended by itself.
+    /// Waits until the process has ended by itself.
     ///
     /// # Errors
-    /// It does not.
+    /// The process does not end in time.
     pub fn until_ended(&mut self) -> Result<(), Error> {
         let child = &mut self.child;
         until("a process ends", || {
@@ -171,7 +171,7 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // gone already, or gone now
+        // the process may have ended already
         let _ = self.child.kill();
         let _ = self.child.wait();
         running(|numbers| {
--- a/crates/scale/src/fleet/real.rs
+++ b/crates/scale/src/fleet/real.rs
@@ -1,5 +1,5 @@
-//! Real senders: processes of the program as the platform runs it, each with a process that keeps its session; an
-//! endpoint that they deliver to, and clients that hand messages in.
+//! Real senders as the platform runs them, each with a second process that keeps its session; an endpoint that they
+//! deliver to; and clients that submit messages.
 
 use super::process::Process;
 use super::relay::listen;
@@ -19,7 +19,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::runtime::Handle;
 
-/// The file of a sender's settings, for a fleet of so many; `listen` and `discovery` are said by variables.
+/// Content of a sender's configuration file for a fleet of the given size; environment variables override `listen` and
+/// `discovery`.
 #[must_use]
 pub fn config(senders: u64, on_request: bool) -> String {
     let discovery = if on_request {
@@ -41,19 +42,19 @@
     )
 }
 
-/// An endpoint that answers 200 to every call, and remembers which messages came.
+/// An endpoint that responds with 200 to every call and records which messages arrived.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// Where it listens.
+    /// Address of the endpoint.
     pub address: SocketAddr,
     seen: Arc<Mutex<(BTreeSet<String>, u64)>>,
 }
 
 impl Endpoint {
-    /// Begins to serve on this runtime.
+    /// Starts the endpoint on the runtime.
     ///
     /// # Errors
-    /// No port is to be had.
+    /// No port is available.
     pub fn start(runtime: &Handle) -> Result<Self, Error> {
         let _entered = runtime.enter();
         let listener = listen()?;
@@ -68,7 +69,7 @@
         Ok(endpoint)
     }
 
-    /// Messages that came, each once; and calls beyond the first of each.
+    /// Number of distinct messages received, and number of calls beyond the first for each message.
     pub fn seen(&self) -> (u64, u64) {
         let seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
         (seen.0.len() as u64, seen.1)
@@ -77,7 +78,7 @@
     async fn serve(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
             let here = self.clone();
-            // a sender that leaves is free to
+            // an error means that the sender closed the connection, which it may do at any time
             tokio::spawn(async move { here.serve_one(stream).await });
         }
     }
@@ -103,7 +104,7 @@
 
 type Headers = Vec<(String, String)>;
 
-/// The first line and the headers; none at the end of the connection.
+/// Reads the first line and the headers of a message; none at the end of the connection.
 async fn read_head(
     stream: &mut BufReader<TcpStream>,
 ) -> std::io::Result<Option<(String, Headers)>> {
@@ -136,7 +137,7 @@
         .unwrap_or(0)
 }
 
-/// Real senders.
+/// Running processes of real senders, and counters of the messages submitted to them.
 #[derive(Debug)]
 pub struct Reals {
     senders: Vec<(Process, SocketAddr)>,
@@ -147,11 +148,11 @@
 }
 
 impl Reals {
-    /// Starts so many, numbered from `first` on, and waits until each listens. Their sessions have the names and
-    /// work that hollow ones of the same numbers would have.
+    /// Starts a sender for each number and waits until it listens. Sessions have the names and resources that simulated
+    /// senders of the same numbers would have.
     ///
     /// # Errors
-    /// One does not come up.
+    /// A process does not start.
     pub fn start(
         program: &Path,
         config: &Path,
@@ -189,7 +190,7 @@
                     "--name",
                     &format!("hollow-{number}"),
                 ]);
-                // it acts for its work once an hour: what is left is the session
+                // with one action an hour on its resource, the process costs little besides its session
                 command.args(["--every", "3600000", "--group", GROUP, "--format", "json"]);
                 for address in stewards {
                     command.args(["--steward", address]);
@@ -211,7 +212,7 @@
         Ok(reals)
     }
 
-    /// Numbers of the processes.
+    /// Ids of all processes.
     pub fn ids(&self) -> Vec<u32> {
         let senders = self.senders.iter().map(|(process, _)| process.id());
         senders
@@ -219,10 +220,10 @@
             .collect()
     }
 
-    /// What the senders have cost so far, and what the processes of their sessions have.
+    /// Returns the cost so far of the senders and of the processes that keep their sessions.
     ///
     /// # Errors
-    /// One is gone.
+    /// A process has ended.
     pub fn costs(&self) -> Result<(Cost, Cost), Error> {
         let senders = Cost::of_all(self.senders.iter().map(|(process, _)| process.id()))?;
         Ok((
@@ -231,8 +232,8 @@
         ))
     }
 
-    /// Hands messages to each sender, one after the other with this rest, to destinations below this number, until
-    /// the handle is aborted.
+    /// Submits messages to each sender, one after the other with a pause of `rest`, to destinations below the given
+    /// number, until the handles are aborted.
     #[must_use]
     pub fn hand_in(
         &self,
@@ -266,7 +267,7 @@
         clients
     }
 
-    /// Messages handed in, and those that were taken on.
+    /// Number of messages submitted, and number of those that were accepted.
     #[must_use]
     pub fn handed(&self) -> (u64, u64) {
         (
@@ -275,10 +276,10 @@
         )
     }
 
-    /// Reads the settings of each sender anew.
+    /// Makes each sender reload its settings.
     ///
     /// # Errors
-    /// One is gone.
+    /// A process has ended.
     pub fn reload(&self) -> Result<(), Error> {
         self.senders
             .iter()
@@ -286,7 +287,7 @@
     }
 }
 
-/// A message as a client hands it in.
+/// A submission request for one message.
 fn message(id: &str, destination: u64) -> Vec<u8> {
     let body = "x".repeat(200);
     let head = format!(
--- a/crates/scale/src/fleet/relay.rs
+++ b/crates/scale/src/fleet/relay.rs
@@ -1,5 +1,5 @@
-//! A way to a steward through this process: counts what passes, cuts, and leads on to wherever the steward listens
-//! after a restart.
+//! A TCP proxy in this process, in front of a coordinator or session proxy. It counts the traffic, can simulate a
+//! network partition or a dead host, and follows the upstream process to its new port after a restart.
 
 use super::meter::{Meter, Passed};
 use crate::Error;
@@ -11,36 +11,36 @@
 use tokio::runtime::Handle;
 use tokio::sync::watch;
 
-/// Connections that wait to be accepted: a fleet comes at once.
+/// Length of the accept queue; a whole fleet connects at once.
 const BACKLOG: u32 = 4096;
 
-/// What a way does now.
+/// How a proxy or listener treats connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Way {
-    /// Passes all on.
+    /// Forwards all bytes.
     #[default]
     Pass,
-    /// Passes nothing on, with connections open, as where a network is cut.
+    /// Forwards nothing and keeps connections open, as in a network partition.
     Silent,
-    /// Resets each connection, as where a process is gone.
+    /// Resets every connection, as where the process has ended.
     Down,
 }
 
-/// A way to one steward.
+/// A metered TCP proxy to one upstream address.
 #[derive(Debug, Clone)]
 pub struct Relay {
-    /// Where it is entered.
+    /// Address that clients connect to.
     pub address: SocketAddr,
-    /// What passes.
+    /// Counts the traffic.
     pub meter: Meter,
     to: Arc<watch::Sender<Option<SocketAddr>>>,
     way: Arc<watch::Sender<Way>>,
 }
 
-/// Listens on a port that the system gives.
+/// Listens on a loopback port chosen by the system.
 ///
 /// # Errors
-/// No port is to be had.
+/// No port is available.
 pub fn listen() -> Result<TcpListener, Error> {
     let bound = || {
         let socket = TcpSocket::new_v4()?;
@@ -50,17 +50,17 @@
     bound().map_err(Error::io("a port on loopback"))
 }
 
-/// Ends a connection by a reset.
+/// Closes a connection with a TCP reset.
 pub fn reset(stream: &TcpStream) {
-    // without it the connection ends in the usual way
+    // if this fails, the connection closes with FIN instead
     let _ = socket2::SockRef::from(stream).set_linger(Some(std::time::Duration::ZERO));
 }
 
 impl Relay {
-    /// Runs on this runtime; leads nowhere yet.
+    /// Starts a proxy on the runtime, without an upstream address.
     ///
     /// # Errors
-    /// No port is to be had.
+    /// No port is available.
     pub fn start(runtime: &Handle, meter: Meter) -> Result<Self, Error> {
         let _entered = runtime.enter();
         let listener = listen()?;
@@ -76,12 +76,12 @@
         Ok(relay)
     }
 
-    /// Leads to this address from now on.
+    /// Sets the upstream address for new connections; with none, they are reset.
     pub fn lead_to(&self, address: Option<SocketAddr>) {
         self.to.send_replace(address);
     }
 
-    /// From now on.
+    /// Sets how connections are treated from now on, those already open included.
     pub fn set(&self, way: Way) {
         self.way.send_replace(way);
     }
@@ -100,7 +100,7 @@
         let mut way = self.way.subscribe();
         let to = *self.to.borrow();
         let (Way::Pass, Some(to)) = (*way.borrow_and_update(), to) else {
-            // what comes while the network is cut never comes up, and is reset when it is back
+            // a connection made during the partition gets no response, and is reset when the partition ends
             let _ = way.wait_for(|way| *way != Way::Silent).await;
             return reset(&near);
         };
@@ -108,7 +108,7 @@
             return reset(&near);
         };
         for stream in [&near, &far] {
-            // without it bytes still pass, only later
+            // without TCP_NODELAY bytes still pass, only later
             let _ = stream.set_nodelay(true);
         }
         self.meter.count(Passed {
@@ -132,13 +132,13 @@
                 ..Passed::default()
             });
         });
-        // the end of one direction passes on as an end; a change of the way ends both
+        // the end of one direction is forwarded; a change of the link state ends both directions
         tokio::join!(there, back);
     }
 }
 
-/// Passes one direction on until it ends, or the way is no longer what it was: then no byte passes any more, and
-/// the connection is reset when the network is back.
+/// Forwards one direction until it ends or the link state changes. After a change no byte is forwarded, and the
+/// connection is reset as soon as the link is not silent.
 async fn pump(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/crates/scale/src/fleet/relayed.rs
+++ b/crates/scale/src/fleet/relayed.rs
@@ -1,5 +1,5 @@
-//! Control of a fleet behind relays: what it costs each role by the number of senders, and what happens when a relay is
-//! killed at the largest size.
+//! Measures a fleet whose sessions go through session proxies: the cost of each role by the number of sessions, and
+//! what happens when a session proxy is killed at the largest size.
 
 use super::discovery::Form;
 use super::relays::Relays;
@@ -12,34 +12,37 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// Seconds of a lease.
+/// Lease duration in seconds.
 const LEASE: u64 = 9;
-/// Senders that begin together.
+/// Number of senders started together.
 const CHUNK: u64 = 1_000;
-/// Longest wait for a size: a loaded machine opens some hundred sessions a second.
+/// Longest wait until the sessions of one size are open; a loaded machine opens a few hundred sessions a second.
 const BEGIN: Duration = Duration::from_secs(120);
-/// From the last opening until what it brought is over: all have renewed by then.
+/// Pause between the last opened session and the measurement, in which every session renews once.
 const SETTLE: Duration = Duration::from_secs(LEASE / 2);
-/// Pieces of work that the book holds: with more senders none has one.
+/// Number of resources that the coordination state holds; with more senders than this, none claims a resource.
 const WORKS: u64 = milletturn_coordination::bounds::MAX_RESOURCES as u64;
 
-/// What a run is made of beside its sizes.
+/// Configuration of a run besides its sizes.
 #[derive(Debug, Clone, Copy)]
 pub struct Shape {
-    /// Relays.
+    /// Number of session proxies.
     pub relays: usize,
-    /// Hollow senders in one process.
+    /// Simulated senders in one process.
     pub each: u64,
-    /// Destinations of the list, which is no part of what is measured: a whole list of 1,000 is 17 ms of processor time.
+    /// Destinations of the list. The list is not part of what is measured; a full list of 1,000 takes 17 ms of
+    /// processor time.
     pub destinations: u64,
-    /// A zone, all control and a release at the largest size, instead of a relay killed.
+    /// Whether the largest size goes through three fault scenarios (a zone, all coordination, a release) instead of
+    /// losing one session proxy.
     pub faults: bool,
 }
 
-/// Sessions behind so many relays by their number; then a relay is killed.
+/// Opens sessions through the session proxies and measures each size; afterwards runs the fault scenarios or kills a
+/// session proxy.
 ///
 /// # Errors
-/// A part does not come up, or a process ends.
+/// A process does not start or ends early.
 pub fn run(plan: &Plan, sheet: &mut Sheet, shape: Shape) -> Result<(), Error> {
     let Shape {
         relays,
@@ -104,7 +107,7 @@
             &place,
             opening.elapsed().as_secs_f64(),
         );
-        // a sender that still reads its first list renews late
+        // a sender that is still reading its first list renews late
         known(&mut rig, begun, opening)?;
         sheet.point(
             "fleet",
@@ -131,7 +134,7 @@
     Ok(())
 }
 
-/// What in the code makes a figure grow.
+/// The code that causes a quantity to grow, by role and quantity.
 const TERMS: [(&str, &str, &str); 13] = [
     (
         "steward.leader",
@@ -193,7 +196,7 @@
     ),
 ];
 
-/// Fits all figures by the number of sessions.
+/// Fits all quantities by the number of sessions.
 pub fn fits(sheet: &mut Sheet, relays: usize) {
     let set = other([
         ("lease_s", json!(LEASE)),
@@ -205,7 +208,7 @@
     }
 }
 
-/// Waits until the book has so many sessions.
+/// Waits until the coordination state has the given number of sessions; false if it does not in time.
 fn opened(rig: &mut Rig, wanted: u64, since: Instant) -> Result<bool, Error> {
     while since.elapsed() < BEGIN {
         std::thread::sleep(Duration::from_millis(300));
@@ -216,7 +219,7 @@
     Ok(false)
 }
 
-/// Waits until so many senders know the list, as long as sessions may take.
+/// Waits until the given number of senders know the list, at most as long as sessions may take to open.
 fn known(rig: &mut Rig, wanted: u64, since: Instant) -> Result<(), Error> {
     while since.elapsed() < BEGIN && rig.herd.ask(rig.discovery.version())?.0 < wanted {
         std::thread::sleep(Duration::from_millis(300));
@@ -224,7 +227,7 @@
     Ok(())
 }
 
-/// Sessions in the book now.
+/// Number of sessions in the coordination state now.
 pub fn sessions(rig: &Rig) -> u64 {
     let look = rig.stewards.as_ref().and_then(super::stewards::Group::look);
     look.map_or(0, |look| look.sessions.len() as u64)
@@ -311,7 +314,8 @@
     Ok(())
 }
 
-/// Kills one relay; two leases later each of its members renews through another, and none has lost its session.
+/// Kills one session proxy and records the load of the others during two leases, in which each member must renew
+/// through another proxy without losing its session.
 fn kill_one(plan: &Plan, sheet: &mut Sheet, rig: &mut Rig, senders: u64) -> Result<(), Error> {
     let asked = |rig: &Rig| -> Result<Vec<u64>, Error> {
         let relays = relays(rig)?;
--- a/crates/scale/src/fleet/relayed_faults.rs
+++ b/crates/scale/src/fleet/relayed_faults.rs
@@ -1,4 +1,5 @@
-//! Faults of a fleet behind relays, at the largest size that opened: its sessions, and not the list.
+//! Fault scenarios for sessions that go through session proxies, at the largest size that opened. The endpoint list is
+//! not tested here.
 
 use super::relayed::sessions;
 use super::rig::Rig;
@@ -9,15 +10,15 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// A zone: 3.2% of the senders, one of so many.
+/// One sender in this many belongs to the zone that fails, 3.2% of all senders.
 const ZONE: u64 = 31;
-/// Longer than a lease of 9 s: nobody may believe in a session any more.
+/// How long the outage lasts; longer than the lease of 9 s, so that no sender may still rely on its session.
 const AWAY: Duration = Duration::from_secs(12);
-/// Parts in which a release restarts all senders, a second each.
+/// Number of waves in which a release restarts all senders, one wave a second.
 const WAVES: u64 = 20;
-/// Rest between two looks.
+/// Pause between two polls of the fleet.
 const LOOK: Duration = Duration::from_millis(250);
-/// Longest wait for a fleet that is whole again.
+/// Longest wait for the fleet to recover.
 const WHOLE: Duration = Duration::from_secs(90);
 
 type Run = fn(&mut Rig, u64) -> Result<String, Error>;
@@ -31,10 +32,10 @@
     ("release of all, sessions behind relays", release),
 ];
 
-/// Runs all of them over a fleet of so many.
+/// Runs all scenarios one after the other.
 ///
 /// # Errors
-/// A part does not come up, or a process ends.
+/// A process does not start or ends early.
 pub fn run(sheet: &mut Sheet, rig: &mut Rig, senders: u64, until: Instant) -> Result<(), Error> {
     for (name, fault) in FAULTS {
         if Instant::now() > until {
@@ -70,7 +71,7 @@
     Ok(())
 }
 
-/// Entries of the log so far, as the leading steward counts them.
+/// Number of log entries that the leader has applied.
 fn written(rig: &Rig) -> u64 {
     rig.stewards
         .as_ref()
@@ -78,7 +79,7 @@
         .unwrap_or(0)
 }
 
-/// Waits until it is so; how long that took, or that it never was.
+/// Waits until the condition holds; returns a text with the time taken, or that it did not hold in time.
 fn until(mut so: impl FnMut() -> Result<bool, Error>) -> Result<String, Error> {
     let begun = Instant::now();
     while begun.elapsed() < WHOLE {
--- a/crates/scale/src/fleet/relays.rs
+++ b/crates/scale/src/fleet/relays.rs
@@ -1,5 +1,5 @@
-//! The product's relays as processes: each with ways of its own to the stewards, and with a counted way in front of it
-//! where this process has the descriptors for that.
+//! The product's session proxies as processes. Each connects to the coordinators through network proxies of its own;
+//! where this process has enough descriptors, a metered network proxy also stands in front of each session proxy.
 
 use super::meter::{Meter, Passed};
 use super::process::Process;
@@ -17,25 +17,27 @@
 use tempfile::TempDir;
 use tokio::runtime::Handle;
 
-/// Longest wait for a relay's figures.
+/// Longest wait for the status of a session proxy.
 const WORD: Duration = Duration::from_secs(5);
-/// Descriptors of this process beside those of senders: stewards, relays, hollow processes, ways between them.
+/// Descriptors that this process needs besides those for senders: coordinators, session proxies, processes of simulated
+/// senders, and the network proxies between them.
 const OTHERS: u64 = 2_000;
 
-/// The relays of a run.
+/// The session proxies of a run.
 #[derive(Debug)]
 pub struct Relays {
     processes: Vec<Option<Process>>,
     listens: Vec<SocketAddr>,
-    /// A counted way to each, or none where members reach them directly.
+    /// A metered network proxy in front of each session proxy; empty where members connect directly.
     front: Vec<Passage>,
     runtime: Handle,
     program: PathBuf,
     folder: TempDir,
 }
 
-/// Whether this process can count what so many senders say to relays: a way takes two descriptors for each, and its
-/// watch of the list one.
+/// Returns whether this process has the descriptors to meter the traffic between the given number of senders and the
+/// session proxies. A network proxy takes two descriptors for each sender, and the sender's watch of the list takes
+/// one.
 #[must_use]
 pub fn counted(senders: u64) -> bool {
     let most = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
@@ -68,10 +70,11 @@
 }
 
 impl Relays {
-    /// Starts so many. The stewards' regions from `first` on are their ways to the stewards.
+    /// Starts the given number of session proxies. They reach the coordinators through the regions of `group` from
+    /// `first` on, one region each.
     ///
     /// # Errors
-    /// One does not come up.
+    /// A session proxy does not start.
     pub fn start(
         program: &Path,
         count: usize,
@@ -95,7 +98,7 @@
                 stewards.join(", ")
             );
             let (process, address) = start_one(program, &folder, number, &text)?;
-            // members know it by this address, also when it is started again
+            // members know the proxy by this address, which it must keep after a restart
             let text = text.replace("127.0.0.1:0", &address.to_string());
             let file = file(&folder, number);
             std::fs::write(&file, text).map_err(Error::io(file.display().to_string()))?;
@@ -117,7 +120,7 @@
         })
     }
 
-    /// Where members reach them.
+    /// Addresses at which members reach the session proxies.
     pub fn addresses(&self) -> Vec<String> {
         if self.front.is_empty() {
             return self.listens.iter().map(SocketAddr::to_string).collect();
@@ -128,13 +131,13 @@
             .collect()
     }
 
-    /// Whether bytes of members are counted, and not only their calls.
+    /// Returns whether the members' bytes are counted, and not only their requests.
     #[must_use]
     pub fn counts_bytes(&self) -> bool {
         !self.front.is_empty()
     }
 
-    /// Ends one as a crash would.
+    /// Stops a session proxy as a crash would.
     pub fn kill(&mut self, number: usize) {
         self.front
             .get(number)
@@ -143,10 +146,10 @@
         self.processes[number] = None;
     }
 
-    /// Starts one again that was killed, at its address.
+    /// Starts a killed session proxy again at its address.
     ///
     /// # Errors
-    /// It does not come up.
+    /// The session proxy does not start.
     pub fn start_again(&mut self, number: usize) -> Result<(), Error> {
         let file = file(&self.folder, number);
         let text = std::fs::read_to_string(&file).map_err(Error::io(file.display().to_string()))?;
@@ -159,7 +162,7 @@
         Ok(())
     }
 
-    /// Those that run.
+    /// Numbers of the running session proxies.
     pub fn running(&self) -> impl Iterator<Item = usize> {
         self.processes
             .iter()
@@ -168,11 +171,11 @@
             .map(|(number, _)| number)
     }
 
-    /// What one has cost so far, and what its members asked it and were told. Without a way in front of it there are no
-    /// bytes, and each call that it has counted is taken for answered.
+    /// Returns what a session proxy has cost so far, and its traffic with its members. Without a network proxy in front
+    /// there are no byte counts, and each request that the session proxy counted is taken to have had a response.
     ///
     /// # Errors
-    /// It is not running, or does not answer.
+    /// The session proxy is not running or does not respond.
     pub fn read(&self, number: usize) -> Result<(Cost, Passed), Error> {
         let process = self.processes[number].as_ref();
         let process =
@@ -193,13 +196,13 @@
         ))
     }
 
-    /// What one has counted itself.
+    /// Reads the counters that a session proxy reports about itself.
     ///
     /// # Errors
-    /// It does not answer.
+    /// The session proxy does not respond.
     pub fn status(&self, number: usize) -> Result<SessionProxyStatus, Error> {
         let mut line = Client::new(self.listens[number].to_string(), GROUP);
-        // the calling thread waits; the runtime of the ways does the work
+        // the calling thread blocks here while the network proxies' runtime makes the call
         let (answer, answered) = std::sync::mpsc::channel();
         self.runtime.spawn(async move {
             let _ = answer.send(
--- a/crates/scale/src/fleet/slopes.rs
+++ b/crates/scale/src/fleet/slopes.rs
@@ -1,4 +1,5 @@
-//! What control costs by the number of senders, the rate of changes and the number of destinations.
+//! Measures what coordination and the endpoint list cost by the number of senders, the rate of changes and the number
+//! of destinations.
 
 use super::discovery::Form;
 use super::herd::EACH;
@@ -9,42 +10,42 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Changes of configuration a second: 48,000 a day.
+/// Usual rate of configuration changes per second, 48,000 a day.
 pub const RATE: f64 = 48_000.0 / 86_400.0;
-/// Groups of senders that can be cut off for themselves.
+/// Number of sender groups whose network can be cut off separately.
 const REGIONS: usize = 5;
-/// Entries in a line of the first list: far below the 1 MiB that a sender still reads.
+/// Entries in one line of the first list, which keeps the line far below the 1 MiB that a sender reads.
 const PIECE: u64 = 4_000;
-/// Destinations where something else is varied.
+/// Number of destinations where something else is varied.
 pub const DESTINATIONS: u64 = 1_000;
-/// From a start until what it brought is over.
+/// Pause after senders start, before a measurement begins.
 const SETTLE: Duration = Duration::from_millis(2_500);
 
-/// How the sizes are run.
+/// Sizes and limits of a run.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// The programs.
+    /// Paths of the programs.
     pub programs: Programs,
-    /// Senders with a session.
+    /// Numbers of senders with a session to measure.
     pub sessions: Vec<u64>,
-    /// Senders that watch the list.
+    /// Numbers of senders that watch the list to measure.
     pub senders: Vec<u64>,
-    /// Multiples of [`RATE`].
+    /// Rates of changes to measure, as multiples of [`RATE`].
     pub rates: Vec<f64>,
-    /// Destinations.
+    /// Numbers of destinations to measure.
     pub destinations: Vec<u64>,
-    /// Of one measurement.
+    /// Length of one measurement.
     pub span: Duration,
-    /// What begins behind this moment is left out, and said so.
+    /// No measurement starts after this moment; the ones left out are printed.
     pub until: Instant,
-    /// Of all that is drawn at random.
+    /// Seed of all random numbers.
     pub seed: u64,
 }
 
-/// Stewards as they are set up without being told otherwise.
+/// Configuration of a coordinator group with the default heartbeat for its lease.
 #[must_use]
 pub fn stewards(count: usize, lease_s: u64) -> Setup {
-    // the lease has to be 15 times the heartbeat
+    // the lease must be at least 15 times the heartbeat
     Setup {
         count,
         lease_s,
@@ -53,12 +54,12 @@
     }
 }
 
-/// A kind of fleet: no session, and a list that does not change.
+/// Kind of fleet without sessions whose list does not change.
 pub const LIST_STILL: &str = "list alone, no change";
-/// A kind of fleet: no session, and ten times the usual rate of changes.
+/// Kind of fleet without sessions whose list changes at ten times the usual rate.
 pub const LIST_BUSY: &str = "list alone, 10 times the changes";
 
-/// What is set beside the number of senders with this group of stewards: another kind than the usual one says so.
+/// Parameters recorded with measurements of this group; a group other than the usual one also gets a `kind`.
 #[must_use]
 pub fn set_of(setup: Setup) -> Other {
     let mut set = other([
@@ -74,7 +75,7 @@
 }
 
 impl Plan {
-    /// A fleet of so many with the usual list.
+    /// Configuration of a harness with the given number of senders and the usual list.
     #[must_use]
     pub fn parts(&self, senders: u64, sessions: u64, stewards: Option<Setup>) -> Parts {
         Parts {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// True once nothing more may begin; says what is left out.
+    /// Returns whether the time for new measurements is over; if so, prints what is left out.
     fn is_over(&self, what: &str) -> bool {
         let over = Instant::now() > self.until;
         if over {
@@ -104,10 +105,10 @@
         over
     }
 
-    /// Sessions by their number, with this group of stewards.
+    /// Measures each number of sessions with this group of coordinators.
     ///
     /// # Errors
-    /// A part does not come up, or a process ends.
+    /// A process does not start or ends early.
     pub fn by_sessions(&self, sheet: &mut Sheet, setup: Setup) -> Result<(), Error> {
         let Some(&most) = self.sessions.iter().max() else {
             return Ok(());
@@ -121,7 +122,7 @@
         for &senders in [&0].into_iter().chain(&self.sessions) {
             if senders > begun {
                 if let Err(error) = rig.begin(begun..senders) {
-                    // that they never get there is a figure too
+                    // that the senders never got their sessions is a result too
                     let (know, may) = rig.herd.ask(rig.discovery.version())?;
                     let report = rig.herd.report(&rig.discovery)?;
                     eprintln!(
@@ -180,10 +181,10 @@
         Ok(())
     }
 
-    /// More sessions than the book takes.
+    /// Measures a fleet that wants more sessions than the coordination state holds.
     ///
     /// # Errors
-    /// A part does not come up, or a process ends.
+    /// A process does not start or ends early.
     pub fn beyond(&self, sheet: &mut Sheet, senders: u64) -> Result<(), Error> {
         if self.is_over("more sessions than the book takes") {
             return Ok(());
@@ -236,16 +237,17 @@
         Ok(())
     }
 
-    /// The list's watch by the number of senders, without sessions.
+    /// Measures the watch of the list by the number of senders, without sessions.
     ///
     /// # Errors
-    /// A part does not come up, or a process ends.
+    /// A process does not start or ends early.
     pub fn by_senders(&self, sheet: &mut Sheet) -> Result<(), Error> {
         for &senders in &self.senders {
             if self.is_over(&format!("{senders} watches")) {
                 continue;
             }
-            // 16,000 first lists of 1,000 destinations are 270 s of processor time, and not what is measured here
+            // 16,000 first lists of 1,000 destinations would take 270 s of processor time, which is not what is
+            // measured here
             let form = Form {
                 destinations: DESTINATIONS / 10,
                 piece: PIECE,
@@ -284,10 +286,10 @@
         Ok(())
     }
 
-    /// The list's watch by the rate of changes.
+    /// Measures the watch of the list by the rate of changes.
     ///
     /// # Errors
-    /// A part does not come up, or a process ends.
+    /// A process does not start or ends early.
     pub fn by_rate(&self, sheet: &mut Sheet, senders: u64) -> Result<(), Error> {
         if self.rates.is_empty() || self.is_over("rates of changes") {
             return Ok(());
@@ -297,7 +299,7 @@
         std::thread::sleep(SETTLE);
         rig.herd.report(&rig.discovery)?;
         for &multiple in &self.rates {
-            // a rate that brings no change in a span says nothing
+            // measure long enough for at least one change
             let span = self
                 .span
                 .max(Duration::from_secs_f64(1.0 / (multiple * RATE)));
@@ -315,10 +317,11 @@
         Ok(())
     }
 
-    /// A sender's first list, by the number of destinations: in pieces, and in one line as the protocol page has it.
+    /// Measures a sender's first list by the number of destinations, both in pieces and in one line as the protocol
+    /// page describes it.
     ///
     /// # Errors
-    /// A part does not come up, or a process ends.
+    /// A process does not start or ends early.
     pub fn by_destinations(&self, sheet: &mut Sheet) -> Result<(), Error> {
         const SENDERS: u64 = 2;
         for &destinations in &self.destinations {
@@ -348,7 +351,7 @@
                     at: destinations as f64,
                     other: set,
                 };
-                // a line that is too long is never heard: what is asked is whether it is
+                // a sender drops a line that is too long, so the number of senders that received the list is recorded
                 let heard = if whole {
                     std::thread::sleep(
                         Duration::from_secs(3) + Duration::from_micros(destinations * 4),
@@ -386,10 +389,10 @@
         Ok(())
     }
 
-    /// Settings read anew by all senders of a process.
+    /// Measures a reload of the settings by all senders of a process.
     ///
     /// # Errors
-    /// A part does not come up, or a process ends.
+    /// A process does not start or ends early.
     pub fn reloads(&self, sheet: &mut Sheet, senders: u64) -> Result<(), Error> {
         if self.is_over("reloads") {
             return Ok(());
@@ -424,7 +427,7 @@
         .map_or(f64::NAN, |point| point.1)
 }
 
-/// Seconds of the longest time.
+/// Longest duration in seconds; not a number without any sample.
 fn worst(times: &super::tally::Times) -> f64 {
     times
         .keys()
@@ -432,7 +435,7 @@
         .map_or(f64::NAN, |micros| *micros as f64 / 1e6)
 }
 
-/// How late changes were in force, and whether any went astray.
+/// Records how long changes took until they were in force, and how many were lost, duplicated or reordered.
 fn in_force(sheet: &mut Sheet, place: &Place<'_>, report: &super::tally::Report, published: u64) {
     let times = super::times::Spread::of(&report.in_force);
     for (quantity, unit, value) in [
--- a/crates/scale/src/fleet/thread.rs
+++ b/crates/scale/src/fleet/thread.rs
@@ -1,4 +1,4 @@
-//! A thread with a runtime of its own, and what it has cost.
+//! A thread with an async runtime of its own, whose processor time and timer delays are measured.
 
 use crate::Error;
 use rustix::time::{ClockId, clock_gettime};
@@ -8,10 +8,10 @@
 use tokio::runtime::Handle;
 use tokio::sync::oneshot;
 
-/// How often the thread's processor time is read.
+/// Interval between two readings of the thread's processor time.
 const READ: Duration = Duration::from_millis(20);
 
-/// The thread; ends with this value, with all that runs on it.
+/// A running thread; dropping the value ends the thread and all tasks on it.
 #[derive(Debug)]
 pub struct Thread {
     handle: Handle,
@@ -21,10 +21,10 @@
 }
 
 impl Thread {
-    /// Starts it.
+    /// Starts the thread.
     ///
     /// # Errors
-    /// The system gives no thread or no runtime.
+    /// The system provides no thread or no runtime.
     pub fn start(name: &str) -> Result<Self, Error> {
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
@@ -67,14 +67,14 @@
         })
     }
 
-    /// Its runtime.
+    /// Handle of the thread's runtime.
     #[must_use]
     pub fn handle(&self) -> &Handle {
         &self.handle
     }
 
-    /// The longest time in seconds, since it was last asked, that a timer of this thread came too late: so long did
-    /// the machine, or a piece of work on the thread, stand in the way of all else.
+    /// Returns the largest timer delay of this thread in seconds since the last call, and resets it. Such a delay means
+    /// that the machine or a task on the thread held up everything else on it.
     #[expect(
         clippy::must_use_candidate,
         reason = "some callers only ask so that the next interval begins"
@@ -83,7 +83,7 @@
         self.late.swap(0, Ordering::Relaxed) as f64 / 1e6
     }
 
-    /// Seconds of processor time so far.
+    /// Processor time so far, in seconds.
     #[must_use]
     pub fn cpu_s(&self) -> f64 {
         self.micros.load(Ordering::Relaxed) as f64 / 1e6
--- a/crates/scale/src/fleet/times.rs
+++ b/crates/scale/src/fleet/times.rs
@@ -1,23 +1,23 @@
-//! How times are spread.
+//! Percentiles of durations.
 
 use super::tally::Times;
 use hdrhistogram::Histogram;
 
-/// Half, 99 of 100, and the longest.
+/// Number of samples, median, 99th percentile and maximum.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Spread {
-    /// So many times.
+    /// Number of samples.
     pub count: u64,
-    /// Seconds; not a number without any time.
+    /// Median in seconds; not a number without any sample.
     pub p50_s: f64,
-    /// Seconds.
+    /// 99th percentile in seconds; not a number without any sample.
     pub p99_s: f64,
-    /// Seconds.
+    /// Maximum in seconds; not a number without any sample.
     pub worst_s: f64,
 }
 
 impl Spread {
-    /// Of these times.
+    /// Computes the percentiles of a histogram.
     #[must_use]
     pub fn of(times: &Times) -> Self {
         let none = Spread {
@@ -26,12 +26,12 @@
             p99_s: f64::NAN,
             worst_s: f64::NAN,
         };
-        // grows as it needs to; three digits are more than the times have
+        // the histogram resizes itself; three significant digits are more than the samples have
         let Ok(mut histogram) = Histogram::<u64>::new(3) else {
             return none;
         };
         for (&micros, &count) in times {
-            // it grows: only a time beyond all measure is refused
+            // fails only for a value beyond the largest that a histogram can hold
             let _ = histogram.record_n(micros, count);
         }
         if histogram.is_empty() {
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,12 +1,12 @@
-//! What each role costs by its size, and control of a fleet at that size: measured on one machine, on loopback.
+//! Measures how the cost of each role grows with its size, on one machine over loopback.
 //!
-//! - [`figures`]: the lines of a file of figures.
-//! - [`cost`], [`fit`], [`plot`]: what a process cost, how figures grow, and their pictures.
-//! - [`fleet`]: slopes of control, from hollow senders; and faults at size.
-//! - [`roles`]: slopes of a single sender's own parts.
+//! - [`figures`]: the records of a results file.
+//! - [`cost`], [`fit`], [`plot`]: the cost of a process, curve fits, and plots.
+//! - [`fleet`]: the coordination service and discovery with thousands of simulated senders, and fault scenarios.
+//! - [`roles`]: the cost of a single sender's own parts.
 //! - [`page`]: the tables of docs/CAPACITY.md.
 //!
-//! Figures come from release builds, and from a committed state:
+//! Published results come from release builds of a committed state:
 //!
 //! ```text
 //! cargo build --release -p milletturn -p milletturn-scale
@@ -30,19 +30,19 @@
 pub mod plot;
 pub mod roles;
 
-/// Why a run ended without its figures.
+/// Why a run failed.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A file, a socket or a process.
+    /// An operation on a file, a socket or a process failed.
     #[error("{0}: {1}")]
     Io(String, #[source] std::io::Error),
-    /// What was read is not what it has to be.
+    /// A process, response or file is not as expected.
     #[error("{0}")]
     Wrong(String),
 }
 
 impl Error {
-    /// Says what was tried when the system refused.
+    /// Returns a function that adds what was attempted to a system error.
     pub fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> Error {
         move |error| Error::Io(what.into(), error)
     }
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -1,4 +1,4 @@
-//! The command line of the scale run.
+//! Command line of the scale measurements.
 
 use clap::{Parser, Subcommand};
 use milletturn_scale::{fleet, page, roles};
--- a/crates/scale/src/plot.rs
+++ b/crates/scale/src/plot.rs
@@ -1,26 +1,26 @@
-//! Figures over sizes, as SVG.
+//! Plots of measured values by size, as SVG.
 
 use crate::Error;
 use crate::fit::Fitted;
 use plotters::prelude::*;
 use std::path::Path;
 
-/// One line of a plot.
+/// One curve of a plot.
 #[derive(Debug, Clone)]
 pub struct Series {
-    /// For the legend.
+    /// Name in the legend.
     pub name: String,
-    /// Size and figure.
+    /// Size and measured value of each point.
     pub points: Vec<(f64, f64)>,
-    /// Drawn through the points where there is one.
+    /// Fitted curve, drawn if there is one.
     pub fitted: Option<Fitted>,
 }
 
 const SIZE: (u32, u32) = (760, 480);
-/// Steps of a fitted line.
+/// Number of line segments that draw a fitted curve.
 const STEPS: u32 = 60;
 
-/// Draws the series over logarithmic axes; what is not above zero has no place there and is left out.
+/// Draws the series on logarithmic axes; points that are not above zero are left out.
 ///
 /// # Errors
 /// The file can't be written, or no series has a point above zero.
