--- a/crates/scale/src/cost.rs
+++ b/crates/scale/src/cost.rs
@@ -20,7 +20,7 @@
 }
 
 /// Clock ticks per second; 100 on every Linux machine that this tool runs on.
-const TICKS: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 impl Cost {
     /// Reads the cost of a process by its id.
@@ -33,14 +33,16 @@
         let stat = read("stat")?;
         // skip to the part after the process name in parentheses, which may hold any character; user and system time
         // are fields 14 and 15
-        let words = stat
+        let time_fields = stat
             .rsplit(") ")
             .next()
             .unwrap_or_default()
             .split(' ')
             .skip(11)
             .take(2);
-        let ticks: f64 = words.filter_map(|ticks| ticks.parse::<f64>().ok()).sum();
+        let ticks: f64 = time_fields
+            .filter_map(|ticks| ticks.parse::<f64>().ok())
+            .sum();
         // ticks are too coarse for a process that uses little time; the threads' own counters are precise but lack
         // threads that have ended, so the larger value counts
         let threads = fs::read_dir(path("task")).map_err(Error::io(path("task")))?;
@@ -53,7 +55,7 @@
             .map_err(Error::io(path("fd")))?
             .count();
         Ok(Cost {
-            cpu_s: (ticks / TICKS).max(nanos / 1e9),
+            cpu_s: (ticks / TICKS_PER_SECOND).max(nanos / 1e9),
             resident: field(&read("status")?, "VmRSS:").unwrap_or(0) * 1024,
             descriptors: open as u64,
             written: field(&read("io")?, "write_bytes:").unwrap_or(0),
@@ -105,7 +107,7 @@
 
 /// Largest number of file descriptors that this process, and each that it starts, may open.
 #[must_use]
-pub fn descriptors_most() -> u64 {
+pub fn max_descriptors() -> u64 {
     let limits = fs::read_to_string("/proc/self/limits").unwrap_or_default();
     field(&limits, "Max open files").unwrap_or(1024)
 }
@@ -115,11 +117,11 @@
 /// # Errors
 /// The system's load or memory can't be read.
 pub fn head(seed: u64) -> Result<Head, Error> {
-    let mut words = std::env::args();
-    let program = words.next().unwrap_or_default();
+    let mut arguments = std::env::args();
+    let program = arguments.next().unwrap_or_default();
     let program = program.rsplit('/').next().unwrap_or_default().to_string();
     let command = std::iter::once(program)
-        .chain(words)
+        .chain(arguments)
         .collect::<Vec<_>>()
         .join(" ");
     let load = fs::read_to_string("/proc/loadavg").map_err(Error::io("/proc/loadavg"))?;
@@ -128,16 +130,16 @@
         .map(|number| number.parse().unwrap_or(f64::NAN));
     let mut next = || load.next().unwrap_or(f64::NAN);
     let memory = fs::read_to_string("/proc/meminfo").map_err(Error::io("/proc/meminfo"))?;
-    let changed = said_by("git", &["status", "--porcelain", "--untracked-files=no"]);
-    let commit = said_by("git", &["rev-parse", "--short=12", "HEAD"]);
+    let modified_files = command_output("git", &["status", "--porcelain", "--untracked-files=no"]);
+    let commit = command_output("git", &["rev-parse", "--short=12", "HEAD"]);
     Ok(Head {
         command,
-        commit: if changed.is_empty() {
+        commit: if modified_files.is_empty() {
             commit
         } else {
             format!("{commit} with changes")
         },
-        date: said_by("date", &["-u", "+%Y-%m-%dT%H:%M:%SZ"]),
+        date: command_output("date", &["-u", "+%Y-%m-%dT%H:%M:%SZ"]),
         cores: std::thread::available_parallelism().map_or(0, |cores| cores.get() as u64),
         load: [next(), next(), next()],
         seed,
@@ -146,8 +148,8 @@
 }
 
 /// Returns a command's output; empty if the command can't be run.
-fn said_by(program: &str, words: &[&str]) -> String {
-    let output = Command::new(program).args(words).output();
+fn command_output(program: &str, arguments: &[&str]) -> String {
+    let output = Command::new(program).args(arguments).output();
     output
         .map(|output| String::from_utf8_lossy(&output.stdout).trim().to_string())
         .unwrap_or_default()
--- a/crates/scale/src/figures.rs
+++ b/crates/scale/src/figures.rs
@@ -55,7 +55,7 @@
     /// Size at which the value was measured.
     pub at: f64,
     /// The measured value; not a number, written as `null`, if the measured event never happened.
-    #[serde(deserialize_with = "or_never")]
+    #[serde(deserialize_with = "nan_if_null")]
     pub value: f64,
     /// Other settings of the measurement.
     #[serde(default)]
@@ -110,7 +110,7 @@
     pub note: String,
 }
 
-fn or_never<'a, D: Deserializer<'a>>(from: D) -> Result<f64, D::Error> {
+fn nan_if_null<'a, D: Deserializer<'a>>(from: D) -> Result<f64, D::Error> {
     Ok(Option::<f64>::deserialize(from)?.unwrap_or(f64::NAN))
 }
 
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -106,14 +106,14 @@
 
 /// A more complex form replaces a simpler one only if its residuals are below this fraction of the simpler one's,
 /// because other load on the machine bends any straight line.
-const CLEARLY: f64 = 0.5;
+const MAX_RESIDUAL_RATIO: f64 = 0.5;
 
 /// Fits all forms and returns the one that the points support; none for fewer than two different sizes.
 #[must_use]
 pub fn best(points: &[(f64, f64)]) -> Option<Fitted> {
     let fitted = Form::ALL.into_iter().filter_map(|form| fit(form, points));
     fitted.reduce(|simpler, next| {
-        if next.rms < simpler.rms * CLEARLY {
+        if next.rms < simpler.rms * MAX_RESIDUAL_RATIO {
             next
         } else {
             simpler
--- a/crates/scale/src/fleet/compare.rs
+++ b/crates/scale/src/fleet/compare.rs
@@ -1,9 +1,9 @@
 //! Compares real senders with the same number of simulated ones: what they cost the coordinators, and their own cost.
 
-use super::real::Reals;
-use super::rig::Rig;
-use super::sheet::{Place, Sheet, other};
-use super::slopes::{Plan, RATE, stewards};
+use super::harness::Harness;
+use super::real_senders::RealSenders;
+use super::results::{Conditions, Results, parameters_from};
+use super::scaling::{Plan, RATE, default_group};
 use crate::Error;
 use crate::cost::Cost;
 use serde_json::json;
@@ -15,20 +15,20 @@
     /// Processes of the product.
     Real,
     /// Simulated senders, all in one process.
-    Hollow,
+    Simulated,
     /// Simulated senders, each in a process of its own.
-    HollowApart,
+    SimulatedSeparately,
     /// Simulated senders with a real engine that receives the list, each in a process of its own.
-    EngineApart,
+    EngineSeparately,
 }
 
 impl Kind {
     fn name(self) -> &'static str {
         match self {
             Kind::Real => "real",
-            Kind::Hollow => "hollow, together",
-            Kind::HollowApart => "hollow, a process each",
-            Kind::EngineApart => "hollow with engine, a process each",
+            Kind::Simulated => "hollow, together",
+            Kind::SimulatedSeparately => "hollow, a process each",
+            Kind::EngineSeparately => "hollow with engine, a process each",
         }
     }
 }
@@ -43,15 +43,15 @@
 ///
 /// # Errors
 /// A process does not start or ends early.
-pub fn run(plan: &Plan, sheet: &mut Sheet, senders: u64, rate: f64) -> Result<(), Error> {
+pub fn run(plan: &Plan, results: &mut Results, senders: u64, rate: f64) -> Result<(), Error> {
     for _ in 0..ROUNDS {
         for kind in [
-            Kind::Hollow,
+            Kind::Simulated,
             Kind::Real,
-            Kind::HollowApart,
-            Kind::EngineApart,
+            Kind::SimulatedSeparately,
+            Kind::EngineSeparately,
         ] {
-            one(plan, sheet, senders, kind, rate)?;
+            measure_kind(plan, results, senders, kind, rate)?;
         }
     }
     Ok(())
@@ -61,145 +61,170 @@
 ///
 /// # Errors
 /// A process does not start or ends early.
-pub fn one(
+pub fn measure_kind(
     plan: &Plan,
-    sheet: &mut Sheet,
+    results: &mut Results,
     senders: u64,
     kind: Kind,
     rate: f64,
 ) -> Result<(), Error> {
-    let setup = super::stewards::Setup {
+    let group_config = super::coordinators::GroupConfig {
         regions: 1,
-        ..stewards(3, 9)
+        ..default_group(3, 9)
     };
-    let hollow = if kind == Kind::Real { 0 } else { senders };
-    let mut parts = plan.parts(hollow, hollow, Some(setup));
-    parts.regions = 1;
-    let apart = matches!(kind, Kind::HollowApart | Kind::EngineApart);
-    parts.each = if apart { 1 } else { parts.each };
-    parts.engines = kind == Kind::EngineApart;
-    let mut rig = Rig::start(&plan.programs, parts)?;
-    let group = rig
-        .stewards
+    let simulated = if kind == Kind::Real { 0 } else { senders };
+    let mut options = plan.options(simulated, simulated, Some(group_config));
+    options.regions = 1;
+    let separate_processes = matches!(kind, Kind::SimulatedSeparately | Kind::EngineSeparately);
+    options.senders_per_process = if separate_processes {
+        1
+    } else {
+        options.senders_per_process
+    };
+    options.run_engines = kind == Kind::EngineSeparately;
+    let mut harness = Harness::start(&plan.programs, options)?;
+    let group = harness
+        .coordinators
         .as_ref()
-        .ok_or_else(|| Error::Wrong("no stewards".into()))?;
+        .ok_or_else(|| Error::Wrong("the harness has no coordinators".into()))?;
     let leader = group.leader();
-    let reals = match kind {
+    let real_senders = match kind {
         Kind::Real => {
-            let (discovery, addresses) = (rig.discovery.addresses[0], group.addresses(0));
-            Some(Reals::start(
+            let (discovery, addresses) = (harness.discovery.addresses[0], group.addresses(0));
+            Some(RealSenders::start(
                 &plan.programs.sender,
-                &rig.config,
+                &harness.config,
                 0..senders,
                 discovery,
                 &addresses,
             )?)
         }
         _ => {
-            rig.begin(0..senders)?;
+            harness.start_senders(0..senders)?;
             None
         }
     };
     std::thread::sleep(SETTLE);
-    let own = |rig: &Rig| match &reals {
-        Some(reals) => reals.costs(),
-        None => Ok((rig.herd.cost()?, Cost::default())),
+    let senders_cost = |harness: &Harness| match &real_senders {
+        Some(real_senders) => real_senders.costs(),
+        None => Ok((harness.fleet.cost()?, Cost::default())),
     };
-    let first = own(&rig)?;
-    let (before, after, published) = rig.span(plan.span * 2, rate * RATE)?;
-    let last = own(&rig)?;
-    let set = other([
+    let cost_before = senders_cost(&harness)?;
+    let (before, after, published) = harness.measure_span(plan.span * 2, rate * RATE)?;
+    let cost_after = senders_cost(&harness)?;
+    let parameters = parameters_from([
         ("kind", json!(kind.name())),
         ("changes", json!(published)),
         ("rate", json!(rate)),
     ]);
-    let place = Place {
+    let conditions = Conditions {
         axis: "senders",
         at: senders as f64,
-        other: set,
+        parameters,
     };
-    let mut spans = Sheet::default();
-    spans.span(&place, &before, &after, senders, senders, leader);
+    let mut span_results = Results::default();
+    span_results.record_span(&conditions, &before, &after, senders, senders, leader);
     // the senders' own cost is recorded below, for real senders from their processes
-    spans.lines.retain(|line| {
+    span_results.lines.retain(|line| {
         !matches!(line, crate::figures::Line::Point(point) if point.role == "sender"
             && ["cpu", "resident", "descriptors"].contains(&point.quantity.as_str()))
     });
-    sheet.lines.append(&mut spans.lines);
-    let session = |reading: &super::rig::Reading| {
+    results.lines.append(&mut span_results.lines);
+    let session = |reading: &super::harness::Reading| {
         reading
-            .stewards
+            .coordinators
             .iter()
-            .fold(super::meter::Passed::default(), |sum, steward| {
-                sum + steward.1
+            .fold(super::meter::Traffic::default(), |sum, coordinator| {
+                sum + coordinator.1
             })
     };
     let (session, list) = (session(&after) - session(&before), after.list - before.list);
-    let per = |bytes: u64, count: u64| bytes as f64 / count.max(1) as f64;
+    let bytes_per = |bytes: u64, count: u64| bytes as f64 / count.max(1) as f64;
     for (quantity, value) in [
         (
             "session_bytes_per_request",
-            per(session.bytes_asked, session.asked),
+            bytes_per(session.request_bytes, session.requests),
         ),
         (
             "session_bytes_per_answer",
-            per(session.bytes_told, session.told),
+            bytes_per(session.response_bytes, session.responses),
+        ),
+        (
+            "list_bytes_per_line",
+            bytes_per(list.response_bytes, list.responses),
         ),
-        ("list_bytes_per_line", per(list.bytes_told, list.told)),
     ] {
-        sheet.point("sender", quantity, "bytes", &place, value);
+        results.add_point("sender", quantity, "bytes", &conditions, value);
     }
-    sheet.point(
+    results.add_point(
         "sender",
         "list_requests",
         "count",
-        &place,
-        list.asked as f64,
+        &conditions,
+        list.requests as f64,
+    );
+    results.add_point(
+        "sender",
+        "list_lines",
+        "count",
+        &conditions,
+        list.responses as f64,
     );
-    sheet.point("sender", "list_lines", "count", &place, list.told as f64);
     let span = after
         .at
         .zip(before.at)
         .map_or(f64::NAN, |(to, from)| to.duration_since(from).as_secs_f64());
-    let each = senders as f64;
+    let sender_count = senders as f64;
     for (role, cost) in [
-        ("sender.process", last.0 - first.0),
-        ("sender.session", last.1 - first.1),
+        ("sender.process", cost_after.0 - cost_before.0),
+        ("sender.session", cost_after.1 - cost_before.1),
     ] {
         if cost.resident > 0 {
-            sheet.point(role, "cpu", "core", &place, cost.cpu_s / span / each);
-            sheet.point(
+            results.add_point(
+                role,
+                "cpu",
+                "core",
+                &conditions,
+                cost.cpu_s / span / sender_count,
+            );
+            results.add_point(
                 role,
                 "resident",
                 "bytes",
-                &place,
-                cost.resident as f64 / each,
+                &conditions,
+                cost.resident as f64 / sender_count,
             );
-            sheet.point(
+            results.add_point(
                 role,
                 "descriptors",
                 "count",
-                &place,
-                cost.descriptors as f64 / each,
+                &conditions,
+                cost.descriptors as f64 / sender_count,
             );
         }
     }
-    let stewards_cpu: f64 = after
-        .stewards
+    let coordinators_cpu: f64 = after
+        .coordinators
         .iter()
-        .zip(&before.stewards)
+        .zip(&before.coordinators)
         .map(|(after, before)| (after.0 - before.0).cpu_s)
         .sum();
-    sheet.point("steward.all", "cpu", "core", &place, stewards_cpu / span);
+    results.add_point(
+        "steward.all",
+        "cpu",
+        "core",
+        &conditions,
+        coordinators_cpu / span,
+    );
     eprintln!(
-        "{senders} {}: stewards {:.4} core, stand-in {:.4} core, senders {:.5} + {:.5} core each, {} requests, {} lines",
+        "{senders} {}: coordinators {:.4} core, discovery test double {:.4} core, senders {:.5} + {:.5} core each, {} requests, {} lines",
         kind.name(),
-        stewards_cpu / span,
+        coordinators_cpu / span,
         (after.list_cpu_s - before.list_cpu_s) / span,
-        (last.0 - first.0).cpu_s / span / each,
-        (last.1 - first.1).cpu_s / span / each,
-        session.asked,
-        list.told
+        (cost_after.0 - cost_before.0).cpu_s / span / sender_count,
+        (cost_after.1 - cost_before.1).cpu_s / span / sender_count,
+        session.requests,
+        list.responses
     );
     Ok(())
 }
--- a/crates/scale/src/fleet/tally.rs
+++ b/crates/scale/src/fleet/counters.rs
@@ -28,7 +28,8 @@
     /// Time from the start of the mark until its version was in force.
     pub marked: Times,
     /// Time from a sender's start until its first list was complete.
-    pub begun: Times,
+    #[serde(rename = "begun")]
+    pub time_to_first_list: Times,
     /// Destinations missing at a sender when the report was made.
     pub lost: u64,
     /// Changes or lines received twice.
@@ -38,15 +39,20 @@
     /// Lines with a list.
     pub lines: u64,
     /// Sessions that were opened.
-    pub joined: u64,
+    #[serde(rename = "joined")]
+    pub sessions_opened: u64,
     /// Sessions that ended without the sender closing them.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub sessions_lost: u64,
     /// Requests that coordinators rejected.
-    pub refused: u64,
+    #[serde(rename = "refused")]
+    pub rejected: u64,
     /// Number of rejections by reason.
-    pub refusals: BTreeMap<String, u64>,
+    #[serde(rename = "refusals")]
+    pub rejections: BTreeMap<String, u64>,
     /// Periods in which a sender had no permission to act on its resource, while permissions were sampled.
-    pub without: Times,
+    #[serde(rename = "without")]
+    pub without_permission: Times,
 }
 
 impl Report {
@@ -58,44 +64,44 @@
         };
         add(&mut self.in_force, other.in_force);
         add(&mut self.marked, other.marked);
-        add(&mut self.begun, other.begun);
-        add(&mut self.without, other.without);
-        for (what, count) in other.refusals {
-            *self.refusals.entry(what).or_default() += count;
+        add(&mut self.time_to_first_list, other.time_to_first_list);
+        add(&mut self.without_permission, other.without_permission);
+        for (reason, count) in other.rejections {
+            *self.rejections.entry(reason).or_default() += count;
         }
         self.senders += other.senders;
         self.lost += other.lost;
         self.doubled += other.doubled;
         self.wrong_order += other.wrong_order;
         self.lines += other.lines;
-        self.joined += other.joined;
-        self.left += other.left;
-        self.refused += other.refused;
+        self.sessions_opened += other.sessions_opened;
+        self.sessions_lost += other.sessions_lost;
+        self.rejected += other.rejected;
     }
 }
 
 /// Counters of one sender.
 #[derive(Debug)]
-pub struct Tally {
+pub struct SenderCounters {
     /// Region of the sender.
     pub region: usize,
-    begun: u64,
+    started: u64,
     version: u64,
     /// Known destinations, and the sum of their hashes. The sum differs for a list of the right length that lacks one
     /// destination and holds another one twice.
     destinations: u64,
-    sum: u64,
+    hash_sum: u64,
     /// Number of destinations in a complete first list.
-    first: u64,
-    whole: bool,
-    marked: bool,
+    first_list_size: u64,
+    has_first_list: bool,
+    reached_mark: bool,
     /// Start of the present period without permission to act, if there is one.
-    without: Option<u64>,
-    since: Report,
+    unpermitted_since: Option<u64>,
+    unreported: Report,
 }
 
 /// Mixes a number so that sums of hashes distinguish sets.
-fn hash(number: u64) -> u64 {
+fn mix(number: u64) -> u64 {
     let mixed = (number ^ (number >> 30))
         .wrapping_add(1)
         .wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -104,110 +110,124 @@
 
 /// Sum of the hashes of a list with the given number of destinations.
 #[must_use]
-pub fn sum_of(destinations: u64) -> u64 {
-    (0..destinations).fold(0, |sum: u64, number| sum.wrapping_add(hash(number)))
+pub fn hash_sum_of(destinations: u64) -> u64 {
+    (0..destinations).fold(0, |sum: u64, number| sum.wrapping_add(mix(number)))
 }
 
 /// Durations are rounded down to a precision of 2^8 steps per power of two, 1 part in 256.
-const STEPS: u32 = 8;
+const PRECISION_BITS: u32 = 8;
 
 fn add(times: &mut Times, micros: u64) {
-    let coarse = micros.checked_ilog2().unwrap_or(0).saturating_sub(STEPS);
-    *times.entry(micros >> coarse << coarse).or_default() += 1;
+    let dropped_bits = micros
+        .checked_ilog2()
+        .unwrap_or(0)
+        .saturating_sub(PRECISION_BITS);
+    *times
+        .entry(micros >> dropped_bits << dropped_bits)
+        .or_default() += 1;
 }
 
-impl Tally {
+impl SenderCounters {
     /// Counters of a sender that starts at `begun` and whose first list has `first` destinations.
     #[must_use]
-    pub fn new(region: usize, begun: u64, first: u64) -> Self {
-        Tally {
+    pub fn new(region: usize, started: u64, first_list_size: u64) -> Self {
+        SenderCounters {
             region,
-            begun,
+            started,
             version: 0,
             destinations: 0,
-            sum: 0,
-            first,
-            whole: false,
-            marked: false,
-            without: None,
-            since: Report::default(),
+            hash_sum: 0,
+            first_list_size,
+            has_first_list: false,
+            reached_mark: false,
+            unpermitted_since: None,
+            unreported: Report::default(),
         }
     }
 
     /// Records a list update that arrived at `at`.
-    pub fn listed(&mut self, at: u64, update: &EndpointListUpdate, mark: Option<Mark>) {
-        self.since.lines += 1;
+    pub fn record_update(&mut self, at: u64, update: &EndpointListUpdate, mark: Option<Mark>) {
+        self.unreported.lines += 1;
         match update.version.cmp(&self.version) {
             _ if update.full => {}
-            std::cmp::Ordering::Less => self.since.wrong_order += 1,
-            std::cmp::Ordering::Equal => self.since.doubled += 1,
+            std::cmp::Ordering::Less => self.unreported.wrong_order += 1,
+            std::cmp::Ordering::Equal => self.unreported.doubled += 1,
             std::cmp::Ordering::Greater => {}
         }
         if update.full {
-            (self.destinations, self.sum) = (0, 0);
+            (self.destinations, self.hash_sum) = (0, 0);
         }
         self.destinations += update.endpoints.len() as u64;
         let hashes = update
             .endpoints
             .iter()
-            .map(|listed| hash(listed.destination));
-        self.sum = hashes.fold(self.sum, u64::wrapping_add);
+            .map(|listed| mix(listed.destination));
+        self.hash_sum = hashes.fold(self.hash_sum, u64::wrapping_add);
         let before = self.version;
         self.version = self.version.max(update.version);
-        if !self.whole && self.destinations >= self.first {
-            self.whole = true;
-            add(&mut self.since.begun, at.saturating_sub(self.begun));
+        if !self.has_first_list && self.destinations >= self.first_list_size {
+            self.has_first_list = true;
+            add(
+                &mut self.unreported.time_to_first_list,
+                at.saturating_sub(self.started),
+            );
         }
         // pieces of the first list have small versions; the version of a change is the time of its publishing
-        if update.endpoints.len() == 1 && update.version > self.begun {
-            add(&mut self.since.in_force, at.saturating_sub(update.version));
+        if update.endpoints.len() == 1 && update.version > self.started {
+            add(
+                &mut self.unreported.in_force,
+                at.saturating_sub(update.version),
+            );
         }
         if let Some(mark) = mark
-            && !self.marked
+            && !self.reached_mark
             // a sender that knew the version before the mark was set is not measured
             && before < mark.version
             && self.version >= mark.version
         {
-            self.marked = true;
+            self.reached_mark = true;
             // for a sender started after the mark, time counts from its start
             add(
-                &mut self.since.marked,
-                at.saturating_sub(mark.from.max(self.begun)),
+                &mut self.unreported.marked,
+                at.saturating_sub(mark.from.max(self.started)),
             );
         }
     }
 
     /// Forgets that the marked version has arrived, before a new mark is set.
-    pub fn unmark(&mut self) {
-        self.marked = false;
+    pub fn reset_mark(&mut self) {
+        self.reached_mark = false;
     }
 
     /// Records an event of the member.
-    pub fn news(&mut self, news: &MemberEvent) {
-        match news {
-            MemberEvent::SessionOpened(_) => self.since.joined += 1,
-            MemberEvent::SessionEnded(_) => self.since.left += 1,
-            MemberEvent::Rejected(refusal) => {
-                self.since.refused += 1;
-                let what = format!("{refusal:?}");
-                let kind = what
+    pub fn record_event(&mut self, event: &MemberEvent) {
+        match event {
+            MemberEvent::SessionOpened(_) => self.unreported.sessions_opened += 1,
+            MemberEvent::SessionEnded(_) => self.unreported.sessions_lost += 1,
+            MemberEvent::Rejected(rejection) => {
+                self.unreported.rejected += 1;
+                let text = format!("{rejection:?}");
+                let reason = text
                     .split([' ', '(', '{'])
                     .next()
                     .unwrap_or_default()
                     .to_string();
-                *self.since.refusals.entry(kind).or_default() += 1;
+                *self.unreported.rejections.entry(reason).or_default() += 1;
             }
             _ => {}
         }
     }
 
     /// Records whether the sender has permission to act on its resource at the time `at`.
-    pub fn may(&mut self, at: u64, may: bool) {
-        match (self.without, may) {
-            (None, false) => self.without = Some(at),
+    pub fn record_permission(&mut self, at: u64, permitted: bool) {
+        match (self.unpermitted_since, permitted) {
+            (None, false) => self.unpermitted_since = Some(at),
             (Some(since), true) => {
-                add(&mut self.since.without, at.saturating_sub(since));
-                self.without = None;
+                add(
+                    &mut self.unreported.without_permission,
+                    at.saturating_sub(since),
+                );
+                self.unpermitted_since = None;
             }
             _ => {}
         }
@@ -220,16 +240,18 @@
     }
 
     /// Adds the counters since the last report to `report`. The published list is at `version`, with `destinations`
-    /// destinations whose hashes sum to `sum`.
-    pub fn report(&mut self, version: u64, destinations: u64, sum: u64, report: &mut Report) {
-        let mut since = std::mem::take(&mut self.since);
-        since.senders = 1;
-        since.lost = destinations.saturating_sub(self.destinations);
-        since.doubled += self.destinations.saturating_sub(destinations);
+    /// destinations whose hashes sum to `hash_sum`.
+    pub fn report(&mut self, version: u64, destinations: u64, hash_sum: u64, report: &mut Report) {
+        let mut counted = std::mem::take(&mut self.unreported);
+        counted.senders = 1;
+        counted.lost = destinations.saturating_sub(self.destinations);
+        counted.doubled += self.destinations.saturating_sub(destinations);
         // the number of destinations is right, but they differ or the version is old
-        if self.destinations == destinations && (self.sum != sum || self.version < version) {
-            since.lost += 1;
+        if self.destinations == destinations
+            && (self.hash_sum != hash_sum || self.version < version)
+        {
+            counted.lost += 1;
         }
-        report.add(since);
+        report.add(counted);
     }
 }
--- a/crates/scale/src/fleet/discovery.rs
+++ b/crates/scale/src/fleet/discovery.rs
@@ -6,8 +6,8 @@
 //! delay follows from the version alone. The first list is sent in pieces with the versions 1, 2 and so on, because a
 //! sender drops a line longer than 1 MiB.
 
-use super::meter::{Meter, Passed};
-use super::relay::{Way, listen, reset};
+use super::meter::{Meter, Traffic};
+use super::network_proxy::{LinkState, listen, reset};
 use crate::Error;
 use bytes::Bytes;
 use milletturn_coordination_protocol::clock::now;
@@ -21,17 +21,17 @@
 use tokio::time::{sleep, timeout};
 
 /// Interval of empty keepalive lines while nothing changes.
-const EMPTY: Duration = Duration::from_secs(2);
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// Longest request that is read, in bytes.
-const REQUEST_MOST: usize = 1 << 20;
+const MAX_REQUEST_BYTES: usize = 1 << 20;
 
 /// How the first list is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Form {
+pub struct ListLayout {
     /// Destinations in the first list.
     pub destinations: u64,
     /// Entries in one line of the first list; each takes about 150 bytes.
-    pub piece: u64,
+    pub entries_per_line: u64,
 }
 
 /// Entries that were published together as one version, without the line's JSON around them.
@@ -46,7 +46,7 @@
     entries: Vec<Entries>,
     /// Number of destinations so far.
     destinations: u64,
-    notices: u64,
+    notifications: u64,
     watches: u64,
 }
 
@@ -58,8 +58,8 @@
     /// Counts the list's traffic.
     pub meter: Meter,
     state: Arc<Mutex<State>>,
-    told: Arc<watch::Sender<usize>>,
-    ways: Vec<Arc<watch::Sender<Way>>>,
+    published_count: Arc<watch::Sender<usize>>,
+    link_states: Vec<Arc<watch::Sender<LinkState>>>,
     endpoint: SocketAddr,
 }
 
@@ -72,34 +72,34 @@
     pub fn start(
         runtime: &Handle,
         regions: usize,
-        form: Form,
+        list_layout: ListLayout,
         endpoint: SocketAddr,
     ) -> Result<Self, Error> {
         let _entered = runtime.enter();
         let mut entries = Vec::new();
-        let mut at = 0;
-        while at < form.destinations {
-            let to = (at + form.piece).min(form.destinations);
+        let mut index = 0;
+        while index < list_layout.destinations {
+            let to = (index + list_layout.entries_per_line).min(list_layout.destinations);
             let version = entries.len() as u64 + 1;
             entries.push(Entries {
                 version,
-                text: targets(at..to, endpoint),
+                text: endpoint_entries(index..to, endpoint),
             });
-            at = to;
+            index = to;
         }
-        let told = Arc::new(watch::Sender::new(entries.len()));
+        let published_count = Arc::new(watch::Sender::new(entries.len()));
         let state = State {
             entries,
-            destinations: form.destinations,
-            notices: 0,
+            destinations: list_layout.destinations,
+            notifications: 0,
             watches: 0,
         };
         let mut discovery = Discovery {
             addresses: Vec::new(),
             meter: Meter::default(),
             state: Arc::new(Mutex::new(state)),
-            told,
-            ways: Vec::new(),
+            published_count,
+            link_states: Vec::new(),
             endpoint,
         };
         let mut listeners = Vec::new();
@@ -110,7 +110,9 @@
                     .local_addr()
                     .map_err(Error::io("a port on loopback"))?,
             );
-            discovery.ways.push(Arc::new(watch::Sender::new(Way::Pass)));
+            discovery
+                .link_states
+                .push(Arc::new(watch::Sender::new(LinkState::Open)));
             listeners.push(listener);
         }
         for (region, listener) in listeners.into_iter().enumerate() {
@@ -129,11 +131,11 @@
         state.destinations += 1;
         state.entries.push(Entries {
             version,
-            text: targets(number..number + 1, self.endpoint),
+            text: endpoint_entries(number..number + 1, self.endpoint),
         });
         let count = state.entries.len();
         drop(state);
-        self.told.send_replace(count);
+        self.published_count.send_replace(count);
         version
     }
 
@@ -154,8 +156,8 @@
 
     /// Number of notification lines received so far.
     #[must_use]
-    pub fn notices(&self) -> u64 {
-        self.state().notices
+    pub fn notifications(&self) -> u64 {
+        self.state().notifications
     }
 
     /// Number of watches opened so far.
@@ -165,12 +167,12 @@
     }
 
     /// Sets how connections of a region are treated from now on.
-    pub fn set(&self, region: usize, way: Way) {
-        self.ways[region].send_replace(way);
+    pub fn set_link_state(&self, region: usize, link_state: LinkState) {
+        self.link_states[region].send_replace(link_state);
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        // the state is changed with one assignment at a time, so that a poisoned lock holds usable data
+        // no change of the state can panic halfway, so that a poisoned lock holds usable data
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -180,22 +182,24 @@
                 sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            self.meter.count(Passed {
+            self.meter.count(Traffic {
                 opened: 1,
-                ..Passed::default()
+                ..Traffic::default()
             });
-            let (here, mut way) = (self.clone(), self.ways[region].subscribe());
+            let (server, mut link_state) = (self.clone(), self.link_states[region].subscribe());
             tokio::spawn(async move {
                 let mut stream = stream;
                 let _ = stream.set_nodelay(true);
-                if *way.borrow() == Way::Pass {
+                if *link_state.borrow() == LinkState::Open {
                     tokio::select! {
                         // an error means that the sender closed its watch
-                        _ = here.serve_one(&mut stream) => return,
-                        _ = way.wait_for(|way| *way != Way::Pass) => {}
+                        _ = server.serve_one(&mut stream) => return,
+                        _ = link_state.wait_for(|link_state| *link_state != LinkState::Open) => {}
                     }
                 }
-                let _ = way.wait_for(|way| *way != Way::Silent).await;
+                let _ = link_state
+                    .wait_for(|link_state| *link_state != LinkState::Partitioned)
+                    .await;
                 reset(&stream);
             });
         }
@@ -204,64 +208,68 @@
     async fn serve_one(&self, stream: &mut TcpStream) -> std::io::Result<()> {
         let mut request = Vec::new();
         let end = loop {
-            if stream.read_buf(&mut request).await? == 0 || request.len() > REQUEST_MOST {
+            if stream.read_buf(&mut request).await? == 0 || request.len() > MAX_REQUEST_BYTES {
                 return Ok(());
             }
-            if let Some(at) = request.windows(4).position(|four| four == b"\r\n\r\n") {
-                break at + 4;
+            if let Some(position) = request.windows(4).position(|four| four == b"\r\n\r\n") {
+                break position + 4;
             }
         };
         let head = String::from_utf8_lossy(&request[..end]).into_owned();
         if head.starts_with("POST /v1/outcomes ") {
-            return self.take_notices(stream, &head, request, end).await;
+            return self
+                .receive_notifications(stream, &head, request, end)
+                .await;
         }
-        self.meter.count(Passed {
-            asked: 1,
-            bytes_asked: request.len() as u64,
-            ..Passed::default()
+        self.meter.count(Traffic {
+            requests: 1,
+            request_bytes: request.len() as u64,
+            ..Traffic::default()
         });
         let from = head
             .split_once("from=")
             .and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
         self.state().watches += 1;
-        let answer = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
-        self.tell(stream, 1, answer.as_bytes()).await?;
-        let mut told = self.told.subscribe();
+        let response = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
+        self.send(stream, 1, response.as_bytes()).await?;
+        let mut published_count = self.published_count.subscribe();
         let from = from.unwrap_or(0);
-        let mut at = self
+        let mut index = self
             .state()
             .entries
             .partition_point(|entries| entries.version <= from);
         // a watch gets a first line at once, even if nothing has changed
-        let mut owed = true;
+        let mut keepalive_due = true;
         loop {
-            let _ = told.borrow_and_update();
-            while let Some((line, next)) = self.line(at) {
-                self.tell(stream, 1, &chunk(&line)).await?;
-                (at, owed) = (next, false);
+            let _ = published_count.borrow_and_update();
+            while let Some((line, next)) = self.line(index) {
+                self.send(stream, 1, &chunk(&line)).await?;
+                (index, keepalive_due) = (next, false);
             }
-            if std::mem::take(&mut owed) {
-                self.tell(stream, 1, &chunk(b"\n")).await?;
+            if std::mem::take(&mut keepalive_due) {
+                self.send(stream, 1, &chunk(b"\n")).await?;
             }
-            owed = timeout(EMPTY, told.changed()).await.is_err();
+            keepalive_due = timeout(KEEPALIVE_INTERVAL, published_count.changed())
+                .await
+                .is_err();
         }
     }
 
-    /// Returns the line that starts with the entries at index `at`, and the index after them. A piece of the first list
+    /// Returns the line that starts with the entries at `index`, and the index after them. A piece of the first list
     /// has a line of its own; all changes that a watch has missed share one line.
-    fn line(&self, at: usize) -> Option<(Vec<u8>, usize)> {
+    fn line(&self, index: usize) -> Option<(Vec<u8>, usize)> {
         let state = self.state();
-        let first = state.entries.get(at)?;
-        let is_piece = |entries: &Entries| entries.version <= state.entries.len() as u64;
-        let to = if is_piece(first) {
-            at + 1
+        let first = state.entries.get(index)?;
+        let is_first_list_piece = |entries: &Entries| entries.version <= state.entries.len() as u64;
+        let to = if is_first_list_piece(first) {
+            index + 1
         } else {
             state.entries.len()
         };
-        let texts = &state.entries[at..to];
+        let texts = &state.entries[index..to];
         let version = texts.last().map_or(first.version, |last| last.version);
         let mut line =
-            format!("{{\"rev\":{version},\"all\":{},\"targets\":[", at == 0).into_bytes();
+            format!("{{\"rev\":{version},\"all\":{},\"targets\":[", index == 0).into_bytes();
         for (number, entries) in texts.iter().enumerate() {
             if number > 0 {
                 line.push(b',');
@@ -272,17 +280,17 @@
         Some((line, to))
     }
 
-    async fn tell(&self, stream: &mut TcpStream, lines: u64, bytes: &[u8]) -> std::io::Result<()> {
+    async fn send(&self, stream: &mut TcpStream, lines: u64, bytes: &[u8]) -> std::io::Result<()> {
         stream.write_all(bytes).await?;
-        self.meter.count(Passed {
-            told: lines,
-            bytes_told: bytes.len() as u64,
-            ..Passed::default()
+        self.meter.count(Traffic {
+            responses: lines,
+            response_bytes: bytes.len() as u64,
+            ..Traffic::default()
         });
         Ok(())
     }
 
-    async fn take_notices(
+    async fn receive_notifications(
         &self,
         stream: &mut TcpStream,
         head: &str,
@@ -294,14 +302,14 @@
             name.eq_ignore_ascii_case("content-length")
                 .then(|| value.trim().parse::<usize>().ok())?
         });
-        let length = length.unwrap_or(0).min(REQUEST_MOST);
+        let length = length.unwrap_or(0).min(MAX_REQUEST_BYTES);
         while request.len() < end + length {
             if stream.read_buf(&mut request).await? == 0 {
                 return Ok(());
             }
         }
         let lines = request[end..].iter().filter(|byte| **byte == b'\n').count() as u64;
-        self.state().notices += lines;
+        self.state().notifications += lines;
         stream
             .write_all(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n")
             .await
@@ -316,7 +324,7 @@
 }
 
 /// JSON entries of these destinations, each with one endpoint.
-fn targets(numbers: std::ops::Range<u64>, endpoint: SocketAddr) -> Bytes {
+fn endpoint_entries(numbers: std::ops::Range<u64>, endpoint: SocketAddr) -> Bytes {
     let entries: Vec<String> = numbers
         .map(|number| {
             format!(
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -1,14 +1,14 @@
 //! Fault scenarios with a whole fleet: how long a change published during a fault takes to reach all senders.
 
-use super::discovery::Form;
-use super::process::LOOK;
-use super::real::Reals;
-use super::relay::Way;
-use super::rig::{Parts, Reading, Rig};
-use super::sheet::Sheet;
-use super::slopes::{Plan, RATE, stewards};
-use super::stage::{Mean, Stage};
-use super::tally::Mark;
+use super::counters::Mark;
+use super::discovery::ListLayout;
+use super::harness::{Harness, HarnessOptions, Reading};
+use super::network_proxy::LinkState;
+use super::process::POLL_INTERVAL;
+use super::real_senders::RealSenders;
+use super::results::Results;
+use super::scaling::{Plan, RATE, default_group};
+use super::scenario::{BaselineCost, Scenario};
 use crate::Error;
 use crate::figures::{Line, write};
 use milletturn_coordination_protocol::clock::now;
@@ -19,7 +19,7 @@
 
 /// Numbers of senders in a fault scenario.
 #[derive(Debug, Clone, Copy)]
-pub struct Size {
+pub struct FleetSize {
     /// Simulated senders.
     pub senders: u64,
     /// Simulated senders that open sessions.
@@ -27,7 +27,7 @@
     /// Real senders, which deliver messages.
     pub real: u64,
     /// Simulated senders in one process.
-    pub each: u64,
+    pub senders_per_process: u64,
 }
 
 /// One sender in this many belongs to the zone that fails, 3.2% of all senders.
@@ -39,15 +39,15 @@
 /// Number of waves in which a release restarts all senders, one wave a second.
 const WAVES: u64 = 20;
 /// How long an outage lasts; longer than the lease of 9 s.
-const AWAY: Duration = Duration::from_secs(12);
+const OUTAGE: Duration = Duration::from_secs(12);
 /// Changes that a region cut off for an hour misses, at 48,000 changes a day.
-const MISSED: u64 = 2_000;
+const MISSED_CHANGES: u64 = 2_000;
 /// Number of steps in which the missed changes are published, spread over `AWAY` instead of an hour.
-const STEPS: u64 = 40;
+const MISSED_CHANGE_STEPS: u64 = 40;
 
-type Fault = fn(&mut Stage) -> Result<(), Error>;
+type FaultScenario = fn(&mut Scenario) -> Result<(), Error>;
 
-const FAULTS: [(&str, Fault); 8] = [
+const FAULTS: [(&str, FaultScenario); 8] = [
     ("zone killed (3.2%)", zone_killed),
     ("1,000 restarts in a row at 100 times the rate", restarts),
     ("release of all", release),
@@ -57,8 +57,8 @@
         "region cut off for an hour, 2,000 changes missed",
         region_cut,
     ),
-    ("leading steward stalled and woken", stalled),
-    ("rolling restart of all stewards", rolling),
+    ("leading steward stalled and woken", leader_stalled),
+    ("rolling restart of all stewards", rolling_restart),
 ];
 
 /// Runs the fault scenarios one after the other against one fleet, and writes each result as it is known.
@@ -67,337 +67,357 @@
 /// A process does not start or ends early.
 pub fn run(
     plan: &Plan,
-    sheet: &mut Sheet,
-    size: Size,
+    results: &mut Results,
+    size: FleetSize,
     only: &[String],
     out: &Path,
 ) -> Result<(), Error> {
-    let chosen =
+    let is_selected =
         |name: &str| only.is_empty() || only.iter().any(|word| name.contains(word.as_str()));
-    if FAULTS.iter().any(|(name, _)| chosen(name)) {
-        let parts = plan.parts(size.senders, size.sessions, Some(stewards(3, 9)));
-        let mut rig = Rig::start(
+    if FAULTS.iter().any(|(name, _)| is_selected(name)) {
+        let options = plan.options(size.senders, size.sessions, Some(default_group(3, 9)));
+        let mut harness = Harness::start(
             &plan.programs,
-            Parts {
-                each: size.each,
-                ..parts
+            HarnessOptions {
+                senders_per_process: size.senders_per_process,
+                ..options
             },
         )?;
-        rig.begin(0..size.senders)?;
-        let group = rig
-            .stewards
+        harness.start_senders(0..size.senders)?;
+        let group = harness
+            .coordinators
             .as_ref()
-            .ok_or_else(|| Error::Wrong("no stewards".into()))?;
-        let (discovery, addresses) = (rig.discovery.addresses[0], group.addresses(0));
+            .ok_or_else(|| Error::Wrong("the harness has no coordinators".into()))?;
+        let (discovery, addresses) = (harness.discovery.addresses[0], group.addresses(0));
         let numbers = size.senders..size.senders + size.real;
         // with every session slot taken by simulated senders, real senders run without sessions
-        let room = milletturn_coordination::bounds::MAX_SESSIONS as u64 - size.sessions.min(1024)
+        let has_free_sessions = milletturn_coordination::bounds::MAX_SESSIONS as u64
+            - size.sessions.min(1024)
             >= size.real;
-        let addresses = if room { addresses } else { Vec::new() };
-        let reals = Reals::start(
+        let addresses = if has_free_sessions {
+            addresses
+        } else {
+            Vec::new()
+        };
+        let real_senders = RealSenders::start(
             &plan.programs.sender,
-            &rig.config,
+            &harness.config,
             numbers,
             discovery,
             &addresses,
         )?;
-        let clients = reals.hand_in(
-            rig.ways.handle(),
+        let clients = real_senders.submit_messages(
+            harness.proxy_thread.handle(),
             Duration::from_millis(50),
-            super::slopes::DESTINATIONS,
+            super::scaling::DESTINATIONS,
         );
-        rig.herd.watch(50)?;
-        let (before, after, _) = rig.span(Duration::from_secs(9), RATE)?;
-        rig.until_all(size.senders, size.sessions)?;
-        rig.herd.report(&rig.discovery)?;
-        let mut stage = Stage::new(rig, size, mean(&before, &after));
-        for (name, fault) in FAULTS.into_iter().filter(|(name, _)| chosen(name)) {
+        harness.fleet.sample_permissions(50)?;
+        let (before, after, _) = harness.measure_span(Duration::from_secs(9), RATE)?;
+        harness.wait_until_ready(size.senders, size.sessions)?;
+        harness.fleet.take_report(&harness.discovery)?;
+        let mut scenario = Scenario::new(harness, size, baseline_cost(&before, &after));
+        for (name, fault) in FAULTS.into_iter().filter(|(name, _)| is_selected(name)) {
             if Instant::now() > plan.until {
-                eprintln!("time is up: left out: {name}");
+                eprintln!("time limit reached; skipping {name}");
                 continue;
             }
             eprintln!("{name} ...");
-            stage.begin(name)?;
-            fault(&mut stage)?;
-            let line = stage.end()?;
+            scenario.begin_fault(name)?;
+            fault(&mut scenario)?;
+            let line = scenario.end_fault()?;
             eprintln!("{}", serde_json::to_string(&line).unwrap_or_default());
-            sheet.lines.push(Line::Fault(line));
-            write(out, &sheet.lines)?;
+            results.lines.push(Line::Fault(line));
+            write(out, &results.lines)?;
         }
         clients.iter().for_each(tokio::task::AbortHandle::abort);
         // a message expires after 20 s, and its notification may have to wait for discovery
         sleep(Duration::from_secs(22));
-        let noticed = stage.rig.discovery.notices();
-        let ((handed, taken), (seen, again)) = (reals.handed(), stage.rig.endpoint.seen());
+        let notifications = scenario.harness.discovery.notifications();
+        let ((submitted, accepted), (delivered, repeated_calls)) = (
+            real_senders.submitted_and_accepted(),
+            scenario.harness.endpoint.received(),
+        );
         eprintln!(
-            "real senders: {handed} handed in, {taken} taken on, {seen} delivered, {noticed} notices, {again} calls beyond"
+            "real senders: {submitted} submitted, {accepted} accepted, {delivered} delivered, {notifications} notifications, {repeated_calls} repeated calls"
         );
-        let place = super::sheet::Place {
+        let conditions = super::results::Conditions {
             axis: "senders",
             at: size.real as f64,
-            other: Default::default(),
+            parameters: Default::default(),
         };
         for (quantity, value) in [
-            ("handed", handed),
-            ("taken", taken),
-            ("delivered", seen),
-            ("called_again", again),
-            ("noticed", noticed),
+            ("handed", submitted),
+            ("taken", accepted),
+            ("delivered", delivered),
+            ("called_again", repeated_calls),
+            ("noticed", notifications),
         ] {
-            sheet.point("sender.real", quantity, "count", &place, value as f64);
+            results.add_point("sender.real", quantity, "count", &conditions, value as f64);
         }
-        write(out, &sheet.lines)?;
+        write(out, &results.lines)?;
     }
     let name = "discovery away for 10 s, list on request";
-    if chosen(name) && Instant::now() < plan.until {
-        on_request(plan, sheet, name, 250)?;
-        write(out, &sheet.lines)?;
+    if is_selected(name) && Instant::now() < plan.until {
+        measure_polling_recovery(plan, results, name, 250)?;
+        write(out, &results.lines)?;
     }
     Ok(())
 }
 
-fn mean(before: &Reading, after: &Reading) -> Mean {
+fn baseline_cost(before: &Reading, after: &Reading) -> BaselineCost {
     let span = before
         .at
         .zip(after.at)
         .map_or(1.0, |(from, to)| to.duration_since(from).as_secs_f64());
     let list = after.list - before.list;
-    let mut mean = Mean {
+    let mut baseline = BaselineCost {
         list_messages: list.messages() as f64 / span,
         list_bytes: list.bytes() as f64 / span,
-        ..Mean::default()
+        ..BaselineCost::default()
     };
-    for (after, before) in after.stewards.iter().zip(&before.stewards) {
-        let passed = after.1 - before.1;
-        mean.steward_messages += passed.messages() as f64 / span;
-        mean.steward_bytes += passed.bytes() as f64 / span;
-        mean.steward_cpu += (after.0 - before.0).cpu_s / span;
+    for (after, before) in after.coordinators.iter().zip(&before.coordinators) {
+        let traffic = after.1 - before.1;
+        baseline.coordinator_messages += traffic.messages() as f64 / span;
+        baseline.coordinator_bytes += traffic.bytes() as f64 / span;
+        baseline.coordinator_cpu += (after.0 - before.0).cpu_s / span;
     }
-    mean
+    baseline
 }
 
-fn zone_killed(stage: &mut Stage) -> Result<(), Error> {
-    let victims: Vec<u64> = (0..stage.size.senders)
+fn zone_killed(scenario: &mut Scenario) -> Result<(), Error> {
+    let victims: Vec<u64> = (0..scenario.size.senders)
         .filter(|number| number % ZONE == 0)
         .collect();
     let owners = victims
         .iter()
-        .filter(|number| **number < stage.size.sessions)
+        .filter(|number| **number < scenario.size.sessions)
         .count() as u64;
-    stage.rig.herd.kill(&victims)?;
-    stage.publish_marked()?;
-    stage.until_known(stage.size.senders - victims.len() as u64)?;
+    scenario.harness.fleet.kill_senders(&victims)?;
+    scenario.publish_marked()?;
+    scenario.wait_until_informed(scenario.size.senders - victims.len() as u64)?;
     // the leases of the killed senders expire while the others receive the change
-    let begun = Instant::now();
-    let left = stage.size.sessions - owners;
-    let group = stage.group()?;
-    let hollow = |look: &milletturn_coordination_protocol::messages::StateView| {
-        look.sessions
+    let started = Instant::now();
+    let remaining = scenario.size.sessions - owners;
+    let group = scenario.group()?;
+    let simulated_sessions = |state: &milletturn_coordination_protocol::messages::StateView| {
+        state
+            .sessions
             .values()
             .filter(|session| session.member.name.starts_with("hollow-"))
             .count() as u64
     };
     let real = group
-        .look()
-        .map_or(0, |look| hollow(&look))
-        .saturating_sub(stage.size.sessions);
-    super::process::until("the leases of the killed have run out", || {
-        sleep(10 * LOOK);
+        .read_state()
+        .map_or(0, |state| simulated_sessions(&state))
+        .saturating_sub(scenario.size.sessions);
+    super::process::wait_until("the leases of the killed senders have expired", || {
+        sleep(10 * POLL_INTERVAL);
         Ok(group
-            .look()
-            .is_some_and(|look| hollow(&look) <= left + real))
+            .read_state()
+            .is_some_and(|state| simulated_sessions(&state) <= remaining + real))
     })?;
-    stage.note(format!(
+    scenario.add_note(format!(
         "{owners} leases had run out after {:.1} s",
-        begun.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     ));
-    stage.collect(stage.size.senders - victims.len() as u64)?;
-    stage.rig.herd.begin(&victims)?;
-    stage.until_well()
+    scenario.collect_counters(scenario.size.senders - victims.len() as u64)?;
+    scenario.harness.fleet.start_senders(&victims)?;
+    scenario.wait_until_healthy()
 }
 
-fn restarts(stage: &mut Stage) -> Result<(), Error> {
-    let count = RESTARTS.min(stage.size.senders);
-    let begun = Instant::now();
+fn restarts(scenario: &mut Scenario) -> Result<(), Error> {
+    let count = RESTARTS.min(scenario.size.senders);
+    let started = Instant::now();
     let mut next = 0;
     while next < count {
         // restart senders one by one if the machine keeps up, otherwise all that are due by now together
-        let due = ((begun.elapsed().as_secs_f64() * RESTART_RATE) as u64 + 1).min(count);
+        let due = ((started.elapsed().as_secs_f64() * RESTART_RATE) as u64 + 1).min(count);
         let numbers: Vec<u64> = (next..due).collect();
         if numbers.is_empty() {
-            sleep(LOOK);
+            sleep(POLL_INTERVAL);
             continue;
         }
-        stage.rig.herd.leave(&numbers)?;
-        stage.rig.herd.begin(&numbers)?;
+        scenario.harness.fleet.stop_senders(&numbers)?;
+        scenario.harness.fleet.start_senders(&numbers)?;
         if numbers.contains(&(count / 2)) {
-            stage.publish_marked()?;
+            scenario.publish_marked()?;
         }
-        stage.look()?;
+        scenario.publish_and_sample()?;
         next = due;
     }
-    stage.note(format!(
+    scenario.add_note(format!(
         "{count} restarts in {:.1} s, each leaves its session first",
-        begun.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     ));
-    stage.until_well()
+    scenario.wait_until_healthy()
 }
 
-fn release(stage: &mut Stage) -> Result<(), Error> {
-    let all: Vec<u64> = (0..stage.size.senders).collect();
-    let begun = Instant::now();
+fn release(scenario: &mut Scenario) -> Result<(), Error> {
+    let all: Vec<u64> = (0..scenario.size.senders).collect();
+    let started = Instant::now();
     for (wave, numbers) in all.chunks(all.len().div_ceil(WAVES as usize)).enumerate() {
-        let due = begun + Duration::from_secs(wave as u64);
+        let due = started + Duration::from_secs(wave as u64);
         sleep(due.saturating_duration_since(Instant::now()));
-        stage.rig.herd.leave(numbers)?;
-        stage.rig.herd.begin(numbers)?;
+        scenario.harness.fleet.stop_senders(numbers)?;
+        scenario.harness.fleet.start_senders(numbers)?;
         if wave as u64 == WAVES / 2 {
-            stage.publish_marked()?;
+            scenario.publish_marked()?;
         }
-        stage.look()?;
+        scenario.publish_and_sample()?;
     }
-    stage.note(format!(
+    scenario.add_note(format!(
         "all restarted in {:.1} s, in {WAVES} parts",
-        begun.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     ));
-    stage.until_well()
+    scenario.wait_until_healthy()
 }
 
-fn leader_killed(stage: &mut Stage) -> Result<(), Error> {
-    let leader = stage.until_led()?;
-    stage.group_mut()?.kill(leader);
-    let begun = Instant::now();
-    stage.publish_marked()?;
-    let next = stage.until_led()?;
-    stage.note(format!(
+fn leader_killed(scenario: &mut Scenario) -> Result<(), Error> {
+    let leader = scenario.wait_for_leader()?;
+    scenario.group_mut()?.kill(leader);
+    let started = Instant::now();
+    scenario.publish_marked()?;
+    let next = scenario.wait_for_leader()?;
+    scenario.add_note(format!(
         "steward {} led {:.2} s later",
         next + 1,
-        begun.elapsed().as_secs_f64()
+        started.elapsed().as_secs_f64()
     ));
-    stage.until_well()?;
+    scenario.wait_until_healthy()?;
     // let all senders renew once under the new leader; a lease lasts 9 s
-    stage.pass(Duration::from_secs(4))?;
-    stage.group_mut()?.start_one(leader)
+    scenario.run_for(Duration::from_secs(4))?;
+    scenario.group_mut()?.start_one(leader)
 }
 
-fn all_killed(stage: &mut Stage) -> Result<(), Error> {
-    let places = stage.group()?.places();
-    stage.all_regions(Way::Down);
-    places
+fn all_killed(scenario: &mut Scenario) -> Result<(), Error> {
+    let indices = scenario.group()?.indices();
+    scenario.set_all_link_states(LinkState::Resetting);
+    indices
         .clone()
-        .for_each(|place| drop(stage.group_mut().map(|group| group.kill(place))));
-    sleep(AWAY);
+        .for_each(|index| drop(scenario.group_mut().map(|group| group.kill(index))));
+    sleep(OUTAGE);
     // publish changes while no sender is connected
     for _ in 0..3 {
-        stage.rig.discovery.publish();
+        scenario.harness.discovery.publish();
     }
-    places
+    indices
         .clone()
-        .try_for_each(|place| stage.group_mut()?.start_one(place))?;
-    let begun = Instant::now();
-    stage.all_regions(Way::Pass);
-    stage.publish_marked()?;
-    stage.until_well()?;
-    let well = begun.elapsed().as_secs_f64();
-    stage.note(format!(
-        "away for {} s; all lists and sessions are back {well:.1} s later",
-        AWAY.as_secs()
+        .try_for_each(|index| scenario.group_mut()?.start_one(index))?;
+    let started = Instant::now();
+    scenario.set_all_link_states(LinkState::Open);
+    scenario.publish_marked()?;
+    scenario.wait_until_healthy()?;
+    let recovered_after_s = started.elapsed().as_secs_f64();
+    scenario.add_note(format!(
+        "away for {} s; all lists and sessions are back {recovered_after_s:.1} s later",
+        OUTAGE.as_secs()
     ));
     Ok(())
 }
 
-fn region_cut(stage: &mut Stage) -> Result<(), Error> {
-    let begun = Instant::now();
-    stage.rig.discovery.set(0, Way::Silent);
-    stage.group()?.set(0, Way::Silent);
-    for step in 0..STEPS {
-        let due = begun + AWAY.mul_f64(step as f64 / STEPS as f64);
+fn region_cut(scenario: &mut Scenario) -> Result<(), Error> {
+    let started = Instant::now();
+    scenario
+        .harness
+        .discovery
+        .set_link_state(0, LinkState::Partitioned);
+    scenario.group()?.set_link_state(0, LinkState::Partitioned);
+    for step in 0..MISSED_CHANGE_STEPS {
+        let due = started + OUTAGE.mul_f64(step as f64 / MISSED_CHANGE_STEPS as f64);
         sleep(due.saturating_duration_since(Instant::now()));
-        for _ in 0..MISSED / STEPS {
-            stage.rig.discovery.publish();
+        for _ in 0..MISSED_CHANGES / MISSED_CHANGE_STEPS {
+            scenario.harness.discovery.publish();
         }
     }
-    let version = stage.rig.discovery.version();
-    stage.mark(Mark {
+    let version = scenario.harness.discovery.version();
+    scenario.set_mark(Mark {
         version,
         from: now().0,
     })?;
-    stage.rig.discovery.set(0, Way::Pass);
-    stage.group()?.set(0, Way::Pass);
-    stage.until_well()?;
-    stage.note(format!(
-        "the hour is scripted: {MISSED} changes within {} s; times are those of the region",
-        AWAY.as_secs()
+    scenario
+        .harness
+        .discovery
+        .set_link_state(0, LinkState::Open);
+    scenario.group()?.set_link_state(0, LinkState::Open);
+    scenario.wait_until_healthy()?;
+    scenario.add_note(format!(
+        "the hour is scripted: {MISSED_CHANGES} changes within {} s; times are those of the region",
+        OUTAGE.as_secs()
     ));
     Ok(())
 }
 
-fn stalled(stage: &mut Stage) -> Result<(), Error> {
-    let leader = stage.until_led()?;
-    stage.group()?.process(leader)?.signal(Signal::STOP)?;
-    stage.publish_marked()?;
-    stage.pass(AWAY)?;
-    stage.group()?.process(leader)?.signal(Signal::CONT)?;
-    stage.pass(Duration::from_secs(4))?;
-    stage.note(format!("SIGSTOP for {} s", AWAY.as_secs()));
-    stage.until_well()
+fn leader_stalled(scenario: &mut Scenario) -> Result<(), Error> {
+    let leader = scenario.wait_for_leader()?;
+    scenario.group()?.process(leader)?.signal(Signal::STOP)?;
+    scenario.publish_marked()?;
+    scenario.run_for(OUTAGE)?;
+    scenario.group()?.process(leader)?.signal(Signal::CONT)?;
+    scenario.run_for(Duration::from_secs(4))?;
+    scenario.add_note(format!("SIGSTOP for {} s", OUTAGE.as_secs()));
+    scenario.wait_until_healthy()
 }
 
-fn rolling(stage: &mut Stage) -> Result<(), Error> {
-    for place in stage.group()?.places() {
-        stage.group_mut()?.kill(place);
-        if place == 0 {
-            stage.publish_marked()?;
+fn rolling_restart(scenario: &mut Scenario) -> Result<(), Error> {
+    for index in scenario.group()?.indices() {
+        scenario.group_mut()?.kill(index);
+        if index == 0 {
+            scenario.publish_marked()?;
         }
-        stage.pass(Duration::from_secs(1))?;
-        stage.group_mut()?.start_one(place)?;
-        stage.until_led()?;
-        stage.pass(Duration::from_secs(2))?;
+        scenario.run_for(Duration::from_secs(1))?;
+        scenario.group_mut()?.start_one(index)?;
+        scenario.wait_for_leader()?;
+        scenario.run_for(Duration::from_secs(2))?;
     }
-    stage.note(
+    scenario.add_note(
         "each steward killed and started again on its disk; an empty disk has no way in"
             .to_string(),
     );
-    stage.until_well()
+    scenario.wait_until_healthy()
 }
 
 /// Measures how long 10 s without discovery delay the list when each sender polls for it.
-fn on_request(plan: &Plan, sheet: &mut Sheet, name: &str, senders: u64) -> Result<(), Error> {
-    let form = Form {
+fn measure_polling_recovery(
+    plan: &Plan,
+    results: &mut Results,
+    name: &str,
+    senders: u64,
+) -> Result<(), Error> {
+    let list_layout = ListLayout {
         destinations: 1_000,
-        piece: 1_000,
+        entries_per_line: 1_000,
     };
-    let parts = Parts {
+    let options = HarnessOptions {
         on_request: true,
-        form,
-        ..plan.parts(senders, 0, None)
+        list_layout,
+        ..plan.options(senders, 0, None)
     };
-    let mut rig = Rig::start(&plan.programs, parts)?;
-    rig.begin(0..senders)?;
-    let (before, after, _) = rig.span(Duration::from_secs(5), RATE)?;
-    rig.until_all(senders, 0)?;
-    rig.herd.report(&rig.discovery)?;
-    let mut stage = Stage::new(
-        rig,
-        Size {
+    let mut harness = Harness::start(&plan.programs, options)?;
+    harness.start_senders(0..senders)?;
+    let (before, after, _) = harness.measure_span(Duration::from_secs(5), RATE)?;
+    harness.wait_until_ready(senders, 0)?;
+    harness.fleet.take_report(&harness.discovery)?;
+    let mut scenario = Scenario::new(
+        harness,
+        FleetSize {
             senders,
             sessions: 0,
             real: 0,
-            each: senders,
+            senders_per_process: senders,
         },
-        mean(&before, &after),
+        baseline_cost(&before, &after),
     );
-    stage.begin(name)?;
-    stage.all_regions(Way::Down);
+    scenario.begin_fault(name)?;
+    scenario.set_all_link_states(LinkState::Resetting);
     sleep(Duration::from_secs(10));
-    stage.all_regions(Way::Pass);
-    stage.publish_marked()?;
-    let known = stage.until_known_within(senders, Duration::from_secs(90))?;
-    stage.note(format!(
-        "{known} of {senders} knew it within 90 s; rests grow by 80 ms for each sender (asking.rs)"
+    scenario.set_all_link_states(LinkState::Open);
+    scenario.publish_marked()?;
+    let known = scenario.count_informed_within(senders, Duration::from_secs(90))?;
+    scenario.add_note(format!(
+        "{known} of {senders} knew it within 90 s; rests grow by 80 ms for each sender (discovery_backoff.rs)"
     ));
-    let line = stage.end()?;
+    let line = scenario.end_fault()?;
     eprintln!("{}", serde_json::to_string(&line).unwrap_or_default());
-    sheet.lines.push(Line::Fault(line));
+    results.lines.push(Line::Fault(line));
     Ok(())
 }
--- a/crates/scale/src/fleet/rig.rs
+++ b/crates/scale/src/fleet/harness.rs
@@ -1,14 +1,14 @@
 //! The harness: starts coordinators, discovery and simulated senders together, and reads what each has cost.
 
-use super::discovery::{Discovery, Form};
-use super::herd::Herd;
-use super::hollow::Common;
-use super::meter::Passed;
-use super::process::until;
-use super::real::{Endpoint, config};
-use super::relays::{self, Relays};
-use super::stewards::{GROUP, Group, Setup};
-use super::thread::Thread;
+use super::coordinators::{CoordinatorGroup, GROUP, GroupConfig};
+use super::discovery::{Discovery, ListLayout};
+use super::meter::Traffic;
+use super::process::wait_until;
+use super::real_senders::{Endpoint, sender_config};
+use super::runtime_thread::RuntimeThread;
+use super::session_proxies::{self, SessionProxies};
+use super::simulated_fleet::SimulatedFleet;
+use super::simulated_senders::SimulationConfig;
 use crate::Error;
 use crate::cost::Cost;
 use std::path::{Path, PathBuf};
@@ -26,51 +26,51 @@
 
 /// Configuration of a harness.
 #[derive(Debug, Clone)]
-pub struct Parts {
+pub struct HarnessOptions {
     /// Number of simulated senders; none starts by itself.
     pub senders: u64,
     /// Simulated senders in one process.
-    pub each: u64,
+    pub senders_per_process: u64,
     /// Simulated senders that open sessions; without coordinators, none does.
     pub sessions: u64,
     /// The coordinators, if there are any.
-    pub stewards: Option<Setup>,
+    pub coordinators: Option<GroupConfig>,
     /// Number of the product's session proxies between senders and coordinators; with 0, senders connect directly.
-    pub relays: usize,
+    pub session_proxies: usize,
     /// Whether each session claims a resource of its own; the coordination state holds 4,096.
-    pub works: bool,
+    pub claim_resources: bool,
     /// Number of sender groups whose network can be cut off separately.
     pub regions: usize,
     /// Form of the first list.
-    pub form: Form,
+    pub list_layout: ListLayout,
     /// Whether each sender polls for the list (the setting `on_request`) instead of having it pushed.
     pub on_request: bool,
     /// Whether each simulated sender runs a real engine that receives its list.
-    pub engines: bool,
+    pub run_engines: bool,
     /// Seed of all random numbers.
     pub seed: u64,
 }
 
 /// A running harness.
 #[derive(Debug)]
-pub struct Rig {
+pub struct Harness {
     /// Test double of the platform's discovery service.
     pub discovery: Discovery,
     /// The coordinators, if there are any.
-    pub stewards: Option<Group>,
+    pub coordinators: Option<CoordinatorGroup>,
     /// The session proxies, if there are any.
-    pub relays: Option<Relays>,
+    pub session_proxies: Option<SessionProxies>,
     /// The simulated senders.
-    pub herd: Herd,
+    pub fleet: SimulatedFleet,
     /// The endpoint that real senders deliver to.
     pub endpoint: Endpoint,
     /// Configuration file of all senders.
     pub config: PathBuf,
     /// Thread that runs only the discovery test double, so that its processor time is known.
-    pub list: Thread,
+    pub discovery_thread: RuntimeThread,
     /// Thread that runs the network proxies, the endpoint and the clients.
-    pub ways: Thread,
-    parts: Parts,
+    pub proxy_thread: RuntimeThread,
+    options: HarnessOptions,
     _folder: TempDir,
 }
 
@@ -80,120 +80,134 @@
     /// When the values were read.
     pub at: Option<Instant>,
     /// Per coordinator: cost, traffic with senders, its requests to other coordinators, and their requests to it.
-    pub stewards: Vec<(Cost, Passed, Passed, Passed)>,
+    pub coordinators: Vec<(Cost, Traffic, Traffic, Traffic)>,
     /// Cost of all simulated senders together.
-    pub herd: Cost,
+    pub fleet: Cost,
     /// Traffic of the endpoint list.
-    pub list: Passed,
+    pub list: Traffic,
     /// Processor time of the discovery test double, in seconds.
     pub list_cpu_s: f64,
 }
 
-impl Rig {
+impl Harness {
     /// Starts all parts; no sender is running yet.
     ///
     /// # Errors
     /// A part does not start.
-    pub fn start(programs: &Programs, parts: Parts) -> Result<Self, Error> {
-        let folder = TempDir::new().map_err(Error::io("a folder"))?;
+    pub fn start(programs: &Programs, options: HarnessOptions) -> Result<Self, Error> {
+        let folder = TempDir::new().map_err(Error::io("a temporary directory"))?;
         let path = folder.path().join("config.json");
-        let text = config(parts.senders.max(1), parts.on_request);
+        let text = sender_config(options.senders.max(1), options.on_request);
         std::fs::write(&path, text).map_err(Error::io(path.display().to_string()))?;
-        let (list, ways) = (Thread::start("list")?, Thread::start("ways")?);
-        let endpoint = Endpoint::start(ways.handle())?;
-        let discovery =
-            Discovery::start(list.handle(), parts.regions, parts.form, endpoint.address)?;
+        let (discovery_thread, proxy_thread) =
+            (RuntimeThread::start("list")?, RuntimeThread::start("ways")?);
+        let endpoint = Endpoint::start(proxy_thread.handle())?;
+        let discovery = Discovery::start(
+            discovery_thread.handle(),
+            options.regions,
+            options.list_layout,
+            endpoint.address,
+        )?;
         // each session proxy connects to the coordinators as a region of its own
-        let setup = parts.stewards.map(|setup| Setup {
-            regions: parts.regions + parts.relays,
-            ..setup
+        let group_config = options.coordinators.map(|group_config| GroupConfig {
+            regions: options.regions + options.session_proxies,
+            ..group_config
         });
-        let stewards = setup
-            .map(|setup| Group::start(&programs.sender, setup, ways.handle()))
+        let coordinators = group_config
+            .map(|group_config| {
+                CoordinatorGroup::start(&programs.sender, group_config, proxy_thread.handle())
+            })
             .transpose()?;
-        let relays = match &stewards {
-            Some(group) if parts.relays > 0 => {
-                let counted = relays::counted(parts.senders);
-                let (first, runtime) = (parts.regions, ways.handle());
-                Some(Relays::start(
+        let session_proxies = match &coordinators {
+            Some(group) if options.session_proxies > 0 => {
+                let metered = session_proxies::can_meter(options.senders);
+                let (first_region, runtime) = (options.regions, proxy_thread.handle());
+                Some(SessionProxies::start(
                     &programs.sender,
-                    parts.relays,
+                    options.session_proxies,
                     group,
-                    first,
-                    counted,
+                    first_region,
+                    metered,
                     runtime,
                 )?)
             }
             _ => None,
         };
-        let addresses = |group: &Group| {
-            let of = |region| {
-                relays
+        let addresses = |group: &CoordinatorGroup| {
+            let addresses_of = |region| {
+                session_proxies
                     .as_ref()
-                    .map_or_else(|| group.addresses(region), Relays::addresses)
+                    .map_or_else(|| group.addresses(region), SessionProxies::addresses)
             };
-            (0..parts.regions).map(of).collect()
+            (0..options.regions).map(addresses_of).collect()
         };
-        let common = Common {
+        let simulation_config = SimulationConfig {
             config: path.clone(),
             group: GROUP.to_string(),
-            stewards: stewards.as_ref().map(addresses).unwrap_or_default(),
+            coordinators: coordinators.as_ref().map(addresses).unwrap_or_default(),
             discovery: discovery.addresses.clone(),
-            destinations: parts.form.destinations,
-            sessions: parts.sessions,
-            through_relays: relays.is_some(),
-            works: parts.works,
-            engines: parts.engines,
-            seed: parts.seed,
+            destinations: options.list_layout.destinations,
+            sessions: options.sessions,
+            via_session_proxies: session_proxies.is_some(),
+            claim_resources: options.claim_resources,
+            run_engines: options.run_engines,
+            seed: options.seed,
         };
-        let herd = Herd::start(&programs.scale, &common, parts.senders, parts.each)?;
-        Ok(Rig {
+        let fleet = SimulatedFleet::start(
+            &programs.scale,
+            &simulation_config,
+            options.senders,
+            options.senders_per_process,
+        )?;
+        Ok(Harness {
             discovery,
-            stewards,
-            relays,
-            herd,
+            coordinators,
+            session_proxies,
+            fleet,
             endpoint,
             config: path,
-            list,
-            ways,
-            parts,
+            discovery_thread,
+            proxy_thread,
+            options,
             _folder: folder,
         })
     }
 
     /// Returns the configuration.
     #[must_use]
-    pub fn parts(&self) -> &Parts {
-        &self.parts
+    pub fn options(&self) -> &HarnessOptions {
+        &self.options
     }
 
     /// Starts these senders and waits until each knows the list and, if it has a session, holds its resource.
     ///
     /// # Errors
     /// They do not within the time limit.
-    pub fn begin(&mut self, numbers: std::ops::Range<u64>) -> Result<(), Error> {
+    pub fn start_senders(&mut self, numbers: std::ops::Range<u64>) -> Result<(), Error> {
         let all: Vec<u64> = numbers.clone().collect();
-        self.herd.begin(&all)?;
-        let sessions = if self.stewards.is_some() {
-            numbers.end.min(self.parts.sessions)
+        self.fleet.start_senders(&all)?;
+        let sessions = if self.coordinators.is_some() {
+            numbers.end.min(self.options.sessions)
         } else {
             0
         };
-        self.until_all(numbers.end, sessions)
+        self.wait_until_ready(numbers.end, sessions)
     }
 
     /// Waits until `know` senders know the current list and `may` senders may act on their resource.
     ///
     /// # Errors
     /// They do not within the time limit.
-    pub fn until_all(&mut self, know: u64, may: u64) -> Result<(), Error> {
+    pub fn wait_until_ready(&mut self, informed: u64, permitted: u64) -> Result<(), Error> {
         let mut last = (0, 0);
-        let reached = until("all senders know the list and have their work", || {
+        let reached = wait_until("all senders know the list and hold their resources", || {
             std::thread::sleep(Duration::from_millis(100));
-            last = self.herd.ask(self.discovery.version())?;
-            Ok(last.0 >= know && last.1 >= may)
+            last = self.fleet.count_ready(self.discovery.version())?;
+            Ok(last.0 >= informed && last.1 >= permitted)
         });
-        reached.map_err(|error| Error::Wrong(format!("{error}: {last:?} of {know} and {may}")))
+        reached.map_err(|error| {
+            Error::Wrong(format!("{error}: {last:?} of {informed} and {permitted}"))
+        })
     }
 
     /// Reads the accumulated cost and traffic.
@@ -201,19 +215,24 @@
     /// # Errors
     /// A process has ended.
     pub fn read(&self) -> Result<Reading, Error> {
-        let mut stewards = Vec::new();
-        if let Some(group) = &self.stewards {
-            for place in group.places() {
-                let (asks, asked) = group.others(place);
-                stewards.push((group.cost(place)?, group.members(place), asks, asked));
+        let mut coordinators = Vec::new();
+        if let Some(group) = &self.coordinators {
+            for index in group.indices() {
+                let (sent_to_peers, received_from_peers) = group.peer_traffic(index);
+                coordinators.push((
+                    group.cost(index)?,
+                    group.member_traffic(index),
+                    sent_to_peers,
+                    received_from_peers,
+                ));
             }
         }
         Ok(Reading {
             at: Some(Instant::now()),
-            stewards,
-            herd: self.herd.cost()?,
+            coordinators,
+            fleet: self.fleet.cost()?,
             list: self.discovery.meter.sum(),
-            list_cpu_s: self.list.cpu_s(),
+            list_cpu_s: self.discovery_thread.cpu_s(),
         })
     }
 
@@ -222,7 +241,11 @@
     ///
     /// # Errors
     /// A process has ended.
-    pub fn span(&mut self, span: Duration, rate: f64) -> Result<(Reading, Reading, u64), Error> {
+    pub fn measure_span(
+        &mut self,
+        span: Duration,
+        rate: f64,
+    ) -> Result<(Reading, Reading, u64), Error> {
         let before = self.read()?;
         let published = publish_for(&self.discovery, span, rate);
         Ok((before, self.read()?, published))
@@ -232,18 +255,18 @@
 /// Publishes changes at `rate` per second for a span; returns the number published.
 #[must_use]
 pub fn publish_for(discovery: &Discovery, span: Duration, rate: f64) -> u64 {
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut published = 0;
     loop {
         let next = if rate > 0.0 {
             // publish in the middle of each interval, so that nothing happens at either end of the span
-            begun + Duration::from_secs_f64((published as f64 + 0.5) / rate)
+            started + Duration::from_secs_f64((published as f64 + 0.5) / rate)
         } else {
-            begun + span
+            started + span
         };
-        let until = next.min(begun + span);
+        let until = next.min(started + span);
         std::thread::sleep(until.saturating_duration_since(Instant::now()));
-        if next >= begun + span {
+        if next >= started + span {
             return published;
         }
         discovery.publish();
@@ -260,7 +283,7 @@
     let sender = sender.map_or_else(|| scale.with_file_name("milletturn"), Path::to_path_buf);
     if !sender.is_file() {
         return Err(Error::Wrong(format!(
-            "{} is not there; build it first",
+            "program {} not found; build it first",
             sender.display()
         )));
     }
--- a/crates/scale/src/fleet/bare.rs
+++ b/crates/scale/src/fleet/idle_engine.rs
@@ -1,8 +1,8 @@
 //! Runs the real engine in a simulated sender: the engine receives lists and settings as in a real sender, but has no
 //! listener, no disk and no connection to an endpoint.
 
-use super::tally::Mark;
-use super::tally::Tally;
+use super::counters::Mark;
+use super::counters::SenderCounters;
 use crate::Error;
 use milletturn_coordination_protocol::clock::now;
 use milletturn_engine::observer::NoopObserver;
@@ -21,9 +21,9 @@
 use tokio::task::{AbortHandle, spawn_local};
 
 /// A journal and transport that do nothing, because no message is ever submitted.
-struct Idle;
+struct NoopPorts;
 
-impl Journal for Idle {
+impl Journal for NoopPorts {
     fn unfinished(&self) -> BTreeMap<u64, Unfinished> {
         BTreeMap::new()
     }
@@ -55,7 +55,7 @@
     }
 }
 
-impl Transport for Idle {
+impl Transport for NoopPorts {
     fn start(&self, _: Call, _: mpsc::UnboundedReceiver<usize>) {}
     fn add_endpoint(&self, _: EndpointId, _: SocketAddr) {}
     fn remove_endpoint(&self, _: EndpointId) {}
@@ -75,8 +75,8 @@
 /// The engine rejects the settings.
 pub fn start(
     config: &Config,
-    mut heard: mpsc::UnboundedReceiver<Input>,
-    tally: Rc<RefCell<Tally>>,
+    mut list_inputs: mpsc::UnboundedReceiver<Input>,
+    counters: Rc<RefCell<SenderCounters>>,
     marks: Rc<RefCell<Option<Mark>>>,
 ) -> Result<[AbortHandle; 2], Error> {
     let unix = SystemTime::now()
@@ -90,10 +90,10 @@
         kinds: config.names.kinds.clone(),
         clock: Clock::new(i64::try_from(unix).unwrap_or(i64::MAX)),
         cached_endpoints: None,
-        journal: Box::new(Idle),
+        journal: Box::new(NoopPorts),
         archive: None,
         first_message_number: 1,
-        transport: Box::new(Idle),
+        transport: Box::new(NoopPorts),
         notify_delivered: false,
         notifications: mpsc::unbounded_channel().0,
         observer: Box::new(NoopObserver),
@@ -101,16 +101,18 @@
     })
     .map_err(|error| Error::Wrong(error.to_string()))?;
     let (inputs, mut received) = mpsc::unbounded_channel();
-    let hearing = spawn_local(async move {
-        while let Some(input) = heard.recv().await {
+    let forwarding = spawn_local(async move {
+        while let Some(input) = list_inputs.recv().await {
             if let Input::EndpointsListed(update) = &input {
-                tally.borrow_mut().listed(now().0, update, *marks.borrow());
+                counters
+                    .borrow_mut()
+                    .record_update(now().0, update, *marks.borrow());
             }
             if inputs.send(input).is_err() {
                 return;
             }
         }
     });
-    let running = spawn_local(async move { engine.run(&mut received).await });
-    Ok([hearing.abort_handle(), running.abort_handle()])
+    let engine_task = spawn_local(async move { engine.run(&mut received).await });
+    Ok([forwarding.abort_handle(), engine_task.abort_handle()])
 }
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -4,45 +4,47 @@
 //! The product has no other way to bring a change to a running sender except files and SIGHUP. A change counts as in
 //! force at a sender when the sender's real watch passes the version on as `Input::EndpointsListed`.
 //!
-//! - [`rig`]: the harness that starts all parts: [`mod@stewards`], [`discovery`], [`herd`] and [`real`].
-//! - [`hollow`]: the process that hosts simulated senders; [`tally`]: the updates that each of them received.
-//! - [`slopes`], [`compare`] and [`mod@faults`]: the measurements; [`sheet`]: their results as JSON lines.
+//! - [`harness`]: starts and connects all parts, which are [`coordinators`], [`discovery`], [`simulated_fleet`] and
+//!   [`real_senders`].
+//! - [`simulated_senders`]: the process that hosts simulated senders; [`counters`]: the updates that each of them
+//!   received.
+//! - [`scaling`], [`compare`] and [`mod@faults`]: the measurements; [`results`]: their results as JSON lines.
 
-pub mod bare;
 pub mod compare;
+pub mod coordinators;
+pub mod counters;
 pub mod discovery;
 pub mod faults;
-pub mod herd;
-pub mod hollow;
+pub mod harness;
+pub mod idle_engine;
 pub mod meter;
+pub mod network_proxy;
+pub mod percentiles;
 pub mod process;
-pub mod real;
-pub mod relay;
-pub mod relayed;
-pub mod relayed_faults;
-pub mod relays;
+pub mod proxied_faults;
+pub mod proxied_sessions;
+pub mod real_senders;
 pub mod report;
-pub mod rig;
-pub mod sheet;
-pub mod slopes;
-pub mod stage;
-pub mod stewards;
-pub mod tally;
-pub mod thread;
-pub mod times;
+pub mod results;
+pub mod runtime_thread;
+pub mod scaling;
+pub mod scenario;
+pub mod session_proxies;
+pub mod simulated_fleet;
+pub mod simulated_senders;
 
 use crate::Error;
 use crate::cost::head;
 use crate::figures::{Line, write};
 use clap::Args;
-use sheet::Sheet;
-use slopes::{Plan, RATE, stewards};
+use results::Results;
+use scaling::{Plan, RATE, default_group};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Words that slopes and faults have in common.
+/// Arguments shared by all measurements.
 #[derive(Debug, Clone, Args)]
-pub struct Common {
+pub struct CommonArgs {
     /// Where the figures go (JSON lines).
     #[arg(long, value_name = "FILE")]
     pub out: PathBuf,
@@ -50,18 +52,18 @@
     #[arg(long, value_name = "FILE")]
     pub program: Option<PathBuf>,
     /// What begins later than this is left out: `10m`, `90s`.
-    #[arg(long, default_value = "10m", value_parser = time)]
+    #[arg(long, default_value = "10m", value_parser = parse_time)]
     pub time: Duration,
     /// Of all that is drawn at random.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
 
-/// Words of `fleet`.
+/// Arguments of the subcommand `fleet`.
 #[derive(Debug, Clone, Args)]
-pub struct Slopes {
+pub struct ScalingArgs {
     #[command(flatten)]
-    common: Common,
+    common: CommonArgs,
     /// Folder for plots (SVG).
     #[arg(long, value_name = "FOLDER")]
     plots: Option<PathBuf>,
@@ -100,11 +102,11 @@
     compare: u64,
 }
 
-/// Words of `faults`.
+/// Arguments of the subcommand `faults`.
 #[derive(Debug, Clone, Args)]
-pub struct Faults {
+pub struct FaultArgs {
     #[command(flatten)]
-    common: Common,
+    common: CommonArgs,
     /// Hollow senders with sessions.
     #[arg(long, default_value_t = 1000)]
     sessions: u64,
@@ -122,11 +124,11 @@
     only: Vec<String>,
 }
 
-/// Words of `relays`.
+/// Arguments of the subcommand `relays`.
 #[derive(Debug, Clone, Args)]
-pub struct Relayed {
+pub struct ProxiedArgs {
     #[command(flatten)]
-    common: Common,
+    common: CommonArgs,
     /// Seconds of one measurement.
     #[arg(long, default_value_t = 10)]
     span: u64,
@@ -138,20 +140,25 @@
     )]
     senders: Vec<u64>,
     /// The product's relays between them and three stewards.
-    #[arg(long, default_value_t = 8, value_parser = clap::value_parser!(u64).range(1..=64))]
-    relays: u64,
+    #[arg(
+        long = "relays",
+        value_name = "RELAYS",
+        default_value_t = 8,
+        value_parser = clap::value_parser!(u64).range(1..=64)
+    )]
+    session_proxies: u64,
     /// Hollow senders in one process: one thread serves them, and must not be what their renewals wait for.
     #[arg(long, default_value_t = 200)]
     each: u64,
-    /// Faults at the largest size: a zone, all control, a release.
+    /// FaultArgs at the largest size: a zone, all control, a release.
     #[arg(long)]
     faults: bool,
     /// Destinations of the list, which does not go through relays.
-    #[arg(long, default_value_t = slopes::DESTINATIONS / 10)]
+    #[arg(long, default_value_t = scaling::DESTINATIONS / 10)]
     destinations: u64,
 }
 
-fn time(text: &str) -> Result<Duration, String> {
+fn parse_time(text: &str) -> Result<Duration, String> {
     let (number, unit) = text.split_at(text.len().saturating_sub(1));
     let seconds = match unit {
         "m" => 60,
@@ -164,11 +171,11 @@
     Ok(Duration::from_secs(number * seconds))
 }
 
-impl Common {
+impl CommonArgs {
     fn plan(&self) -> Result<Plan, Error> {
-        process::end_all_at_signals()?;
+        process::kill_children_on_signals()?;
         Ok(Plan {
-            programs: rig::programs(self.program.as_deref())?,
+            programs: harness::programs(self.program.as_deref())?,
             sessions: Vec::new(),
             senders: Vec::new(),
             rates: Vec::new(),
@@ -184,59 +191,59 @@
 ///
 /// # Errors
 /// A process or measurement failed, or the results could not be written.
-pub fn run(words: &Slopes) -> Result<(), Error> {
+pub fn run(arguments: &ScalingArgs) -> Result<(), Error> {
     let plan = Plan {
-        sessions: words.sessions.clone(),
-        senders: words.senders.clone(),
-        rates: words.rates.clone(),
-        destinations: words.destinations.clone(),
-        span: Duration::from_secs(words.span),
-        ..words.common.plan()?
+        sessions: arguments.sessions.clone(),
+        senders: arguments.senders.clone(),
+        rates: arguments.rates.clone(),
+        destinations: arguments.destinations.clone(),
+        span: Duration::from_secs(arguments.span),
+        ..arguments.common.plan()?
     };
-    let mut sheet = Sheet::default();
-    let refit = words.parts.iter().any(|part| part == "refit");
+    let mut results = Results::default();
+    let refit = arguments.parts.iter().any(|part| part == "refit");
     if refit {
         // keep the measured points and their head
-        sheet.lines = crate::figures::read(&words.common.out)?;
-        sheet.lines.retain(|line| match line {
+        results.lines = crate::figures::read(&arguments.common.out)?;
+        results.lines.retain(|line| match line {
             Line::Fit(_) => false,
             Line::Point(point) => !(point.role == "sender" && point.at == 0.0),
             _ => true,
         });
     } else {
-        sheet.lines.push(Line::Head(head(plan.seed)?));
+        results.lines.push(Line::Head(head(plan.seed)?));
     }
-    let middle = [250, 500, 1000]
+    let medium_sizes = [250, 500, 1000]
         .into_iter()
         .filter(|size| Some(size) <= plan.sessions.iter().max());
-    let few = Plan {
-        sessions: middle.collect(),
+    let medium_plan = Plan {
+        sessions: medium_sizes.collect(),
         ..plan.clone()
     };
-    for part in &words.parts {
+    for part in &arguments.parts {
         match part.as_str() {
             // the first list arrives before the measured span, so that only renewals and changes are compared
-            "compare" => compare::run(&plan, &mut sheet, words.compare, 10.0)?,
-            "sessions" => plan.by_sessions(&mut sheet, stewards(3, 9))?,
-            "beyond" => plan.beyond(
-                &mut sheet,
+            "compare" => compare::run(&plan, &mut results, arguments.compare, 10.0)?,
+            "sessions" => plan.measure_sessions(&mut results, default_group(3, 9))?,
+            "beyond" => plan.measure_beyond_limit(
+                &mut results,
                 2 * milletturn_coordination::bounds::MAX_DIRECT_MEMBERS as u64,
             )?,
-            "lease" => few.by_sessions(&mut sheet, stewards(3, 2))?,
-            "five" => few.by_sessions(&mut sheet, stewards(5, 9))?,
-            "senders" => plan.by_senders(&mut sheet)?,
-            "rates" => plan.by_rate(&mut sheet, 1_000)?,
-            "destinations" => plan.by_destinations(&mut sheet)?,
-            "reloads" => plan.reloads(&mut sheet, 1_000)?,
+            "lease" => medium_plan.measure_sessions(&mut results, default_group(3, 2))?,
+            "five" => medium_plan.measure_sessions(&mut results, default_group(5, 9))?,
+            "senders" => plan.measure_watches(&mut results)?,
+            "rates" => plan.measure_change_rates(&mut results, 1_000)?,
+            "destinations" => plan.measure_first_list(&mut results)?,
+            "reloads" => plan.measure_reloads(&mut results, 1_000)?,
             "refit" => {}
-            other => return Err(Error::Wrong(format!("no part is named {other:?}"))),
+            other => return Err(Error::Wrong(format!("unknown part {other:?}"))),
         }
-        write(&words.common.out, &sheet.lines)?;
+        write(&arguments.common.out, &results.lines)?;
     }
-    report::fits(&mut sheet);
-    write(&words.common.out, &sheet.lines)?;
-    if let Some(folder) = &words.plots {
-        report::plots(&sheet, folder)?;
+    report::add_fits(&mut results);
+    write(&arguments.common.out, &results.lines)?;
+    if let Some(folder) = &arguments.plots {
+        report::draw_plots(&results, folder)?;
     }
     Ok(())
 }
@@ -245,41 +252,47 @@
 ///
 /// # Errors
 /// A process or measurement failed, or the results could not be written.
-pub fn relays(words: &Relayed) -> Result<(), Error> {
+pub fn session_proxies(arguments: &ProxiedArgs) -> Result<(), Error> {
     let plan = Plan {
-        senders: words.senders.clone(),
-        span: Duration::from_secs(words.span),
-        ..words.common.plan()?
+        senders: arguments.senders.clone(),
+        span: Duration::from_secs(arguments.span),
+        ..arguments.common.plan()?
     };
-    let mut sheet = Sheet::default();
-    sheet.lines.push(Line::Head(head(plan.seed)?));
-    let shape = relayed::Shape {
-        relays: words.relays as usize,
-        each: words.each,
-        destinations: words.destinations,
-        faults: words.faults,
+    let mut results = Results::default();
+    results.lines.push(Line::Head(head(plan.seed)?));
+    let options = proxied_sessions::ProxiedOptions {
+        session_proxies: arguments.session_proxies as usize,
+        senders_per_process: arguments.each,
+        destinations: arguments.destinations,
+        run_faults: arguments.faults,
     };
-    let ended = relayed::run(&plan, &mut sheet, shape);
-    relayed::fits(&mut sheet, words.relays as usize);
-    write(&words.common.out, &sheet.lines)?;
-    ended
+    let outcome = proxied_sessions::run(&plan, &mut results, options);
+    proxied_sessions::add_fits(&mut results, arguments.session_proxies as usize);
+    write(&arguments.common.out, &results.lines)?;
+    outcome
 }
 
 /// Runs the fault scenarios against a whole fleet.
 ///
 /// # Errors
 /// A process or measurement failed, or the results could not be written.
-pub fn faults(words: &Faults) -> Result<(), Error> {
-    let plan = words.common.plan()?;
-    let size = faults::Size {
-        senders: words.senders,
-        sessions: words.sessions,
-        real: words.real,
-        each: words.each,
+pub fn faults(arguments: &FaultArgs) -> Result<(), Error> {
+    let plan = arguments.common.plan()?;
+    let size = faults::FleetSize {
+        senders: arguments.senders,
+        sessions: arguments.sessions,
+        real: arguments.real,
+        senders_per_process: arguments.each,
     };
-    let mut sheet = Sheet::default();
-    sheet.lines.push(Line::Head(head(plan.seed)?));
-    faults::run(&plan, &mut sheet, size, &words.only, &words.common.out)
+    let mut results = Results::default();
+    results.lines.push(Line::Head(head(plan.seed)?));
+    faults::run(
+        &plan,
+        &mut results,
+        size,
+        &arguments.only,
+        &arguments.common.out,
+    )
 }
 
 /// Runs a small fleet whose counters a test checks: the given number of simulated senders with sessions, three
@@ -287,9 +300,14 @@
 ///
 /// # Errors
 /// A process does not start or ends early.
-pub fn small(program: &Path, scale: &Path, hollow: u64, real: u64) -> Result<report::Small, Error> {
+pub fn small(
+    program: &Path,
+    scale: &Path,
+    simulated: u64,
+    real: u64,
+) -> Result<report::SmallRun, Error> {
     let plan = Plan {
-        programs: rig::Programs {
+        programs: harness::Programs {
             sender: program.to_path_buf(),
             scale: scale.to_path_buf(),
         },
@@ -301,5 +319,5 @@
         until: Instant::now() + Duration::from_secs(600),
         seed: 1,
     };
-    report::small(&plan, hollow, real, 100.0 * RATE)
+    report::run_small(&plan, simulated, real, 100.0 * RATE)
 }
--- a/crates/scale/src/fleet/relay.rs
+++ b/crates/scale/src/fleet/network_proxy.rs
@@ -1,7 +1,7 @@
 //! A TCP proxy in this process, in front of a coordinator or session proxy. It counts the traffic, can simulate a
 //! network partition or a dead host, and follows the upstream process to its new port after a restart.
 
-use super::meter::{Meter, Passed};
+use super::meter::{Meter, Traffic};
 use crate::Error;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,25 +16,25 @@
 
 /// How a proxy or listener treats connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-pub enum Way {
+pub enum LinkState {
     /// Forwards all bytes.
     #[default]
-    Pass,
+    Open,
     /// Forwards nothing and keeps connections open, as in a network partition.
-    Silent,
+    Partitioned,
     /// Resets every connection, as where the process has ended.
-    Down,
+    Resetting,
 }
 
 /// A metered TCP proxy to one upstream address.
 #[derive(Debug, Clone)]
-pub struct Relay {
+pub struct NetworkProxy {
     /// Address that clients connect to.
     pub address: SocketAddr,
     /// Counts the traffic.
     pub meter: Meter,
-    to: Arc<watch::Sender<Option<SocketAddr>>>,
-    way: Arc<watch::Sender<Way>>,
+    upstream: Arc<watch::Sender<Option<SocketAddr>>>,
+    link_state: Arc<watch::Sender<LinkState>>,
 }
 
 /// Listens on a loopback port chosen by the system.
@@ -42,12 +42,12 @@
 /// # Errors
 /// No port is available.
 pub fn listen() -> Result<TcpListener, Error> {
-    let bound = || {
+    let try_listen = || {
         let socket = TcpSocket::new_v4()?;
         socket.bind(SocketAddr::from(([127, 0, 0, 1], 0)))?;
         socket.listen(BACKLOG)
     };
-    bound().map_err(Error::io("a port on loopback"))
+    try_listen().map_err(Error::io("a port on loopback"))
 }
 
 /// Closes a connection with a TCP reset.
@@ -56,7 +56,7 @@
     let _ = socket2::SockRef::from(stream).set_linger(Some(std::time::Duration::ZERO));
 }
 
-impl Relay {
+impl NetworkProxy {
     /// Starts a proxy on the runtime, without an upstream address.
     ///
     /// # Errors
@@ -64,98 +64,103 @@
     pub fn start(runtime: &Handle, meter: Meter) -> Result<Self, Error> {
         let _entered = runtime.enter();
         let listener = listen()?;
-        let relay = Relay {
+        let proxy = NetworkProxy {
             address: listener
                 .local_addr()
                 .map_err(Error::io("a port on loopback"))?,
             meter,
-            to: Arc::new(watch::Sender::new(None)),
-            way: Arc::new(watch::Sender::new(Way::Pass)),
+            upstream: Arc::new(watch::Sender::new(None)),
+            link_state: Arc::new(watch::Sender::new(LinkState::Open)),
         };
-        runtime.spawn(relay.clone().serve(listener));
-        Ok(relay)
+        runtime.spawn(proxy.clone().serve(listener));
+        Ok(proxy)
     }
 
     /// Sets the upstream address for new connections; with none, they are reset.
-    pub fn lead_to(&self, address: Option<SocketAddr>) {
-        self.to.send_replace(address);
+    pub fn set_upstream(&self, address: Option<SocketAddr>) {
+        self.upstream.send_replace(address);
     }
 
     /// Sets how connections are treated from now on, those already open included.
-    pub fn set(&self, way: Way) {
-        self.way.send_replace(way);
+    pub fn set_link_state(&self, link_state: LinkState) {
+        self.link_state.send_replace(link_state);
     }
 
     async fn serve(self, listener: TcpListener) {
         loop {
-            let Ok((near, _)) = listener.accept().await else {
+            let Ok((client, _)) = listener.accept().await else {
                 tokio::time::sleep(std::time::Duration::from_millis(50)).await;
                 continue;
             };
-            tokio::spawn(self.clone().pass(near));
+            tokio::spawn(self.clone().forward(client));
         }
     }
 
-    async fn pass(self, near: TcpStream) {
-        let mut way = self.way.subscribe();
-        let to = *self.to.borrow();
-        let (Way::Pass, Some(to)) = (*way.borrow_and_update(), to) else {
+    async fn forward(self, client: TcpStream) {
+        let mut link_state = self.link_state.subscribe();
+        let to = *self.upstream.borrow();
+        let (LinkState::Open, Some(to)) = (*link_state.borrow_and_update(), to) else {
             // a connection made during the partition gets no response, and is reset when the partition ends
-            let _ = way.wait_for(|way| *way != Way::Silent).await;
-            return reset(&near);
+            let _ = link_state
+                .wait_for(|link_state| *link_state != LinkState::Partitioned)
+                .await;
+            return reset(&client);
         };
-        let Ok(far) = TcpStream::connect(to).await else {
-            return reset(&near);
+        let Ok(server) = TcpStream::connect(to).await else {
+            return reset(&client);
         };
-        for stream in [&near, &far] {
+        for stream in [&client, &server] {
             // without TCP_NODELAY bytes still pass, only later
             let _ = stream.set_nodelay(true);
         }
-        self.meter.count(Passed {
+        self.meter.count(Traffic {
             opened: 1,
-            ..Passed::default()
+            ..Traffic::default()
         });
-        let ((from_near, to_near), (from_far, to_far)) = (near.into_split(), far.into_split());
-        let there = pump(from_near, to_far, way.clone(), |bytes| {
-            let asked = u64::from(bytes.starts_with(b"POST /") || bytes.starts_with(b"GET /"));
-            self.meter.count(Passed {
-                asked,
-                bytes_asked: bytes.len() as u64,
-                ..Passed::default()
+        let ((from_client, to_client), (from_server, to_server)) =
+            (client.into_split(), server.into_split());
+        let outbound = forward_bytes(from_client, to_server, link_state.clone(), |bytes| {
+            let requests = u64::from(bytes.starts_with(b"POST /") || bytes.starts_with(b"GET /"));
+            self.meter.count(Traffic {
+                requests,
+                request_bytes: bytes.len() as u64,
+                ..Traffic::default()
             });
         });
-        let back = pump(from_far, to_near, way.clone(), |bytes| {
-            let told = u64::from(bytes.starts_with(b"HTTP/1.1 "));
-            self.meter.count(Passed {
-                told,
-                bytes_told: bytes.len() as u64,
-                ..Passed::default()
+        let inbound = forward_bytes(from_server, to_client, link_state.clone(), |bytes| {
+            let responses = u64::from(bytes.starts_with(b"HTTP/1.1 "));
+            self.meter.count(Traffic {
+                responses,
+                response_bytes: bytes.len() as u64,
+                ..Traffic::default()
             });
         });
         // the end of one direction is forwarded; a change of the link state ends both directions
-        tokio::join!(there, back);
+        tokio::join!(outbound, inbound);
     }
 }
 
 /// Forwards one direction until it ends or the link state changes. After a change no byte is forwarded, and the
 /// connection is reset as soon as the link is not silent.
-async fn pump(
+async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
-    mut way: watch::Receiver<Way>,
+    mut link_state: watch::Receiver<LinkState>,
     count: impl Fn(&[u8]),
 ) {
     let mut buffer = vec![0; 16 * 1024];
     loop {
         let read = tokio::select! {
             read = from.read(&mut buffer) => Some(read.unwrap_or(0)),
-            changed = way.wait_for(|way| *way != Way::Pass) => {
+            changed = link_state.wait_for(|link_state| *link_state != LinkState::Open) => {
                 drop(changed);
                 None
             }
         };
         let Some(read) = read else {
-            let _ = way.wait_for(|way| *way != Way::Silent).await;
+            let _ = link_state
+                .wait_for(|link_state| *link_state != LinkState::Partitioned)
+                .await;
             reset(from.as_ref());
             return reset(to.as_ref());
         };
--- a/crates/scale/src/fleet/times.rs
+++ b/crates/scale/src/fleet/percentiles.rs
@@ -1,11 +1,11 @@
 //! Percentiles of durations.
 
-use super::tally::Times;
+use super::counters::Times;
 use hdrhistogram::Histogram;
 
 /// Number of samples, median, 99th percentile and maximum.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Spread {
+pub struct Percentiles {
     /// Number of samples.
     pub count: u64,
     /// Median in seconds; not a number without any sample.
@@ -16,11 +16,11 @@
     pub worst_s: f64,
 }
 
-impl Spread {
+impl Percentiles {
     /// Computes the percentiles of a histogram.
     #[must_use]
-    pub fn of(times: &Times) -> Self {
-        let none = Spread {
+    pub fn of(durations: &Times) -> Self {
+        let empty = Percentiles {
             count: 0,
             p50_s: f64::NAN,
             p99_s: f64::NAN,
@@ -28,17 +28,17 @@
         };
         // the histogram resizes itself; three significant digits are more than the samples have
         let Ok(mut histogram) = Histogram::<u64>::new(3) else {
-            return none;
+            return empty;
         };
-        for (&micros, &count) in times {
+        for (&micros, &count) in durations {
             // fails only for a value beyond the largest that a histogram can hold
             let _ = histogram.record_n(micros, count);
         }
         if histogram.is_empty() {
-            return none;
+            return empty;
         }
         let seconds = |micros: u64| micros as f64 / 1e6;
-        Spread {
+        Percentiles {
             count: histogram.len(),
             p50_s: seconds(histogram.value_at_quantile(0.5)),
             p99_s: seconds(histogram.value_at_quantile(0.99)),
--- a/crates/scale/src/fleet/process.rs
+++ b/crates/scale/src/fleet/process.rs
@@ -11,14 +11,14 @@
 use std::time::{Duration, Instant};
 
 /// Longest wait for a process; far longer than any of the awaited steps takes.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Pause between two polls.
-pub const LOOK: Duration = Duration::from_millis(10);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Ids of running child processes, which are killed when a signal ends this process.
 static RUNNING: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
-fn running(change: impl FnOnce(&mut BTreeSet<u32>)) {
+fn update_running(change: impl FnOnce(&mut BTreeSet<u32>)) {
     // an id is in the set or not, so that a poisoned lock holds usable data
     change(&mut RUNNING.lock().unwrap_or_else(PoisonError::into_inner));
 }
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// The system provides no thread, no runtime or no signals.
-pub fn end_all_at_signals() -> Result<(), Error> {
+pub fn kill_children_on_signals() -> Result<(), Error> {
     use tokio::signal::unix::{SignalKind, signal};
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -44,13 +44,10 @@
                 _ = interrupt.recv() => {}
             }
         });
-        running(|numbers| {
-            for number in numbers
-                .iter()
-                .filter_map(|number| Pid::from_raw(number.cast_signed()))
-            {
+        update_running(|ids| {
+            for id in ids.iter().filter_map(|id| Pid::from_raw(id.cast_signed())) {
                 // the process may have ended already
-                let _ = kill_process(number, Signal::KILL);
+                let _ = kill_process(id, Signal::KILL);
             }
         });
         std::process::exit(1);
@@ -64,17 +61,20 @@
 /// Polls until the condition holds.
 ///
 /// # Errors
-/// The condition fails, or does not hold within [`PATIENCE`].
-pub fn until(what: &str, mut so: impl FnMut() -> Result<bool, Error>) -> Result<(), Error> {
-    let begun = Instant::now();
-    while !so()? {
-        if begun.elapsed() > PATIENCE {
+/// The condition fails, or does not hold within [`WAIT_TIMEOUT`].
+pub fn wait_until(
+    text: &str,
+    mut condition: impl FnMut() -> Result<bool, Error>,
+) -> Result<(), Error> {
+    let started = Instant::now();
+    while !condition()? {
+        if started.elapsed() > WAIT_TIMEOUT {
             return Err(Error::Wrong(format!(
-                "never within {} s: {what}",
-                PATIENCE.as_secs()
+                "not reached within {} s: {text}",
+                WAIT_TIMEOUT.as_secs()
             )));
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
@@ -103,8 +103,8 @@
             .stderr(errors)
             .spawn();
         let child = child.map_err(Error::io(command.get_program().display().to_string()))?;
-        running(|numbers| {
-            numbers.insert(child.id());
+        update_running(|ids| {
+            ids.insert(child.id());
         });
         Ok(Process {
             child,
@@ -130,22 +130,22 @@
     ///
     /// # Errors
     /// The text does not appear in time, or the process has ended.
-    pub fn until_said(&mut self, what: &str) -> Result<String, Error> {
-        let mut said = None;
-        until(&format!("a process says {what:?}"), || {
+    pub fn wait_for_output(&mut self, text: &str) -> Result<String, Error> {
+        let mut rest_of_line = None;
+        wait_until(&format!("a process prints {text:?}"), || {
             let lines = self.lines();
-            said = lines
+            rest_of_line = lines
                 .iter()
-                .find_map(|line| Some(line.split_once(what)?.1.to_string()));
-            if said.is_none() && matches!(self.child.try_wait(), Ok(Some(_))) {
+                .find_map(|line| Some(line.split_once(text)?.1.to_string()));
+            if rest_of_line.is_none() && matches!(self.child.try_wait(), Ok(Some(_))) {
                 return Err(Error::Wrong(format!(
-                    "a process ended and said: {}",
+                    "a process ended early; its output: {}",
                     lines.join(" / ")
                 )));
             }
-            Ok(said.is_some())
+            Ok(rest_of_line.is_some())
         })?;
-        Ok(said.unwrap_or_default())
+        Ok(rest_of_line.unwrap_or_default())
     }
 
     /// Sends a signal to the process.
@@ -154,16 +154,21 @@
     /// The process has ended.
     pub fn signal(&self, signal: Signal) -> Result<(), Error> {
         let sent = kill_process(Pid::from_child(&self.child), signal);
-        sent.map_err(|error| Error::Io(format!("a signal to process {}", self.id()), error.into()))
+        sent.map_err(|error| {
+            Error::Io(
+                format!("sending a signal to process {}", self.id()),
+                error.into(),
+            )
+        })
     }
 
     /// Waits until the process has ended by itself.
     ///
     /// # Errors
     /// The process does not end in time.
-    pub fn until_ended(&mut self) -> Result<(), Error> {
+    pub fn wait_for_exit(&mut self) -> Result<(), Error> {
         let child = &mut self.child;
-        until("a process ends", || {
+        wait_until("a process ends", || {
             Ok(matches!(child.try_wait(), Ok(Some(_))))
         })
     }
@@ -174,8 +179,8 @@
         // the process may have ended already
         let _ = self.child.kill();
         let _ = self.child.wait();
-        running(|numbers| {
-            numbers.remove(&self.child.id());
+        update_running(|ids| {
+            ids.remove(&self.child.id());
         });
     }
 }
--- a/crates/scale/src/fleet/real.rs
+++ b/crates/scale/src/fleet/real_senders.rs
@@ -1,9 +1,9 @@
 //! Real senders as the platform runs them, each with a second process that keeps its session; an endpoint that they
 //! deliver to; and clients that submit messages.
 
+use super::coordinators::GROUP;
+use super::network_proxy::listen;
 use super::process::Process;
-use super::relay::listen;
-use super::stewards::GROUP;
 use crate::Error;
 use crate::cost::Cost;
 use rustix::process::Signal;
@@ -22,7 +22,7 @@
 /// Content of a sender's configuration file for a fleet of the given size; environment variables override `listen` and
 /// `discovery`.
 #[must_use]
-pub fn config(senders: u64, on_request: bool) -> String {
+pub fn sender_config(senders: u64, on_request: bool) -> String {
     let discovery = if on_request {
         r#""discovery":"on_request","#
     } else {
@@ -47,7 +47,7 @@
 pub struct Endpoint {
     /// Address of the endpoint.
     pub address: SocketAddr,
-    seen: Arc<Mutex<(BTreeSet<String>, u64)>>,
+    received: Arc<Mutex<(BTreeSet<String>, u64)>>,
 }
 
 impl Endpoint {
@@ -63,23 +63,23 @@
             .map_err(Error::io("a port on loopback"))?;
         let endpoint = Endpoint {
             address,
-            seen: Arc::default(),
+            received: Arc::default(),
         };
         runtime.spawn(endpoint.clone().serve(listener));
         Ok(endpoint)
     }
 
     /// Number of distinct messages received, and number of calls beyond the first for each message.
-    pub fn seen(&self) -> (u64, u64) {
-        let seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        (seen.0.len() as u64, seen.1)
+    pub fn received(&self) -> (u64, u64) {
+        let received = self.received.lock().unwrap_or_else(PoisonError::into_inner);
+        (received.0.len() as u64, received.1)
     }
 
     async fn serve(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
-            let here = self.clone();
+            let endpoint = self.clone();
             // an error means that the sender closed the connection, which it may do at any time
-            tokio::spawn(async move { here.serve_one(stream).await });
+            tokio::spawn(async move { endpoint.serve_one(stream).await });
         }
     }
 
@@ -89,9 +89,9 @@
             let length = number(&headers, "content-length");
             tokio::io::copy(&mut (&mut stream).take(length), &mut tokio::io::sink()).await?;
             if let Some(id) = header(&headers, "x-request-id") {
-                let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-                if !seen.0.insert(id.to_string()) {
-                    seen.1 += 1;
+                let mut received = self.received.lock().unwrap_or_else(PoisonError::into_inner);
+                if !received.0.insert(id.to_string()) {
+                    received.1 += 1;
                 }
             }
             stream
@@ -139,15 +139,15 @@
 
 /// Running processes of real senders, and counters of the messages submitted to them.
 #[derive(Debug)]
-pub struct Reals {
+pub struct RealSenders {
     senders: Vec<(Process, SocketAddr)>,
     sessions: Vec<Process>,
-    taken: Arc<AtomicU64>,
-    handed: Arc<AtomicU64>,
+    accepted: Arc<AtomicU64>,
+    submitted: Arc<AtomicU64>,
     folder: TempDir,
 }
 
-impl Reals {
+impl RealSenders {
     /// Starts a sender for each number and waits until it listens. Sessions have the names and resources that simulated
     /// senders of the same numbers would have.
     ///
@@ -158,19 +158,19 @@
         config: &Path,
         numbers: std::ops::Range<u64>,
         discovery: SocketAddr,
-        stewards: &[String],
+        coordinators: &[String],
     ) -> Result<Self, Error> {
-        let folder = TempDir::new().map_err(Error::io("a folder for real senders"))?;
-        let mut reals = Reals {
+        let folder = TempDir::new().map_err(Error::io("a temporary directory for real senders"))?;
+        let mut real_senders = RealSenders {
             senders: Vec::new(),
             sessions: Vec::new(),
-            taken: Arc::default(),
-            handed: Arc::default(),
+            accepted: Arc::default(),
+            submitted: Arc::default(),
             folder,
         };
         let mut processes = Vec::new();
         for number in numbers {
-            let state = reals.folder.path().join(format!("state{number}"));
+            let state = real_senders.folder.path().join(format!("state{number}"));
             std::fs::create_dir(&state).map_err(Error::io(state.display().to_string()))?;
             let mut command = Command::new(program);
             command
@@ -179,9 +179,12 @@
                 .env("RELAY_NAME", format!("hollow-{number}"))
                 .env("RELAY_LISTEN", "127.0.0.1:0")
                 .env("RELAY_DISCOVERY", discovery.to_string());
-            let log = reals.folder.path().join(format!("sender{number}.log"));
+            let log = real_senders
+                .folder
+                .path()
+                .join(format!("sender{number}.log"));
             processes.push(Process::start(&mut command, &log)?);
-            if !stewards.is_empty() {
+            if !coordinators.is_empty() {
                 let mut command = Command::new(program);
                 command.args([
                     "fleet",
@@ -192,24 +195,29 @@
                 ]);
                 // with one action an hour on its resource, the process costs little besides its session
                 command.args(["--every", "3600000", "--group", GROUP, "--format", "json"]);
-                for address in stewards {
+                for address in coordinators {
                     command.args(["--steward", address]);
                 }
-                let log = reals.folder.path().join(format!("session{number}.log"));
-                reals.sessions.push(Process::start(&mut command, &log)?);
+                let log = real_senders
+                    .folder
+                    .path()
+                    .join(format!("session{number}.log"));
+                real_senders
+                    .sessions
+                    .push(Process::start(&mut command, &log)?);
             }
         }
         for mut process in processes {
-            let address = process.until_said("listening on ")?;
+            let address = process.wait_for_output("listening on ")?;
             let address = address
                 .parse()
-                .map_err(|_| Error::Wrong(format!("no address: {address}")))?;
-            reals.senders.push((process, address));
+                .map_err(|_| Error::Wrong(format!("expected a listen address, got: {address}")))?;
+            real_senders.senders.push((process, address));
         }
-        for session in &mut reals.sessions {
-            session.until_said("\"owned\"")?;
+        for session in &mut real_senders.sessions {
+            session.wait_for_output("\"owned\"")?;
         }
-        Ok(reals)
+        Ok(real_senders)
     }
 
     /// Ids of all processes.
@@ -232,24 +240,25 @@
         ))
     }
 
-    /// Submits messages to each sender, one after the other with a pause of `rest`, to destinations below the given
+    /// Submits messages to each sender, one after the other with a pause of `pause`, to destinations below the given
     /// number, until the handles are aborted.
     #[must_use]
-    pub fn hand_in(
+    pub fn submit_messages(
         &self,
         runtime: &Handle,
-        rest: Duration,
+        pause: Duration,
         destinations: u64,
     ) -> Vec<tokio::task::AbortHandle> {
         let mut clients = Vec::new();
-        for (place, (_, address)) in self.senders.iter().enumerate() {
-            let (taken, handed, address) = (self.taken.clone(), self.handed.clone(), *address);
+        for (index, (_, address)) in self.senders.iter().enumerate() {
+            let (accepted, submitted, address) =
+                (self.accepted.clone(), self.submitted.clone(), *address);
             let client = async move {
                 let mut stream = BufReader::new(TcpStream::connect(address).await?);
                 for count in 0u64.. {
                     let message =
-                        message(&format!("r{place}-{count}"), count % destinations.max(1));
-                    handed.fetch_add(1, Ordering::Relaxed);
+                        message(&format!("r{index}-{count}"), count % destinations.max(1));
+                    submitted.fetch_add(1, Ordering::Relaxed);
                     stream.write_all(&message).await?;
                     let Some((first, headers)) = read_head(&mut stream).await? else {
                         break;
@@ -257,8 +266,8 @@
                     let length = number(&headers, "content-length");
                     tokio::io::copy(&mut (&mut stream).take(length), &mut tokio::io::sink())
                         .await?;
-                    taken.fetch_add(u64::from(first.contains(" 202 ")), Ordering::Relaxed);
-                    tokio::time::sleep(rest).await;
+                    accepted.fetch_add(u64::from(first.contains(" 202 ")), Ordering::Relaxed);
+                    tokio::time::sleep(pause).await;
                 }
                 Ok::<(), std::io::Error>(())
             };
@@ -269,10 +278,10 @@
 
     /// Number of messages submitted, and number of those that were accepted.
     #[must_use]
-    pub fn handed(&self) -> (u64, u64) {
+    pub fn submitted_and_accepted(&self) -> (u64, u64) {
         (
-            self.handed.load(Ordering::Relaxed),
-            self.taken.load(Ordering::Relaxed),
+            self.submitted.load(Ordering::Relaxed),
+            self.accepted.load(Ordering::Relaxed),
         )
     }
 
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -1,10 +1,12 @@
 //! Fits and plots of the results, and the counters of the small run.
 
-use super::discovery::Form;
-use super::real::Reals;
-use super::rig::{Parts, Rig};
-use super::sheet::{Other, Sheet, other};
-use super::slopes::{DESTINATIONS, LIST_BUSY, LIST_STILL, Plan, set_of, stewards};
+use super::discovery::ListLayout;
+use super::harness::{Harness, HarnessOptions};
+use super::real_senders::RealSenders;
+use super::results::{Parameters, Results, parameters_from};
+use super::scaling::{
+    DESTINATIONS, LIST_CHANGING, LIST_UNCHANGED, Plan, default_group, group_parameters,
+};
 use crate::Error;
 use serde_json::json;
 use std::path::Path;
@@ -97,14 +99,20 @@
 ];
 
 /// Fits all quantities along their axes.
-pub fn fits(sheet: &mut Sheet) {
-    let setups = [stewards(3, 9), stewards(3, 2), stewards(5, 9)].map(set_of);
-    let kinds = [LIST_STILL, LIST_BUSY].map(|kind| other([("kind", json!(kind))]));
+pub fn add_fits(results: &mut Results) {
+    let group_configs = [
+        default_group(3, 9),
+        default_group(3, 2),
+        default_group(5, 9),
+    ]
+    .map(group_parameters);
+    let kinds =
+        [LIST_UNCHANGED, LIST_CHANGING].map(|kind| parameters_from([("kind", json!(kind))]));
     for (role, quantity, term) in TERMS {
-        for set in setups.iter().chain(&kinds) {
-            sheet.fit(role, quantity, "senders", set, term);
+        for parameters in group_configs.iter().chain(&kinds) {
+            results.add_fit(role, quantity, "senders", parameters, term);
         }
-        sheet.fit(role, quantity, "changes/s", &Other::new(), term);
+        results.add_fit(role, quantity, "changes/s", &Parameters::new(), term);
     }
     for (quantity, term) in [
         (
@@ -120,7 +128,7 @@
             "Feed::take and parse_list for each change (crates/platform/src/feed.rs, list.rs)",
         ),
     ] {
-        sheet.fit("sender", quantity, "changes/s", &Other::new(), term);
+        results.add_fit("sender", quantity, "changes/s", &Parameters::new(), term);
     }
     for (quantity, term) in [
         (
@@ -136,11 +144,11 @@
             "Feed::take and parse_list; on a shared machine, wall time",
         ),
     ] {
-        sheet.fit(
+        results.add_fit(
             "sender",
             quantity,
             "destinations",
-            &other([("one_line", json!(false))]),
+            &parameters_from([("one_line", json!(false))]),
             term,
         );
     }
@@ -150,25 +158,36 @@
 ///
 /// # Errors
 /// A file can't be written.
-pub fn plots(sheet: &Sheet, folder: &Path) -> Result<(), Error> {
+pub fn draw_plots(results: &Results, folder: &Path) -> Result<(), Error> {
     std::fs::create_dir_all(folder).map_err(Error::io(folder.display().to_string()))?;
-    let [nine, two, five] = [stewards(3, 9), stewards(3, 2), stewards(5, 9)].map(set_of);
-    let [still, busy] = [LIST_STILL, LIST_BUSY].map(|kind| other([("kind", json!(kind))]));
-    let pieces = other([("one_line", json!(false))]);
-    let none = Other::new();
-    sheet.plot(
+    let [lease_9_s, lease_2_s, five_coordinators] = [
+        default_group(3, 9),
+        default_group(3, 2),
+        default_group(5, 9),
+    ]
+    .map(group_parameters);
+    let [unchanged, changing] =
+        [LIST_UNCHANGED, LIST_CHANGING].map(|kind| parameters_from([("kind", json!(kind))]));
+    let in_pieces = parameters_from([("one_line", json!(false))]);
+    let no_parameters = Parameters::new();
+    results.plot(
         &folder.join("fleet-sessions-cpu.svg"),
         "Stewards: processor time by senders with a session",
         "senders",
         "core",
         &[
-            ("leader, lease 9 s", "steward.leader", "cpu", &nine),
-            ("follower, lease 9 s", "steward.follower", "cpu", &nine),
-            ("leader, lease 2 s", "steward.leader", "cpu", &two),
-            ("leader of five, lease 9 s", "steward.leader", "cpu", &five),
+            ("leader, lease 9 s", "steward.leader", "cpu", &lease_9_s),
+            ("follower, lease 9 s", "steward.follower", "cpu", &lease_9_s),
+            ("leader, lease 2 s", "steward.leader", "cpu", &lease_2_s),
+            (
+                "leader of five, lease 9 s",
+                "steward.leader",
+                "cpu",
+                &five_coordinators,
+            ),
         ],
     )?;
-    sheet.plot(
+    results.plot(
         &folder.join("fleet-sessions-bytes.svg"),
         "Stewards: bytes by senders with a session, lease 9 s",
         "senders",
@@ -178,63 +197,63 @@
                 "leader, from senders",
                 "steward.leader",
                 "bytes_from_senders",
-                &nine,
+                &lease_9_s,
             ),
             (
                 "leader, to senders",
                 "steward.leader",
                 "bytes_to_senders",
-                &nine,
+                &lease_9_s,
             ),
             (
                 "leader, to stewards",
                 "steward.leader",
                 "bytes_to_stewards",
-                &nine,
+                &lease_9_s,
             ),
             (
                 "leader, from stewards",
                 "steward.leader",
                 "bytes_from_stewards",
-                &nine,
+                &lease_9_s,
             ),
         ],
     )?;
-    sheet.plot(
+    results.plot(
         &folder.join("fleet-senders-cpu.svg"),
         "One sender: processor time for the list's watch by senders",
         "senders",
         "core",
         &[
-            ("no change", "sender", "cpu", &still),
-            ("5.6 changes a second", "sender", "cpu", &busy),
+            ("no change", "sender", "cpu", &unchanged),
+            ("5.6 changes a second", "sender", "cpu", &changing),
         ],
     )?;
-    sheet.plot(
+    results.plot(
         &folder.join("fleet-rates-bytes.svg"),
         "One sender: the list's bytes by changes",
         "changes/s",
         "bytes/s",
-        &[("bytes in", "sender", "list_bytes_in", &none)],
+        &[("bytes in", "sender", "list_bytes_in", &no_parameters)],
     )?;
-    sheet.plot(
+    results.plot(
         &folder.join("fleet-destinations.svg"),
         "One sender: its first list by destinations",
         "destinations",
         "core s",
-        &[("processor time", "sender", "list_cpu", &pieces)],
+        &[("processor time", "sender", "list_cpu", &in_pieces)],
     )
 }
 
 /// Counters of the small run.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Small {
+pub struct SmallRun {
     /// Simulated senders still running at the end.
     pub senders: u64,
     /// Changes that were published.
     pub published: u64,
     /// Changes that simulated senders received, all together.
-    pub heard: u64,
+    pub received: u64,
     /// Destinations that some sender lacked at the end.
     pub lost: u64,
     /// Changes or lines received twice.
@@ -242,15 +261,15 @@
     /// Lines received after a newer one.
     pub wrong_order: u64,
     /// Sessions that simulated senders opened.
-    pub joined: u64,
+    pub sessions_opened: u64,
     /// Sessions that ended without the sender closing them.
-    pub left: u64,
+    pub sessions_lost: u64,
     /// Sessions in the coordination state, of simulated and real senders.
-    pub book: u64,
+    pub sessions_in_state: u64,
     /// Watches that were opened, by simulated and real senders.
     pub watches: u64,
     /// Messages that real senders accepted.
-    pub taken: u64,
+    pub accepted: u64,
     /// Messages that the endpoint received.
     pub delivered: u64,
     /// Session requests that coordinators received.
@@ -261,71 +280,80 @@
 ///
 /// # Errors
 /// A process does not start or ends early.
-pub fn small(plan: &Plan, hollow: u64, real: u64, rate: f64) -> Result<Small, Error> {
-    let setup = stewards(3, 9);
-    let form = Form {
+pub fn run_small(plan: &Plan, simulated: u64, real: u64, rate: f64) -> Result<SmallRun, Error> {
+    let group_config = default_group(3, 9);
+    let list_layout = ListLayout {
         destinations: DESTINATIONS,
-        piece: DESTINATIONS,
+        entries_per_line: DESTINATIONS,
     };
-    let mut rig = Rig::start(
+    let mut harness = Harness::start(
         &plan.programs,
-        Parts {
-            form,
-            ..plan.parts(hollow, hollow, Some(setup))
+        HarnessOptions {
+            list_layout,
+            ..plan.options(simulated, simulated, Some(group_config))
         },
     )?;
-    rig.begin(0..hollow)?;
-    let group = rig
-        .stewards
+    harness.start_senders(0..simulated)?;
+    let group = harness
+        .coordinators
         .as_ref()
-        .ok_or_else(|| Error::Wrong("no stewards".into()))?;
-    let (discovery, addresses) = (rig.discovery.addresses[0], group.addresses(0));
-    let numbers = hollow..hollow + real;
-    let reals = Reals::start(
+        .ok_or_else(|| Error::Wrong("the harness has no coordinators".into()))?;
+    let (discovery, addresses) = (harness.discovery.addresses[0], group.addresses(0));
+    let numbers = simulated..simulated + real;
+    let real_senders = RealSenders::start(
         &plan.programs.sender,
-        &rig.config,
+        &harness.config,
         numbers,
         discovery,
         &addresses,
     )?;
-    let clients = reals.hand_in(rig.ways.handle(), Duration::from_millis(20), DESTINATIONS);
-    let joined = rig.herd.report(&rig.discovery)?.joined;
-    let (before, _, published) = rig.span(plan.span, rate)?;
-    rig.until_all(hollow, hollow)?;
-    let after = rig.read()?;
+    let clients = real_senders.submit_messages(
+        harness.proxy_thread.handle(),
+        Duration::from_millis(20),
+        DESTINATIONS,
+    );
+    let sessions_opened = harness
+        .fleet
+        .take_report(&harness.discovery)?
+        .sessions_opened;
+    let (before, _, published) = harness.measure_span(plan.span, rate)?;
+    harness.wait_until_ready(simulated, simulated)?;
+    let after = harness.read()?;
     clients.iter().for_each(tokio::task::AbortHandle::abort);
     // the last message of a client may still be accepted after the client ended; only messages counted as accepted are
     // awaited
-    super::process::until("what was taken on is delivered", || {
-        Ok(rig.endpoint.seen().0 >= reals.handed().1)
+    super::process::wait_until("all accepted messages are delivered", || {
+        Ok(harness.endpoint.received().0 >= real_senders.submitted_and_accepted().1)
     })?;
-    let report = rig.herd.report(&rig.discovery)?;
-    let group = rig
-        .stewards
+    let report = harness.fleet.take_report(&harness.discovery)?;
+    let group = harness
+        .coordinators
         .as_ref()
-        .ok_or_else(|| Error::Wrong("no stewards".into()))?;
-    let mut book = 0;
-    super::process::until("the book is shown", || {
-        book = group.look().map_or(0, |look| look.sessions.len() as u64);
-        Ok(book > 0)
+        .ok_or_else(|| Error::Wrong("the harness has no coordinators".into()))?;
+    let mut sessions_in_state = 0;
+    super::process::wait_until("the coordination state lists sessions", || {
+        sessions_in_state = group
+            .read_state()
+            .map_or(0, |state| state.sessions.len() as u64);
+        Ok(sessions_in_state > 0)
     })?;
-    let passed = (after.stewards.iter().zip(&before.stewards))
-        .fold(super::meter::Passed::default(), |sum, (after, before)| {
+    let session_traffic = (after.coordinators.iter().zip(&before.coordinators))
+        .fold(super::meter::Traffic::default(), |sum, (after, before)| {
             sum + (after.1 - before.1)
         });
-    Ok(Small {
+    Ok(SmallRun {
         senders: report.senders,
         published,
-        heard: report.in_force.values().sum(),
+        received: report.in_force.values().sum(),
         lost: report.lost,
         doubled: report.doubled,
         wrong_order: report.wrong_order,
-        joined: joined + report.joined,
-        left: report.left,
-        book,
-        watches: rig.discovery.watches(),
-        taken: reals.handed().1,
-        delivered: rig.endpoint.seen().0,
-        requests: passed.asked,
+        sessions_opened: sessions_opened + report.sessions_opened,
+        sessions_lost: report.sessions_lost,
+        sessions_in_state,
+        watches: harness.discovery.watches(),
+        accepted: real_senders.submitted_and_accepted().1,
+        delivered: harness.endpoint.received().0,
+        requests: session_traffic.requests,
     })
 }
--- a/crates/scale/src/fleet/sheet.rs
+++ b/crates/scale/src/fleet/results.rs
@@ -1,6 +1,6 @@
 //! Results of a run as JSON lines, and the fits through them.
 
-use super::rig::Reading;
+use super::harness::Reading;
 use crate::Error;
 use crate::figures::{Fit, Line, Point};
 use crate::fit::{Fitted, best};
@@ -10,37 +10,45 @@
 use std::path::Path;
 
 /// Settings of a measurement besides the axis, by name.
-pub type Other = BTreeMap<String, Value>;
+pub type Parameters = BTreeMap<String, Value>;
 
-/// Builds [`Other`].
+/// Builds [`Parameters`].
 #[must_use]
-pub fn other<const N: usize>(set: [(&str, Value); N]) -> Other {
-    set.into_iter()
+pub fn parameters_from<const N: usize>(parameters: [(&str, Value); N]) -> Parameters {
+    parameters
+        .into_iter()
         .map(|(name, value)| (name.to_string(), value))
         .collect()
 }
 
 /// All results of a run.
 #[derive(Debug, Default)]
-pub struct Sheet {
+pub struct Results {
     /// Lines recorded so far.
     pub lines: Vec<Line>,
 }
 
 /// The measurement that a result belongs to.
 #[derive(Debug, Clone)]
-pub struct Place<'a> {
+pub struct Conditions<'a> {
     /// Name of the quantity that was varied.
     pub axis: &'a str,
     /// Value on the axis.
     pub at: f64,
     /// Settings besides the axis.
-    pub other: Other,
+    pub parameters: Parameters,
 }
 
-impl Sheet {
+impl Results {
     /// Records one result; a value that is not finite, such as the maximum of no samples, is skipped.
-    pub fn point(&mut self, role: &str, quantity: &str, unit: &str, place: &Place<'_>, value: f64) {
+    pub fn add_point(
+        &mut self,
+        role: &str,
+        quantity: &str,
+        unit: &str,
+        conditions: &Conditions<'_>,
+        value: f64,
+    ) {
         if !value.is_finite() {
             return;
         }
@@ -48,18 +56,18 @@
             role: role.to_string(),
             quantity: quantity.to_string(),
             unit: unit.to_string(),
-            axis: place.axis.to_string(),
-            at: place.at,
+            axis: conditions.axis.to_string(),
+            at: conditions.at,
             value,
-            other: place.other.clone(),
+            other: conditions.parameters.clone(),
         }));
     }
 
     /// Records all results of a span. `senders` senders were running, `sessions` of them with a session; `leader` is
     /// the index of the leading coordinator.
-    pub fn span(
+    pub fn record_span(
         &mut self,
-        place: &Place<'_>,
+        conditions: &Conditions<'_>,
         before: &Reading,
         after: &Reading,
         senders: u64,
@@ -70,122 +78,143 @@
             return;
         };
         let span = to.duration_since(from).as_secs_f64();
-        for (steward, (after, before)) in after.stewards.iter().zip(&before.stewards).enumerate() {
-            let role = if leader == Some(steward) {
+        for (index, (after, before)) in after
+            .coordinators
+            .iter()
+            .zip(&before.coordinators)
+            .enumerate()
+        {
+            let role = if leader == Some(index) {
                 "steward.leader"
             } else {
                 "steward.follower"
             };
-            let (cost, passed) = (after.0 - before.0, after.1 - before.1);
-            let (asks, asked) = (after.2 - before.2, after.3 - before.3);
+            let (cost, member_traffic) = (after.0 - before.0, after.1 - before.1);
+            let (sent_to_peers, received_from_peers) = (after.2 - before.2, after.3 - before.3);
             for (quantity, unit, value) in [
                 ("cpu", "core", cost.cpu_s / span),
                 ("resident", "bytes", cost.resident as f64),
                 ("descriptors", "count", cost.descriptors as f64),
                 ("disk", "bytes/s", cost.written as f64 / span),
-                ("asked_by_senders", "messages/s", passed.asked as f64 / span),
+                (
+                    "asked_by_senders",
+                    "messages/s",
+                    member_traffic.requests as f64 / span,
+                ),
                 (
                     "bytes_from_senders",
                     "bytes/s",
-                    passed.bytes_asked as f64 / span,
+                    member_traffic.request_bytes as f64 / span,
                 ),
                 (
                     "bytes_to_senders",
                     "bytes/s",
-                    passed.bytes_told as f64 / span,
+                    member_traffic.response_bytes as f64 / span,
                 ),
                 (
                     "asked_between_stewards",
                     "messages/s",
-                    (asks.asked + asked.asked) as f64 / span,
+                    (sent_to_peers.requests + received_from_peers.requests) as f64 / span,
                 ),
                 (
                     "bytes_to_stewards",
                     "bytes/s",
-                    (asks.bytes_asked + asked.bytes_told) as f64 / span,
+                    (sent_to_peers.request_bytes + received_from_peers.response_bytes) as f64
+                        / span,
                 ),
                 (
                     "bytes_from_stewards",
                     "bytes/s",
-                    (asks.bytes_told + asked.bytes_asked) as f64 / span,
+                    (sent_to_peers.response_bytes + received_from_peers.request_bytes) as f64
+                        / span,
                 ),
             ] {
-                self.point(role, quantity, unit, place, value);
+                self.add_point(role, quantity, unit, conditions, value);
             }
         }
         if senders == 0 {
             return;
         }
-        let all = |of: fn(&Reading) -> super::meter::Passed| of(after) - of(before);
-        let list = all(|reading| reading.list);
-        let session = all(|reading| {
+        let traffic_of = |of: fn(&Reading) -> super::meter::Traffic| of(after) - of(before);
+        let list = traffic_of(|reading| reading.list);
+        let session = traffic_of(|reading| {
             reading
-                .stewards
+                .coordinators
                 .iter()
-                .fold(Default::default(), |sum, steward| sum + steward.1)
+                .fold(Default::default(), |sum, coordinator| sum + coordinator.1)
         });
-        let (each, cost) = (senders.max(1) as f64, after.herd - before.herd);
+        let (sender_count, cost) = (senders.max(1) as f64, after.fleet - before.fleet);
         for (quantity, unit, value) in [
-            ("cpu", "core", cost.cpu_s / span / each),
-            ("resident", "bytes", cost.resident as f64 / each),
-            ("descriptors", "count", cost.descriptors as f64 / each),
+            ("cpu", "core", cost.cpu_s / span / sender_count),
+            ("resident", "bytes", cost.resident as f64 / sender_count),
+            (
+                "descriptors",
+                "count",
+                cost.descriptors as f64 / sender_count,
+            ),
             (
                 "list_messages",
                 "messages/s",
-                list.messages() as f64 / span / each,
+                list.messages() as f64 / span / sender_count,
             ),
             (
                 "list_bytes_out",
                 "bytes/s",
-                list.bytes_asked as f64 / span / each,
+                list.request_bytes as f64 / span / sender_count,
             ),
             (
                 "list_bytes_in",
                 "bytes/s",
-                list.bytes_told as f64 / span / each,
+                list.response_bytes as f64 / span / sender_count,
             ),
         ] {
-            self.point("sender", quantity, unit, place, value);
+            self.add_point("sender", quantity, unit, conditions, value);
         }
         if sessions > 0 {
-            let each = sessions as f64;
+            let session_count = sessions as f64;
             for (quantity, unit, value) in [
                 (
                     "session_messages",
                     "messages/s",
-                    session.messages() as f64 / span / each,
+                    session.messages() as f64 / span / session_count,
                 ),
                 (
                     "session_bytes_out",
                     "bytes/s",
-                    session.bytes_asked as f64 / span / each,
+                    session.request_bytes as f64 / span / session_count,
                 ),
                 (
                     "session_bytes_in",
                     "bytes/s",
-                    session.bytes_told as f64 / span / each,
+                    session.response_bytes as f64 / span / session_count,
                 ),
             ] {
-                self.point("sender", quantity, unit, place, value);
+                self.add_point("sender", quantity, unit, conditions, value);
             }
         }
         for (quantity, unit, value) in [
             ("cpu", "core", (after.list_cpu_s - before.list_cpu_s) / span),
             ("messages", "messages/s", list.messages() as f64 / span),
-            ("bytes_out", "bytes/s", list.bytes_told as f64 / span),
+            ("bytes_out", "bytes/s", list.response_bytes as f64 / span),
         ] {
-            self.point("stand-in.discovery", quantity, unit, place, value);
+            self.add_point("stand-in.discovery", quantity, unit, conditions, value);
         }
     }
 
     /// Returns the points of one quantity along an axis that were measured with these settings.
     #[must_use]
-    pub fn points(&self, role: &str, quantity: &str, axis: &str, set: &Other) -> Vec<(f64, f64)> {
-        let such = |point: &&Point| {
+    pub fn points(
+        &self,
+        role: &str,
+        quantity: &str,
+        axis: &str,
+        parameters: &Parameters,
+    ) -> Vec<(f64, f64)> {
+        let matches = |point: &&Point| {
             (point.role == role && point.quantity == quantity && point.axis == axis)
                 // points of another kind at the same size belong to another curve
-                && point.other.get("kind") == set.get("kind")
-                && set.iter().all(|(name, value)| point.other.get(name) == Some(value))
+                && point.other.get("kind") == parameters.get("kind")
+                && parameters.iter().all(|(name, value)| point.other.get(name) == Some(value))
         };
         let points = self.lines.iter().filter_map(|line| {
             if let Line::Point(point) = line {
@@ -195,44 +224,44 @@
             }
         });
         points
-            .filter(such)
+            .filter(matches)
             .map(|point| (point.at, point.value))
             .collect()
     }
 
     /// Fits a curve to one quantity along an axis; `term` names the code that causes the growth. None with fewer than
     /// three distinct sizes.
-    pub fn fit(
+    pub fn add_fit(
         &mut self,
         role: &str,
         quantity: &str,
         axis: &str,
-        set: &Other,
+        parameters: &Parameters,
         term: &str,
     ) -> Option<Fitted> {
-        let points = self.points(role, quantity, axis, set);
-        let mut sizes: Vec<u64> = points.iter().map(|point| point.0.to_bits()).collect();
-        sizes.sort_unstable();
-        sizes.dedup();
-        let fitted = best(&points).filter(|_| sizes.len() >= 3)?;
+        let points = self.points(role, quantity, axis, parameters);
+        let mut distinct_sizes: Vec<u64> = points.iter().map(|point| point.0.to_bits()).collect();
+        distinct_sizes.sort_unstable();
+        distinct_sizes.dedup();
+        let fitted = best(&points).filter(|_| distinct_sizes.len() >= 3)?;
         let unit = self.lines.iter().find_map(|line| match line {
             Line::Point(point) if point.role == role && point.quantity == quantity => {
                 Some(point.unit.clone())
             }
             _ => None,
         })?;
-        let role = match set.get("kind").and_then(Value::as_str) {
+        let role = match parameters.get("kind").and_then(Value::as_str) {
             Some(kind) => format!("{role}, {kind}"),
             None => role.to_string(),
         };
-        let set: Vec<String> = set
+        let parameters: Vec<String> = parameters
             .iter()
             .map(|(name, value)| format!("{name} {value}"))
             .collect();
-        let set = if set.is_empty() {
+        let parameters = if parameters.is_empty() {
             String::new()
         } else {
-            format!(" [{}]", set.join(", "))
+            format!(" [{}]", parameters.join(", "))
         };
         self.lines.push(Line::Fit(Fit {
             role,
@@ -243,7 +272,7 @@
             coefficients: vec![fitted.constant, fitted.slope],
             residual_rms: fitted.rms,
             worst_residual: fitted.worst,
-            term: format!("{term}{set}"),
+            term: format!("{term}{parameters}"),
         }));
         Some(fitted)
     }
@@ -258,12 +287,12 @@
         title: &str,
         axis: &str,
         unit: &str,
-        shown: &[(&str, &str, &str, &Other)],
+        shown: &[(&str, &str, &str, &Parameters)],
     ) -> Result<(), Error> {
         let series: Vec<Series> = shown
             .iter()
-            .map(|(name, role, quantity, set)| {
-                let points = self.points(role, quantity, axis, set);
+            .map(|(name, role, quantity, parameters)| {
+                let points = self.points(role, quantity, axis, parameters);
                 Series {
                     name: (*name).to_string(),
                     fitted: best(&points),
--- a/crates/scale/src/fleet/thread.rs
+++ b/crates/scale/src/fleet/runtime_thread.rs
@@ -9,18 +9,18 @@
 use tokio::sync::oneshot;
 
 /// Interval between two readings of the thread's processor time.
-const READ: Duration = Duration::from_millis(20);
+const READ_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running thread; dropping the value ends the thread and all tasks on it.
 #[derive(Debug)]
-pub struct Thread {
+pub struct RuntimeThread {
     handle: Handle,
-    micros: Arc<AtomicU64>,
-    late: Arc<AtomicU64>,
-    _end: oneshot::Sender<()>,
+    cpu_us: Arc<AtomicU64>,
+    max_delay_us: Arc<AtomicU64>,
+    _shutdown: oneshot::Sender<()>,
 }
 
-impl Thread {
+impl RuntimeThread {
     /// Starts the thread.
     ///
     /// # Errors
@@ -31,27 +31,30 @@
             .build();
         let runtime = runtime.map_err(Error::io("a runtime"))?;
         let handle = runtime.handle().clone();
-        let (end, ended) = oneshot::channel::<()>();
-        let micros = Arc::new(AtomicU64::new(0));
-        let late = Arc::new(AtomicU64::new(0));
-        let (told, latest) = (micros.clone(), late.clone());
+        let (shutdown, shutdown_requested) = oneshot::channel::<()>();
+        let cpu_us = Arc::new(AtomicU64::new(0));
+        let max_delay_us = Arc::new(AtomicU64::new(0));
+        let (cpu_writer, delay_writer) = (cpu_us.clone(), max_delay_us.clone());
         let run = move || {
             runtime.block_on(async move {
-                tokio::pin!(ended);
+                tokio::pin!(shutdown_requested);
                 loop {
-                    let begun = Instant::now();
+                    let started = Instant::now();
                     tokio::select! {
-                        _ = &mut ended => return,
-                        () = tokio::time::sleep(READ) => {}
+                        _ = &mut shutdown_requested => return,
+                        () = tokio::time::sleep(READ_INTERVAL) => {}
                     }
-                    let micros = begun.elapsed().saturating_sub(READ).as_micros();
-                    latest.fetch_max(u64::try_from(micros).unwrap_or(u64::MAX), Ordering::Relaxed);
+                    let delay_us = started.elapsed().saturating_sub(READ_INTERVAL).as_micros();
+                    delay_writer.fetch_max(
+                        u64::try_from(delay_us).unwrap_or(u64::MAX),
+                        Ordering::Relaxed,
+                    );
                     let time = clock_gettime(ClockId::ThreadCPUTime);
-                    let so_far = time
+                    let cpu_so_far_us = time
                         .tv_sec
                         .saturating_mul(1_000_000)
                         .saturating_add(time.tv_nsec / 1_000);
-                    told.store(so_far.unsigned_abs(), Ordering::Relaxed);
+                    cpu_writer.store(cpu_so_far_us.unsigned_abs(), Ordering::Relaxed);
                 }
             });
         };
@@ -59,11 +62,11 @@
             .name(name.to_string())
             .spawn(run)
             .map_err(Error::io("a thread"))?;
-        Ok(Thread {
+        Ok(RuntimeThread {
             handle,
-            micros,
-            late,
-            _end: end,
+            cpu_us,
+            max_delay_us,
+            _shutdown: shutdown,
         })
     }
 
@@ -77,15 +80,15 @@
     /// that the machine or a task on the thread held up everything else on it.
     #[expect(
         clippy::must_use_candidate,
-        reason = "some callers only ask so that the next interval begins"
+        reason = "some callers only reset the value"
     )]
-    pub fn late_s(&self) -> f64 {
-        self.late.swap(0, Ordering::Relaxed) as f64 / 1e6
+    pub fn take_max_delay_s(&self) -> f64 {
+        self.max_delay_us.swap(0, Ordering::Relaxed) as f64 / 1e6
     }
 
     /// Processor time so far, in seconds.
     #[must_use]
     pub fn cpu_s(&self) -> f64 {
-        self.micros.load(Ordering::Relaxed) as f64 / 1e6
+        self.cpu_us.load(Ordering::Relaxed) as f64 / 1e6
     }
 }
--- a/crates/scale/src/fleet/relays.rs
+++ b/crates/scale/src/fleet/session_proxies.rs
@@ -1,10 +1,10 @@
 //! The product's session proxies as processes. Each connects to the coordinators through network proxies of its own;
 //! where this process has enough descriptors, a metered network proxy also stands in front of each session proxy.
 
-use super::meter::{Meter, Passed};
+use super::coordinators::{CoordinatorGroup, GROUP};
+use super::meter::{Meter, Traffic};
+use super::network_proxy::NetworkProxy;
 use super::process::Process;
-use super::relay::Relay as Passage;
-use super::stewards::{GROUP, Group};
 use crate::Error;
 use crate::cost::Cost;
 use milletturn_coordination::bounds;
@@ -18,18 +18,18 @@
 use tokio::runtime::Handle;
 
 /// Longest wait for the status of a session proxy.
-const WORD: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Descriptors that this process needs besides those for senders: coordinators, session proxies, processes of simulated
 /// senders, and the network proxies between them.
-const OTHERS: u64 = 2_000;
+const RESERVED_DESCRIPTORS: u64 = 2_000;
 
 /// The session proxies of a run.
 #[derive(Debug)]
-pub struct Relays {
+pub struct SessionProxies {
     processes: Vec<Option<Process>>,
-    listens: Vec<SocketAddr>,
+    listen_addresses: Vec<SocketAddr>,
     /// A metered network proxy in front of each session proxy; empty where members connect directly.
-    front: Vec<Passage>,
+    front_proxies: Vec<NetworkProxy>,
     runtime: Handle,
     program: PathBuf,
     folder: TempDir,
@@ -39,12 +39,13 @@
 /// session proxies. A network proxy takes two descriptors for each sender, and the sender's watch of the list takes
 /// one.
 #[must_use]
-pub fn counted(senders: u64) -> bool {
-    let most = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
-    most.is_none_or(|most| 3 * senders + OTHERS <= most)
+pub fn can_meter(senders: u64) -> bool {
+    let max_descriptors = rustix::process::getrlimit(rustix::process::Resource::Nofile).current;
+    max_descriptors
+        .is_none_or(|max_descriptors| 3 * senders + RESERVED_DESCRIPTORS <= max_descriptors)
 }
 
-fn file(folder: &TempDir, number: usize) -> PathBuf {
+fn config_path(folder: &TempDir, number: usize) -> PathBuf {
     folder.path().join(format!("relay{number}.toml"))
 }
 
@@ -54,22 +55,22 @@
     number: usize,
     text: &str,
 ) -> Result<(Process, SocketAddr), Error> {
-    let file = file(folder, number);
-    std::fs::write(&file, text).map_err(Error::io(file.display().to_string()))?;
+    let config_path = config_path(folder, number);
+    std::fs::write(&config_path, text).map_err(Error::io(config_path.display().to_string()))?;
     let mut command = Command::new(program);
-    command.args(["relay", "--config"]).arg(&file);
+    command.args(["relay", "--config"]).arg(&config_path);
     let mut process = Process::start(
         &mut command,
         &folder.path().join(format!("relay{number}.log")),
     )?;
-    let said = process.until_said("listens on ")?;
-    let address = said
+    let address_text = process.wait_for_output("listens on ")?;
+    let address = address_text
         .parse()
-        .map_err(|_| Error::Wrong(format!("no address: {said}")))?;
+        .map_err(|_| Error::Wrong(format!("expected a listen address, got: {address_text}")))?;
     Ok((process, address))
 }
 
-impl Relays {
+impl SessionProxies {
     /// Starts the given number of session proxies. They reach the coordinators through the regions of `group` from
     /// `first` on, one region each.
     ///
@@ -78,16 +79,18 @@
     pub fn start(
         program: &Path,
         count: usize,
-        group: &Group,
-        first: usize,
-        counted: bool,
+        group: &CoordinatorGroup,
+        first_region: usize,
+        metered: bool,
         runtime: &Handle,
     ) -> Result<Self, Error> {
-        let folder = TempDir::new().map_err(Error::io("a folder for the relays"))?;
-        let (mut processes, mut listens, mut front) = (Vec::new(), Vec::new(), Vec::new());
+        let folder =
+            TempDir::new().map_err(Error::io("a temporary directory for the session proxies"))?;
+        let (mut processes, mut listen_addresses, mut front_proxies) =
+            (Vec::new(), Vec::new(), Vec::new());
         for number in 0..count {
-            let stewards: Vec<String> = group
-                .addresses(first + number)
+            let coordinators: Vec<String> = group
+                .addresses(first_region + number)
                 .iter()
                 .map(|address| format!("\"{address}\""))
                 .collect();
@@ -95,25 +98,26 @@
                 "group = \"{GROUP}\"\nname = \"relay-{number}\"\nlisten = \"127.0.0.1:0\"\nplaces = {}\n\
                  stewards = [{}]\n",
                 bounds::MAX_PROXY_WAITERS,
-                stewards.join(", ")
+                coordinators.join(", ")
             );
             let (process, address) = start_one(program, &folder, number, &text)?;
             // members know the proxy by this address, which it must keep after a restart
             let text = text.replace("127.0.0.1:0", &address.to_string());
-            let file = file(&folder, number);
-            std::fs::write(&file, text).map_err(Error::io(file.display().to_string()))?;
+            let config_path = config_path(&folder, number);
+            std::fs::write(&config_path, text)
+                .map_err(Error::io(config_path.display().to_string()))?;
             processes.push(Some(process));
-            listens.push(address);
-            if counted {
-                let passage = Passage::start(runtime, Meter::default())?;
-                passage.lead_to(Some(address));
-                front.push(passage);
+            listen_addresses.push(address);
+            if metered {
+                let proxy = NetworkProxy::start(runtime, Meter::default())?;
+                proxy.set_upstream(Some(address));
+                front_proxies.push(proxy);
             }
         }
         Ok(Self {
             processes,
-            listens,
-            front,
+            listen_addresses,
+            front_proxies,
             runtime: runtime.clone(),
             program: program.to_path_buf(),
             folder,
@@ -122,27 +126,31 @@
 
     /// Addresses at which members reach the session proxies.
     pub fn addresses(&self) -> Vec<String> {
-        if self.front.is_empty() {
-            return self.listens.iter().map(SocketAddr::to_string).collect();
+        if self.front_proxies.is_empty() {
+            return self
+                .listen_addresses
+                .iter()
+                .map(SocketAddr::to_string)
+                .collect();
         }
-        self.front
+        self.front_proxies
             .iter()
-            .map(|passage| passage.address.to_string())
+            .map(|proxy| proxy.address.to_string())
             .collect()
     }
 
     /// Returns whether the members' bytes are counted, and not only their requests.
     #[must_use]
-    pub fn counts_bytes(&self) -> bool {
-        !self.front.is_empty()
+    pub fn has_byte_counts(&self) -> bool {
+        !self.front_proxies.is_empty()
     }
 
     /// Stops a session proxy as a crash would.
     pub fn kill(&mut self, number: usize) {
-        self.front
+        self.front_proxies
             .get(number)
             .iter()
-            .for_each(|passage| passage.lead_to(None));
+            .for_each(|proxy| proxy.set_upstream(None));
         self.processes[number] = None;
     }
 
@@ -150,15 +158,16 @@
     ///
     /// # Errors
     /// The session proxy does not start.
-    pub fn start_again(&mut self, number: usize) -> Result<(), Error> {
-        let file = file(&self.folder, number);
-        let text = std::fs::read_to_string(&file).map_err(Error::io(file.display().to_string()))?;
+    pub fn restart(&mut self, number: usize) -> Result<(), Error> {
+        let config_path = config_path(&self.folder, number);
+        let text = std::fs::read_to_string(&config_path)
+            .map_err(Error::io(config_path.display().to_string()))?;
         let (process, address) = start_one(&self.program, &self.folder, number, &text)?;
         self.processes[number] = Some(process);
-        self.front
+        self.front_proxies
             .get(number)
             .iter()
-            .for_each(|passage| passage.lead_to(Some(address)));
+            .for_each(|proxy| proxy.set_upstream(Some(address)));
         Ok(())
     }
 
@@ -176,22 +185,22 @@
     ///
     /// # Errors
     /// The session proxy is not running or does not respond.
-    pub fn read(&self, number: usize) -> Result<(Cost, Passed), Error> {
+    pub fn read(&self, number: usize) -> Result<(Cost, Traffic), Error> {
         let process = self.processes[number].as_ref();
-        let process =
-            process.ok_or_else(|| Error::Wrong(format!("relay {number} is not running")))?;
+        let process = process
+            .ok_or_else(|| Error::Wrong(format!("session proxy {number} is not running")))?;
         let cost = Cost::of(process.id())?;
-        if let Some(passage) = self.front.get(number) {
-            return Ok((cost, passage.meter.sum()));
+        if let Some(proxy) = self.front_proxies.get(number) {
+            return Ok((cost, proxy.meter.sum()));
         }
         let status = self.status(number)?;
-        let asked = status.heartbeats + status.commands;
+        let requests = status.heartbeats + status.commands;
         Ok((
             cost,
-            Passed {
-                asked,
-                told: asked,
-                ..Passed::default()
+            Traffic {
+                requests,
+                responses: requests,
+                ..Traffic::default()
             },
         ))
     }
@@ -201,20 +210,26 @@
     /// # Errors
     /// The session proxy does not respond.
     pub fn status(&self, number: usize) -> Result<SessionProxyStatus, Error> {
-        let mut line = Client::new(self.listens[number].to_string(), GROUP);
+        let mut client = Client::new(self.listen_addresses[number].to_string(), GROUP);
         // the calling thread blocks here while the network proxies' runtime makes the call
-        let (answer, answered) = std::sync::mpsc::channel();
+        let (result_sender, result_receiver) = std::sync::mpsc::channel();
         self.runtime.spawn(async move {
-            let _ = answer.send(
-                line.call::<SessionProxyStatus>(SESSION_PROXY_STATUS_PATH, None::<&()>, WORD)
+            let _ = result_sender.send(
+                client
+                    .call::<SessionProxyStatus>(
+                        SESSION_PROXY_STATUS_PATH,
+                        None::<&()>,
+                        RESPONSE_TIMEOUT,
+                    )
                     .await,
             );
         });
-        let silent = || Error::Wrong(format!("relay {number} does not tell its figures"));
-        let reply = answered
+        let no_response =
+            || Error::Wrong(format!("session proxy {number} did not report its status"));
+        let reply = result_receiver
             .recv()
-            .map_err(|_| silent())?
+            .map_err(|_| no_response())?
             .map_err(|error| Error::Wrong(error.to_string()))?;
-        reply.result.map_err(|_| silent())
+        reply.result.map_err(|_| no_response())
     }
 }
--- a/crates/scale/src/fleet/hollow.rs
+++ b/crates/scale/src/fleet/simulated_senders.rs
@@ -2,8 +2,8 @@
 //! without a data path and without a disk. The process reads orders as JSON lines from its standard input and writes
 //! one response line for each.
 
-use super::bare;
-use super::tally::{Mark, Report, Tally, sum_of};
+use super::counters::{Mark, Report, SenderCounters, hash_sum_of};
+use super::idle_engine;
 use crate::Error;
 use milletturn_coordination::MemberInfo;
 use milletturn_coordination_protocol::clock::now;
@@ -25,15 +25,17 @@
 
 /// Settings shared by all simulated senders of a run.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Common {
+pub struct SimulationConfig {
     /// The senders' configuration file, in the format that a real sender reads.
     pub config: PathBuf,
     /// Name of the coordination group.
     pub group: String,
     /// Coordinator addresses by region; empty where there are no sessions.
-    pub stewards: Vec<Vec<String>>,
-    /// Whether `stewards` holds session proxy addresses; each sender then tries them in an order of its own.
-    pub through_relays: bool,
+    #[serde(rename = "stewards")]
+    pub coordinators: Vec<Vec<String>>,
+    /// Whether `coordinators` holds session proxy addresses; each sender then tries them in an order of its own.
+    #[serde(rename = "through_relays")]
+    pub via_session_proxies: bool,
     /// Address of the discovery service by region.
     pub discovery: Vec<SocketAddr>,
     /// Number of destinations in the first list.
@@ -41,18 +43,20 @@
     /// Senders with numbers below this one open sessions.
     pub sessions: u64,
     /// Whether each session claims a resource of its own.
-    pub works: bool,
+    #[serde(rename = "works")]
+    pub claim_resources: bool,
     /// Whether each sender runs a real engine that receives its list.
-    pub engines: bool,
+    #[serde(rename = "engines")]
+    pub run_engines: bool,
     /// Seed of all random numbers.
     pub seed: u64,
 }
 
-impl Common {
+impl SimulationConfig {
     /// Returns a client for the coordinators of a region, or for its session proxies.
-    fn way(&self, region: usize, number: u64) -> CoordinatorClient {
-        let addresses = &self.stewards[region];
-        if self.through_relays {
+    fn coordinator_client(&self, region: usize, number: u64) -> CoordinatorClient {
+        let addresses = &self.coordinators[region];
+        if self.via_session_proxies {
             return CoordinatorClient::via_proxies(
                 &self.group,
                 addresses,
@@ -67,17 +71,20 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Order {
     /// Start these senders.
-    Begin(Vec<u64>),
+    #[serde(rename = "Begin")]
+    Start(Vec<u64>),
     /// Stop these senders as a crash would: their connections close without a message.
     Kill(Vec<u64>),
     /// Stop these senders as SIGTERM would: each closes its session first.
-    Leave(Vec<u64>),
+    #[serde(rename = "Leave")]
+    Stop(Vec<u64>),
     /// Measure from now on when each sender receives this version.
     Mark(Mark),
     /// Reload the settings of all senders, one after the other.
     Reload,
     /// Check each sender's permission to act at this interval in milliseconds; 0 stops the checks.
-    Watch(u64),
+    #[serde(rename = "Watch")]
+    SamplePermissions(u64),
     /// Return all counters since the last report; lists are compared with the newest version given here.
     Report {
         /// The newest published version.
@@ -86,12 +93,13 @@
         destinations: u64,
     },
     /// Count the senders that know this version and those that may act on their resource now.
-    Ask(u64),
+    #[serde(rename = "Ask")]
+    CountReady(u64),
 }
 
 /// The response to an order.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Answer {
+pub enum Response {
     /// The order was carried out; holds the time taken in microseconds.
     Done(u64),
     /// Counters since the last report.
@@ -99,28 +107,31 @@
     /// Numbers of senders by state.
     Counts {
         /// Senders that know this version or a later one.
-        know: u64,
+        #[serde(rename = "know")]
+        informed: u64,
         /// Senders that may act on their resource.
-        may: u64,
+        #[serde(rename = "may")]
+        permitted: u64,
         /// Senders whose session lease has not expired.
-        hold: u64,
+        #[serde(rename = "hold")]
+        with_session: u64,
     },
     /// The order failed; holds the error message.
     Failed(String),
 }
 
-struct Sender {
+struct SimulatedSender {
     number: u64,
     config: Config,
-    tally: Rc<RefCell<Tally>>,
+    counters: Rc<RefCell<SenderCounters>>,
     member: Option<Rc<Member>>,
-    work: String,
+    resource: String,
     tasks: Vec<AbortHandle>,
     /// Kept so that the channel stays open; the agent's address never changes.
     _agent: watch::Sender<SocketAddr>,
 }
 
-impl Drop for Sender {
+impl Drop for SimulatedSender {
     fn drop(&mut self) {
         self.tasks.iter().for_each(AbortHandle::abort);
     }
@@ -131,10 +142,10 @@
 /// # Errors
 /// Standard input can't be read or holds an invalid order, or standard output can't be written.
 pub fn run() -> Result<(), Error> {
-    let (orders, mut received) = mpsc::unbounded_channel();
+    let (order_sender, mut order_lines) = mpsc::unbounded_channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-            if orders.send(line).is_err() {
+            if order_sender.send(line).is_err() {
                 return;
             }
         }
@@ -144,25 +155,25 @@
         .build();
     let runtime = runtime.map_err(Error::io("a runtime"))?;
     LocalSet::new().block_on(&runtime, async move {
-        let Some(first) = received.recv().await else {
+        let Some(first_line) = order_lines.recv().await else {
             return Ok(());
         };
-        let common: Common = read(&first)?;
-        let mut house = House {
+        let common: SimulationConfig = parse(&first_line)?;
+        let mut host = SenderHost {
             common,
             senders: BTreeMap::new(),
             marks: Rc::default(),
-            watching: None,
+            sampling_task: None,
         };
-        while let Some(line) = received.recv().await {
-            let begun = now();
-            let answer = match house.obey(read(&line)?).await {
-                Ok(Some(answer)) => answer,
-                Ok(None) => Answer::Done(now().since(begun).0),
-                Err(error) => Answer::Failed(error.to_string()),
+        while let Some(line) = order_lines.recv().await {
+            let started = now();
+            let response = match host.execute(parse(&line)?).await {
+                Ok(Some(response)) => response,
+                Ok(None) => Response::Done(now().since(started).0),
+                Err(error) => Response::Failed(error.to_string()),
             };
-            let text =
-                serde_json::to_string(&answer).map_err(|error| Error::Wrong(error.to_string()))?;
+            let text = serde_json::to_string(&response)
+                .map_err(|error| Error::Wrong(error.to_string()))?;
             let mut out = std::io::stdout().lock();
             writeln!(out, "{text}")
                 .and_then(|()| out.flush())
@@ -172,24 +183,23 @@
     })
 }
 
-fn read<T: serde::de::DeserializeOwned>(line: &str) -> Result<T, Error> {
-    serde_json::from_str(line)
-        .map_err(|error| Error::Wrong(format!("an order that can't be read: {error}")))
+fn parse<T: serde::de::DeserializeOwned>(line: &str) -> Result<T, Error> {
+    serde_json::from_str(line).map_err(|error| Error::Wrong(format!("invalid order: {error}")))
 }
 
-struct House {
-    common: Common,
-    senders: BTreeMap<u64, Sender>,
+struct SenderHost {
+    common: SimulationConfig,
+    senders: BTreeMap<u64, SimulatedSender>,
     marks: Rc<RefCell<Option<Mark>>>,
-    watching: Option<AbortHandle>,
+    sampling_task: Option<AbortHandle>,
 }
 
-impl House {
-    async fn obey(&mut self, order: Order) -> Result<Option<Answer>, Error> {
+impl SenderHost {
+    async fn execute(&mut self, order: Order) -> Result<Option<Response>, Error> {
         match order {
-            Order::Begin(numbers) => {
+            Order::Start(numbers) => {
                 for number in numbers {
-                    let sender = self.begin(number)?;
+                    let sender = self.start(number)?;
                     self.senders.insert(number, sender);
                     // let the senders that already run make progress
                     tokio::task::yield_now().await;
@@ -198,53 +208,57 @@
             Order::Kill(numbers) => numbers
                 .iter()
                 .for_each(|number| drop(self.senders.remove(number))),
-            Order::Leave(numbers) => self.leave(&numbers).await,
+            Order::Stop(numbers) => self.stop(&numbers).await,
             Order::Mark(mark) => {
                 self.senders
                     .values()
-                    .for_each(|sender| sender.tally.borrow_mut().unmark());
+                    .for_each(|sender| sender.counters.borrow_mut().reset_mark());
                 *self.marks.borrow_mut() = Some(mark);
             }
             Order::Reload => {
                 for sender in self.senders.values_mut() {
-                    let read = reload(&sender.config.path, &sender.config.keys);
-                    sender.config.settings = read
+                    let reloaded = reload(&sender.config.path, &sender.config.keys);
+                    sender.config.settings = reloaded
                         .map_err(|error| Error::Wrong(error.to_string()))?
                         .settings;
                 }
             }
-            Order::Watch(every) => self.watch(every),
+            Order::SamplePermissions(interval_ms) => self.sample_permissions(interval_ms),
             Order::Report {
                 version,
                 destinations,
             } => {
-                let (mut report, sum) = (Report::default(), sum_of(destinations));
+                let (mut report, sum) = (Report::default(), hash_sum_of(destinations));
                 for sender in self.senders.values() {
                     sender
-                        .tally
+                        .counters
                         .borrow_mut()
                         .report(version, destinations, sum, &mut report);
                 }
-                return Ok(Some(Answer::Report(Box::new(report))));
+                return Ok(Some(Response::Report(Box::new(report))));
             }
-            Order::Ask(version) => {
-                let know = self
+            Order::CountReady(version) => {
+                let informed = self
                     .senders
                     .values()
-                    .filter(|sender| sender.tally.borrow().knows(version))
+                    .filter(|sender| sender.counters.borrow().knows(version))
                     .count();
-                let may = self.senders.values().filter(|sender| sender.may()).count();
-                let holds = |sender: &&Sender| {
+                let permitted = self
+                    .senders
+                    .values()
+                    .filter(|sender| sender.is_permitted())
+                    .count();
+                let has_session = |sender: &&SimulatedSender| {
                     sender
                         .member
                         .as_ref()
-                        .is_some_and(|one| one.session().is_some())
+                        .is_some_and(|member| member.session().is_some())
                 };
-                let hold = self.senders.values().filter(holds).count();
-                let counts = Answer::Counts {
-                    know: know as u64,
-                    may: may as u64,
-                    hold: hold as u64,
+                let with_session = self.senders.values().filter(has_session).count();
+                let counts = Response::Counts {
+                    informed: informed as u64,
+                    permitted: permitted as u64,
+                    with_session: with_session as u64,
                 };
                 return Ok(Some(counts));
             }
@@ -252,8 +266,8 @@
         Ok(None)
     }
 
-    async fn leave(&mut self, numbers: &[u64]) {
-        let mut leaving = Vec::new();
+    async fn stop(&mut self, numbers: &[u64]) {
+        let mut closing_tasks = Vec::new();
         for sender in numbers
             .iter()
             .filter_map(|number| self.senders.remove(number))
@@ -261,42 +275,46 @@
             let Some(member) = sender.member.clone() else {
                 continue;
             };
-            let region = sender.tally.borrow().region;
-            let mut stewards = self.common.way(region, sender.number);
-            leaving.push(spawn_local(async move {
+            let region = sender.counters.borrow().region;
+            let mut coordinators = self.common.coordinator_client(region, sender.number);
+            closing_tasks.push(spawn_local(async move {
                 drop(sender);
-                member.close_session(&mut stewards).await;
+                member.close_session(&mut coordinators).await;
             }));
         }
-        for one in leaving {
+        for task in closing_tasks {
             // a sender that failed to close its session is removed all the same
-            let _ = one.await;
+            let _ = task.await;
         }
     }
 
-    /// Checks each sender's permission to act at an interval and records changes in the sender's tally.
-    fn watch(&mut self, every: u64) {
-        if let Some(watching) = self.watching.take() {
-            watching.abort();
+    /// Checks each sender's permission to act at an interval and records changes in the sender's counters.
+    fn sample_permissions(&mut self, interval_ms: u64) {
+        if let Some(sampling_task) = self.sampling_task.take() {
+            sampling_task.abort();
         }
-        let seen: Vec<_> = self.senders.values().filter_map(Sender::seen).collect();
-        if every == 0 {
+        let probes: Vec<_> = self
+            .senders
+            .values()
+            .filter_map(SimulatedSender::permission_probe)
+            .collect();
+        if interval_ms == 0 {
             return;
         }
         let task = spawn_local(async move {
             loop {
-                for (member, work, tally) in &seen {
-                    tally
+                for (member, resource, counters) in &probes {
+                    counters
                         .borrow_mut()
-                        .may(now().0, member.permission(work).is_some());
+                        .record_permission(now().0, member.permission(resource).is_some());
                 }
-                tokio::time::sleep(Duration::from_millis(every)).await;
+                tokio::time::sleep(Duration::from_millis(interval_ms)).await;
             }
         });
-        self.watching = Some(task.abort_handle());
+        self.sampling_task = Some(task.abort_handle());
     }
 
-    fn begin(&self, number: u64) -> Result<Sender, Error> {
+    fn start(&self, number: u64) -> Result<SimulatedSender, Error> {
         let common = &self.common;
         let path = common.config.display().to_string();
         let name = format!("hollow-{number}");
@@ -311,85 +329,101 @@
             _ => None,
         });
         let config = config.map_err(|error| Error::Wrong(error.to_string()))?;
-        let tally = Rc::new(RefCell::new(Tally::new(
+        let counters = Rc::new(RefCell::new(SenderCounters::new(
             region,
             now().0,
             common.destinations,
         )));
         let mut tasks = Vec::new();
         let (agent, agents) = watch::channel(config.discovery_address);
-        let (inputs, mut listed) = mpsc::unbounded_channel();
+        let (inputs, mut list_inputs) = mpsc::unbounded_channel();
         let seed = common.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
-        let asking = DiscoveryBackoff::new(
+        let backoff = DiscoveryBackoff::new(
             config.settings.senders,
             !config.settings.list_requires_subscription,
             seed,
         );
         tasks.push(
-            spawn_local(discovery::watch_endpoints(Tcp, agents, 0, asking, inputs)).abort_handle(),
+            spawn_local(discovery::watch_endpoints(Tcp, agents, 0, backoff, inputs)).abort_handle(),
         );
-        let (told, marks) = (tally.clone(), self.marks.clone());
-        if common.engines {
-            tasks.extend(bare::start(&config, listed, told, marks)?);
+        let (list_counters, marks) = (counters.clone(), self.marks.clone());
+        if common.run_engines {
+            tasks.extend(idle_engine::start(
+                &config,
+                list_inputs,
+                list_counters,
+                marks,
+            )?);
         } else {
-            let hearing = spawn_local(async move {
-                while let Some(input) = listed.recv().await {
+            let listening_task = spawn_local(async move {
+                while let Some(input) = list_inputs.recv().await {
                     if let Input::EndpointsListed(update) = input {
-                        told.borrow_mut().listed(now().0, &update, *marks.borrow());
+                        list_counters
+                            .borrow_mut()
+                            .record_update(now().0, &update, *marks.borrow());
                     }
                 }
             });
-            tasks.push(hearing.abort_handle());
+            tasks.push(listening_task.abort_handle());
         }
-        let work = format!("w{number}");
+        let resource = format!("w{number}");
         let mut member = None;
-        if number < common.sessions && !common.stewards.is_empty() {
+        if number < common.sessions && !common.coordinators.is_empty() {
             let version = env!("CARGO_PKG_VERSION").to_string();
-            let about = MemberInfo {
+            let member_info = MemberInfo {
                 name,
                 zone: String::new(),
                 version,
                 role: "operator".to_string(),
             };
-            let wanted = common.works.then(|| work.clone());
-            let (joins, mut news) = Member::new(about, 20_000, wanted);
-            let (keeper, stewards) = (joins.clone(), common.way(region, number));
+            let claimed_resource = common.claim_resources.then(|| resource.clone());
+            let (session_member, mut events) = Member::new(member_info, 20_000, claimed_resource);
+            let (renewing_member, coordinators) = (
+                session_member.clone(),
+                common.coordinator_client(region, number),
+            );
             tasks.push(
-                spawn_local(async move { keeper.maintain_session(stewards, seed).await })
-                    .abort_handle(),
+                spawn_local(
+                    async move { renewing_member.maintain_session(coordinators, seed).await },
+                )
+                .abort_handle(),
             );
-            let told = tally.clone();
-            let hearing = spawn_local(async move {
-                while let Some(news) = news.recv().await {
-                    told.borrow_mut().news(&news);
+            let event_counters = counters.clone();
+            let listening_task = spawn_local(async move {
+                while let Some(event) = events.recv().await {
+                    event_counters.borrow_mut().record_event(&event);
                 }
             });
-            tasks.push(hearing.abort_handle());
-            member = Some(joins);
+            tasks.push(listening_task.abort_handle());
+            member = Some(session_member);
         }
-        Ok(Sender {
+        Ok(SimulatedSender {
             number,
             config,
-            tally,
+            counters,
             member,
-            work,
+            resource,
             tasks,
             _agent: agent,
         })
     }
 }
 
-/// A member whose permission is checked, the resource, and the tally that records changes.
-type Seen = (Rc<Member>, String, Rc<RefCell<Tally>>);
+/// A member whose permission is checked, the resource, and the counters that records changes.
+type PermissionProbe = (Rc<Member>, String, Rc<RefCell<SenderCounters>>);
 
-impl Sender {
-    fn may(&self) -> bool {
+impl SimulatedSender {
+    fn is_permitted(&self) -> bool {
         self.member
             .as_ref()
-            .is_some_and(|member| member.permission(&self.work).is_some())
+            .is_some_and(|member| member.permission(&self.resource).is_some())
     }
 
-    fn seen(&self) -> Option<Seen> {
-        Some((self.member.clone()?, self.work.clone(), self.tally.clone()))
+    fn permission_probe(&self) -> Option<PermissionProbe> {
+        Some((
+            self.member.clone()?,
+            self.resource.clone(),
+            self.counters.clone(),
+        ))
     }
 }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -19,7 +19,7 @@
     clippy::match_same_arms,
     clippy::needless_pass_by_value,
     clippy::too_many_lines,
-    reason = "names and shape of this package have not had their turn yet"
+    reason = "long measurement functions with local helper items are accepted in this tool"
 )]
 
 pub mod cost;
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -16,14 +16,15 @@
 #[derive(Debug, Subcommand)]
 enum Command {
     /// Slopes of control by senders, destinations and rate of changes.
-    Fleet(fleet::Slopes),
+    Fleet(fleet::ScalingArgs),
     /// Slopes of control behind relays, and a relay killed.
-    Relays(fleet::Relayed),
+    #[command(name = "relays")]
+    SessionProxies(fleet::ProxiedArgs),
     /// Faults at size.
-    Faults(fleet::Faults),
+    Faults(fleet::FaultArgs),
     /// A process of hollow senders, which obeys orders on its standard input.
-    #[command(hide = true)]
-    Hollow,
+    #[command(name = "hollow", hide = true)]
+    SimulatedSenders,
     /// Slopes of a single sender's parts.
     Roles(roles::Words),
     /// Tables of docs/CAPACITY.md from docs/capacity.
@@ -31,15 +32,15 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Arguments::parse().command {
-        Command::Fleet(words) => fleet::run(&words),
-        Command::Relays(words) => fleet::relays(&words),
-        Command::Faults(words) => fleet::faults(&words),
-        Command::Hollow => fleet::hollow::run(),
-        Command::Roles(words) => roles::run(&words),
-        Command::Page(words) => page::run(&words),
+    let outcome = match Arguments::parse().command {
+        Command::Fleet(arguments) => fleet::run(&arguments),
+        Command::SessionProxies(arguments) => fleet::session_proxies(&arguments),
+        Command::Faults(arguments) => fleet::faults(&arguments),
+        Command::SimulatedSenders => fleet::simulated_senders::run(),
+        Command::Roles(arguments) => roles::run(&arguments),
+        Command::Page(arguments) => page::run(&arguments),
     };
-    match done {
+    match outcome {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("milletturn-scale: {error}");
--- a/crates/scale/src/plot.rs
+++ b/crates/scale/src/plot.rs
@@ -18,7 +18,7 @@
 
 const SIZE: (u32, u32) = (760, 480);
 /// Number of line segments that draw a fitted curve.
-const STEPS: u32 = 60;
+const CURVE_SEGMENTS: u32 = 60;
 
 /// Draws the series on logarithmic axes; points that are not above zero are left out.
 ///
@@ -43,13 +43,13 @@
         .flat_map(|series| shown(&series.points))
         .collect();
     let range = |of: fn(&(f64, f64)) -> f64| {
-        let (least, most) = all
+        let (min, max) = all
             .iter()
             .map(of)
-            .fold((f64::MAX, 0.0f64), |(least, most), at| {
-                (least.min(at), most.max(at))
+            .fold((f64::MAX, 0.0f64), |(min, max), at| {
+                (min.min(at), max.max(at))
             });
-        least / 1.5..most * 1.5
+        min / 1.5..max * 1.5
     };
     if all.is_empty() {
         return Err(Error::Wrong(format!("{title}: nothing to draw")));
@@ -92,8 +92,8 @@
         if let (Some(fitted), Some(first), Some(last)) =
             (series.fitted, points.first(), points.last())
         {
-            let step = (last.0 / first.0).powf(1.0 / f64::from(STEPS));
-            let line = (0..=STEPS).map(|number| first.0 * step.powi(number.cast_signed()));
+            let step = (last.0 / first.0).powf(1.0 / f64::from(CURVE_SEGMENTS));
+            let line = (0..=CURVE_SEGMENTS).map(|number| first.0 * step.powi(number.cast_signed()));
             let line = shown(&line.map(|at| (at, fitted.at(at))).collect::<Vec<_>>());
             chart
                 .draw_series(LineSeries::new(line, color))
--- a/crates/scale/tests/counts.rs
+++ b/crates/scale/tests/counts.rs
@@ -4,8 +4,8 @@
 use milletturn_engine::{EndpointListUpdate, ListedEndpoint};
 use milletturn_policy::EndpointStatus;
 use milletturn_scale::fit::{Form, best, fit};
-use milletturn_scale::fleet::tally::{Mark, Report, Tally, sum_of};
-use milletturn_scale::fleet::times::Spread;
+use milletturn_scale::fleet::counters::{Mark, Report, SenderCounters, hash_sum_of};
+use milletturn_scale::fleet::percentiles::Percentiles;
 
 const BEGUN: u64 = 1_000_000;
 
@@ -33,13 +33,13 @@
 /// What a sender reports that heard a first list of ten and then these, where twelve had been published, the last at
 /// version 2,000,020.
 fn heard(updates: &[EndpointListUpdate]) -> Report {
-    let mut tally = Tally::new(0, BEGUN, 10);
-    tally.listed(BEGUN + 5, &list(1, true, 0..10), None);
+    let mut tally = SenderCounters::new(0, BEGUN, 10);
+    tally.record_update(BEGUN + 5, &list(1, true, 0..10), None);
     updates
         .iter()
-        .for_each(|update| tally.listed(2_000_050, update, None));
+        .for_each(|update| tally.record_update(2_000_050, update, None));
     let mut report = Report::default();
-    tally.report(2_000_020, 12, sum_of(12), &mut report);
+    tally.report(2_000_020, 12, hash_sum_of(12), &mut report);
     report
 }
 
@@ -54,7 +54,7 @@
     assert_eq!((report.lines, report.senders), (3, 1));
     assert_eq!(report.in_force.values().sum::<u64>(), 2);
     assert_eq!(
-        report.begun.keys().next(),
+        report.time_to_first_list.keys().next(),
         Some(&5),
         "the first list was whole after 5 us"
     );
@@ -111,22 +111,22 @@
         version: 2_000_010,
         from: 900_000,
     });
-    let mut tally = Tally::new(0, BEGUN, 1);
-    tally.listed(1_500_000, &list(1, true, [0]), mark);
-    tally.listed(2_000_500, &list(2_000_010, false, [1]), mark);
-    tally.listed(2_000_900, &list(2_000_020, false, [2]), mark);
+    let mut tally = SenderCounters::new(0, BEGUN, 1);
+    tally.record_update(1_500_000, &list(1, true, [0]), mark);
+    tally.record_update(2_000_500, &list(2_000_010, false, [1]), mark);
+    tally.record_update(2_000_900, &list(2_000_020, false, [2]), mark);
     let mut report = Report::default();
-    tally.report(2_000_020, 3, sum_of(3), &mut report);
-    let spread = Spread::of(&report.marked);
+    tally.report(2_000_020, 3, hash_sum_of(3), &mut report);
+    let spread = Percentiles::of(&report.marked);
     assert_eq!(spread.count, 1);
     // counted from the sender's beginning, told to 1 part in 256 and three digits
     assert!((spread.worst_s - 1.0005).abs() < 0.005, "{spread:?}");
     // one that knew the version before the mark was set has not waited for it
-    let mut knew = Tally::new(0, BEGUN, 1);
-    knew.listed(2_000_500, &list(2_000_010, true, [0]), None);
-    knew.listed(2_000_900, &list(2_000_020, false, [1]), mark);
+    let mut knew = SenderCounters::new(0, BEGUN, 1);
+    knew.record_update(2_000_500, &list(2_000_010, true, [0]), None);
+    knew.record_update(2_000_900, &list(2_000_020, false, [1]), mark);
     let mut report = Report::default();
-    knew.report(2_000_020, 2, sum_of(2), &mut report);
+    knew.report(2_000_020, 2, hash_sum_of(2), &mut report);
     assert!(report.marked.is_empty(), "{report:?}");
 }
 
--- a/crates/scale/tests/small.rs
+++ b/crates/scale/tests/small.rs
@@ -24,14 +24,25 @@
         "{seen:?}"
     );
     // each hears of each change by itself, or several together where the machine is slow
-    assert!(seen.heard <= seen.published * HOLLOW, "{seen:?}");
+    assert!(seen.received <= seen.published * HOLLOW, "{seen:?}");
     assert_eq!(
         seen.watches,
         HOLLOW + REAL,
         "one watch each, opened once: {seen:?}"
     );
-    assert_eq!((seen.joined, seen.left), (HOLLOW, 0), "{seen:?}");
-    assert_eq!(seen.book, HOLLOW + REAL, "one session each: {seen:?}");
-    assert!(seen.taken > 0 && seen.delivered >= seen.taken, "{seen:?}");
+    assert_eq!(
+        (seen.sessions_opened, seen.sessions_lost),
+        (HOLLOW, 0),
+        "{seen:?}"
+    );
+    assert_eq!(
+        seen.sessions_in_state,
+        HOLLOW + REAL,
+        "one session each: {seen:?}"
+    );
+    assert!(
+        seen.accepted > 0 && seen.delivered >= seen.accepted,
+        "{seen:?}"
+    );
     assert!(seen.requests > 0, "{seen:?}");
 }
