--- a/crates/scale/src/fleet/counters.rs
+++ b/crates/scale/src/fleet/counters.rs
@@ -128,7 +128,7 @@
 }
 
 impl SenderCounters {
-    /// Counters of a sender that starts at `begun` and whose first list has `first` destinations.
+    /// Counters of a sender that starts at `started` and whose first list has `first_list_size` destinations.
     #[must_use]
     pub fn new(region: usize, started: u64, first_list_size: u64) -> Self {
         SenderCounters {
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -138,7 +138,7 @@
             scenario.harness.endpoint.received(),
         );
         eprintln!(
-            "real senders: {submitted} submitted, {accepted} accepted, {delivered} delivered, {notifications} notifications, {repeated_calls} repeated calls"
+            "real senders: {submitted} handed in, {accepted} taken on, {delivered} delivered, {notifications} notices, {repeated_calls} calls beyond"
         );
         let conditions = super::results::Conditions {
             axis: "senders",
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -42,7 +42,7 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Arguments shared by all measurements.
+/// Words that slopes and faults have in common.
 #[derive(Debug, Clone, Args)]
 pub struct CommonArgs {
     /// Where the figures go (JSON lines).
@@ -59,7 +59,7 @@
     pub seed: u64,
 }
 
-/// Arguments of the subcommand `fleet`.
+/// Words of `fleet`.
 #[derive(Debug, Clone, Args)]
 pub struct ScalingArgs {
     #[command(flatten)]
@@ -102,7 +102,7 @@
     compare: u64,
 }
 
-/// Arguments of the subcommand `faults`.
+/// Words of `faults`.
 #[derive(Debug, Clone, Args)]
 pub struct FaultArgs {
     #[command(flatten)]
@@ -124,7 +124,7 @@
     only: Vec<String>,
 }
 
-/// Arguments of the subcommand `relays`.
+/// Words of `relays`.
 #[derive(Debug, Clone, Args)]
 pub struct ProxiedArgs {
     #[command(flatten)]
