--- a/crates/scale/src/fleet/compare.rs
+++ b/crates/scale/src/fleet/compare.rs
@@ -3,7 +3,7 @@
 use super::harness::Harness;
 use super::real_senders::RealSenders;
 use super::results::{Conditions, Results, parameters_from};
-use super::scaling::{Plan, RATE, default_group};
+use super::scaling::{CHANGES_PER_S, Plan, default_group};
 use crate::Error;
 use crate::cost::Cost;
 use serde_json::json;
@@ -34,7 +34,7 @@
 }
 
 /// Pause after senders start, before a measurement begins.
-const SETTLE: Duration = Duration::from_secs(4);
+const SETTLE_TIME: Duration = Duration::from_secs(4);
 
 /// Rounds in which the kinds take turns, so that changes in the machine's other load affect all kinds.
 const ROUNDS: usize = 2;
@@ -104,13 +104,13 @@
             None
         }
     };
-    std::thread::sleep(SETTLE);
+    std::thread::sleep(SETTLE_TIME);
     let senders_cost = |harness: &Harness| match &real_senders {
         Some(real_senders) => real_senders.costs(),
         None => Ok((harness.fleet.cost()?, Cost::default())),
     };
     let cost_before = senders_cost(&harness)?;
-    let (before, after, published) = harness.measure_span(plan.span * 2, rate * RATE)?;
+    let (before, after, published) = harness.measure_span(plan.span * 2, rate * CHANGES_PER_S)?;
     let cost_after = senders_cost(&harness)?;
     let parameters = parameters_from([
         ("kind", json!(kind.name())),
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -7,7 +7,7 @@
 use super::process::POLL_INTERVAL;
 use super::real_senders::RealSenders;
 use super::results::Results;
-use super::scaling::{Plan, RATE, default_group};
+use super::scaling::{CHANGES_PER_S, Plan, default_group};
 use super::scenario::{BaselineCost, Scenario};
 use crate::Error;
 use crate::figures::{Line, write};
@@ -31,11 +31,11 @@
 }
 
 /// One sender in this many belongs to the zone that fails, 3.2% of all senders.
-const ZONE: u64 = 31;
+const ZONES: u64 = 31;
 /// Number of senders that restart one after the other.
 const RESTARTS: u64 = 1_000;
 /// Restarts per second: 100 times the rate at which each of 16,000 senders restarts every eight hours.
-const RESTART_RATE: f64 = 100.0 * 16_000.0 / (8.0 * 3_600.0);
+const RESTARTS_PER_S: f64 = 100.0 * 16_000.0 / (8.0 * 3_600.0);
 /// Number of waves in which a release restarts all senders, one wave a second.
 const WAVES: u64 = 20;
 /// How long an outage lasts; longer than the lease of 9 s.
@@ -112,12 +112,12 @@
             super::scaling::DESTINATIONS,
         );
         harness.fleet.sample_permissions(50)?;
-        let (before, after, _) = harness.measure_span(Duration::from_secs(9), RATE)?;
+        let (before, after, _) = harness.measure_span(Duration::from_secs(9), CHANGES_PER_S)?;
         harness.wait_until_ready(size.senders, size.sessions)?;
         harness.fleet.take_report(&harness.discovery)?;
         let mut scenario = Scenario::new(harness, size, baseline_cost(&before, &after));
         for (name, fault) in FAULTS.into_iter().filter(|(name, _)| is_selected(name)) {
-            if Instant::now() > plan.until {
+            if Instant::now() > plan.deadline {
                 eprintln!("time limit reached; skipping {name}");
                 continue;
             }
@@ -157,7 +157,7 @@
         write(out, &results.lines)?;
     }
     let name = "discovery away for 10 s, list on request";
-    if is_selected(name) && Instant::now() < plan.until {
+    if is_selected(name) && Instant::now() < plan.deadline {
         measure_polling_recovery(plan, results, name, 250)?;
         write(out, &results.lines)?;
     }
@@ -186,7 +186,7 @@
 
 fn zone_killed(scenario: &mut Scenario) -> Result<(), Error> {
     let victims: Vec<u64> = (0..scenario.size.senders)
-        .filter(|number| number % ZONE == 0)
+        .filter(|number| number % ZONES == 0)
         .collect();
     let owners = victims
         .iter()
@@ -231,7 +231,7 @@
     let mut next = 0;
     while next < count {
         // restart senders one by one if the machine keeps up, otherwise all that are due by now together
-        let due = ((started.elapsed().as_secs_f64() * RESTART_RATE) as u64 + 1).min(count);
+        let due = ((started.elapsed().as_secs_f64() * RESTARTS_PER_S) as u64 + 1).min(count);
         let numbers: Vec<u64> = (next..due).collect();
         if numbers.is_empty() {
             sleep(POLL_INTERVAL);
@@ -284,7 +284,7 @@
         started.elapsed().as_secs_f64()
     ));
     scenario.wait_until_healthy()?;
-    // let all senders renew once under the new leader; a lease lasts 9 s
+    // long enough for every session to renew under the new leader; sessions renew four times in a lease of 9 s
     scenario.run_for(Duration::from_secs(4))?;
     scenario.group_mut()?.start_one(leader)
 }
@@ -394,7 +394,7 @@
     };
     let mut harness = Harness::start(&plan.programs, options)?;
     harness.start_senders(0..senders)?;
-    let (before, after, _) = harness.measure_span(Duration::from_secs(5), RATE)?;
+    let (before, after, _) = harness.measure_span(Duration::from_secs(5), CHANGES_PER_S)?;
     harness.wait_until_ready(senders, 0)?;
     harness.fleet.take_report(&harness.discovery)?;
     let mut scenario = Scenario::new(
--- a/crates/scale/src/fleet/idle_engine.rs
+++ b/crates/scale/src/fleet/idle_engine.rs
@@ -77,7 +77,7 @@
     config: &Config,
     mut list_inputs: mpsc::UnboundedReceiver<Input>,
     counters: Rc<RefCell<SenderCounters>>,
-    marks: Rc<RefCell<Option<Mark>>>,
+    current_mark: Rc<RefCell<Option<Mark>>>,
 ) -> Result<[AbortHandle; 2], Error> {
     let unix = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -100,19 +100,19 @@
         ready: watch::channel(false).0,
     })
     .map_err(|error| Error::Wrong(error.to_string()))?;
-    let (inputs, mut received) = mpsc::unbounded_channel();
+    let (inputs, mut engine_inputs) = mpsc::unbounded_channel();
     let forwarding = spawn_local(async move {
         while let Some(input) = list_inputs.recv().await {
             if let Input::EndpointsListed(update) = &input {
                 counters
                     .borrow_mut()
-                    .record_update(now().0, update, *marks.borrow());
+                    .record_update(now().0, update, *current_mark.borrow());
             }
             if inputs.send(input).is_err() {
                 return;
             }
         }
     });
-    let engine_task = spawn_local(async move { engine.run(&mut received).await });
+    let engine_task = spawn_local(async move { engine.run(&mut engine_inputs).await });
     Ok([forwarding.abort_handle(), engine_task.abort_handle()])
 }
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -38,7 +38,7 @@
 use crate::figures::{Line, write};
 use clap::Args;
 use results::Results;
-use scaling::{Plan, RATE, default_group};
+use scaling::{CHANGES_PER_S, Plan, default_group};
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
@@ -181,7 +181,7 @@
             rates: Vec::new(),
             destinations: Vec::new(),
             span: Duration::from_secs(8),
-            until: Instant::now() + self.time,
+            deadline: Instant::now() + self.time,
             seed: self.seed,
         })
     }
@@ -316,8 +316,8 @@
         rates: Vec::new(),
         destinations: Vec::new(),
         span: Duration::from_secs(3),
-        until: Instant::now() + Duration::from_secs(600),
+        deadline: Instant::now() + Duration::from_secs(600),
         seed: 1,
     };
-    report::run_small(&plan, simulated, real, 100.0 * RATE)
+    report::run_small(&plan, simulated, real, 100.0 * CHANGES_PER_S)
 }
--- a/crates/scale/src/fleet/network_proxy.rs
+++ b/crates/scale/src/fleet/network_proxy.rs
@@ -141,7 +141,7 @@
 }
 
 /// Forwards one direction until it ends or the link state changes. After a change no byte is forwarded, and the
-/// connection is reset as soon as the link is not silent.
+/// connection is reset as soon as the link is no longer partitioned.
 async fn forward_bytes(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/crates/scale/src/fleet/proxied_faults.rs
+++ b/crates/scale/src/fleet/proxied_faults.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// One sender in this many belongs to the zone that fails, 3.2% of all senders.
-const ZONE: u64 = 31;
+const ZONES: u64 = 31;
 /// How long the outage lasts; longer than the lease of 9 s, so that no sender may still rely on its session.
 const OUTAGE: Duration = Duration::from_secs(12);
 /// Number of waves in which a release restarts all senders, one wave a second.
@@ -40,10 +40,10 @@
     results: &mut Results,
     harness: &mut Harness,
     senders: u64,
-    until: Instant,
+    deadline: Instant,
 ) -> Result<(), Error> {
     for (name, fault) in FAULTS {
-        if Instant::now() > until {
+        if Instant::now() > deadline {
             eprintln!("time limit reached; skipping {name}");
             continue;
         }
@@ -105,7 +105,7 @@
 }
 
 fn kill_zone(harness: &mut Harness, senders: u64) -> Result<String, Error> {
-    let victims: Vec<u64> = (0..senders).filter(|number| number % ZONE == 0).collect();
+    let victims: Vec<u64> = (0..senders).filter(|number| number % ZONES == 0).collect();
     let left = senders - victims.len() as u64;
     harness.fleet.kill_senders(&victims)?;
     let expired = wait_until(|| Ok(open_session_count(harness) <= left))?;
--- a/crates/scale/src/fleet/proxied_sessions.rs
+++ b/crates/scale/src/fleet/proxied_sessions.rs
@@ -19,7 +19,7 @@
 /// Longest wait until the sessions of one size are open; a loaded machine opens a few hundred sessions a second.
 const MAX_OPENING_TIME: Duration = Duration::from_secs(120);
 /// Pause between the last opened session and the measurement, in which every session renews once.
-const SETTLE: Duration = Duration::from_secs(LEASE_S / 2);
+const SETTLE_TIME: Duration = Duration::from_secs(LEASE_S / 2);
 /// Number of resources that the coordination state holds; with more senders than this, none claims a resource.
 const MAX_RESOURCES: u64 = milletturn_coordination::bounds::MAX_RESOURCES as u64;
 
@@ -71,7 +71,7 @@
     )?;
     let (mut started, mut last) = (0, None);
     for &senders in &plan.senders {
-        if Instant::now() > plan.until {
+        if Instant::now() > plan.deadline {
             eprintln!("time limit reached; skipping {senders} sessions through session proxies");
             break;
         }
@@ -117,7 +117,7 @@
             opening.elapsed().as_secs_f64(),
         );
         let watches = harness.discovery.watches();
-        std::thread::sleep(SETTLE);
+        std::thread::sleep(SETTLE_TIME);
         harness.fleet.take_report(&harness.discovery)?;
         measure(plan, results, &mut harness, &conditions, senders)?;
         let reopened_watches = harness.discovery.watches() - watches;
@@ -132,7 +132,7 @@
         last = Some(senders);
     }
     if let Some(senders) = last.filter(|_| run_faults) {
-        return super::proxied_faults::run(results, &mut harness, senders, plan.until);
+        return super::proxied_faults::run(results, &mut harness, senders, plan.deadline);
     }
     if let Some(senders) = last.filter(|_| session_proxies > 1) {
         measure_killed_proxy(plan, results, &mut harness, senders)?;
--- a/crates/scale/src/fleet/real_senders.rs
+++ b/crates/scale/src/fleet/real_senders.rs
@@ -86,7 +86,7 @@
     async fn serve_one(&self, stream: TcpStream) -> std::io::Result<()> {
         let mut stream = BufReader::new(stream);
         while let Some((_, headers)) = read_head(&mut stream).await? {
-            let length = number(&headers, "content-length");
+            let length = header_number(&headers, "content-length");
             tokio::io::copy(&mut (&mut stream).take(length), &mut tokio::io::sink()).await?;
             if let Some(id) = header(&headers, "x-request-id") {
                 let mut received = self.received.lock().unwrap_or_else(PoisonError::into_inner);
@@ -108,15 +108,15 @@
 async fn read_head(
     stream: &mut BufReader<TcpStream>,
 ) -> std::io::Result<Option<(String, Headers)>> {
-    let mut first = String::new();
-    if stream.read_line(&mut first).await? == 0 {
+    let mut first_line = String::new();
+    if stream.read_line(&mut first_line).await? == 0 {
         return Ok(None);
     }
     let mut headers = Vec::new();
     loop {
         let mut line = String::new();
         if stream.read_line(&mut line).await? <= 2 {
-            return Ok(Some((first, headers)));
+            return Ok(Some((first_line, headers)));
         }
         if let Some((name, value)) = line.split_once(':') {
             headers.push((name.to_ascii_lowercase(), value.trim().to_string()));
@@ -131,7 +131,7 @@
         .map(|(_, value)| value.as_str())
 }
 
-fn number(headers: &Headers, name: &str) -> u64 {
+fn header_number(headers: &Headers, name: &str) -> u64 {
     header(headers, name)
         .and_then(|value| value.parse().ok())
         .unwrap_or(0)
@@ -141,7 +141,7 @@
 #[derive(Debug)]
 pub struct RealSenders {
     senders: Vec<(Process, SocketAddr)>,
-    sessions: Vec<Process>,
+    session_processes: Vec<Process>,
     accepted: Arc<AtomicU64>,
     submitted: Arc<AtomicU64>,
     folder: TempDir,
@@ -163,7 +163,7 @@
         let folder = TempDir::new().map_err(Error::io("a temporary directory for real senders"))?;
         let mut real_senders = RealSenders {
             senders: Vec::new(),
-            sessions: Vec::new(),
+            session_processes: Vec::new(),
             accepted: Arc::default(),
             submitted: Arc::default(),
             folder,
@@ -203,7 +203,7 @@
                     .path()
                     .join(format!("session{number}.log"));
                 real_senders
-                    .sessions
+                    .session_processes
                     .push(Process::start(&mut command, &log)?);
             }
         }
@@ -214,7 +214,7 @@
                 .map_err(|_| Error::Wrong(format!("expected a listen address, got: {address}")))?;
             real_senders.senders.push((process, address));
         }
-        for session in &mut real_senders.sessions {
+        for session in &mut real_senders.session_processes {
             session.wait_for_output("\"owned\"")?;
         }
         Ok(real_senders)
@@ -224,7 +224,7 @@
     pub fn ids(&self) -> Vec<u32> {
         let senders = self.senders.iter().map(|(process, _)| process.id());
         senders
-            .chain(self.sessions.iter().map(Process::id))
+            .chain(self.session_processes.iter().map(Process::id))
             .collect()
     }
 
@@ -236,7 +236,7 @@
         let senders = Cost::of_all(self.senders.iter().map(|(process, _)| process.id()))?;
         Ok((
             senders,
-            Cost::of_all(self.sessions.iter().map(Process::id))?,
+            Cost::of_all(self.session_processes.iter().map(Process::id))?,
         ))
     }
 
@@ -260,13 +260,13 @@
                         message(&format!("r{index}-{count}"), count % destinations.max(1));
                     submitted.fetch_add(1, Ordering::Relaxed);
                     stream.write_all(&message).await?;
-                    let Some((first, headers)) = read_head(&mut stream).await? else {
+                    let Some((first_line, headers)) = read_head(&mut stream).await? else {
                         break;
                     };
-                    let length = number(&headers, "content-length");
+                    let length = header_number(&headers, "content-length");
                     tokio::io::copy(&mut (&mut stream).take(length), &mut tokio::io::sink())
                         .await?;
-                    accepted.fetch_add(u64::from(first.contains(" 202 ")), Ordering::Relaxed);
+                    accepted.fetch_add(u64::from(first_line.contains(" 202 ")), Ordering::Relaxed);
                     tokio::time::sleep(pause).await;
                 }
                 Ok::<(), std::io::Error>(())
--- a/crates/scale/src/fleet/scaling.rs
+++ b/crates/scale/src/fleet/scaling.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 /// Usual rate of configuration changes per second, 48,000 a day.
-pub const RATE: f64 = 48_000.0 / 86_400.0;
+pub const CHANGES_PER_S: f64 = 48_000.0 / 86_400.0;
 /// Number of sender groups whose network can be cut off separately.
 const REGIONS: usize = 5;
 /// Entries in one line of the first list, which keeps the line far below the 1 MiB that a sender reads.
@@ -19,7 +19,7 @@
 /// Number of destinations where something else is varied.
 pub const DESTINATIONS: u64 = 1_000;
 /// Pause after senders start, before a measurement begins.
-const SETTLE: Duration = Duration::from_millis(2_500);
+const SETTLE_TIME: Duration = Duration::from_millis(2_500);
 
 /// Sizes and limits of a run.
 #[derive(Debug, Clone)]
@@ -30,14 +30,14 @@
     pub sessions: Vec<u64>,
     /// Numbers of senders that watch the list to measure.
     pub senders: Vec<u64>,
-    /// Rates of changes to measure, as multiples of [`RATE`].
+    /// Rates of changes to measure, as multiples of [`CHANGES_PER_S`].
     pub rates: Vec<f64>,
     /// Numbers of destinations to measure.
     pub destinations: Vec<u64>,
     /// Length of one measurement.
     pub span: Duration,
     /// No measurement starts after this moment; the ones left out are printed.
-    pub until: Instant,
+    pub deadline: Instant,
     /// Seed of all random numbers.
     pub seed: u64,
 }
@@ -106,7 +106,7 @@
 
     /// Returns whether the time for new measurements is over; if so, prints what is left out.
     fn is_time_over(&self, skipped: &str) -> bool {
-        let is_over = Instant::now() > self.until;
+        let is_over = Instant::now() > self.deadline;
         if is_over {
             eprintln!("time limit reached; skipping {skipped}");
         }
@@ -163,12 +163,12 @@
                 }
                 started = senders;
             }
-            std::thread::sleep(SETTLE);
+            std::thread::sleep(SETTLE_TIME);
             let leader = harness
                 .coordinators
                 .as_ref()
                 .and_then(super::coordinators::CoordinatorGroup::leader);
-            let (before, after, _) = harness.measure_span(self.span, RATE)?;
+            let (before, after, _) = harness.measure_span(self.span, CHANGES_PER_S)?;
             let conditions = Conditions {
                 axis: "senders",
                 at: senders as f64,
@@ -217,7 +217,7 @@
             .coordinators
             .as_ref()
             .and_then(super::coordinators::CoordinatorGroup::leader);
-        let (before, after, _) = harness.measure_span(self.span, RATE)?;
+        let (before, after, _) = harness.measure_span(self.span, CHANGES_PER_S)?;
         let parameters = parameters_from([
             ("lease_s", json!(9)),
             ("stewards", json!(3)),
@@ -281,11 +281,11 @@
                 },
             )?;
             harness.start_senders(0..senders)?;
-            std::thread::sleep(SETTLE);
+            std::thread::sleep(SETTLE_TIME);
             harness.fleet.take_report(&harness.discovery)?;
             for multiple in [0.0, 10.0] {
                 let (before, after, published) =
-                    harness.measure_span(self.span, multiple * RATE)?;
+                    harness.measure_span(self.span, multiple * CHANGES_PER_S)?;
                 let kind = if multiple > 0.0 {
                     LIST_CHANGING
                 } else {
@@ -319,14 +319,15 @@
         }
         let mut harness = Harness::start(&self.programs, self.options(senders, 0, None))?;
         harness.start_senders(0..senders)?;
-        std::thread::sleep(SETTLE);
+        std::thread::sleep(SETTLE_TIME);
         harness.fleet.take_report(&harness.discovery)?;
         for &multiple in &self.rates {
             // measure long enough for at least one change
             let span = self
                 .span
-                .max(Duration::from_secs_f64(1.0 / (multiple * RATE)));
-            let (before, after, published) = harness.measure_span(span, multiple * RATE)?;
+                .max(Duration::from_secs_f64(1.0 / (multiple * CHANGES_PER_S)));
+            let (before, after, published) =
+                harness.measure_span(span, multiple * CHANGES_PER_S)?;
             let conditions = Conditions {
                 axis: "changes/s",
                 at: published as f64 / span.as_secs_f64(),
@@ -430,7 +431,7 @@
         }
         let mut harness = Harness::start(&self.programs, self.options(senders, 0, None))?;
         harness.start_senders(0..senders)?;
-        std::thread::sleep(SETTLE);
+        std::thread::sleep(SETTLE_TIME);
         let before = harness.read()?;
         harness.fleet.reload_settings()?;
         let cost = harness.read()?.fleet - before.fleet;
--- a/crates/scale/src/fleet/scenario.rs
+++ b/crates/scale/src/fleet/scenario.rs
@@ -7,7 +7,7 @@
 use super::network_proxy::LinkState;
 use super::percentiles::Percentiles;
 use super::process::WAIT_TIMEOUT;
-use super::scaling::RATE;
+use super::scaling::CHANGES_PER_S;
 use crate::Error;
 use crate::cost::Cost;
 use crate::figures::Fault;
@@ -155,11 +155,11 @@
     /// Publishes the changes due at the usual rate and samples the coordinators' processor time.
     ///
     /// # Errors
-    /// Never returned at present.
+    /// None at present.
     pub fn publish_and_sample(&mut self) -> Result<(), Error> {
         while self.next_change < Instant::now() {
             self.harness.discovery.publish();
-            self.next_change += Duration::from_secs_f64(1.0 / RATE);
+            self.next_change += Duration::from_secs_f64(1.0 / CHANGES_PER_S);
         }
         let Some(group) = &self.harness.coordinators else {
             return Ok(());
--- a/crates/scale/src/fleet/simulated_senders.rs
+++ b/crates/scale/src/fleet/simulated_senders.rs
@@ -158,11 +158,11 @@
         let Some(first_line) = order_lines.recv().await else {
             return Ok(());
         };
-        let common: SimulationConfig = parse(&first_line)?;
+        let simulation_config: SimulationConfig = parse(&first_line)?;
         let mut host = SenderHost {
-            common,
+            simulation_config,
             senders: BTreeMap::new(),
-            marks: Rc::default(),
+            current_mark: Rc::default(),
             sampling_task: None,
         };
         while let Some(line) = order_lines.recv().await {
@@ -188,9 +188,9 @@
 }
 
 struct SenderHost {
-    common: SimulationConfig,
+    simulation_config: SimulationConfig,
     senders: BTreeMap<u64, SimulatedSender>,
-    marks: Rc<RefCell<Option<Mark>>>,
+    current_mark: Rc<RefCell<Option<Mark>>>,
     sampling_task: Option<AbortHandle>,
 }
 
@@ -213,7 +213,7 @@
                 self.senders
                     .values()
                     .for_each(|sender| sender.counters.borrow_mut().reset_mark());
-                *self.marks.borrow_mut() = Some(mark);
+                *self.current_mark.borrow_mut() = Some(mark);
             }
             Order::Reload => {
                 for sender in self.senders.values_mut() {
@@ -276,7 +276,9 @@
                 continue;
             };
             let region = sender.counters.borrow().region;
-            let mut coordinators = self.common.coordinator_client(region, sender.number);
+            let mut coordinators = self
+                .simulation_config
+                .coordinator_client(region, sender.number);
             closing_tasks.push(spawn_local(async move {
                 drop(sender);
                 member.close_session(&mut coordinators).await;
@@ -315,11 +317,11 @@
     }
 
     fn start(&self, number: u64) -> Result<SimulatedSender, Error> {
-        let common = &self.common;
-        let path = common.config.display().to_string();
+        let simulation_config = &self.simulation_config;
+        let path = simulation_config.config.display().to_string();
         let name = format!("hollow-{number}");
-        let region = (number % common.discovery.len() as u64) as usize;
-        let discovery = common.discovery[region];
+        let region = (number % simulation_config.discovery.len() as u64) as usize;
+        let discovery = simulation_config.discovery[region];
         let config = Config::from_variables(|variable| match variable {
             "RELAY_CONFIG" => Some(path.clone()),
             "RELAY_NAME" => Some(name.clone()),
@@ -332,12 +334,12 @@
         let counters = Rc::new(RefCell::new(SenderCounters::new(
             region,
             now().0,
-            common.destinations,
+            simulation_config.destinations,
         )));
         let mut tasks = Vec::new();
         let (agent, agents) = watch::channel(config.discovery_address);
         let (inputs, mut list_inputs) = mpsc::unbounded_channel();
-        let seed = common.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
+        let seed = simulation_config.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let backoff = DiscoveryBackoff::new(
             config.settings.senders,
             !config.settings.list_requires_subscription,
@@ -346,21 +348,23 @@
         tasks.push(
             spawn_local(discovery::watch_endpoints(Tcp, agents, 0, backoff, inputs)).abort_handle(),
         );
-        let (list_counters, marks) = (counters.clone(), self.marks.clone());
-        if common.run_engines {
+        let (list_counters, current_mark) = (counters.clone(), self.current_mark.clone());
+        if simulation_config.run_engines {
             tasks.extend(idle_engine::start(
                 &config,
                 list_inputs,
                 list_counters,
-                marks,
+                current_mark,
             )?);
         } else {
             let listening_task = spawn_local(async move {
                 while let Some(input) = list_inputs.recv().await {
                     if let Input::EndpointsListed(update) = input {
-                        list_counters
-                            .borrow_mut()
-                            .record_update(now().0, &update, *marks.borrow());
+                        list_counters.borrow_mut().record_update(
+                            now().0,
+                            &update,
+                            *current_mark.borrow(),
+                        );
                     }
                 }
             });
@@ -368,7 +372,7 @@
         }
         let resource = format!("w{number}");
         let mut member = None;
-        if number < common.sessions && !common.coordinators.is_empty() {
+        if number < simulation_config.sessions && !simulation_config.coordinators.is_empty() {
             let version = env!("CARGO_PKG_VERSION").to_string();
             let member_info = MemberInfo {
                 name,
@@ -376,11 +380,11 @@
                 version,
                 role: "operator".to_string(),
             };
-            let claimed_resource = common.claim_resources.then(|| resource.clone());
+            let claimed_resource = simulation_config.claim_resources.then(|| resource.clone());
             let (session_member, mut events) = Member::new(member_info, 20_000, claimed_resource);
             let (renewing_member, coordinators) = (
                 session_member.clone(),
-                common.coordinator_client(region, number),
+                simulation_config.coordinator_client(region, number),
             );
             tasks.push(
                 spawn_local(
