--- a/crates/scale/src/fleet/discovery.rs
+++ b/crates/scale/src/fleet/discovery.rs
@@ -1,12 +1,13 @@
-//! A stand-in for the platform's discovery: the watch of the endpoint list, as the platform's protocol page has it,
-//! and its notices. It is none of the product's processes; what it costs is told as the stand-in's.
+//! Test double of the platform's discovery service: the watch of the endpoint list as the platform's protocol page
+//! describes it, and the notification endpoint. It is not a process of the product, and its cost is recorded
+//! separately.
 //!
-//! A version of the list is the moment at which it was published, in microseconds since the machine's start, so that
-//! a sender knows by the version alone how late it hears. The first list goes out in pieces, under the versions 1, 2
-//! and so on: a sender drops a line longer than 1 MiB.
+//! A version of the list is the time of its publishing in microseconds since the machine's start, so that a sender's
+//! delay follows from the version alone. The first list is sent in pieces with the versions 1, 2 and so on, because a
+//! sender drops a line longer than 1 MiB.
 
-use super::meter::{Meter, Passed};
-use super::relay::{Way, listen, reset};
+use super::meter::{Meter, Traffic};
+use super::network_proxy::{LinkState, listen, reset};
 use crate::Error;
 use bytes::Bytes;
 use milletturn_coordination_protocol::clock::now;
@@ -19,21 +20,21 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// While nothing changes, an empty line comes so often.
-const EMPTY: Duration = Duration::from_secs(2);
-/// Longest request that is read.
-const REQUEST_MOST: usize = 1 << 20;
+/// Interval of empty keepalive lines while nothing changes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Longest request that is read, in bytes.
+const MAX_REQUEST_BYTES: usize = 1 << 20;
 
-/// How the list goes out.
+/// How the first list is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Form {
+pub struct ListLayout {
     /// Destinations in the first list.
     pub destinations: u64,
-    /// Entries in one line of the first list; a line takes some 150 bytes for each.
-    pub piece: u64,
+    /// Entries in one line of the first list; each takes about 150 bytes.
+    pub entries_per_line: u64,
 }
 
-/// One published state: its version and its entries, without the line round them.
+/// Entries that were published together as one version, without the line's JSON around them.
 #[derive(Debug, Clone)]
 struct Entries {
     version: u64,
@@ -43,61 +44,62 @@
 #[derive(Debug)]
 struct State {
     entries: Vec<Entries>,
-    /// Destinations so far.
+    /// Number of destinations so far.
     destinations: u64,
-    notices: u64,
+    notifications: u64,
     watches: u64,
 }
 
-/// Discovery; clones share it.
+/// The running test double; clones share its state.
 #[derive(Debug, Clone)]
 pub struct Discovery {
-    /// Where each region reaches it.
+    /// Address for each region.
     pub addresses: Vec<SocketAddr>,
-    /// What passes.
+    /// Counts the list's traffic.
     pub meter: Meter,
     state: Arc<Mutex<State>>,
-    told: Arc<watch::Sender<usize>>,
-    ways: Vec<Arc<watch::Sender<Way>>>,
+    published_count: Arc<watch::Sender<usize>>,
+    link_states: Vec<Arc<watch::Sender<LinkState>>>,
     endpoint: SocketAddr,
 }
 
 impl Discovery {
-    /// Begins to serve so many regions on this runtime; every endpoint of the list has this address.
+    /// Starts serving the given number of regions on the runtime; all endpoints of the list have the address
+    /// `endpoint`.
     ///
     /// # Errors
-    /// No port is to be had.
+    /// No port is available.
     pub fn start(
         runtime: &Handle,
         regions: usize,
-        form: Form,
+        list_layout: ListLayout,
         endpoint: SocketAddr,
     ) -> Result<Self, Error> {
         let _entered = runtime.enter();
         let mut entries = Vec::new();
-        let mut at = 0;
-        while at < form.destinations {
-            let to = (at + form.piece).min(form.destinations);
+        let mut index = 0;
+        while index < list_layout.destinations {
+            let to = (index + list_layout.entries_per_line).min(list_layout.destinations);
             let version = entries.len() as u64 + 1;
             entries.push(Entries {
                 version,
-                text: targets(at..to, endpoint),
+                text: endpoint_entries(index..to, endpoint),
             });
-            at = to;
+            index = to;
         }
-        let told = Arc::new(watch::Sender::new(entries.len()));
+        let published_count = Arc::new(watch::Sender::new(entries.len()));
         let state = State {
             entries,
-            destinations: form.destinations,
-            notices: 0,
+            destinations: list_layout.destinations,
+            notifications: 0,
             watches: 0,
         };
         let mut discovery = Discovery {
             addresses: Vec::new(),
             meter: Meter::default(),
             state: Arc::new(Mutex::new(state)),
-            told,
-            ways: Vec::new(),
+            published_count,
+            link_states: Vec::new(),
             endpoint,
         };
         let mut listeners = Vec::new();
@@ -108,7 +110,9 @@
                     .local_addr()
                     .map_err(Error::io("a port on loopback"))?,
             );
-            discovery.ways.push(Arc::new(watch::Sender::new(Way::Pass)));
+            discovery
+                .link_states
+                .push(Arc::new(watch::Sender::new(LinkState::Open)));
             listeners.push(listener);
         }
         for (region, listener) in listeners.into_iter().enumerate() {
@@ -117,7 +121,7 @@
         Ok(discovery)
     }
 
-    /// Publishes a change: one new destination with one endpoint. Its version.
+    /// Publishes a change, one new destination with one endpoint, and returns its version.
     #[expect(clippy::must_use_candidate, reason = "some callers only want a change")]
     pub fn publish(&self) -> u64 {
         let mut state = self.state();
@@ -127,15 +131,15 @@
         state.destinations += 1;
         state.entries.push(Entries {
             version,
-            text: targets(number..number + 1, self.endpoint),
+            text: endpoint_entries(number..number + 1, self.endpoint),
         });
         let count = state.entries.len();
         drop(state);
-        self.told.send_replace(count);
+        self.published_count.send_replace(count);
         version
     }
 
-    /// The version of the list now.
+    /// Newest version of the list.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.state()
@@ -144,31 +148,31 @@
             .map_or(0, |entries| entries.version)
     }
 
-    /// Destinations of the list now.
+    /// Number of destinations in the newest version.
     #[must_use]
     pub fn destinations(&self) -> u64 {
         self.state().destinations
     }
 
-    /// Lines of notices so far.
+    /// Number of notification lines received so far.
     #[must_use]
-    pub fn notices(&self) -> u64 {
-        self.state().notices
+    pub fn notifications(&self) -> u64 {
+        self.state().notifications
     }
 
-    /// Watches that were opened so far.
+    /// Number of watches opened so far.
     #[must_use]
     pub fn watches(&self) -> u64 {
         self.state().watches
     }
 
-    /// What a region meets from now on.
-    pub fn set(&self, region: usize, way: Way) {
-        self.ways[region].send_replace(way);
+    /// Sets how connections of a region are treated from now on.
+    pub fn set_link_state(&self, region: usize, link_state: LinkState) {
+        self.link_states[region].send_replace(link_state);
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        // each change of it is whole or not there
+        // no change of the state can panic halfway, so that a poisoned lock holds usable data
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
@@ -178,22 +182,24 @@
                 sleep(Duration::from_millis(50)).await;
                 continue;
             };
-            self.meter.count(Passed {
+            self.meter.count(Traffic {
                 opened: 1,
-                ..Passed::default()
+                ..Traffic::default()
             });
-            let (here, mut way) = (self.clone(), self.ways[region].subscribe());
+            let (server, mut link_state) = (self.clone(), self.link_states[region].subscribe());
             tokio::spawn(async move {
                 let mut stream = stream;
                 let _ = stream.set_nodelay(true);
-                if *way.borrow() == Way::Pass {
+                if *link_state.borrow() == LinkState::Open {
                     tokio::select! {
-                        // a sender that has gone away has heard enough
-                        _ = here.serve_one(&mut stream) => return,
-                        _ = way.wait_for(|way| *way != Way::Pass) => {}
+                        // an error means that the sender closed its watch
+                        _ = server.serve_one(&mut stream) => return,
+                        _ = link_state.wait_for(|link_state| *link_state != LinkState::Open) => {}
                     }
                 }
-                let _ = way.wait_for(|way| *way != Way::Silent).await;
+                let _ = link_state
+                    .wait_for(|link_state| *link_state != LinkState::Partitioned)
+                    .await;
                 reset(&stream);
             });
         }
@@ -202,64 +208,68 @@
     async fn serve_one(&self, stream: &mut TcpStream) -> std::io::Result<()> {
         let mut request = Vec::new();
         let end = loop {
-            if stream.read_buf(&mut request).await? == 0 || request.len() > REQUEST_MOST {
+            if stream.read_buf(&mut request).await? == 0 || request.len() > MAX_REQUEST_BYTES {
                 return Ok(());
             }
-            if let Some(at) = request.windows(4).position(|four| four == b"\r\n\r\n") {
-                break at + 4;
+            if let Some(position) = request.windows(4).position(|four| four == b"\r\n\r\n") {
+                break position + 4;
             }
         };
         let head = String::from_utf8_lossy(&request[..end]).into_owned();
         if head.starts_with("POST /v1/outcomes ") {
-            return self.take_notices(stream, &head, request, end).await;
+            return self
+                .receive_notifications(stream, &head, request, end)
+                .await;
         }
-        self.meter.count(Passed {
-            asked: 1,
-            bytes_asked: request.len() as u64,
-            ..Passed::default()
+        self.meter.count(Traffic {
+            requests: 1,
+            request_bytes: request.len() as u64,
+            ..Traffic::default()
         });
         let from = head
             .split_once("from=")
             .and_then(|(_, rest)| rest.split(' ').next()?.parse().ok());
         self.state().watches += 1;
-        let answer = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
-        self.tell(stream, 1, answer.as_bytes()).await?;
-        let mut told = self.told.subscribe();
+        let response = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
+        self.send(stream, 1, response.as_bytes()).await?;
+        let mut published_count = self.published_count.subscribe();
         let from = from.unwrap_or(0);
-        let mut at = self
+        let mut index = self
             .state()
             .entries
             .partition_point(|entries| entries.version <= from);
-        // a watch is answered at once, also where nothing has changed
-        let mut owed = true;
+        // a watch gets a first line at once, even if nothing has changed
+        let mut keepalive_due = true;
         loop {
-            let _ = told.borrow_and_update();
-            while let Some((line, next)) = self.line(at) {
-                self.tell(stream, 1, &chunk(&line)).await?;
-                (at, owed) = (next, false);
+            let _ = published_count.borrow_and_update();
+            while let Some((line, next)) = self.line(index) {
+                self.send(stream, 1, &chunk(&line)).await?;
+                (index, keepalive_due) = (next, false);
             }
-            if std::mem::take(&mut owed) {
-                self.tell(stream, 1, &chunk(b"\n")).await?;
+            if std::mem::take(&mut keepalive_due) {
+                self.send(stream, 1, &chunk(b"\n")).await?;
             }
-            owed = timeout(EMPTY, told.changed()).await.is_err();
+            keepalive_due = timeout(KEEPALIVE_INTERVAL, published_count.changed())
+                .await
+                .is_err();
         }
     }
 
-    /// The line that goes out at this place, and the place behind it. A piece of the first list goes by itself, and
-    /// all changes that a watch has missed go together.
-    fn line(&self, at: usize) -> Option<(Vec<u8>, usize)> {
+    /// Returns the line that starts with the entries at `index`, and the index after them. A piece of the first list
+    /// has a line of its own; all changes that a watch has missed share one line.
+    fn line(&self, index: usize) -> Option<(Vec<u8>, usize)> {
         let state = self.state();
-        let first = state.entries.get(at)?;
-        let is_piece = |entries: &Entries| entries.version <= state.entries.len() as u64;
-        let to = if is_piece(first) {
-            at + 1
+        let first = state.entries.get(index)?;
+        let is_first_list_piece = |entries: &Entries| entries.version <= state.entries.len() as u64;
+        let to = if is_first_list_piece(first) {
+            index + 1
         } else {
             state.entries.len()
         };
-        let texts = &state.entries[at..to];
+        let texts = &state.entries[index..to];
         let version = texts.last().map_or(first.version, |last| last.version);
         let mut line =
-            format!("{{\"rev\":{version},\"all\":{},\"targets\":[", at == 0).into_bytes();
+            format!("{{\"rev\":{version},\"all\":{},\"targets\":[", index == 0).into_bytes();
         for (number, entries) in texts.iter().enumerate() {
             if number > 0 {
                 line.push(b',');
@@ -270,17 +280,17 @@
         Some((line, to))
     }
 
-    async fn tell(&self, stream: &mut TcpStream, lines: u64, bytes: &[u8]) -> std::io::Result<()> {
+    async fn send(&self, stream: &mut TcpStream, lines: u64, bytes: &[u8]) -> std::io::Result<()> {
         stream.write_all(bytes).await?;
-        self.meter.count(Passed {
-            told: lines,
-            bytes_told: bytes.len() as u64,
-            ..Passed::default()
+        self.meter.count(Traffic {
+            responses: lines,
+            response_bytes: bytes.len() as u64,
+            ..Traffic::default()
         });
         Ok(())
     }
 
-    async fn take_notices(
+    async fn receive_notifications(
         &self,
         stream: &mut TcpStream,
         head: &str,
@@ -292,14 +302,14 @@
             name.eq_ignore_ascii_case("content-length")
                 .then(|| value.trim().parse::<usize>().ok())?
         });
-        let length = length.unwrap_or(0).min(REQUEST_MOST);
+        let length = length.unwrap_or(0).min(MAX_REQUEST_BYTES);
         while request.len() < end + length {
             if stream.read_buf(&mut request).await? == 0 {
                 return Ok(());
             }
         }
         let lines = request[end..].iter().filter(|byte| **byte == b'\n').count() as u64;
-        self.state().notices += lines;
+        self.state().notifications += lines;
         stream
             .write_all(b"HTTP/1.1 204 No Content\r\nContent-Length: 0\r\n\r\n")
             .await
@@ -313,8 +323,8 @@
     bytes
 }
 
-/// Entries of these destinations, each with one endpoint.
-fn targets(numbers: std::ops::Range<u64>, endpoint: SocketAddr) -> Bytes {
+/// JSON entries of these destinations, each with one endpoint.
+fn endpoint_entries(numbers: std::ops::Range<u64>, endpoint: SocketAddr) -> Bytes {
     let entries: Vec<String> = numbers
         .map(|number| {
             format!(
--- a/crates/scale/src/fleet/process.rs
+++ b/crates/scale/src/fleet/process.rs
@@ -1,4 +1,4 @@
-//! A process that this one started: its lines, signals to it by its number, its end.
+//! A child process: its output, signals to it, and its end.
 
 use crate::Error;
 use rustix::process::{Pid, Signal, kill_process};
@@ -10,24 +10,24 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Longest wait for what a process has to say or do: far above what any takes.
-pub const PATIENCE: Duration = Duration::from_secs(60);
-/// Rest between two looks.
-pub const LOOK: Duration = Duration::from_millis(10);
+/// Longest wait for a process; far longer than any of the awaited steps takes.
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
+/// Pause between two polls.
+pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Processes that run: a signal that ends this one ends them too, each by its number.
+/// Ids of running child processes, which are killed when a signal ends this process.
 static RUNNING: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
-fn running(change: impl FnOnce(&mut BTreeSet<u32>)) {
-    // a number is in it or not
+fn update_running(change: impl FnOnce(&mut BTreeSet<u32>)) {
+    // an id is in the set or not, so that a poisoned lock holds usable data
     change(&mut RUNNING.lock().unwrap_or_else(PoisonError::into_inner));
 }
 
-/// From now on SIGTERM and SIGINT end the processes that this one has started, and then this one.
+/// From now on, SIGTERM and SIGINT kill the child processes and then end this process.
 ///
 /// # Errors
-/// The system gives no thread, no runtime or no signals.
-pub fn end_all_at_signals() -> Result<(), Error> {
+/// The system provides no thread, no runtime or no signals.
+pub fn kill_children_on_signals() -> Result<(), Error> {
     use tokio::signal::unix::{SignalKind, signal};
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
@@ -44,13 +44,10 @@
                 _ = interrupt.recv() => {}
             }
         });
-        running(|numbers| {
-            for number in numbers
-                .iter()
-                .filter_map(|number| Pid::from_raw(number.cast_signed()))
-            {
-                // gone already
-                let _ = kill_process(number, Signal::KILL);
+        update_running(|ids| {
+            for id in ids.iter().filter_map(|id| Pid::from_raw(id.cast_signed())) {
+                // the process may have ended already
+                let _ = kill_process(id, Signal::KILL);
             }
         });
         std::process::exit(1);
@@ -61,25 +58,28 @@
     Ok(())
 }
 
-/// Looks until it is so.
+/// Polls until the condition holds.
 ///
 /// # Errors
-/// It is not so after [`PATIENCE`].
-pub fn until(what: &str, mut so: impl FnMut() -> Result<bool, Error>) -> Result<(), Error> {
-    let begun = Instant::now();
-    while !so()? {
-        if begun.elapsed() > PATIENCE {
+/// The condition fails, or does not hold within [`WAIT_TIMEOUT`].
+pub fn wait_until(
+    text: &str,
+    mut condition: impl FnMut() -> Result<bool, Error>,
+) -> Result<(), Error> {
+    let started = Instant::now();
+    while !condition()? {
+        if started.elapsed() > WAIT_TIMEOUT {
             return Err(Error::Wrong(format!(
-                "never within {} s: {what}",
-                PATIENCE.as_secs()
+                "not reached within {} s: {text}",
+                WAIT_TIMEOUT.as_secs()
             )));
         }
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
 
-/// A process; is killed with this value.
+/// A child process; dropping the value kills the process.
 #[derive(Debug)]
 pub struct Process {
     child: Child,
@@ -87,10 +87,10 @@
 }
 
 impl Process {
-    /// Starts it; what it says on either output goes to this file.
+    /// Starts the process; standard output and standard error go to the file `log`.
     ///
     /// # Errors
-    /// It can't be started, or the file not written.
+    /// The process can't be started, or the file can't be created.
     pub fn start(command: &mut Command, log: &Path) -> Result<Self, Error> {
         let file = || File::create(log).map_err(Error::io(log.display().to_string()));
         let out = file()?;
@@ -103,8 +103,8 @@
             .stderr(errors)
             .spawn();
         let child = child.map_err(Error::io(command.get_program().display().to_string()))?;
-        running(|numbers| {
-            numbers.insert(child.id());
+        update_running(|ids| {
+            ids.insert(child.id());
         });
         Ok(Process {
             child,
@@ -112,13 +112,13 @@
         })
     }
 
-    /// Its number.
+    /// Process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// What it has said, by lines.
+    /// All lines of output so far.
     #[must_use]
     pub fn lines(&self) -> Vec<String> {
         let file = File::open(&self.log);
@@ -126,44 +126,49 @@
             .unwrap_or_default()
     }
 
-    /// Waits until it has said this; the rest of that line.
+    /// Waits until the output contains a text, and returns the rest of that line.
     ///
     /// # Errors
-    /// It never does, or has ended.
-    pub fn until_said(&mut self, what: &str) -> Result<String, Error> {
-        let mut said = None;
-        until(&format!("a process says {what:?}"), || {
+    /// The text does not appear in time, or the process has ended.
+    pub fn wait_for_output(&mut self, text: &str) -> Result<String, Error> {
+        let mut rest_of_line = None;
+        wait_until(&format!("a process prints {text:?}"), || {
             let lines = self.lines();
-            said = lines
+            rest_of_line = lines
                 .iter()
-                .find_map(|line| Some(line.split_once(what)?.1.to_string()));
-            if said.is_none() && matches!(self.child.try_wait(), Ok(Some(_))) {
+                .find_map(|line| Some(line.split_once(text)?.1.to_string()));
+            if rest_of_line.is_none() && matches!(self.child.try_wait(), Ok(Some(_))) {
                 return Err(Error::Wrong(format!(
-                    "a process ended and said: {}",
+                    "a process ended early; its output: {}",
                     lines.join(" / ")
                 )));
             }
-            Ok(said.is_some())
+            Ok(rest_of_line.is_some())
         })?;
-        Ok(said.unwrap_or_default())
+        Ok(rest_of_line.unwrap_or_default())
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     ///
     /// # Errors
-    /// It is gone.
+    /// The process has ended.
     pub fn signal(&self, signal: Signal) -> Result<(), Error> {
         let sent = kill_process(Pid::from_child(&self.child), signal);
-        sent.map_err(|error| Error::Io(format!("a signal to process {}", self.id()), error.into()))
+        sent.map_err(|error| {
+            Error::Io(
+                format!("sending a signal to process {}", self.id()),
+                error.into(),
+            )
+        })
     }
 
-    /// Waits until it has ended by itself.
+    /// Waits until the process has ended by itself.
     ///
     /// # Errors
-    /// It does not.
-    pub fn until_ended(&mut self) -> Result<(), Error> {
+    /// The process does not end in time.
+    pub fn wait_for_exit(&mut self) -> Result<(), Error> {
         let child = &mut self.child;
-        until("a process ends", || {
+        wait_until("a process ends", || {
             Ok(matches!(child.try_wait(), Ok(Some(_))))
         })
     }
@@ -171,11 +176,11 @@
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // gone already, or gone now
+        // the process may have ended already
         let _ = self.child.kill();
         let _ = self.child.wait();
-        running(|numbers| {
-            numbers.remove(&self.child.id());
+        update_running(|ids| {
+            ids.remove(&self.child.id());
         });
     }
 }
--- a/crates/scale/src/fleet/real.rs
+++ b/crates/scale/src/fleet/real_senders.rs
@@ -1,9 +1,9 @@
-//! Real senders: processes of the program as the platform runs it, each with a process that keeps its session; an
-//! endpoint that they deliver to, and clients that hand messages in.
+//! Real senders as the platform runs them, each with a second process that keeps its session; an endpoint that they
+//! deliver to; and clients that submit messages.
 
+use super::coordinators::GROUP;
+use super::network_proxy::listen;
 use super::process::Process;
-use super::relay::listen;
-use super::stewards::GROUP;
 use crate::Error;
 use crate::cost::Cost;
 use rustix::process::Signal;
@@ -19,9 +19,10 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::runtime::Handle;
 
-/// The file of a sender's settings, for a fleet of so many; `listen` and `discovery` are said by variables.
+/// Content of a sender's configuration file for a fleet of the given size; environment variables override `listen` and
+/// `discovery`.
 #[must_use]
-pub fn config(senders: u64, on_request: bool) -> String {
+pub fn sender_config(senders: u64, on_request: bool) -> String {
     let discovery = if on_request {
         r#""discovery":"on_request","#
     } else {
@@ -41,19 +42,19 @@
     )
 }
 
-/// An endpoint that answers 200 to every call, and remembers which messages came.
+/// An endpoint that responds with 200 to every call and records which messages arrived.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// Where it listens.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    seen: Arc<Mutex<(BTreeSet<String>, u64)>>,
+    received: Arc<Mutex<(BTreeSet<String>, u64)>>,
 }
 
 impl Endpoint {
-    /// Begins to serve on this runtime.
+    /// Starts the endpoint on the runtime.
     ///
     /// # Errors
-    /// No port is to be had.
+    /// No port is available.
     pub fn start(runtime: &Handle) -> Result<Self, Error> {
         let _entered = runtime.enter();
         let listener = listen()?;
@@ -62,35 +63,35 @@
             .map_err(Error::io("a port on loopback"))?;
         let endpoint = Endpoint {
             address,
-            seen: Arc::default(),
+            received: Arc::default(),
         };
         runtime.spawn(endpoint.clone().serve(listener));
         Ok(endpoint)
     }
 
-    /// Messages that came, each once; and calls beyond the first of each.
-    pub fn seen(&self) -> (u64, u64) {
-        let seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-        (seen.0.len() as u64, seen.1)
+    /// Number of distinct messages received, and number of calls beyond the first for each message.
+    pub fn received(&self) -> (u64, u64) {
+        let received = self.received.lock().unwrap_or_else(PoisonError::into_inner);
+        (received.0.len() as u64, received.1)
     }
 
     async fn serve(self, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
-            let here = self.clone();
-            // a sender that leaves is free to
-            tokio::spawn(async move { here.serve_one(stream).await });
+            let endpoint = self.clone();
+            // an error means that the sender closed the connection, which it may do at any time
+            tokio::spawn(async move { endpoint.serve_one(stream).await });
         }
     }
 
     async fn serve_one(&self, stream: TcpStream) -> std::io::Result<()> {
         let mut stream = BufReader::new(stream);
         while let Some((_, headers)) = read_head(&mut stream).await? {
-            let length = number(&headers, "content-length");
+            let length = header_number(&headers, "content-length");
             tokio::io::copy(&mut (&mut stream).take(length), &mut tokio::io::sink()).await?;
             if let Some(id) = header(&headers, "x-request-id") {
-                let mut seen = self.seen.lock().unwrap_or_else(PoisonError::into_inner);
-                if !seen.0.insert(id.to_string()) {
-                    seen.1 += 1;
+                let mut received = self.received.lock().unwrap_or_else(PoisonError::into_inner);
+                if !received.0.insert(id.to_string()) {
+                    received.1 += 1;
                 }
             }
             stream
@@ -103,19 +104,19 @@
 
 type Headers = Vec<(String, String)>;
 
-/// The first line and the headers; none at the end of the connection.
+/// Reads the first line and the headers of a message; none at the end of the connection.
 async fn read_head(
     stream: &mut BufReader<TcpStream>,
 ) -> std::io::Result<Option<(String, Headers)>> {
-    let mut first = String::new();
-    if stream.read_line(&mut first).await? == 0 {
+    let mut first_line = String::new();
+    if stream.read_line(&mut first_line).await? == 0 {
         return Ok(None);
     }
     let mut headers = Vec::new();
     loop {
         let mut line = String::new();
         if stream.read_line(&mut line).await? <= 2 {
-            return Ok(Some((first, headers)));
+            return Ok(Some((first_line, headers)));
         }
         if let Some((name, value)) = line.split_once(':') {
             headers.push((name.to_ascii_lowercase(), value.trim().to_string()));
@@ -130,46 +131,46 @@
         .map(|(_, value)| value.as_str())
 }
 
-fn number(headers: &Headers, name: &str) -> u64 {
+fn header_number(headers: &Headers, name: &str) -> u64 {
     header(headers, name)
         .and_then(|value| value.parse().ok())
         .unwrap_or(0)
 }
 
-/// Real senders.
+/// Running processes of real senders, and counters of the messages submitted to them.
 #[derive(Debug)]
-pub struct Reals {
+pub struct RealSenders {
     senders: Vec<(Process, SocketAddr)>,
-    sessions: Vec<Process>,
-    taken: Arc<AtomicU64>,
-    handed: Arc<AtomicU64>,
+    session_processes: Vec<Process>,
+    accepted: Arc<AtomicU64>,
+    submitted: Arc<AtomicU64>,
     folder: TempDir,
 }
 
-impl Reals {
-    /// Starts so many, numbered from `first` on, and waits until each listens. Their sessions have the names and
-    /// work that hollow ones of the same numbers would have.
+impl RealSenders {
+    /// Starts a sender for each number and waits until it listens. Sessions have the names and resources that simulated
+    /// senders of the same numbers would have.
     ///
     /// # Errors
-    /// One does not come up.
+    /// A process does not start.
     pub fn start(
         program: &Path,
         config: &Path,
         numbers: std::ops::Range<u64>,
         discovery: SocketAddr,
-        stewards: &[String],
+        coordinators: &[String],
     ) -> Result<Self, Error> {
-        let folder = TempDir::new().map_err(Error::io("a folder for real senders"))?;
-        let mut reals = Reals {
+        let folder = TempDir::new().map_err(Error::io("a temporary directory for real senders"))?;
+        let mut real_senders = RealSenders {
             senders: Vec::new(),
-            sessions: Vec::new(),
-            taken: Arc::default(),
-            handed: Arc::default(),
+            session_processes: Vec::new(),
+            accepted: Arc::default(),
+            submitted: Arc::default(),
             folder,
         };
         let mut processes = Vec::new();
         for number in numbers {
-            let state = reals.folder.path().join(format!("state{number}"));
+            let state = real_senders.folder.path().join(format!("state{number}"));
             std::fs::create_dir(&state).map_err(Error::io(state.display().to_string()))?;
             let mut command = Command::new(program);
             command
@@ -178,9 +179,12 @@
                 .env("RELAY_NAME", format!("hollow-{number}"))
                 .env("RELAY_LISTEN", "127.0.0.1:0")
                 .env("RELAY_DISCOVERY", discovery.to_string());
-            let log = reals.folder.path().join(format!("sender{number}.log"));
+            let log = real_senders
+                .folder
+                .path()
+                .join(format!("sender{number}.log"));
             processes.push(Process::start(&mut command, &log)?);
-            if !stewards.is_empty() {
+            if !coordinators.is_empty() {
                 let mut command = Command::new(program);
                 command.args([
                     "fleet",
@@ -189,75 +193,81 @@
                     "--name",
                     &format!("hollow-{number}"),
                 ]);
-                // it acts for its work once an hour: what is left is the session
+                // with one action an hour on its resource, the process costs little besides its session
                 command.args(["--every", "3600000", "--group", GROUP, "--format", "json"]);
-                for address in stewards {
+                for address in coordinators {
                     command.args(["--steward", address]);
                 }
-                let log = reals.folder.path().join(format!("session{number}.log"));
-                reals.sessions.push(Process::start(&mut command, &log)?);
+                let log = real_senders
+                    .folder
+                    .path()
+                    .join(format!("session{number}.log"));
+                real_senders
+                    .session_processes
+                    .push(Process::start(&mut command, &log)?);
             }
         }
         for mut process in processes {
-            let address = process.until_said("listening on ")?;
+            let address = process.wait_for_output("listening on ")?;
             let address = address
                 .parse()
-                .map_err(|_| Error::Wrong(format!("no address: {address}")))?;
-            reals.senders.push((process, address));
+                .map_err(|_| Error::Wrong(format!("expected a listen address, got: {address}")))?;
+            real_senders.senders.push((process, address));
         }
-        for session in &mut reals.sessions {
-            session.until_said("\"owned\"")?;
+        for session in &mut real_senders.session_processes {
+            session.wait_for_output("\"owned\"")?;
         }
-        Ok(reals)
+        Ok(real_senders)
     }
 
-    /// Numbers of the processes.
+    /// Ids of all processes.
     pub fn ids(&self) -> Vec<u32> {
         let senders = self.senders.iter().map(|(process, _)| process.id());
         senders
-            .chain(self.sessions.iter().map(Process::id))
+            .chain(self.session_processes.iter().map(Process::id))
             .collect()
     }
 
-    /// What the senders have cost so far, and what the processes of their sessions have.
+    /// Returns the cost so far of the senders and of the processes that keep their sessions.
     ///
     /// # Errors
-    /// One is gone.
+    /// A process has ended.
     pub fn costs(&self) -> Result<(Cost, Cost), Error> {
         let senders = Cost::of_all(self.senders.iter().map(|(process, _)| process.id()))?;
         Ok((
             senders,
-            Cost::of_all(self.sessions.iter().map(Process::id))?,
+            Cost::of_all(self.session_processes.iter().map(Process::id))?,
         ))
     }
 
-    /// Hands messages to each sender, one after the other with this rest, to destinations below this number, until
-    /// the handle is aborted.
+    /// Submits messages to each sender, one after the other with a pause of `pause`, to destinations below the given
+    /// number, until the handles are aborted.
     #[must_use]
-    pub fn hand_in(
+    pub fn submit_messages(
         &self,
         runtime: &Handle,
-        rest: Duration,
+        pause: Duration,
         destinations: u64,
     ) -> Vec<tokio::task::AbortHandle> {
         let mut clients = Vec::new();
-        for (place, (_, address)) in self.senders.iter().enumerate() {
-            let (taken, handed, address) = (self.taken.clone(), self.handed.clone(), *address);
+        for (index, (_, address)) in self.senders.iter().enumerate() {
+            let (accepted, submitted, address) =
+                (self.accepted.clone(), self.submitted.clone(), *address);
             let client = async move {
                 let mut stream = BufReader::new(TcpStream::connect(address).await?);
                 for count in 0u64.. {
                     let message =
-                        message(&format!("r{place}-{count}"), count % destinations.max(1));
-                    handed.fetch_add(1, Ordering::Relaxed);
+                        message(&format!("r{index}-{count}"), count % destinations.max(1));
+                    submitted.fetch_add(1, Ordering::Relaxed);
                     stream.write_all(&message).await?;
-                    let Some((first, headers)) = read_head(&mut stream).await? else {
+                    let Some((first_line, headers)) = read_head(&mut stream).await? else {
                         break;
                     };
-                    let length = number(&headers, "content-length");
+                    let length = header_number(&headers, "content-length");
                     tokio::io::copy(&mut (&mut stream).take(length), &mut tokio::io::sink())
                         .await?;
-                    taken.fetch_add(u64::from(first.contains(" 202 ")), Ordering::Relaxed);
-                    tokio::time::sleep(rest).await;
+                    accepted.fetch_add(u64::from(first_line.contains(" 202 ")), Ordering::Relaxed);
+                    tokio::time::sleep(pause).await;
                 }
                 Ok::<(), std::io::Error>(())
             };
@@ -266,19 +276,19 @@
         clients
     }
 
-    /// Messages handed in, and those that were taken on.
+    /// Number of messages submitted, and number of those that were accepted.
     #[must_use]
-    pub fn handed(&self) -> (u64, u64) {
+    pub fn submitted_and_accepted(&self) -> (u64, u64) {
         (
-            self.handed.load(Ordering::Relaxed),
-            self.taken.load(Ordering::Relaxed),
+            self.submitted.load(Ordering::Relaxed),
+            self.accepted.load(Ordering::Relaxed),
         )
     }
 
-    /// Reads the settings of each sender anew.
+    /// Makes each sender reload its settings.
     ///
     /// # Errors
-    /// One is gone.
+    /// A process has ended.
     pub fn reload(&self) -> Result<(), Error> {
         self.senders
             .iter()
@@ -286,7 +296,7 @@
     }
 }
 
-/// A message as a client hands it in.
+/// A submission request for one message.
 fn message(id: &str, destination: u64) -> Vec<u8> {
     let body = "x".repeat(200);
     let head = format!(
