--- a/crates/policy/benches/cold.rs
+++ b/crates/policy/benches/cold.rs
@@ -2,7 +2,7 @@
 //! units of the root of N, how often it falls over, and which part of N is used. `cargo bench --bench cold`
 
 use milletturn_policy::SECOND;
-use milletturn_test_support::cold_fleet::{Overrun, Return, play};
+use milletturn_test_support::cold_fleet::{RecoveryResult, RecoveryScenario, simulate};
 
 fn main() {
     let seeds: u64 = std::env::args()
@@ -23,27 +23,30 @@
         for (told, restart, known) in lives {
             for skew in [1.0, 2.0] {
                 let (capacity, load, well) = (40.0, 0.9, known * SECOND);
-                let case = Return {
-                    senders,
-                    capacity,
-                    load,
+                let case = RecoveryScenario {
+                    sender_count: senders,
+                    capacity_per_s: capacity,
+                    load_ratio: load,
                     skew,
-                    told,
-                    restart,
-                    well,
+                    reports_limit: told,
+                    restarts_on_recovery: restart,
+                    healthy_time: well,
                     seed: 0,
                 };
-                let all: Vec<Overrun> = (0..seeds)
-                    .map(|seed| play(Return { seed, ..case }))
+                let all: Vec<RecoveryResult> = (0..seeds)
+                    .map(|seed| simulate(RecoveryScenario { seed, ..case }))
                     .collect();
                 let most = all
                     .iter()
                     .copied()
-                    .max_by(|a, b| a.roots.total_cmp(&b.roots))
+                    .max_by(|a, b| a.max_excess_in_roots.total_cmp(&b.max_excess_in_roots))
                     .unwrap_or_default();
-                let (most, at) = (most.roots, most.at as f64 / SECOND as f64);
-                let fell = all.iter().filter(|one| one.fell).count();
-                let used = all.iter().map(|one| one.used).sum::<f64>() / seeds as f64;
+                let (most, at) = (
+                    most.max_excess_in_roots,
+                    most.max_excess_at as f64 / SECOND as f64,
+                );
+                let fell = all.iter().filter(|one| one.collapsed).count();
+                let used = all.iter().map(|one| one.capacity_used).sum::<f64>() / seeds as f64;
                 let life = if restart {
                     "all restart".into()
                 } else {
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -20,24 +20,27 @@
     // back: the fleet used a half of the limit while messages waited until their time was up.
     for seed in 1..=3 {
         // calls of one message; demand near the limit, then above it
-        let near = play(Demand {
+        let near = simulate(Scenario {
             seed,
-            ..Demand::new(36.0, 40.0)
+            ..Scenario::new(36.0, 40.0)
         });
-        assert!(share(near.in_time, near.handed_in) > 0.9, "{near:?}");
-        let above = play(Demand {
+        assert!(
+            share(near.delivered_in_time, near.submitted) > 0.9,
+            "{near:?}"
+        );
+        let above = simulate(Scenario {
             seed,
-            ..Demand::new(48.0, 40.0)
+            ..Scenario::new(48.0, 40.0)
         });
-        assert!(share(above.delivered, above.handed_in) > 0.68, "{above:?}");
+        assert!(share(above.delivered, above.submitted) > 0.68, "{above:?}");
         // calls of up to five: alone they are far more than the limit
-        let bundles = play(Demand {
+        let bundles = simulate(Scenario {
             seed,
-            bundle: 5,
-            ..Demand::new(140.0, 40.0)
+            max_batch_size: 5,
+            ..Scenario::new(140.0, 40.0)
         });
         assert!(
-            share(bundles.in_time, bundles.handed_in) > 0.7,
+            share(bundles.delivered_in_time, bundles.submitted) > 0.7,
             "{bundles:?}"
         );
     }
@@ -47,14 +50,17 @@
     // Fleet, second day: refused calls use the limit up, also ahead. Each sender tried again at the pace that it
     // had reached while much was left, so a clump of one second was followed by ten in which nothing was served.
     for seed in 1..=3 {
-        let clump = play(Demand {
+        let clump = simulate(Scenario {
             seed,
-            clump: 8 * SECOND,
-            ..Demand::new(24.0, 40.0)
+            burst_at: 8 * SECOND,
+            ..Scenario::new(24.0, 40.0)
         });
-        assert!(share(clump.in_time, clump.handed_in) > 0.75, "{clump:?}");
+        assert!(
+            share(clump.delivered_in_time, clump.submitted) > 0.75,
+            "{clump:?}"
+        );
         // and those who were refused together do not come again together
-        assert!(share(clump.refused, clump.calls) < 0.11, "{clump:?}");
+        assert!(share(clump.rejected, clump.calls) < 0.11, "{clump:?}");
     }
 }
 
@@ -63,15 +69,18 @@
     // Mass, calm day: each of 300 senders has an even share of a told limit, some get several times the mean of the
     // messages. What they held waited up to its end while others left their shares unused.
     for seed in 1..=2 {
-        let uneven = Demand {
+        let uneven = Scenario {
             seed,
-            senders: 300,
+            sender_count: 300,
             skew: 2.0,
-            ..Demand::new(95.0, 107.0)
+            ..Scenario::new(95.0, 107.0)
         };
-        let served = play(uneven);
-        assert!(share(served.in_time, served.handed_in) > 0.9, "{served:?}");
-        assert!(share(served.refused, served.calls) < 0.01, "{served:?}");
+        let served = simulate(uneven);
+        assert!(
+            share(served.delivered_in_time, served.submitted) > 0.9,
+            "{served:?}"
+        );
+        assert!(share(served.rejected, served.calls) < 0.01, "{served:?}");
     }
 }
 
@@ -81,19 +90,19 @@
     // a second lets no second message go within an aim of 0.3 s, and nothing was saved up for it.
     for (load, wanted) in [(0.5, 0.92), (0.8, 0.85)] {
         for seed in 1..=3 {
-            let urgent = Demand {
-                senders: 60,
-                terms: Terms::urgent(),
+            let urgent = Scenario {
+                sender_count: 60,
+                profile: MessageProfile::urgent(),
                 seed,
-                ..Demand::new(84.0 * load, 84.0)
+                ..Scenario::new(84.0 * load, 84.0)
             };
-            let served = play(urgent);
+            let served = simulate(urgent);
             assert!(
-                share(served.in_time, served.handed_in) > wanted,
+                share(served.delivered_in_time, served.submitted) > wanted,
                 "load {load}: {served:?}"
             );
             assert!(
-                share(served.refused, served.calls) < 0.02,
+                share(served.rejected, served.calls) < 0.02,
                 "load {load}: {served:?}"
             );
         }
@@ -232,13 +241,16 @@
     // Fleet, fourth day: at a start each sender called as fast as messages came until its first report, and again
     // after the restart of most. What that used up ahead took three seconds in which nothing was served.
     for seed in 1..=3 {
-        let start = play(Demand {
+        let start = simulate(Scenario {
             seed,
-            bundle: 5,
-            length: 4 * SECOND,
-            ..Demand::new(230.0, 60.0)
+            max_batch_size: 5,
+            duration: 4 * SECOND,
+            ..Scenario::new(230.0, 60.0)
         });
-        assert!(share(start.in_time, start.handed_in) > 0.6, "{start:?}");
+        assert!(
+            share(start.delivered_in_time, start.submitted) > 0.6,
+            "{start:?}"
+        );
     }
 }
 
@@ -248,7 +260,7 @@
     (told.senders, told.max_held) = (300, 16);
     (told.report_left, told.report_limit) = (Some(0), Some(1));
     told.classes[KEYED].aim = 4 * SECOND;
-    (told, among_others())
+    (told, one_among_idle_destinations())
 }
 
 /// Answers each send that has not been answered, with so much left of a limit of 85.
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -2,28 +2,28 @@
 //! hold on 20 seeds; the aims are goodput 0.9 (300 senders: 0.85) and 0.08 refused. All cases: `--bench limits`.
 
 use milletturn_policy::SECOND;
-use milletturn_test_support::limited_fleet::{Demand, Limiting, Served, play};
+use milletturn_test_support::limited_fleet::{LimitPolicy, Scenario, ScenarioResult, simulate};
 
 /// Seconds that the senders have to find the limit.
 const SETTLES: usize = 10;
 const LENGTH: usize = 40;
 
 /// So many senders at a limit, asked for so much of it, that refusals use up too.
-fn asked(senders: usize, load: f64, limit: f64) -> Demand {
+fn asked(senders: usize, load: f64, limit: f64) -> Scenario {
     let length = LENGTH as i64 * SECOND;
-    Demand {
-        senders,
-        length,
-        limiting: Limiting::refusals(),
-        ..Demand::new(load * limit, limit)
+    Scenario {
+        sender_count: senders,
+        duration: length,
+        limit_policy: LimitPolicy::rejections_only(),
+        ..Scenario::new(load * limit, limit)
     }
 }
 
 /// Goodput over the least of limit and demand, refused share, each once the senders have found the limit.
-fn settled(served: &Served) -> (f64, f64) {
+fn settled(served: &ScenarioResult) -> (f64, f64) {
     (
         served.goodput(SETTLES, LENGTH),
-        served.refused_share(SETTLES, LENGTH),
+        served.rejected_share(SETTLES, LENGTH),
     )
 }
 
@@ -31,7 +31,7 @@
 fn below_a_limit_that_only_refusals_tell_nothing_is_lost() {
     for senders in [3, 10, 60, 300] {
         for seed in 1..=3 {
-            let (goodput, refused) = settled(&play(Demand {
+            let (goodput, refused) = settled(&simulate(Scenario {
                 seed,
                 ..asked(senders, 0.8, 60.0)
             }));
@@ -58,7 +58,7 @@
     ];
     for (senders, load, limit, least, most) in cases {
         for seed in 1..=3 {
-            let (goodput, refused) = settled(&play(Demand {
+            let (goodput, refused) = settled(&simulate(Scenario {
                 seed,
                 ..asked(senders, load, limit)
             }));
@@ -74,13 +74,13 @@
 #[test]
 fn refusals_that_cost_the_limit_nothing_cost_no_goodput() {
     for seed in 1..=3 {
-        let free = Limiting {
-            debt: false,
-            ..Limiting::refusals()
+        let free = LimitPolicy {
+            rejections_consume: false,
+            ..LimitPolicy::rejections_only()
         };
-        let (goodput, refused) = settled(&play(Demand {
+        let (goodput, refused) = settled(&simulate(Scenario {
             seed,
-            limiting: free,
+            limit_policy: free,
             ..asked(60, 1.1, 60.0)
         }));
         assert!(
@@ -94,15 +94,15 @@
 fn refusals_at_random_with_no_limit_behind_them_cost_no_goodput() {
     // what every rule tried so far against the collapse costs: see docs/design/limits.md
     for seed in 1..=3 {
-        let free = Limiting {
-            debt: false,
-            tells_wait: 0.0,
-            noise: 0.1,
-            ..Limiting::refusals()
+        let free = LimitPolicy {
+            rejections_consume: false,
+            retry_after_share: 0.0,
+            random_rejection_share: 0.1,
+            ..LimitPolicy::rejections_only()
         };
-        let served = play(Demand {
+        let served = simulate(Scenario {
             seed,
-            limiting: free,
+            limit_policy: free,
             ..asked(60, 0.5, 60.0)
         });
         let (goodput, refused) = settled(&served);
--- a/crates/test-support/src/cold_fleet.rs
+++ b/crates/test-support/src/cold_fleet.rs
@@ -1,7 +1,8 @@
-//! Senders before one destination that fails for a while and comes back cold, in virtual time, from a seed: how many
-//! calls of all together come beyond what the settings let it take then.
+//! Simulates a fleet of senders with one destination that fails for a while and recovers into its slow start, in virtual
+//! time and from a seed. Measures by how much the calls of all senders together exceed the capacity that the settings
+//! assume during the slow start.
 
-use crate::turns::turn;
+use crate::turns::run_turn;
 use milletturn_policy::{
     Action, Class, Effect, EndpointId, Entry, Event, Kind, Listing, MILLISECOND, MessageId, Micros,
     NewMessage, Outcome, PastAttempt, SECOND, Sender, Settings,
@@ -10,65 +11,66 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const T0: Micros = 100 * SECOND;
+const START: Micros = 100 * SECOND;
 const STEP: Micros = 10 * MILLISECOND;
-const TIME: Micros = 20 * SECOND;
+const TIME_TO_LIVE: Micros = 20 * SECOND;
 const DESTINATION: u64 = 7;
-const CALL: Micros = 60 * MILLISECOND;
-/// It fails for so long.
-const AWAY: Micros = 10 * SECOND;
+const CALL_DURATION: Micros = 60 * MILLISECOND;
+/// How long the destination fails.
+const OUTAGE: Micros = 10 * SECOND;
 
-/// One return.
+/// One outage and recovery of the destination.
 #[derive(Debug, Clone, Copy)]
-pub struct Return {
-    /// Senders of the fleet.
-    pub senders: usize,
-    /// Calls a second that the destination does when it is warm.
-    pub capacity: f64,
-    /// Messages a second over all senders, as a part of that.
-    pub load: f64,
-    /// How unevenly they go to the senders: 1 evenly; at 2 a tenth of the senders get a third.
+pub struct RecoveryScenario {
+    /// Number of senders in the fleet.
+    pub sender_count: usize,
+    /// Calls per second that the destination can process at full capacity.
+    pub capacity_per_s: f64,
+    /// Message rate of all senders together, as a fraction of `capacity_per_s`.
+    pub load_ratio: f64,
+    /// How unevenly messages are spread over the senders: 1 is even, and with 2 a tenth of the senders gets a third.
     pub skew: f64,
-    /// Answers tell the limit and that half of it is left.
-    pub told: bool,
-    /// How long it is well before it fails.
-    pub well: Micros,
-    /// All senders start anew in the second of the return, with what they hold.
-    pub restart: bool,
-    /// Of arrivals and senders.
+    /// Whether responses report the rate limit, and that half of it is left.
+    pub reports_limit: bool,
+    /// How long the destination is healthy before it fails.
+    pub healthy_time: Micros,
+    /// Whether all senders restart when the destination recovers, with the messages that they hold.
+    pub restarts_on_recovery: bool,
+    /// Seed of the arrivals and of the senders.
     pub seed: u64,
 }
 
-/// What came of it.
+/// Load on the destination during its slow start.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Overrun {
-    /// The most calls in a span beyond the settings' N, in units of the root of N.
-    pub roots: f64,
-    /// When that was, counted from the return.
-    pub at: Micros,
-    /// Whether a span had more than N + 2 x root of N + 2: it falls over.
-    pub fell: bool,
-    /// Calls until it is warm, as a part of the settings' N over that time.
-    pub used: f64,
+pub struct RecoveryResult {
+    /// Largest excess of calls in a span over the number N that the settings allow, in units of the square root of N.
+    pub max_excess_in_roots: f64,
+    /// When that excess occurred, counted from the recovery.
+    pub max_excess_at: Micros,
+    /// Whether a span had more than N + 2 x sqrt(N) + 2 calls, at which the destination collapses.
+    pub collapsed: bool,
+    /// Calls during the slow start, as a fraction of those that the settings allow in that time.
+    pub capacity_used: f64,
 }
 
-/// One call on its way: its sender in which of its lives, its message and attempt, when it was sent, how it ends.
-struct Out {
+/// A call in flight.
+struct CallInFlight {
     sender: usize,
-    life: usize,
+    /// Process incarnation of the sender that made the call, counted from 0.
+    incarnation: usize,
     message: u64,
     attempt: usize,
     sent: Micros,
     outcome: Outcome,
 }
 
-/// Plays one return.
+/// Simulates one outage and recovery.
 #[must_use]
-pub fn play(case: Return) -> Overrun {
+pub fn simulate(scenario: RecoveryScenario) -> RecoveryResult {
     let mut settings = Settings::new(10, 40);
-    (settings.senders, settings.max_attempts) = (case.senders as u32, 12);
+    (settings.senders, settings.max_attempts) = (scenario.sender_count as u32, 12);
     settings.connection_idle = 5 * SECOND;
-    if case.told {
+    if scenario.reports_limit {
         (settings.report_left, settings.report_limit) = (Some(0), Some(1));
     }
     let keyed = Effect::Keyed {
@@ -77,7 +79,7 @@
     };
     settings
         .classes
-        .push(Class::new("one", keyed, 4 * SECOND, TIME));
+        .push(Class::new("one", keyed, 4 * SECOND, TIME_TO_LIVE));
     settings.kinds.push(Kind {
         name: "one".into(),
         separate_routes: false,
@@ -90,51 +92,60 @@
         entries,
     };
     let start = |seed| Sender::new(settings.clone(), seed).expect("settings make sense");
-    let mut random = Pcg32::seed_from_u64(case.seed);
-    let mut roll = move || f64::from(random.next_u32()) / f64::from(u32::MAX);
-    let first = case.seed * 1000;
-    let mut senders: Vec<Sender> = (0..case.senders as u64).map(|n| start(first + n)).collect();
-    let mut alarms: Vec<BTreeSet<Micros>> = vec![BTreeSet::new(); case.senders];
-    let mut inbox: Vec<Vec<Event>> = vec![vec![listed.clone()]; case.senders];
-    // calls on their way by when they end
-    let mut out: BTreeMap<Micros, Vec<Out>> = BTreeMap::new();
+    let mut random = Pcg32::seed_from_u64(scenario.seed);
+    let mut random_fraction = move || f64::from(random.next_u32()) / f64::from(u32::MAX);
+    let first_seed = scenario.seed * 1000;
+    let mut senders: Vec<Sender> = (0..scenario.sender_count as u64)
+        .map(|n| start(first_seed + n))
+        .collect();
+    let mut alarms: Vec<BTreeSet<Micros>> = vec![BTreeSet::new(); scenario.sender_count];
+    let mut inboxes: Vec<Vec<Event>> = vec![vec![listed.clone()]; scenario.sender_count];
+    // calls in flight by the time at which they end
+    let mut calls_in_flight: BTreeMap<Micros, Vec<CallInFlight>> = BTreeMap::new();
     let mut attempts: BTreeMap<u64, Vec<PastAttempt>> = BTreeMap::new();
-    let mut held: BTreeMap<u64, (usize, Micros)> = BTreeMap::new();
-    let (mut now, mut next, mut id, mut life) = (T0, T0, 0u64, 0);
-    let back = T0 + case.well + AWAY;
-    let (cold, span) = (safety.cold_time, safety.fall_span);
-    let level = |at: Micros| {
-        let warm = (at - back) as f64 / cold as f64;
-        safety.start_capacity + (1.0 - safety.start_capacity) * warm.clamp(0.0, 1.0)
+    let mut pending: BTreeMap<u64, (usize, Micros)> = BTreeMap::new();
+    let (mut now, mut next_arrival, mut next_id, mut incarnation) = (START, START, 0u64, 0);
+    let recovery = START + scenario.healthy_time + OUTAGE;
+    let (slow_start_time, span) = (safety.cold_time, safety.fall_span);
+    let capacity_level = |at: Micros| {
+        let elapsed_fraction = (at - recovery) as f64 / slow_start_time as f64;
+        safety.start_capacity + (1.0 - safety.start_capacity) * elapsed_fraction.clamp(0.0, 1.0)
     };
-    let allows = |at: Micros| case.capacity * level(at) * safety.fall_multiple * seconds(span);
-    let mut lately: VecDeque<Micros> = VecDeque::new();
-    let (mut seen, mut calls, mut whole) = (
-        Overrun {
-            roots: f64::MIN,
-            ..Overrun::default()
+    let calls_allowed = |at: Micros| {
+        scenario.capacity_per_s * capacity_level(at) * safety.fall_multiple * seconds(span)
+    };
+    let mut recent_calls: VecDeque<Micros> = VecDeque::new();
+    let (mut result, mut calls, mut allowed_calls) = (
+        RecoveryResult {
+            max_excess_in_roots: f64::MIN,
+            ..RecoveryResult::default()
         },
         0.0,
         0.0,
     );
-    while now < back + cold {
+    while now < recovery + slow_start_time {
         now += STEP;
-        while next <= now {
-            let rate = case.load * case.capacity;
-            next += (-roll().max(1e-9).ln() / rate * SECOND as f64) as Micros;
-            let to = (roll().powf(case.skew) * case.senders as f64) as usize % case.senders;
-            inbox[to].push(Event::Accepted(NewMessage::new(
-                MessageId(id),
+        while next_arrival <= now {
+            let rate = scenario.load_ratio * scenario.capacity_per_s;
+            next_arrival += (-random_fraction().max(1e-9).ln() / rate * SECOND as f64) as Micros;
+            let receiver = (random_fraction().powf(scenario.skew) * scenario.sender_count as f64)
+                as usize
+                % scenario.sender_count;
+            inboxes[receiver].push(Event::Accepted(NewMessage::new(
+                MessageId(next_id),
                 0,
                 DESTINATION,
-                TIME,
+                TIME_TO_LIVE,
             )));
-            held.insert(id, (to, now));
-            id += 1;
+            pending.insert(next_id, (receiver, now));
+            next_id += 1;
         }
-        let later = out.split_off(&(now + 1));
-        for call in std::mem::replace(&mut out, later).into_values().flatten() {
-            let Out {
+        let still_in_flight = calls_in_flight.split_off(&(now + 1));
+        for call in std::mem::replace(&mut calls_in_flight, still_in_flight)
+            .into_values()
+            .flatten()
+        {
+            let CallInFlight {
                 sender,
                 message,
                 attempt,
@@ -143,20 +154,20 @@
                 ..
             } = call;
             if outcome == Outcome::Success {
-                held.remove(&message);
+                pending.remove(&message);
             }
-            if let Some(past) = attempts
+            if let Some(past_attempt) = attempts
                 .get_mut(&message)
                 .and_then(|all| all.get_mut(attempt))
             {
-                past.may_have_run = !outcome.never_ran();
+                past_attempt.may_have_run = !outcome.never_ran();
             }
-            if call.life == life {
-                let report = match case.told && outcome == Outcome::Success {
-                    true => vec![0.5, case.capacity],
+            if call.incarnation == incarnation {
+                let report = match scenario.reports_limit && outcome == Outcome::Success {
+                    true => vec![0.5, scenario.capacity_per_s],
                     false => vec![],
                 };
-                inbox[sender].push(Event::Ended {
+                inboxes[sender].push(Event::Ended {
                     message: MessageId(message),
                     attempt,
                     endpoint: EndpointId(1),
@@ -168,59 +179,69 @@
                 });
             }
         }
-        if case.restart && life == 0 && now >= back {
-            life = 1;
-            for index in 0..case.senders {
-                senders[index] = start(first + 500 + index as u64);
+        if scenario.restarts_on_recovery && incarnation == 0 && now >= recovery {
+            incarnation = 1;
+            for index in 0..scenario.sender_count {
+                senders[index] = start(first_seed + 500 + index as u64);
                 alarms[index].clear();
-                inbox[index] = vec![listed.clone()];
+                inboxes[index] = vec![listed.clone()];
             }
-            for (&message, &(to, born)) in held.iter().filter(|(_, (_, born))| born + TIME > now) {
-                let message =
-                    NewMessage::new(MessageId(message), 0, DESTINATION, born + TIME - now);
+            for (&message, &(receiver, accepted_at)) in pending
+                .iter()
+                .filter(|(_, (_, accepted_at))| accepted_at + TIME_TO_LIVE > now)
+            {
+                let message = NewMessage::new(
+                    MessageId(message),
+                    0,
+                    DESTINATION,
+                    accepted_at + TIME_TO_LIVE - now,
+                );
                 let attempts = attempts.get(&message.id.0).cloned().unwrap_or_default();
-                inbox[to].push(Event::Resumed { message, attempts });
+                inboxes[receiver].push(Event::Resumed { message, attempts });
             }
         }
-        for index in 0..case.senders {
-            let actions = turn(
+        for index in 0..scenario.sender_count {
+            let actions = run_turn(
                 &mut senders[index],
-                &mut inbox[index],
+                &mut inboxes[index],
                 &mut alarms[index],
                 now,
             );
             for action in actions {
                 match action {
                     Action::Refuse { message, .. } | Action::Fail(message) => {
-                        held.remove(&message.0);
+                        pending.remove(&message.0);
                     }
                     Action::Send {
                         message, endpoint, ..
                     } => {
-                        let past = attempts.entry(message.0).or_default();
-                        past.push(PastAttempt {
+                        let past_attempts = attempts.entry(message.0).or_default();
+                        past_attempts.push(PastAttempt {
                             endpoint,
                             sent: now,
                             may_have_run: true,
                         });
-                        let away = (T0 + case.well..back).contains(&now);
-                        let outcome = if away {
+                        let is_down = (START + scenario.healthy_time..recovery).contains(&now);
+                        let outcome = if is_down {
                             Outcome::NoConnection
                         } else {
                             Outcome::Success
                         };
-                        let (message, attempt) = (message.0, past.len() - 1);
-                        let call = Out {
+                        let (message, attempt) = (message.0, past_attempts.len() - 1);
+                        let call = CallInFlight {
                             sender: index,
-                            life,
+                            incarnation,
                             message,
                             attempt,
                             sent: now,
                             outcome,
                         };
-                        out.entry(now + CALL).or_default().push(call);
-                        if now >= back {
-                            lately.push_back(now);
+                        calls_in_flight
+                            .entry(now + CALL_DURATION)
+                            .or_default()
+                            .push(call);
+                        if now >= recovery {
+                            recent_calls.push_back(now);
                             calls += 1.0;
                         }
                     }
@@ -228,21 +249,25 @@
                 }
             }
         }
-        if now >= back {
-            while lately.front().is_some_and(|&at| at <= now - span) {
-                lately.pop_front();
+        if now >= recovery {
+            while recent_calls.front().is_some_and(|&at| at <= now - span) {
+                recent_calls.pop_front();
             }
-            let (n, came) = (allows(now), lately.len() as f64);
-            let roots = (came - n) / n.sqrt();
-            if roots > seen.roots {
-                (seen.roots, seen.at) = (roots, now - back);
+            let (allowed, call_count) = (calls_allowed(now), recent_calls.len() as f64);
+            let max_excess_in_roots = (call_count - allowed) / allowed.sqrt();
+            if max_excess_in_roots > result.max_excess_in_roots {
+                (result.max_excess_in_roots, result.max_excess_at) =
+                    (max_excess_in_roots, now - recovery);
             }
-            seen.fell |= came > n + 2.0 * n.sqrt() + 2.0;
-            whole += case.capacity * level(now) * safety.fall_multiple * seconds(STEP);
+            result.collapsed |= call_count > allowed + 2.0 * allowed.sqrt() + 2.0;
+            allowed_calls += scenario.capacity_per_s
+                * capacity_level(now)
+                * safety.fall_multiple
+                * seconds(STEP);
         }
     }
-    seen.used = calls / whole;
-    seen
+    result.capacity_used = calls / allowed_calls;
+    result
 }
 
 fn seconds(span: Micros) -> f64 {
--- a/crates/test-support/src/config_variants.rs
+++ b/crates/test-support/src/config_variants.rs
@@ -1,6 +1,7 @@
-//! Variants of a configuration: every setting removed, emptied, negated, doubled and set absurd.
+//! Generates faulty variants of a configuration file.
 
-/// All variants of a file of settings: what stands in place of one line, and the whole text.
+/// All variants of a configuration file in which one setting is removed, emptied, given twice, negated, or given an
+/// extreme value or one of another type. Returns the changed line and the whole text of each.
 #[must_use]
 pub fn config_variants(text: &str) -> Vec<(String, String)> {
     let lines: Vec<&str> = text.lines().collect();
@@ -9,18 +10,18 @@
         let Some((name, value)) = line.split_once(" = ").filter(|_| !line.starts_with('#')) else {
             continue;
         };
-        for variant in of_line(name, value) {
+        for variant in line_variants(name, value) {
             let mut changed: Vec<&str> = lines.clone();
             changed[index] = &variant;
-            let whole = changed.join("\n");
-            all.push((variant, whole));
+            let text = changed.join("\n");
+            all.push((variant, text));
         }
     }
     all
 }
 
-/// Variants of the value of one line.
-fn of_line(name: &str, value: &str) -> Vec<String> {
+/// What replaces the line `name = value` in each variant.
+fn line_variants(name: &str, value: &str) -> Vec<String> {
     let bare = value.trim_matches('"');
     let digits = bare
         .find(|c: char| !c.is_ascii_digit() && c != '.')
--- a/crates/test-support/src/crash_point.rs
+++ b/crates/test-support/src/crash_point.rs
@@ -1,48 +1,51 @@
-//! A switch that cuts a simulated process off between two steps, as SIGKILL does.
+//! Simulates SIGKILL: stops a simulated process between two of its externally visible steps.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Counts steps that can be seen from outside (a write, a send, an answer). Behind the last one allowed, nothing
-/// that the process does has any effect: ports ask [`CrashPoint::try_step`] first and do nothing without it.
+/// Counts the externally visible steps of a simulated process (a write, a send, a response) and crashes the process
+/// after a given number of them.
+///
+/// Ports call [`CrashPoint::try_step`] before each such step and do nothing when that returns false, so that nothing
+/// the process does after the crash has any effect.
 #[derive(Debug, Clone)]
 pub struct CrashPoint(Rc<Inner>);
 
 #[derive(Debug)]
 struct Inner {
-    taken: Cell<u64>,
-    most: Cell<u64>,
+    steps_taken: Cell<u64>,
+    max_steps: Cell<u64>,
 }
 
 impl CrashPoint {
-    /// CrashPoint for so many steps.
+    /// A process that crashes after `max_steps` steps; with `u64::MAX` it never does.
     #[must_use]
-    pub fn new(most: u64) -> Self {
+    pub fn new(max_steps: u64) -> Self {
         CrashPoint(Rc::new(Inner {
-            taken: Cell::new(0),
-            most: Cell::new(most),
+            steps_taken: Cell::new(0),
+            max_steps: Cell::new(max_steps),
         }))
     }
 
-    /// Takes a step; false once the power is off, and then for good.
+    /// Counts one step. Returns false, from then on always, once the process has crashed.
     #[must_use]
     pub fn try_step(&self) -> bool {
         if self.has_crashed() {
             return false;
         }
-        self.0.taken.set(self.0.taken.get() + 1);
+        self.0.steps_taken.set(self.0.steps_taken.get() + 1);
         true
     }
 
-    /// True once no step is left.
+    /// Whether the process has taken all the steps that it may.
     #[must_use]
     pub fn has_crashed(&self) -> bool {
-        self.0.taken.get() >= self.0.most.get()
+        self.0.steps_taken.get() >= self.0.max_steps.get()
     }
 
-    /// Steps taken so far.
+    /// Number of steps taken so far.
     #[must_use]
     pub fn steps_taken(&self) -> u64 {
-        self.0.taken.get()
+        self.0.steps_taken.get()
     }
 }
--- a/crates/test-support/src/duplicating_proxy.rs
+++ b/crates/test-support/src/duplicating_proxy.rs
@@ -1,4 +1,4 @@
-//! A fault proxy in front of an endpoint, which sends some of its responses twice.
+//! A proxy in front of an endpoint that sends some of the endpoint's responses twice.
 
 use crate::{Request, asks_to_close, read_http};
 use std::io::{BufReader, Write};
@@ -8,49 +8,50 @@
 use std::thread;
 use std::time::Duration;
 
-/// The header of a request during which the proxy sends a copy of an earlier response.
+/// Header that the proxy adds to a request during which it sends a duplicate of an earlier response.
 pub const DUPLICATE_SENT_HEADER: &str = "x-copy-sent";
 
-/// When the second copy of a response is sent.
+/// When the duplicate of a response is sent.
 #[derive(Debug, Clone, Copy)]
 pub enum DuplicateTiming {
-    /// So long behind the response, whether or not the next request has come by then.
+    /// This long after the response, whether or not the next request has arrived by then.
     AfterResponse(Duration),
-    /// So long after the next request on the connection has come, before its own response.
+    /// This long after the next request on the connection has arrived, before the response to that request.
     DuringNextRequest(Duration),
 }
 
-/// What a copy has in common with the response that it repeats.
+/// How a duplicate relates to the response that it repeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DuplicateContent {
-    /// All bytes.
+    /// Every byte is the same.
     Identical,
-    /// The status. Its headers are other ones, such as those of a newer load report, and suit the request that it meets.
+    /// The status is the same and some headers differ, as if the duplicate carried a newer load report. It announces
+    /// `Connection: close` if the request that it answers asked for that.
     DifferentHeaders,
 }
 
-/// Which responses are sent twice, and how.
+/// Which responses are sent twice, when, and with which content.
 #[derive(Debug, Clone, Copy)]
 pub struct Duplication {
-    /// When a copy is sent.
+    /// When a duplicate is sent.
     pub timing: DuplicateTiming,
-    /// What it holds.
+    /// How its bytes differ from the response.
     pub content: DuplicateContent,
-    /// Of each connection's responses, every so-manieth is sent twice.
+    /// Of each connection's responses, every n-th is sent twice.
     pub every_nth_response: usize,
 }
 
-/// The proxy. Each connection of the sender's is one connection here, and each of its requests one at the endpoint.
+/// A proxy that forwards each request to the endpoint on a connection of its own, and sends some responses twice.
 #[derive(Debug, Clone)]
 pub struct DuplicatingProxy {
-    /// Where it listens.
+    /// Address on which the proxy listens.
     pub address: SocketAddr,
-    /// Copies that were sent so far.
+    /// Number of duplicates sent so far.
     pub duplicates_sent: Arc<AtomicUsize>,
 }
 
 impl DuplicatingProxy {
-    /// Listens at once.
+    /// Starts a proxy for `endpoint` on a free loopback port.
     #[must_use]
     pub fn new(endpoint: SocketAddr, duplication: Duplication) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -58,13 +59,13 @@
             address: listener.local_addr().expect("bound"),
             duplicates_sent: Arc::default(),
         };
-        let copies = proxy.duplicates_sent.clone();
+        let duplicates_sent = proxy.duplicates_sent.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let forwarding = Forwarding {
                     stream,
                     endpoint,
-                    copies: copies.clone(),
+                    duplicates_sent: duplicates_sent.clone(),
                 };
                 thread::spawn(move || forwarding.run(duplication));
             }
@@ -73,25 +74,26 @@
     }
 }
 
-/// One connection of the sender's.
+/// A connection that the sender has opened to the proxy.
 struct Forwarding {
     stream: TcpStream,
     endpoint: SocketAddr,
-    copies: Arc<AtomicUsize>,
+    duplicates_sent: Arc<AtomicUsize>,
 }
 
 impl Forwarding {
-    /// Runs until either side is gone, or until the response to a request that asks for the connection's end.
+    /// Forwards requests until either side closes its connection, or until the response to a request with
+    /// `Connection: close` has been sent.
     fn run(mut self, duplication: Duplication) -> Option<()> {
         let mut requests = BufReader::new(self.stream.try_clone().ok()?);
         let mut last_response: Option<Request> = None;
         for number in 1.. {
             let mut request = read_http(&mut requests)?;
-            let closes = asks_to_close(&request);
-            let copy = last_response
+            let close_requested = asks_to_close(&request);
+            let duplicate = last_response
                 .take()
                 .filter(|_| number % duplication.every_nth_response == 0);
-            let delay = match (&copy, duplication.timing) {
+            let delay = match (&duplicate, duplication.timing) {
                 (Some(_), DuplicateTiming::DuringNextRequest(delay)) => Some(delay),
                 _ => None,
             };
@@ -101,48 +103,52 @@
                     .insert(DUPLICATE_SENT_HEADER.into(), "1".into());
             }
             let mut upstream = TcpStream::connect(self.endpoint).ok()?;
-            upstream.write_all(&bytes_of(&request)).ok()?;
-            if let (Some(copy), Some(delay)) = (copy, delay) {
+            upstream.write_all(&encode(&request)).ok()?;
+            if let (Some(duplicate), Some(delay)) = (duplicate, delay) {
                 thread::sleep(delay);
-                self.send_copy(copy, duplication.content, closes)?;
+                self.send_duplicate(duplicate, duplication.content, close_requested)?;
             }
             let response = read_http(&mut BufReader::new(upstream))?;
-            self.stream.write_all(&bytes_of(&response)).ok()?;
+            self.stream.write_all(&encode(&response)).ok()?;
             match duplication.timing {
                 DuplicateTiming::AfterResponse(delay)
                     if number % duplication.every_nth_response == 0 =>
                 {
                     thread::sleep(delay);
-                    self.send_copy(response, duplication.content, closes)?;
+                    self.send_duplicate(response, duplication.content, close_requested)?;
                 }
                 _ => last_response = Some(response),
             }
-            if closes {
+            if close_requested {
                 return None;
             }
         }
         None
     }
 
-    fn send_copy(
+    fn send_duplicate(
         &mut self,
-        mut copy: Request,
+        mut duplicate: Request,
         content: DuplicateContent,
-        closes: bool,
+        close_requested: bool,
     ) -> Option<()> {
-        let number = self.copies.fetch_add(1, Ordering::SeqCst);
+        let number = self.duplicates_sent.fetch_add(1, Ordering::SeqCst);
         if content == DuplicateContent::DifferentHeaders {
-            copy.headers.insert("x-copy".into(), number.to_string());
-            if closes {
-                copy.headers.insert("connection".into(), "close".into());
+            duplicate
+                .headers
+                .insert("x-copy".into(), number.to_string());
+            if close_requested {
+                duplicate
+                    .headers
+                    .insert("connection".into(), "close".into());
             }
         }
-        self.stream.write_all(&bytes_of(&copy)).ok()
+        self.stream.write_all(&encode(&duplicate)).ok()
     }
 }
 
-/// A request or response as it goes on.
-fn bytes_of(message: &Request) -> Vec<u8> {
+/// Encodes a request or response as it is sent on.
+fn encode(message: &Request) -> Vec<u8> {
     let mut text = format!("{}\r\n", message.line);
     for (name, value) in &message.headers {
         text += &format!("{name}: {value}\r\n");
--- a/crates/test-support/src/engine_ports.rs
+++ b/crates/test-support/src/engine_ports.rs
@@ -1,4 +1,4 @@
-//! Ports of an engine and its inputs, for tests with a whole engine.
+//! Builds the ports and inputs of an engine, for tests that run a whole engine.
 
 use crate::MemoryJournal;
 use milletturn_engine::observer::NoopObserver;
@@ -13,10 +13,10 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::Instant;
 
-/// Module time when the engine starts.
+/// Time of the engine's clock when the engine starts, microseconds.
 pub const START_TIME_US: i64 = 1_000_000 * SECOND;
 
-/// The ports of an engine whose notifications and events nobody receives, for endpoints of the kind `one`.
+/// Ports of an engine for endpoints of the kind `one`. Its notifications, readiness and observer events are discarded.
 pub fn engine_ports(
     settings: Settings,
     targets: Vec<ListedEndpoint>,
@@ -45,7 +45,7 @@
     }
 }
 
-/// A transport that starts nothing and records the calls: the test plays their ends.
+/// A transport that records calls without making them; the test itself reports how each call ends.
 #[derive(Clone, Default)]
 pub struct RecordingTransport(pub Rc<RefCell<Vec<Call>>>);
 
@@ -65,7 +65,7 @@
     }
 }
 
-/// A serving endpoint of the kind `one`, at an address where nobody listens.
+/// A serving endpoint of the kind `one` for the destination of the same number, at an address on which nothing listens.
 #[must_use]
 pub fn serving_endpoint(number: u64) -> ListedEndpoint {
     ListedEndpoint {
@@ -79,15 +79,15 @@
     }
 }
 
-/// A message for destination 1 that is handed in now and expires in 20 s, with its id as its key if it is keyed; and
-/// the receiver of its outcome.
+/// A message for destination 1 that is submitted now and expires in 20 s, with its ID as idempotency key if `keyed`; and
+/// the receiver of the answer to the submission.
 #[must_use]
 pub fn new_arrival(
     id: &str,
     class: usize,
     keyed: bool,
 ) -> (Arrival, oneshot::Receiver<ArrivalOutcome>) {
-    let (reply, answer) = oneshot::channel();
+    let (reply, outcome) = oneshot::channel();
     let shared_id = SharedStr::new(id.as_bytes()).expect("a valid id");
     let arrival = Arrival {
         id: shared_id.clone(),
@@ -103,5 +103,5 @@
         body: "x".into(),
         reply,
     };
-    (arrival, answer)
+    (arrival, outcome)
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,10 +1,12 @@
-//! For tests only: a scripted agent, scripted endpoints and plain clients on loopback sockets, each on a thread
-//! of its own and with a port that the system gives.
+//! Test doubles: a fake discovery service, fake endpoints and a plain HTTP client on loopback sockets, and a simulated
+//! transport, journal and fleets of senders in virtual time.
+//!
+//! Each fake server runs on a thread of its own and listens on a port that the operating system picks.
 
 #![expect(
     clippy::missing_panics_doc,
     clippy::too_many_lines,
-    reason = "names and shape of this package have not had their turn yet"
+    reason = "test doubles panic to fail the test, and each simulation is one long function"
 )]
 
 pub mod cold_fleet;
@@ -42,58 +44,64 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait for a condition: far beyond what any takes.
+/// Maximum time that a test waits for a condition; far longer than any condition takes to become true.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits for a condition, and fails by its name when it never comes.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + WAIT_TIMEOUT;
-    while !holds() {
-        assert!(Instant::now() < until, "never came: {what}");
+/// Waits until `is_met` returns true, and panics with `condition` if that takes longer than [`WAIT_TIMEOUT`].
+pub fn wait_until(condition: &str, mut is_met: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_TIMEOUT;
+    while !is_met() {
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting for: {condition}"
+        );
         thread::sleep(Duration::from_millis(3));
     }
 }
 
-/// A request, or an answer with its first line in `line`.
+/// An HTTP request, or a response whose status line is in `line`.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
-    /// First line.
+    /// Request line or status line, without the line end.
     pub line: String,
-    /// Headers, names in lower case.
+    /// Headers by name, in lower case.
     pub headers: BTreeMap<String, String>,
-    /// Body.
+    /// Body, as long as `Content-Length` says.
     pub body: Vec<u8>,
-    /// Number of the connection that it came on.
+    /// Number of the connection on which the endpoint received the request, counted from 0.
     pub connection: usize,
 }
 
 impl Request {
-    /// A header's value, empty where it is missing.
+    /// Value of a header, empty if the message has no such header.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 
-    /// Ids of the messages in a call, single or bulk.
+    /// IDs of the messages in a request to an endpoint: one message, or a batch of them in the bulk form.
     #[must_use]
     pub fn message_ids(&self) -> Vec<String> {
         if self.line.starts_with("POST /inbox ") {
             return vec![self.header("x-request-id").to_string()];
         }
-        let (mut ids, mut rest) = (Vec::new(), &self.body[..]);
-        while let Some(end) = rest.windows(2).position(|two| two == b"\r\n") {
-            let line = String::from_utf8(rest[..end].to_vec()).expect("a line of text");
-            let words: Vec<&str> = line.split(' ').collect();
-            assert_eq!(words.len(), 3, "{line}");
-            ids.push(words[0].to_string());
-            let length: usize = words[2].parse().expect("a length");
-            assert_eq!(&rest[end + 2 + length..end + 4 + length], b"\r\n");
-            rest = &rest[end + 4 + length..];
+        let (mut ids, mut unparsed) = (Vec::new(), &self.body[..]);
+        while let Some(line_end) = unparsed.windows(2).position(|pair| pair == b"\r\n") {
+            let line = String::from_utf8(unparsed[..line_end].to_vec()).expect("a line of text");
+            let fields: Vec<&str> = line.split(' ').collect();
+            assert_eq!(fields.len(), 3, "{line}");
+            ids.push(fields[0].to_string());
+            let length: usize = fields[2].parse().expect("a length");
+            assert_eq!(
+                &unparsed[line_end + 2 + length..line_end + 4 + length],
+                b"\r\n"
+            );
+            unparsed = &unparsed[line_end + 4 + length..];
         }
         ids
     }
 }
 
-/// Reads one request or answer; none at the end of the connection.
+/// Reads one request or response; `None` if the connection ends before that is complete.
 fn read_http(reader: &mut BufReader<TcpStream>) -> Option<Request> {
     let mut request = Request::default();
     loop {
@@ -118,46 +126,46 @@
     Some(request)
 }
 
-/// Whether the connection is to be closed behind the response.
+/// Whether the request asks for the connection to be closed after the response.
 fn asks_to_close(request: &Request) -> bool {
     request.header("connection").eq_ignore_ascii_case("close")
 }
 
-/// What an endpoint does with a call.
+/// What a [`FakeEndpoint`] does with a request.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// Status line and headers, without the last empty line, and the body.
+    /// Responds with this status and these headers, separated by CRLF and without a final one, and this body.
     Respond(&'static str, String),
-    /// Nothing, while the connection stays open.
+    /// Sends nothing and keeps the connection open.
     NoResponse,
-    /// The connection ends.
+    /// Closes the connection without a response.
     Close,
-    /// An answer, and then the connection ends.
+    /// Responds with this status and these headers and an empty body, then closes the connection.
     RespondAndClose(&'static str),
-    /// These bytes, while the connection stays open.
+    /// Writes these bytes as they are and keeps the connection open.
     Raw(&'static str),
-    /// These bytes, and the others a moment later.
+    /// Writes the first text as it is and the second 50 ms later, and keeps the connection open.
     RawInTwoParts(&'static str, &'static str),
 }
 
-/// Delivered.
+/// The response that reports a message as delivered: 200 with an empty body.
 pub const OK: Reply = Reply::Respond("200 OK", String::new());
 
 type Script = Arc<dyn Fn(&Request, usize) -> Reply + Send + Sync>;
 
-/// A server whose script gets each request and its number.
+/// An HTTP server that passes each request and its number, counted from 0, to a script and does what the script returns.
 #[derive(Clone)]
 pub struct FakeEndpoint {
-    /// Where it listens.
+    /// Address on which the endpoint listens.
     pub address: SocketAddr,
-    /// All requests so far.
+    /// All requests received so far.
     pub requests: Arc<Mutex<Vec<Request>>>,
-    /// Connections accepted so far.
+    /// Number of connections accepted so far.
     pub connection_count: Arc<AtomicUsize>,
 }
 
 impl FakeEndpoint {
-    /// Listens at once.
+    /// Starts a server on a free loopback port; the port accepts connections when this returns.
     pub fn new(script: impl Fn(&Request, usize) -> Reply + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let endpoint = FakeEndpoint {
@@ -165,12 +173,12 @@
             requests: Arc::default(),
             connection_count: Arc::default(),
         };
-        let (here, script): (_, Script) = (endpoint.clone(), Arc::new(script));
+        let (server, script): (_, Script) = (endpoint.clone(), Arc::new(script));
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (here, script) = (here.clone(), script.clone());
-                let connection = here.connection_count.fetch_add(1, Ordering::SeqCst);
-                thread::spawn(move || here.serve(stream, connection, &script));
+                let (server, script) = (server.clone(), script.clone());
+                let connection = server.connection_count.fetch_add(1, Ordering::SeqCst);
+                thread::spawn(move || server.serve(stream, connection, &script));
             }
         });
         endpoint
@@ -184,11 +192,11 @@
                 ..request
             };
             let number = {
-                let mut seen = self.requests.lock().expect("not poisoned");
-                seen.push(request.clone());
-                seen.len() - 1
+                let mut requests = self.requests.lock().expect("not poisoned");
+                requests.push(request.clone());
+                requests.len() - 1
             };
-            let (head, body, last) = match script(&request, number) {
+            let (head, body, closes_after_response) = match script(&request, number) {
                 Reply::Respond(head, body) => (head, body, false),
                 Reply::RespondAndClose(head) => (head, String::new(), true),
                 Reply::NoResponse => continue,
@@ -196,87 +204,104 @@
                     let _ = stream.write_all(text.as_bytes());
                     continue;
                 }
-                Reply::RawInTwoParts(text, late) => {
-                    let _ = stream.write_all(text.as_bytes());
+                Reply::RawInTwoParts(first, second) => {
+                    let _ = stream.write_all(first.as_bytes());
                     thread::sleep(Duration::from_millis(50));
-                    let _ = stream.write_all(late.as_bytes());
+                    let _ = stream.write_all(second.as_bytes());
                     continue;
                 }
                 Reply::Close => return,
             };
-            let closes = asks_to_close(&request);
-            let connection_header = if closes { "Connection: close\r\n" } else { "" };
+            let close_requested = asks_to_close(&request);
+            let connection_header = if close_requested {
+                "Connection: close\r\n"
+            } else {
+                ""
+            };
             let text = format!(
                 "HTTP/1.1 {head}\r\n{connection_header}Content-Length: {}\r\n\r\n{body}",
                 body.len()
             );
-            if stream.write_all(text.as_bytes()).is_err() || last || closes {
+            if stream.write_all(text.as_bytes()).is_err()
+                || closes_after_response
+                || close_requested
+            {
                 return;
             }
         }
     }
 
-    /// Requests so far.
+    /// Number of requests received so far.
     #[must_use]
     pub fn request_count(&self) -> usize {
         self.requests.lock().expect("not poisoned").len()
     }
 
-    /// One of the requests.
+    /// The request with this number, counted from 0.
     #[must_use]
     pub fn request(&self, number: usize) -> Request {
         self.requests.lock().expect("not poisoned")[number].clone()
     }
 
-    /// How often a message came.
+    /// Number of requests so far that carried the message with this ID.
     pub fn attempt_count(&self, id: &str) -> usize {
-        let seen = self.requests.lock().expect("not poisoned");
-        seen.iter()
+        let requests = self.requests.lock().expect("not poisoned");
+        requests
+            .iter()
             .flat_map(Request::message_ids)
             .filter(|other| other == id)
             .count()
     }
 }
 
-/// Discovery: tells one list to each watch, and takes notices.
+/// The platform's agent: sends the same update lines on each watch of the endpoint list, and receives notifications.
 pub struct FakeDiscovery {
-    /// Where it listens.
+    /// Address on which the agent listens.
     pub address: SocketAddr,
-    /// Lines of notices that were taken.
+    /// Lines of all notification requests that were acknowledged, repeats included.
     pub notifications: Arc<Mutex<Vec<String>>>,
-    /// Lines for the next watch; empty: a silent one, as while discovery is down.
+    /// Lines sent on each later watch. With no lines the watch stays open without data, as while discovery is down.
     pub watch_lines: Arc<Mutex<Vec<String>>>,
-    /// Watches so far.
+    /// Number of watches opened so far.
     pub watch_count: Arc<AtomicUsize>,
-    /// So many requests with notices are answered 500 first.
+    /// Number of notification requests that are still to be answered 500.
     pub remaining_faults: Arc<AtomicUsize>,
 }
 
 impl FakeDiscovery {
-    /// Listens at once; these lines go to each watch.
+    /// Starts the agent on a free loopback port; it sends `lines` on each watch.
     #[must_use]
     pub fn new(lines: Vec<String>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let agent = FakeDiscovery {
+        let discovery = FakeDiscovery {
             address: listener.local_addr().expect("bound"),
             notifications: Arc::default(),
             watch_lines: Arc::new(Mutex::new(lines)),
             watch_count: Arc::default(),
             remaining_faults: Arc::default(),
         };
-        let (notices, lines) = (agent.notifications.clone(), agent.watch_lines.clone());
-        let (watches, faults) = (agent.watch_count.clone(), agent.remaining_faults.clone());
+        let (notifications, lines) = (
+            discovery.notifications.clone(),
+            discovery.watch_lines.clone(),
+        );
+        let (watch_count, faults) = (
+            discovery.watch_count.clone(),
+            discovery.remaining_faults.clone(),
+        );
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (notices, lines) = (notices.clone(), lines.clone());
-                let (watches, faults) = (watches.clone(), faults.clone());
-                thread::spawn(move || serve_agent(stream, &notices, &lines, &watches, &faults));
+                let (notifications, lines) = (notifications.clone(), lines.clone());
+                let (watch_count, faults) = (watch_count.clone(), faults.clone());
+                thread::spawn(move || {
+                    serve_discovery(stream, &notifications, &lines, &watch_count, &faults);
+                });
             }
         });
-        agent
+        discovery
     }
 
-    /// Lines of notices so far, each once: an agent that is slow to answer gets one again, and that says nothing new.
+    /// Distinct lines of all notifications received so far. A sender repeats a notification whose acknowledgement is
+    /// slow, so repeats are left out.
     #[must_use]
     pub fn notifications(&self) -> Vec<String> {
         let mut lines: Vec<String> = Vec::new();
@@ -289,27 +314,27 @@
     }
 }
 
-fn serve_agent(
+fn serve_discovery(
     mut stream: TcpStream,
-    notices: &Mutex<Vec<String>>,
+    notifications: &Mutex<Vec<String>>,
     lines: &Mutex<Vec<String>>,
-    watches: &AtomicUsize,
-    faults: &AtomicUsize,
+    watch_count: &AtomicUsize,
+    remaining_faults: &AtomicUsize,
 ) {
     let mut reader = BufReader::new(stream.try_clone().expect("cloned"));
     let Some(request) = read_http(&mut reader) else {
         return;
     };
     if request.line.starts_with("POST /v1/outcomes ") {
-        let faulty = faults
-            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
-                left.checked_sub(1)
+        let faulty = remaining_faults
+            .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |remaining| {
+                remaining.checked_sub(1)
             })
             .is_ok();
         let status = if faulty { "500 Oops" } else { "204 No Content" };
         if !faulty {
             let text = String::from_utf8(request.body).expect("text");
-            notices
+            notifications
                 .lock()
                 .expect("not poisoned")
                 .extend(text.lines().map(str::to_string));
@@ -323,30 +348,30 @@
         "{}",
         request.line
     );
-    watches.fetch_add(1, Ordering::SeqCst);
-    let mut told = lines.lock().expect("not poisoned").clone();
+    watch_count.fetch_add(1, Ordering::SeqCst);
+    let mut unsent = lines.lock().expect("not poisoned").clone();
     if stream
         .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .is_err()
     {
         return;
     }
-    let silent = told.is_empty();
+    let has_no_lines = unsent.is_empty();
     loop {
-        for line in told.drain(..) {
+        for line in unsent.drain(..) {
             let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
             if stream.write_all(chunk.as_bytes()).is_err() {
                 return;
             }
         }
         thread::sleep(Duration::from_millis(500));
-        if !silent {
-            told.push(String::new());
+        if !has_no_lines {
+            unsent.push(String::new());
         }
     }
 }
 
-/// A list for discovery's form: each endpoint's uid, address, kind, destination and state.
+/// A full endpoint list as a line of a discovery watch, from each endpoint's uid, address, kind, destination and state.
 #[must_use]
 pub fn list_json(entries: &[(&str, SocketAddr, &str, u64, &str)]) -> String {
     let targets: Vec<String> = entries
@@ -363,7 +388,7 @@
     )
 }
 
-/// A message as a client hands it in.
+/// The HTTP request with which an application submits a message; `time_ms` is the message's time to live.
 #[must_use]
 pub fn message_request(class: &str, id: &str, dest: u64, time_ms: u64, body: &[u8]) -> Vec<u8> {
     let head = format!(
@@ -374,11 +399,11 @@
     [head.as_bytes(), body].concat()
 }
 
-/// A connection of a client.
+/// A client's keep-alive connection to the sender.
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// Connects.
+    /// Connects to the sender; reads time out after [`WAIT_TIMEOUT`].
     #[must_use]
     pub fn new(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("the sender accepts");
@@ -386,29 +411,30 @@
         Client(BufReader::new(stream))
     }
 
-    /// True once the sender has closed the connection, with whatever answer before that.
+    /// Whether the sender has closed the connection. Waits 20 ms for that, and discards any response before it.
     pub fn is_closed(&mut self) -> bool {
-        let mut rest = Vec::new();
+        let mut discarded = Vec::new();
         self.0
             .get_mut()
             .set_read_timeout(Some(Duration::from_millis(20)))
             .expect("set");
-        match self.0.read_to_end(&mut rest) {
+        match self.0.read_to_end(&mut discarded) {
             Ok(_) => true,
             Err(error) => error.kind() == std::io::ErrorKind::ConnectionReset,
         }
     }
 
-    /// Writes and waits for nothing.
+    /// Writes these bytes without waiting for a response; a write error is ignored.
     pub fn write(&mut self, bytes: &[u8]) {
         let _ = self.0.get_mut().write_all(bytes);
     }
 
-    /// The answer's status and head; none if the connection ends first.
+    /// Writes these bytes and reads one response: its status code, and the whole response. `None` if the connection
+    /// ends first.
     pub fn send(&mut self, bytes: &[u8]) -> Option<(u16, Request)> {
         self.0.get_mut().write_all(bytes).ok()?;
-        let answer = read_http(&mut self.0)?;
-        let status = answer.line.split(' ').nth(1)?.parse().ok()?;
-        Some((status, answer))
+        let response = read_http(&mut self.0)?;
+        let status = response.line.split(' ').nth(1)?.parse().ok()?;
+        Some((status, response))
     }
 }
--- a/crates/test-support/src/limited_fleet/mod.rs
+++ b/crates/test-support/src/limited_fleet/mod.rs
@@ -1,208 +1,224 @@
-//! Many senders before destinations with limits that all share, in virtual time, from a seed.
+//! Simulates many senders that share destinations with rate limits, in virtual time and from a seed.
 
-mod limit;
-mod play;
-mod table;
+mod connection_table;
+mod rate_limit;
+mod simulation;
 
-pub use limit::{Limit, Limiting};
 use milletturn_policy::{Effect, EndpointId, Entry, MILLISECOND, Micros, SECOND};
-pub use play::play;
+pub use rate_limit::{LimitPolicy, RateLimit};
+pub use simulation::simulate;
 
-/// Longer than any demand lasts.
+/// One hour, longer than any scenario lasts.
 pub const HOUR: Micros = 3600 * SECOND;
-/// What is asked of the fleet, and what the destination takes.
+
+/// The load on a fleet of senders, and the limits of its destinations.
 #[derive(Debug, Clone, Copy)]
-pub struct Demand {
-    /// Senders of the fleet.
-    pub senders: usize,
-    /// Messages a second over all senders, each at a random one.
-    pub rate: f64,
-    /// For so long.
-    pub length: Micros,
-    /// Calls a second that are served; refused ones use it up too, up to as much as is saved up.
-    pub limit: f64,
-    /// Messages that one call may hold.
-    pub bundle: usize,
-    /// From when on messages come five times as often, for a second.
-    pub clump: Micros,
-    /// How unevenly messages go to the senders: 1 evenly; at 2 a tenth of the senders get a third.
+pub struct Scenario {
+    /// Number of senders in the fleet.
+    pub sender_count: usize,
+    /// Messages per second over all senders, each submitted to a random sender.
+    pub messages_per_s: f64,
+    /// How long messages are submitted.
+    pub duration: Micros,
+    /// Calls per second that all destinations together serve. Rejected calls use up the limit too, unless `limit_policy`
+    /// says otherwise.
+    pub calls_per_s: f64,
+    /// Maximum number of messages in one call.
+    pub max_batch_size: usize,
+    /// Time after the start at which messages arrive at five times the rate for one second.
+    pub burst_at: Micros,
+    /// How unevenly messages are spread over the senders: 1 is even, and with 2 a tenth of the senders gets a third.
     pub skew: f64,
-    /// What a message's class and its clients are like.
-    pub terms: Terms,
-    /// Destinations: the second and later have less of messages and limit, by the power 0.8 of their number.
-    pub destinations: usize,
-    /// How each limits calls, and what it tells.
-    pub limiting: Limiting,
-    /// Connections that each destination takes; one that finds none free is refused. None: any number.
-    pub table: Option<usize>,
-    /// Messages that a sender may hold.
-    pub places: usize,
-    /// Of arrivals and senders.
+    /// The class of the messages and the behavior of the clients.
+    pub profile: MessageProfile,
+    /// Number of destinations. The n-th has a share of the messages and of the limit proportional to n^-0.8.
+    pub destination_count: usize,
+    /// How each destination limits calls, and what its responses report about that.
+    pub limit_policy: LimitPolicy,
+    /// Maximum number of connections to each destination; a call that would need another is rejected. `None` means no
+    /// maximum.
+    pub max_connections: Option<usize>,
+    /// Maximum number of pending messages in each sender.
+    pub max_pending: usize,
+    /// Seed of the arrivals, the limits and the senders.
     pub seed: u64,
 }
 
-/// What a message's class and its clients are like.
+/// The class of the messages, the behavior of the clients and the time that calls take.
 #[derive(Debug, Clone, Copy)]
-pub struct Terms {
-    /// Whether a message may be repeated.
+pub struct MessageProfile {
+    /// What a repeated execution of a message does.
     pub effect: Effect,
-    /// Wanted within this time, and delivered for so long at most.
-    pub aim: Micros,
-    /// See `aim`.
-    pub time: Micros,
-    /// A client hands in again what it got back after this rest, so many times at most.
-    pub rest: Micros,
-    /// See `rest`.
-    pub tries: usize,
-    /// A call takes so long.
-    pub call: Micros,
-    /// The destination saves up its limit for so long.
-    pub saves: Micros,
+    /// Time within which a message should be delivered.
+    pub latency_objective: Micros,
+    /// Time within which a message may still be delivered.
+    pub time_to_live: Micros,
+    /// Time after which a client submits a returned message again.
+    pub resubmit_delay: Micros,
+    /// How often a client submits a returned message again at most.
+    pub max_resubmits: usize,
+    /// How long a call takes.
+    pub call_duration: Micros,
+    /// Time in which the token bucket of a destination's limit fills up.
+    pub fill_time: Micros,
 }
 
-impl Terms {
-    /// Notices that may wait for seconds, with clients that come again.
+impl MessageProfile {
+    /// Notices that may wait for seconds, and clients that submit returned messages again three times.
     #[must_use]
     pub fn patient() -> Self {
         let effect = Effect::Keyed {
             window: 12 * SECOND,
             zone_only: false,
         };
-        let (aim, time, rest, tries) = (4 * SECOND, 20 * SECOND, SECOND, 3);
-        Terms {
+        let (latency_objective, time_to_live, resubmit_delay, max_resubmits) =
+            (4 * SECOND, 20 * SECOND, SECOND, 3);
+        MessageProfile {
             effect,
-            aim,
-            time,
-            rest,
-            tries,
-            call: 60 * MILLISECOND,
-            saves: SECOND / 2,
+            latency_objective,
+            time_to_live,
+            resubmit_delay,
+            max_resubmits,
+            call_duration: 60 * MILLISECOND,
+            fill_time: SECOND / 2,
         }
     }
 
-    /// Debits that are wanted within three tenths of a second, with clients that come again once.
+    /// Debits that should be delivered within 300 ms, and clients that submit returned messages again once.
     #[must_use]
     pub fn urgent() -> Self {
-        let (aim, time, rest) = (300 * MILLISECOND, 900 * MILLISECOND, 130 * MILLISECOND);
-        let (call, saves) = (40 * MILLISECOND, 350 * MILLISECOND);
-        Terms {
+        let (latency_objective, time_to_live, resubmit_delay) =
+            (300 * MILLISECOND, 900 * MILLISECOND, 130 * MILLISECOND);
+        let (call_duration, fill_time) = (40 * MILLISECOND, 350 * MILLISECOND);
+        MessageProfile {
             effect: Effect::Unsafe,
-            aim,
-            time,
-            rest,
-            tries: 1,
-            call,
-            saves,
+            latency_objective,
+            time_to_live,
+            resubmit_delay,
+            max_resubmits: 1,
+            call_duration,
+            fill_time,
         }
     }
 }
 
-impl Demand {
-    /// A hundred senders for 30 s: messages a second, and calls a second that are served.
+impl Scenario {
+    /// A load of `messages_per_s` for 30 s on 100 senders, with one destination that serves `calls_per_s`.
     #[must_use]
-    pub fn new(rate: f64, limit: f64) -> Self {
-        Demand {
-            senders: 100,
-            rate,
-            length: 30 * SECOND,
-            limit,
-            bundle: 1,
-            clump: Micros::MAX,
+    pub fn new(messages_per_s: f64, calls_per_s: f64) -> Self {
+        Scenario {
+            sender_count: 100,
+            messages_per_s,
+            duration: 30 * SECOND,
+            calls_per_s,
+            max_batch_size: 1,
+            burst_at: Micros::MAX,
             skew: 1.0,
-            terms: Terms::patient(),
-            destinations: 1,
-            limiting: Limiting::reported(),
-            table: None,
-            places: 40,
+            profile: MessageProfile::patient(),
+            destination_count: 1,
+            limit_policy: LimitPolicy::reported(),
+            max_connections: None,
+            max_pending: 40,
             seed: 1,
         }
     }
 }
 
-/// What came of it.
+/// Measured results of a scenario.
 #[derive(Debug, Default)]
-pub struct Served {
-    /// Messages handed in.
-    pub handed_in: usize,
-    /// Delivered within the aim, and at all.
-    pub in_time: usize,
-    /// See `in_time`.
+pub struct ScenarioResult {
+    /// Messages submitted by clients, without resubmissions.
+    pub submitted: usize,
+    /// Messages delivered within the latency objective.
+    pub delivered_in_time: usize,
+    /// Messages delivered at all.
     pub delivered: usize,
-    /// Calls that reached the destination, and those that were refused.
+    /// Calls sent to the destinations.
     pub calls: usize,
-    /// See `calls`.
-    pub refused: usize,
-    /// Each second since the start.
-    pub seconds: Vec<Second>,
-    /// For each sender, messages that came to it first and how many of them were delivered by whichever.
+    /// Calls that were rejected.
+    pub rejected: usize,
+    /// Figures of each second since the start.
+    pub seconds: Vec<SecondFigures>,
+    /// For each sender, the number of messages that were first submitted to it, and how many of those were delivered by
+    /// any sender.
     pub by_sender: Vec<(usize, usize)>,
 }
 
-/// One second of all senders and destinations together.
+/// Figures of one second, over all senders and destinations.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Second {
-    /// Messages that came first, and those that were handed back to their clients.
-    pub handed_in: usize,
-    /// See `handed_in`.
-    pub handed_back: usize,
-    /// Calls sent, and those of them that were refused.
+pub struct SecondFigures {
+    /// Messages submitted, without resubmissions.
+    pub submitted: usize,
+    /// Messages returned to their clients.
+    pub returned: usize,
+    /// Calls sent.
     pub calls: usize,
-    /// See `calls`.
-    pub refused: usize,
+    /// Calls sent that were rejected.
+    pub rejected: usize,
     /// Messages delivered.
     pub delivered: usize,
-    /// Messages that senders hold at its end.
-    pub held: usize,
-    /// Calls that the limits let pass.
-    pub limit: f64,
+    /// Messages pending in the senders at the end of the second.
+    pub pending: usize,
+    /// Calls that the limits allow.
+    pub allowed_calls: f64,
 }
 
-impl Served {
-    /// Calls served over what could be, the least of limit and demand, from one second up to another.
+impl ScenarioResult {
+    /// Calls served as a fraction of the possible, which is the smaller of limit and demand, in the seconds from
+    /// `from` until before `until`.
     #[must_use]
     pub fn goodput(&self, from: usize, until: usize) -> f64 {
-        let (mut served, mut demand, mut limit) = (0, 0, 0.0);
+        let (mut served, mut demand, mut allowed_calls) = (0, 0, 0.0);
         for second in self.seconds.iter().take(until).skip(from) {
-            served += second.calls - second.refused;
-            demand += second.handed_in;
-            limit += second.limit;
+            served += second.calls - second.rejected;
+            demand += second.submitted;
+            allowed_calls += second.allowed_calls;
         }
-        served as f64 / limit.min(demand as f64).max(1.0)
+        served as f64 / allowed_calls.min(demand as f64).max(1.0)
     }
 
-    /// Refused calls over all calls, from one second up to another.
+    /// Rejected calls as a fraction of all calls, in the seconds from `from` until before `until`.
     #[must_use]
-    pub fn refused_share(&self, from: usize, until: usize) -> f64 {
-        let part = self.seconds.iter().take(until).skip(from);
-        let (refused, calls) =
-            part.fold((0, 0), |sum, one| (sum.0 + one.refused, sum.1 + one.calls));
-        refused as f64 / calls.max(1) as f64
+    pub fn rejected_share(&self, from: usize, until: usize) -> f64 {
+        let seconds = self.seconds.iter().take(until).skip(from);
+        let (rejected, calls) = seconds.fold((0, 0), |sum, second| {
+            (sum.0 + second.rejected, sum.1 + second.calls)
+        });
+        rejected as f64 / calls.max(1) as f64
     }
 
-    /// Jain's index over the senders of the delivered part of what came to each: 1 where all parts are alike.
+    /// Jain's fairness index over the senders' shares of delivered messages: 1 if all shares are equal.
     #[must_use]
     pub fn fairness(&self) -> f64 {
-        let parts = self.by_sender.iter().filter(|(came, _)| *came > 0);
-        let parts: Vec<f64> = parts
-            .map(|&(came, done)| done as f64 / came as f64)
+        let senders = self
+            .by_sender
+            .iter()
+            .filter(|(submitted, _)| *submitted > 0);
+        let shares: Vec<f64> = senders
+            .map(|&(submitted, delivered)| delivered as f64 / submitted as f64)
             .collect();
-        let squares: f64 = parts.iter().map(|part| part * part).sum();
-        parts.iter().sum::<f64>().powi(2) / (parts.len() as f64 * squares).max(1e-9)
+        let squares: f64 = shares.iter().map(|share| share * share).sum();
+        shares.iter().sum::<f64>().powi(2) / (shares.len() as f64 * squares).max(1e-9)
     }
 }
 
-/// The first destination, and others that get no message here: the places for messages are for all of them.
+/// Endpoint list with one destination that receives messages, and 16 idle ones that share the sender's capacity for
+/// pending messages.
 #[must_use]
-pub fn among_others() -> Vec<Entry> {
-    destinations_among_others(1)
+pub fn one_among_idle_destinations() -> Vec<Entry> {
+    among_idle_destinations(1)
 }
 
-/// As [`among_others`], with so many destinations that get messages.
-fn destinations_among_others(number: usize) -> Vec<Entry> {
-    let used =
-        (0..number as u64).map(|at| Entry::new(EndpointId(1 + at as u32), play::DESTINATION + at));
-    let others = (100..116).map(|number| Entry::new(EndpointId(number), u64::from(number)));
-    used.chain(others).collect()
+/// As [`one_among_idle_destinations`], with `count` destinations that receive messages.
+fn among_idle_destinations(count: usize) -> Vec<Entry> {
+    let used = (0..count as u64).map(|index| {
+        Entry::new(
+            EndpointId(1 + index as u32),
+            simulation::DESTINATION + index,
+        )
+    });
+    let idle = (100..116).map(|number| Entry::new(EndpointId(number), u64::from(number)));
+    used.chain(idle).collect()
 }
 
 fn seconds(span: Micros) -> f64 {
--- a/crates/test-support/src/memory_journal.rs
+++ b/crates/test-support/src/memory_journal.rs
@@ -1,4 +1,4 @@
-//! A journal in memory, for engines whose process never ends.
+//! An in-memory journal.
 
 use milletturn_engine::{Accepted, AttemptStarted, Journal, JournalError, MessageEnd, Unfinished};
 use milletturn_policy::Micros;
@@ -6,21 +6,17 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A journal in memory that tests can look into.
+/// A journal in memory whose content tests can inspect. Clones share that content, so it survives an engine.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryJournal {
-    /// The unfinished messages, by number.
+    /// Unfinished messages by their number.
     pub unfinished: Rc<RefCell<BTreeMap<u64, Unfinished>>>,
 }
 
 impl MemoryJournal {
-    fn change(
-        &self,
-        number: u64,
-        change: impl FnOnce(&mut Unfinished),
-    ) -> Result<(), JournalError> {
+    fn update(&self, number: u64, apply: impl FnOnce(&mut Unfinished)) -> Result<(), JournalError> {
         if let Some(message) = self.unfinished.borrow_mut().get_mut(&number) {
-            change(message);
+            apply(message);
         }
         Ok(())
     }
@@ -75,11 +71,11 @@
             sent_at,
             never_ran: false,
         };
-        self.change(number, |message| message.attempts.push(sent))
+        self.update(number, |message| message.attempts.push(sent))
     }
 
     fn record_never_ran(&mut self, number: u64, attempt: usize) -> Result<(), JournalError> {
-        self.change(number, |message| {
+        self.update(number, |message| {
             message
                 .attempts
                 .get_mut(attempt)
@@ -89,7 +85,7 @@
     }
 
     fn record_end(&mut self, number: u64, end: MessageEnd) -> Result<(), JournalError> {
-        self.change(number, |message| message.end = Some(end))
+        self.update(number, |message| message.end = Some(end))
     }
 
     fn record_finished(&mut self, number: u64) -> Result<(), JournalError> {
--- a/crates/test-support/src/turns.rs
+++ b/crates/test-support/src/turns.rs
@@ -1,20 +1,20 @@
-//! Turns of many decision modules in virtual time.
+//! Runs turns of simulated decision modules in virtual time.
 
 use milletturn_policy::{Action, Event, Micros, Sender};
 use std::collections::BTreeSet;
 
-/// One module's turn: what it does about the events that have come and the alarms that are due, but for the alarms that it
-/// sets, which are kept. Nothing where neither is there.
-pub(crate) fn turn(
+/// Runs one decision module if it has events or a due alarm, and returns its actions. Alarms that it sets are added to
+/// `alarms` instead of being returned.
+pub(crate) fn run_turn(
     sender: &mut Sender,
     events: &mut Vec<Event>,
     alarms: &mut BTreeSet<Micros>,
     now: Micros,
 ) -> Vec<Action> {
     let events = std::mem::take(events);
-    let rings = alarms.first().is_some_and(|&at| at <= now);
+    let is_alarm_due = alarms.first().is_some_and(|&at| at <= now);
     let mut actions = Vec::new();
-    if events.is_empty() && !rings {
+    if events.is_empty() && !is_alarm_due {
         return actions;
     }
     *alarms = alarms.split_off(&(now + 1));
--- a/crates/test-support/src/unreliable_endpoint.rs
+++ b/crates/test-support/src/unreliable_endpoint.rs
@@ -1,5 +1,5 @@
-//! An endpoint that keeps to no rule of HTTP: by its seed it answers, rejects, fails, hangs and sends copies of earlier
-//! responses, and it records what really ran.
+//! An endpoint with random faults from a seed: it delivers, rejects, fails, closes, hangs and sends duplicates of earlier
+//! responses at moments that HTTP does not allow, and records which messages it really executed.
 
 use crate::{Request, asks_to_close, read_http};
 use rand_pcg::Pcg32;
@@ -11,38 +11,39 @@
 use std::thread;
 use std::time::Duration;
 
-/// What the endpoint really did, whatever it answered.
+/// What the endpoint really did, whatever it responded.
 #[derive(Debug, Default)]
 pub struct Executions {
-    /// How often each message ran.
+    /// How often each message was executed, by message ID.
     pub runs: BTreeMap<String, usize>,
-    /// Messages whose own 200 was written, by id.
+    /// How often the 200 response to each message's own request was written, by message ID.
     pub success_responses: BTreeMap<String, usize>,
-    /// Copies of earlier responses.
+    /// Number of duplicates of earlier responses sent.
     pub duplicates_sent: usize,
 }
 
-/// When a copy goes out beside a call.
+/// When a duplicate is sent, relative to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum CopyMoment {
-    WithRequest,
-    InService,
+enum DuplicateTiming {
+    AtRequest,
+    DuringService,
     BeforeResponse,
-    Idle,
+    AfterResponse,
     Never,
 }
 
-/// What becomes of a call itself.
+/// How a request ends.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Fate {
+enum RequestEnd {
     Delivered,
     Rejected,
     Failed,
     Closed,
-    Silent,
+    Unanswered,
 }
 
-/// Listens and serves until the process ends.
+/// Starts an endpoint with the faults of this seed on a free loopback port, and returns its address. It serves until
+/// the test process ends.
 #[must_use]
 pub fn spawn_unreliable_endpoint(seed: u64, executions: &Arc<Mutex<Executions>>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -50,115 +51,118 @@
     let executions = executions.clone();
     thread::spawn(move || {
         for (number, stream) in listener.incoming().flatten().enumerate() {
-            let session = Session {
+            let connection = Connection {
                 random: Pcg32::new(seed, number as u64),
                 stream,
                 executions: executions.clone(),
-                earlier: Vec::new(),
+                earlier_responses: Vec::new(),
             };
-            thread::spawn(move || session.serve());
+            thread::spawn(move || connection.serve());
         }
     });
     address
 }
 
-/// One connection.
-struct Session {
+/// One accepted connection.
+struct Connection {
     random: Pcg32,
     stream: TcpStream,
     executions: Arc<Mutex<Executions>>,
-    /// The responses that it has had.
-    earlier: Vec<Vec<u8>>,
+    /// Responses sent on this connection so far.
+    earlier_responses: Vec<Vec<u8>>,
 }
 
-impl Session {
+impl Connection {
     fn serve(mut self) -> Option<()> {
         let mut requests = BufReader::new(self.stream.try_clone().ok()?);
         loop {
             let request = read_http(&mut requests)?;
-            let (moment, fate) = (self.draw_copy(), self.draw_fate());
-            if moment == CopyMoment::WithRequest {
-                self.send_copy()?;
+            let (timing, end) = (self.draw_timing(), self.draw_end());
+            if timing == DuplicateTiming::AtRequest {
+                self.send_duplicate()?;
             }
             self.pause(1, 40);
-            if moment == CopyMoment::InService {
-                self.send_copy()?;
+            if timing == DuplicateTiming::DuringService {
+                self.send_duplicate()?;
             }
             self.pause(1, 40);
-            if moment == CopyMoment::BeforeResponse {
-                self.send_copy()?;
+            if timing == DuplicateTiming::BeforeResponse {
+                self.send_duplicate()?;
             }
-            self.end_call(&request, fate)?;
-            if moment == CopyMoment::Idle {
+            self.end_request(&request, end)?;
+            if timing == DuplicateTiming::AfterResponse {
                 self.pause(0, 30);
-                self.send_copy()?;
+                self.send_duplicate()?;
             }
-            if asks_to_close(&request) && fate != Fate::Silent {
+            if asks_to_close(&request) && end != RequestEnd::Unanswered {
                 return None;
             }
         }
     }
 
-    fn below(&mut self, bound: u32) -> u32 {
+    fn random_below(&mut self, bound: u32) -> u32 {
         self.random.next_u32() % bound
     }
 
-    fn pause(&mut self, least_ms: u32, most_ms: u32) {
-        let time = least_ms + self.below(most_ms - least_ms + 1);
-        thread::sleep(Duration::from_millis(time.into()));
+    fn pause(&mut self, min_ms: u32, max_ms: u32) {
+        let time_ms = min_ms + self.random_below(max_ms - min_ms + 1);
+        thread::sleep(Duration::from_millis(time_ms.into()));
     }
 
-    fn draw_copy(&mut self) -> CopyMoment {
-        if self.earlier.is_empty() {
-            return CopyMoment::Never;
+    fn draw_timing(&mut self) -> DuplicateTiming {
+        if self.earlier_responses.is_empty() {
+            return DuplicateTiming::Never;
         }
-        match self.below(6) {
-            0 => CopyMoment::WithRequest,
-            1 => CopyMoment::InService,
-            2 => CopyMoment::BeforeResponse,
-            3 => CopyMoment::Idle,
-            _ => CopyMoment::Never,
+        match self.random_below(6) {
+            0 => DuplicateTiming::AtRequest,
+            1 => DuplicateTiming::DuringService,
+            2 => DuplicateTiming::BeforeResponse,
+            3 => DuplicateTiming::AfterResponse,
+            _ => DuplicateTiming::Never,
         }
     }
 
-    fn draw_fate(&mut self) -> Fate {
-        match self.below(20) {
-            0..=2 => Fate::Rejected,
-            3 => Fate::Failed,
-            4 => Fate::Closed,
-            5 => Fate::Silent,
-            _ => Fate::Delivered,
+    fn draw_end(&mut self) -> RequestEnd {
+        match self.random_below(20) {
+            0..=2 => RequestEnd::Rejected,
+            3 => RequestEnd::Failed,
+            4 => RequestEnd::Closed,
+            5 => RequestEnd::Unanswered,
+            _ => RequestEnd::Delivered,
         }
     }
 
-    /// Sends any earlier response again, now and then only a part of it, or with another header.
-    fn send_copy(&mut self) -> Option<()> {
-        let which = self.below(self.earlier.len() as u32) as usize;
-        let mut copy = self.earlier[which].clone();
-        let length = match self.below(5) {
-            0 => 1 + self.below(copy.len() as u32) as usize,
+    /// Sends a random earlier response again; with probability 1/5 only its beginning, with 1/5 with an added header.
+    fn send_duplicate(&mut self) -> Option<()> {
+        let index = self.random_below(self.earlier_responses.len() as u32) as usize;
+        let mut duplicate = self.earlier_responses[index].clone();
+        let length = match self.random_below(5) {
+            0 => 1 + self.random_below(duplicate.len() as u32) as usize,
             1 => {
                 let header = format!("X-Copy: {}\r\n", self.random.next_u32());
-                let headers = copy.iter().position(|&byte| byte == b'\n')? + 1;
-                copy.splice(headers..headers, header.into_bytes());
-                copy.len()
+                let headers = duplicate.iter().position(|&byte| byte == b'\n')? + 1;
+                duplicate.splice(headers..headers, header.into_bytes());
+                duplicate.len()
             }
-            _ => copy.len(),
+            _ => duplicate.len(),
         };
         self.executions
             .lock()
             .expect("not poisoned")
             .duplicates_sent += 1;
-        self.stream.write_all(&copy[..length]).ok()
+        self.stream.write_all(&duplicate[..length]).ok()
     }
 
-    fn end_call(&mut self, request: &Request, fate: Fate) -> Option<()> {
-        if matches!(fate, Fate::Delivered | Fate::Failed | Fate::Closed) {
-            self.run(request);
+    fn end_request(&mut self, request: &Request, end: RequestEnd) -> Option<()> {
+        if matches!(
+            end,
+            RequestEnd::Delivered | RequestEnd::Failed | RequestEnd::Closed
+        ) {
+            self.record_execution(request);
         }
-        match fate {
-            Fate::Delivered => {
-                let text = self.success(request);
+        match end {
+            RequestEnd::Delivered => {
+                let text = self.success_body(request);
                 self.respond(request, "200 OK", &text)?;
                 let mut executions = self.executions.lock().expect("not poisoned");
                 for id in request.message_ids() {
@@ -166,19 +170,19 @@
                 }
                 Some(())
             }
-            Fate::Rejected => self.respond(request, "503 Service Unavailable", ""),
-            Fate::Failed => self.respond(request, "500 Internal Server Error", ""),
-            Fate::Closed => {
-                // who reads on gets an end
+            RequestEnd::Rejected => self.respond(request, "503 Service Unavailable", ""),
+            RequestEnd::Failed => self.respond(request, "500 Internal Server Error", ""),
+            RequestEnd::Closed => {
+                // the sender reads an orderly end of the stream
                 let _ = self.stream.shutdown(Shutdown::Both);
                 None
             }
-            Fate::Silent => Some(()),
+            RequestEnd::Unanswered => Some(()),
         }
     }
 
-    /// A body that tells each message's end in a bulk call, and is another one each time in a call of one.
-    fn success(&mut self, request: &Request) -> String {
+    /// Body of a 200 response: one result line per message for a batch, random digits for a single message.
+    fn success_body(&mut self, request: &Request) -> String {
         match request.line.starts_with("POST /inbox/bulk ") {
             true => request
                 .message_ids()
@@ -198,11 +202,11 @@
         let text = format!(
             "HTTP/1.1 {status}\r\n{connection_header}Content-Length: {length}\r\n\r\n{body}"
         );
-        self.earlier.push(text.clone().into_bytes());
+        self.earlier_responses.push(text.clone().into_bytes());
         self.stream.write_all(text.as_bytes()).ok()
     }
 
-    fn run(&mut self, request: &Request) {
+    fn record_execution(&mut self, request: &Request) {
         let mut executions = self.executions.lock().expect("not poisoned");
         for id in request.message_ids() {
             *executions.runs.entry(id).or_default() += 1;
--- a/crates/test-support/src/unused_address.rs
+++ b/crates/test-support/src/unused_address.rs
@@ -1,28 +1,29 @@
-//! Addresses on which nothing listens.
+//! Reserves addresses on which nothing listens.
 
 use socket2::{Domain, Socket, Type};
 use std::net::{IpAddr, SocketAddr};
 
-/// An address on which nothing listens, as long as this lives.
+/// A local address with a port that stays reserved, with nothing listening on it, until this value is dropped.
 pub struct UnusedAddress {
-    /// The address.
+    /// The reserved address.
     pub address: SocketAddr,
     _bound: Socket,
 }
 
 impl UnusedAddress {
-    /// Takes a port of this machine. It is bound and nothing listens on it, not even for a moment: a process that
-    /// another thread starts in that moment holds a copy of the descriptor until its `exec`, and would go on
-    /// accepting in its name.
+    /// Reserves a free port of the given local IP address.
+    ///
+    /// The port is bound and never listened on, not even briefly: a child process that another thread starts at that
+    /// moment holds a copy of the listening descriptor until its `exec`, and the port would go on accepting connections.
     ///
     /// # Panics
     ///
-    /// When the system has no port.
+    /// If the system has no free port.
     pub fn bind_on(address: impl Into<IpAddr>) -> Self {
         let address = SocketAddr::new(address.into(), 0);
         let socket =
             Socket::new(Domain::for_address(address), Type::STREAM, None).expect("a socket");
-        // the one that is to listen there binds beside what is left of this one
+        // lets the process under test bind and listen on the port while this socket still holds it
         socket.set_reuse_address(true).expect("set");
         socket.bind(&address.into()).expect("a port");
         let address = socket
--- a/crates/test-support/src/virtual_transport.rs
+++ b/crates/test-support/src/virtual_transport.rs
@@ -1,4 +1,4 @@
-//! A transport in virtual time: calls go to a scripted client system in memory.
+//! A transport in virtual time whose calls go to a scripted destination in memory.
 
 use crate::crash_point::CrashPoint;
 use crate::effect_recorder::EffectRecorder;
@@ -12,103 +12,108 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, sleep_until};
 
-/// What a scripted client system does with a message.
+/// What the scripted destination does with one message of a call.
 #[derive(Debug, Clone, Copy)]
 pub struct ScriptedOutcome {
-    /// Time until its last byte has come and it runs, if it does; a call that is given up runs all the same.
+    /// Time until the message's last byte has arrived and the destination executes it; `None` if it never does. The
+    /// destination executes the message even if the sender has abandoned the call by then.
     pub executes_after: Option<Duration>,
-    /// Time until the sender hears of it, and what; none: never.
+    /// Time until the sender receives a result, and which; `None` if it receives none and the call times out.
     pub reported: Option<(Duration, Outcome)>,
 }
 
-/// Decides the fate of each message of each call.
+/// Decides what the destination does with each message of each call.
 pub type CallScript = Rc<RefCell<dyn FnMut(&CallItem, EndpointId) -> ScriptedOutcome>>;
 
-/// What outlasts the simulated process: the world's clock, the client systems, their running calls.
+/// What outlives a simulated sender process: the clock, the destination systems and the calls that run there.
 #[derive(Clone)]
 pub struct SimulatedEnvironment {
-    /// When the world began; its time is counted from there.
+    /// When the simulation started; [`SimulatedEnvironment::now`] counts from there.
     pub started_at: Instant,
-    /// What took effect.
+    /// Which messages took effect.
     pub effects: Rc<RefCell<EffectRecorder>>,
-    /// What becomes of each message.
+    /// Decides what becomes of each message.
     pub script: CallScript,
-    /// Calls whose last byte has come, in order: time, id.
+    /// Messages that reached the destination, in order: time in microseconds, message ID.
     pub received_messages: Rc<RefCell<Vec<(Micros, String)>>>,
 }
 
 impl SimulatedEnvironment {
-    /// The world's time, microseconds.
+    /// Time since the simulation started, microseconds.
     #[must_use]
     pub fn now(&self) -> Micros {
         Micros::try_from(self.started_at.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 }
 
-/// The transport of one simulated process. What it has started ends with it, and what has reached a client system
-/// runs on there.
+/// The transport of one simulated process. Dropping the transport ends its calls for the sender, while messages that
+/// reached the destination are still executed there.
 pub struct VirtualTransport {
-    outside: SimulatedEnvironment,
-    power: CrashPoint,
+    environment: SimulatedEnvironment,
+    crash_point: CrashPoint,
     inputs: mpsc::UnboundedSender<Input>,
-    out: RefCell<Vec<JoinHandle<()>>>,
+    running_calls: RefCell<Vec<JoinHandle<()>>>,
 }
 
 impl VirtualTransport {
-    /// A transport to these client systems.
+    /// A transport to the destination of `environment`. It has no effect after the crash at `crash_point`, and reports
+    /// the ends of calls on `inputs`.
     #[must_use]
     pub fn new(
-        outside: SimulatedEnvironment,
-        power: CrashPoint,
+        environment: SimulatedEnvironment,
+        crash_point: CrashPoint,
         inputs: mpsc::UnboundedSender<Input>,
     ) -> Self {
         VirtualTransport {
-            outside,
-            power,
+            environment,
+            crash_point,
             inputs,
-            out: RefCell::default(),
+            running_calls: RefCell::default(),
         }
     }
 }
 
 impl Drop for VirtualTransport {
     fn drop(&mut self) {
-        self.out.borrow().iter().for_each(JoinHandle::abort);
+        self.running_calls
+            .borrow()
+            .iter()
+            .for_each(JoinHandle::abort);
     }
 }
 
 impl Transport for VirtualTransport {
     fn start(&self, call: Call, mut cancels: mpsc::UnboundedReceiver<usize>) {
-        // the first byte
-        if !self.power.try_step() {
+        // sending the call's first byte is an externally visible step
+        if !self.crash_point.try_step() {
             return;
         }
-        let mut tells = Vec::new();
+        let mut reported = Vec::new();
         for (position, item) in call.items.iter().enumerate() {
-            let fate = (self.outside.script.borrow_mut())(item, call.endpoint);
-            self.outside
+            let scripted = (self.environment.script.borrow_mut())(item, call.endpoint);
+            self.environment
                 .received_messages
                 .borrow_mut()
-                .push((self.outside.now(), item.id.to_string()));
-            if let Some(after) = fate.executes_after {
-                let (outside, name) = (self.outside.clone(), item.id.to_string());
+                .push((self.environment.now(), item.id.to_string()));
+            if let Some(after) = scripted.executes_after {
+                let (environment, id) = (self.environment.clone(), item.id.to_string());
                 tokio::task::spawn_local(async move {
                     sleep(after).await;
-                    let now = outside.now();
-                    outside.effects.borrow_mut().execute(&name, now);
+                    let now = environment.now();
+                    environment.effects.borrow_mut().execute(&id, now);
                 });
             }
-            if let Some((after, outcome)) = fate.reported {
-                tells.push((Instant::now() + after, position, outcome));
+            if let Some((after, outcome)) = scripted.reported {
+                reported.push((Instant::now() + after, position, outcome));
             }
         }
-        tells.sort_by_key(|&(at, position, _)| (at, position));
-        let (power, inputs) = (self.power.clone(), self.inputs.clone());
-        let mut left: Vec<usize> = (0..call.items.len()).collect();
+        reported.sort_by_key(|&(at, position, _)| (at, position));
+        let (crash_point, inputs) = (self.crash_point.clone(), self.inputs.clone());
+        let mut unfinished: Vec<usize> = (0..call.items.len()).collect();
         let task = tokio::task::spawn_local(async move {
             let end = |item: usize, outcome: Outcome| {
-                // the answer's last byte
-                if power.try_step() {
+                // receiving the response's last byte is one too
+                if crash_point.try_step() {
                     let closed = outcome == Outcome::Success;
                     let ended = AttemptEnd {
                         call: call.number,
@@ -123,32 +128,32 @@
                     let _ = inputs.send(Input::AttemptEnded(ended));
                 }
             };
-            while !left.is_empty() {
-                let next = tells
+            while !unfinished.is_empty() {
+                let next = reported
                     .iter()
-                    .position(|&(_, item, _)| left.contains(&item))
-                    .map(|at| tells[at]);
+                    .position(|&(_, item, _)| unfinished.contains(&item))
+                    .map(|index| reported[index]);
                 tokio::select! {
                     biased;
                     () = sleep_until(next.map_or(call.expires, |(at, ..)| at)), if next.is_some() => {
                         if let Some((_, item, outcome)) = next {
-                            left.retain(|&other| other != item);
+                            unfinished.retain(|&other| other != item);
                             end(item, outcome);
                         }
                     }
                     () = sleep_until(call.expires) => {
-                        left.drain(..).for_each(|item| end(item, Outcome::TimedOut));
+                        unfinished.drain(..).for_each(|item| end(item, Outcome::TimedOut));
                     }
                     Some(item) = cancels.recv() => {
-                        if left.contains(&item) {
-                            left.retain(|&other| other != item);
+                        if unfinished.contains(&item) {
+                            unfinished.retain(|&other| other != item);
                             end(item, Outcome::Cancelled);
                         }
                     }
                 }
             }
         });
-        self.out.borrow_mut().push(task);
+        self.running_calls.borrow_mut().push(task);
     }
 
     fn add_endpoint(&self, _: EndpointId, _: SocketAddr) {}
@@ -158,7 +163,9 @@
     fn close_idle_connections(&self, _: EndpointId) {}
 
     fn evict_idle(&self) {
-        self.out.borrow_mut().retain(|task| !task.is_finished());
+        self.running_calls
+            .borrow_mut()
+            .retain(|task| !task.is_finished());
     }
 
     fn item_bytes(&self, item: &CallItem) -> usize {
