--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -1,34 +1,36 @@
-//! Many senders with few calls each: what all of them together propose to one destination, and what one
-//! does that has seen next to nothing. The destination only ever answers by the script; nothing is modelled.
+//! Many senders with few calls each: how many calls all of them together make to one destination, and how a sender that
+//! has seen few calls behaves. The destination's responses are scripted; no endpoint is simulated.
 
 #![expect(
     clippy::needless_pass_by_value,
     clippy::too_many_lines,
-    reason = "scenarios of this file have not had their turn yet"
+    reason = "each test spells out its whole scenario"
 )]
 
 mod common;
 use common::*;
 use milletturn_policy::*;
 
-/// Senders of one group with the same settings, each with its own seed, and the same 60 messages over all.
+/// Senders with the same settings and a seed each, that share 60 messages.
 struct Fleet {
+    /// Each sender and the times of its alarms.
     senders: Vec<(Sender, Vec<Micros>)>,
     now: Micros,
-    /// Calls whose scripted answer has not been given: sender, message, attempt, endpoint, time of the send.
-    out: Vec<(usize, u64, usize, u32, Micros)>,
+    /// Calls in flight: sender, message, attempt, endpoint, time of the send.
+    calls_in_flight: Vec<(usize, u64, usize, u32, Micros)>,
     attempts: std::collections::BTreeMap<(usize, u64), usize>,
-    /// Time of each send.
+    /// Times of all sends.
     sends: Vec<Micros>,
 }
 
-const MESSAGES: u64 = 60;
+/// Number of messages that the senders share.
+const MESSAGE_COUNT: u64 = 60;
 const STEP: Micros = 20 * MILLISECOND;
 
 impl Fleet {
-    fn new(count: usize, slots: usize, change: impl Fn(&mut Settings)) -> Self {
-        let mut settings = settings(slots);
-        settings.senders = count as u32;
+    fn new(sender_count: usize, call_slots: usize, change: impl Fn(&mut Settings)) -> Self {
+        let mut settings = settings(call_slots);
+        settings.senders = sender_count as u32;
         change(&mut settings);
         let start = |seed| {
             (
@@ -36,17 +38,17 @@
                 Vec::new(),
             )
         };
-        let senders = (0..count as u64).map(start).collect();
+        let senders = (0..sender_count as u64).map(start).collect();
         let mut fleet = Fleet {
             senders,
-            now: T0,
-            out: Vec::new(),
+            now: START,
+            calls_in_flight: Vec::new(),
             attempts: Default::default(),
             sends: Vec::new(),
         };
         let entries: Vec<Entry> = (1..=2).map(|n| entry(n, 7)).collect();
-        for index in 0..count {
-            fleet.tell(
+        for index in 0..sender_count {
+            fleet.handle(
                 index,
                 vec![Event::Listed {
                     listing: Listing::Full,
@@ -57,7 +59,7 @@
         fleet
     }
 
-    fn tell(&mut self, index: usize, events: Vec<Event>) {
+    fn handle(&mut self, index: usize, events: Vec<Event>) {
         let mut actions = Vec::new();
         self.senders[index]
             .0
@@ -69,7 +71,7 @@
                     message, endpoint, ..
                 } => {
                     let attempt = self.attempts.entry((index, message.0)).or_default();
-                    self.out
+                    self.calls_in_flight
                         .push((index, message.0, *attempt, endpoint.0, self.now));
                     *attempt += 1;
                     self.sends.push(self.now);
@@ -79,31 +81,32 @@
         }
     }
 
-    fn hand_in(&mut self) {
-        for id in 0..MESSAGES {
+    fn submit_messages(&mut self) {
+        for id in 0..MESSAGE_COUNT {
             let index = (id as usize) % self.senders.len();
-            self.tell(index, vec![message(id, FREE, 7)]);
+            self.handle(index, vec![message(id, REPEATABLE, 7)]);
         }
     }
 
-    /// Plays up to `until`; each call is answered `answer(time)` after 50 ms.
-    fn play(&mut self, until: Micros, answer: impl Fn(Micros) -> Outcome) {
+    /// Advances the time to `until`. Each call ends after 50 ms with the outcome that `outcome_at` gives for that time.
+    fn run_until(&mut self, until: Micros, outcome_at: impl Fn(Micros) -> Outcome) {
         while self.now < until {
             self.now += STEP;
-            let due =
+            let is_due =
                 |call: &(usize, u64, usize, u32, Micros)| self.now >= call.4 + 50 * MILLISECOND;
-            let (ready, later): (Vec<_>, Vec<_>) = self.out.iter().copied().partition(due);
-            self.out = later;
-            for (index, id, attempt, endpoint, sent) in ready {
-                let end = ended(id, attempt, endpoint, answer(self.now), self.now - sent);
-                self.tell(index, vec![end]);
+            let (finished, unfinished): (Vec<_>, Vec<_>) =
+                self.calls_in_flight.iter().copied().partition(is_due);
+            self.calls_in_flight = unfinished;
+            for (index, id, attempt, endpoint, sent) in finished {
+                let end = ended(id, attempt, endpoint, outcome_at(self.now), self.now - sent);
+                self.handle(index, vec![end]);
             }
             for index in 0..self.senders.len() {
                 let before = self.senders[index].1.len();
                 let now = self.now;
                 self.senders[index].1.retain(|&at| at > now);
                 if self.senders[index].1.len() < before {
-                    self.tell(index, vec![Event::Alarm]);
+                    self.handle(index, vec![Event::Alarm]);
                 }
             }
         }
@@ -112,63 +115,69 @@
     fn sent_within(&self, from: Micros, to: Micros) -> usize {
         self.sends
             .iter()
-            .filter(|&&at| at > T0 + from && at <= T0 + to)
+            .filter(|&&at| at > START + from && at <= START + to)
             .count()
     }
 }
 
-const SIZES: [usize; 3] = [3, 60, 300];
+/// Numbers of senders that each test runs with.
+const FLEET_SIZES: [usize; 3] = [3, 60, 300];
 
 #[test]
-fn a_throttled_destination_is_not_flooded_however_many_senders_wait_for_it() {
-    // Round 12: half a call a second of each sender was 30 a second of sixty.
-    for count in SIZES {
+fn a_throttled_destination_is_probed_at_a_bounded_rate_by_any_number_of_senders() {
+    // Guards against a probe rate per sender: half a call per second of each of 60 senders is 30 per second.
+    for count in FLEET_SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
-        fleet.hand_in();
-        fleet.play(T0 + 12 * SECOND, |_| Outcome::Refused { wait: None });
-        let late = fleet.sent_within(4 * SECOND, 12 * SECOND);
-        assert!(late <= 80, "{count} senders: {late} tries in 8 s");
+        fleet.submit_messages();
+        fleet.run_until(START + 12 * SECOND, |_| Outcome::Refused { wait: None });
+        let probes = fleet.sent_within(4 * SECOND, 12 * SECOND);
+        assert!(probes <= 80, "{count} senders: {probes} probes in 8 s");
         assert!(
-            late >= 3,
-            "{count} senders: {late} tries in 8 s, it would hardly be found open"
+            probes >= 3,
+            "{count} senders: {probes} probes in 8 s, too few to notice the recovery"
         );
     }
 }
 
 #[test]
-fn a_first_refusal_is_not_tried_again_on_its_heels() {
-    // Round 17: the bucket of an unlimited pace kept a token, so each refused call went again within 50 ms.
-    for count in SIZES {
+fn a_first_rejection_is_not_retried_immediately() {
+    // Guards against a token left in the bucket of a sender without a rate limit, with which each rejected call was
+    // retried within 50 ms.
+    for count in FLEET_SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
-        fleet.hand_in();
-        fleet.play(T0 + 60 * MILLISECOND, |_| Outcome::Refused { wait: None });
-        let start = fleet.now - T0;
-        fleet.play(T0 + 400 * MILLISECOND, |_| Outcome::Refused { wait: None });
-        let again = fleet.sent_within(start, 400 * MILLISECOND);
+        fleet.submit_messages();
+        fleet.run_until(START + 60 * MILLISECOND, |_| Outcome::Refused {
+            wait: None,
+        });
+        let start = fleet.now - START;
+        fleet.run_until(START + 400 * MILLISECOND, |_| Outcome::Refused {
+            wait: None,
+        });
+        let retries = fleet.sent_within(start, 400 * MILLISECOND);
         assert!(
-            again <= 20,
-            "{count} senders: {again} of 60 within a third of a second"
+            retries <= 20,
+            "{count} senders: {retries} of 60 within a third of a second"
         );
     }
 }
 
 #[test]
-fn those_who_were_told_a_wait_do_not_start_together_at_its_end() {
-    // Round 14: a shut destination told all the same end; they came back at once and pushed it over.
-    for count in SIZES {
+fn senders_with_the_same_announced_wait_do_not_retry_together_at_its_end() {
+    // Guards against overloading a destination that announces to all senders a wait with the same end.
+    for count in FLEET_SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
-        fleet.hand_in();
-        let opens = T0 + 6 * SECOND;
-        let told = |now: Micros| Outcome::Refused {
-            wait: Some((opens - now).max(MILLISECOND)),
+        fleet.submit_messages();
+        let wait_end = START + 6 * SECOND;
+        let with_wait = |now: Micros| Outcome::Refused {
+            wait: Some((wait_end - now).max(MILLISECOND)),
         };
-        fleet.play(opens, told);
+        fleet.run_until(wait_end, with_wait);
         assert_eq!(
             fleet.sent_within(SECOND, 6 * SECOND),
             0,
-            "{count} senders: all were told to wait"
+            "{count} senders: a wait was announced to all"
         );
-        fleet.play(opens + 3 * SECOND, |_| Outcome::Success);
+        fleet.run_until(wait_end + 3 * SECOND, |_| Outcome::Success);
         let burst = fleet.sent_within(6 * SECOND, 6 * SECOND + 200 * MILLISECOND);
         let all = fleet.sent_within(6 * SECOND, 9 * SECOND);
         assert!(burst <= 6, "{count} senders: {burst} in the first 200 ms");
@@ -180,176 +189,190 @@
 }
 
 #[test]
-fn a_failing_destination_gets_a_trickle_of_all_senders_together() {
-    for count in SIZES {
+fn a_failing_destination_gets_few_probes_from_all_senders_together() {
+    for count in FLEET_SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
-        fleet.hand_in();
-        fleet.play(T0 + 14 * SECOND, |_| Outcome::Error);
-        let late = fleet.sent_within(8 * SECOND, 14 * SECOND);
+        fleet.submit_messages();
+        fleet.run_until(START + 14 * SECOND, |_| Outcome::Error);
+        let probes = fleet.sent_within(8 * SECOND, 14 * SECOND);
         assert!(
-            late <= 45,
-            "{count} senders: {late} tries in 6 s of an outage"
+            probes <= 45,
+            "{count} senders: {probes} probes in 6 s of an outage"
         );
     }
 }
 
 #[test]
-fn with_three_slots_a_hung_destination_leaves_one_and_copies_still_start() {
-    let mut rig = Rig::new(settings(3), vec![entry(1, 7), entry(2, 7), entry(3, 8)]);
-    rig.tell((0..6).map(|id| message(id, UNSAFE, 7)).collect());
-    rig.run(T0 + 100 * MILLISECOND);
-    rig.tell(vec![message(50, FREE, 8)]);
+fn with_three_slots_an_unresponsive_destination_leaves_one_and_hedging_still_works() {
+    let mut harness = Harness::new(settings(3), vec![entry(1, 7), entry(2, 7), entry(3, 8)]);
+    harness.handle((0..6).map(|id| message(id, UNSAFE, 7)).collect());
+    harness.run_until(START + 100 * MILLISECOND);
+    harness.handle(vec![message(50, REPEATABLE, 8)]);
     assert_eq!(
-        rig.sends_of(50).len(),
+        harness.send_times(50).len(),
         1,
-        "two slots at most go to one destination"
+        "one destination uses two slots at most"
     );
 
-    let mut rig = Rig::new(settings(3), vec![entry(1, 7), entry(2, 7)]);
-    rig.tell(vec![message(0, FREE, 7)]);
-    rig.end(0, Outcome::Success, 20 * MILLISECOND); // the window starts at one call and grows to two
-    rig.tell(vec![message(1, FREE, 7)]);
-    rig.run(T0 + 1_500 * MILLISECOND);
-    assert_eq!(rig.sends_of(1).len(), 2, "a copy after the offset");
+    let mut harness = Harness::new(settings(3), vec![entry(1, 7), entry(2, 7)]);
+    harness.handle(vec![message(0, REPEATABLE, 7)]);
+    harness.end_attempt(0, Outcome::Success, 20 * MILLISECOND); // the concurrency limit starts at one and grows to two
+    harness.handle(vec![message(1, REPEATABLE, 7)]);
+    harness.run_until(START + 1_500 * MILLISECOND);
+    assert_eq!(
+        harness.send_times(1).len(),
+        2,
+        "a hedged request after the delay"
+    );
 }
 
 #[test]
-fn a_sender_that_has_seen_one_call_acts_sensibly() {
-    let fresh = || Rig::new(settings(3), vec![entry(1, 7)]);
-    let again = |outcome: Outcome| {
-        let mut rig = fresh();
-        rig.tell(vec![message(1, FREE, 7)]);
-        assert_eq!(rig.sends_of(1), [0], "nothing is known: it goes at once");
-        rig.now += 50 * MILLISECOND;
-        rig.end(1, outcome, 50 * MILLISECOND);
-        rig.run(T0 + 10 * SECOND);
-        rig.sends_of(1).get(1).copied().expect("is tried again")
+fn a_sender_that_has_made_one_call_retries_after_a_moderate_backoff() {
+    let new_harness = || Harness::new(settings(3), vec![entry(1, 7)]);
+    let retried_at = |outcome: Outcome| {
+        let mut harness = new_harness();
+        harness.handle(vec![message(1, REPEATABLE, 7)]);
+        assert_eq!(
+            harness.send_times(1),
+            [0],
+            "nothing is known yet, so it is sent immediately"
+        );
+        harness.now += 50 * MILLISECOND;
+        harness.end_attempt(1, outcome, 50 * MILLISECOND);
+        harness.run_until(START + 10 * SECOND);
+        harness
+            .send_times(1)
+            .get(1)
+            .copied()
+            .expect("it is retried")
     };
-    let failed = again(Outcome::Error);
+    let failed = retried_at(Outcome::Error);
     assert!(
         (150 * MILLISECOND..=SECOND).contains(&failed),
         "after one failure: {failed}"
     );
-    let refused = again(Outcome::Refused { wait: None });
+    let rejected = retried_at(Outcome::Refused { wait: None });
     assert!(
-        (100 * MILLISECOND..=5 * SECOND).contains(&refused),
-        "after one refusal: {refused}"
+        (100 * MILLISECOND..=5 * SECOND).contains(&rejected),
+        "after one rejection: {rejected}"
     );
-    let told = again(Outcome::Refused { wait: Some(SECOND) });
+    let after_wait = retried_at(Outcome::Refused { wait: Some(SECOND) });
     assert!(
-        (1_051 * MILLISECOND..=6 * SECOND).contains(&told),
-        "after a told wait: {told}"
+        (1_051 * MILLISECOND..=6 * SECOND).contains(&after_wait),
+        "after an announced wait: {after_wait}"
     );
 
-    let mut rig = fresh();
-    rig.tell(vec![message(1, FREE, 7)]);
-    rig.run(T0 + 1_500 * MILLISECOND);
-    rig.tell(vec![message(2, FREE, 7)]);
+    let mut harness = new_harness();
+    harness.handle(vec![message(1, REPEATABLE, 7)]);
+    harness.run_until(START + 1_500 * MILLISECOND);
+    harness.handle(vec![message(2, REPEATABLE, 7)]);
     assert_eq!(
-        rig.count(|a| matches!(a, Action::Log(_))),
+        harness.count_actions(|a| matches!(a, Action::Log(_))),
         0,
-        "one slow call is no outage yet"
+        "one slow call is no outage"
     );
 }
 
 #[test]
-fn connections_are_given_back_where_they_are_scarce_and_kept_elsewhere() {
-    // Rounds 16 and 21: idle connections of hundreds of senders filled endpoints that take few.
-    let mut rich = settings(8);
-    rich.connection_idle = 5 * SECOND;
-    let closes = |rig: &Rig| rig.count(|a| *a == Action::Disconnect(EndpointId(1)));
-    let mut rig = Rig::new(rich, vec![entry(1, 7), entry(2, 8)]);
-    rig.tell(vec![message(1, FREE, 7)]);
-    rig.now += 100 * MILLISECOND;
-    rig.end(1, Outcome::Success, 100 * MILLISECOND);
-    assert_eq!(closes(&rig), 0, "no connection was ever refused");
+fn idle_connections_are_closed_only_where_connections_are_scarce() {
+    // Guards against idle connections of hundreds of senders that use up the connections that endpoints accept.
+    let mut settings = settings(8);
+    settings.connection_idle = 5 * SECOND;
+    let disconnects =
+        |harness: &Harness| harness.count_actions(|a| *a == Action::Disconnect(EndpointId(1)));
+    let mut harness = Harness::new(settings, vec![entry(1, 7), entry(2, 8)]);
+    harness.handle(vec![message(1, REPEATABLE, 7)]);
+    harness.now += 100 * MILLISECOND;
+    harness.end_attempt(1, Outcome::Success, 100 * MILLISECOND);
+    assert_eq!(disconnects(&harness), 0, "no connection has been rejected");
     for id in 10..13 {
-        rig.now += 2 * SECOND;
-        rig.tell(vec![message(id, FREE, 8)]);
-        rig.end(id, Outcome::NoConnection, MILLISECOND);
+        harness.now += 2 * SECOND;
+        harness.handle(vec![message(id, REPEATABLE, 8)]);
+        harness.end_attempt(id, Outcome::NoConnection, MILLISECOND);
     }
-    let before = closes(&rig);
-    rig.now += 20 * SECOND;
-    rig.tell(vec![message(2, FREE, 7)]);
-    rig.now += 100 * MILLISECOND;
-    rig.end(2, Outcome::Success, 100 * MILLISECOND);
+    let before = disconnects(&harness);
+    harness.now += 20 * SECOND;
+    harness.handle(vec![message(2, REPEATABLE, 7)]);
+    harness.now += 100 * MILLISECOND;
+    harness.end_attempt(2, Outcome::Success, 100 * MILLISECOND);
     assert_eq!(
-        closes(&rig),
+        disconnects(&harness),
         before + 1,
-        "its kind is crowded and its next call is far"
+        "endpoints of this kind reject connections, and the next call is far off"
     );
 }
 
 #[test]
-fn a_used_up_told_limit_holds_a_sender_to_its_even_share() {
-    // Round 22: each of fifty senders tried a little, all together more than refused calls left of the limit.
-    let count = |left: f64| {
-        let mut told = settings(3);
-        told.senders = 50;
-        (told.report_left, told.report_limit) = (Some(0), Some(1));
-        let mut rig = Rig::new(told, vec![entry(1, 7)]);
-        rig.tell((0..40).map(|id| message(id, FREE, 7)).collect());
+fn a_used_up_reported_limit_holds_a_sender_to_its_even_share() {
+    // Guards against 50 senders that each probe a little: rejected calls use up the limit, and together they were more
+    // than what was left of it.
+    let sends_with = |remaining_share: f64| {
+        let mut settings = settings(3);
+        settings.senders = 50;
+        (settings.report_left, settings.report_limit) = (Some(0), Some(1));
+        let mut harness = Harness::new(settings, vec![entry(1, 7)]);
+        harness.handle((0..40).map(|id| message(id, REPEATABLE, 7)).collect());
         let mut answered = 0;
-        while rig.now < T0 + 30 * SECOND {
-            let out = rig.sends[answered..].to_vec();
-            answered = rig.sends.len();
-            let next = rig.now + 40 * MILLISECOND;
-            rig.run(next);
+        while harness.now < START + 30 * SECOND {
+            let out = harness.sends[answered..].to_vec();
+            answered = harness.sends.len();
+            let next = harness.now + 40 * MILLISECOND;
+            harness.run_until(next);
             for send in out {
                 let end = ended(send.1, send.3, send.2, Outcome::Success, 40 * MILLISECOND);
-                rig.tell(vec![reported(end, &[left, 5.0])]);
+                harness.handle(vec![with_report(end, &[remaining_share, 5.0])]);
             }
         }
-        rig.sends.len()
+        harness.sends.len()
     };
     assert!(
-        count(0.0) <= 3,
-        "{} at an even share of 0.1 a second",
-        count(0.0)
+        sends_with(0.0) <= 3,
+        "{} at an even share of 0.1 per second",
+        sends_with(0.0)
     );
-    // slowly: what one of fifty may add unasked, fifty add at once
+    // growth is slow, since all 50 senders grow at the same time
     assert!(
-        count(0.9) > count(0.0),
-        "{} while others leave room",
-        count(0.9)
+        sends_with(0.9) > sends_with(0.0),
+        "{} while other senders leave capacity unused",
+        sends_with(0.9)
     );
 }
 
 #[test]
-fn replaced_fleets_quiet_destinations_and_old_keys_take_no_memory() {
-    let mut small = settings(8);
-    small.max_held = 10;
-    let mut rig = Rig::new(small, vec![entry(1, 7)]);
-    let mut early = 0;
+fn removed_endpoints_idle_destinations_and_old_keys_take_no_memory() {
+    let mut settings = settings(8);
+    settings.max_held = 10;
+    let mut harness = Harness::new(settings, vec![entry(1, 7)]);
+    let mut early_length = 0;
     for round in 0..400u32 {
         let (id, number) = (u64::from(round), round + 1);
         let entries = vec![entry(number, u64::from(number) + 100)];
-        rig.tell(vec![Event::Listed {
+        harness.handle(vec![Event::Listed {
             listing: Listing::Full,
             entries,
         }]);
         let mut new = NewMessage::new(MessageId(id), ORDERED, u64::from(number) + 100, 30 * SECOND);
         new.key = Some(id);
-        rig.tell(vec![Event::Accepted(new)]);
-        rig.now += 50 * MILLISECOND;
-        rig.end(id, Outcome::Success, 50 * MILLISECOND);
-        rig.now += SECOND;
+        harness.handle(vec![Event::Accepted(new)]);
+        harness.now += 50 * MILLISECOND;
+        harness.end_attempt(id, Outcome::Success, 50 * MILLISECOND);
+        harness.now += SECOND;
         if round == 100 {
-            early = format!("{:?}", rig.sender).len();
+            early_length = format!("{:?}", harness.sender).len();
         }
     }
-    let late = format!("{:?}", rig.sender).len();
+    let late_length = format!("{:?}", harness.sender).len();
     assert!(
-        late < early + 2_000,
-        "the state grew from {early} to {late} characters"
+        late_length < early_length + 2_000,
+        "the state grew from {early_length} to {late_length} characters"
     );
 }
 
 #[test]
-fn an_id_that_returns_elsewhere_is_new() {
-    let mut rig = Rig::new(settings(8), vec![entry(1, 7)]);
-    rig.tell(vec![message(1, FREE, 7)]);
-    rig.tell(vec![Event::Listed {
+fn an_endpoint_id_that_returns_at_another_destination_is_a_new_endpoint() {
+    let mut harness = Harness::new(settings(8), vec![entry(1, 7)]);
+    harness.handle(vec![message(1, REPEATABLE, 7)]);
+    harness.handle(vec![Event::Listed {
         listing: Listing::Full,
         entries: vec![Entry {
             kind: 1,
@@ -357,42 +380,45 @@
             ..entry(1, 8)
         }],
     }]);
-    rig.tell(vec![message(2, FREE, 7), message(3, FREE, 8)]);
-    assert_eq!((rig.sends_of(2).len(), rig.sends_of(3).len()), (0, 1));
-    rig.end(1, Outcome::Success, MILLISECOND); // the old call still ends well
-    rig.end(3, Outcome::Success, MILLISECOND);
-    rig.run(T0 + 40 * SECOND);
-    assert!(rig.refused(2) && rig.sends_of(2).is_empty());
+    harness.handle(vec![message(2, REPEATABLE, 7), message(3, REPEATABLE, 8)]);
+    assert_eq!(
+        (harness.send_times(2).len(), harness.send_times(3).len()),
+        (0, 1)
+    );
+    harness.end_attempt(1, Outcome::Success, MILLISECOND); // the old call still succeeds
+    harness.end_attempt(3, Outcome::Success, MILLISECOND);
+    harness.run_until(START + 40 * SECOND);
+    assert!(harness.was_rejected(2) && harness.send_times(2).is_empty());
 }
 
 #[test]
-fn odd_reports_weights_notes_and_alarms_neither_panic_nor_stop_the_traffic() {
-    let mut told = settings(2);
-    (told.senders, told.weight_trust, told.may_note) = (300, 0.5, true);
-    (told.report_left, told.report_limit) = (Some(0), Some(1));
-    for odd in [0.0, -3.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
-        let mut rig = Rig::new(
-            told.clone(),
+fn invalid_reports_weights_gossip_and_alarms_neither_panic_nor_stop_the_traffic() {
+    let mut settings = settings(2);
+    (settings.senders, settings.weight_trust, settings.may_note) = (300, 0.5, true);
+    (settings.report_left, settings.report_limit) = (Some(0), Some(1));
+    for invalid in [0.0, -3.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
+        let mut harness = Harness::new(
+            settings.clone(),
             vec![Entry {
-                weight: odd,
+                weight: invalid,
                 ..entry(1, 7)
             }],
         );
         for id in 0..5 {
-            rig.tell(vec![
-                message(id, FREE, 7),
+            harness.handle(vec![
+                message(id, REPEATABLE, 7),
                 Event::Noted {
                     from: 999,
                     bytes: vec![0; 300],
                 },
                 Event::Alarm,
             ]);
-            rig.run(rig.now + 2 * SECOND);
-            let end = reported(
+            harness.run_until(harness.now + 2 * SECOND);
+            let end = with_report(
                 ended(id, 0, 1, Outcome::Success, 20 * MILLISECOND),
-                &[odd, odd],
+                &[invalid, invalid],
             );
-            rig.tell(vec![
+            harness.handle(vec![
                 end.clone(),
                 end,
                 Event::Noted {
@@ -401,72 +427,75 @@
                 },
             ]);
         }
-        rig.run(rig.now + 3_600 * SECOND);
+        harness.run_until(harness.now + 3_600 * SECOND);
         let probe = Event::Probed {
             endpoint: EndpointId(1),
             outcome: Outcome::TimedOut,
-            report: vec![odd],
+            report: vec![invalid],
         };
-        rig.tell(vec![
+        harness.handle(vec![
             probe,
-            message(90, FREE, 7),
+            message(90, REPEATABLE, 7),
             Event::Alarm,
             Event::Alarm,
         ]);
-        rig.run(rig.now + 31 * SECOND);
-        assert!(!rig.sends_of(90).is_empty(), "report and weight {odd}");
+        harness.run_until(harness.now + 31 * SECOND);
+        assert!(
+            !harness.send_times(90).is_empty(),
+            "report and weight {invalid}"
+        );
     }
 }
 
-/// Looks that the median turn takes, with so many messages behind ten destinations that are gone, and so many
+/// Median number of inspections per turn, with this many pending messages for ten failing destinations, among this many
 /// destinations.
-fn steps(held: u64, destinations: u32) -> u64 {
+fn median_steps(pending: u64, destinations: u32) -> u64 {
     let mut settings = settings(200);
     settings.max_held = 20_000;
-    let gone = 10;
-    let mut rig = Rig::new(
+    let failing = 10;
+    let mut harness = Harness::new(
         settings,
         (0..destinations).map(|n| entry(n, u64::from(n))).collect(),
     );
-    for id in 0..6 * gone {
-        rig.now += 10 * MILLISECOND;
-        rig.tell(vec![message(id, FREE, id % gone)]);
-        if rig.sends.last().is_some_and(|send| send.1 == id) {
-            rig.end(id, Outcome::Error, MILLISECOND);
+    for id in 0..6 * failing {
+        harness.now += 10 * MILLISECOND;
+        harness.handle(vec![message(id, REPEATABLE, id % failing)]);
+        if harness.sends.last().is_some_and(|send| send.1 == id) {
+            harness.end_attempt(id, Outcome::Error, MILLISECOND);
         }
     }
-    rig.tell(
-        (0..held)
-            .map(|id| message(1_000 + id, FREE, id % gone))
+    harness.handle(
+        (0..pending)
+            .map(|id| message(1_000 + id, REPEATABLE, id % failing))
             .collect(),
     );
-    let mut turns: Vec<u64> = (0..50)
+    let mut steps_per_turn: Vec<u64> = (0..50)
         .map(|round| {
             let id = 100_000 + round;
-            rig.now += MILLISECOND;
-            rig.tell(vec![message(
+            harness.now += MILLISECOND;
+            harness.handle(vec![message(
                 id,
-                FREE,
-                gone + round % (u64::from(destinations) - gone),
+                REPEATABLE,
+                failing + round % (u64::from(destinations) - failing),
             )]);
-            rig.now += MILLISECOND;
-            let before = rig.sender.steps();
-            rig.end(id, Outcome::Success, MILLISECOND);
-            rig.sender.steps() - before
+            harness.now += MILLISECOND;
+            let before = harness.sender.steps();
+            harness.end_attempt(id, Outcome::Success, MILLISECOND);
+            harness.sender.steps() - before
         })
         .collect();
-    turns.sort_unstable();
-    turns[turns.len() / 2]
+    steps_per_turn.sort_unstable();
+    steps_per_turn[steps_per_turn.len() / 2]
 }
 
 #[test]
-fn a_turn_takes_as_many_looks_however_much_is_held_and_listed() {
-    let least = steps(10, 100);
-    for (held, destinations) in [(100, 100), (1_000, 1_000), (10_000, 100), (10, 5_000)] {
-        let now = steps(held, destinations);
+fn the_cost_of_a_turn_does_not_grow_with_pending_messages_or_destinations() {
+    let baseline = median_steps(10, 100);
+    for (pending, destinations) in [(100, 100), (1_000, 1_000), (10_000, 100), (10, 5_000)] {
+        let steps = median_steps(pending, destinations);
         assert!(
-            now <= 2 * least.max(4),
-            "{held} held, {destinations} listed: {now} looks, {least} at the least"
+            steps <= 2 * baseline.max(4),
+            "{pending} pending, {destinations} listed: {steps} inspections, baseline {baseline}"
         );
     }
 }
--- a/crates/test-support/src/cold_fleet.rs
+++ b/crates/test-support/src/cold_fleet.rs
@@ -1,6 +1,6 @@
-//! Simulates a fleet of senders with one destination that fails for a while and recovers into its slow start, in virtual
-//! time and from a seed. Measures by how much the calls of all senders together exceed the capacity that the settings
-//! assume during the slow start.
+//! Simulates a fleet of senders with one destination that fails for a while and recovers into its slow start, in
+//! virtual time and from a seed. Measures by how much the calls of all senders together exceed the capacity that the
+//! settings assume during the slow start.
 
 use crate::turns::run_turn;
 use milletturn_policy::{
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -153,7 +153,8 @@
 
 type Script = Arc<dyn Fn(&Request, usize) -> Reply + Send + Sync>;
 
-/// An HTTP server that passes each request and its number, counted from 0, to a script and does what the script returns.
+/// An HTTP server that passes each request and its number, counted from 0, to a script and does what the script
+/// returns.
 #[derive(Clone)]
 pub struct FakeEndpoint {
     /// Address on which the endpoint listens.
--- a/crates/test-support/src/limited_fleet/mod.rs
+++ b/crates/test-support/src/limited_fleet/mod.rs
@@ -20,8 +20,8 @@
     pub messages_per_s: f64,
     /// How long messages are submitted.
     pub duration: Micros,
-    /// Calls per second that all destinations together serve. Rejected calls use up the limit too, unless `limit_policy`
-    /// says otherwise.
+    /// Calls per second that all destinations together serve. Rejected calls use up the limit too, unless
+    /// `limit_policy` says otherwise.
     pub calls_per_s: f64,
     /// Maximum number of messages in one call.
     pub max_batch_size: usize,
--- a/crates/test-support/src/limited_fleet/rate_limit.rs
+++ b/crates/test-support/src/limited_fleet/rate_limit.rs
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The limit shows only in rejections, which use up the limit too. Half of them announce a wait that is unrelated to
-    /// when a call will be served.
+    /// The limit shows only in rejections, which use up the limit too. Half of them announce a wait that is unrelated
+    /// to when a call will be served.
     #[must_use]
     pub fn rejections_only() -> Self {
         let retry_after_range = (1300 * MILLISECOND, 1400 * MILLISECOND);
--- a/crates/test-support/src/unreliable_endpoint.rs
+++ b/crates/test-support/src/unreliable_endpoint.rs
@@ -1,5 +1,5 @@
-//! An endpoint with random faults from a seed: it delivers, rejects, fails, closes, hangs and sends duplicates of earlier
-//! responses at moments that HTTP does not allow, and records which messages it really executed.
+//! An endpoint with random faults from a seed: it delivers, rejects, fails, closes, hangs and sends duplicates of
+//! earlier responses at moments that HTTP does not allow, and records which messages it really executed.
 
 use crate::{Request, asks_to_close, read_http};
 use rand_pcg::Pcg32;
--- a/crates/test-support/src/unused_address.rs
+++ b/crates/test-support/src/unused_address.rs
@@ -14,7 +14,8 @@
     /// Reserves a free port of the given local IP address.
     ///
     /// The port is bound and never listened on, not even briefly: a child process that another thread starts at that
-    /// moment holds a copy of the listening descriptor until its `exec`, and the port would go on accepting connections.
+    /// moment holds a copy of the listening descriptor until its `exec`, and the port would go on accepting
+    /// connections.
     ///
     /// # Panics
     ///
