--- a/crates/policy/tests/dormancy.rs
+++ b/crates/policy/tests/dormancy.rs
@@ -145,11 +145,11 @@
             REPEATABLE,
             if round % 2 == 0 { 1 } else { round + 3 },
         )]);
-        let gone = Entry {
+        let removed = Entry {
             status: Status::Gone,
             ..entry(old, if round % 2 == 1 { round + 3 } else { 1 })
         };
-        let entries = vec![gone, entry(new, destination)];
+        let entries = vec![removed, entry(new, destination)];
         harness.handle(vec![Event::Listed {
             listing: Listing::Changes,
             entries,
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -119,7 +119,7 @@
     let (mut settings, entries) = one_of_three_hundred();
     (settings.senders, settings.connection_idle) = (60, 3 * SECOND);
     let mut harness = Harness::new(settings, entries);
-    let mut answered = 0;
+    let mut ended_calls = 0;
     let mut sent = [0, 0];
     for (part, is_full) in [false, true].into_iter().enumerate() {
         for id in 0..40 {
@@ -127,8 +127,8 @@
             harness.handle(vec![message(id, KEYED, 7)]);
             harness.run_until(harness.now + 500 * MILLISECOND);
             // once the table is full, every second call is rejected without a load report
-            while let Some(send) = harness.sends.get(answered).copied() {
-                let is_rejected = is_full && answered % 2 == 0;
+            while let Some(send) = harness.sends.get(ended_calls).copied() {
+                let is_rejected = is_full && ended_calls % 2 == 0;
                 let outcome = if is_rejected {
                     Outcome::Refused { wait: None }
                 } else {
@@ -139,10 +139,10 @@
                     end,
                     if is_rejected { &[] } else { &[0.95, 85.0] },
                 )]);
-                answered += 1;
+                ended_calls += 1;
             }
         }
-        sent[part] = answered - sent[0];
+        sent[part] = ended_calls - sent[0];
     }
     assert!(
         sent[0] >= 38,
@@ -216,10 +216,10 @@
         settings.senders = 100;
         (settings.report_left, settings.report_limit) = (Some(0), Some(1));
         let mut harness = Harness::new(settings, vec![entry(1, 7)]);
-        let (mut answered, mut first) = (0, Micros::MAX);
+        let (mut ended_calls, mut first) = (0, Micros::MAX);
         for id in 0..3000 {
-            let out = harness.sends[answered..].to_vec();
-            answered = harness.sends.len();
+            let calls = harness.sends[ended_calls..].to_vec();
+            ended_calls = harness.sends.len();
             let next = harness.now + 20 * MILLISECOND;
             harness.run_until(next);
             let mut events = if id % 100 == 0 {
@@ -227,7 +227,7 @@
             } else {
                 vec![]
             };
-            for send in out {
+            for send in calls {
                 let is_healthy = !(START + 2 * SECOND..recovery).contains(&send.0);
                 let outcome = if is_healthy {
                     Outcome::Success
@@ -341,8 +341,8 @@
 
 #[test]
 fn senders_that_restart_together_do_not_start_sending_together() {
-    // Guards against 193 senders that restart within a second and each begin with a call at once: 200 calls at a limit
-    // of 85 per second, followed by 2 s in which nothing was served.
+    // Guards against a burst after a common restart: 193 senders restarted within a second and each made a call at once,
+    // 200 calls at a limit of 85 per second, after which nothing was served for 2 s.
     let (settings, entries) = one_of_three_hundred();
     let mut first_sends: Vec<Micros> = Vec::new();
     for seed in 0..300 {
--- a/crates/policy/tests/guards.rs
+++ b/crates/policy/tests/guards.rs
@@ -89,13 +89,13 @@
         // each destination completes one call every 1.5 s: slow, yet never unresponsive
         if step % 5 == 4 {
             for endpoint in [1, 2] {
-                let out = harness
+                let last_call = harness
                     .sends
                     .iter()
                     .filter(|s| s.1 < 30 && s.2 == endpoint)
                     .map(|s| s.1)
                     .next_back();
-                if let Some(id) = out {
+                if let Some(id) = last_call {
                     harness.end_attempt(id, Outcome::Success, 1_500 * MILLISECOND);
                 }
             }
@@ -136,14 +136,14 @@
     let start = harness.now;
     harness.handle((100..140).map(|id| message(id, REPEATABLE, 7)).collect());
     while harness.now < start + 3 * SECOND {
-        let out: Vec<_> = harness
+        let calls: Vec<_> = harness
             .sends
             .iter()
             .filter(|s| s.0 == harness.now && s.1 < 1000)
             .copied()
             .collect();
         harness.now += 20 * MILLISECOND;
-        let ends = out
+        let ends = calls
             .iter()
             .map(|s| ended(s.1, s.3, s.2, Outcome::Success, 20 * MILLISECOND))
             .collect();
@@ -170,16 +170,16 @@
     harness.handle((0..400).map(|id| message(id, REPEATABLE, 7)).collect());
     let mut counts = [0usize; 2];
     for step in 0..500 {
-        let out: Vec<_> = harness
+        let calls: Vec<_> = harness
             .sends
             .iter()
             .filter(|s| s.0 == harness.now)
             .copied()
             .collect();
         counts[usize::from(step >= 50)] +=
-            usize::from((25..50).contains(&step) || step >= 475) * out.len();
+            usize::from((25..50).contains(&step) || step >= 475) * calls.len();
         harness.now += 40 * MILLISECOND;
-        let ends = out.iter().map(|s| {
+        let ends = calls.iter().map(|s| {
             with_report(
                 ended(s.1, s.3, s.2, Outcome::Success, 40 * MILLISECOND),
                 &[16.0],
@@ -205,7 +205,7 @@
     let fail_until = harness.now + 10 * SECOND;
     let test_end = fail_until + 20 * SECOND;
     while harness.now < test_end {
-        let out: Vec<_> = harness
+        let calls: Vec<_> = harness
             .sends
             .iter()
             .filter(|s| s.0 == harness.now && s.1 < 200)
@@ -217,7 +217,7 @@
         } else {
             Outcome::Success
         };
-        let ends = out
+        let ends = calls
             .iter()
             .map(|s| ended(s.1, s.3, s.2, result, 20 * MILLISECOND))
             .collect();
@@ -252,8 +252,8 @@
     harness.run_until(START + 6 * SECOND);
     harness.handle((20..34).map(|id| message(id, REPEATABLE, 7)).collect());
     harness.run_until(harness.now + SECOND);
-    let refused = (0..40).filter(|&id| harness.was_rejected(id)).count();
-    assert!(refused >= 4, "{refused}");
+    let rejected = (0..40).filter(|&id| harness.was_rejected(id)).count();
+    assert!(rejected >= 4, "{rejected} rejected");
 }
 
 #[test]
@@ -288,7 +288,7 @@
     let open = harness.now + 2 * SECOND;
     let mut sent = 0;
     while harness.now < open + 6 * SECOND {
-        let out: Vec<_> = harness
+        let calls: Vec<_> = harness
             .sends
             .iter()
             .filter(|s| s.0 == harness.now && s.1 < 300)
@@ -301,11 +301,11 @@
             Outcome::Success
         };
         sent += if harness.now > open + 2 * SECOND {
-            out.len()
+            calls.len()
         } else {
             0
         };
-        let ends = out
+        let ends = calls
             .iter()
             .map(|s| ended(s.1, s.3, s.2, result, 20 * MILLISECOND))
             .collect();
@@ -351,7 +351,7 @@
         harness.now += 100 * MILLISECOND;
         harness.end_attempt(id, Outcome::Success, 100 * MILLISECOND);
     }
-    let (failing_endpoint, mut answered) = (harness.sends[0].2, harness.sends.len());
+    let (failing_endpoint, mut ended_calls) = (harness.sends[0].2, harness.sends.len());
     let mut lost = [0, 0];
     for step in 0..80u64 {
         // the failing endpoint fails each unsafe message and delivers the others
@@ -359,8 +359,8 @@
             message(step, UNSAFE, 7),
             message(500 + step, REPEATABLE, 7),
         ]);
-        let calls = harness.sends[answered..].to_vec();
-        answered = harness.sends.len();
+        let calls = harness.sends[ended_calls..].to_vec();
+        ended_calls = harness.sends.len();
         harness.run_until(harness.now + 100 * MILLISECOND);
         let fails = |call: &(Micros, u64, u32, usize)| call.1 < 500 && call.2 == failing_endpoint;
         lost[usize::from(step >= 40)] += calls.iter().filter(|call| fails(call)).count();
--- a/crates/policy/tests/resumed.rs
+++ b/crates/policy/tests/resumed.rs
@@ -197,12 +197,12 @@
         ] {
             let mut harness = Harness::new(one_second_window(), vec![entry(1, 7), entry(2, 7)]);
             harness.handle(vec![resumed_after_send(1, age, 15 * SECOND)]);
-            let mut answered = 0;
+            let mut ended_calls = 0;
             for _ in 0..200 {
                 harness.run_until(harness.now + 50 * MILLISECOND);
                 // ends each call with this outcome, and checks that the next attempt may begin only within the window
-                while let Some(send) = harness.sends.get(answered).copied() {
-                    answered += 1;
+                while let Some(send) = harness.sends.get(ended_calls).copied() {
+                    ended_calls += 1;
                     let until = harness.sender.may_begin(send.0, MessageId(1), send.3 + 1);
                     assert!(
                         until.is_none_or(|until| until < START - age + SECOND),
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -184,12 +184,12 @@
     harness.handle(vec![message(1, UNSAFE, 7), message(2, KEYED, 7)]);
     for id in [1, 2] {
         let (endpoint, attempt) = harness.last_send(id);
-        let refused = Outcome::Refused { wait: None };
+        let rejected = Outcome::Refused { wait: None };
         harness.handle(vec![with_ambiguous_response(ended(
             id,
             attempt,
             endpoint,
-            refused,
+            rejected,
             MILLISECOND,
         ))]);
     }
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -312,13 +312,13 @@
         (settings.report_left, settings.report_limit) = (Some(0), Some(1));
         let mut harness = Harness::new(settings, vec![entry(1, 7)]);
         harness.handle((0..40).map(|id| message(id, REPEATABLE, 7)).collect());
-        let mut answered = 0;
+        let mut ended_calls = 0;
         while harness.now < START + 30 * SECOND {
-            let out = harness.sends[answered..].to_vec();
-            answered = harness.sends.len();
+            let calls = harness.sends[ended_calls..].to_vec();
+            ended_calls = harness.sends.len();
             let next = harness.now + 40 * MILLISECOND;
             harness.run_until(next);
-            for send in out {
+            for send in calls {
                 let end = ended(send.1, send.3, send.2, Outcome::Success, 40 * MILLISECOND);
                 harness.handle(vec![with_report(end, &[remaining_share, 5.0])]);
             }
