--- a/crates/engine/tests/golden_snapshot/scenario.rs
+++ b/crates/engine/tests/golden_snapshot/scenario.rs
@@ -4,7 +4,9 @@
 use milletturn_engine::{
     AttemptEnd, Call, EndCause, Engine, Input, ListedEndpoint, Notification, Ports, SharedStr,
 };
-use milletturn_policy::{Class, Effect, Kind, Micros, Outcome, SECOND, Settings, Status, Tenant};
+use milletturn_policy::{
+    Class, DestinationKind, Effect, EndpointStatus, Micros, Outcome, SECOND, Settings, Tenant,
+};
 use milletturn_test_support::{
     MemoryJournal, RecordingTransport, engine_ports, new_arrival, serving_endpoint,
 };
@@ -14,28 +16,32 @@
 
 pub(crate) fn settings() -> Settings {
     let mut settings = Settings::new(40, 50);
-    settings.notices = true;
+    settings.notifications_enabled = true;
     let keyed = Effect::Keyed {
         window: 12 * SECOND,
         zone_only: true,
     };
     let mut ordered = Class::new("ordered", Effect::Repeatable, 2 * SECOND, 15 * SECOND);
-    (ordered.ordered, ordered.worth, ordered.late_share) = (true, 3.5, 0.25);
+    (
+        ordered.ordered,
+        ordered.priority_weight,
+        ordered.late_value_share,
+    ) = (true, 3.5, 0.25);
     settings.classes = vec![
         Class::new("unsafe", Effect::Unsafe, 4 * SECOND, 20 * SECOND),
         Class::new("keyed", keyed, 4 * SECOND, 20 * SECOND),
         ordered,
     ];
     settings.kinds = vec![
-        Kind {
+        DestinationKind {
             name: "one".into(),
             separate_routes: false,
-            bundle_max: 1,
+            max_batch_size: 1,
         },
-        Kind {
+        DestinationKind {
             name: "many".into(),
             separate_routes: true,
-            bundle_max: 5,
+            max_batch_size: 5,
         },
     ];
     settings.tenants = vec![Tenant {
@@ -49,7 +55,7 @@
     journal: &MemoryJournal,
     calls: &RecordingTransport,
 ) -> (Ports, mpsc::UnboundedReceiver<Notification>) {
-    let targets = vec![
+    let endpoints = vec![
         serving_endpoint(1),
         serving_endpoint(2),
         ListedEndpoint {
@@ -66,7 +72,7 @@
         },
         serving_endpoint(4),
         ListedEndpoint {
-            status: Status::Draining,
+            status: EndpointStatus::Draining,
             ..serving_endpoint(77)
         },
     ];
@@ -75,7 +81,7 @@
         zones: vec!["east".into(), "west".into()],
         kinds: vec!["one".into(), "many".into()],
         notifications: notice,
-        ..engine_ports(settings(), targets, journal, calls.clone())
+        ..engine_ports(settings(), endpoints, journal, calls.clone())
     };
     (ports, notices)
 }
@@ -165,8 +171,8 @@
     world.run_for(5).await;
     world.end(
         "refused-once",
-        Outcome::Refused {
-            wait: Some(20 * MILLISECOND),
+        Outcome::Rejected {
+            retry_after: Some(20 * MILLISECOND),
         },
         false,
     );
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -2,7 +2,8 @@
 //! of its wire protocol; both end up here, so that each name is in one place.
 
 use milletturn_policy::{
-    Class, Effect, Fade, Kind, Micros, SECOND, Safety, Settings, SettingsError, Tenant,
+    Class, DestinationKind, Effect, Micros, SECOND, Safety, Settings, SettingsError, Tenant,
+    ValueDecay,
 };
 use std::collections::BTreeMap;
 
@@ -11,9 +12,9 @@
 }
 
 /// Settings as text by their paths, such as `caps.maxOpen`: of a `begin` line, or of a real sender's configuration.
-pub struct SettingTexts<'a>(pub BTreeMap<&'a str, &'a str>);
+pub struct RawSettings<'a>(pub BTreeMap<&'a str, &'a str>);
 
-impl SettingTexts<'_> {
+impl RawSettings<'_> {
     /// None where it is missing or empty.
     fn text(&self, path: &str) -> Option<&str> {
         self.0.get(path).copied().filter(|text| !text.is_empty())
@@ -89,7 +90,7 @@
 ///
 /// # Errors
 /// Names the first setting that is missing or makes no sense.
-pub fn read_settings(texts: &SettingTexts) -> Result<(Settings, SettingNames), SettingsError> {
+pub fn read_settings(texts: &RawSettings) -> Result<(Settings, SettingNames), SettingsError> {
     let mut names = SettingNames {
         zones: owned(&texts.list("zones")),
         kinds: owned(&texts.list("machineTypes")),
@@ -120,21 +121,21 @@
 }
 
 /// Settings with the limits and the abilities of the platform.
-fn read_limits(texts: &SettingTexts, names: &SettingNames) -> Result<Settings, SettingsError> {
+fn read_limits(texts: &RawSettings, names: &SettingNames) -> Result<Settings, SettingsError> {
     let slots = texts.required("specifics.callSlots")? as usize;
     let mut settings = Settings::new(slots, texts.required("caps.maxOpen")? as usize);
     settings.senders = texts.required("balancers")? as u32;
     settings.zone = position(&names.zones, texts.text("az").unwrap_or("")) as u16;
     settings.max_attempts = texts.required("caps.mostTries")? as usize;
-    settings.second_copies = texts.flag("caps.secondCopies");
-    settings.may_cancel = texts.flag("caps.mayCancel");
-    settings.may_probe = texts.flag("caps.mayProbe");
-    settings.may_note = texts.flag("caps.peers");
-    settings.connection_idle = texts.duration_or("caps.connIdle", 0)?;
+    settings.hedging_enabled = texts.flag("caps.secondCopies");
+    settings.cancellation_enabled = texts.flag("caps.mayCancel");
+    settings.probing_enabled = texts.flag("caps.mayProbe");
+    settings.gossip_enabled = texts.flag("caps.peers");
+    settings.idle_connection_timeout = texts.duration_or("caps.connIdle", 0)?;
     if texts.flag("caps.retryAfter") {
-        settings.max_client_wait = texts.duration_or("caps.maxRetryAfter", 0)?;
+        settings.max_client_retry_after = texts.duration_or("caps.maxRetryAfter", 0)?;
     }
-    settings.list_on_request = texts.text("discovery") == Some("on_request");
+    settings.list_requires_subscription = texts.text("discovery") == Some("on_request");
     settings.weight_trust = match texts.text("weights") {
         Some("nominal") => 1.0,
         Some("rough") => 0.5,
@@ -144,20 +145,20 @@
 }
 
 /// Which fields of load reports the policy reads.
-fn read_report(texts: &SettingTexts, settings: &mut Settings) {
+fn read_report(texts: &RawSettings, settings: &mut Settings) {
     if texts.text("report.how").is_some_and(|how| how != "silent") {
         let fields = texts.list("report.fields");
-        settings.report_left = fields.iter().position(|&field| field == "x0");
-        settings.report_limit = fields.iter().position(|&field| field == "x1");
+        settings.report_remaining_index = fields.iter().position(|&field| field == "x0");
+        settings.report_limit_index = fields.iter().position(|&field| field == "x1");
     }
 }
 
 /// Prices, and how the worth of a message falls.
-fn read_prices(texts: &SettingTexts, settings: &mut Settings) -> Result<(), SettingsError> {
+fn read_prices(texts: &RawSettings, settings: &mut Settings) -> Result<(), SettingsError> {
     settings.price_cross_zone = texts.number_or("prices.crossZone", 0.0)?;
     settings.price_probe = texts.number_or("prices.probe", 0.0)?;
     settings.price_waste = texts.number_or("prices.waste", 0.0)?;
-    settings.over_share_worth = texts.number_or("overShareWorth", 1.0)?;
+    settings.over_share_weight = texts.number_or("overShareWorth", 1.0)?;
     for fee in texts.list("specifics.zoneFee") {
         settings.zone_fees.push(
             fee.parse()
@@ -165,25 +166,25 @@
         );
     }
     if texts.text("specifics.fades") == Some("by_half") {
-        settings.fade = Fade::Halving;
+        settings.value_decay = ValueDecay::Halving;
     }
     Ok(())
 }
 
-fn read_safety(texts: &SettingTexts, default: &Safety) -> Result<Safety, SettingsError> {
+fn read_safety(texts: &RawSettings, default: &Safety) -> Result<Safety, SettingsError> {
     Ok(Safety {
         drain_grace: to_micros(texts.required("safety.stopSendingWithin")?),
-        cold_time: to_micros(texts.required("safety.cold")?),
-        start_capacity: texts.required("safety.startCapacity")?,
-        fall_multiple: texts.required("safety.fallMultiple")?,
-        fall_span: to_micros(texts.required("safety.fall")?),
-        answer_grace: texts.duration_or("safety.graceToAnswer", default.answer_grace)?,
-        key_rest: texts.duration_or("safety.turnGap", 0)?,
-        ask_every: texts.duration_or("safety.askEvery", default.ask_every)?,
+        slow_start: to_micros(texts.required("safety.cold")?),
+        initial_capacity: texts.required("safety.startCapacity")?,
+        overload_multiple: texts.required("safety.fallMultiple")?,
+        overload_window: to_micros(texts.required("safety.fall")?),
+        response_grace: texts.duration_or("safety.graceToAnswer", default.response_grace)?,
+        ordered_key_backoff: texts.duration_or("safety.turnGap", 0)?,
+        list_poll_interval: texts.duration_or("safety.askEvery", default.list_poll_interval)?,
     })
 }
 
-fn read_class(texts: &SettingTexts, index: usize) -> Result<Class, SettingsError> {
+fn read_class(texts: &RawSettings, index: usize) -> Result<Class, SettingsError> {
     let path = |field: &str| format!("classes.{index}.{field}");
     let name = texts
         .text(&path("name"))
@@ -205,16 +206,19 @@
     Ok(Class {
         name: name.to_string(),
         effect,
-        aim: to_micros(texts.required(&path("aim"))?),
+        latency_objective: to_micros(texts.required(&path("aim"))?),
         deadline: to_micros(texts.required(&path("deadline"))?),
-        worth: texts.number_or(&path("worth"), 1.0)?,
-        late_share: texts.number_or(&path("lateShare"), 0.0)?,
+        priority_weight: texts.number_or(&path("worth"), 1.0)?,
+        late_value_share: texts.number_or(&path("lateShare"), 0.0)?,
         ordered: texts.flag(&path("oneAtATime")),
     })
 }
 
 /// The kinds of destination: lists beside that of their names, in the same order.
-fn read_kinds(texts: &SettingTexts, names: &[String]) -> Result<Vec<Kind>, SettingsError> {
+fn read_kinds(
+    texts: &RawSettings,
+    names: &[String],
+) -> Result<Vec<DestinationKind>, SettingsError> {
     let separate = texts.list("specifics.routesApart");
     let bundles = texts.list("specifics.bundleMax");
     let mut kinds = Vec::new();
@@ -225,16 +229,16 @@
                 .map_err(|_| SettingsError::new("specifics.bundleMax", "is not a whole number"))?,
             None => 1,
         };
-        kinds.push(Kind {
+        kinds.push(DestinationKind {
             name: name.clone(),
             separate_routes: separate.get(index) == Some(&"true"),
-            bundle_max,
+            max_batch_size: bundle_max,
         });
     }
     Ok(kinds)
 }
 
-fn read_tenant(texts: &SettingTexts, index: usize) -> Result<Tenant, SettingsError> {
+fn read_tenant(texts: &RawSettings, index: usize) -> Result<Tenant, SettingsError> {
     let name = texts
         .text(&format!("realms.{index}.name"))
         .unwrap_or("")
--- a/crates/platform/src/list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The list of endpoints in discovery's form.
 
 use milletturn_engine::{EndpointListUpdate, ListedEndpoint};
-use milletturn_policy::Status;
+use milletturn_policy::EndpointStatus;
 use serde::Deserialize;
 use serde_json::Value;
 
@@ -33,9 +33,9 @@
     let read = |value: &Value| {
         let target = Target::deserialize(value).map_err(|error| error.to_string())?;
         let status = match target.state.as_str() {
-            "up" => Status::Serving,
-            "draining" => Status::Draining,
-            "removed" => Status::Gone,
+            "up" => EndpointStatus::Serving,
+            "draining" => EndpointStatus::Draining,
+            "removed" => EndpointStatus::Removed,
             other => return Err(format!("unknown state '{other}'")),
         };
         let address = target
@@ -52,20 +52,20 @@
             weight: target.capacity_hint,
         })
     };
-    let targets = line.targets.iter().filter_map(|value| match read(value) {
+    let endpoints = line.targets.iter().filter_map(|value| match read(value) {
         Ok(listed) => Some(listed),
         Err(error) => {
             milletturn_logging::log(format_args!("discovery: entry skipped: {error}"));
             None
         }
     });
-    let targets: Vec<ListedEndpoint> = targets.collect();
-    let unread = line.targets.len() - targets.len();
+    let endpoints: Vec<ListedEndpoint> = endpoints.collect();
+    let unread = line.targets.len() - endpoints.len();
     Some((
         EndpointListUpdate {
             version: line.rev,
             full: line.all,
-            targets,
+            endpoints,
         },
         unread,
     ))
--- a/crates/platform/tests/single_calls.rs
+++ b/crates/platform/tests/single_calls.rs
@@ -5,7 +5,7 @@
 
 use common::{LONG, item, local};
 use milletturn_engine::{AttemptEnd, Attribution, Call, EndCause, Input, Transport};
-use milletturn_platform::calls::Calls;
+use milletturn_platform::http_transport::HttpTransport;
 use milletturn_policy::{EndpointId, MILLISECOND, Micros, Outcome};
 use milletturn_test_support::{FakeEndpoint, OK};
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 }
 
 struct Rig {
-    calls: Calls,
+    calls: HttpTransport,
     received: mpsc::UnboundedReceiver<Input>,
     next: u64,
     /// Calls carry what must run once.
@@ -326,7 +326,11 @@
             let heard = rig.rig.heard(None).await;
             assert_eq!(heard.waits, expected, "{headers}");
             let wait = expected.into_iter().max();
-            assert_eq!(heard.outcome, Outcome::Refused { wait }, "{headers}");
+            assert_eq!(
+                heard.outcome,
+                Outcome::Rejected { retry_after: wait },
+                "{headers}"
+            );
             drop(stream);
             // the next call needs a connection of its own
             rig.rig.calls.close_idle_connections(EndpointId(1));
@@ -384,7 +388,7 @@
 fn a_rejection_that_does_not_end_its_connection_proves_nothing() {
     local(async {
         let first = response("503 No", "");
-        let refused = Outcome::Refused { wait: None };
+        let refused = Outcome::Rejected { retry_after: None };
         for (second, then, ambiguous) in [
             (first.clone(), Then::StayOpen, true),
             (first.clone(), Then::Close, true),
@@ -573,7 +577,7 @@
         let text = response("503 No", "");
         stream.write_all(text.as_bytes()).await.expect("open");
         let end = rig.end().await;
-        assert_eq!(end.outcome, Outcome::Refused { wait: None });
+        assert_eq!(end.outcome, Outcome::Rejected { retry_after: None });
         assert!(!end.ambiguous);
         let (mut count, mut bytes) = (0, vec![0; 1 << 20]);
         while let Ok(more) = timeout(LONG, stream.read(&mut bytes))
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -5,8 +5,8 @@
 pub(crate) mod traffic;
 
 use milletturn_policy::{
-    Action, Class, Effect, EndpointId, Entry, Event, Kind, Listing, MILLISECOND, MessageId, Micros,
-    NewMessage, Outcome, SECOND, Sender, Settings,
+    Action, Class, DestinationKind, Effect, EndpointEntry, EndpointId, EndpointListKind, Event,
+    MILLISECOND, MessageId, Micros, NewMessage, Outcome, SECOND, Sender, Settings,
 };
 
 /// Virtual time at which each test starts.
@@ -50,21 +50,21 @@
     let mut ordered = Class::new("ordered", Effect::Repeatable, 2 * SECOND, 30 * SECOND);
     ordered.ordered = true;
     settings.classes.push(ordered);
-    settings.safety.key_rest = 100 * MILLISECOND;
-    settings.kinds.push(Kind {
+    settings.safety.ordered_key_backoff = 100 * MILLISECOND;
+    settings.kinds.push(DestinationKind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max: 1,
+        max_batch_size: 1,
     });
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "apart".into(),
         separate_routes: true,
-        bundle_max: 1,
+        max_batch_size: 1,
     });
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "bundled".into(),
         separate_routes: false,
-        bundle_max: 5,
+        max_batch_size: 5,
     });
     settings
 }
@@ -78,8 +78,8 @@
 /// Position of the class whose messages of one key are sent one at a time and in order.
 pub(crate) const ORDERED: usize = 3;
 
-pub(crate) fn entry(endpoint: u32, destination: u64) -> Entry {
-    Entry::new(EndpointId(endpoint), destination)
+pub(crate) fn entry(endpoint: u32, destination: u64) -> EndpointEntry {
+    EndpointEntry::new(EndpointId(endpoint), destination)
 }
 
 /// The event that a message with 30 s to live has been accepted.
@@ -100,13 +100,13 @@
     outcome: Outcome,
     latency: Micros,
 ) -> Event {
-    Event::Ended {
+    Event::AttemptEnded {
         message: MessageId(message),
         attempt,
         endpoint: EndpointId(endpoint),
         outcome,
         latency,
-        closed: outcome == Outcome::Success,
+        message_closed: outcome == Outcome::Success,
         report: Vec::new(),
         ambiguous: false,
     }
@@ -114,7 +114,7 @@
 
 /// The same end of an attempt, with a load report in the response.
 pub(crate) fn with_report(mut end: Event, values: &[f64]) -> Event {
-    if let Event::Ended { report, .. } = &mut end {
+    if let Event::AttemptEnded { report, .. } = &mut end {
         *report = values.to_vec();
     }
     end
@@ -122,14 +122,14 @@
 
 /// The same end of an attempt, by a response that may be a duplicate of an earlier one.
 pub(crate) fn with_ambiguous_response(mut end: Event) -> Event {
-    if let Event::Ended { ambiguous, .. } = &mut end {
+    if let Event::AttemptEnded { ambiguous, .. } = &mut end {
         *ambiguous = true;
     }
     end
 }
 
 impl Harness {
-    pub(crate) fn new(settings: Settings, entries: Vec<Entry>) -> Self {
+    pub(crate) fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
         let sender = Sender::new(settings, 11).expect("settings make sense");
         let mut harness = Harness {
             sender,
@@ -138,8 +138,8 @@
             sends: Vec::new(),
             action_log: Vec::new(),
         };
-        harness.handle(vec![Event::Listed {
-            listing: Listing::Full,
+        harness.handle(vec![Event::EndpointList {
+            kind: EndpointListKind::Full,
             entries,
         }]);
         harness
@@ -231,7 +231,7 @@
 
     /// Whether the module has rejected this message, exactly once.
     pub(crate) fn was_rejected(&self, message: u64) -> bool {
-        self.count_actions(|a| matches!(a, Action::Refuse { message: m, .. } if m.0 == message))
+        self.count_actions(|a| matches!(a, Action::Reject { message: m, .. } if m.0 == message))
             == 1
     }
 
--- a/crates/policy/tests/common/traffic.rs
+++ b/crates/policy/tests/common/traffic.rs
@@ -104,7 +104,7 @@
                 Action::Send {
                     message,
                     endpoint,
-                    expires,
+                    expires_at: expires,
                 } => {
                     let attempt = attempts.entry(message.0).or_default();
                     result.calls += 1;
--- a/crates/policy/tests/dormancy.rs
+++ b/crates/policy/tests/dormancy.rs
@@ -39,19 +39,19 @@
 #[test]
 fn a_destination_takes_state_from_its_first_call_on_and_is_packed_when_idle() {
     let mut harness = new_harness(1_000);
-    assert_eq!(harness.sender.known(), (0, 0));
+    assert_eq!(harness.sender.scope_counts(), (0, 0));
     (0..20).for_each(|n| complete_call(&mut harness, n, n));
-    assert_eq!(harness.sender.known(), (20, 0));
+    assert_eq!(harness.sender.scope_counts(), (20, 0));
     stay_idle(&mut harness, 299 * SECOND, 30);
     assert_eq!(
-        harness.sender.known(),
+        harness.sender.scope_counts(),
         (20, 0),
         "not before the idle time is over"
     );
     stay_idle(&mut harness, 2 * SECOND, 30);
-    assert_eq!(harness.sender.known(), (0, 20));
+    assert_eq!(harness.sender.scope_counts(), (0, 20));
     complete_call(&mut harness, 100, 3);
-    assert_eq!(harness.sender.known(), (1, 19));
+    assert_eq!(harness.sender.scope_counts(), (1, 19));
 }
 
 #[test]
@@ -59,14 +59,14 @@
     let mut harness = new_harness(50);
     (0..50).for_each(|n| complete_call(&mut harness, n, n));
     let started = harness.now;
-    harness.handle(vec![Event::ToldWait {
+    harness.handle(vec![Event::RetryAfter {
         endpoint: EndpointId(7),
-        wait: 30 * 24 * HOUR,
+        retry_after: 30 * 24 * HOUR,
     }]);
     for day in 1..30u64 {
         let span = started + day as Micros * 24 * HOUR - harness.now;
         stay_idle(&mut harness, span, 60);
-        assert!(harness.sender.known().1 >= 49, "packed");
+        assert!(harness.sender.scope_counts().1 >= 49, "packed");
         complete_call(&mut harness, 1_000 + day, 7);
         assert!(
             harness.send_times(1_000 + day).is_empty(),
@@ -86,7 +86,7 @@
         let mut harness = new_harness(10);
         (0..50).for_each(|id| complete_call(&mut harness, id, 3));
         stay_idle(&mut harness, idle_time, 60);
-        assert_eq!(harness.sender.known(), (0, 1));
+        assert_eq!(harness.sender.scope_counts(), (0, 1));
         let before = harness.sends.len();
         harness.handle(
             (0..100)
@@ -112,12 +112,15 @@
         if harness.sends.iter().any(|send| send.1 == id) {
             harness.end_attempt(id, Outcome::NoConnection, 10 * MILLISECOND);
         }
-        harness.handle(vec![Event::Dropped(MessageId(id))]);
+        harness.handle(vec![Event::Cancelled(MessageId(id))]);
     }
-    assert_eq!(harness.sender.avoided(), 1);
+    assert_eq!(harness.sender.ejected_endpoint_count(), 1);
     stay_idle(&mut harness, HOUR / 2, 60);
     assert_eq!(
-        (harness.sender.known(), harness.sender.avoided()),
+        (
+            harness.sender.scope_counts(),
+            harness.sender.ejected_endpoint_count()
+        ),
         ((0, 1), 1)
     );
     let before = harness.sends.len();
@@ -145,42 +148,42 @@
             REPEATABLE,
             if round % 2 == 0 { 1 } else { round + 3 },
         )]);
-        let removed = Entry {
-            status: Status::Gone,
+        let removed = EndpointEntry {
+            status: EndpointStatus::Removed,
             ..entry(old, if round % 2 == 1 { round + 3 } else { 1 })
         };
         let entries = vec![removed, entry(new, destination)];
-        harness.handle(vec![Event::Listed {
-            listing: Listing::Changes,
+        harness.handle(vec![Event::EndpointList {
+            kind: EndpointListKind::Changes,
             entries,
         }]);
         harness.run_until(harness.now + 200 * MILLISECOND);
-        harness.handle(vec![Event::Dropped(MessageId(round))]);
+        harness.handle(vec![Event::Cancelled(MessageId(round))]);
         let calls = harness.sends.split_off(0);
         let late_end = |call: &(Micros, u64, u32, usize)| {
             ended(call.1, call.3, call.2, Outcome::TimedOut, 200 * MILLISECOND)
         };
         harness.handle(calls.iter().map(late_end).collect());
-        harness.handle(vec![Event::ToldWait {
+        harness.handle(vec![Event::RetryAfter {
             endpoint: EndpointId(old),
-            wait: MILLISECOND,
+            retry_after: MILLISECOND,
         }]);
     }
     harness.run_until(harness.now + 61 * SECOND);
     let entries = vec![entry(0, 0)];
-    harness.handle(vec![Event::Listed {
-        listing: Listing::Full,
+    harness.handle(vec![Event::EndpointList {
+        kind: EndpointListKind::Full,
         entries,
     }]);
     // calls without a response end with their deadline, and the next list update removes the state that they kept
     for _ in 0..3 {
         harness.run_until(harness.now + 61 * SECOND);
-        harness.handle(vec![Event::Listed {
-            listing: Listing::Changes,
+        harness.handle(vec![Event::EndpointList {
+            kind: EndpointListKind::Changes,
             entries: Vec::new(),
         }]);
     }
-    let (live, packed) = harness.sender.known();
+    let (live, packed) = harness.sender.scope_counts();
     assert!(
         live + packed <= 1,
         "{live} live and {packed} packed health scopes of removed destinations"
@@ -193,7 +196,7 @@
 #[test]
 fn slow_start_continues_after_an_idle_time_shorter_than_it() {
     let mut settings = settings(200);
-    settings.safety.cold_time = 2_000 * SECOND;
+    settings.safety.slow_start = 2_000 * SECOND;
     let mut harness = Harness::new(settings, vec![entry(3, 3)]);
     (0..50).for_each(|id| complete_call(&mut harness, id, 3));
     let sent_before_outage = harness.sends.len();
@@ -205,7 +208,7 @@
     harness.run_until(harness.now + 10 * SECOND);
     harness.end_attempt(100, Outcome::Success, 10 * MILLISECOND);
     stay_idle(&mut harness, HOUR / 10, 60);
-    assert_eq!(harness.sender.known(), (0, 1));
+    assert_eq!(harness.sender.scope_counts(), (0, 1));
     // after its first response the destination is as far in slow start as before the idle time
     complete_call(&mut harness, 200, 3);
     let before = harness.sends.len();
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -117,7 +117,7 @@
     // keeping idle connections meanwhile. In one run 598 of 599 rejections came on new connections, all without the
     // load report that other responses carry, while six or more senders had a connection open.
     let (mut settings, entries) = one_of_three_hundred();
-    (settings.senders, settings.connection_idle) = (60, 3 * SECOND);
+    (settings.senders, settings.idle_connection_timeout) = (60, 3 * SECOND);
     let mut harness = Harness::new(settings, entries);
     let mut ended_calls = 0;
     let mut sent = [0, 0];
@@ -130,7 +130,7 @@
             while let Some(send) = harness.sends.get(ended_calls).copied() {
                 let is_rejected = is_full && ended_calls % 2 == 0;
                 let outcome = if is_rejected {
-                    Outcome::Refused { wait: None }
+                    Outcome::Rejected { retry_after: None }
                 } else {
                     Outcome::Success
                 };
@@ -153,7 +153,9 @@
         "{sent:?}: 40 messages in 20 s, and a second call for each that was rejected"
     );
     assert!(
-        harness.count_actions(|action| matches!(action, Action::Disconnect(EndpointId(1)))) > 10
+        harness
+            .count_actions(|action| matches!(action, Action::CloseIdleConnections(EndpointId(1))))
+            > 10
     );
 }
 
@@ -161,11 +163,14 @@
 fn a_message_is_returned_if_it_would_be_sent_after_its_latency_objective() {
     let mut settings = settings(10);
     settings.senders = 100;
-    (settings.report_left, settings.report_limit) = (Some(0), Some(1));
-    settings.classes[KEYED].aim = 4 * SECOND;
+    (settings.report_remaining_index, settings.report_limit_index) = (Some(0), Some(1));
+    settings.classes[KEYED].latency_objective = 4 * SECOND;
     let arrival = |id, time_to_live, again| {
         let new = NewMessage::new(MessageId(id), KEYED, 7, time_to_live);
-        Event::Accepted(NewMessage { again, ..new })
+        Event::Accepted(NewMessage {
+            resubmitted: again,
+            ..new
+        })
     };
     // a limit of 50 calls per second for 100 senders allows each one call in 2 s
     let mut harness = Harness::new(settings, vec![entry(1, 7)]);
@@ -214,7 +219,7 @@
         let recovery = START + 20 * SECOND + run * 500 * MILLISECOND;
         let mut settings = settings(10);
         settings.senders = 100;
-        (settings.report_left, settings.report_limit) = (Some(0), Some(1));
+        (settings.report_remaining_index, settings.report_limit_index) = (Some(0), Some(1));
         let mut harness = Harness::new(settings, vec![entry(1, 7)]);
         let (mut ended_calls, mut first) = (0, Micros::MAX);
         for id in 0..3000 {
@@ -278,11 +283,11 @@
 }
 
 /// Settings and endpoints of one of 300 senders at a limit of 85 calls per second: an even share is one call in 3.5 s.
-fn one_of_three_hundred() -> (Settings, Vec<Entry>) {
+fn one_of_three_hundred() -> (Settings, Vec<EndpointEntry>) {
     let mut settings = settings(10);
-    (settings.senders, settings.max_held) = (300, 16);
-    (settings.report_left, settings.report_limit) = (Some(0), Some(1));
-    settings.classes[KEYED].aim = 4 * SECOND;
+    (settings.senders, settings.max_pending) = (300, 16);
+    (settings.report_remaining_index, settings.report_limit_index) = (Some(0), Some(1));
+    settings.classes[KEYED].latency_objective = 4 * SECOND;
     (settings, one_among_idle_destinations())
 }
 
@@ -328,7 +333,10 @@
     let before = harness.sends.len();
     for id in 20..320 {
         let new = NewMessage::new(MessageId(id), KEYED, 7, 30 * SECOND);
-        harness.handle(vec![Event::Accepted(NewMessage { again: true, ..new })]);
+        harness.handle(vec![Event::Accepted(NewMessage {
+            resubmitted: true,
+            ..new
+        })]);
         harness.run_until(harness.now + 100 * MILLISECOND);
         complete_calls(&mut harness, &mut completed, 0.95);
     }
@@ -348,8 +356,8 @@
     for seed in 0..300 {
         let mut harness = Harness::new(settings.clone(), vec![]);
         harness.sender = Sender::new(settings.clone(), seed).expect("settings make sense");
-        harness.handle(vec![Event::Listed {
-            listing: Listing::Full,
+        harness.handle(vec![Event::EndpointList {
+            kind: EndpointListKind::Full,
             entries: entries.clone(),
         }]);
         let resumed = |id| NewMessage::new(MessageId(id), KEYED, 7, 15 * SECOND);
--- a/crates/policy/tests/guards.rs
+++ b/crates/policy/tests/guards.rs
@@ -9,7 +9,7 @@
 use common::*;
 use milletturn_policy::*;
 
-fn two_destinations() -> Vec<Entry> {
+fn two_destinations() -> Vec<EndpointEntry> {
     vec![entry(1, 7), entry(2, 8)]
 }
 
@@ -132,7 +132,7 @@
     }
     harness.run_until(harness.now + 5 * SECOND); // a pause, so that no call was served recently
     harness.handle(vec![message(1, REPEATABLE, 7)]);
-    harness.end_attempt(1, Outcome::Refused { wait: None }, MILLISECOND);
+    harness.end_attempt(1, Outcome::Rejected { retry_after: None }, MILLISECOND);
     let start = harness.now;
     harness.handle((100..140).map(|id| message(id, REPEATABLE, 7)).collect());
     while harness.now < start + 3 * SECOND {
@@ -165,7 +165,7 @@
     // Guards against a sender that has most of the traffic and keeps to its even share while other senders use little.
     let mut settings = settings(40);
     settings.senders = 8;
-    settings.report_limit = Some(0);
+    settings.report_limit_index = Some(0);
     let mut harness = Harness::new(settings, two_destinations());
     harness.handle((0..400).map(|id| message(id, REPEATABLE, 7)).collect());
     let mut counts = [0usize; 2];
@@ -246,7 +246,7 @@
 #[test]
 fn messages_for_an_unresponsive_destination_are_rejected_when_too_many_are_pending() {
     let mut small = settings(8);
-    small.max_held = 20;
+    small.max_pending = 20;
     let mut harness = Harness::new(small, two_destinations());
     harness.handle((0..8).map(|id| message(id, REPEATABLE, 7)).collect());
     harness.run_until(START + 6 * SECOND);
@@ -260,7 +260,7 @@
 fn a_batch_of_messages_fills_one_call() {
     let mut harness = Harness::new(
         settings(4),
-        vec![Entry {
+        vec![EndpointEntry {
             kind: 2,
             ..entry(1, 7)
         }],
@@ -296,7 +296,7 @@
             .collect();
         harness.now += 20 * MILLISECOND;
         let result = if harness.now < open {
-            Outcome::Refused { wait: None }
+            Outcome::Rejected { retry_after: None }
         } else {
             Outcome::Success
         };
@@ -325,7 +325,7 @@
 fn a_batch_is_filled_before_another_endpoint_gets_a_call() {
     // Guards against opening a second call, at another endpoint, for a message that fits into the first call's batch.
     let entries = (1..=3)
-        .map(|n| Entry {
+        .map(|n| EndpointEntry {
             kind: 2,
             ..entry(n, 7)
         })
@@ -402,7 +402,7 @@
             Outcome::Success
         };
         harness.end_attempt(id, outcome, 100 * MILLISECOND);
-        harness.handle(vec![Event::Dropped(MessageId(id))]); // no retry
+        harness.handle(vec![Event::Cancelled(MessageId(id))]); // no retry
     }
     assert_eq!(
         harness
@@ -416,7 +416,7 @@
         if !harness.send_times(id).is_empty() {
             harness.end_attempt(id, Outcome::Reset, 100 * MILLISECOND);
         }
-        harness.handle(vec![Event::Dropped(MessageId(id))]);
+        harness.handle(vec![Event::Cancelled(MessageId(id))]);
     }
     assert_eq!(
         harness
@@ -444,11 +444,11 @@
         open = waiting;
         for id in sent {
             harness.end_attempt(id, Outcome::Error, 100 * MILLISECOND);
-            harness.handle(vec![Event::Dropped(MessageId(id))]);
+            harness.handle(vec![Event::Cancelled(MessageId(id))]);
         }
     }
     open.into_iter()
-        .for_each(|id| _ = harness.handle(vec![Event::Dropped(MessageId(id))]));
+        .for_each(|id| _ = harness.handle(vec![Event::Cancelled(MessageId(id))]));
     assert!(
         harness
             .count_actions(|action| matches!(action, Action::Log(text) if text.contains("sick")))
--- a/crates/policy/tests/noise.rs
+++ b/crates/policy/tests/noise.rs
@@ -10,7 +10,7 @@
 
 use common::traffic::{Traffic, random_failures, simulate_traffic};
 use common::*;
-use milletturn_policy::odds::{Odds, SICK};
+use milletturn_policy::outage_evidence::{EJECTION_THRESHOLD, OutageEvidence};
 use milletturn_policy::*;
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -19,7 +19,7 @@
 fn a_steady_share_of_failures_costs_no_message() {
     for outcome in [
         Outcome::Error,
-        Outcome::Refused { wait: None },
+        Outcome::Rejected { retry_after: None },
         Outcome::Reset,
     ] {
         for (share, min_delivered) in [(0.02, 0.99), (0.1, 0.99), (0.3, 0.95)] {
@@ -55,13 +55,13 @@
 #[test]
 fn a_constant_failure_share_of_a_tenth_is_no_outage_in_a_million_calls() {
     let mut random = Pcg32::seed_from_u64(9);
-    let (mut odds, mut false_alarms, mut was_outage) = (Odds::default(), 0, false);
+    let (mut odds, mut false_alarms, mut was_outage) = (OutageEvidence::default(), 0, false);
     for call in 0..1_000_000 {
         match f64::from(random.next_u32()) / f64::from(u32::MAX) < 0.1 {
-            true => _ = odds.bad(1.0, 0.0),
-            false => odds.good(true, 2.0 * SICK),
+            true => _ = odds.record_failure(1.0, 0.0),
+            false => odds.record_success(true, 2.0 * EJECTION_THRESHOLD),
         }
-        let is_outage = odds.evidence() >= SICK;
+        let is_outage = odds.evidence() >= EJECTION_THRESHOLD;
         // the first calls only show what is usual
         false_alarms += usize::from(is_outage && !was_outage && call > 200);
         was_outage = is_outage;
@@ -114,7 +114,7 @@
         let is_rejecting = (10 * SECOND..10 * SECOND + 300 * MILLISECOND).contains(&at);
         Some((
             if is_rejecting {
-                Outcome::Refused { wait: None }
+                Outcome::Rejected { retry_after: None }
             } else {
                 Outcome::Success
             },
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -41,9 +41,9 @@
     u64::from(endpoint / 3)
 }
 
-fn listed_entry(endpoint: u32) -> Entry {
+fn listed_entry(endpoint: u32) -> EndpointEntry {
     let kind = (endpoint / 3 % 3) as usize;
-    Entry {
+    EndpointEntry {
         zone: (endpoint % 2) as u16,
         kind,
         ..entry(endpoint, destination_of(endpoint))
@@ -67,24 +67,25 @@
     let mut settings = settings([10, 3, 2][seed as usize % 3]);
     settings.max_attempts = 5;
     settings.senders = [1, 3, 300][seed as usize % 3];
-    (settings.may_note, settings.list_on_request) = (true, seed.is_multiple_of(2));
-    (settings.report_left, settings.report_limit) = (Some(0), Some(1));
+    (settings.gossip_enabled, settings.list_requires_subscription) = (true, seed.is_multiple_of(2));
+    (settings.report_remaining_index, settings.report_limit_index) = (Some(0), Some(1));
     settings.tenants = vec![Tenant {
         name: "first".into(),
         allowance: 5.0,
     }];
-    settings.connection_idle = 5 * SECOND;
-    settings.over_share_worth = 0.5;
+    settings.idle_connection_timeout = 5 * SECOND;
+    settings.over_share_weight = 0.5;
     if seed % 4 > 1 {
         // few pending messages are allowed, and the value of late messages decays to a floor that many reach
-        (settings.max_held, settings.fade) = (40, Fade::Halving);
+        (settings.max_pending, settings.value_decay) = (40, ValueDecay::Halving);
         for class in &mut settings.classes {
-            (class.aim, class.late_share) = (SECOND, [0.3, 1.0, 0.0, 0.6][seed as usize / 4 % 4]);
+            (class.latency_objective, class.late_value_share) =
+                (SECOND, [0.3, 1.0, 0.0, 0.6][seed as usize / 4 % 4]);
         }
     }
     let mut sender = Sender::new(settings.clone(), seed).expect("settings");
     if !shortcuts {
-        sender = sender.without_shortcuts();
+        sender = sender.without_incremental_scheduling();
     }
     let (mut now, mut next_id) = (START, 0u64);
     let mut message_states: BTreeMap<u64, MessageState> = BTreeMap::new();
@@ -95,8 +96,8 @@
     let mut key_waits_until: BTreeMap<u64, Micros> = BTreeMap::new();
     let mut all_actions = Vec::new();
     let mut alarms: BTreeSet<Micros> = BTreeSet::new();
-    let mut events = vec![Event::Listed {
-        listing: Listing::Old,
+    let mut events = vec![Event::EndpointList {
+        kind: EndpointListKind::Cached,
         entries: (0..12).map(listed_entry).collect(),
     }];
     let mut sends = 0;
@@ -139,14 +140,14 @@
             let mut changed = listed_entry(endpoint);
             if stopped_endpoints.remove(&endpoint).is_none() {
                 changed.status = if random_below(2) == 0 {
-                    Status::Draining
+                    EndpointStatus::Draining
                 } else {
-                    Status::Gone
+                    EndpointStatus::Removed
                 };
                 stopped_endpoints.insert(endpoint, now);
             }
-            events.push(Event::Listed {
-                listing: Listing::Changes,
+            events.push(Event::EndpointList {
+                kind: EndpointListKind::Changes,
                 entries: vec![changed],
             });
         }
@@ -164,8 +165,9 @@
                 _ if is_expired => Outcome::TimedOut,
                 _ if is_failing && random_below(4) != 0 => Outcome::Error,
                 0 => Outcome::Error,
-                1 => Outcome::Refused {
-                    wait: (random_below(2) == 0).then(|| Micros::from(random_below(3_000_000))),
+                1 => Outcome::Rejected {
+                    retry_after: (random_below(2) == 0)
+                        .then(|| Micros::from(random_below(3_000_000))),
                 },
                 2 if random_below(3) == 0 => Outcome::NoConnection,
                 3 if random_below(3) == 0 => Outcome::Reset,
@@ -179,9 +181,12 @@
             if let (Some(key), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) =
                 (message_state.key, outcome)
             {
-                key_waits_until.insert(key, now + settings.safety.key_rest);
+                key_waits_until.insert(key, now + settings.safety.ordered_key_backoff);
             }
-            if let Outcome::Refused { wait: Some(wait) } = outcome {
+            if let Outcome::Rejected {
+                retry_after: Some(wait),
+            } = outcome
+            {
                 let until = waits_until.entry(wait_scope(call.endpoint)).or_default();
                 *until = (*until).max(now + wait);
             }
@@ -194,8 +199,8 @@
                 outcome,
                 now - call.sent,
             );
-            if let Event::Ended {
-                closed: flag,
+            if let Event::AttemptEnded {
+                message_closed: flag,
                 report,
                 ..
             } = &mut event
@@ -207,7 +212,7 @@
                 ];
             }
             if random_below(10) == 0 {
-                events.push(Event::Noted {
+                events.push(Event::GossipReceived {
                     from: random_below(5),
                     bytes: vec![7; random_below(300) as usize],
                 });
@@ -226,7 +231,7 @@
                 Action::Send {
                     message,
                     endpoint,
-                    expires,
+                    expires_at: expires,
                 } => {
                     sends += 1;
                     let (id, endpoint) = (message.0, endpoint.0);
@@ -288,11 +293,11 @@
                         expires: *expires,
                     });
                 }
-                Action::Refuse { message, .. } => {
+                Action::Reject { message, .. } => {
                     let message_state = message_states.get_mut(&message.0).expect("known");
                     assert!(
                         !message_state.ended
-                            && now <= message_state.deadline + settings.safety.answer_grace,
+                            && now <= message_state.deadline + settings.safety.response_grace,
                         "ended twice or late"
                     );
                     let is_repeatable =
@@ -307,7 +312,7 @@
                     let message_state = message_states.get_mut(&message.0).expect("known");
                     assert!(
                         !message_state.ended
-                            && now <= message_state.deadline + settings.safety.answer_grace,
+                            && now <= message_state.deadline + settings.safety.response_grace,
                         "ended twice or late"
                     );
                     message_state.ended = true;
--- a/crates/policy/tests/resumed.rs
+++ b/crates/policy/tests/resumed.rs
@@ -10,11 +10,11 @@
 use milletturn_policy::*;
 
 /// The decision module of a new process that has just received this endpoint list.
-fn restarted(settings: &Settings, seed: u64, entries: Vec<Entry>) -> Harness {
+fn restarted(settings: &Settings, seed: u64, entries: Vec<EndpointEntry>) -> Harness {
     let mut harness = Harness::new(settings.clone(), vec![]);
     harness.sender = Sender::new(settings.clone(), seed).expect("settings make sense");
-    harness.handle(vec![Event::Listed {
-        listing: Listing::Full,
+    harness.handle(vec![Event::EndpointList {
+        kind: EndpointListKind::Full,
         entries,
     }]);
     harness
@@ -72,10 +72,10 @@
     // left.
     let mut settings = settings(4);
     (
-        settings.report_left,
-        settings.report_limit,
+        settings.report_remaining_index,
+        settings.report_limit_index,
         settings.senders,
-        settings.max_held,
+        settings.max_pending,
     ) = (Some(0), Some(1), 300, 4);
     for seed in 0..100 {
         let mut harness = restarted(&settings, seed, vec![entry(1, 7)]);
@@ -91,7 +91,7 @@
     // first, which is when excess messages are shed.
     for seed in 0..20 {
         let mut settings = settings(4);
-        settings.max_held = 5;
+        settings.max_pending = 5;
         let mut harness = restarted(&settings, seed, vec![entry(1, 7), entry(2, 7)]);
         harness.handle((0..12).map(|id| resumed(id, 9 * SECOND)).collect());
         let mut ended = 0;
@@ -128,10 +128,10 @@
     // The destination's first message has all its time left and the second one 0.4 s.
     let mut settings = settings(4);
     (
-        settings.report_left,
-        settings.report_limit,
+        settings.report_remaining_index,
+        settings.report_limit_index,
         settings.senders,
-        settings.max_held,
+        settings.max_pending,
     ) = (Some(0), Some(1), 300, 4);
     for seed in 0..100 {
         let mut harness = restarted(&settings, seed, vec![entry(1, 7)]);
@@ -146,10 +146,10 @@
     // Guards against 300 senders that all send at once because their first message has already expired.
     let mut settings = settings(4);
     (
-        settings.report_left,
-        settings.report_limit,
+        settings.report_remaining_index,
+        settings.report_limit_index,
         settings.senders,
-        settings.max_held,
+        settings.max_pending,
     ) = (Some(0), Some(1), 300, 4);
     let mut immediate = 0;
     for seed in 0..100 {
@@ -192,7 +192,7 @@
         for outcome in [
             None,
             Some(Outcome::Reset),
-            Some(Outcome::Refused { wait: None }),
+            Some(Outcome::Rejected { retry_after: None }),
             Some(Outcome::TimedOut),
         ] {
             let mut harness = Harness::new(one_second_window(), vec![entry(1, 7), entry(2, 7)]);
@@ -203,7 +203,9 @@
                 // ends each call with this outcome, and checks that the next attempt may begin only within the window
                 while let Some(send) = harness.sends.get(ended_calls).copied() {
                     ended_calls += 1;
-                    let until = harness.sender.may_begin(send.0, MessageId(1), send.3 + 1);
+                    let until = harness
+                        .sender
+                        .write_deadline(send.0, MessageId(1), send.3 + 1);
                     assert!(
                         until.is_none_or(|until| until < START - age + SECOND),
                         "{age} {outcome:?}"
@@ -237,10 +239,10 @@
     // With a latency objective of 2 s the first call may wait 1.5 s, and the window has 0.7 s left.
     let mut settings = one_second_window();
     (
-        settings.report_left,
-        settings.report_limit,
+        settings.report_remaining_index,
+        settings.report_limit_index,
         settings.senders,
-        settings.max_held,
+        settings.max_pending,
     ) = (Some(0), Some(1), 300, 4);
     for seed in 0..100 {
         let mut harness = restarted(&settings, seed, vec![entry(1, 7)]);
--- a/crates/policy/tests/retune.rs
+++ b/crates/policy/tests/retune.rs
@@ -20,7 +20,10 @@
             max_attempts: now,
             ..settings.clone()
         };
-        harness.sender.retune(new, &[]).expect("valid settings");
+        harness
+            .sender
+            .reconfigure(new, &[])
+            .expect("valid settings");
         harness.handle(vec![message(2, REPEATABLE, 7)]);
         for id in [1, 2] {
             while harness.send_times(id).len() < 20
@@ -46,7 +49,7 @@
         max_attempts: 0,
         ..settings(8)
     };
-    assert!(harness.sender.retune(invalid, &[]).is_err());
+    assert!(harness.sender.reconfigure(invalid, &[]).is_err());
     harness.handle(vec![message(1, REPEATABLE, 7)]);
     assert_eq!(harness.send_times(1).len(), 1);
 }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -10,7 +10,7 @@
 use milletturn_policy::*;
 
 /// Endpoints 1 to `count` of destination 7.
-fn pool(count: u32) -> Vec<Entry> {
+fn pool(count: u32) -> Vec<EndpointEntry> {
     (1..=count).map(|endpoint| entry(endpoint, 7)).collect()
 }
 
@@ -76,7 +76,7 @@
     assert_eq!(harness.send_times(1).len(), 2);
 
     let mut without_hedging = settings(40);
-    without_hedging.second_copies = false;
+    without_hedging.hedging_enabled = false;
     let mut harness = Harness::new(without_hedging, pool(4));
     harness.handle(vec![message(1, REPEATABLE, 7)]);
     harness.run_until(START + 3 * SECOND);
@@ -84,7 +84,7 @@
 
     let mut harness = Harness::new(settings(40), pool(4));
     let mut resubmitted = NewMessage::new(MessageId(1), REPEATABLE, 7, SECOND);
-    resubmitted.again = true;
+    resubmitted.resubmitted = true;
     harness.handle(vec![Event::Accepted(resubmitted)]);
     harness.run_until(START + 3 * SECOND);
     assert_eq!(
@@ -166,7 +166,7 @@
 #[test]
 fn an_unsafe_message_that_was_never_executed_is_retried() {
     for outcome in [
-        Outcome::Refused { wait: None },
+        Outcome::Rejected { retry_after: None },
         Outcome::NoConnection,
         Outcome::Unsent { no_slot: true },
     ] {
@@ -184,7 +184,7 @@
     harness.handle(vec![message(1, UNSAFE, 7), message(2, KEYED, 7)]);
     for id in [1, 2] {
         let (endpoint, attempt) = harness.last_send(id);
-        let rejected = Outcome::Refused { wait: None };
+        let rejected = Outcome::Rejected { retry_after: None };
         harness.handle(vec![with_ambiguous_response(ended(
             id,
             attempt,
@@ -267,9 +267,9 @@
     let (used, _) = harness.last_send(1);
     let other = 3 - used;
     let mut draining = entry(other, 7);
-    draining.status = Status::Draining;
-    harness.handle(vec![Event::Listed {
-        listing: Listing::Changes,
+    draining.status = EndpointStatus::Draining;
+    harness.handle(vec![Event::EndpointList {
+        kind: EndpointListKind::Changes,
         entries: vec![draining],
     }]);
     harness.run_until(START + 3 * SECOND);
@@ -278,8 +278,8 @@
         1,
         "no hedged request to the draining endpoint"
     );
-    harness.handle(vec![Event::Listed {
-        listing: Listing::Full,
+    harness.handle(vec![Event::EndpointList {
+        kind: EndpointListKind::Full,
         entries: Vec::new(),
     }]);
     harness.end_attempt(1, Outcome::Error, SECOND);
@@ -293,8 +293,8 @@
     assert!(harness.was_rejected(1) && harness.was_rejected(2));
     let sent_before = harness.sends.len();
     harness.handle(vec![
-        Event::Listed {
-            listing: Listing::Full,
+        Event::EndpointList {
+            kind: EndpointListKind::Full,
             entries: pool(2),
         },
         message(3, REPEATABLE, 7),
@@ -308,15 +308,15 @@
 
 #[test]
 fn an_announced_wait_holds_for_the_destination_or_for_a_separate_route() {
-    let wait = Outcome::Refused {
-        wait: Some(2 * SECOND),
+    let wait = Outcome::Rejected {
+        retry_after: Some(2 * SECOND),
     };
     let mut harness = Harness::new(settings(40), pool(3));
     harness.handle(vec![message(1, REPEATABLE, 7), message(2, UNSAFE, 7)]);
     harness.now += 10 * MILLISECOND;
     let announced_at = harness.now;
     harness.end_attempt(1, wait, 10 * MILLISECOND);
-    harness.end_attempt(2, Outcome::Refused { wait: None }, 10 * MILLISECOND);
+    harness.end_attempt(2, Outcome::Rejected { retry_after: None }, 10 * MILLISECOND);
     harness.handle(vec![message(3, REPEATABLE, 7)]);
     harness.run_until(announced_at + 10 * SECOND);
     let early: Vec<_> = harness.sends[2..]
@@ -330,7 +330,7 @@
     );
 
     let routes = (1..=2)
-        .map(|n| Entry {
+        .map(|n| EndpointEntry {
             kind: 1,
             ..entry(n, 7)
         })
@@ -379,7 +379,7 @@
     );
     harness.handle(vec![ordered_message(4, 5)]);
     harness.now += 50 * MILLISECOND;
-    harness.handle(vec![Event::Dropped(MessageId(2))]);
+    harness.handle(vec![Event::Cancelled(MessageId(2))]);
     assert_eq!(
         harness.send_times(4).len(),
         0,
@@ -405,7 +405,7 @@
             .action_log
             .iter()
             .filter(|(_, action)| match action {
-                Action::Fail(m) | Action::Refuse { message: m, .. } => m.0 == id,
+                Action::Fail(m) | Action::Reject { message: m, .. } => m.0 == id,
                 _ => false,
             })
             .map(|(at, _)| *at)
@@ -435,9 +435,9 @@
         ended(1, 1, endpoint, Outcome::Success, SECOND), // a cancelled attempt that succeeds after all
         ended(1, 1, endpoint, Outcome::TimedOut, SECOND),
         ended(77, 0, 99, Outcome::Success, SECOND),
-        Event::Dropped(MessageId(1)),
-        Event::Dropped(MessageId(78)),
-        Event::Started {
+        Event::Cancelled(MessageId(1)),
+        Event::Cancelled(MessageId(78)),
+        Event::ResponseStarted {
             message: MessageId(79),
             attempt: 4,
         },
@@ -446,13 +446,13 @@
             outcome: Outcome::TimedOut,
             report: vec![],
         },
-        Event::Noted {
+        Event::GossipReceived {
             from: 3,
             bytes: vec![1, 2, 3],
         },
-        Event::ListFailed,
-        Event::Listed {
-            listing: Listing::Changes,
+        Event::EndpointListFailed,
+        Event::EndpointList {
+            kind: EndpointListKind::Changes,
             entries: Vec::new(),
         },
         Event::Alarm,
@@ -477,7 +477,7 @@
 #[test]
 fn the_endpoint_list_is_requested_at_once_and_retried_with_growing_backoff() {
     let mut settings = settings(8);
-    settings.list_on_request = true;
+    settings.list_requires_subscription = true;
     let mut harness = Harness::new(settings, pool(1));
     let subscribe_times = |harness: &Harness| -> Vec<Micros> {
         harness
@@ -489,7 +489,7 @@
     };
     assert_eq!(subscribe_times(&harness), [0]);
     for _ in 0..4 {
-        harness.handle(vec![Event::ListFailed]);
+        harness.handle(vec![Event::EndpointListFailed]);
         harness.run_until(harness.now + 8 * SECOND);
     }
     let times = subscribe_times(&harness);
@@ -556,7 +556,7 @@
     // Guards against connections that are established a second late and then carry calls into waits announced
     // meanwhile.
     let may_begin_until =
-        |harness: &Harness, id| harness.sender.may_begin(harness.now, MessageId(id), 0);
+        |harness: &Harness, id| harness.sender.write_deadline(harness.now, MessageId(id), 0);
     let with_one_call = || {
         let mut harness = Harness::new(settings(40), pool(1));
         harness.handle(vec![message(1, REPEATABLE, 7)]);
@@ -569,31 +569,31 @@
         "until shortly before its deadline"
     );
     assert_eq!(
-        harness.sender.may_begin(harness.now, MessageId(1), 1),
+        harness.sender.write_deadline(harness.now, MessageId(1), 1),
         None,
         "there is no such attempt"
     );
-    harness.handle(vec![Event::ToldWait {
+    harness.handle(vec![Event::RetryAfter {
         endpoint: EndpointId(1),
-        wait: SECOND,
+        retry_after: SECOND,
     }]);
     assert_eq!(may_begin_until(&harness, 1), None, "a wait was announced");
     harness.now += 1_100 * MILLISECOND;
     assert!(may_begin_until(&harness, 1).is_some(), "the wait is over");
 
     let mut harness = with_one_call();
-    let draining = Entry {
-        status: Status::Draining,
+    let draining = EndpointEntry {
+        status: EndpointStatus::Draining,
         ..entry(1, 7)
     };
-    harness.handle(vec![Event::Listed {
-        listing: Listing::Changes,
+    harness.handle(vec![Event::EndpointList {
+        kind: EndpointListKind::Changes,
         entries: vec![draining],
     }]);
     assert_eq!(may_begin_until(&harness, 1), None, "the endpoint drains");
 
     let mut harness = with_one_call();
-    harness.handle(vec![Event::Dropped(MessageId(1))]);
+    harness.handle(vec![Event::Cancelled(MessageId(1))]);
     assert_eq!(may_begin_until(&harness, 1), None, "the message has ended");
 }
 
@@ -606,7 +606,7 @@
     harness.end_attempt(1, Outcome::Reset, SECOND);
     harness.run_until(START + 5_900 * MILLISECOND);
     assert_eq!(harness.send_times(1).len(), 2, "within the window of 6 s");
-    let may_begin_until = |now| harness.sender.may_begin(now, MessageId(1), 1);
+    let may_begin_until = |now| harness.sender.write_deadline(now, MessageId(1), 1);
     let until = may_begin_until(harness.now).expect("within the window");
     assert!(
         until <= START + 6 * SECOND && until > START + 5_900 * MILLISECOND,
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -46,12 +46,12 @@
             attempts: Default::default(),
             sends: Vec::new(),
         };
-        let entries: Vec<Entry> = (1..=2).map(|n| entry(n, 7)).collect();
+        let entries: Vec<EndpointEntry> = (1..=2).map(|n| entry(n, 7)).collect();
         for index in 0..sender_count {
             fleet.handle(
                 index,
-                vec![Event::Listed {
-                    listing: Listing::Full,
+                vec![Event::EndpointList {
+                    kind: EndpointListKind::Full,
                     entries: entries.clone(),
                 }],
             );
@@ -129,7 +129,9 @@
     for count in FLEET_SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.submit_messages();
-        fleet.run_until(START + 12 * SECOND, |_| Outcome::Refused { wait: None });
+        fleet.run_until(START + 12 * SECOND, |_| Outcome::Rejected {
+            retry_after: None,
+        });
         let probes = fleet.sent_within(4 * SECOND, 12 * SECOND);
         assert!(probes <= 80, "{count} senders: {probes} probes in 8 s");
         assert!(
@@ -146,12 +148,12 @@
     for count in FLEET_SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.submit_messages();
-        fleet.run_until(START + 60 * MILLISECOND, |_| Outcome::Refused {
-            wait: None,
+        fleet.run_until(START + 60 * MILLISECOND, |_| Outcome::Rejected {
+            retry_after: None,
         });
         let start = fleet.now - START;
-        fleet.run_until(START + 400 * MILLISECOND, |_| Outcome::Refused {
-            wait: None,
+        fleet.run_until(START + 400 * MILLISECOND, |_| Outcome::Rejected {
+            retry_after: None,
         });
         let retries = fleet.sent_within(start, 400 * MILLISECOND);
         assert!(
@@ -168,8 +170,8 @@
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.submit_messages();
         let wait_end = START + 6 * SECOND;
-        let with_wait = |now: Micros| Outcome::Refused {
-            wait: Some((wait_end - now).max(MILLISECOND)),
+        let with_wait = |now: Micros| Outcome::Rejected {
+            retry_after: Some((wait_end - now).max(MILLISECOND)),
         };
         fleet.run_until(wait_end, with_wait);
         assert_eq!(
@@ -251,12 +253,14 @@
         (150 * MILLISECOND..=SECOND).contains(&failed),
         "after one failure: {failed}"
     );
-    let rejected = retried_at(Outcome::Refused { wait: None });
+    let rejected = retried_at(Outcome::Rejected { retry_after: None });
     assert!(
         (100 * MILLISECOND..=5 * SECOND).contains(&rejected),
         "after one rejection: {rejected}"
     );
-    let after_wait = retried_at(Outcome::Refused { wait: Some(SECOND) });
+    let after_wait = retried_at(Outcome::Rejected {
+        retry_after: Some(SECOND),
+    });
     assert!(
         (1_051 * MILLISECOND..=6 * SECOND).contains(&after_wait),
         "after an announced wait: {after_wait}"
@@ -277,9 +281,10 @@
 fn idle_connections_are_closed_only_where_connections_are_scarce() {
     // Guards against idle connections of hundreds of senders that use up the connections that endpoints accept.
     let mut settings = settings(8);
-    settings.connection_idle = 5 * SECOND;
-    let disconnects =
-        |harness: &Harness| harness.count_actions(|a| *a == Action::Disconnect(EndpointId(1)));
+    settings.idle_connection_timeout = 5 * SECOND;
+    let disconnects = |harness: &Harness| {
+        harness.count_actions(|a| *a == Action::CloseIdleConnections(EndpointId(1)))
+    };
     let mut harness = Harness::new(settings, vec![entry(1, 7), entry(2, 8)]);
     harness.handle(vec![message(1, REPEATABLE, 7)]);
     harness.now += 100 * MILLISECOND;
@@ -309,7 +314,7 @@
     let sends_with = |remaining_share: f64| {
         let mut settings = settings(3);
         settings.senders = 50;
-        (settings.report_left, settings.report_limit) = (Some(0), Some(1));
+        (settings.report_remaining_index, settings.report_limit_index) = (Some(0), Some(1));
         let mut harness = Harness::new(settings, vec![entry(1, 7)]);
         harness.handle((0..40).map(|id| message(id, REPEATABLE, 7)).collect());
         let mut ended_calls = 0;
@@ -341,14 +346,14 @@
 #[test]
 fn removed_endpoints_idle_destinations_and_old_keys_take_no_memory() {
     let mut settings = settings(8);
-    settings.max_held = 10;
+    settings.max_pending = 10;
     let mut harness = Harness::new(settings, vec![entry(1, 7)]);
     let mut early_length = 0;
     for round in 0..400u32 {
         let (id, number) = (u64::from(round), round + 1);
         let entries = vec![entry(number, u64::from(number) + 100)];
-        harness.handle(vec![Event::Listed {
-            listing: Listing::Full,
+        harness.handle(vec![Event::EndpointList {
+            kind: EndpointListKind::Full,
             entries,
         }]);
         let mut new = NewMessage::new(MessageId(id), ORDERED, u64::from(number) + 100, 30 * SECOND);
@@ -372,9 +377,9 @@
 fn an_endpoint_id_that_returns_at_another_destination_is_a_new_endpoint() {
     let mut harness = Harness::new(settings(8), vec![entry(1, 7)]);
     harness.handle(vec![message(1, REPEATABLE, 7)]);
-    harness.handle(vec![Event::Listed {
-        listing: Listing::Full,
-        entries: vec![Entry {
+    harness.handle(vec![Event::EndpointList {
+        kind: EndpointListKind::Full,
+        entries: vec![EndpointEntry {
             kind: 1,
             zone: 1,
             ..entry(1, 8)
@@ -394,12 +399,16 @@
 #[test]
 fn invalid_reports_weights_gossip_and_alarms_neither_panic_nor_stop_the_traffic() {
     let mut settings = settings(2);
-    (settings.senders, settings.weight_trust, settings.may_note) = (300, 0.5, true);
-    (settings.report_left, settings.report_limit) = (Some(0), Some(1));
+    (
+        settings.senders,
+        settings.weight_trust,
+        settings.gossip_enabled,
+    ) = (300, 0.5, true);
+    (settings.report_remaining_index, settings.report_limit_index) = (Some(0), Some(1));
     for invalid in [0.0, -3.0, f64::NAN, f64::INFINITY, f64::NEG_INFINITY] {
         let mut harness = Harness::new(
             settings.clone(),
-            vec![Entry {
+            vec![EndpointEntry {
                 weight: invalid,
                 ..entry(1, 7)
             }],
@@ -407,7 +416,7 @@
         for id in 0..5 {
             harness.handle(vec![
                 message(id, REPEATABLE, 7),
-                Event::Noted {
+                Event::GossipReceived {
                     from: 999,
                     bytes: vec![0; 300],
                 },
@@ -421,7 +430,7 @@
             harness.handle(vec![
                 end.clone(),
                 end,
-                Event::Noted {
+                Event::GossipReceived {
                     from: 0,
                     bytes: vec![],
                 },
@@ -451,7 +460,7 @@
 /// destinations.
 fn median_steps(pending: u64, destinations: u32) -> u64 {
     let mut settings = settings(200);
-    settings.max_held = 20_000;
+    settings.max_pending = 20_000;
     let failing = 10;
     let mut harness = Harness::new(
         settings,
@@ -479,9 +488,9 @@
                 failing + round % (u64::from(destinations) - failing),
             )]);
             harness.now += MILLISECOND;
-            let before = harness.sender.steps();
+            let before = harness.sender.work_steps();
             harness.end_attempt(id, Outcome::Success, MILLISECOND);
-            harness.sender.steps() - before
+            harness.sender.work_steps() - before
         })
         .collect();
     steps_per_turn.sort_unstable();
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -10,9 +10,9 @@
     Clock, EndpointListUpdate, Engine, EngineStatus, Input, Journal, ListedEndpoint, Ports,
     SharedStr,
 };
-use milletturn_platform::Budget;
-use milletturn_platform::calls::Calls;
-use milletturn_policy::{Class, Effect, Kind, SECOND, Settings, Status};
+use milletturn_platform::ResourceBudget;
+use milletturn_platform::http_transport::HttpTransport;
+use milletturn_policy::{Class, DestinationKind, Effect, EndpointStatus, SECOND, Settings};
 use milletturn_test_support::{FakeDiscovery, MemoryJournal};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -40,7 +40,7 @@
         zone: "a".into(),
         kind: "one".into(),
         destination: number,
-        status: Status::Serving,
+        status: EndpointStatus::Serving,
         weight,
     }
 }
@@ -66,15 +66,15 @@
     settings
         .classes
         .push(Class::new("notice", keyed, 4 * SECOND, 7 * 86_400 * SECOND));
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max: 1,
+        max_batch_size: 1,
     });
     let (inputs, received) = mpsc::unbounded_channel();
-    let budget = Budget::new(SOCKETS, 128_000_000, SLOTS);
+    let budget = ResourceBudget::new(SOCKETS, 128_000_000, SLOTS);
     let (idle, dial) = (Duration::from_secs(5), Duration::from_millis(500));
-    let calls = Calls::new(
+    let calls = HttpTransport::new(
         idle,
         dial,
         Vec::new(),
@@ -146,12 +146,12 @@
         tokio::task::spawn_local(async move { engine.run(&mut received).await });
         heard(&inputs).await?;
         let (resident, begun, mut version) = (probe::resident()?, probe::cpu(), 0);
-        let mut tell = |full: bool, targets: Vec<ListedEndpoint>| {
+        let mut tell = |full: bool, endpoints: Vec<ListedEndpoint>| {
             version += 1;
             let update = EndpointListUpdate {
                 version,
                 full,
-                targets,
+                endpoints,
             };
             inputs
                 .send(Input::EndpointsListed(update))
--- a/crates/test-support/src/cold_fleet.rs
+++ b/crates/test-support/src/cold_fleet.rs
@@ -4,8 +4,8 @@
 
 use crate::turns::run_turn;
 use milletturn_policy::{
-    Action, Class, Effect, EndpointId, Entry, Event, Kind, Listing, MILLISECOND, MessageId, Micros,
-    NewMessage, Outcome, PastAttempt, SECOND, Sender, Settings,
+    Action, Class, DestinationKind, Effect, EndpointEntry, EndpointId, EndpointListKind, Event,
+    MILLISECOND, MessageId, Micros, NewMessage, Outcome, PastAttempt, SECOND, Sender, Settings,
 };
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -69,9 +69,9 @@
 pub fn simulate(scenario: RecoveryScenario) -> RecoveryResult {
     let mut settings = Settings::new(10, 40);
     (settings.senders, settings.max_attempts) = (scenario.sender_count as u32, 12);
-    settings.connection_idle = 5 * SECOND;
+    settings.idle_connection_timeout = 5 * SECOND;
     if scenario.reports_limit {
-        (settings.report_left, settings.report_limit) = (Some(0), Some(1));
+        (settings.report_remaining_index, settings.report_limit_index) = (Some(0), Some(1));
     }
     let keyed = Effect::Keyed {
         window: 12 * SECOND,
@@ -80,15 +80,15 @@
     settings
         .classes
         .push(Class::new("one", keyed, 4 * SECOND, TIME_TO_LIVE));
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max: 1,
+        max_batch_size: 1,
     });
     let safety = settings.safety.clone();
-    let entries = vec![Entry::new(EndpointId(1), DESTINATION)];
-    let listed = Event::Listed {
-        listing: Listing::Full,
+    let entries = vec![EndpointEntry::new(EndpointId(1), DESTINATION)];
+    let listed = Event::EndpointList {
+        kind: EndpointListKind::Full,
         entries,
     };
     let start = |seed| Sender::new(settings.clone(), seed).expect("settings make sense");
@@ -106,13 +106,13 @@
     let mut pending: BTreeMap<u64, (usize, Micros)> = BTreeMap::new();
     let (mut now, mut next_arrival, mut next_id, mut incarnation) = (START, START, 0u64, 0);
     let recovery = START + scenario.healthy_time + OUTAGE;
-    let (slow_start_time, span) = (safety.cold_time, safety.fall_span);
+    let (slow_start_time, span) = (safety.slow_start, safety.overload_window);
     let capacity_level = |at: Micros| {
         let elapsed_fraction = (at - recovery) as f64 / slow_start_time as f64;
-        safety.start_capacity + (1.0 - safety.start_capacity) * elapsed_fraction.clamp(0.0, 1.0)
+        safety.initial_capacity + (1.0 - safety.initial_capacity) * elapsed_fraction.clamp(0.0, 1.0)
     };
     let calls_allowed = |at: Micros| {
-        scenario.capacity_per_s * capacity_level(at) * safety.fall_multiple * seconds(span)
+        scenario.capacity_per_s * capacity_level(at) * safety.overload_multiple * seconds(span)
     };
     let mut recent_calls: VecDeque<Micros> = VecDeque::new();
     let (mut result, mut calls, mut allowed_calls) = (
@@ -167,13 +167,13 @@
                     true => vec![0.5, scenario.capacity_per_s],
                     false => vec![],
                 };
-                inboxes[sender].push(Event::Ended {
+                inboxes[sender].push(Event::AttemptEnded {
                     message: MessageId(message),
                     attempt,
                     endpoint: EndpointId(1),
                     outcome,
                     latency: now - sent,
-                    closed: outcome == Outcome::Success,
+                    message_closed: outcome == Outcome::Success,
                     report,
                     ambiguous: false,
                 });
@@ -209,7 +209,7 @@
             );
             for action in actions {
                 match action {
-                    Action::Refuse { message, .. } | Action::Fail(message) => {
+                    Action::Reject { message, .. } | Action::Fail(message) => {
                         pending.remove(&message.0);
                     }
                     Action::Send {
@@ -262,7 +262,7 @@
             result.collapsed |= call_count > allowed + 2.0 * allowed.sqrt() + 2.0;
             allowed_calls += scenario.capacity_per_s
                 * capacity_level(now)
-                * safety.fall_multiple
+                * safety.overload_multiple
                 * seconds(STEP);
         }
     }
--- a/crates/test-support/src/engine_ports.rs
+++ b/crates/test-support/src/engine_ports.rs
@@ -6,7 +6,7 @@
     Arrival, ArrivalOutcome, Call, CallItem, Clock, EndpointListUpdate, ListedEndpoint, Ports,
     SharedStr, Transport,
 };
-use milletturn_policy::{EndpointId, SECOND, Settings, Status};
+use milletturn_policy::{EndpointId, EndpointStatus, SECOND, Settings};
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -19,7 +19,7 @@
 /// Ports of an engine for endpoints of the kind `one`. Its notifications, readiness and observer events are discarded.
 pub fn engine_ports(
     settings: Settings,
-    targets: Vec<ListedEndpoint>,
+    endpoints: Vec<ListedEndpoint>,
     journal: &MemoryJournal,
     transport: impl Transport + 'static,
 ) -> Ports {
@@ -32,7 +32,7 @@
         cached_endpoints: Some(EndpointListUpdate {
             version: 1,
             full: true,
-            targets,
+            endpoints,
         }),
         journal: Box::new(journal.clone()),
         archive: None,
@@ -74,7 +74,7 @@
         zone: String::new(),
         kind: "one".into(),
         destination: number,
-        status: Status::Serving,
+        status: EndpointStatus::Serving,
         weight: 1.0,
     }
 }
--- a/crates/test-support/src/limited_fleet/mod.rs
+++ b/crates/test-support/src/limited_fleet/mod.rs
@@ -4,7 +4,7 @@
 mod rate_limit;
 mod simulation;
 
-use milletturn_policy::{Effect, EndpointId, Entry, MILLISECOND, Micros, SECOND};
+use milletturn_policy::{Effect, EndpointEntry, EndpointId, MILLISECOND, Micros, SECOND};
 pub use rate_limit::{LimitPolicy, RateLimit};
 pub use simulation::simulate;
 
@@ -205,19 +205,19 @@
 /// Endpoint list with one destination that receives messages, and 16 idle ones that share the sender's capacity for
 /// pending messages.
 #[must_use]
-pub fn one_among_idle_destinations() -> Vec<Entry> {
+pub fn one_among_idle_destinations() -> Vec<EndpointEntry> {
     among_idle_destinations(1)
 }
 
 /// As [`one_among_idle_destinations`], with `count` destinations that receive messages.
-fn among_idle_destinations(count: usize) -> Vec<Entry> {
+fn among_idle_destinations(count: usize) -> Vec<EndpointEntry> {
     let used = (0..count as u64).map(|index| {
-        Entry::new(
+        EndpointEntry::new(
             EndpointId(1 + index as u32),
             simulation::DESTINATION + index,
         )
     });
-    let idle = (100..116).map(|number| Entry::new(EndpointId(number), u64::from(number)));
+    let idle = (100..116).map(|number| EndpointEntry::new(EndpointId(number), u64::from(number)));
     used.chain(idle).collect()
 }
 
--- a/crates/test-support/src/limited_fleet/rate_limit.rs
+++ b/crates/test-support/src/limited_fleet/rate_limit.rs
@@ -141,7 +141,7 @@
             && self.random_fraction() < self.policy.retry_after_share;
         let wait = announces_wait
             .then(|| min_wait + ((max_wait - min_wait) as f64 * self.random_fraction()) as Micros);
-        Outcome::Refused { wait }
+        Outcome::Rejected { retry_after: wait }
     }
 
     fn random_fraction(&mut self) -> f64 {
--- a/crates/test-support/src/limited_fleet/simulation.rs
+++ b/crates/test-support/src/limited_fleet/simulation.rs
@@ -5,8 +5,8 @@
 use super::{HOUR, Scenario, ScenarioResult, SecondFigures, among_idle_destinations, seconds};
 use crate::turns::run_turn;
 use milletturn_policy::{
-    Action, Class, Effect, EndpointId, Event, Kind, Listing, MILLISECOND, MessageId, Micros,
-    NewMessage, Outcome, SECOND, Sender, Settings,
+    Action, Class, DestinationKind, Effect, EndpointId, EndpointListKind, Event, MILLISECOND,
+    MessageId, Micros, NewMessage, Outcome, SECOND, Sender, Settings,
 };
 use rand_pcg::Pcg32;
 use rand_pcg::rand_core::{RngCore, SeedableRng};
@@ -55,26 +55,26 @@
     let mut settings = Settings::new(10, scenario.max_pending);
     settings.senders = scenario.sender_count as u32;
     settings.max_attempts = 12;
-    settings.connection_idle = IDLE_TIMEOUT;
+    settings.idle_connection_timeout = IDLE_TIMEOUT;
     if scenario.limit_policy.reports_limit {
-        (settings.report_left, settings.report_limit) = (Some(0), Some(1));
+        (settings.report_remaining_index, settings.report_limit_index) = (Some(0), Some(1));
     }
     let profile = scenario.profile;
-    settings.second_copies = profile.effect != Effect::Unsafe;
+    settings.hedging_enabled = profile.effect != Effect::Unsafe;
     settings.classes.push(Class::new(
         "one",
         profile.effect,
         profile.latency_objective,
         profile.time_to_live,
     ));
-    settings.kinds.push(Kind {
+    settings.kinds.push(DestinationKind {
         name: "one".into(),
         separate_routes: false,
-        bundle_max: scenario.max_batch_size,
+        max_batch_size: scenario.max_batch_size,
     });
     let entries = among_idle_destinations(scenario.destination_count);
-    let listed = Event::Listed {
-        listing: Listing::Full,
+    let listed = Event::EndpointList {
+        kind: EndpointListKind::Full,
         entries,
     };
     let mut random = Pcg32::seed_from_u64(scenario.seed);
@@ -193,7 +193,10 @@
                 DESTINATION + undelivered_message.destination as u64,
                 remaining_time,
             );
-            let new = NewMessage { again: true, ..new };
+            let new = NewMessage {
+                resubmitted: true,
+                ..new
+            };
             inboxes[draw_sender(&mut random_fraction)].push(Event::Accepted(new));
             pending.insert(message);
         }
@@ -216,13 +219,13 @@
                 } else {
                     vec![]
                 };
-                inboxes[call.sender].push(Event::Ended {
+                inboxes[call.sender].push(Event::AttemptEnded {
                     message: MessageId(message),
                     attempt,
                     endpoint: EndpointId(1 + call.destination as u32),
                     outcome: call.outcome,
                     latency: now - call.sent,
-                    closed: success,
+                    message_closed: success,
                     report,
                     ambiguous: false,
                 });
@@ -249,7 +252,7 @@
             let mut sent: BTreeMap<usize, Vec<(u64, usize)>> = BTreeMap::new();
             for action in actions {
                 match action {
-                    Action::Refuse { message, .. } => {
+                    Action::Reject { message, .. } => {
                         pending.remove(&message.0);
                         result.seconds[second].returned += 1;
                         let Some(undelivered_message) = undelivered.get_mut(&message.0) else {
@@ -275,7 +278,7 @@
                             .push((message.0, undelivered_message.attempts));
                         undelivered_message.attempts += 1;
                     }
-                    Action::Disconnect(endpoint) => {
+                    Action::CloseIdleConnections(endpoint) => {
                         connection_tables
                             .get_mut(destination_index(endpoint))
                             .into_iter()
@@ -297,9 +300,9 @@
                 let is_connected = connection_tables[destination].try_acquire(index, now);
                 let outcome = match is_connected {
                     true => limits[destination].handle_call(elapsed),
-                    false => Outcome::Refused { wait: None },
+                    false => Outcome::Rejected { retry_after: None },
                 };
-                let rejected = usize::from(matches!(outcome, Outcome::Refused { .. }));
+                let rejected = usize::from(matches!(outcome, Outcome::Rejected { .. }));
                 result.calls += 1;
                 result.rejected += rejected;
                 result.seconds[second].calls += 1;
