--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -1,11 +1,11 @@
-//! The decision module's actions as lines of the simulator's text.
+//! Writes the decision module's actions as lines of the simulator's protocol.
 
 use crate::base64::encode;
 use crate::interner::Interner;
 use milletturn_policy::{Action, EndpointId, MessageId, Micros, SECOND};
 use std::fmt::{self, Write as _};
 
-/// A time in seconds with six digits behind the point.
+/// Displays a time in seconds with six decimal places.
 struct Seconds(Micros);
 
 impl fmt::Display for Seconds {
@@ -14,26 +14,26 @@
     }
 }
 
-/// Names of messages and endpoints, to write instead of their numbers.
+/// Names of one instance, its messages and its endpoints, which actions are written with.
 pub(crate) struct ActionNames<'a> {
-    /// The instance that acts.
+    /// The name of the instance whose actions are written.
     pub(crate) instance: &'a str,
-    /// Its messages.
+    /// The names of the instance's messages.
     pub(crate) messages: &'a Interner,
-    /// Its endpoints.
+    /// The names of the instance's endpoints.
     pub(crate) endpoints: &'a Interner,
 }
 
 impl ActionNames<'_> {
-    fn message(&self, id: MessageId) -> &str {
+    fn message_name(&self, id: MessageId) -> &str {
         self.messages.name(id.0)
     }
 
-    fn endpoint(&self, id: EndpointId) -> &str {
+    fn endpoint_name(&self, id: EndpointId) -> &str {
         self.endpoints.name(u64::from(id.0))
     }
 
-    /// Appends the line of one action to a reply.
+    /// Appends one action as a line to `reply`.
     pub(crate) fn write(&self, reply: &mut String, action: &Action) {
         let id = self.instance;
         let written = match action {
@@ -42,32 +42,37 @@
                 endpoint,
                 expires_at: expires,
             } => {
-                let (message, endpoint) = (self.message(*message), self.endpoint(*endpoint));
+                let (message, endpoint) =
+                    (self.message_name(*message), self.endpoint_name(*endpoint));
                 let expires = Seconds(*expires);
                 writeln!(reply, "issue {id} {message} {expires} {endpoint}")
             }
             Action::Cancel { message, attempt } => {
-                writeln!(reply, "withdraw {id} {} {attempt}", self.message(*message))
+                writeln!(
+                    reply,
+                    "withdraw {id} {} {attempt}",
+                    self.message_name(*message)
+                )
             }
             Action::Reject {
-                message,
+                message_name,
                 retry_after: wait,
             } => {
-                let message = self.message(*message);
+                let message_name = self.message_name(*message_name);
                 match wait {
                     Some(wait) => writeln!(reply, "shed {id} {message} {}", Seconds(*wait)),
                     None => writeln!(reply, "shed {id} {message} -"),
                 }
             }
             Action::Fail(message) => {
-                writeln!(reply, "report_failure {id} {}", self.message(*message))
+                writeln!(reply, "report_failure {id} {}", self.message_name(*message))
             }
             Action::SetAlarm(at) => writeln!(reply, "set_alarm {id} {} wake", Seconds(*at)),
             Action::Probe(endpoint) => {
-                writeln!(reply, "health_check {id} {}", self.endpoint(*endpoint))
+                writeln!(reply, "health_check {id} {}", self.endpoint_name(*endpoint))
             }
             Action::CloseIdleConnections(endpoint) => {
-                writeln!(reply, "disconnect {id} {}", self.endpoint(*endpoint))
+                writeln!(reply, "disconnect {id} {}", self.endpoint_name(*endpoint))
             }
             Action::Subscribe => writeln!(reply, "listen {id} 1"),
             Action::Gossip(bytes) => writeln!(reply, "publish {id} -1 {}", encode(bytes)),
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -1,8 +1,8 @@
-//! Lines of the simulator's text as events of the decision module.
+//! Parses lines of the simulator's protocol into events of the decision module.
 
 use crate::base64::decode;
 use crate::error::{Malformed, malformed};
-use crate::fields::{Fields, outcome, parse_integer, parse_number};
+use crate::fields::{Fields, outcome_from, parse_integer, parse_number};
 use crate::interner::Interner;
 use milletturn_platform_settings::{SettingNames, position};
 use milletturn_policy::{
@@ -11,50 +11,50 @@
 };
 use std::collections::BTreeMap;
 
-/// The bit of a demand that says that its client hands the message in once more.
+/// The bit of a `demand` line that marks a message which the client has submitted before.
 const RESUBMITTED_BIT: u64 = 2;
-/// The bit of a demand that says that the message comes from a sender that is gone.
+/// The bit of a `demand` line that marks a message which was submitted before to a sender that has failed.
 const FROM_FAILED_SENDER_BIT: u64 = 16;
 
-/// Lists of endpoints by their numbers, each row as its text.
+/// Endpoint lists by number; the rows of each list are unparsed text.
 pub(crate) type EndpointLists = BTreeMap<u64, Vec<String>>;
 
-/// What the lines of one instance name.
+/// The names that occur in the lines of one instance, with their numbers in the decision module.
 #[derive(Default)]
 pub(crate) struct EventNames {
-    /// Zones, kinds of machines, tenants and classes, from its settings.
+    /// Zones, kinds of destination, tenants and classes, from the instance's settings.
     pub(crate) settings: SettingNames,
-    /// Its messages.
+    /// The instance's messages.
     pub(crate) messages: Interner,
-    /// Its endpoints.
+    /// The instance's endpoints.
     pub(crate) endpoints: Interner,
 }
 
 impl EventNames {
-    fn message(&mut self, fields: &mut Fields) -> Result<MessageId, Malformed> {
+    fn parse_message(&mut self, fields: &mut Fields) -> Result<MessageId, Malformed> {
         let name = fields.text("a message id")?;
         Ok(MessageId(self.messages.number(name)))
     }
 
-    fn endpoint(&mut self, fields: &mut Fields) -> Result<EndpointId, Malformed> {
+    fn parse_endpoint(&mut self, fields: &mut Fields) -> Result<EndpointId, Malformed> {
         let name = fields.text("an endpoint")?;
         Ok(EndpointId(self.endpoints.number(name) as u32))
     }
 
-    /// The event of a line whose kind and instance have been read.
-    pub(crate) fn event(
+    /// Parses the rest of a line whose kind and instance have been read.
+    pub(crate) fn parse_event(
         &mut self,
         kind: &str,
         fields: &mut Fields,
         lists: &EndpointLists,
     ) -> Result<Event, Malformed> {
         match kind {
-            "announce" => self.endpoint_list(fields, lists),
-            "demand" => self.new_message(fields),
-            "first_byte" => self.started(fields),
-            "outcome" => self.ended(fields),
-            "dropped" => Ok(Event::Cancelled(self.message(fields)?)),
-            "echo" => self.health_checked(fields),
+            "announce" => self.parse_endpoint_list(fields, lists),
+            "demand" => self.parse_new_message(fields),
+            "first_byte" => self.parse_attempt_started(fields),
+            "outcome" => self.parse_attempt_ended(fields),
+            "dropped" => Ok(Event::Cancelled(self.parse_message(fields)?)),
+            "echo" => self.parse_health_check(fields),
             "heard" => {
                 let from = fields.integer("a sender's number")? as u32;
                 let bytes = decode(fields.text("bytes")?)?;
@@ -67,18 +67,18 @@
         }
     }
 
-    fn started(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
-        let message = self.message(fields)?;
+    fn parse_attempt_started(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
+        let message = self.parse_message(fields)?;
         fields.number("a latency")?;
         let attempt = fields.integer("an attempt")? as usize;
         fields.text("an endpoint")?;
         Ok(Event::ResponseStarted { message, attempt })
     }
 
-    fn ended(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
-        let message = self.message(fields)?;
+    fn parse_attempt_ended(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
+        let message = self.parse_message(fields)?;
         let attempt = fields.integer("an attempt")? as usize;
-        let endpoint = self.endpoint(fields)?;
+        let endpoint = self.parse_endpoint(fields)?;
         let name = fields.outcome_name()?;
         let latency = fields.time("a latency")?;
         let closed = fields.flag("1 or 0")?;
@@ -90,7 +90,7 @@
             message,
             attempt,
             endpoint,
-            outcome: outcome(name, remark),
+            outcome: outcome_from(name, remark),
             latency,
             message_closed: closed,
             report,
@@ -98,10 +98,10 @@
         })
     }
 
-    fn health_checked(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
+    fn parse_health_check(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
         fields.number("a latency")?;
-        let endpoint = self.endpoint(fields)?;
-        let outcome: Outcome = outcome(fields.outcome_name()?, 0.0);
+        let endpoint = self.parse_endpoint(fields)?;
+        let outcome: Outcome = outcome_from(fields.outcome_name()?, 0.0);
         let report = fields.report()?;
         Ok(Event::Probed {
             endpoint,
@@ -110,11 +110,11 @@
         })
     }
 
-    fn new_message(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
-        let id = self.message(fields)?;
+    fn parse_new_message(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
+        let id = self.parse_message(fields)?;
         let time_left = fields.time("time left")?;
         let tenant = fields
-            .optional("an owner")?
+            .optional("a tenant")?
             .map(|name| position(&self.settings.tenants, name));
         let key = fields
             .optional("a key")?
@@ -142,7 +142,7 @@
         }))
     }
 
-    fn endpoint_list(
+    fn parse_endpoint_list(
         &mut self,
         fields: &mut Fields,
         lists: &EndpointLists,
@@ -156,11 +156,11 @@
         };
         let number = fields.integer("a list number")?;
         let Some(rows) = lists.get(&number) else {
-            return malformed("a list sent before", &number.to_string());
+            return malformed("the number of an earlier list", &number.to_string());
         };
         let mut entries = Vec::with_capacity(rows.len());
         for row in rows {
-            entries.push(self.endpoint_row(row)?);
+            entries.push(self.parse_endpoint_row(row)?);
         }
         Ok(Event::EndpointList {
             kind: listing,
@@ -168,10 +168,10 @@
         })
     }
 
-    /// One endpoint of a list.
-    pub(crate) fn endpoint_row(&mut self, row: &str) -> Result<EndpointEntry, Malformed> {
+    /// Parses one row of an endpoint list.
+    pub(crate) fn parse_endpoint_row(&mut self, row: &str) -> Result<EndpointEntry, Malformed> {
         let mut fields = Fields::new(row);
-        let endpoint = self.endpoint(&mut fields)?;
+        let endpoint = self.parse_endpoint(&mut fields)?;
         let zone = position(&self.settings.zones, fields.text("a zone")?) as u16;
         let kind = position(&self.settings.kinds, fields.text("a kind")?);
         let destination = fields.integer("a destination")?;
