--- a/crates/policy/tests/common/traffic.rs
+++ b/crates/policy/tests/common/traffic.rs
@@ -104,7 +104,7 @@
                 Action::Send {
                     message,
                     endpoint,
-                    expires_at: expires,
+                    expires_at,
                 } => {
                     let attempt = attempts.entry(message.0).or_default();
                     result.calls += 1;
@@ -112,7 +112,9 @@
                     let key = (message.0, *attempt);
                     *attempt += 1;
                     let (outcome, end) = scripted_end
-                        .map_or((Outcome::TimedOut, expires), |(o, after)| (o, time + after));
+                        .map_or((Outcome::TimedOut, expires_at), |(o, after)| {
+                            (o, time + after)
+                        });
                     if scripted_end.is_none() {
                         unresponsive.insert(key, end);
                     }
--- a/crates/policy/tests/evidence.rs
+++ b/crates/policy/tests/evidence.rs
@@ -7,20 +7,20 @@
 #[test]
 fn the_failures_needed_for_an_outage_grow_with_the_usual_failure_share() {
     for (share, min_run) in [(0.0, 3), (0.1, 6), (0.3, 11)] {
-        let mut odds = OutageEvidence::default();
+        let mut evidence = OutageEvidence::default();
         let mut failures_due = 0.0;
         for _ in 0..2_000 {
             failures_due += share;
             if failures_due >= 1.0 {
                 failures_due -= 1.0;
-                odds.record_failure(1.0, 0.0);
+                evidence.record_failure(1.0, 0.0);
             } else {
-                odds.record_success(true, 100.0);
+                evidence.record_success(true, 100.0);
             }
         }
-        odds.set_evidence(0.0);
+        evidence.set_evidence(0.0);
         let found = (1..100)
-            .find(|_| odds.record_failure(1.0, 0.0) >= 13.5)
+            .find(|_| evidence.record_failure(1.0, 0.0) >= 13.5)
             .expect("an outage is found");
         assert!((min_run..=min_run + 2).contains(&found), "{share}: {found}");
     }
@@ -28,19 +28,19 @@
 
 #[test]
 fn failures_of_an_outage_do_not_count_as_usual() {
-    let mut odds = OutageEvidence::default();
-    (0..100).for_each(|_| odds.record_success(true, 100.0));
-    let usual = odds.baseline_rate();
-    (0..50).for_each(|_| _ = odds.record_failure(1.0, 0.0));
-    odds.exclude_outage_from_baseline();
-    odds.record_success(true, 20.0);
-    assert!(odds.baseline_rate() <= usual);
+    let mut evidence = OutageEvidence::default();
+    (0..100).for_each(|_| evidence.record_success(true, 100.0));
+    let baseline = evidence.baseline_rate();
+    (0..50).for_each(|_| _ = evidence.record_failure(1.0, 0.0));
+    evidence.exclude_outage_from_baseline();
+    evidence.record_success(true, 20.0);
+    assert!(evidence.baseline_rate() <= baseline);
 }
 
 /// Simulates calls that are rejected at random with the share `noise` and whenever they exceed `limit` calls per
 /// second, at an offered rate. Returns the calls sent per second and the share of them that was rejected.
 fn simulate(offered_rate: f64, noise: f64, limit: f64, duration_s: i64) -> (f64, f64) {
-    let mut refusals = RejectionCorrelation::default();
+    let mut correlation = RejectionCorrelation::default();
     let (mut allowed_rate, mut tokens, mut now, mut state) = (f64::INFINITY, 0.0, 0, 7u64);
     let (mut limit_tokens, mut calls, mut rejected_calls, mut served) =
         (0.0f64, 0.0, 0.0, offered_rate.min(limit));
@@ -62,12 +62,12 @@
             limit_tokens -= f64::from(u8::from(!rejected));
             (calls, rejected_calls) = (calls + 1.0, rejected_calls + f64::from(u8::from(rejected)));
             served += f64::from(u8::from(!rejected));
-            match refusals.on_response(rejected, now - step, now, allowed_rate, served) {
+            match correlation.on_response(rejected, now - step, now, allowed_rate, served) {
                 RateAdvice::Reduce => allowed_rate = allowed_rate.min(offered_rate) * 0.8,
                 RateAdvice::HalveForProbe => allowed_rate = allowed_rate.min(offered_rate) / 2.0,
                 RateAdvice::Restore(before) => allowed_rate = before,
-                RateAdvice::Keep if !rejected && !refusals.is_probing_rate() => {
-                    allowed_rate += 0.25
+                RateAdvice::Keep if !rejected && !correlation.is_probing_rate() => {
+                    allowed_rate += 0.25;
                 }
                 RateAdvice::Keep => {}
             }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -165,12 +165,9 @@
     settings.senders = 100;
     (settings.report_remaining_index, settings.report_limit_index) = (Some(0), Some(1));
     settings.classes[KEYED].latency_objective = 4 * SECOND;
-    let arrival = |id, time_to_live, again| {
+    let arrival = |id, time_to_live, resubmitted| {
         let new = NewMessage::new(MessageId(id), KEYED, 7, time_to_live);
-        Event::Accepted(NewMessage {
-            resubmitted: again,
-            ..new
-        })
+        Event::Accepted(NewMessage { resubmitted, ..new })
     };
     // a limit of 50 calls per second for 100 senders allows each one call in 2 s
     let mut harness = Harness::new(settings, vec![entry(1, 7)]);
--- a/crates/policy/tests/noise.rs
+++ b/crates/policy/tests/noise.rs
@@ -55,13 +55,13 @@
 #[test]
 fn a_constant_failure_share_of_a_tenth_is_no_outage_in_a_million_calls() {
     let mut random = Pcg32::seed_from_u64(9);
-    let (mut odds, mut false_alarms, mut was_outage) = (OutageEvidence::default(), 0, false);
+    let (mut evidence, mut false_alarms, mut was_outage) = (OutageEvidence::default(), 0, false);
     for call in 0..1_000_000 {
         match f64::from(random.next_u32()) / f64::from(u32::MAX) < 0.1 {
-            true => _ = odds.record_failure(1.0, 0.0),
-            false => odds.record_success(true, 2.0 * EJECTION_THRESHOLD),
+            true => _ = evidence.record_failure(1.0, 0.0),
+            false => evidence.record_success(true, 2.0 * EJECTION_THRESHOLD),
         }
-        let is_outage = odds.evidence() >= EJECTION_THRESHOLD;
+        let is_outage = evidence.evidence() >= EJECTION_THRESHOLD;
         // the first calls only show what is usual
         false_alarms += usize::from(is_outage && !was_outage && call > 200);
         was_outage = is_outage;
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -231,7 +231,7 @@
                 Action::Send {
                     message,
                     endpoint,
-                    expires_at: expires,
+                    expires_at,
                 } => {
                     sends += 1;
                     let (id, endpoint) = (message.0, endpoint.0);
@@ -290,7 +290,7 @@
                         attempt,
                         endpoint,
                         sent: now,
-                        expires: *expires,
+                        expires: *expires_at,
                     });
                 }
                 Action::Reject { message, .. } => {
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -555,7 +555,7 @@
 fn a_call_still_connecting_is_held_back_by_a_wait_a_drain_or_the_messages_end() {
     // Guards against connections that are established a second late and then carry calls into waits announced
     // meanwhile.
-    let may_begin_until =
+    let write_deadline =
         |harness: &Harness, id| harness.sender.write_deadline(harness.now, MessageId(id), 0);
     let with_one_call = || {
         let mut harness = Harness::new(settings(40), pool(1));
@@ -565,7 +565,7 @@
     let mut harness = with_one_call();
     let end = START + 30 * SECOND;
     assert!(
-        may_begin_until(&harness, 1).is_some_and(|by| by < end && by > end - SECOND),
+        write_deadline(&harness, 1).is_some_and(|by| by < end && by > end - SECOND),
         "until shortly before its deadline"
     );
     assert_eq!(
@@ -577,9 +577,9 @@
         endpoint: EndpointId(1),
         retry_after: SECOND,
     }]);
-    assert_eq!(may_begin_until(&harness, 1), None, "a wait was announced");
+    assert_eq!(write_deadline(&harness, 1), None, "a wait was announced");
     harness.now += 1_100 * MILLISECOND;
-    assert!(may_begin_until(&harness, 1).is_some(), "the wait is over");
+    assert!(write_deadline(&harness, 1).is_some(), "the wait is over");
 
     let mut harness = with_one_call();
     let draining = EndpointEntry {
@@ -590,11 +590,11 @@
         kind: EndpointListKind::Changes,
         entries: vec![draining],
     }]);
-    assert_eq!(may_begin_until(&harness, 1), None, "the endpoint drains");
+    assert_eq!(write_deadline(&harness, 1), None, "the endpoint drains");
 
     let mut harness = with_one_call();
     harness.handle(vec![Event::Cancelled(MessageId(1))]);
-    assert_eq!(may_begin_until(&harness, 1), None, "the message has ended");
+    assert_eq!(write_deadline(&harness, 1), None, "the message has ended");
 }
 
 #[test]
@@ -606,11 +606,11 @@
     harness.end_attempt(1, Outcome::Reset, SECOND);
     harness.run_until(START + 5_900 * MILLISECOND);
     assert_eq!(harness.send_times(1).len(), 2, "within the window of 6 s");
-    let may_begin_until = |now| harness.sender.write_deadline(now, MessageId(1), 1);
-    let until = may_begin_until(harness.now).expect("within the window");
+    let write_deadline = |now| harness.sender.write_deadline(now, MessageId(1), 1);
+    let until = write_deadline(harness.now).expect("within the window");
     assert!(
         until <= START + 6 * SECOND && until > START + 5_900 * MILLISECOND,
         "{until}"
     );
-    assert_eq!(may_begin_until(until), None);
+    assert_eq!(write_deadline(until), None);
 }
--- a/crates/test-support/src/cold_fleet.rs
+++ b/crates/test-support/src/cold_fleet.rs
@@ -87,7 +87,7 @@
     });
     let safety = settings.safety.clone();
     let entries = vec![EndpointEntry::new(EndpointId(1), DESTINATION)];
-    let listed = Event::EndpointList {
+    let endpoint_list = Event::EndpointList {
         kind: EndpointListKind::Full,
         entries,
     };
@@ -99,7 +99,7 @@
         .map(|n| start(first_seed + n))
         .collect();
     let mut alarms: Vec<BTreeSet<Micros>> = vec![BTreeSet::new(); scenario.sender_count];
-    let mut inboxes: Vec<Vec<Event>> = vec![vec![listed.clone()]; scenario.sender_count];
+    let mut inboxes: Vec<Vec<Event>> = vec![vec![endpoint_list.clone()]; scenario.sender_count];
     // calls in flight by the time at which they end
     let mut calls_in_flight: BTreeMap<Micros, Vec<CallInFlight>> = BTreeMap::new();
     let mut attempts: BTreeMap<u64, Vec<PastAttempt>> = BTreeMap::new();
@@ -184,7 +184,7 @@
             for index in 0..scenario.sender_count {
                 senders[index] = start(first_seed + 500 + index as u64);
                 alarms[index].clear();
-                inboxes[index] = vec![listed.clone()];
+                inboxes[index] = vec![endpoint_list.clone()];
             }
             for (&message, &(receiver, accepted_at)) in pending
                 .iter()
--- a/crates/test-support/src/limited_fleet/rate_limit.rs
+++ b/crates/test-support/src/limited_fleet/rate_limit.rs
@@ -139,9 +139,9 @@
         let (min_wait, max_wait) = self.policy.retry_after_range;
         let announces_wait = self.policy.retry_after_share > 0.0
             && self.random_fraction() < self.policy.retry_after_share;
-        let wait = announces_wait
+        let retry_after = announces_wait
             .then(|| min_wait + ((max_wait - min_wait) as f64 * self.random_fraction()) as Micros);
-        Outcome::Rejected { retry_after: wait }
+        Outcome::Rejected { retry_after }
     }
 
     fn random_fraction(&mut self) -> f64 {
--- a/crates/test-support/src/limited_fleet/simulation.rs
+++ b/crates/test-support/src/limited_fleet/simulation.rs
@@ -73,7 +73,7 @@
         max_batch_size: scenario.max_batch_size,
     });
     let entries = among_idle_destinations(scenario.destination_count);
-    let listed = Event::EndpointList {
+    let endpoint_list = Event::EndpointList {
         kind: EndpointListKind::Full,
         entries,
     };
@@ -88,7 +88,7 @@
         .map(|n| start(n + scenario.seed * 1000))
         .collect();
     let mut alarms: Vec<BTreeSet<Micros>> = vec![BTreeSet::new(); scenario.sender_count];
-    let mut inboxes: Vec<Vec<Event>> = vec![vec![listed]; scenario.sender_count];
+    let mut inboxes: Vec<Vec<Event>> = vec![vec![endpoint_list]; scenario.sender_count];
     let mut calls_in_flight: BTreeMap<Micros, Vec<CallInFlight>> = BTreeMap::new();
     let mut undelivered: BTreeMap<u64, UndeliveredMessage> = BTreeMap::new();
     let mut pending: BTreeSet<u64> = BTreeSet::new();
