--- a/crates/policy/tests/guards.rs
+++ b/crates/policy/tests/guards.rs
@@ -276,8 +276,8 @@
 }
 
 #[test]
-fn a_destination_that_rejected_for_two_seconds_recovers_without_slow_start() {
-    // Guards against a throttled destination being put into slow start after a run of rejections.
+fn a_run_of_rejections_opens_the_circuit_once_and_the_rate_recovers_within_seconds() {
+    // Guards against holding a throttled destination to a slow start after it has rejected all calls for 2 s.
     let mut harness = Harness::new(settings(40), two_destinations());
     for id in 1000..1080 {
         harness.handle(vec![message(id, REPEATABLE, 7)]);
@@ -285,9 +285,9 @@
         harness.end_attempt(id, Outcome::Success, 50 * MILLISECOND);
     }
     harness.handle((0..300).map(|id| message(id, REPEATABLE, 7)).collect());
-    let open = harness.now + 2 * SECOND;
+    let accepts_from = harness.now + 2 * SECOND;
     let mut sent = 0;
-    while harness.now < open + 6 * SECOND {
+    while harness.now < accepts_from + 6 * SECOND {
         let calls: Vec<_> = harness
             .sends
             .iter()
@@ -295,12 +295,12 @@
             .copied()
             .collect();
         harness.now += 20 * MILLISECOND;
-        let result = if harness.now < open {
+        let result = if harness.now < accepts_from {
             Outcome::Rejected { retry_after: None }
         } else {
             Outcome::Success
         };
-        sent += if harness.now > open + 2 * SECOND {
+        sent += if harness.now > accepts_from + 2 * SECOND {
             calls.len()
         } else {
             0
