--- a/crates/coordinator/src/settings/file.rs
+++ b/crates/coordinator/src/settings/file.rs
@@ -1,4 +1,4 @@
-//! The settings file as it is written, and the checks of its values.
+//! The format of the settings file, and the checks of its values.
 
 use super::Settings;
 use crate::ReplicaId;
@@ -12,10 +12,11 @@
 
 const LEASE_RANGE_US: RangeInclusive<i64> = 500_000..=600_000_000;
 const HEARTBEAT_RANGE_US: RangeInclusive<i64> = 20_000..=10_000_000;
-/// A member that has lost the leader needs an election and a heartbeat before its lease is over.
+/// Smallest ratio of the lease to the heartbeat interval. When the leader fails, an election and a heartbeat have to
+/// fit into the lease of a member.
 const MIN_HEARTBEATS_PER_LEASE: u64 = 15;
 
-/// The keys of the file.
+/// The keys of the settings file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct SettingsFile {
@@ -33,7 +34,7 @@
     replicas: Vec<ReplicaEntry>,
 }
 
-/// A replica of the group.
+/// One `[[steward]]` table: a replica of the group.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct ReplicaEntry {
@@ -54,7 +55,7 @@
 }
 
 impl SettingsFile {
-    /// The settings, with relative paths counted from this folder; or all problems.
+    /// Checks all values, and resolves relative paths against `folder`. The error lists all problems.
     pub(super) fn check(self, folder: &Path) -> Result<Settings, Vec<String>> {
         let mut problems = Vec::new();
         let lease = parse_duration("lease", &self.lease, &LEASE_RANGE_US, &mut problems);
@@ -68,7 +69,7 @@
         let replicas = check_replicas(self.id, self.replicas, &mut problems);
         if lease > 0 && heartbeat > 0 && lease < MIN_HEARTBEATS_PER_LEASE * heartbeat {
             problems.push(format!(
-                "lease = {:?} is shorter than 15 times heartbeat = {:?}: each election would end sessions whose members are well",
+                "lease = {:?} is shorter than 15 times heartbeat = {:?}: an election would end the sessions of healthy members",
                 self.lease, self.heartbeat
             ));
         }
@@ -95,20 +96,20 @@
             || !self.group.is_ascii()
         {
             problems.push(
-                "group: a name of 1 to 128 ASCII characters tells this group from others"
+                "group: the name that identifies this group needs 1 to 128 ASCII characters"
                     .to_string(),
             );
         }
         if !(0.0..=0.5).contains(&self.clock_error) {
             problems.push(format!(
-                "clock_error = {}: a share from 0 to 0.5",
+                "clock_error = {}: needs a fraction from 0 to 0.5",
                 self.clock_error
             ));
         }
     }
 }
 
-/// Microseconds of a length of time; 0 with a problem noted if it is none, or is out of range.
+/// Parses a duration to microseconds. If the text is no duration or is out of range, adds a problem and returns 0.
 fn parse_duration(
     key: &str,
     text: &str,
@@ -122,19 +123,21 @@
                 units::format_time(*range.start()),
                 units::format_time(*range.end()),
             );
-            problems.push(format!("{key} = {text:?}: from {min} to {max} are allowed"));
+            problems.push(format!(
+                "{key} = {text:?}: needs a duration from {min} to {max}"
+            ));
             0
         }
         Err(_) => {
             problems.push(format!(
-                "{key} = {text:?} is no time, such as \"9s\" or \"200ms\""
+                "{key} = {text:?} is not a duration such as \"9s\" or \"200ms\""
             ));
             0
         }
     }
 }
 
-/// The replicas' addresses by their numbers, with each problem noted.
+/// The replicas' addresses by their numbers. Adds each contradiction to `problems`.
 fn check_replicas(
     own_id: ReplicaId,
     entries: Vec<ReplicaEntry>,
@@ -146,22 +149,26 @@
         .map(|entry| (entry.id, entry.address))
         .collect();
     if replicas.len() != count {
-        problems.push("two of [[steward]] have one id: each coordinator has its own".to_string());
+        problems.push(
+            "two [[steward]] tables have the same id; each coordinator needs its own".to_string(),
+        );
     }
     let mut addresses: Vec<&String> = replicas.values().collect();
     addresses.sort();
     addresses.dedup();
     if addresses.len() != replicas.len() {
-        problems
-            .push("two of [[steward]] have one address: each coordinator has its own".to_string());
+        problems.push(
+            "two [[steward]] tables have the same address; each coordinator needs its own"
+                .to_string(),
+        );
     }
     if !matches!(count, 1 | 3 | 5 | 7) {
         problems.push(format!(
-            "{count} coordinators: three go on without one, five without two; an even number bears no more than the odd one below it, and two stop when either does"
+            "{count} coordinators: a group needs 1, 3, 5 or 7. Three tolerate the failure of one and five that of two; an even number tolerates no more failures than one coordinator fewer, and two stop when either fails"
         ));
     }
     if !replicas.contains_key(&own_id) {
-        problems.push(format!("id = {own_id}: none of [[steward]] has it"));
+        problems.push(format!("id = {own_id}: no [[steward]] table has this id"));
     }
     replicas
 }
