--- a/crates/scale/src/roles/catalog.rs
+++ b/crates/scale/src/roles/catalog.rs
@@ -1,7 +1,7 @@
-//! The catalog's state machines at the plan's size: who serves what, a copy's memory, and the bytes of its questions and
-//! answers as JSON, with no HTTP around them.
+//! Measures the state machines of the shard map at the planned size: the assignment of shards to senders, the memory of a
+//! replica, and the bytes of its requests and updates as JSON, without HTTP.
 
-use super::{Scene, point, probe};
+use super::{MeasurementContext, point, probe};
 use crate::Error;
 use crate::figures::Point;
 use milletturn_shard_map::membership::Member;
@@ -15,28 +15,34 @@
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// As in the plan.
+/// Figures of the capacity plan.
 const ZONES: u64 = 31;
 const DESTINATIONS: u64 = 1_700_000;
 const SENDERS: u64 = 16_000;
-const COPIES: u8 = 3;
-/// Losses, and senders, whose figures are averaged.
-const LOSSES: u64 = 20;
-const SAMPLED: u64 = 200;
-/// Room for all of the plan; a relay holds it whole.
-const ROOM: usize = 4 << 30;
+const REPLICATION_FACTOR: u8 = 3;
+/// Number of lost senders over which the cost of a loss is averaged.
+const SENDER_LOSSES: u64 = 20;
+/// Number of senders over which the cost of catching up is averaged.
+const SAMPLED_SENDERS: u64 = 200;
+/// Maximum size of all endpoints of a replica, in bytes; enough for a session proxy, which holds all destinations.
+const MAX_REPLICA_BYTES: usize = 4 << 30;
 
-fn wrong(error: impl ToString) -> Error {
+fn failure(error: impl ToString) -> Error {
     Error::Wrong(error.to_string())
 }
 
-/// 6 KB/s for 17 s.
-fn bounds() -> Limits {
-    Limits::new(6_000, 17, ROOM, milletturn_shard_map::limits::MAX_HISTORY)
+/// Limits for a link of 6 KB/s over which a shard's snapshot has to be sent within 17 s.
+fn replica_limits() -> Limits {
+    Limits::new(
+        6_000,
+        17,
+        MAX_REPLICA_BYTES,
+        milletturn_shard_map::limits::MAX_HISTORY,
+    )
 }
 
-/// As [`super::list::listed`] has it.
-fn row(number: u64, port: u16) -> Endpoint {
+/// Builds the same endpoint as [`super::list::endpoint`].
+fn endpoint(number: u64, port: u16) -> Endpoint {
     Endpoint {
         uid: format!("t-{number:07}").into(),
         destination: number,
@@ -48,17 +54,17 @@
     }
 }
 
-fn put(number: u64, port: u16) -> Change {
+fn put_change(number: u64, port: u16) -> Change {
     Change {
         destination: number,
-        operations: vec![Operation::Put(row(number, port))],
+        operations: vec![Operation::Put(endpoint(number, port))],
     }
 }
 
-fn filled(destinations: u64) -> Result<ShardMapSource, Error> {
-    let mut source = ShardMapSource::new(ShardCount::default(), bounds(), LeaderTerm(1));
+fn source_with_destinations(destinations: u64) -> Result<ShardMapSource, Error> {
+    let mut source = ShardMapSource::new(ShardCount::default(), replica_limits(), LeaderTerm(1));
     for number in 0..destinations {
-        source.propose(put(number, 8_080)).map_err(wrong)?;
+        source.propose(put_change(number, 8_080)).map_err(failure)?;
     }
     Ok(source)
 }
@@ -72,44 +78,52 @@
 }
 
 fn membership(senders: u64) -> Result<Membership, Error> {
-    let first = Membership::new(LeaderTerm(1), COPIES).map_err(wrong)?;
+    let first = Membership::new(LeaderTerm(1), REPLICATION_FACTOR).map_err(failure)?;
     first
         .with_members(members(senders), ShardCount::default())
-        .map_err(wrong)
+        .map_err(failure)
 }
 
-/// Bytes as JSON.
-fn wire(said: &impl Serialize) -> Result<f64, Error> {
-    Ok(serde_json::to_vec(said).map_err(wrong)?.len() as f64)
+/// Returns the size of a value as JSON, in bytes.
+fn json_bytes(value: &impl Serialize) -> Result<f64, Error> {
+    Ok(serde_json::to_vec(value).map_err(failure)?.len() as f64)
 }
 
-/// Who serves what: from nothing, after a loss, after a zone's loss; how even it is.
-pub(super) fn assign(scene: &Scene) -> Result<Vec<Point>, Error> {
+/// Measures the assignment of shards: its first computation, changes after the loss of senders or of a zone, and how evenly
+/// the shards are distributed.
+pub(super) fn assign(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let ranges = ShardCount::default();
-    let here = |quantity: &str, unit: &str, value: f64| {
-        point("catalog.assign", quantity, unit, "senders", scene.at, value)
+    let new_point = |quantity: &str, unit: &str, value: f64| {
+        point(
+            "catalog.assign",
+            quantity,
+            unit,
+            "senders",
+            context.size,
+            value,
+        )
     };
-    let mut now = membership(scene.at)?;
+    let mut now = membership(context.size)?;
     let before = probe::resident()?;
     let (cpu, mut assignment) = probe::cpu_in(|| Assignment::new(ranges, now.clone()));
     let mut points = vec![
-        here("cpu", "s", cpu),
-        here("resident", "B", probe::resident()? - before),
+        new_point("cpu", "s", cpu),
+        new_point("resident", "B", probe::resident()? - before),
     ];
 
     let loads = assignment.loads();
     let most = loads.values().max().copied().unwrap_or(0) as f64;
     let mean = loads.values().sum::<usize>() as f64 / loads.len().max(1) as f64;
-    points.push(here("load.mean", "ranges", mean));
-    points.push(here("load.most", "ranges", most));
-    points.push(here(
+    points.push(new_point("load.mean", "ranges", mean));
+    points.push(new_point("load.most", "ranges", most));
+    points.push(new_point(
         "short",
         "copies",
         assignment.unassigned_replicas() as f64,
     ));
-    // as many destinations a sender as in the plan
+    // the number of destinations per sender is that of the plan
     let mut in_range = vec![0u32; ShardCount::MAX as usize];
-    for destination in 0..scene.at * DESTINATIONS / SENDERS {
+    for destination in 0..context.size * DESTINATIONS / SENDERS {
         in_range[usize::from(ranges.shard_of(destination).0)] += 1;
     }
     let mut served: BTreeMap<&str, u32> = BTreeMap::new();
@@ -118,37 +132,37 @@
             *served.entry(name).or_default() += in_range[usize::from(range.0)];
         }
     }
-    points.push(here(
+    points.push(new_point(
         "destinations.most",
         "destinations",
         f64::from(served.values().max().copied().unwrap_or(0)),
     ));
 
     let (mut cpu, mut moved, mut lost, mut worst) = (0.0, 0.0, 0.0, 0.0f64);
-    let mut all = members(scene.at);
-    for n in 0..LOSSES {
+    let mut all = members(context.size);
+    for n in 0..SENDER_LOSSES {
         let name = format!(
             "sender-{:05}",
-            n * (scene.at / LOSSES) + n % (scene.at / LOSSES)
+            n * (context.size / SENDER_LOSSES) + n % (context.size / SENDER_LOSSES)
         );
         let load = assignment.shards_of(&name).len() as f64;
         all.remove(name.as_str());
         now = now
             .with_members(all.clone(), ShardCount::default())
-            .map_err(wrong)?;
+            .map_err(failure)?;
         let next = now.clone();
-        let (took, moves) = probe::cpu_in(|| assignment.update(next));
-        cpu += took / LOSSES as f64;
-        moved += moves.gained as f64 / LOSSES as f64;
-        lost += load / LOSSES as f64;
+        let (loss_cpu, moves) = probe::cpu_in(|| assignment.update(next));
+        cpu += loss_cpu / SENDER_LOSSES as f64;
+        moved += moves.gained as f64 / SENDER_LOSSES as f64;
+        lost += load / SENDER_LOSSES as f64;
         worst = worst.max(moves.gained as f64 / load.max(1.0));
     }
-    points.push(here("loss.cpu", "s", cpu));
-    points.push(here("loss.moves", "copies", moved));
-    points.push(here("loss.lost", "copies", lost));
-    points.push(here("loss.worst", "moves for a lost copy", worst));
+    points.push(new_point("loss.cpu", "s", cpu));
+    points.push(new_point("loss.moves", "copies", moved));
+    points.push(new_point("loss.lost", "copies", lost));
+    points.push(new_point("loss.worst", "moves for a lost copy", worst));
 
-    // one comes back
+    // one sender joins
     all.insert(
         "sender-new".into(),
         Member {
@@ -158,13 +172,13 @@
     );
     now = now
         .with_members(all.clone(), ShardCount::default())
-        .map_err(wrong)?;
+        .map_err(failure)?;
     let next = now.clone();
     let (cpu, moves) = probe::cpu_in(|| assignment.update(next));
-    points.push(here("join.cpu", "s", cpu));
-    points.push(here("join.moves", "copies", moves.gained as f64));
+    points.push(new_point("join.cpu", "s", cpu));
+    points.push(new_point("join.moves", "copies", moves.gained as f64));
 
-    // a zone
+    // a whole zone is lost
     all.retain(|_, member| &*member.zone != "zone-7");
     let gone: BTreeSet<&Box<str>> = now
         .members()
@@ -179,19 +193,20 @@
         .sum();
     let next = now
         .with_members(all.clone(), ShardCount::default())
-        .map_err(wrong)?;
+        .map_err(failure)?;
     let (cpu, moves) = probe::cpu_in(|| assignment.update(next.clone()));
-    points.push(here("zone.cpu", "s", cpu));
-    points.push(here("zone.lost", "copies", lost as f64));
-    points.push(here("zone.moves", "copies", moves.gained as f64));
-    points.push(here(
+    points.push(new_point("zone.cpu", "s", cpu));
+    points.push(new_point("zone.lost", "copies", lost as f64));
+    points.push(new_point("zone.moves", "copies", moves.gained as f64));
+    points.push(new_point(
         "zone.short",
         "copies",
         assignment.unassigned_replicas() as f64,
     ));
 
-    // so many leave at once that places become more: moves of those who have nothing to do with it
-    let few = (scene.at * 4 / 5) as usize;
+    // a fifth of the senders leaves at once, so that the number of shards per weight may grow: this also moves shards
+    // between senders that stay
+    let few = (context.size * 4 / 5) as usize;
     let mut fewer = all.clone();
     while fewer.len() > few {
         fewer.pop_last();
@@ -205,73 +220,76 @@
     let places = next.shards_per_weight();
     let next = next
         .with_members(fewer, ShardCount::default())
-        .map_err(wrong)?;
+        .map_err(failure)?;
     let grown = next.shards_per_weight() > places;
     let moves = assignment.update(next);
     if grown {
-        points.push(here("places.lost", "copies", lost as f64));
-        points.push(here("places.moves", "copies", moves.gained as f64));
+        points.push(new_point("places.lost", "copies", lost as f64));
+        points.push(new_point("places.moves", "copies", moves.gained as f64));
     }
     Ok(points)
 }
 
-/// Asks until nothing more is to be asked; questions and bytes of both ways.
-fn caught_up(holder: &mut ShardMapReplica, source: &ShardMapSource) -> Result<(f64, f64), Error> {
-    let (mut asks, mut asked, mut bytes) = (holder.sync_requests(), 0.0, 0.0);
-    while let Some(ask) = asks.pop() {
-        asked += 1.0;
-        bytes += wire(&ask)?;
-        for told in source.respond(&ask).map_err(wrong)? {
-            bytes += wire(&told)?;
-            if let Ok(took) = holder.apply(told) {
-                asks.extend(took.requests);
+/// Syncs a replica until it has no further requests. Returns the number of requests, and the bytes of requests and updates.
+fn sync_until_current(
+    replica: &mut ShardMapReplica,
+    source: &ShardMapSource,
+) -> Result<(f64, f64), Error> {
+    let (mut requests, mut request_count, mut bytes) = (replica.sync_requests(), 0.0, 0.0);
+    while let Some(request) = requests.pop() {
+        request_count += 1.0;
+        bytes += json_bytes(&request)?;
+        for update in source.respond(&request).map_err(failure)? {
+            bytes += json_bytes(&update)?;
+            if let Ok(applied) = replica.apply(update) {
+                requests.extend(applied.requests);
             }
         }
     }
-    Ok((asked, bytes))
+    Ok((request_count, bytes))
 }
 
-/// What a copy of so many destinations takes: memory, processor time, bytes.
-pub(super) fn held(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let here = |quantity: &str, unit: &str, value: f64| {
+/// Measures the memory, CPU time and bytes of a replica of the given number of destinations.
+pub(super) fn held(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
             "catalog.holder",
             quantity,
             unit,
             "destinations",
-            scene.at,
+            context.size,
             value,
         )
     };
     let ranges = ShardCount::default();
-    // ranges of the plan's size, as many as have so many destinations
-    let count = (scene.at * u64::from(ranges.count()))
+    // as many shards of the planned size as hold the given number of destinations
+    let count = (context.size * u64::from(ranges.count()))
         .div_ceil(DESTINATIONS)
         .min(u64::from(ranges.count()));
     let wanted = |range: ShardId| u64::from(range.0) < count;
-    let mut source = ShardMapSource::new(ranges, bounds(), LeaderTerm(1));
+    let mut source = ShardMapSource::new(ranges, replica_limits(), LeaderTerm(1));
     let mut mine = Vec::new();
     for number in 0..DESTINATIONS {
         if wanted(ranges.shard_of(number)) {
-            source.propose(put(number, 8_080)).map_err(wrong)?;
+            source.propose(put_change(number, 8_080)).map_err(failure)?;
             mine.push(number);
         }
     }
-    // read back from its bytes, as it would come
+    // updates are parsed from JSON, as they are when received from the network
     let mut text = Vec::new();
     let mut bytes = 0;
-    let mut holder = ShardMapReplica::new(
+    let mut replica = ShardMapReplica::new(
         ranges,
         Limits {
             history: 0,
-            ..bounds()
+            ..replica_limits()
         },
     );
-    holder.subscribe(ranges.shards().filter(|range| wanted(*range)));
+    replica.subscribe(ranges.shards().filter(|range| wanted(*range)));
     let mut cpu = 0.0;
     let before = probe::resident()?;
-    for ask in holder.sync_requests() {
-        // a relay's first question is for all, a sender's for each
+    for ask in replica.sync_requests() {
+        // a session proxy first requests the whole span, a sender each of its shards
         let asks = match ask {
             SyncRequest::Span { .. } => {
                 let versions: Vec<_> = ranges
@@ -293,15 +311,15 @@
             each => vec![each],
         };
         for ask in asks {
-            for told in source.respond(&ask).map_err(wrong)? {
+            for update in source.respond(&ask).map_err(failure)? {
                 text.clear();
-                serde_json::to_writer(&mut text, &told).map_err(wrong)?;
+                serde_json::to_writer(&mut text, &update).map_err(failure)?;
                 bytes += text.len();
-                let (took, done) = probe::cpu_in(|| -> Result<(), Error> {
-                    let told: Update = serde_json::from_slice(&text).map_err(wrong)?;
-                    holder.apply(told).map(drop).map_err(wrong)
+                let (apply_cpu, done) = probe::cpu_in(|| -> Result<(), Error> {
+                    let update: Update = serde_json::from_slice(&text).map_err(failure)?;
+                    replica.apply(update).map(drop).map_err(failure)
                 });
-                cpu += took;
+                cpu += apply_cpu;
                 done?;
             }
         }
@@ -311,19 +329,19 @@
     const CHANGES: u64 = 200;
     for n in 0..CHANGES {
         let number = mine[(n * 7_919 % mine.len() as u64) as usize];
-        let told = Update::Change(
+        let update = Update::Change(
             source
-                .propose(put(number, 9_000 + n as u16))
-                .map_err(wrong)?,
+                .propose(put_change(number, 9_000 + n as u16))
+                .map_err(failure)?,
         );
-        let text = serde_json::to_vec(&told).map_err(wrong)?;
-        let (took, done) = probe::cpu_in(|| -> Result<(), Error> {
-            let told: Update = serde_json::from_slice(&text).map_err(wrong)?;
-            holder.apply(told).map(drop).map_err(wrong)
+        let text = serde_json::to_vec(&update).map_err(failure)?;
+        let (apply_cpu, done) = probe::cpu_in(|| -> Result<(), Error> {
+            let update: Update = serde_json::from_slice(&text).map_err(failure)?;
+            replica.apply(update).map(drop).map_err(failure)
         });
         done?;
         change = (
-            change.0 + took / CHANGES as f64,
+            change.0 + apply_cpu / CHANGES as f64,
             change.1 + text.len() as f64 / CHANGES as f64,
         );
     }
@@ -333,76 +351,79 @@
             "resident",
             "B",
             "destinations",
-            scene.at,
+            context.size,
             resident,
         ),
-        here("cpu", "s", cpu),
-        here("wire", "B", bytes as f64),
-        here("change.cpu", "s", change.0),
-        here("change.wire", "B", change.1),
+        new_point("cpu", "s", cpu),
+        new_point("wire", "B", bytes as f64),
+        new_point("change.cpu", "s", change.0),
+        new_point("change.wire", "B", change.1),
     ];
-    let (cpu, asks) = probe::cpu_in(|| holder.sync_requests());
-    points.push(here("check.cpu", "s", cpu));
-    points.push(here(
+    let (cpu, asks) = probe::cpu_in(|| replica.sync_requests());
+    points.push(new_point("check.cpu", "s", cpu));
+    points.push(new_point(
         "check.wire",
         "B",
-        asks.iter().map(wire).sum::<Result<f64, Error>>()?,
+        asks.iter().map(json_bytes).sum::<Result<f64, Error>>()?,
     ));
     Ok(points)
 }
 
-/// Catching up after so many missed changes: a relay that holds all of the plan, and senders that hold their part.
-pub(super) fn missed(scene: &Scene) -> Result<Vec<Point>, Error> {
+/// Measures catching up after the given number of missed changes, for a session proxy that holds the whole plan and for
+/// senders that hold their shards.
+pub(super) fn missed(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let mut random = Pcg64::seed_from_u64(0);
-    let here = |role: &str, quantity: &str, unit: &str, value: f64| {
-        point(role, quantity, unit, "missed changes", scene.at, value)
+    let new_point = |role: &str, quantity: &str, unit: &str, value: f64| {
+        point(role, quantity, unit, "missed changes", context.size, value)
     };
     let ranges = ShardCount::default();
-    let mut source = filled(DESTINATIONS)?;
+    let mut source = source_with_destinations(DESTINATIONS)?;
     let assignment = Assignment::new(ranges, membership(SENDERS)?);
-    let mut relay = ShardMapReplica::new(ranges, bounds());
+    let mut relay = ShardMapReplica::new(ranges, replica_limits());
     relay.subscribe(ranges.shards());
-    caught_up(&mut relay, &source)?;
+    sync_until_current(&mut relay, &source)?;
     let mut senders = Vec::new();
-    for n in 0..SAMPLED {
+    for n in 0..SAMPLED_SENDERS {
         let mut sender = ShardMapReplica::new(
             ranges,
             Limits {
                 history: 0,
-                ..bounds()
+                ..replica_limits()
             },
         );
-        sender.subscribe(assignment.shards_of(&format!("sender-{:05}", n * (SENDERS / SAMPLED))));
-        let (_, whole) = caught_up(&mut sender, &source)?;
+        sender.subscribe(
+            assignment.shards_of(&format!("sender-{:05}", n * (SENDERS / SAMPLED_SENDERS))),
+        );
+        let (_, whole) = sync_until_current(&mut sender, &source)?;
         senders.push((sender, whole));
     }
     let mut changes = 0.0;
-    for _ in 0..scene.at {
+    for _ in 0..context.size {
         let number = random.next_u64() % DESTINATIONS;
         let port = 1 + (random.next_u32() % 60_000) as u16;
-        changes += wire(&Update::Change(
-            source.propose(put(number, port)).map_err(wrong)?,
+        changes += json_bytes(&Update::Change(
+            source.propose(put_change(number, port)).map_err(failure)?,
         ))?;
     }
-    let (cpu, caught) = probe::cpu_in(|| caught_up(&mut relay, &source));
+    let (cpu, caught) = probe::cpu_in(|| sync_until_current(&mut relay, &source));
     let (asked, bytes) = caught?;
     let mut points = vec![
-        here("catalog.relay", "missed.wire", "B", bytes),
-        here("catalog.relay", "missed.changes", "B", changes),
-        here("catalog.relay", "missed.questions", "messages", asked),
-        here("catalog.relay", "missed.cpu", "s", cpu),
+        new_point("catalog.relay", "missed.wire", "B", bytes),
+        new_point("catalog.relay", "missed.changes", "B", changes),
+        new_point("catalog.relay", "missed.questions", "messages", asked),
+        new_point("catalog.relay", "missed.cpu", "s", cpu),
     ];
     let (mut sum, mut most, mut first, mut first_most) = (0.0, 0.0f64, 0.0, 0.0f64);
     for (sender, whole) in &mut senders {
-        let (_, bytes) = caught_up(sender, &source)?;
-        sum += bytes / SAMPLED as f64;
+        let (_, bytes) = sync_until_current(sender, &source)?;
+        sum += bytes / SAMPLED_SENDERS as f64;
         most = most.max(bytes);
-        first += *whole / SAMPLED as f64;
+        first += *whole / SAMPLED_SENDERS as f64;
         first_most = first_most.max(*whole);
     }
-    points.push(here("catalog.sender", "missed.wire", "B", sum));
-    points.push(here("catalog.sender", "missed.most", "B", most));
-    points.push(here("catalog.sender", "first.wire", "B", first));
-    points.push(here("catalog.sender", "first.most", "B", first_most));
+    points.push(new_point("catalog.sender", "missed.wire", "B", sum));
+    points.push(new_point("catalog.sender", "missed.most", "B", most));
+    points.push(new_point("catalog.sender", "first.wire", "B", first));
+    points.push(new_point("catalog.sender", "first.most", "B", first_most));
     Ok(points)
 }
--- a/crates/scale/src/roles/journal.rs
+++ b/crates/scale/src/roles/journal.rs
@@ -1,9 +1,9 @@
-//! What a held message costs in the journal and in memory, what a start with many of them takes, and how long the journal
-//! is away when it is written anew.
+//! Measures pending messages in the journal: their memory and disk space, the time of a start with many of them, and how
+//! long a compaction of the journal blocks the sender.
 
-use super::list::{alone, engine_of, file_of, limits, listed, settled};
-use super::program::{Sender, Sidecar, folder, free, state};
-use super::{Scene, apart, point, probe};
+use super::list::{endpoint, endpoints_file, engine_status, limits_section, new_engine, run_local};
+use super::program::{Sender, SidecarConfig, journal_dir, temp_dir, unused_address};
+use super::{MeasurementContext, measure_in_subprocess, point, probe};
 use crate::Error;
 use crate::figures::Point;
 use milletturn_engine::{Accepted, EndpointListUpdate, Journal, JournalError};
@@ -12,21 +12,23 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Bytes of a body, where nothing else is measured.
-const BODY: usize = 256;
-/// Destinations that one sender serves at the size designed for, and those of them that are down.
-const SERVED: u64 = 106;
-const DOWN: u64 = 5;
-/// Messages whose bodies are varied.
+/// Bytes of a message body where the body size is not what is measured.
+const BODY_BYTES: usize = 256;
+/// Destinations that one sender serves at the design size.
+const DESTINATIONS: u64 = 106;
+/// Number of those destinations that are down; all messages go to them.
+const UNREACHABLE_DESTINATIONS: u64 = 5;
+/// Messages per run in which the body size is varied.
 const MESSAGES: u64 = 20_000;
-/// How much more than twice what is owed the folder may hold where the writing anew is measured.
-const SLACK: f64 = 0.1;
+/// Space above twice the unfinished messages that the folder may take where compaction is measured, as a fraction of
+/// their size.
+const EXTRA_SPACE: f64 = 0.1;
 
-fn unwritten(error: JournalError) -> Error {
-    Error::Wrong(format!("the journal: {error}"))
+fn journal_error(error: JournalError) -> Error {
+    Error::Wrong(format!("journal failed: {error}"))
 }
 
-fn taken(number: u64, body: usize, now: i64) -> Accepted {
+fn accepted_message(number: u64, body: usize, now: i64) -> Accepted {
     Accepted {
         id: format!("m{number:08}"),
         key: Some(format!("key-m{number:08}")),
@@ -37,198 +39,223 @@
         }),
         subject: None,
         tenant: None,
-        destination: 1 + number % DOWN,
+        destination: 1 + number % UNREACHABLE_DESTINATIONS,
         accepted_at: now,
         deadline: now + 7 * 86_400 * SECOND,
         body: vec![b'x'; body],
     }
 }
 
-fn filled(folder: &Path, count: u64, body: usize) -> Result<FileJournal, Error> {
+fn journal_with_messages(folder: &Path, count: u64, body: usize) -> Result<FileJournal, Error> {
     let wall = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
         .as_micros();
     let now = i64::try_from(wall).unwrap_or(0);
-    let (mut journal, _) = FileJournal::open(folder, u64::MAX / 4, 0).map_err(unwritten)?;
+    let (mut journal, _) = FileJournal::open(folder, u64::MAX / 4, 0).map_err(journal_error)?;
     for number in 1..=count {
         journal
-            .record_accepted(number, taken(number, body, now))
-            .map_err(unwritten)?;
+            .record_accepted(number, accepted_message(number, body, now))
+            .map_err(journal_error)?;
     }
     Ok(journal)
 }
 
-fn size_of(folder: &Path) -> Result<f64, Error> {
+fn journal_file_bytes(folder: &Path) -> Result<f64, Error> {
     let path = folder.join("journal");
     let found = std::fs::metadata(&path).map_err(Error::io(path.display().to_string()))?;
     Ok(found.len() as f64)
 }
 
-/// Taking so many messages on.
-pub(super) fn write(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let here = |quantity: &str, unit: &str, value: f64| {
-        point("journal", quantity, unit, "messages held", scene.at, value)
+/// Measures recording the given number of accepted messages.
+pub(super) fn write(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let new_point = |quantity: &str, unit: &str, value: f64| {
+        point(
+            "journal",
+            quantity,
+            unit,
+            "messages held",
+            context.size,
+            value,
+        )
     };
-    let own = folder()?;
-    let place = scene.folder.as_deref().unwrap_or(own.path());
+    let own = temp_dir()?;
+    let dir = context.folder.as_deref().unwrap_or(own.path());
     let resident = probe::resident()?;
-    let (cpu, journal) = probe::cpu_in(|| filled(place, scene.at, BODY));
+    let (cpu, journal) = probe::cpu_in(|| journal_with_messages(dir, context.size, BODY_BYTES));
     let journal = journal?;
     let points = vec![
-        here("cpu", "s", cpu),
-        here("resident", "B", probe::resident()? - resident),
-        here("disk", "B", size_of(place)?),
+        new_point("cpu", "s", cpu),
+        new_point("resident", "B", probe::resident()? - resident),
+        new_point("disk", "B", journal_file_bytes(dir)?),
     ];
     drop(journal);
     Ok(points)
 }
 
-/// A start of the journal and the engine with so many messages held.
-pub(super) fn open(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let here = |quantity: &str, unit: &str, value: f64| {
+/// Measures a start of the journal and the engine with the given number of pending messages.
+pub(super) fn open(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
             "journal.open",
             quantity,
             unit,
             "messages held",
-            scene.at,
+            context.size,
             value,
         )
     };
-    let place = folder()?;
-    apart(
+    let dir = temp_dir()?;
+    measure_in_subprocess(
         "journal.write",
-        scene.at,
-        &scene.program,
-        Some(place.path()),
+        context.size,
+        &context.program,
+        Some(dir.path()),
     )?;
     let resident = probe::resident()?;
-    let begun = Instant::now();
-    let (cpu, opened) = probe::cpu_in(|| FileJournal::open(place.path(), u64::MAX / 4, 0));
-    let (journal, recovery) = opened.map_err(unwritten)?;
-    if recovery.records as u64 != scene.at {
+    let started_at = Instant::now();
+    let (cpu, opened) = probe::cpu_in(|| FileJournal::open(dir.path(), u64::MAX / 4, 0));
+    let (journal, recovery) = opened.map_err(journal_error)?;
+    if recovery.records as u64 != context.size {
         return Err(Error::Wrong(format!(
-            "{} records of {}",
-            recovery.records, scene.at
+            "journal recovered {} of {} records",
+            recovery.records, context.size
         )));
     }
-    let wall = begun.elapsed().as_secs_f64();
-    let mut points = vec![here("cpu", "s", cpu), here("wall", "s", wall)];
-    points.push(here("resident", "B", probe::resident()? - resident));
-    let address = free();
-    alone(async move {
-        let endpoints = (1..=SERVED)
-            .map(|number| listed(number, address, 0.0))
+    let wall = started_at.elapsed().as_secs_f64();
+    let mut points = vec![new_point("cpu", "s", cpu), new_point("wall", "s", wall)];
+    points.push(new_point("resident", "B", probe::resident()? - resident));
+    let address = unused_address();
+    run_local(async move {
+        let endpoints = (1..=DESTINATIONS)
+            .map(|number| endpoint(number, address, 0.0))
             .collect();
-        let known = EndpointListUpdate {
+        let endpoint_list = EndpointListUpdate {
             version: 1,
             full: true,
             endpoints,
         };
-        let (begun, started) = (probe::cpu(), Instant::now());
-        let (mut engine, inputs, mut received) = engine_of(Box::new(journal), Some(known), 400)?;
+        let (started_at, started) = (probe::cpu(), Instant::now());
+        let (mut engine, inputs, mut received) =
+            new_engine(Box::new(journal), Some(endpoint_list), 400)?;
         tokio::task::spawn_local(async move { engine.run(&mut received).await });
-        let view = settled(&inputs).await?;
-        if view.open_messages as u64 != scene.at {
+        let view = engine_status(&inputs).await?;
+        if view.open_messages as u64 != context.size {
             return Err(Error::Wrong(format!(
-                "{} held of {}",
-                view.open_messages, scene.at
+                "engine resumed {} of {} messages",
+                view.open_messages, context.size
             )));
         }
-        points.push(here("resume.cpu", "s", probe::cpu() - begun));
-        points.push(here("resume.wall", "s", started.elapsed().as_secs_f64()));
+        points.push(new_point("resume.cpu", "s", probe::cpu() - started_at));
+        points.push(new_point(
+            "resume.wall",
+            "s",
+            started.elapsed().as_secs_f64(),
+        ));
         let (now, most) = probe::memory_of("self")?;
-        points.push(here("running", "B", now - resident));
-        points.push(here("peak", "B", most - resident));
+        points.push(new_point("running", "B", now - resident));
+        points.push(new_point("peak", "B", most - resident));
         Ok(points)
     })
 }
 
-/// Messages with bodies of so many bytes.
-pub(super) fn body(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let here = |quantity: &str, value: f64| {
+/// Measures memory and disk space per message with bodies of the given number of bytes.
+pub(super) fn body(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let new_point = |quantity: &str, value: f64| {
         point(
             "journal.body",
             quantity,
             "B/message",
             "bytes of a body",
-            scene.at,
+            context.size,
             value / MESSAGES as f64,
         )
     };
-    let place = folder()?;
+    let dir = temp_dir()?;
     let resident = probe::resident()?;
-    let journal = filled(place.path(), MESSAGES, scene.at as usize)?;
+    let journal = journal_with_messages(dir.path(), MESSAGES, context.size as usize)?;
     let points = vec![
-        here("resident", probe::resident()? - resident),
-        here("disk", size_of(place.path())?),
+        new_point("resident", probe::resident()? - resident),
+        new_point("disk", journal_file_bytes(dir.path())?),
     ];
     drop(journal);
     Ok(points)
 }
 
-/// The one entry that makes the journal write anew all that is owed: nothing else happens in the sender meanwhile.
-pub(super) fn compact(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let here = |quantity: &str, unit: &str, value: f64| {
+/// Measures the journal entry that triggers a compaction, during which the sender does nothing else. Entries are written
+/// until the file shrinks, and the one with the most CPU time is reported.
+pub(super) fn compact(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
             "journal.compact",
             quantity,
             unit,
             "messages held",
-            scene.at,
+            context.size,
             value,
         )
     };
-    let place = folder()?;
-    drop(filled(place.path(), scene.at, BODY)?);
-    let live = size_of(place.path())?;
-    let (mut journal, _) =
-        FileJournal::open(place.path(), (live * (2.0 + SLACK)) as u64, 0).map_err(unwritten)?;
-    let (mut most, mut wall, mut size) = (0.0f64, 0.0f64, size_of(place.path())?);
+    let dir = temp_dir()?;
+    drop(journal_with_messages(dir.path(), context.size, BODY_BYTES)?);
+    let live = journal_file_bytes(dir.path())?;
+    let (mut journal, _) = FileJournal::open(dir.path(), (live * (2.0 + EXTRA_SPACE)) as u64, 0)
+        .map_err(journal_error)?;
+    let (mut most, mut wall, mut size) = (0.0f64, 0.0f64, journal_file_bytes(dir.path())?);
     for entry in 0u64.. {
-        let begun = Instant::now();
-        let (cpu, written) = probe::cpu_in(|| journal.record_never_ran(1 + entry % scene.at, 0));
-        written.map_err(unwritten)?;
+        let started_at = Instant::now();
+        let (cpu, written) =
+            probe::cpu_in(|| journal.record_never_ran(1 + entry % context.size, 0));
+        written.map_err(journal_error)?;
         if cpu > most {
-            (most, wall) = (cpu, begun.elapsed().as_secs_f64());
+            (most, wall) = (cpu, started_at.elapsed().as_secs_f64());
         }
         if entry % 256 == 0 {
-            let now = size_of(place.path())?;
+            let now = journal_file_bytes(dir.path())?;
             if now < size {
                 break;
             }
             size = now;
         }
     }
-    Ok(vec![here("stall", "s", wall), here("cpu", "s", most)])
+    Ok(vec![
+        new_point("stall", "s", wall),
+        new_point("cpu", "s", most),
+    ])
 }
 
-/// A start of the whole sender with so many messages held behind destinations that take no connection.
-pub(super) fn restart(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let here = |quantity: &str, unit: &str, value: f64| {
-        point("restart", quantity, unit, "messages held", scene.at, value)
+/// Measures a start of the whole sender with the given number of messages pending for destinations that accept no
+/// connection.
+pub(super) fn restart(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let new_point = |quantity: &str, unit: &str, value: f64| {
+        point(
+            "restart",
+            quantity,
+            unit,
+            "messages held",
+            context.size,
+            value,
+        )
     };
-    let place = folder()?;
-    apart(
+    let dir = temp_dir()?;
+    measure_in_subprocess(
         "journal.write",
-        scene.at,
-        &scene.program,
-        Some(&state(place.path())),
+        context.size,
+        &context.program,
+        Some(&journal_dir(dir.path())),
     )?;
-    let told = Sidecar {
-        limits: &limits(1_024, 100_000),
-        list: &file_of(SERVED, free()),
+    let config = SidecarConfig {
+        limits: &limits_section(1_024, 100_000),
+        list: &endpoints_file(DESTINATIONS, unused_address()),
     };
-    let sender = Sender::sidecar(&scene.program, place.path(), &told)?;
+    let sender = Sender::start_sidecar(&context.program, dir.path(), &config)?;
     let (cpu, (now, most)) = (sender.cpu()?, sender.memory()?);
     let mut points = vec![
-        here("ready", "s", sender.ready),
-        here("cpu", "s", cpu),
-        here("resident", "B", now),
-        here("peak", "B", most),
+        new_point("ready", "s", sender.ready),
+        new_point("cpu", "s", cpu),
+        new_point("resident", "B", now),
+        new_point("peak", "B", most),
     ];
     std::thread::sleep(Duration::from_secs(3));
-    points.push(here("beside", "core", (sender.cpu()? - cpu) / 3.0));
+    points.push(new_point("beside", "core", (sender.cpu()? - cpu) / 3.0));
     Ok(points)
 }
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -1,8 +1,8 @@
-//! What a list of destinations costs: in the engine with its real transport, in a sidecar with a file of endpoints, at a
-//! sender that watches discovery; and up to which size each takes one at all.
+//! Measures the cost of an endpoint list: in the engine with its real transport, in a sidecar with an endpoints file, and in
+//! a sender that watches discovery; and finds the largest list that each of the latter two accepts.
 
-use super::program::{Sender, Sidecar, folder, free, write};
-use super::{Scene, point, probe};
+use super::program::{Sender, SidecarConfig, temp_dir, unused_address, write};
+use super::{MeasurementContext, point, probe};
 use crate::Error;
 use crate::figures::Point;
 use milletturn_engine::observer::NoopObserver;
@@ -23,17 +23,19 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::LocalSet;
 
-/// Entries of one piece of a list, so that what is read leaves little behind.
-const PIECE: u64 = 1_000;
-/// Changes whose cost is averaged.
-const CHANGES: u64 = 200;
-/// Descriptors and slots of the engine that is measured.
-const SOCKETS: usize = 4_096;
-const SLOTS: usize = 200;
-/// Requests for figures whose cost is averaged.
-const SCRAPES: u64 = 50;
+/// Endpoints per update in which the first list is sent. Small updates keep the memory of the updates themselves out of
+/// the measured memory.
+const ENDPOINTS_PER_UPDATE: u64 = 1_000;
+/// Number of changes over which the cost of a change is averaged.
+const MEASURED_CHANGES: u64 = 200;
+/// Sockets that the measured engine may open.
+const MAX_SOCKETS: usize = 4_096;
+/// Concurrent calls of the measured engine.
+const CALL_SLOTS: usize = 200;
+/// Number of status requests or scrapes over which the cost is averaged.
+const MEASURED_SCRAPES: u64 = 50;
 
-pub(super) fn listed(number: u64, address: SocketAddr, weight: f64) -> ListedEndpoint {
+pub(super) fn endpoint(number: u64, address: SocketAddr, weight: f64) -> ListedEndpoint {
     ListedEndpoint {
         uid: format!("t-{number:07}"),
         address,
@@ -45,11 +47,11 @@
     }
 }
 
-/// An engine over real calls, with one class that may be repeated by key.
-pub(super) fn engine_of(
-    ledger: Box<dyn Journal>,
-    known: Option<EndpointListUpdate>,
-    held: usize,
+/// Creates an engine with the real HTTP transport and one class whose messages carry an idempotency key.
+pub(super) fn new_engine(
+    journal: Box<dyn Journal>,
+    cached_endpoints: Option<EndpointListUpdate>,
+    max_pending: usize,
 ) -> Result<
     (
         Engine,
@@ -58,7 +60,7 @@
     ),
     Error,
 > {
-    let mut settings = Settings::new(SLOTS, held);
+    let mut settings = Settings::new(CALL_SLOTS, max_pending);
     let keyed = Effect::Keyed {
         window: 3_600 * SECOND,
         zone_only: false,
@@ -72,7 +74,7 @@
         max_batch_size: 1,
     });
     let (inputs, received) = mpsc::unbounded_channel();
-    let budget = ResourceBudget::new(SOCKETS, 128_000_000, SLOTS);
+    let budget = ResourceBudget::new(MAX_SOCKETS, 128_000_000, CALL_SLOTS);
     let (idle, dial) = (Duration::from_secs(5), Duration::from_millis(500));
     let calls = HttpTransport::new(
         idle,
@@ -92,8 +94,8 @@
         zones: vec!["a".into()],
         kinds: vec!["one".into()],
         clock: Clock::new(i64::try_from(wall).unwrap_or(0)),
-        cached_endpoints: known,
-        journal: ledger,
+        cached_endpoints,
+        journal: journal,
         archive: None,
         first_message_number: 1,
         transport: Box::new(calls),
@@ -106,47 +108,54 @@
     Ok((engine, inputs, received))
 }
 
-/// Waits until all inputs so far have had their turn.
-pub(super) async fn settled(inputs: &mpsc::UnboundedSender<Input>) -> Result<EngineStatus, Error> {
+/// Waits until the engine has processed all inputs sent so far, and returns its status. The status request itself takes
+/// time that grows with the number of listed endpoints.
+pub(super) async fn engine_status(
+    inputs: &mpsc::UnboundedSender<Input>,
+) -> Result<EngineStatus, Error> {
     let (reply, answer) = oneshot::channel();
-    let gone = || Error::Wrong("the engine has ended".into());
-    inputs.send(Input::GetStatus(reply)).map_err(|_| gone())?;
-    answer.await.map_err(|_| gone())
+    let engine_ended = || Error::Wrong("the engine has ended".into());
+    inputs
+        .send(Input::GetStatus(reply))
+        .map_err(|_| engine_ended())?;
+    answer.await.map_err(|_| engine_ended())
 }
 
-/// The same, without the look: it costs what is listed.
-async fn heard(inputs: &mpsc::UnboundedSender<Input>) -> Result<(), Error> {
+/// Waits until the engine has processed all inputs sent so far, without requesting its status, whose cost grows with the
+/// number of listed endpoints.
+async fn inputs_processed(inputs: &mpsc::UnboundedSender<Input>) -> Result<(), Error> {
     let (reply, answer) = oneshot::channel();
-    let gone = || Error::Wrong("the engine has ended".into());
-    let nobody = SharedStr::new(b"nobody").map_err(|error| Error::Wrong(error.to_string()))?;
+    let engine_ended = || Error::Wrong("the engine has ended".into());
+    let unknown_id = SharedStr::new(b"nobody").map_err(|error| Error::Wrong(error.to_string()))?;
     inputs
-        .send(Input::IsOpen(nobody, reply))
-        .map_err(|_| gone())?;
-    answer.await.map(drop).map_err(|_| gone())
+        .send(Input::IsOpen(unknown_id, reply))
+        .map_err(|_| engine_ended())?;
+    answer.await.map(drop).map_err(|_| engine_ended())
 }
 
-/// Runs what needs an engine on a thread of its own loop.
-pub(super) fn alone<T>(future: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
+/// Runs a future, which may spawn local tasks, to completion on a new single-threaded runtime.
+pub(super) fn run_local<T>(future: impl Future<Output = Result<T, Error>>) -> Result<T, Error> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build();
     LocalSet::new().block_on(&runtime.map_err(Error::io("a runtime"))?, future)
 }
 
-/// Memory of a listed destination, and what the first list, a change, a whole list and a look cost.
-pub(super) fn engine(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let count = scene.at;
-    let here = |quantity: &str, unit: &str, value: f64| {
+/// Measures the memory of a listed destination, and the CPU time of the first list, a change, a full list and a status
+/// request.
+pub(super) fn engine(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let count = context.size;
+    let new_point = |quantity: &str, unit: &str, value: f64| {
         point("list.engine", quantity, unit, "destinations", count, value)
     };
-    let address = free();
-    alone(async move {
+    let address = unused_address();
+    run_local(async move {
         let (mut engine, inputs, mut received) =
-            engine_of(Box::new(MemoryJournal::default()), None, 400)?;
+            new_engine(Box::new(MemoryJournal::default()), None, 400)?;
         tokio::task::spawn_local(async move { engine.run(&mut received).await });
-        heard(&inputs).await?;
+        inputs_processed(&inputs).await?;
         let (resident, begun, mut version) = (probe::resident()?, probe::cpu(), 0);
-        let mut tell = |full: bool, endpoints: Vec<ListedEndpoint>| {
+        let mut send_update = |full: bool, endpoints: Vec<ListedEndpoint>| {
             version += 1;
             let update = EndpointListUpdate {
                 version,
@@ -157,98 +166,106 @@
                 .send(Input::EndpointsListed(update))
                 .map_err(|_| Error::Wrong("the engine has ended".into()))
         };
-        for from in (0..count).step_by(PIECE as usize) {
-            let piece = (from..count.min(from + PIECE)).map(|number| listed(number, address, 1.0));
-            tell(from == 0, piece.collect())?;
-            heard(&inputs).await?;
+        for from in (0..count).step_by(ENDPOINTS_PER_UPDATE as usize) {
+            let part = (from..count.min(from + ENDPOINTS_PER_UPDATE))
+                .map(|number| endpoint(number, address, 1.0));
+            send_update(from == 0, part.collect())?;
+            inputs_processed(&inputs).await?;
         }
         let mut points = vec![
-            here("cpu", "s", probe::cpu() - begun),
-            here("resident", "B", probe::resident()? - resident),
+            new_point("cpu", "s", probe::cpu() - begun),
+            new_point("resident", "B", probe::resident()? - resident),
         ];
         let begun = probe::cpu();
-        for change in 0..CHANGES {
-            tell(false, vec![listed(change * 7_919 % count, address, 2.0)])?;
-            heard(&inputs).await?;
+        for change in 0..MEASURED_CHANGES {
+            send_update(false, vec![endpoint(change * 7_919 % count, address, 2.0)])?;
+            inputs_processed(&inputs).await?;
         }
-        points.push(here(
+        points.push(new_point(
             "change.cpu",
             "s",
-            (probe::cpu() - begun) / CHANGES as f64,
+            (probe::cpu() - begun) / MEASURED_CHANGES as f64,
         ));
         let begun = probe::cpu();
-        for _ in 0..SCRAPES {
-            settled(&inputs).await?;
+        for _ in 0..MEASURED_SCRAPES {
+            engine_status(&inputs).await?;
         }
-        points.push(here(
+        points.push(new_point(
             "look.cpu",
             "s",
-            (probe::cpu() - begun) / SCRAPES as f64,
+            (probe::cpu() - begun) / MEASURED_SCRAPES as f64,
         ));
         let whole = (0..count)
-            .map(|number| listed(number, address, 3.0))
+            .map(|number| endpoint(number, address, 3.0))
             .collect();
         let begun = probe::cpu();
-        tell(true, whole)?;
-        heard(&inputs).await?;
-        points.push(here("whole.cpu", "s", probe::cpu() - begun));
+        send_update(true, whole)?;
+        inputs_processed(&inputs).await?;
+        points.push(new_point("whole.cpu", "s", probe::cpu() - begun));
         Ok(points)
     })
 }
 
-pub(super) fn limits(sockets: usize, held: u64) -> String {
+pub(super) fn limits_section(sockets: usize, held: u64) -> String {
     format!(
         "held = {held}\ncalls = 100\nsockets = {sockets}\ndisk = '60GB'\nmemory = '16GB'\n[load]\nbody = '256B'"
     )
 }
 
-pub(super) fn file_of(count: u64, address: SocketAddr) -> String {
+pub(super) fn endpoints_file(count: u64, address: SocketAddr) -> String {
     (1..=count)
         .map(|number| format!("[destination.{number}]\nendpoints = ['{address}']\n"))
         .collect()
 }
 
-/// A sidecar whose destinations stand in a file.
-pub(super) fn file(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let here = |quantity: &str, unit: &str, value: f64| {
-        point("list.file", quantity, unit, "destinations", scene.at, value)
+/// Measures a sidecar that reads its destinations from a file.
+pub(super) fn file(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let new_point = |quantity: &str, unit: &str, value: f64| {
+        point(
+            "list.file",
+            quantity,
+            unit,
+            "destinations",
+            context.size,
+            value,
+        )
     };
-    let (folder, text) = (folder()?, file_of(scene.at, free()));
-    let told = Sidecar {
-        limits: &limits(1_024, 1_000),
+    let (folder, text) = (temp_dir()?, endpoints_file(context.size, unused_address()));
+    let config = SidecarConfig {
+        limits: &limits_section(1_024, 1_000),
         list: &text,
     };
-    let sender = Sender::sidecar(&scene.program, folder.path(), &told)?;
+    let sender = Sender::start_sidecar(&context.program, folder.path(), &config)?;
     let (cpu, (now, most)) = (sender.cpu()?, sender.memory()?);
     let mut points = vec![
-        here("wire", "B", text.len() as f64),
-        here("ready", "s", sender.ready),
-        here("cpu", "s", cpu),
-        here("resident", "B", now),
-        here("peak", "B", most),
+        new_point("wire", "B", text.len() as f64),
+        new_point("ready", "s", sender.ready),
+        new_point("cpu", "s", cpu),
+        new_point("resident", "B", now),
+        new_point("peak", "B", most),
     ];
-    // one destination more: the file is read whole, and the list taken in whole
+    // after adding one destination, the sidecar reads the whole file again and applies the list as a full update
     let longer = format!(
         "{text}[destination.{}]\nendpoints = ['127.0.0.1:9']\n",
-        scene.at + 1
+        context.size + 1
     );
     write(&folder.path().join("list.toml"), &longer)?;
     let mut last = sender.cpu()?;
     let until = std::time::Instant::now() + Duration::from_secs(20);
     let before = last;
-    // it looks every 250 ms: done when a whole second cost next to nothing
+    // the sidecar checks the file every 250 ms; the change has been applied once a whole second takes almost no CPU time
     loop {
         std::thread::sleep(Duration::from_secs(1));
         let now = sender.cpu()?;
         if (now - last < 0.005 && now - before > 0.0005) || std::time::Instant::now() > until {
-            points.push(here("change.cpu", "s", now - before));
+            points.push(new_point("change.cpu", "s", now - before));
             return Ok(points);
         }
         last = now;
     }
 }
 
-fn line_of(count: u64, address: SocketAddr) -> String {
+fn watch_line(count: u64, address: SocketAddr) -> String {
     let target = |number: u64| {
         format!(
             "{{\"uid\":\"t-{number:07}\",\"endpoint\":\"{address}\",\"az\":\"a\",\"model\":\"one\",\
@@ -262,15 +279,15 @@
     )
 }
 
-/// The platform's sender with a watch that tells one list.
-fn watching(
+/// Starts the sender with a discovery watch that sends one list.
+fn start_watching_sender(
     program: &Path,
     folder: &Path,
     line: String,
-    patience: Duration,
+    timeout: Duration,
 ) -> Result<Sender, Error> {
     let agent = FakeDiscovery::new(vec![line]);
-    let listen = free();
+    let listen = unused_address();
     let config = serde_json::json!({
         "name": "n1", "listen": listen.to_string(), "discovery": agent.address.to_string(), "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 30.0},
@@ -291,100 +308,109 @@
     command
         .env("RELAY_CONFIG", folder.join("config.json"))
         .env("RELAY_STATE", folder.join("state"));
-    Sender::start(command, listen, patience)
+    Sender::start(command, listen, timeout)
 }
 
-/// A watch that tells the whole list.
-pub(super) fn watch(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let here = |quantity: &str, unit: &str, value: f64| {
+/// Measures a sender that receives the whole list from a discovery watch.
+pub(super) fn watch(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
             "list.watch",
             quantity,
             unit,
             "destinations",
-            scene.at,
+            context.size,
             value,
         )
     };
-    let (folder, line) = (folder()?, line_of(scene.at, free()));
+    let (folder, line) = (temp_dir()?, watch_line(context.size, unused_address()));
     let bytes = line.len() as f64;
-    let sender = watching(&scene.program, folder.path(), line, Duration::from_secs(60))?;
+    let sender = start_watching_sender(
+        &context.program,
+        folder.path(),
+        line,
+        Duration::from_secs(60),
+    )?;
     let (cpu, memory) = (sender.cpu()?, sender.memory()?);
     Ok(vec![
-        here("wire", "B", bytes),
-        here("ready", "s", sender.ready),
-        here("cpu", "s", cpu),
-        here("resident", "B", memory.0),
+        new_point("wire", "B", bytes),
+        new_point("ready", "s", sender.ready),
+        new_point("cpu", "s", cpu),
+        new_point("resident", "B", memory.0),
     ])
 }
 
-/// The largest size that is taken, to such a part of it; `least` is, `most` is not.
-fn largest(
-    mut least: u64,
-    mut most: u64,
+/// Finds the largest accepted size by bisection, to within 1/`part` of that size. The initial `accepted` must be accepted and
+/// the initial `rejected` must be rejected.
+fn largest_accepted(
+    mut accepted: u64,
+    mut rejected: u64,
     part: u64,
-    taken: impl Fn(u64) -> Result<bool, Error>,
+    is_accepted: impl Fn(u64) -> Result<bool, Error>,
 ) -> Result<u64, Error> {
-    if taken(most)? {
-        return Err(Error::Wrong(format!("{most} is taken")));
+    if is_accepted(rejected)? {
+        return Err(Error::Wrong(format!(
+            "size {rejected} was accepted; the search needs a rejected size"
+        )));
     }
-    while most - least > (least / part).max(1) {
-        let middle = least.midpoint(most);
-        if taken(middle)? {
-            least = middle;
+    while rejected - accepted > (accepted / part).max(1) {
+        let middle = accepted.midpoint(rejected);
+        if is_accepted(middle)? {
+            accepted = middle;
         } else {
-            most = middle;
+            rejected = middle;
         }
     }
-    Ok(least)
+    Ok(accepted)
 }
 
-/// Up to which size each takes a list at all, and how many messages a sidecar may be told to hold.
-pub(super) fn bounds(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let address = free();
-    let folder = folder()?;
-    let watch = largest(1_000, 20_000, 100, |count| {
-        let place = tempfile::tempdir_in(folder.path()).map_err(Error::io("a folder"))?;
-        let patience = Duration::from_secs(8);
-        Ok(watching(
-            &scene.program,
-            place.path(),
-            line_of(count, address),
-            patience,
+/// Finds the largest list that a watch and an endpoints file accept, and the largest limit of pending messages that a
+/// sidecar's configuration accepts.
+pub(super) fn bounds(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let address = unused_address();
+    let folder = temp_dir()?;
+    let watch = largest_accepted(1_000, 20_000, 100, |count| {
+        let dir = tempfile::tempdir_in(folder.path()).map_err(Error::io("a folder"))?;
+        let timeout = Duration::from_secs(8);
+        Ok(start_watching_sender(
+            &context.program,
+            dir.path(),
+            watch_line(count, address),
+            timeout,
         )
         .is_ok())
     })?;
-    let sound = |limits: &str, list: &str| -> Result<bool, Error> {
+    let is_valid_config = |limits: &str, list: &str| -> Result<bool, Error> {
         let text = format!(
             "name = 'app'\nstate = 'app.state'\n[listen]\nhttp = '{}'\noutcomes = '{}'\n[limits]\n{limits}\n\
              [endpoints]\nfile = 'list.toml'\n[class.notice]\neffect = 'repeatable'\ndeadline = '1h'\n",
-            free(),
-            free()
+            unused_address(),
+            unused_address()
         );
         write(&folder.path().join("app.toml"), &text)?;
         write(&folder.path().join("list.toml"), list)?;
-        let mut command = Command::new(&scene.program);
+        let mut command = Command::new(&context.program);
         command
             .args(["config", "check"])
             .arg(folder.path().join("app.toml"));
         let status = command.stdout(Stdio::null()).stderr(Stdio::null()).status();
         Ok(status.map_err(Error::io("config check"))?.success())
     };
-    let short = file_of(10, address);
-    if !sound(&limits(1_024, 1_000), &short)? {
-        return Err(Error::Wrong("a sound file is refused".into()));
+    let short = endpoints_file(10, address);
+    if !is_valid_config(&limits_section(1_024, 1_000), &short)? {
+        return Err(Error::Wrong("a valid configuration was rejected".into()));
     }
-    // the check of a configuration reads no file of endpoints: a start does
-    let file = largest(200_000, 600_000, 100, |count| {
-        let place = tempfile::tempdir_in(folder.path()).map_err(Error::io("a folder"))?;
-        let told = Sidecar {
-            limits: &limits(1_024, 1_000),
-            list: &file_of(count, address),
+    // `config check` does not read the endpoints file, so that a sidecar has to be started
+    let file = largest_accepted(200_000, 600_000, 100, |count| {
+        let dir = tempfile::tempdir_in(folder.path()).map_err(Error::io("a folder"))?;
+        let config = SidecarConfig {
+            limits: &limits_section(1_024, 1_000),
+            list: &endpoints_file(count, address),
         };
-        Ok(Sender::sidecar(&scene.program, place.path(), &told).is_ok())
+        Ok(Sender::start_sidecar(&context.program, dir.path(), &config).is_ok())
     })?;
-    let held = largest(1_000, 1_500_000, u64::MAX, |held| {
-        sound(&limits(1_024, held), &short)
+    let held = largest_accepted(1_000, 1_500_000, u64::MAX, |held| {
+        is_valid_config(&limits_section(1_024, held), &short)
     })?;
     let most =
         |role: &str, unit: &str, value: u64| point(role, "most", unit, "bound", 0, value as f64);
@@ -395,36 +421,50 @@
     ])
 }
 
-/// What a scrape of the real sender's figures costs beside so many destinations.
-pub(super) fn figures(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let here = |quantity: &str, unit: &str, value: f64| {
-        point("figures", quantity, unit, "destinations", scene.at, value)
+/// Measures the bytes and CPU time of a metrics scrape of a real sender with the given number of destinations.
+pub(super) fn figures(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let new_point = |quantity: &str, unit: &str, value: f64| {
+        point(
+            "figures",
+            quantity,
+            unit,
+            "destinations",
+            context.size,
+            value,
+        )
     };
-    let (folder, operators) = (folder()?, free());
-    let told = Sidecar {
-        limits: &limits(1_024, 1_000),
-        list: &file_of(scene.at, free()),
+    let (folder, operators) = (temp_dir()?, unused_address());
+    let config = SidecarConfig {
+        limits: &limits_section(1_024, 1_000),
+        list: &endpoints_file(context.size, unused_address()),
     };
-    let sender = Sender::sidecar_with(&scene.program, folder.path(), &told, Some(operators))?;
+    let sender = Sender::start_sidecar_with_admin(
+        &context.program,
+        folder.path(),
+        &config,
+        Some(operators),
+    )?;
     std::thread::sleep(Duration::from_secs(1));
     let (begun, mut bytes) = (sender.cpu()?, 0);
-    for _ in 0..SCRAPES {
-        let mut stream = TcpStream::connect(operators).map_err(Error::io("the operators' door"))?;
+    for _ in 0..MEASURED_SCRAPES {
+        let mut stream = TcpStream::connect(operators).map_err(Error::io("the admin listener"))?;
         let asked =
             stream.write_all(b"GET /-/metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-        asked.map_err(Error::io("the operators' door"))?;
+        asked.map_err(Error::io("the admin listener"))?;
         let mut answer = Vec::new();
         stream
             .read_to_end(&mut answer)
-            .map_err(Error::io("the operators' door"))?;
+            .map_err(Error::io("the admin listener"))?;
         if !answer.starts_with(b"HTTP/1.1 200") {
-            return Err(Error::Wrong("no figures".into()));
+            return Err(Error::Wrong(
+                "metrics request did not return status 200".into(),
+            ));
         }
         bytes = answer.len();
     }
-    let cpu = (sender.cpu()? - begun) / SCRAPES as f64;
+    let cpu = (sender.cpu()? - begun) / MEASURED_SCRAPES as f64;
     Ok(vec![
-        here("scrape", "B", bytes as f64),
-        here("cpu", "s", cpu),
+        new_point("scrape", "B", bytes as f64),
+        new_point("cpu", "s", cpu),
     ])
 }
--- a/crates/scale/src/roles/mod.rs
+++ b/crates/scale/src/roles/mod.rs
@@ -1,8 +1,9 @@
-//! `milletturn-scale roles`: slopes of a single sender's own parts, by the real code.
+//! `milletturn-scale roles`: measures how the cost of each part of a single sender grows with size, using the real code.
 //!
-//! Each size is measured in a process of its own, so that nothing is left in memory from the size before. Processor time
-//! counts, not time on the wall: a loaded machine makes a run slower and its figures no larger. Where time on the wall is
-//! what is asked (a start until it is ready), the point says so and carries the machine's load beside it.
+//! Each size is measured in a separate process, so that memory left over from the previous size does not count. CPU time is
+//! measured rather than wall-clock time, because load on the machine makes a run slower but does not increase its CPU
+//! time. Quantities that need wall-clock time (such as the time until a sender is ready) are named accordingly, and every
+//! point records the load average of the machine.
 
 mod catalog;
 mod journal;
@@ -48,129 +49,129 @@
     folder: Option<PathBuf>,
 }
 
-/// What a measurement gets.
-pub(crate) struct Scene {
-    /// Its size.
-    pub at: u64,
-    /// The sender.
+/// Input of one measurement.
+pub(crate) struct MeasurementContext {
+    /// Value on the measurement's axis, such as the number of destinations or messages.
+    pub size: u64,
+    /// Path of the sender executable.
     pub program: PathBuf,
-    /// A folder that another measurement reads; none: one of its own.
+    /// Folder for files that the calling measurement reads afterwards; `None` uses a temporary folder.
     pub folder: Option<PathBuf>,
 }
 
-type Measure = fn(&Scene) -> Result<Vec<Point>, Error>;
+type MeasureFn = fn(&MeasurementContext) -> Result<Vec<Point>, Error>;
 
-/// One measurement, and its sizes.
-struct Subject {
+/// A named measurement and the sizes at which it runs.
+struct Measurement {
     name: &'static str,
     sizes: &'static [u64],
-    measure: Measure,
+    measure: MeasureFn,
 }
 
-const SUBJECTS: &[Subject] = &[
-    Subject {
+const MEASUREMENTS: &[Measurement] = &[
+    Measurement {
         name: "list.engine",
         sizes: &[1_000, 5_000, 17_000, 60_000, 170_000, 600_000, 1_700_000],
         measure: list::engine,
     },
-    Subject {
+    Measurement {
         name: "list.file",
         sizes: &[1_000, 5_000, 17_000, 60_000, 170_000, 300_000],
         measure: list::file,
     },
-    Subject {
+    Measurement {
         name: "list.watch",
         sizes: &[100, 300, 1_000, 2_000, 4_000, 6_000],
         measure: list::watch,
     },
-    Subject {
+    Measurement {
         name: "list.bounds",
         sizes: &[0],
         measure: list::bounds,
     },
-    Subject {
+    Measurement {
         name: "destination.used",
         sizes: &[300, 1_000, 3_000, 10_000, 30_000, 100_000],
         measure: turn::used,
     },
-    Subject {
+    Measurement {
         name: "journal.write",
         sizes: &[1_000, 5_000, 15_000, 50_000, 150_000, 500_000, 1_500_000],
         measure: journal::write,
     },
-    Subject {
+    Measurement {
         name: "journal.open",
         sizes: &[1_000, 5_000, 15_000, 50_000, 150_000, 500_000, 1_500_000],
         measure: journal::open,
     },
-    Subject {
+    Measurement {
         name: "journal.body",
         sizes: &[64, 256, 1_024, 2_048, 8_192, 16_384],
         measure: journal::body,
     },
-    Subject {
+    Measurement {
         name: "journal.compact",
         sizes: &[3_000, 15_000, 50_000, 150_000, 500_000, 1_500_000],
         measure: journal::compact,
     },
-    Subject {
+    Measurement {
         name: "restart",
         sizes: &[1_000, 5_000, 15_000, 50_000, 150_000, 500_000, 1_500_000],
         measure: journal::restart,
     },
-    Subject {
+    Measurement {
         name: "path.rate",
         sizes: &[50, 100, 288, 600, 1_200, 2_400],
         measure: path::rate,
     },
-    Subject {
+    Measurement {
         name: "path.sockets",
         sizes: &[10, 30, 106, 200, 400, 800],
         measure: path::sockets,
     },
-    Subject {
+    Measurement {
         name: "turn.calls",
         sizes: &[10, 100, 500, 1_000, 2_000, 4_000],
         measure: turn::calls,
     },
-    Subject {
+    Measurement {
         name: "turn.held",
         sizes: &[100, 1_000, 10_000, 30_000, 100_000, 300_000],
         measure: turn::held,
     },
-    Subject {
+    Measurement {
         name: "undelivered",
         sizes: &[1_000, 3_000, 10_000, 30_000, 60_000, 100_000],
         measure: store::store,
     },
-    Subject {
+    Measurement {
         name: "figures.destinations",
         sizes: &[1_000, 3_000, 10_000, 30_000, 100_000, 300_000],
         measure: list::figures,
     },
-    Subject {
+    Measurement {
         name: "catalog.assign",
         sizes: &[250, 500, 1_000, 2_000, 4_000, 8_000, 16_000],
         measure: catalog::assign,
     },
-    Subject {
+    Measurement {
         name: "catalog.holder",
         sizes: &[106, 319, 1_000, 5_000, 17_000, 170_000, 1_700_000],
         measure: catalog::held,
     },
-    Subject {
+    Measurement {
         name: "catalog.missed",
         sizes: &[0, 20, 200, 2_000, 20_000],
         measure: catalog::missed,
     },
-    Subject {
+    Measurement {
         name: "figures.classes",
         sizes: &[1, 4, 16, 64, 128, 256],
         measure: turn::figures,
     },
 ];
 
-/// A measured figure with nothing else to say.
+/// Builds a [`Point`] without additional fields.
 pub(crate) fn point(
     role: &str,
     quantity: &str,
@@ -191,10 +192,10 @@
     }
 }
 
-/// Runs it.
+/// Runs the selected measurements and writes their points and fitted lines to the output file.
 ///
 /// # Errors
-/// What kept it from its end.
+/// A process cannot be started, or the output file cannot be written. A size that fails is reported and left out.
 pub fn run(words: &Words) -> Result<(), Error> {
     let program = match &words.program {
         Some(program) => program.clone(),
@@ -203,10 +204,13 @@
             .with_file_name("milletturn"),
     };
     if let Some(name) = &words.one {
-        let subject = SUBJECTS.iter().find(|subject| subject.name == name);
-        let subject = subject.ok_or_else(|| Error::Wrong(format!("no measurement {name}")))?;
-        let points = (subject.measure)(&Scene {
-            at: words.at,
+        let measurement = MEASUREMENTS
+            .iter()
+            .find(|measurement| measurement.name == name);
+        let measurement =
+            measurement.ok_or_else(|| Error::Wrong(format!("unknown measurement {name}")))?;
+        let points = (measurement.measure)(&MeasurementContext {
+            size: words.at,
             program,
             folder: words.folder.clone(),
         })?;
@@ -217,16 +221,22 @@
     }
     let mut lines = vec![Line::Head(head(words)?)];
     let mut points = Vec::new();
-    for subject in SUBJECTS
-        .iter()
-        .filter(|one| words.only.as_ref().is_none_or(|o| one.name.starts_with(o)))
-    {
-        let most = subject.sizes.iter().max().copied().unwrap_or(0) as f64 * words.most;
-        for &at in subject.sizes.iter().filter(|&&at| at as f64 <= most) {
-            match apart(subject.name, at, &program, None) {
+    for measurement in MEASUREMENTS.iter().filter(|measurement| {
+        words
+            .only
+            .as_ref()
+            .is_none_or(|prefix| measurement.name.starts_with(prefix))
+    }) {
+        let max_size = measurement.sizes.iter().max().copied().unwrap_or(0) as f64 * words.most;
+        for &at in measurement
+            .sizes
+            .iter()
+            .filter(|&&at| at as f64 <= max_size)
+        {
+            match measure_in_subprocess(measurement.name, at, &program, None) {
                 Ok(found) => points.extend(found),
-                // a size that can't be reached is a result too: the sizes below it stand
-                Err(error) => eprintln!("{} at {at}: {error}", subject.name),
+                // the points of the other sizes are kept when one size cannot be measured
+                Err(error) => eprintln!("{} failed at size {at}: {error}", measurement.name),
             }
         }
     }
@@ -241,8 +251,8 @@
     figures::write(&words.out, &lines)
 }
 
-/// One measurement in a process of its own.
-pub(crate) fn apart(
+/// Runs one measurement in a separate process and adds the load average from before its start to each point.
+pub(crate) fn measure_in_subprocess(
     name: &str,
     at: u64,
     program: &Path,
@@ -262,7 +272,10 @@
         .output()
         .map_err(Error::io(name))?;
     if !output.status.success() {
-        return Err(Error::Wrong(format!("ended with {}", output.status)));
+        return Err(Error::Wrong(format!(
+            "measurement process exited with {}",
+            output.status
+        )));
     }
     let mut points: Vec<Point> =
         serde_json::from_slice(&output.stdout).map_err(|error| Error::Wrong(error.to_string()))?;
@@ -273,7 +286,7 @@
 }
 
 fn head(words: &Words) -> Result<Head, Error> {
-    let said = |program: &str, arguments: &[&str]| -> Result<String, Error> {
+    let stdout_of = |program: &str, arguments: &[&str]| -> Result<String, Error> {
         let output = Command::new(program)
             .args(arguments)
             .output()
@@ -287,11 +300,11 @@
     if words.most < 1.0 {
         command.push_str(&format!(" --most {}", words.most));
     }
-    let changed = said(
+    let changed = stdout_of(
         "git",
         &["status", "--porcelain", "--", "crates", "src", "Cargo.lock"],
     )?;
-    let commit = said("git", &["rev-parse", "--short", "HEAD"])?;
+    let commit = stdout_of("git", &["rev-parse", "--short", "HEAD"])?;
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default()
@@ -303,7 +316,7 @@
         } else {
             format!("{commit}+changes")
         },
-        date: said(
+        date: stdout_of(
             "date",
             &["-u", "-d", &format!("@{now}"), "+%Y-%m-%dT%H:%M:%SZ"],
         )?,
@@ -311,14 +324,14 @@
             .map_err(Error::io("processors"))?
             .get() as u64,
         load: probe::load()?,
-        // nothing is drawn at random
+        // the only inputs drawn at random, those of `catalog.missed`, come from a generator with the fixed seed 0
         seed: 0,
         memory_mb: probe::machine_memory()? / 1_000_000,
     })
 }
 
-/// What in the code causes each slope.
-fn term(role: &str, quantity: &str) -> &'static str {
+/// Names the part of the code that causes the growth of a quantity.
+fn slope_cause(role: &str, quantity: &str) -> &'static str {
     match (role, quantity) {
         ("list.engine" | "list.file", "resident") => {
             "endpoints, routes, pools and units keep an entry for each listed destination"
@@ -358,27 +371,27 @@
     }
 }
 
-/// Through fewer sizes no line is drawn.
-const SIZES_LEAST: usize = 3;
+/// Minimum number of sizes for which a line is fitted.
+const MIN_SIZES_FOR_FIT: usize = 3;
 
-/// A line through the points of each figure.
+/// Fits a line through the points of each combination of role, quantity and axis.
 fn fits(points: &[Point]) -> Vec<Fit> {
     let mut fits: Vec<Fit> = Vec::new();
     for first in points {
-        let same =
+        let is_same_quantity =
             |a: &str, b: &str, c: &str| a == first.role && b == first.quantity && c == first.axis;
         if fits
             .iter()
-            .any(|fit| same(&fit.role, &fit.quantity, &fit.axis))
+            .any(|fit| is_same_quantity(&fit.role, &fit.quantity, &fit.axis))
         {
             continue;
         }
-        let mine: Vec<(f64, f64)> = points
+        let samples: Vec<(f64, f64)> = points
             .iter()
-            .filter(|point| same(&point.role, &point.quantity, &point.axis))
+            .filter(|point| is_same_quantity(&point.role, &point.quantity, &point.axis))
             .map(|point| (point.at, point.value))
             .collect();
-        let found = fit(Form::Linear, &mine).filter(|_| mine.len() >= SIZES_LEAST);
+        let found = fit(Form::Linear, &samples).filter(|_| samples.len() >= MIN_SIZES_FOR_FIT);
         if let Some(found) = found {
             fits.push(Fit {
                 role: first.role.clone(),
@@ -389,7 +402,7 @@
                 coefficients: vec![found.constant, found.slope],
                 residual_rms: found.rms,
                 worst_residual: found.worst,
-                term: term(&first.role, &first.quantity).into(),
+                term: slope_cause(&first.role, &first.quantity).into(),
             });
         }
     }
--- a/crates/scale/src/roles/path.rs
+++ b/crates/scale/src/roles/path.rs
@@ -1,8 +1,8 @@
-//! The data path: what a message costs a real sender, and the descriptors of destinations in use.
+//! Measures the data path of a real sender: CPU time per message, and file descriptors per destination in use.
 
-use super::list::{file_of, limits};
-use super::program::{Sender, Sidecar, folder};
-use super::{Scene, point, probe};
+use super::list::{endpoints_file, limits_section};
+use super::program::{Sender, SidecarConfig, temp_dir};
+use super::{MeasurementContext, point, probe};
 use crate::Error;
 use crate::figures::Point;
 use milletturn_test_support::{Client, FakeEndpoint, OK, message_request};
@@ -12,31 +12,33 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: u64 = 8;
-/// Destinations and events a second of one sender at the size designed for.
-const SERVED: u64 = 106;
-const EVENTS: u64 = 288;
-/// A second until connections are up, then so long.
-const WARM: Duration = Duration::from_secs(1);
-const SPAN: Duration = Duration::from_secs(5);
+/// Destinations that one sender serves at the design size.
+const DESTINATIONS: u64 = 106;
+/// Messages per second that one sender delivers at the design size.
+const MESSAGES_PER_S: u64 = 288;
+/// Time for connections to be opened before the measurement begins.
+const WARM_UP: Duration = Duration::from_secs(1);
+/// Time for which load continues after the warm-up.
+const MEASURED_TIME: Duration = Duration::from_secs(5);
 const BODY: [u8; 256] = [b'x'; 256];
 
-/// Clients that hand in so many messages a second together, each with its turns evenly spread, until a time.
-struct Load {
+/// Client threads that together submit messages at an even rate for a fixed time.
+struct LoadGenerator {
     threads: Vec<std::thread::JoinHandle<()>>,
-    refused: Arc<AtomicU64>,
+    rejected: Arc<AtomicU64>,
 }
 
-impl Load {
+impl LoadGenerator {
     fn start(http: SocketAddr, rate: u64, destinations: u64, span: Duration) -> Self {
-        let refused = Arc::new(AtomicU64::new(0));
+        let rejected = Arc::new(AtomicU64::new(0));
         let threads = (0..CLIENTS)
             .map(|client| {
-                let refused = refused.clone();
+                let rejected = rejected.clone();
                 std::thread::spawn(move || {
                     let begun = Instant::now();
                     let mut connection = Client::new(http);
-                    for turn in 0u64.. {
-                        let number = client + turn * CLIENTS;
+                    for round in 0u64.. {
+                        let number = client + round * CLIENTS;
                         let due = Duration::from_secs_f64(number as f64 / rate as f64);
                         if due > span {
                             return;
@@ -51,88 +53,105 @@
                         );
                         match connection.send(&text) {
                             Some((202, _)) => {}
-                            Some(_) => drop(refused.fetch_add(1, Ordering::Relaxed)),
+                            Some(_) => drop(rejected.fetch_add(1, Ordering::Relaxed)),
                             None => connection = Client::new(http),
                         }
                     }
                 })
             })
             .collect();
-        Load { threads, refused }
+        LoadGenerator { threads, rejected }
     }
 
-    fn ended(self) -> Result<u64, Error> {
+    fn join(self) -> Result<u64, Error> {
         for thread in self.threads {
             thread
                 .join()
-                .map_err(|_| Error::Wrong("a client failed".into()))?;
+                .map_err(|_| Error::Wrong("a client thread panicked".into()))?;
         }
-        Ok(self.refused.load(Ordering::Relaxed))
+        Ok(self.rejected.load(Ordering::Relaxed))
     }
 }
 
-/// Processor time of a sender that is handed so many messages a second.
-pub(super) fn rate(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let (folder, endpoint) = (folder()?, FakeEndpoint::new(|_, _| OK));
-    let told = Sidecar {
-        limits: &limits(1_024, 10_000),
-        list: &file_of(SERVED, endpoint.address),
+/// Measures the CPU time and memory of a sender to which the given number of messages per second is submitted.
+pub(super) fn rate(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let (folder, endpoint) = (temp_dir()?, FakeEndpoint::new(|_, _| OK));
+    let config = SidecarConfig {
+        limits: &limits_section(1_024, 10_000),
+        list: &endpoints_file(DESTINATIONS, endpoint.address),
     };
-    let sender = Sender::sidecar(&scene.program, folder.path(), &told)?;
-    let load = Load::start(sender.http, scene.at, SERVED, WARM + SPAN);
-    std::thread::sleep(WARM);
+    let sender = Sender::start_sidecar(&context.program, folder.path(), &config)?;
+    let load = LoadGenerator::start(
+        sender.http,
+        context.size,
+        DESTINATIONS,
+        WARM_UP + MEASURED_TIME,
+    );
+    std::thread::sleep(WARM_UP);
     let (begun, cpu, count) = (Instant::now(), sender.cpu()?, endpoint.request_count());
-    std::thread::sleep(SPAN - Duration::from_millis(200));
+    std::thread::sleep(MEASURED_TIME - Duration::from_millis(200));
     let (seconds, cpu, count) = (
         begun.elapsed().as_secs_f64(),
         sender.cpu()? - cpu,
         endpoint.request_count() - count,
     );
-    let (resident, refused) = (sender.memory()?.0, load.ended()?);
+    let (resident, rejected) = (sender.memory()?.0, load.join()?);
     let delivered = count as f64 / seconds;
-    let here = |quantity: &str, unit: &str, value: f64| {
-        let mut point = point("path", quantity, unit, "messages a second", scene.at, value);
-        // what was delivered counts, not what was asked for
+    let new_point = |quantity: &str, unit: &str, value: f64| {
+        let mut point = point(
+            "path",
+            quantity,
+            unit,
+            "messages a second",
+            context.size,
+            value,
+        );
+        // the axis is the rate of deliveries, which can be lower than the rate of submissions
         point.at = delivered;
-        point.other.insert("asked".into(), scene.at.into());
-        point.other.insert("refused".into(), refused.into());
+        point.other.insert("asked".into(), context.size.into());
+        point.other.insert("refused".into(), rejected.into());
         point
     };
     Ok(vec![
-        here("cpu", "core", cpu / seconds),
-        here("resident", "B", resident),
+        new_point("cpu", "core", cpu / seconds),
+        new_point("resident", "B", resident),
     ])
 }
 
-/// Descriptors and memory of a sender that delivers its share of events to so many destinations.
-pub(super) fn sockets(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let (folder, endpoint) = (folder()?, FakeEndpoint::new(|_, _| OK));
-    let told = Sidecar {
-        limits: &limits(4_096, 10_000),
-        list: &file_of(scene.at, endpoint.address),
+/// Measures the file descriptors and memory of a sender that delivers to the given number of destinations.
+pub(super) fn sockets(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let (folder, endpoint) = (temp_dir()?, FakeEndpoint::new(|_, _| OK));
+    let config = SidecarConfig {
+        limits: &limits_section(4_096, 10_000),
+        list: &endpoints_file(context.size, endpoint.address),
     };
-    let sender = Sender::sidecar(&scene.program, folder.path(), &told)?;
+    let sender = Sender::start_sidecar(&context.program, folder.path(), &config)?;
     let (idle, resident) = (probe::descriptors_of(sender.id())?, sender.memory()?.0);
-    let load = Load::start(sender.http, EVENTS, scene.at, WARM + SPAN);
-    let (mut most, until) = (0.0f64, Instant::now() + WARM + SPAN);
+    let load = LoadGenerator::start(
+        sender.http,
+        MESSAGES_PER_S,
+        context.size,
+        WARM_UP + MEASURED_TIME,
+    );
+    let (mut peak, until) = (0.0f64, Instant::now() + WARM_UP + MEASURED_TIME);
     while Instant::now() < until {
         std::thread::sleep(Duration::from_millis(100));
-        most = most.max(probe::descriptors_of(sender.id())?);
+        peak = peak.max(probe::descriptors_of(sender.id())?);
     }
     let grown = sender.memory()?.0 - resident;
-    load.ended()?;
-    let here = |quantity: &str, unit: &str, value: f64| {
+    load.join()?;
+    let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
             "path.sockets",
             quantity,
             unit,
             "destinations in use",
-            scene.at,
+            context.size,
             value,
         )
     };
     Ok(vec![
-        here("descriptors", "descriptors", most - idle),
-        here("resident", "B", grown),
+        new_point("descriptors", "descriptors", peak - idle),
+        new_point("resident", "B", grown),
     ])
 }
--- a/crates/scale/src/roles/probe.rs
+++ b/crates/scale/src/roles/probe.rs
@@ -1,24 +1,24 @@
-//! Processor time, memory, descriptors and load, by the system's own books (proc(5)).
+//! Reads CPU time, memory, open file descriptors and load average from the kernel; see proc(5).
 
 use crate::Error;
 use rustix::time::{ClockId, clock_gettime};
 use std::fs;
 use std::path::Path;
 
-/// Processor time of this process so far, seconds.
+/// Returns the CPU time of this process so far, in seconds.
 pub(crate) fn cpu() -> f64 {
     let now = clock_gettime(ClockId::ProcessCPUTime);
     now.tv_sec as f64 + now.tv_nsec as f64 / 1e9
 }
 
-/// Processor time that an action takes, seconds.
+/// Runs an action and returns the CPU time that this process used meanwhile, in seconds, with the action's result.
 pub(crate) fn cpu_in<T>(action: impl FnOnce() -> T) -> (f64, T) {
     let before = cpu();
     let value = action();
     (cpu() - before, value)
 }
 
-/// Processor time of another process's threads so far, seconds, to the nanosecond.
+/// Returns the CPU time of another process's current threads so far, in seconds, with nanosecond resolution.
 pub(crate) fn cpu_of(process: u32) -> Result<f64, Error> {
     let folder = format!("/proc/{process}/task");
     let mut sum = 0.0;
@@ -28,53 +28,53 @@
         sum += text
             .split_whitespace()
             .next()
-            .and_then(|word| word.parse::<f64>().ok())
+            .and_then(|field| field.parse::<f64>().ok())
             .unwrap_or(0.0);
     }
     Ok(sum / 1e9)
 }
 
-/// Resident memory of a process now, and the most that it ever was, bytes.
+/// Returns the current and the peak resident memory of a process, in bytes.
 pub(crate) fn memory_of(process: &str) -> Result<(f64, f64), Error> {
     let text = read(Path::new(&format!("/proc/{process}/status")))?;
     let field = |name: &str| -> Result<f64, Error> {
         let line = text.lines().find_map(|line| line.strip_prefix(name));
         let size = line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok());
         size.map(|kib| kib * 1024.0)
-            .ok_or_else(|| Error::Wrong(format!("no {name} of {process}")))
+            .ok_or_else(|| Error::Wrong(format!("no field {name} in /proc/{process}/status")))
     };
     Ok((field("VmRSS:")?, field("VmHWM:")?))
 }
 
-/// Resident memory of this process, bytes.
+/// Returns the resident memory of this process, in bytes.
 pub(crate) fn resident() -> Result<f64, Error> {
     Ok(memory_of("self")?.0)
 }
 
-/// Descriptors that a process holds.
+/// Returns the number of file descriptors that a process has open.
 pub(crate) fn descriptors_of(process: u32) -> Result<f64, Error> {
     let folder = format!("/proc/{process}/fd");
     Ok(fs::read_dir(&folder).map_err(Error::io(&folder))?.count() as f64)
 }
 
-/// The machine's load over 1, 5 and 15 minutes.
+/// Returns the load average of the machine over 1, 5 and 15 minutes.
 pub(crate) fn load() -> Result<[f64; 3], Error> {
     let text = read(Path::new("/proc/loadavg"))?;
-    let mut words = text
+    let mut fields = text
         .split_whitespace()
-        .map(|word| word.parse::<f64>().unwrap_or(0.0));
-    Ok([(); 3].map(|()| words.next().unwrap_or(0.0)))
+        .map(|field| field.parse::<f64>().unwrap_or(0.0));
+    Ok([(); 3].map(|()| fields.next().unwrap_or(0.0)))
 }
 
-/// The machine's memory, bytes.
+/// Returns the total memory of the machine, in bytes.
 pub(crate) fn machine_memory() -> Result<u64, Error> {
     let text = read(Path::new("/proc/meminfo"))?;
     let kib = text
         .split_whitespace()
         .nth(1)
-        .and_then(|word| word.parse::<u64>().ok());
+        .and_then(|field| field.parse::<u64>().ok());
     kib.map(|kib| kib * 1024)
-        .ok_or_else(|| Error::Wrong("no memory in /proc/meminfo".into()))
+        .ok_or_else(|| Error::Wrong("no total memory in /proc/meminfo".into()))
 }
 
 fn read(path: &Path) -> Result<String, Error> {
--- a/crates/scale/src/roles/program.rs
+++ b/crates/scale/src/roles/program.rs
@@ -1,4 +1,4 @@
-//! The real sender as a process, on files that a measurement writes.
+//! Starts the real sender as a child process with configuration files that a measurement writes.
 
 use super::probe;
 use crate::Error;
@@ -9,51 +9,56 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// A start that takes longer is given up.
-const PATIENCE: Duration = Duration::from_secs(120);
+/// Maximum time until a sender has to be ready.
+const START_TIMEOUT: Duration = Duration::from_secs(120);
 
-/// A folder of this process, on the disk of the program and not in memory.
-pub(crate) fn folder() -> Result<tempfile::TempDir, Error> {
+/// Creates a temporary folder beside this executable, so that it is on disk and not on a file system in memory.
+pub(crate) fn temp_dir() -> Result<tempfile::TempDir, Error> {
     let this = std::env::current_exe().map_err(Error::io("this program"))?;
-    let place = this.parent().unwrap_or(Path::new("."));
-    tempfile::tempdir_in(place).map_err(Error::io(place.display().to_string()))
+    let parent = this.parent().unwrap_or(Path::new("."));
+    tempfile::tempdir_in(parent).map_err(Error::io(parent.display().to_string()))
 }
 
-/// An address on which nothing listens.
-pub(crate) fn free() -> SocketAddr {
+/// Returns a loopback address on which nothing listens.
+pub(crate) fn unused_address() -> SocketAddr {
     UnusedAddress::bind_on([127, 0, 0, 1]).address
 }
 
-/// A sender that runs; it ends with this.
+/// A running sender process, which is killed when the value is dropped.
 pub(crate) struct Sender {
     process: Child,
-    /// Where clients connect.
+    /// Address to which clients connect.
     pub http: SocketAddr,
-    /// Seconds on the wall from its start until it was ready.
+    /// Wall-clock time from the start of the process until it was ready, in seconds.
     pub ready: f64,
 }
 
-/// What a sidecar is told beside its addresses.
-pub(crate) struct Sidecar<'a> {
+/// Configuration of a sidecar apart from its addresses.
+pub(crate) struct SidecarConfig<'a> {
+    /// Contents of the `[limits]` section, as TOML.
     pub limits: &'a str,
-    /// The file of endpoints.
+    /// Contents of the endpoints file, as TOML.
     pub list: &'a str,
 }
 
 impl Sender {
-    /// Starts a sidecar in a folder, and waits until it is ready.
-    pub(crate) fn sidecar(program: &Path, folder: &Path, told: &Sidecar) -> Result<Self, Error> {
-        Sender::sidecar_with(program, folder, told, None)
+    /// Starts a sidecar in the given folder and waits until it is ready.
+    pub(crate) fn start_sidecar(
+        program: &Path,
+        folder: &Path,
+        config: &SidecarConfig,
+    ) -> Result<Self, Error> {
+        Sender::start_sidecar_with_admin(program, folder, config, None)
     }
 
-    /// The same, with a door for operators.
-    pub(crate) fn sidecar_with(
+    /// Starts a sidecar that also has an admin listener if an address is given, and waits until it is ready.
+    pub(crate) fn start_sidecar_with_admin(
         program: &Path,
         folder: &Path,
-        told: &Sidecar,
+        config: &SidecarConfig,
         operators: Option<SocketAddr>,
     ) -> Result<Self, Error> {
-        let (http, outcomes) = (free(), free());
+        let (http, outcomes) = (unused_address(), unused_address());
         let operators = operators.map_or(String::new(), |address| {
             format!("operators = '{address}'\n")
         });
@@ -61,25 +66,25 @@
             "name = 'app'\nstate = 'app.state'\n[listen]\nhttp = '{http}'\noutcomes = '{outcomes}'\n{operators}\
              [limits]\n{}\n[endpoints]\nfile = 'list.toml'\n\
              [class.notice]\neffect = 'keyed'\nwindow = '7d'\ndeadline = '7d'\n",
-            told.limits
+            config.limits
         );
         write(&folder.join("app.toml"), &text)?;
-        write(&folder.join("list.toml"), told.list)?;
+        write(&folder.join("list.toml"), config.list)?;
         let mut command = Command::new(program);
         command
             .args(["sidecar", "--config"])
             .arg(folder.join("app.toml"));
-        Sender::start(command, http, PATIENCE)
+        Sender::start(command, http, START_TIMEOUT)
     }
 
-    /// Starts a command, and waits until it answers that it is ready.
+    /// Starts a command and waits until `GET /ready` returns 200, for at most the given time.
     pub(crate) fn start(
         mut command: Command,
         http: SocketAddr,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Self, Error> {
-        let shown = std::env::var_os("MILLETTURN_LOG").is_some();
-        let log = if shown {
+        let is_log_shown = std::env::var_os("MILLETTURN_LOG").is_some();
+        let log = if is_log_shown {
             Stdio::inherit()
         } else {
             Stdio::null()
@@ -98,12 +103,14 @@
         };
         while !is_ready(http) {
             if let Some(status) = sender.process.try_wait().map_err(Error::io("the sender"))? {
-                return Err(Error::Wrong(format!("the sender ended: {status}")));
+                return Err(Error::Wrong(format!(
+                    "the sender exited before it was ready: {status}"
+                )));
             }
-            if begun.elapsed() > patience {
+            if begun.elapsed() > timeout {
                 return Err(Error::Wrong(format!(
-                    "not ready within {} s",
-                    patience.as_secs()
+                    "sender not ready within {} s",
+                    timeout.as_secs()
                 )));
             }
             std::thread::sleep(Duration::from_millis(2));
@@ -112,17 +119,17 @@
         Ok(sender)
     }
 
-    /// Its number.
+    /// Returns the process id.
     pub(crate) fn id(&self) -> u32 {
         self.process.id()
     }
 
-    /// Processor time so far.
+    /// Returns the CPU time used so far, in seconds.
     pub(crate) fn cpu(&self) -> Result<f64, Error> {
         probe::cpu_of(self.id())
     }
 
-    /// Memory now, and the most that it ever was.
+    /// Returns the current and the peak resident memory, in bytes.
     pub(crate) fn memory(&self) -> Result<(f64, f64), Error> {
         probe::memory_of(&self.id().to_string())
     }
@@ -135,24 +142,23 @@
     }
 }
 
-/// Writes a file.
 pub(crate) fn write(path: &Path, text: &str) -> Result<(), Error> {
     std::fs::write(path, text).map_err(Error::io(path.display().to_string()))
 }
 
-/// Where a sidecar keeps its journal.
-pub(crate) fn state(folder: &Path) -> PathBuf {
+/// Returns the folder in which a sidecar started in `folder` keeps its journal.
+pub(crate) fn journal_dir(folder: &Path) -> PathBuf {
     folder.join("app.state")
 }
 
 fn is_ready(http: SocketAddr) -> bool {
-    let asked = || -> std::io::Result<bool> {
+    let request = || -> std::io::Result<bool> {
         let mut stream = TcpStream::connect(http)?;
         stream.set_read_timeout(Some(Duration::from_secs(10)))?;
         stream.write_all(b"GET /ready HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n")?;
-        let mut head = [0u8; 12];
-        stream.read_exact(&mut head)?;
-        Ok(head.ends_with(b" 200"))
+        let mut status_line = [0u8; 12];
+        stream.read_exact(&mut status_line)?;
+        Ok(status_line.ends_with(b" 200"))
     };
-    asked().unwrap_or(false)
+    request().unwrap_or(false)
 }
--- a/crates/scale/src/roles/store.rs
+++ b/crates/scale/src/roles/store.rs
@@ -1,7 +1,7 @@
-//! The store of what could not be delivered.
+//! Measures the dead-letter store: saving messages, opening the store again and its check after a start.
 
-use super::program::folder;
-use super::{Scene, point, probe};
+use super::program::temp_dir;
+use super::{MeasurementContext, point, probe};
 use crate::Error;
 use crate::figures::Point;
 use bytes::Bytes;
@@ -16,15 +16,15 @@
 use std::time::Instant;
 
 const NOW: Micros = 1_000_000 * SECOND;
-const BODY: usize = 256;
-/// Messages of one transaction, as the store takes them when many end together.
+const BODY_BYTES: usize = 256;
+/// Messages per transaction, as when many messages end together.
 const BATCH: u64 = 64;
 
-fn ended(number: u64) -> Result<ArchivedMessage, Error> {
-    let word = |text: String| {
+fn archived_message(number: u64) -> Result<ArchivedMessage, Error> {
+    let shared_string = |text: String| {
         SharedStr::new(text.as_bytes()).map_err(|error| Error::Wrong(error.to_string()))
     };
-    let tried = |n: i64| AttemptRecord {
+    let attempt = |n: i64| AttemptRecord {
         uid: format!("s-{n}"),
         sent_at: NOW + n,
         outcome: Some(Outcome::NoConnection),
@@ -33,17 +33,17 @@
     };
     Ok(ArchivedMessage {
         number,
-        id: word(format!("m{number}"))?,
-        key: Some(word(format!("key-{number}"))?),
+        id: shared_string(format!("m{number}"))?,
+        key: Some(shared_string(format!("key-{number}"))?),
         class: "notice".into(),
         destination: number % 106,
-        body: Bytes::from(vec![b'x'; BODY]),
+        body: Bytes::from(vec![b'x'; BODY_BYTES]),
         accepted_at: NOW,
         deadline: NOW + 20 * SECOND,
         ended_at: NOW + SECOND,
         ending: Ending::Failed,
         reason: EndReason::DeadlineExceeded,
-        attempts: (0..3).map(tried).collect(),
+        attempts: (0..3).map(attempt).collect(),
         redriven: false,
     })
 }
@@ -67,32 +67,32 @@
     ))
 }
 
-/// So many messages kept, opened again and checked.
-pub(super) fn store(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let here = |quantity: &str, unit: &str, value: f64| {
+/// Measures saving the given number of messages, opening the store with them and checking them.
+pub(super) fn store(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
             "undelivered",
             quantity,
             unit,
             "messages kept",
-            scene.at,
+            context.size,
             value,
         )
     };
     let failed = |error: milletturn_dead_letter::error::StoreError| Error::Wrong(error.to_string());
-    let place = folder()?;
-    let path = place.path().join("undelivered.db");
+    let dir = temp_dir()?;
+    let path = dir.path().join("undelivered.db");
     let resident = probe::resident()?;
     let mut store = open_service(&path)?;
-    let mut keep = 0.0;
-    for first in (0..scene.at).step_by(BATCH as usize) {
-        let last = scene.at.min(first + BATCH);
+    let mut save_cpu = 0.0;
+    for first in (0..context.size).step_by(BATCH as usize) {
+        let last = context.size.min(first + BATCH);
         let batch = (first + 1..=last)
-            .map(ended)
+            .map(archived_message)
             .collect::<Result<Vec<_>, _>>()?;
-        let (cpu, kept) = probe::cpu_in(|| store.save(&batch, NOW));
-        kept.map_err(failed)?;
-        keep += cpu;
+        let (cpu, saved) = probe::cpu_in(|| store.save(&batch, NOW));
+        saved.map_err(failed)?;
+        save_cpu += cpu;
     }
     let grown = probe::resident()? - resident;
     drop(store);
@@ -100,17 +100,17 @@
         .map_err(Error::io("the store"))?
         .len() as f64;
     let begun = Instant::now();
-    let (open, store) = probe::cpu_in(|| open_service(&path));
+    let (open_cpu, store) = probe::cpu_in(|| open_service(&path));
     let mut store = store?;
     let wall = begun.elapsed().as_secs_f64();
-    let (check, checked) = probe::cpu_in(|| store.recover(&BTreeSet::new(), true, NOW));
+    let (check_cpu, checked) = probe::cpu_in(|| store.recover(&BTreeSet::new(), true, NOW));
     checked.map_err(failed)?;
     Ok(vec![
-        here("cpu", "s", keep),
-        here("resident", "B", grown),
-        here("disk", "B", disk),
-        here("open.cpu", "s", open),
-        here("open.wall", "s", wall),
-        here("check.cpu", "s", check),
+        new_point("cpu", "s", save_cpu),
+        new_point("resident", "B", grown),
+        new_point("disk", "B", disk),
+        new_point("open.cpu", "s", open_cpu),
+        new_point("open.wall", "s", wall),
+        new_point("check.cpu", "s", check_cpu),
     ])
 }
--- a/crates/scale/src/roles/turn.rs
+++ b/crates/scale/src/roles/turn.rs
@@ -1,6 +1,7 @@
-//! A turn of the decision module with many calls out, and with many messages held; what a destination costs that was called.
+//! Measures a turn of the delivery policy with many calls in flight and with many pending messages, the memory of a
+//! destination that was called, and the size of a metrics scrape by number of classes.
 
-use super::{Scene, point, probe};
+use super::{MeasurementContext, point, probe};
 use crate::Error;
 use crate::figures::Point;
 use milletturn_admin::{Metrics, MetricsObserver};
@@ -12,21 +13,23 @@
 };
 use std::rc::Rc;
 
-const ROUNDS: u64 = 200;
-/// Destinations that are gone.
-const GONE: u64 = 10;
-/// Destinations that answer.
-const WELL: u64 = 100;
+/// Turns of which the median cost is taken.
+const MEASURED_TURNS: u64 = 200;
+/// Destinations to which every call fails.
+const FAILING_DESTINATIONS: u64 = 10;
+/// Destinations to which every call succeeds.
+const HEALTHY_DESTINATIONS: u64 = 100;
 
-struct Host {
+/// Drives the delivery policy on a simulated clock.
+struct PolicyHarness {
     sender: Sender,
     now: Micros,
     actions: Vec<Action>,
 }
 
-impl Host {
-    fn new(slots: usize, held: usize, destinations: u64) -> Result<Self, Error> {
-        let mut settings = Settings::new(slots, held);
+impl PolicyHarness {
+    fn new(slots: usize, max_pending: usize, destinations: u64) -> Result<Self, Error> {
+        let mut settings = Settings::new(slots, max_pending);
         settings.classes.push(Class::new(
             "notice",
             Effect::Repeatable,
@@ -39,7 +42,7 @@
             max_batch_size: 1,
         });
         let sender = Sender::new(settings, 3).map_err(|error| Error::Wrong(error.to_string()))?;
-        let mut host = Host {
+        let mut host = PolicyHarness {
             sender,
             now: 100 * SECOND,
             actions: Vec::new(),
@@ -47,23 +50,23 @@
         let entries = (0..destinations)
             .map(|n| EndpointEntry::new(EndpointId(n as u32), n))
             .collect();
-        host.tell(&[Event::EndpointList {
+        host.handle(&[Event::EndpointList {
             kind: EndpointListKind::Full,
             entries,
         }]);
         Ok(host)
     }
 
-    /// Processor time of a turn, seconds.
-    fn tell(&mut self, events: &[Event]) -> f64 {
+    /// Passes events to the policy and returns the CPU time of the turn, in seconds.
+    fn handle(&mut self, events: &[Event]) -> f64 {
         self.actions.clear();
         let (cpu, ()) = probe::cpu_in(|| self.sender.handle(self.now, events, &mut self.actions));
         cpu
     }
 
-    fn hand_in(&mut self, id: u64, destination: u64) -> f64 {
+    fn submit(&mut self, id: u64, destination: u64) -> f64 {
         let message = NewMessage::new(MessageId(id), 0, destination, 3_600 * SECOND);
-        self.tell(&[Event::Accepted(message)])
+        self.handle(&[Event::Accepted(message)])
     }
 
     fn sends(&self) -> Vec<(MessageId, EndpointId)> {
@@ -76,8 +79,8 @@
         sends.collect()
     }
 
-    /// The ends of all calls of the last turn.
-    fn ends(&self, outcome: Outcome) -> Vec<Event> {
+    /// Returns an end with the given outcome for each call that the last turn sent.
+    fn attempt_ends(&self, outcome: Outcome) -> Vec<Event> {
         let ended = |(message, endpoint)| Event::AttemptEnded {
             message,
             attempt: 0,
@@ -91,72 +94,89 @@
         self.sends().into_iter().map(ended).collect()
     }
 
-    /// The median cost of a turn in which a call to one of the well destinations ends.
-    fn cost(&mut self, first: u64, well: u64) -> Result<f64, Error> {
+    /// Returns the median CPU time of a turn in which a call to one of the healthy destinations ends. Their numbers begin
+    /// at `first`.
+    fn median_turn_cpu(&mut self, first: u64, healthy: u64) -> Result<f64, Error> {
         let mut times = Vec::new();
-        for round in 0..ROUNDS {
+        for round in 0..MEASURED_TURNS {
             self.now += MILLISECOND;
-            self.hand_in(1_000_000_000 + round, first + round % well);
-            let ends = self.ends(Outcome::Success);
+            self.submit(1_000_000_000 + round, first + round % healthy);
+            let ends = self.attempt_ends(Outcome::Success);
             if ends.is_empty() {
-                return Err(Error::Wrong(format!("round {round} sent nothing")));
+                return Err(Error::Wrong(format!("no call was sent in round {round}")));
             }
             self.now += MILLISECOND;
-            times.push(self.tell(&ends));
+            times.push(self.handle(&ends));
         }
         times.sort_by(f64::total_cmp);
         Ok(times[times.len() / 2])
     }
 }
 
-/// A turn beside so many calls that nobody answers.
-pub(super) fn calls(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let (out, most) = (scene.at, scene.at as usize + 100);
-    let mut host = Host::new(most, 2 * most, out + WELL)?;
+/// Measures a turn while the given number of calls is in flight without a response.
+pub(super) fn calls(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let (in_flight, slots) = (context.size, context.size as usize + 100);
+    let mut host = PolicyHarness::new(slots, 2 * slots, in_flight + HEALTHY_DESTINATIONS)?;
     let mut sent = 0;
-    for number in 0..out {
-        host.hand_in(number, number);
+    for number in 0..in_flight {
+        host.submit(number, number);
         sent += host.sends().len() as u64;
     }
-    if sent < out {
-        return Err(Error::Wrong(format!("{sent} calls out of {out}")));
+    if sent < in_flight {
+        return Err(Error::Wrong(format!(
+            "only {sent} of {in_flight} calls were sent"
+        )));
     }
-    let cpu = host.cost(out, WELL)?;
-    Ok(vec![point("turn", "cpu", "s", "calls out", scene.at, cpu)])
+    let cpu = host.median_turn_cpu(in_flight, HEALTHY_DESTINATIONS)?;
+    Ok(vec![point(
+        "turn",
+        "cpu",
+        "s",
+        "calls out",
+        context.size,
+        cpu,
+    )])
 }
 
-/// A turn beside so many messages held behind destinations that are gone.
-pub(super) fn held(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let mut host = Host::new(200, scene.at as usize + 1_000, GONE + WELL)?;
-    for id in 0..6 * GONE {
+/// Measures a turn, and the memory, while the given number of messages is pending for failing destinations.
+pub(super) fn held(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let mut host = PolicyHarness::new(
+        200,
+        context.size as usize + 1_000,
+        FAILING_DESTINATIONS + HEALTHY_DESTINATIONS,
+    )?;
+    for id in 0..6 * FAILING_DESTINATIONS {
         host.now += 10 * MILLISECOND;
-        host.hand_in(id, id % GONE);
-        let ends = host.ends(Outcome::Error);
+        host.submit(id, id % FAILING_DESTINATIONS);
+        let ends = host.attempt_ends(Outcome::Error);
         host.now += MILLISECOND;
-        host.tell(&ends);
+        host.handle(&ends);
     }
     let resident = probe::resident()?;
-    for id in 0..scene.at {
-        host.hand_in(1_000 + id, id % GONE);
+    for id in 0..context.size {
+        host.submit(1_000 + id, id % FAILING_DESTINATIONS);
     }
     let grown = probe::resident()? - resident;
-    let cpu = host.cost(GONE, WELL)?;
-    let here = |quantity: &str, unit: &str, value: f64| {
-        point("turn", quantity, unit, "messages held", scene.at, value)
+    let cpu = host.median_turn_cpu(FAILING_DESTINATIONS, HEALTHY_DESTINATIONS)?;
+    let new_point = |quantity: &str, unit: &str, value: f64| {
+        point("turn", quantity, unit, "messages held", context.size, value)
     };
-    Ok(vec![here("cpu", "s", cpu), here("resident", "B", grown)])
+    Ok(vec![
+        new_point("cpu", "s", cpu),
+        new_point("resident", "B", grown),
+    ])
 }
 
-/// Memory of so many destinations that were called once, beside being listed.
-pub(super) fn used(scene: &Scene) -> Result<Vec<Point>, Error> {
-    let mut host = Host::new(200, 1_000, scene.at)?;
+/// Measures the memory that destinations take when each was called once, in addition to that of their list entries.
+pub(super) fn used(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let mut host = PolicyHarness::new(200, 1_000, context.size)?;
     let resident = probe::resident()?;
-    for number in 0..scene.at {
+    for number in 0..context.size {
         host.now += MILLISECOND / 10;
-        host.hand_in(number, number);
-        let ends = host.ends(Outcome::Success);
+        host.submit(number, number);
+        let ends = host.attempt_ends(Outcome::Success);
         host.now += MILLISECOND / 10;
-        host.tell(&ends);
+        host.handle(&ends);
     }
     let grown = probe::resident()? - resident;
     Ok(vec![point(
@@ -164,15 +184,15 @@
         "resident",
         "B",
         "destinations in use",
-        scene.at,
+        context.size,
         grown,
     )])
 }
 
-/// Bytes of a scrape with so many classes.
-pub(super) fn figures(scene: &Scene) -> Result<Vec<Point>, Error> {
+/// Measures the bytes of a metrics scrape with the given number of classes.
+pub(super) fn figures(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let metrics = Rc::new(Metrics::default());
-    let names: Vec<String> = (0..scene.at).map(|n| format!("class{n:03}")).collect();
+    let names: Vec<String> = (0..context.size).map(|n| format!("class{n:03}")).collect();
     let mut observer = MetricsObserver {
         metrics: metrics.clone(),
         next: Box::new(NoopObserver),
@@ -190,7 +210,7 @@
         "scrape",
         "B",
         "classes",
-        scene.at,
+        context.size,
         bytes as f64,
     )])
 }
