--- a/crates/scale/src/page/data.rs
+++ b/crates/scale/src/page/data.rs
@@ -1,4 +1,4 @@
-//! What was measured, found again by figure.
+//! Reads the records of all measurements and finds them by role, quantity and axis.
 
 use crate::Error;
 use crate::figures::{Fault, Fit, Head, Line, Point, read};
@@ -6,89 +6,91 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// One figure along one axis: its points, the line through them, and the file that has them.
+/// A measured quantity along one axis: its points, the line fitted through them, and the file that holds them.
 #[derive(Debug, Clone)]
 pub(super) struct Slope {
-    /// Name of the file.
+    /// Name of the file that holds the records.
     pub file: String,
-    /// The line, where there are sizes enough.
+    /// The fitted line; `None` if there are too few sizes.
     pub fit: Option<Fit>,
-    /// Its points, by size.
+    /// The measured points, in the order of the file.
     pub points: Vec<Point>,
 }
 
-/// A value, and whether the very size was measured.
+/// A value at a size, and whether it was measured at that size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Value {
-    /// How much.
+    /// The value in the unit of its quantity.
     pub amount: f64,
-    /// A point stands at this size; else it follows from the line.
+    /// True if a point was measured at this size; false if the value is interpolated or taken from the fitted line.
     pub measured: bool,
 }
 
-/// A size counts as measured within this share of it.
-const SAME: f64 = 0.03;
+/// Relative difference up to which a size counts as equal to a measured one.
+const SIZE_TOLERANCE: f64 = 0.03;
 
 impl Slope {
-    /// The value at a size: of the points that stand there, else between the two beside it, else by the line.
+    /// Returns the value at a size: the mean of the points measured there, else an interpolation between the two nearest
+    /// sizes, else the value of the fitted line.
     pub(super) fn at(&self, size: f64) -> Option<Value> {
         let measured = self
             .points
             .iter()
-            .any(|point| (point.at - size).abs() <= SAME * size);
+            .any(|point| (point.at - size).abs() <= SIZE_TOLERANCE * size);
         Some(Value {
             amount: self.amount(size)?,
             measured,
         })
     }
 
-    /// The value alone.
+    /// Returns the value at a size as [`Slope::at`] does, without telling whether it was measured.
     pub(super) fn amount(&self, size: f64) -> Option<f64> {
-        let points = self.means();
+        let points = self.means_by_size();
         let near = points
             .iter()
-            .find(|(at, _)| (at - size).abs() <= SAME * size);
+            .find(|(at, _)| (at - size).abs() <= SIZE_TOLERANCE * size);
         if let Some((_, value)) = near {
             return Some(*value);
         }
-        let beside = points
+        let neighbors = points
             .windows(2)
             .find(|two| two[0].0 <= size && size <= two[1].0);
-        match beside {
+        match neighbors {
             Some(two) => {
                 let ((from, low), (to, high)) = (two[0], two[1]);
                 Some(low + (high - low) * (size - from) / (to - from))
             }
-            None => self.line(size),
+            None => self.line_value(size),
         }
     }
 
-    /// The mean of the points of each size, by size.
-    fn means(&self) -> Vec<(f64, f64)> {
+    /// Returns the mean value of the points of each size, sorted by size.
+    fn means_by_size(&self) -> Vec<(f64, f64)> {
         let mut sorted: Vec<(f64, f64)> = self
             .points
             .iter()
             .map(|point| (point.at, point.value))
             .collect();
         sorted.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let same = sorted.chunk_by(|a, b| a.0 == b.0);
-        same.map(|few| {
-            (
-                few[0].0,
-                few.iter().map(|point| point.1).sum::<f64>() / few.len() as f64,
-            )
-        })
-        .collect()
+        let groups = sorted.chunk_by(|a, b| a.0 == b.0);
+        groups
+            .map(|group| {
+                (
+                    group[0].0,
+                    group.iter().map(|point| point.1).sum::<f64>() / group.len() as f64,
+                )
+            })
+            .collect()
     }
 
-    /// The value by the line alone; a line that begins below zero tells nothing of small sizes but zero.
-    fn line(&self, size: f64) -> Option<f64> {
+    /// Returns the value of the fitted line, or zero where the line is negative. A falling line gives the mean of all points.
+    fn line_value(&self, size: f64) -> Option<f64> {
         let fit = self.fit.as_ref()?;
         let form = Form::ALL.into_iter().find(|form| form.name() == fit.form)?;
         let [constant, slope] = fit.coefficients[..] else {
             return None;
         };
-        // what shrinks with size is flat beside the noise of a loaded machine: its mean, and no line below zero
+        // a negative slope is taken as noise of a loaded machine on a constant quantity: extrapolated, it would go below zero
         if slope < 0.0 {
             return Some(
                 self.points.iter().map(|point| point.value).sum::<f64>() / self.points.len() as f64,
@@ -97,13 +99,13 @@
         Some((constant + slope * form.term(size)).max(0.0))
     }
 
-    /// The largest size that was measured.
-    pub(super) fn most(&self) -> f64 {
+    /// Returns the largest measured size.
+    pub(super) fn max_size(&self) -> f64 {
         self.points.iter().map(|point| point.at).fold(0.0, f64::max)
     }
 
-    /// What one more costs, where the figure is a straight line.
-    pub(super) fn each(&self) -> Option<f64> {
+    /// Returns the growth per unit of size, if the fitted form is linear.
+    pub(super) fn slope_per_unit(&self) -> Option<f64> {
         let fit = self
             .fit
             .as_ref()
@@ -112,7 +114,8 @@
     }
 }
 
-/// Hollow senders make the slopes; another kind of them at the same size is a figure of its own.
+/// Returns the role of a point, with the kind of sender appended unless the point was measured with hollow senders, which
+/// the slopes are based on. Other kinds at the same size are kept apart.
 fn role_of(point: &Point) -> String {
     match point.other.get("kind").and_then(|kind| kind.as_str()) {
         None | Some("hollow") => point.role.clone(),
@@ -120,8 +123,8 @@
     }
 }
 
-/// Words in the labels of figures that were written before the parts had the field's terms, and these terms.
-const TERMS: [(&str, &str); 8] = [
+/// Words in the labels of older records, and the current terms for them.
+const RENAMED_LABEL_WORDS: [(&str, &str); 8] = [
     ("steward", "coordinator"),
     ("stewards", "coordinators"),
     ("relay", "session-proxy"),
@@ -132,15 +135,18 @@
     ("account", "access-log"),
 ];
 
-/// A label in the field's terms: files of figures stay as they were written, and the page reads old and new ones.
-fn in_terms(label: &str) -> String {
-    let is_inside = |byte: char| byte.is_alphanumeric();
+/// Returns a label with its older words replaced by the current terms. Record files are not rewritten after a rename, so
+/// that the page has to read old and new labels.
+fn current_label(label: &str) -> String {
+    let is_word_char = |character: char| character.is_alphanumeric();
     let mut out = String::new();
     let mut rest = label;
-    while let Some(start) = rest.find(is_inside) {
+    while let Some(start) = rest.find(is_word_char) {
         let word = &rest[start..];
-        let word = &word[..word.find(|byte| !is_inside(byte)).unwrap_or(word.len())];
-        let term = TERMS.iter().find(|(old, _)| *old == word);
+        let word = &word[..word
+            .find(|character| !is_word_char(character))
+            .unwrap_or(word.len())];
+        let term = RENAMED_LABEL_WORDS.iter().find(|(old, _)| *old == word);
         out.push_str(&rest[..start]);
         out.push_str(term.map_or(word, |(_, new)| *new));
         rest = &rest[start + word.len()..];
@@ -148,22 +154,23 @@
     out + rest
 }
 
-/// All files of figures.
+/// The records of all files.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Data {
-    /// Heads, by name of file.
+    /// The head of each file, with the file name.
     pub heads: Vec<(String, Head)>,
-    /// Faults at size, with the file.
+    /// Results of the fault runs, with the file name.
     pub faults: Vec<(String, Fault)>,
-    /// By role, quantity and axis, in the field's terms.
+    /// Slopes by role, quantity and axis, with current labels.
     pub slopes: BTreeMap<(String, String, String), Slope>,
 }
 
 impl Data {
-    /// Reads all of a folder, in the order of their names: of a figure that stands in two, the later file counts.
+    /// Reads all `.jsonl` files of a folder in the order of their names. If two files hold the same quantity, the later
+    /// file replaces the earlier one.
     ///
     /// # Errors
-    /// When a file can't be read, or has no head.
+    /// A file cannot be read, or does not begin with a head.
     pub(super) fn read(folder: &Path) -> Result<Self, Error> {
         let mut files = Vec::new();
         for entry in std::fs::read_dir(folder).map_err(Error::io(folder.display().to_string()))? {
@@ -187,51 +194,59 @@
                 .into_owned();
             let lines = read(&path)?;
             let Some(Line::Head(head)) = lines.first() else {
-                return Err(Error::Wrong(format!("{name} does not begin with a head")));
+                return Err(Error::Wrong(format!(
+                    "{name} does not begin with a head record"
+                )));
             };
             data.heads.push((name.clone(), head.clone()));
-            data.take(&name, lines);
+            data.add_records(&name, lines);
         }
         Ok(data)
     }
 
-    fn take(&mut self, file: &str, lines: Vec<Line>) {
+    fn add_records(&mut self, file: &str, lines: Vec<Line>) {
         for line in lines {
             match line {
                 Line::Head(_) => {}
                 Line::Point(point) => {
-                    // what never came is no figure to draw a line through
+                    // a value that is not finite stands for a result that never arrived
                     if !point.value.is_finite() {
                         continue;
                     }
                     let role = role_of(&point);
-                    self.slope(file, (&role, &point.quantity, &point.axis))
+                    self.slope_mut(file, (&role, &point.quantity, &point.axis))
                         .points
                         .push(point);
                 }
                 Line::Fit(fit) => {
-                    self.slope(file, (&fit.role, &fit.quantity, &fit.axis)).fit = Some(fit.clone());
+                    self.slope_mut(file, (&fit.role, &fit.quantity, &fit.axis))
+                        .fit = Some(fit.clone());
                 }
                 Line::Fault(fault) => self.faults.push((file.to_string(), fault)),
             }
         }
     }
 
-    fn slope(&mut self, file: &str, (role, quantity, axis): (&str, &str, &str)) -> &mut Slope {
-        let key = (in_terms(role), in_terms(quantity), axis.to_string());
-        let new = || Slope {
+    /// Returns the slope of a quantity for more records from `file`. Records that came from another file are dropped.
+    fn slope_mut(&mut self, file: &str, (role, quantity, axis): (&str, &str, &str)) -> &mut Slope {
+        let key = (
+            current_label(role),
+            current_label(quantity),
+            axis.to_string(),
+        );
+        let new_slope = || Slope {
             file: file.to_string(),
             fit: None,
             points: Vec::new(),
         };
-        let slope = self.slopes.entry(key).or_insert_with(new);
+        let slope = self.slopes.entry(key).or_insert_with(new_slope);
         if slope.file != file {
-            *slope = new();
+            *slope = new_slope();
         }
         slope
     }
 
-    /// A figure, if it was measured; by its label in the field's terms.
+    /// Returns a quantity by its current labels, if it was measured.
     pub(super) fn find(&self, role: &str, quantity: &str, axis: &str) -> Option<&Slope> {
         self.slopes
             .get(&(role.to_string(), quantity.to_string(), axis.to_string()))
--- a/crates/scale/src/page/events.rs
+++ b/crates/scale/src/page/events.rs
@@ -1,11 +1,13 @@
-//! What each event moves: worked out from the plan and the slopes.
+//! Renders the table of operational events (restarts, releases, outages) with their effects, computed from the plan and
+//! the measured slopes.
 
 use super::data::Data;
-use super::plan::{CORE, DAY, LEASE, PLAN, RACK};
-use super::words::{amount, digits, parted, table};
+use super::format::{amount, digits, integer, table};
+use super::plan::{DAY_S, DEFAULT_LEASE_S, MAX_SENDER_CORES, PLAN, SENDERS_PER_RACK};
 
-/// A figure at a size, in the page's form; not run yet where there is none.
-fn shown(
+/// Formats a measured quantity at the given size, multiplied by `times`: bold if measured, in italics if derived. A
+/// quantity that was not measured gives "not run yet".
+fn value_text(
     data: &Data,
     (role, quantity, axis): (&str, &str, &str),
     size: f64,
@@ -24,62 +26,64 @@
     }
 }
 
-/// What a number of senders that are gone at once means.
-struct Gone {
+/// Outage of the given number of senders at the same time.
+struct SenderOutage {
     senders: f64,
 }
 
-impl Gone {
-    fn moves(&self) -> String {
-        let (senders, held) = (self.senders, self.senders * PLAN.held());
+impl SenderOutage {
+    fn scope_text(&self) -> String {
+        let (senders, held) = (self.senders, self.senders * PLAN.pending_per_sender());
         format!(
             "*{}* {}, *{}* destinations without a server, *{}* events held in their folders",
-            parted(senders),
+            integer(senders),
             if senders == 1.0 { "sender" } else { "senders" },
-            parted(senders * PLAN.served()),
+            integer(senders * PLAN.destinations_per_sender()),
             amount(held, "")
         )
     }
 
-    fn events(&self) -> String {
+    fn event_rate_text(&self) -> String {
         format!(
             "*{}* events/s have to be taken by others",
-            parted(self.senders * PLAN.events_each())
+            integer(self.senders * PLAN.events_per_s_per_sender())
         )
     }
 }
 
-/// The table of events.
-pub(super) fn list(data: &Data) -> String {
+/// Renders the table of events.
+pub(super) fn event_table(data: &Data) -> String {
     let ready = |senders: f64| {
-        shown(
+        value_text(
             data,
             ("restart", "ready", "messages held"),
-            PLAN.held(),
+            PLAN.pending_per_sender(),
             senders,
             "s",
         )
     };
     let entry_bytes = data
         .find("list.watch", "wire", "destinations")
-        .and_then(super::data::Slope::each);
-    let told = |value: Option<f64>, unit: &str| match value {
+        .and_then(super::data::Slope::slope_per_unit);
+    let derived_text = |value: Option<f64>, unit: &str| match value {
         Some(value) => format!("*{}*", amount(value, unit)),
         None => "not run yet".to_string(),
     };
-    let one = Gone { senders: 1.0 };
+    let one = SenderOutage { senders: 1.0 };
     let (rack, zone, region) = (
-        Gone { senders: RACK },
-        Gone {
-            senders: PLAN.zone(),
+        SenderOutage {
+            senders: SENDERS_PER_RACK,
         },
-        Gone {
-            senders: PLAN.region(),
+        SenderOutage {
+            senders: PLAN.senders_per_zone(),
+        },
+        SenderOutage {
+            senders: PLAN.senders_per_region(),
         },
     );
-    let a_day = PLAN.failures + PLAN.restarts;
-    let missed = PLAN.change_rate() * PLAN.cut;
-    let entry = shown(
+    let session_ends_per_day = PLAN.machine_failures_per_day + PLAN.restarts_per_day;
+    let missed_changes = PLAN.changes_per_s() * PLAN.partition_s;
+    let entry = value_text(
         data,
         ("coordinator.leader", "entry", "entries"),
         1.0,
@@ -91,34 +95,34 @@
             "ordinary day",
             format!(
                 "*{}* ends of sessions, *{}* changes",
-                parted(a_day),
-                parted(PLAN.changes)
+                integer(session_ends_per_day),
+                integer(PLAN.changes_per_day)
             ),
             format!(
                 "one end every *{}*, one change every *{}*; *{}* destinations change their server",
-                amount(DAY / a_day, "s"),
-                amount(1.0 / PLAN.change_rate(), "s"),
-                parted(a_day * PLAN.served())
+                amount(DAY_S / session_ends_per_day, "s"),
+                amount(1.0 / PLAN.changes_per_s(), "s"),
+                integer(session_ends_per_day * PLAN.destinations_per_sender())
             ),
             format!(
                 "a lease (*{}*) and {} for each",
-                amount(LEASE, "s"),
+                amount(DEFAULT_LEASE_S, "s"),
                 ready(1.0)
             ),
             format!(
                 "of a failed machine: its *{}* held events are out of reach until it is back",
-                parted(PLAN.held())
+                integer(PLAN.pending_per_sender())
             ),
         ),
         (
             "restart of one sender",
-            one.moves(),
+            one.scope_text(),
             format!(
                 "{} of journal read back",
-                shown(
+                value_text(
                     data,
                     ("journal", "disk", "messages held"),
-                    PLAN.held(),
+                    PLAN.pending_per_sender(),
                     1.0,
                     "B"
                 )
@@ -126,11 +130,11 @@
             format!("{} until ready", ready(1.0)),
             format!(
                 "{} meanwhile; {} of memory at most",
-                one.events(),
-                shown(
+                one.event_rate_text(),
+                value_text(
                     data,
                     ("restart", "peak", "messages held"),
-                    PLAN.held(),
+                    PLAN.pending_per_sender(),
                     1.0,
                     "B"
                 )
@@ -138,60 +142,66 @@
         ),
         (
             "release",
-            format!("all *{}* senders, a zone at a time", parted(PLAN.senders)),
+            format!("all *{}* senders, a zone at a time", integer(PLAN.senders)),
             format!(
                 "*{}* rounds of *{}* senders",
-                parted(PLAN.zones),
-                parted(PLAN.zone())
+                integer(PLAN.zones),
+                integer(PLAN.senders_per_zone())
             ),
             format!(
                 "{} in all, if nothing but the starts takes time",
                 ready(PLAN.zones)
             ),
-            format!("as a zone, announced: {}", zone.events()),
+            format!("as a zone, announced: {}", zone.event_rate_text()),
         ),
         (
             "rack or switch (40 senders: assumed)",
-            rack.moves(),
-            format!("*{}* ends of leases at once", parted(RACK)),
-            format!("a lease (*{}*), then until it is back", amount(LEASE, "s")),
-            rack.events(),
+            rack.scope_text(),
+            format!("*{}* ends of leases at once", integer(SENDERS_PER_RACK)),
+            format!(
+                "a lease (*{}*), then until it is back",
+                amount(DEFAULT_LEASE_S, "s")
+            ),
+            rack.event_rate_text(),
         ),
         (
             "zone",
-            zone.moves(),
+            zone.scope_text(),
             format!(
                 "*{}* ends of leases at an instant, an entry of the log each ({entry})",
-                parted(PLAN.zone())
+                integer(PLAN.senders_per_zone())
             ),
             format!(
                 "a lease (*{}*), then until the zone is back",
-                amount(LEASE, "s")
+                amount(DEFAULT_LEASE_S, "s")
             ),
             format!(
                 "{}: *{} %* more for each of the rest",
-                zone.events(),
-                digits(100.0 * PLAN.zone() / (PLAN.senders - PLAN.zone()))
+                zone.event_rate_text(),
+                digits(100.0 * PLAN.senders_per_zone() / (PLAN.senders - PLAN.senders_per_zone()))
             ),
         ),
         (
             "region cut off for an hour",
             format!(
                 "*{}* senders, *{}* destinations",
-                parted(PLAN.region()),
-                parted(region.senders * PLAN.served())
+                integer(PLAN.senders_per_region()),
+                integer(region.senders * PLAN.destinations_per_sender())
             ),
             format!(
                 "*{}* changes missed; {} for each of its senders to catch up if it hears all; about *{}* of these changes are its own",
-                parted(missed),
-                told(entry_bytes.map(|bytes| missed * bytes), "B"),
-                amount(missed * PLAN.served() / PLAN.destinations, "")
+                integer(missed_changes),
+                derived_text(entry_bytes.map(|bytes| missed_changes * bytes), "B"),
+                amount(
+                    missed_changes * PLAN.destinations_per_sender() / PLAN.destinations,
+                    ""
+                )
             ),
             format!(
                 "*{}*, and {} of bytes at 6 KB/s behind it",
-                amount(PLAN.cut, "s"),
-                told(
-                    entry_bytes.map(|bytes| missed * bytes / PLAN.control_bytes),
+                amount(PLAN.partition_s, "s"),
+                derived_text(
+                    entry_bytes.map(|bytes| missed_changes * bytes / PLAN.control_bytes_per_s),
                     "s"
                 )
             ),
@@ -200,17 +210,17 @@
         ),
         (
             "control lost (all machines of it)",
-            format!("*{}* sessions, no change in force", parted(PLAN.senders)),
+            format!("*{}* sessions, no change in force", integer(PLAN.senders)),
             format!(
                 "*{}* sessions opened again, an entry of the log each ({entry})",
-                parted(PLAN.senders)
+                integer(PLAN.senders)
             ),
             format!(
                 "at least {} at one core of the leader, by the cost of an entry",
-                told(
+                derived_text(
                     data.find("coordinator.leader", "entry", "entries")
                         .and_then(|slope| slope.at(1.0))
-                        .map(|entry| entry.amount * PLAN.senders / CORE),
+                        .map(|entry| entry.amount * PLAN.senders / MAX_SENDER_CORES),
                     "s"
                 )
             ),
--- a/crates/scale/src/page/words.rs
+++ b/crates/scale/src/page/format.rs
@@ -1,6 +1,6 @@
-//! Numbers as the page shows them: three digits that count, with a unit.
+//! Formats numbers for the page, with three significant digits and a unit, and Markdown tables.
 
-/// A number with its unit.
+/// Formats a number with its unit, scaled to a suitable multiple of the unit.
 pub(super) fn amount(value: f64, unit: &str) -> String {
     match unit {
         "B" | "B/s" | "B/message" => bytes(value, unit.strip_prefix('B').unwrap_or("")),
@@ -10,14 +10,14 @@
         "core" if value == 1.0 => "1 core".to_string(),
         "core" if value != 0.0 && value.abs() < 1e-3 => format!("{} µcores", digits(value * 1e6)),
         "core" => format!("{} cores", digits(value)),
-        // a small count is told to the last one
-        "" if value.fract() == 0.0 && value.abs() < 1e6 => parted(value),
+        // counts below a million are shown exactly
+        "" if value.fract() == 0.0 && value.abs() < 1e6 => integer(value),
         "" => digits(value),
         other => format!("{} {other}", digits(value)),
     }
 }
 
-fn bytes(value: f64, per: &str) -> String {
+fn bytes(value: f64, suffix: &str) -> String {
     let steps = [
         (1e15, "PB"),
         (1e12, "TB"),
@@ -26,10 +26,10 @@
         (1e3, "KB"),
     ];
     match steps.iter().find(|(step, _)| value.abs() >= *step) {
-        Some((step, name)) => format!("{} {name}{per}", digits(value / step)),
-        // parts of a byte are noise
-        None if value.abs() < 0.01 => format!("0 B{per}"),
-        None => format!("{} B{per}", digits(value)),
+        Some((step, name)) => format!("{} {name}{suffix}", digits(value / step)),
+        // less than 0.01 bytes is measurement noise
+        None if value.abs() < 0.01 => format!("0 B{suffix}"),
+        None => format!("{} B{suffix}", digits(value)),
     }
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Three digits that count; whole thousands are parted.
+/// Formats a number with three significant digits and thousands separators.
 pub(super) fn digits(value: f64) -> String {
     let size = value.abs();
     if size == 0.0 || !size.is_finite() {
@@ -60,20 +60,20 @@
             "no number".to_string()
         };
     }
-    let places = (2 - size.log10().floor() as i32).clamp(-12, 12);
-    if places > 0 {
-        let text = format!("{value:.*}", places as usize);
+    let decimals = (2 - size.log10().floor() as i32).clamp(-12, 12);
+    if decimals > 0 {
+        let text = format!("{value:.*}", decimals as usize);
         return match text.split_once('.') {
             Some(_) => text.trim_end_matches('0').trim_end_matches('.').to_string(),
             None => text,
         };
     }
-    let step = 10f64.powi(-places);
-    parted((value / step).round() * step)
+    let step = 10f64.powi(-decimals);
+    integer((value / step).round() * step)
 }
 
-/// A whole number, its thousands parted.
-pub(super) fn parted(value: f64) -> String {
+/// Formats a number rounded to an integer, with thousands separators.
+pub(super) fn integer(value: f64) -> String {
     let text = format!("{:.0}", value.abs());
     let mut parts: Vec<&str> = text
         .as_bytes()
@@ -84,24 +84,27 @@
     format!("{}{}", if value < 0.0 { "-" } else { "" }, parts.join(","))
 }
 
-/// How far a value lies within its budget.
+/// Formats the ratio of a budget to a value, or by which factor the value exceeds the budget.
 pub(super) fn margin(value: f64, budget: f64) -> String {
     if value <= 0.0 {
         return "free".to_string();
     }
-    let part = budget / value;
-    if part >= 1.0 {
-        format!("{} times", digits(part))
+    let ratio = budget / value;
+    if ratio >= 1.0 {
+        format!("{} times", digits(ratio))
     } else {
-        format!("**short by ×{}**", digits(1.0 / part))
+        format!("**short by ×{}**", digits(1.0 / ratio))
     }
 }
 
-/// A table of Markdown.
-pub(super) fn table(heads: &[&str], rows: &[Vec<String>]) -> String {
+/// Renders a Markdown table.
+pub(super) fn table(columns: &[&str], rows: &[Vec<String>]) -> String {
     let line = |cells: &[String]| format!("| {} |\n", cells.join(" | "));
-    let heads: Vec<String> = heads.iter().map(std::string::ToString::to_string).collect();
-    let rule: Vec<String> = heads.iter().map(|_| "---".to_string()).collect();
+    let columns: Vec<String> = columns
+        .iter()
+        .map(std::string::ToString::to_string)
+        .collect();
+    let separator: Vec<String> = columns.iter().map(|_| "---".to_string()).collect();
     let body: String = rows.iter().map(|row| line(row)).collect();
-    format!("{}{}{body}", line(&heads), line(&rule))
+    format!("{}{}{body}", line(&columns), line(&separator))
 }
--- a/crates/scale/src/page/breaks.rs
+++ b/crates/scale/src/page/limits.rs
@@ -1,43 +1,45 @@
-//! What breaks at which size, in order.
+//! Renders the table of budgets that are exceeded as the plan grows, the smallest size first.
 
 use super::data::Data;
-use super::kept;
+use super::format::{amount, digits, table};
 use super::roles;
 use super::rows::Row;
 use super::shard_map;
-use super::words::{amount, digits, table};
+use super::stored;
 
-/// What holds beyond so many times the plan is no matter.
-const MOST: f64 = 10.0;
+/// Budgets that hold beyond this multiple of the plan are left out of the table.
+const MAX_SHARE: f64 = 10.0;
 
-/// All that has a budget, with the size up to which it keeps it.
-pub(super) fn list(data: &Data) -> String {
+/// Renders a table of the figures that have a budget, with the size up to which each stays within its budget.
+pub(super) fn limit_table(data: &Data) -> String {
     let roles: [(&str, Vec<Row>); 9] = [
         ("data path", roles::path(data)),
         ("control part", roles::control(data)),
         ("coordinator", roles::coordinator(data)),
-        ("between", roles::between(data)),
+        ("between", roles::session_proxies(data)),
         ("shard map", shard_map::rows(data)),
         ("discovery", roles::discovery(data)),
-        ("journal", kept::journal(data)),
-        ("dead letters", kept::dead_letters(data)),
-        ("figures", kept::figures(data)),
+        ("journal", stored::journal(data)),
+        ("dead letters", stored::dead_letters(data)),
+        ("figures", stored::figures(data)),
     ];
     let mut found: Vec<(f64, Vec<String>)> = Vec::new();
     for (role, rows) in &roles {
-        for row in rows.iter().filter(|row| row.grows.1 > 0.0) {
-            let Some(share) = row.breaks() else { continue };
-            if share > MOST {
+        for row in rows.iter().filter(|row| row.scales_with.1 > 0.0) {
+            let Some(share) = row.max_share_within_budget() else {
+                continue;
+            };
+            if share > MAX_SHARE {
                 continue;
             }
-            let (what, full) = row.grows;
+            let (what, full_size) = row.scales_with;
             let cells = vec![
                 format!("{} %", digits(share * 100.0)),
-                format!("{} {what}", amount((share * full + 1e-6).floor(), "")),
+                format!("{} {what}", amount((share * full_size + 1e-6).floor(), "")),
                 role.to_string(),
                 row.name().to_string(),
-                row.budget(),
-                row.behind(),
+                row.budget_text(),
+                row.source_text(),
             ];
             found.push((share, cells));
         }
--- a/crates/scale/src/page/mod.rs
+++ b/crates/scale/src/page/mod.rs
@@ -1,24 +1,23 @@
-//! `milletturn-scale page`: the tables of docs/CAPACITY.md, made from the figures in docs/capacity.
+//! `milletturn-scale page`: generates the tables of docs/CAPACITY.md from the records in docs/capacity.
 //!
-//! The page's prose is written by hand. What stands between `<!-- made: NAME -->` and `<!-- end -->` is made here, and
-//! only that.
+//! Only the text between `<!-- made: NAME -->` and `<!-- end -->` is generated. The rest of the page is written by hand.
 
-mod breaks;
 mod data;
+mod estimates;
 mod events;
-mod kept;
+mod format;
+mod limits;
 mod plan;
 mod roles;
 mod rows;
 mod shard_map;
-mod sums;
-mod words;
+mod stored;
 
 use crate::Error;
 use clap::Args;
 use data::Data;
+use format::{amount, digits, integer, table};
 use std::path::{Path, PathBuf};
-use words::{amount, digits, parted, table};
 
 /// Words of `page`.
 #[derive(Debug, Clone, Args)]
@@ -34,39 +33,40 @@
     check: bool,
 }
 
-/// Runs it.
+/// Updates the generated sections of the page or, with `--check`, compares them with the records.
 ///
 /// # Errors
-/// What kept it from its end; with `check`, that page and figures differ.
+/// The page or the records cannot be read, or the page cannot be written; with `--check`, the page differs from the
+/// records.
 pub fn run(words: &Words) -> Result<(), Error> {
     if words.check {
         return check(&words.page, &words.figures);
     }
     let text = read(&words.page)?;
-    let made = made(&text, &words.figures)?;
-    std::fs::write(&words.page, made).map_err(Error::io(words.page.display().to_string()))
+    let rendered = render_page(&text, &words.figures)?;
+    std::fs::write(&words.page, rendered).map_err(Error::io(words.page.display().to_string()))
 }
 
-/// Compares the page with what its figures make.
+/// Compares the page with the text generated from its records.
 ///
 /// # Errors
-/// That they differ, and where first; or that either can't be read.
+/// They differ (the error names the first line that does), or the page or the records cannot be read.
 pub fn check(page: &Path, figures: &Path) -> Result<(), Error> {
     let text = read(page)?;
-    let made = made(&text, figures)?;
+    let rendered = render_page(&text, figures)?;
     let differ = text
         .lines()
-        .zip(made.lines())
+        .zip(rendered.lines())
         .enumerate()
-        .find(|(_, (found, made))| found != made);
+        .find(|(_, (found, expected))| found != expected);
     match differ {
-        Some((line, (found, made))) => Err(Error::Wrong(format!(
-            "{}, line {}: the figures make another table\n  there: {found}\n  made:  {made}",
+        Some((line, (found, expected))) => Err(Error::Wrong(format!(
+            "{}, line {}: page differs from the table generated from the records\n  page:      {found}\n  generated: {expected}",
             page.display(),
             line + 1
         ))),
-        None if text != made => Err(Error::Wrong(format!(
-            "{}: the figures make another end",
+        None if text != rendered => Err(Error::Wrong(format!(
+            "{}: page ends differently from the text generated from the records",
             page.display()
         ))),
         None => Ok(()),
@@ -77,100 +77,121 @@
     std::fs::read_to_string(path).map_err(Error::io(path.display().to_string()))
 }
 
-const BEGIN: &str = "<!-- made: ";
-const CLOSE: &str = " -->";
-const END: &str = "<!-- end -->";
+const SECTION_START: &str = "<!-- made: ";
+const SECTION_START_CLOSE: &str = " -->";
+const SECTION_END: &str = "<!-- end -->";
 
-/// The page with all that is made made anew.
+/// Returns the page text with its generated sections replaced by tables of the current records.
 ///
 /// # Errors
-/// When a mark has no end or an unknown name, or the figures can't be read.
-pub fn made(text: &str, figures: &Path) -> Result<String, Error> {
+/// A section marker is not closed, has no end marker or names an unknown section, or the records cannot be read.
+pub fn render_page(text: &str, figures: &Path) -> Result<String, Error> {
     let data = Data::read(figures)?;
     let mut out = String::new();
     let mut rest = text;
-    while let Some(at) = rest.find(BEGIN) {
+    while let Some(at) = rest.find(SECTION_START) {
         let (before, mark) = rest.split_at(at);
-        let name = mark[BEGIN.len()..].split_once(CLOSE).map(|(name, _)| name);
-        let name = name.ok_or_else(|| Error::Wrong("a mark is not closed".into()))?;
+        let name = mark[SECTION_START.len()..]
+            .split_once(SECTION_START_CLOSE)
+            .map(|(name, _)| name);
+        let name =
+            name.ok_or_else(|| Error::Wrong("a section marker is not closed with `-->`".into()))?;
         let end = mark
-            .find(END)
-            .ok_or_else(|| Error::Wrong(format!("no end behind the mark {name}")))?;
+            .find(SECTION_END)
+            .ok_or_else(|| Error::Wrong(format!("section {name} has no end marker")))?;
         out.push_str(before);
         out.push_str(&format!(
-            "{BEGIN}{name}{CLOSE}\n{}{END}",
-            part(name, &data)?
+            "{SECTION_START}{name}{SECTION_START_CLOSE}\n{}{SECTION_END}",
+            render_section(name, &data)?
         ));
-        rest = &mark[end + END.len()..];
+        rest = &mark[end + SECTION_END.len()..];
     }
     out.push_str(rest);
     Ok(out)
 }
 
-fn part(name: &str, data: &Data) -> Result<String, Error> {
+fn render_section(name: &str, data: &Data) -> Result<String, Error> {
     Ok(match name {
         "plan" => plan_table(),
-        "runs" => runs(data),
-        "path" => rows::shown(&roles::path(data)),
-        "control" => rows::shown(&roles::control(data)),
-        "coordinator" => rows::shown(&roles::coordinator(data)),
-        "between" => rows::shown(&roles::between(data)),
-        "shard-map" => rows::shown(&shard_map::rows(data)),
-        "discovery" => rows::shown(&roles::discovery(data)),
-        "journal" => rows::shown(&kept::journal(data)),
-        "dead-letter" => rows::shown(&kept::dead_letters(data)),
-        "figures" => rows::shown(&kept::figures(data)),
-        "events" => events::list(data),
-        "sums" => sums::list(data),
-        "breaks" => breaks::list(data),
-        "slopes" => slopes(data),
-        "faults" => faults(data),
-        other => return Err(Error::Wrong(format!("nothing makes {other}"))),
+        "runs" => run_table(data),
+        "path" => rows::row_table(&roles::path(data)),
+        "control" => rows::row_table(&roles::control(data)),
+        "coordinator" => rows::row_table(&roles::coordinator(data)),
+        "between" => rows::row_table(&roles::session_proxies(data)),
+        "shard-map" => rows::row_table(&shard_map::rows(data)),
+        "discovery" => rows::row_table(&roles::discovery(data)),
+        "journal" => rows::row_table(&stored::journal(data)),
+        "dead-letter" => rows::row_table(&stored::dead_letters(data)),
+        "figures" => rows::row_table(&stored::figures(data)),
+        "events" => events::event_table(data),
+        "sums" => estimates::estimate_table(data),
+        "breaks" => limits::limit_table(data),
+        "slopes" => slope_table(data),
+        "faults" => fault_table(data),
+        other => return Err(Error::Wrong(format!("unknown section {other}"))),
     })
 }
 
 fn plan_table() -> String {
     let plan = plan::PLAN;
     let rows = [
-        ("senders", parted(plan.senders)),
-        ("events a second", parted(plan.events)),
-        ("destinations", parted(plan.destinations)),
+        ("senders", integer(plan.senders)),
+        ("events a second", integer(plan.events_per_s)),
+        ("destinations", integer(plan.destinations)),
         (
             "down at any time",
-            format!("{} %", digits(plan.down * 100.0)),
+            format!("{} %", digits(plan.down_share * 100.0)),
         ),
-        ("events held at once", parted(plan.backlog)),
+        ("events held at once", integer(plan.pending_events)),
         (
             "regions, zones",
             format!("{}, {}", plan.regions, plan.zones),
         ),
         (
             "changes a day, in force within",
-            format!("{}, {}", parted(plan.changes), amount(plan.in_force, "s")),
+            format!(
+                "{}, {}",
+                integer(plan.changes_per_day),
+                amount(plan.max_propagation_s, "s")
+            ),
         ),
         (
             "control of a sender",
             format!(
                 "{} % of a core, {}, {}",
                 digits(plan.control_cores * 100.0),
-                amount(plan.control_memory, "B"),
-                amount(plan.control_bytes, "B/s")
+                amount(plan.control_memory_bytes, "B"),
+                amount(plan.control_bytes_per_s, "B/s")
             ),
         ),
-        ("machines for control", parted(plan.machines)),
+        ("machines for control", integer(plan.control_machines)),
         (
             "failed, restarted a day",
-            format!("{}, {}", plan.failures, parted(plan.restarts)),
+            format!(
+                "{}, {}",
+                plan.machine_failures_per_day,
+                integer(plan.restarts_per_day)
+            ),
+        ),
+        (
+            "events a second of a sender",
+            digits(plan.events_per_s_per_sender()),
         ),
-        ("events a second of a sender", digits(plan.events_each())),
         (
             "destinations of a sender, if each is served by one",
-            digits(plan.served()),
+            digits(plan.destinations_per_sender()),
+        ),
+        (
+            "events held by a sender",
+            integer(plan.pending_per_sender()),
         ),
-        ("events held by a sender", parted(plan.held())),
         (
             "senders of a zone, of a region",
-            format!("{}, {}", parted(plan.zone()), parted(plan.region())),
+            format!(
+                "{}, {}",
+                integer(plan.senders_per_zone()),
+                integer(plan.senders_per_region())
+            ),
         ),
     ];
     let rows: Vec<Vec<String>> = rows
@@ -180,7 +201,7 @@
     table(&["the size", ""], &rows)
 }
 
-fn runs(data: &Data) -> String {
+fn run_table(data: &Data) -> String {
     let rows = data.heads.iter().map(|(file, head)| {
         let load: Vec<String> = head.load.iter().map(|load| digits(*load)).collect();
         vec![
@@ -207,7 +228,7 @@
     )
 }
 
-fn slopes(data: &Data) -> String {
+fn slope_table(data: &Data) -> String {
     let mut rows = Vec::new();
     for ((role, quantity, axis), slope) in &data.slopes {
         let Some(fit) = &slope.fit else { continue };
@@ -216,7 +237,7 @@
             .iter()
             .map(|value| amount(*value, &fit.unit))
             .collect();
-        let least = slope
+        let smallest = slope
             .points
             .iter()
             .map(|point| point.at)
@@ -231,14 +252,14 @@
             format!(
                 "{} from {} to {}",
                 slope.points.len(),
-                parted(least),
-                parted(slope.most())
+                integer(smallest),
+                integer(slope.max_size())
             ),
             slope.file.clone(),
             fit.term.clone(),
         ]);
     }
-    let heads = [
+    let columns = [
         "figure",
         "by",
         "form",
@@ -249,10 +270,10 @@
         "file",
         "what makes it grow",
     ];
-    table(&heads, &rows)
+    table(&columns, &rows)
 }
 
-fn faults(data: &Data) -> String {
+fn fault_table(data: &Data) -> String {
     if data.faults.is_empty() {
         return "Not run yet.\n".into();
     }
@@ -264,7 +285,7 @@
             .collect();
         vec![
             fault.name.clone(),
-            parted(fault.senders as f64),
+            integer(fault.senders as f64),
             amount(fault.p50_s, "s"),
             amount(fault.p99_s, "s"),
             amount(fault.worst_s, "s"),
@@ -274,7 +295,7 @@
             file.clone(),
         ]
     });
-    let heads = [
+    let columns = [
         "fault",
         "senders",
         "in force, half",
@@ -285,5 +306,5 @@
         "note",
         "file",
     ];
-    table(&heads, &rows.collect::<Vec<_>>())
+    table(&columns, &rows.collect::<Vec<_>>())
 }
--- a/crates/scale/src/page/plan.rs
+++ b/crates/scale/src/page/plan.rs
@@ -1,113 +1,114 @@
-//! The size to design for: the users' plan for two years, as they gave it, and what follows from it by division.
+//! The design size: the users' plan for the next two years, and the figures per sender, zone and region derived from it.
 
-/// The plan. Nothing here is measured.
+/// Figures of the plan. None of them is measured.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Plan {
-    /// Senders.
+    /// Number of senders.
     pub senders: f64,
-    /// Events a second that all of them take.
-    pub events: f64,
-    /// Destinations.
+    /// Events per second that all senders together accept.
+    pub events_per_s: f64,
+    /// Number of destinations.
     pub destinations: f64,
-    /// Share of the destinations that is down at any time.
-    pub down: f64,
-    /// Events held at once, by all senders.
-    pub backlog: f64,
-    /// Regions.
+    /// Fraction of the destinations that is down at any time.
+    pub down_share: f64,
+    /// Events pending at one time in all senders together.
+    pub pending_events: f64,
+    /// Number of regions.
     pub regions: f64,
-    /// Zones.
+    /// Number of zones.
     pub zones: f64,
-    /// Changes of configuration a day.
-    pub changes: f64,
-    /// Seconds until a change is in force everywhere.
-    pub in_force: f64,
-    /// Part of a core that a sender may spend on control.
+    /// Configuration changes per day.
+    pub changes_per_day: f64,
+    /// Maximum time until a change is in force everywhere, in seconds.
+    pub max_propagation_s: f64,
+    /// Fraction of a core that a sender may spend on control.
     pub control_cores: f64,
     /// Bytes of memory that a sender may spend on control.
-    pub control_memory: f64,
-    /// Bytes a second that a sender may spend on control.
-    pub control_bytes: f64,
-    /// Machines set aside for control.
-    pub machines: f64,
-    /// Of these, so many are down or being replaced at any time, at most.
-    pub machines_away: f64,
-    /// Machines that fail on an ordinary day.
-    pub failures: f64,
-    /// Machines that are restarted or replaced on an ordinary day.
-    pub restarts: f64,
-    /// Seconds from a start until a sender is ready.
-    pub ready: f64,
-    /// Seconds for which regions lose each other now and then.
-    pub cut: f64,
+    pub control_memory_bytes: f64,
+    /// Network bytes per second that a sender may spend on control.
+    pub control_bytes_per_s: f64,
+    /// Number of machines reserved for control.
+    pub control_machines: f64,
+    /// Maximum number of the control machines that are down or being replaced at any time.
+    pub max_machines_down: f64,
+    /// Number of machines that fail on an ordinary day.
+    pub machine_failures_per_day: f64,
+    /// Number of machines that are restarted or replaced on an ordinary day.
+    pub restarts_per_day: f64,
+    /// Maximum time from the start of a sender until it is ready, in seconds.
+    pub max_start_s: f64,
+    /// Duration of an occasional network partition between regions, in seconds.
+    pub partition_s: f64,
 }
 
-/// As the users gave it.
+/// The plan as the users gave it.
 pub(super) const PLAN: Plan = Plan {
     senders: 16_000.0,
-    events: 4.6e6,
+    events_per_s: 4.6e6,
     destinations: 1.7e6,
-    down: 0.047,
-    backlog: 24e9,
+    down_share: 0.047,
+    pending_events: 24e9,
     regions: 11.0,
     zones: 31.0,
-    changes: 48_000.0,
-    in_force: 17.0,
+    changes_per_day: 48_000.0,
+    max_propagation_s: 17.0,
     control_cores: 0.018,
-    control_memory: 128e6,
-    control_bytes: 6e3,
-    machines: 19.0,
-    machines_away: 3.0,
-    failures: 35.0,
-    restarts: 1_000.0,
-    ready: 10.0,
-    cut: 3_600.0,
+    control_memory_bytes: 128e6,
+    control_bytes_per_s: 6e3,
+    control_machines: 19.0,
+    max_machines_down: 3.0,
+    machine_failures_per_day: 35.0,
+    restarts_per_day: 1_000.0,
+    max_start_s: 10.0,
+    partition_s: 3_600.0,
 };
 
-/// Seconds of a day.
-pub(super) const DAY: f64 = 86_400.0;
-/// A sender uses one core and no more (docs/operate/platform.md).
-pub(super) const CORE: f64 = 1.0;
-/// Descriptors that a sidecar may hold where its file says nothing (`limits.sockets`).
-pub(super) const SOCKETS: f64 = 256.0;
-/// Seconds of a usual call where the file says nothing (`load.call`).
-pub(super) const CALL: f64 = 0.25;
-/// Seconds after which a connection that carries nothing is closed where the file says nothing (`connections.idle`).
-pub(super) const IDLE: f64 = 5.0;
-/// Seconds after which what is known of a destination is packed (docs/design/many-destinations.md).
-pub(super) const REST: f64 = 300.0;
-/// Seconds of a lease where the stewards' file says nothing (docs/operate/coordination.md).
-pub(super) const LEASE: f64 = 9.0;
-/// Senders behind one rack or switch. The plan does not say: assumed.
-pub(super) const RACK: f64 = 40.0;
+/// One day in seconds.
+pub(super) const DAY_S: f64 = 86_400.0;
+/// Cores that a sender uses at most (docs/operate/platform.md).
+pub(super) const MAX_SENDER_CORES: f64 = 1.0;
+/// Default of a sidecar's `limits.sockets`: the file descriptors that it may have open.
+pub(super) const DEFAULT_SOCKETS: f64 = 256.0;
+/// Default of a sidecar's `load.call`: the duration of a usual call, in seconds.
+pub(super) const DEFAULT_CALL_S: f64 = 0.25;
+/// Default of a sidecar's `connections.idle`: the time after which an unused connection is closed, in seconds.
+pub(super) const DEFAULT_CONNECTION_IDLE_S: f64 = 5.0;
+/// Time after which the state of an unused destination is compacted to its idle state, in seconds
+/// (docs/design/many-destinations.md).
+pub(super) const DESTINATION_STATE_IDLE_S: f64 = 300.0;
+/// Default duration of a lease in the coordinators' configuration, in seconds (docs/operate/coordination.md).
+pub(super) const DEFAULT_LEASE_S: f64 = 9.0;
+/// Senders that share one rack or switch. This number is assumed, as the plan does not give one.
+pub(super) const SENDERS_PER_RACK: f64 = 40.0;
 
 impl Plan {
-    /// Events a second of one sender.
-    pub(super) fn events_each(&self) -> f64 {
-        self.events / self.senders
+    /// Returns the events per second of one sender.
+    pub(super) fn events_per_s_per_sender(&self) -> f64 {
+        self.events_per_s / self.senders
     }
 
-    /// Destinations of one sender, if each is served by one.
-    pub(super) fn served(&self) -> f64 {
+    /// Returns the destinations of one sender if each destination is served by one sender.
+    pub(super) fn destinations_per_sender(&self) -> f64 {
         self.destinations / self.senders
     }
 
-    /// Messages that one sender holds.
-    pub(super) fn held(&self) -> f64 {
-        self.backlog / self.senders
+    /// Returns the number of messages pending in one sender.
+    pub(super) fn pending_per_sender(&self) -> f64 {
+        self.pending_events / self.senders
     }
 
-    /// Changes a second.
-    pub(super) fn change_rate(&self) -> f64 {
-        self.changes / DAY
+    /// Returns the configuration changes per second.
+    pub(super) fn changes_per_s(&self) -> f64 {
+        self.changes_per_day / DAY_S
     }
 
-    /// Senders of one zone.
-    pub(super) fn zone(&self) -> f64 {
+    /// Returns the number of senders in one zone.
+    pub(super) fn senders_per_zone(&self) -> f64 {
         self.senders / self.zones
     }
 
-    /// Senders of one region.
-    pub(super) fn region(&self) -> f64 {
+    /// Returns the number of senders in one region.
+    pub(super) fn senders_per_region(&self) -> f64 {
         self.senders / self.regions
     }
 }
--- a/crates/scale/src/page/roles.rs
+++ b/crates/scale/src/page/roles.rs
@@ -1,91 +1,103 @@
-//! The rows of the tables of a sender's data path and control, the coordinators, what stands between, and discovery.
+//! Rows of the tables of a sender's data path and control part, the coordinators, the session proxies and discovery.
 
 use super::data::Data;
-use super::plan::{CALL, CORE, IDLE, LEASE, PLAN, REST, SOCKETS};
+use super::plan::{
+    DEFAULT_CALL_S, DEFAULT_CONNECTION_IDLE_S, DEFAULT_LEASE_S, DEFAULT_SOCKETS,
+    DESTINATION_STATE_IDLE_S, MAX_SENDER_CORES, PLAN,
+};
 use super::rows::Row;
 use milletturn_coordination::bounds::{
     MAX_DIRECT_MEMBERS, MAX_PROXY_WAITERS, MAX_RESOURCES, MAX_SESSIONS,
 };
 
-pub(super) const MEMORY: (f64, &str) = (PLAN.control_memory, "plan: control of a sender");
-const CORES: (f64, &str) = (PLAN.control_cores, "plan: control of a sender");
-pub(super) const BYTES: (f64, &str) = (PLAN.control_bytes, "plan: control of a sender");
-const ONE: (f64, &str) = (CORE, "the program uses one");
-pub(super) const READY: (f64, &str) = (PLAN.ready, "users: start to ready");
+pub(super) const CONTROL_MEMORY_BUDGET: (f64, &str) =
+    (PLAN.control_memory_bytes, "plan: control of a sender");
+const CONTROL_CORES_BUDGET: (f64, &str) = (PLAN.control_cores, "plan: control of a sender");
+pub(super) const CONTROL_BYTES_BUDGET: (f64, &str) =
+    (PLAN.control_bytes_per_s, "plan: control of a sender");
+const SENDER_CORES_BUDGET: (f64, &str) = (MAX_SENDER_CORES, "the program uses one");
+pub(super) const START_BUDGET: (f64, &str) = (PLAN.max_start_s, "users: start to ready");
 
-/// All of the plan's, at a share of it.
+/// Returns the number of destinations at a share of the plan.
 pub(super) fn destinations(share: f64) -> f64 {
     PLAN.destinations * share
 }
 
-/// All of the plan's, at a share of it.
+/// Returns the number of senders at a share of the plan.
 pub(super) fn senders(share: f64) -> f64 {
     PLAN.senders * share
 }
 
-/// What one sender holds, at a share of it.
-pub(super) fn held(share: f64) -> f64 {
-    PLAN.held() * share
+/// Returns the number of messages pending in one sender at a share of the plan.
+pub(super) fn pending(share: f64) -> f64 {
+    PLAN.pending_per_sender() * share
 }
 
-fn events(_: f64) -> f64 {
-    PLAN.events_each()
+fn events_per_s(_: f64) -> f64 {
+    PLAN.events_per_s_per_sender()
 }
 
-fn served(_: f64) -> f64 {
-    PLAN.served()
+fn destinations_per_sender(_: f64) -> f64 {
+    PLAN.destinations_per_sender()
 }
 
-pub(super) fn changes(share: f64) -> f64 {
-    PLAN.change_rate() * share
+pub(super) fn changes_per_s(share: f64) -> f64 {
+    PLAN.changes_per_s() * share
 }
 
-/// Destinations that a sender meets within a span, where each sender serves all.
-fn met(share: f64, span: f64) -> f64 {
-    (PLAN.events_each() * span).min(destinations(share))
+/// Returns the number of destinations that a sender calls within the given time, in seconds, if each sender serves all.
+fn active_destinations(share: f64, span: f64) -> f64 {
+    (PLAN.events_per_s_per_sender() * span).min(destinations(share))
 }
 
-/// A sender's data path.
+/// Returns the rows of a sender's data path.
 pub(super) fn path(data: &Data) -> Vec<Row> {
     let all = ("destinations", PLAN.destinations);
     vec![
-        Row::plan("events a second", events, "events/s"),
+        Row::plan("events a second", events_per_s, "events/s"),
         Row::plan(
             "destinations of a sender, if each is served by one",
-            served,
+            destinations_per_sender,
+            "",
+        ),
+        Row::plan(
+            "of these down",
+            |_| PLAN.destinations_per_sender() * PLAN.down_share,
             "",
         ),
-        Row::plan("of these down", |_| PLAN.served() * PLAN.down, ""),
         Row::plan(
             "seconds until a sender meets a destination again, if it serves all",
-            |share| destinations(share) / PLAN.events_each(),
+            |share| destinations(share) / PLAN.events_per_s_per_sender(),
             "s",
         ),
         Row::slope(
             data,
             "processor for the events",
             ("path", "cpu", "messages a second"),
-            events,
+            events_per_s,
             "core",
         )
-        .within(ONE.0, ONE.1)
-        .by("events a second of one sender", PLAN.events_each()),
+        .budget(SENDER_CORES_BUDGET.0, SENDER_CORES_BUDGET.1)
+        .grows_with(
+            "events a second of one sender",
+            PLAN.events_per_s_per_sender(),
+        ),
         Row::slope(
             data,
             "memory with these events",
             ("path", "resident", "messages a second"),
-            events,
+            events_per_s,
             "B",
         ),
         Row::slope(
             data,
             "processor for turns beside calls that last 250 ms (two turns an event)",
             ("turn", "cpu", "calls out"),
-            |_| PLAN.events_each() * CALL,
+            |_| PLAN.events_per_s_per_sender() * DEFAULT_CALL_S,
             "core",
         )
-        .times(|_| 2.0 * PLAN.events_each())
-        .within(ONE.0, ONE.1),
+        .times(|_| 2.0 * PLAN.events_per_s_per_sender())
+        .budget(SENDER_CORES_BUDGET.0, SENDER_CORES_BUDGET.1),
         Row::slope(
             data,
             "a turn beside 4,000 calls at silent endpoints",
@@ -97,59 +109,59 @@
             data,
             "a turn beside held messages of destinations that are gone",
             ("turn", "cpu", "messages held"),
-            held,
+            pending,
             "s",
         ),
         Row::slope(
             data,
             "connections to destinations in use, if it serves its part",
             ("path.sockets", "descriptors", "destinations in use"),
-            served,
+            destinations_per_sender,
             "descriptors",
         )
-        .within(SOCKETS, "`limits.sockets` as it comes")
-        .by("destinations of one sender", PLAN.served()),
+        .budget(DEFAULT_SOCKETS, "`limits.sockets` as it comes")
+        .grows_with("destinations of one sender", PLAN.destinations_per_sender()),
         Row::slope(
             data,
             "connections within the 5 s that they are kept, if it serves all",
             ("path.sockets", "descriptors", "destinations in use"),
-            |share| met(share, IDLE),
+            |share| active_destinations(share, DEFAULT_CONNECTION_IDLE_S),
             "descriptors",
         )
-        .within(SOCKETS, "`limits.sockets` as it comes")
-        .by(all.0, all.1),
+        .budget(DEFAULT_SOCKETS, "`limits.sockets` as it comes")
+        .grows_with(all.0, all.1),
         Row::slope(
             data,
             "memory of connections in use, if it serves its part",
             ("path.sockets", "resident", "destinations in use"),
-            served,
+            destinations_per_sender,
             "B",
         )
-        .alone(),
+        .per_unit_only(),
         Row::slope(
             data,
             "memory of destinations called within 300 s, if it serves its part",
             ("destination.used", "resident", "destinations in use"),
-            served,
+            destinations_per_sender,
             "B",
         )
-        .alone(),
+        .per_unit_only(),
         Row::slope(
             data,
             "memory of destinations called within 300 s, if it serves all",
             ("destination.used", "resident", "destinations in use"),
-            |share| met(share, REST),
+            |share| active_destinations(share, DESTINATION_STATE_IDLE_S),
             "B",
         )
-        .within(MEMORY.0, MEMORY.1)
-        .by(all.0, all.1),
+        .budget(CONTROL_MEMORY_BUDGET.0, CONTROL_MEMORY_BUDGET.1)
+        .grows_with(all.0, all.1),
     ]
 }
 
-/// A sender's control part.
+/// Returns the rows of a sender's control part.
 pub(super) fn control(data: &Data) -> Vec<Row> {
     let all = ("destinations", PLAN.destinations);
-    let rate = ("changes a day", PLAN.changes);
+    let rate = ("changes a day", PLAN.changes_per_day);
     vec![
         Row::slope(
             data,
@@ -158,17 +170,17 @@
             destinations,
             "B",
         )
-        .within(MEMORY.0, MEMORY.1)
-        .by(all.0, all.1),
+        .budget(CONTROL_MEMORY_BUDGET.0, CONTROL_MEMORY_BUDGET.1)
+        .grows_with(all.0, all.1),
         Row::slope(
             data,
             "memory of the list, if it has its part",
             ("list.engine", "resident", "destinations"),
-            served,
+            destinations_per_sender,
             "B",
         )
-        .alone()
-        .within(MEMORY.0, MEMORY.1),
+        .per_unit_only()
+        .budget(CONTROL_MEMORY_BUDGET.0, CONTROL_MEMORY_BUDGET.1),
         Row::slope(
             data,
             "processor time of the first list, all of it",
@@ -176,8 +188,8 @@
             destinations,
             "s",
         )
-        .within(READY.0, READY.1)
-        .by(all.0, all.1),
+        .budget(START_BUDGET.0, START_BUDGET.1)
+        .grows_with(all.0, all.1),
         Row::slope(
             data,
             "start to ready on a file of all",
@@ -185,8 +197,8 @@
             destinations,
             "s",
         )
-        .within(READY.0, READY.1)
-        .by(all.0, all.1),
+        .budget(START_BUDGET.0, START_BUDGET.1)
+        .grows_with(all.0, all.1),
         Row::slope(
             data,
             "bytes of the whole list as discovery tells it",
@@ -201,19 +213,19 @@
             destinations,
             "s",
         )
-        .times(|_| 1.0 / PLAN.control_bytes)
-        .within(PLAN.in_force, "plan: in force")
-        .by(all.0, all.1),
+        .times(|_| 1.0 / PLAN.control_bytes_per_s)
+        .budget(PLAN.max_propagation_s, "plan: in force")
+        .grows_with(all.0, all.1),
         Row::slope(
             data,
             "time for its part of the list at 6 KB/s",
             ("list.watch", "wire", "destinations"),
-            served,
+            destinations_per_sender,
             "s",
         )
-        .alone()
-        .times(|_| 1.0 / PLAN.control_bytes)
-        .within(PLAN.in_force, "plan: in force"),
+        .per_unit_only()
+        .times(|_| 1.0 / PLAN.control_bytes_per_s)
+        .budget(PLAN.max_propagation_s, "plan: in force"),
         Row::slope(
             data,
             "bytes a second of changes, if each sender hears all",
@@ -221,10 +233,10 @@
             |_| 1.0,
             "B/s",
         )
-        .alone()
-        .times(changes)
-        .within(BYTES.0, BYTES.1)
-        .by(rate.0, rate.1),
+        .per_unit_only()
+        .times(changes_per_s)
+        .budget(CONTROL_BYTES_BUDGET.0, CONTROL_BYTES_BUDGET.1)
+        .grows_with(rate.0, rate.1),
         Row::slope(
             data,
             "processor for changes told one by one, if it hears all",
@@ -232,9 +244,9 @@
             destinations,
             "core",
         )
-        .times(changes)
-        .within(CORES.0, CORES.1)
-        .by(rate.0, rate.1),
+        .times(changes_per_s)
+        .budget(CONTROL_CORES_BUDGET.0, CONTROL_CORES_BUDGET.1)
+        .grows_with(rate.0, rate.1),
         Row::slope(
             data,
             "processor for changes told as whole lists",
@@ -242,9 +254,9 @@
             destinations,
             "core",
         )
-        .times(changes)
-        .within(CORES.0, CORES.1)
-        .by("destinations and changes", PLAN.destinations),
+        .times(changes_per_s)
+        .budget(CONTROL_CORES_BUDGET.0, CONTROL_CORES_BUDGET.1)
+        .grows_with("destinations and changes", PLAN.destinations),
         Row::slope(
             data,
             "processor for changes of a file that is read whole",
@@ -252,64 +264,64 @@
             destinations,
             "core",
         )
-        .times(changes)
-        .within(CORES.0, CORES.1)
-        .by("destinations and changes", PLAN.destinations),
-        Row::largest(
+        .times(changes_per_s)
+        .budget(CONTROL_CORES_BUDGET.0, CONTROL_CORES_BUDGET.1)
+        .grows_with("destinations and changes", PLAN.destinations),
+        Row::at_largest_size(
             data,
             "processor of the session, in a process of its own",
             ("sender.session, real", "cpu", "senders"),
             "core",
         )
-        .within(CORES.0, CORES.1),
-        Row::largest(
+        .budget(CONTROL_CORES_BUDGET.0, CONTROL_CORES_BUDGET.1),
+        Row::at_largest_size(
             data,
             "requests of the session a second",
             ("sender", "session_messages", "senders"),
             "/s",
         ),
-        Row::largest(
+        Row::at_largest_size(
             data,
             "bytes a second of the session, out",
             ("sender", "session_bytes_out", "senders"),
             "B/s",
         )
-        .within(BYTES.0, BYTES.1),
-        Row::largest(
+        .budget(CONTROL_BYTES_BUDGET.0, CONTROL_BYTES_BUDGET.1),
+        Row::at_largest_size(
             data,
             "bytes a second of the session, in",
             ("sender", "session_bytes_in", "senders"),
             "B/s",
         )
-        .within(BYTES.0, BYTES.1),
+        .budget(CONTROL_BYTES_BUDGET.0, CONTROL_BYTES_BUDGET.1),
     ]
 }
 
-/// The leading coordinator, and the others.
+/// Returns the rows of the leader and the followers of the coordination service.
 pub(super) fn coordinator(data: &Data) -> Vec<Row> {
     let all = ("senders", PLAN.senders);
     vec![
         Row::plan("sessions", senders, "")
-            .within(
+            .budget(
                 MAX_SESSIONS as f64,
                 "`milletturn-coordination` `bounds::MAX_SESSIONS`",
             )
-            .by(all.0, all.1),
+            .grows_with(all.0, all.1),
         Row::plan("members, if none has a session proxy", senders, "")
-            .within(
+            .budget(
                 MAX_DIRECT_MEMBERS as f64,
                 "`milletturn-coordination` `bounds::MAX_DIRECT_MEMBERS`",
             )
-            .by(all.0, all.1),
+            .grows_with(all.0, all.1),
         Row::plan("resources, one for each destination", destinations, "")
-            .within(
+            .budget(
                 MAX_RESOURCES as f64,
                 "`milletturn-coordination` `bounds::MAX_RESOURCES`",
             )
-            .by("destinations", PLAN.destinations),
+            .grows_with("destinations", PLAN.destinations),
         Row::plan(
             "heartbeats a second, four in each lease of 9 s",
-            |share| senders(share) * 4.0 / LEASE,
+            |share| senders(share) * 4.0 / DEFAULT_LEASE_S,
             "/s",
         ),
         Row::slope(
@@ -319,8 +331,8 @@
             senders,
             "core",
         )
-        .within(ONE.0, ONE.1)
-        .by(all.0, all.1),
+        .budget(SENDER_CORES_BUDGET.0, SENDER_CORES_BUDGET.1)
+        .grows_with(all.0, all.1),
         Row::slope(
             data,
             "memory of the leader, members behind session proxies",
@@ -335,8 +347,8 @@
             senders,
             "core",
         )
-        .within(ONE.0, ONE.1)
-        .by(all.0, all.1),
+        .budget(SENDER_CORES_BUDGET.0, SENDER_CORES_BUDGET.1)
+        .grows_with(all.0, all.1),
         Row::slope(
             data,
             "memory of the leader",
@@ -393,20 +405,20 @@
             senders,
             "core",
         )
-        .within(ONE.0, ONE.1)
-        .by(all.0, all.1),
+        .budget(SENDER_CORES_BUDGET.0, SENDER_CORES_BUDGET.1)
+        .grows_with(all.0, all.1),
         Row::plan(
             "ends of sessions on an ordinary day",
-            |share| (PLAN.failures + PLAN.restarts) * share,
+            |share| (PLAN.machine_failures_per_day + PLAN.restarts_per_day) * share,
             "/day",
         ),
     ]
 }
 
-/// Whatever stands between stewards and senders.
-pub(super) fn between(data: &Data) -> Vec<Row> {
-    // all have eight relays behind the figures
-    let relay = |what, quantity, unit| {
+/// Returns the rows of the session proxies and the other components between coordinators and senders.
+pub(super) fn session_proxies(data: &Data) -> Vec<Row> {
+    // these quantities were measured with eight session proxies
+    let session_proxy = |what, quantity, unit| {
         Row::slope(
             data,
             what,
@@ -416,49 +428,49 @@
         )
     };
     vec![
-        // milletturn-shard-map decides these (the table `catalog`); nothing carries it from machine to machine
-        Row::nobody("a service that tells who serves which destination"),
-        Row::nobody("a wire for numbered changes to a sender"),
-        Row::nobody("a wire for digests of shards, to catch up"),
-        relay(
+        // milletturn-shard-map implements these (see the table `shard-map`), but no network protocol connects its instances
+        Row::no_mechanism("a service that tells who serves which destination"),
+        Row::no_mechanism("a wire for numbered changes to a sender"),
+        Row::no_mechanism("a wire for digests of shards, to catch up"),
+        session_proxy(
             "heartbeats of members (`milletturn-session-proxy`, `coordination::HeartbeatBatcher`): processor of each of 8",
             "cpu",
             "core",
         )
-        .within(ONE.0, ONE.1),
-        relay("memory of each of 8 session proxies", "resident", "B"),
-        relay("descriptors of each of 8 session proxies", "descriptors", "")
-            .within(MAX_PROXY_WAITERS as f64, "`milletturn-coordination` `bounds::MAX_PROXY_WAITERS`"),
-        relay("messages a second of each of 8 session proxies", "messages", "/s"),
+        .budget(SENDER_CORES_BUDGET.0, SENDER_CORES_BUDGET.1),
+        session_proxy("memory of each of 8 session proxies", "resident", "B"),
+        session_proxy("descriptors of each of 8 session proxies", "descriptors", "")
+            .budget(MAX_PROXY_WAITERS as f64, "`milletturn-coordination` `bounds::MAX_PROXY_WAITERS`"),
+        session_proxy("messages a second of each of 8 session proxies", "messages", "/s"),
         Row::plan(
             "senders of one machine, all 19 up",
-            |share| senders(share) / PLAN.machines,
+            |share| senders(share) / PLAN.control_machines,
             "",
         ),
         Row::plan(
             "senders of one machine, three away",
-            |share| senders(share) / (PLAN.machines - PLAN.machines_away),
+            |share| senders(share) / (PLAN.control_machines - PLAN.max_machines_down),
             "",
         ),
         Row::plan(
             "bytes a second out of one machine at 6 KB/s a sender, three away",
-            |share| senders(share) * PLAN.control_bytes / (PLAN.machines - PLAN.machines_away),
+            |share| senders(share) * PLAN.control_bytes_per_s / (PLAN.control_machines - PLAN.max_machines_down),
             "B/s",
         ),
         Row::plan(
             "deliveries of changes a second, if each goes to each sender",
-            |share| changes(share) * senders(share),
+            |share| changes_per_s(share) * senders(share),
             "/s",
         ),
         Row::plan(
             "deliveries of changes a second, if each goes to three servers",
-            |share| changes(share) * 3.0,
+            |share| changes_per_s(share) * 3.0,
             "/s",
         ),
     ]
 }
 
-/// Discovery, or whatever tells the configuration.
+/// Returns the rows of discovery, which distributes the endpoint lists.
 pub(super) fn discovery(data: &Data) -> Vec<Row> {
     let all = ("destinations", PLAN.destinations);
     let mut rows = vec![
@@ -492,8 +504,8 @@
             |_| 1.0,
             "B/s",
         )
-        .alone()
-        .times(|share| changes(share) * senders(share)),
+        .per_unit_only()
+        .times(|share| changes_per_s(share) * senders(share)),
     ];
     for (what, role) in [
         (
@@ -502,19 +514,19 @@
         ),
         ("destinations that one file may have", "list.file"),
     ] {
-        if let Some(most) = data
+        if let Some(max_size) = data
             .find(role, "most", "bound")
             .and_then(|slope| slope.points.first())
         {
-            let said = if role == "list.watch" {
+            let source = if role == "list.watch" {
                 "`milletturn-platform` `Feed`, measured"
             } else {
                 "`milletturn-sidecar` `endpoints`, measured"
             };
             rows.push(
                 Row::plan(what, destinations, "")
-                    .within(most.value, said)
-                    .by(all.0, all.1),
+                    .budget(max_size.value, source)
+                    .grows_with(all.0, all.1),
             );
         }
     }
--- a/crates/scale/src/page/rows.rs
+++ b/crates/scale/src/page/rows.rs
@@ -1,47 +1,47 @@
-//! A row of a table: what it counts, at which size, behind which figure, under which budget.
+//! A row of a table: its quantity, the size at which it is taken, the source of its value and its budget.
 
 use super::data::{Data, Slope, Value};
-use super::words::{amount, margin, parted, table};
+use super::format::{amount, integer, margin, table};
 
-/// Shares of the plan that the tables show.
+/// Fractions of the plan for which the tables have columns.
 pub(super) const SHARES: [f64; 3] = [0.01, 0.1, 1.0];
 
-/// What a value follows from.
-enum Behind {
-    /// A slope, at a size that grows with the share of the plan, times a factor that may grow too.
+/// Where the value of a row comes from.
+enum Source {
+    /// A measured slope, taken at a size computed from the share of the plan and multiplied by a factor that may also
+    /// depend on that share.
     Slope {
         slope: Box<Slope>,
         name: String,
         size: fn(f64) -> f64,
         times: fn(f64) -> f64,
-        alone: bool,
+        per_unit_only: bool,
     },
-    /// The largest size that was measured, for what does not grow along the axis.
+    /// The value at the largest measured size, for a quantity that does not grow along the axis.
     Largest { slope: Box<Slope>, name: String },
-    /// The plan alone.
+    /// A value computed from the plan alone, given a share of the plan.
     Plan(fn(f64) -> f64),
-    /// Nothing carries it.
-    Nobody,
-    /// It was not measured.
+    /// The system has no mechanism that the row could measure.
+    NoMechanism,
+    /// The named quantity was not measured.
     Unmeasured(String),
 }
 
-/// A row.
 pub(super) struct Row {
     what: &'static str,
     unit: &'static str,
-    behind: Behind,
+    source: Source,
     budget: Option<(f64, &'static str)>,
-    /// What of the plan grows, and how much that is at its full size.
-    pub grows: (&'static str, f64),
+    /// Figure of the plan with which the value grows, and that figure at the full plan; zero if the row does not grow.
+    pub scales_with: (&'static str, f64),
 }
 
-fn once(_: f64) -> f64 {
+fn unit_factor(_: f64) -> f64 {
     1.0
 }
 
 impl Row {
-    /// A measured figure (role, quantity, axis), at a size for each share of the plan.
+    /// Creates a row of a measured quantity (role, quantity, axis). `size` gives the size at a share of the plan.
     pub(super) fn slope(
         data: &Data,
         what: &'static str,
@@ -50,208 +50,210 @@
         unit: &'static str,
     ) -> Self {
         let name = format!("`{role} {quantity}` by {axis}");
-        let behind = match data.find(role, quantity, axis) {
-            Some(slope) => Behind::Slope {
+        let source = match data.find(role, quantity, axis) {
+            Some(slope) => Source::Slope {
                 slope: Box::new(slope.clone()),
                 name,
                 size,
-                times: once,
-                alone: false,
+                times: unit_factor,
+                per_unit_only: false,
             },
-            None => Behind::Unmeasured(name),
+            None => Source::Unmeasured(name),
         };
         Row {
             what,
             unit,
-            behind,
+            source,
             budget: None,
-            grows: ("", 0.0),
+            scales_with: ("", 0.0),
         }
     }
 
-    /// A measured figure that belongs to one sender, whatever their number: at the largest number that was run.
-    pub(super) fn largest(
+    /// Creates a row of a measured quantity per sender that does not depend on the number of senders. Its value is the one
+    /// at the largest measured number.
+    pub(super) fn at_largest_size(
         data: &Data,
         what: &'static str,
         (role, quantity, axis): (&str, &str, &str),
         unit: &'static str,
     ) -> Self {
         let name = format!("`{role} {quantity}` by {axis}");
-        let behind = match data
+        let source = match data
             .find(role, quantity, axis)
             .filter(|slope| !slope.points.is_empty())
         {
-            Some(slope) => Behind::Largest {
+            Some(slope) => Source::Largest {
                 slope: Box::new(slope.clone()),
                 name,
             },
-            None => Behind::Unmeasured(name),
+            None => Source::Unmeasured(name),
         };
         Row {
             what,
             unit,
-            behind,
+            source,
             budget: None,
-            grows: ("", 0.0),
+            scales_with: ("", 0.0),
         }
     }
 
-    /// A figure that follows from the plan alone.
+    /// Creates a row whose value is computed from the plan alone.
     pub(super) fn plan(what: &'static str, value: fn(f64) -> f64, unit: &'static str) -> Self {
         Row {
             what,
             unit,
-            behind: Behind::Plan(value),
+            source: Source::Plan(value),
             budget: None,
-            grows: ("", 0.0),
+            scales_with: ("", 0.0),
         }
     }
 
-    /// What nothing does today.
-    pub(super) fn nobody(what: &'static str) -> Self {
+    /// Creates a row for which the system has no mechanism.
+    pub(super) fn no_mechanism(what: &'static str) -> Self {
         Row {
             what,
             unit: "",
-            behind: Behind::Nobody,
+            source: Source::NoMechanism,
             budget: None,
-            grows: ("", 0.0),
+            scales_with: ("", 0.0),
         }
     }
 
-    /// By what one more costs alone: the part that does not grow belongs to something else.
-    pub(super) fn alone(mut self) -> Self {
-        if let Behind::Slope { alone, .. } = &mut self.behind {
-            *alone = true;
+    /// Uses only the growth per unit and leaves out the constant part, which belongs to another row.
+    pub(super) fn per_unit_only(mut self) -> Self {
+        if let Source::Slope { per_unit_only, .. } = &mut self.source {
+            *per_unit_only = true;
         }
         self
     }
 
-    /// So often, such as so many a second.
+    /// Multiplies the value by a factor that may depend on the share of the plan, such as a rate per second.
     pub(super) fn times(mut self, factor: fn(f64) -> f64) -> Self {
-        if let Behind::Slope { times, .. } = &mut self.behind {
+        if let Source::Slope { times, .. } = &mut self.source {
             *times = factor;
         }
         self
     }
 
-    /// What it may be, and who says so.
-    pub(super) fn within(mut self, budget: f64, said: &'static str) -> Self {
-        self.budget = Some((budget, said));
+    /// Sets the maximum allowed value and names the origin of that budget.
+    pub(super) fn budget(mut self, budget: f64, origin: &'static str) -> Self {
+        self.budget = Some((budget, origin));
         self
     }
 
-    /// What of the plan makes it grow: its full size there.
-    pub(super) fn by(mut self, grows: &'static str, full: f64) -> Self {
-        self.grows = (grows, full);
+    /// Names the figure of the plan with which the value grows, and that figure at the full plan.
+    pub(super) fn grows_with(mut self, scales_with: &'static str, full_size: f64) -> Self {
+        self.scales_with = (scales_with, full_size);
         self
     }
 
-    /// What it is called.
     pub(super) fn name(&self) -> &'static str {
         self.what
     }
 
-    /// Its value at a share of the plan.
+    /// Returns the row's value at a share of the plan.
     pub(super) fn at(&self, share: f64) -> Option<Value> {
-        match &self.behind {
-            Behind::Slope {
+        match &self.source {
+            Source::Slope {
                 slope,
                 size,
                 times,
-                alone: true,
+                per_unit_only: true,
                 ..
             } => {
-                let amount = slope.each()? * size(share) * times(share);
+                let amount = slope.slope_per_unit()? * size(share) * times(share);
                 Some(Value {
                     amount,
                     measured: false,
                 })
             }
-            Behind::Slope {
+            Source::Slope {
                 slope, size, times, ..
             } => {
                 let value = slope.at(size(share))?;
                 let factor = times(share);
-                // what is counted up is derived, also from a size that was measured
+                // a value multiplied by a factor counts as derived, even if its size was measured
                 Some(Value {
                     amount: value.amount * factor,
                     measured: value.measured && factor == 1.0,
                 })
             }
-            Behind::Largest { slope, .. } => slope.at(slope.most()),
-            Behind::Plan(value) => Some(Value {
+            Source::Largest { slope, .. } => slope.at(slope.max_size()),
+            Source::Plan(value) => Some(Value {
                 amount: value(share),
                 measured: false,
             }),
-            Behind::Nobody | Behind::Unmeasured(_) => None,
+            Source::NoMechanism | Source::Unmeasured(_) => None,
         }
     }
 
-    /// The share of the plan up to which it stays within its budget: beyond what was measured by the line.
-    pub(super) fn breaks(&self) -> Option<f64> {
+    /// Returns the largest share of the plan at which the value stays within its budget, using the fitted line beyond the
+    /// measured sizes. Returns `None` without a budget or a value, for a value that does not grow, and where the budget holds
+    /// for up to 10,000 times the plan.
+    pub(super) fn max_share_within_budget(&self) -> Option<f64> {
         let (budget, _) = self.budget?;
-        if let Behind::Largest { .. } = self.behind {
+        if let Source::Largest { .. } = self.source {
             return None;
         }
         let value = |share: f64| self.at(share).map(|value| value.amount);
-        let (mut least, mut most) = (1e-7f64, 1e4f64);
-        if value(least)? > budget {
+        let (mut low, mut high) = (1e-7f64, 1e4f64);
+        if value(low)? > budget {
             return Some(0.0);
         }
-        if value(most)? <= budget {
+        if value(high)? <= budget {
             return None;
         }
         for _ in 0..200 {
-            let middle = (least * most).sqrt();
+            let middle = (low * high).sqrt();
             if value(middle)? > budget {
-                most = middle;
+                high = middle;
             } else {
-                least = middle;
+                low = middle;
             }
         }
-        Some(least)
+        Some(low)
     }
 
-    /// Its budget in words.
-    pub(super) fn budget(&self) -> String {
-        self.budget.map_or("none given".into(), |(budget, said)| {
-            format!("{} ({said})", amount(budget, self.unit))
+    /// Formats the budget and its origin.
+    pub(super) fn budget_text(&self) -> String {
+        self.budget.map_or("none given".into(), |(budget, origin)| {
+            format!("{} ({origin})", amount(budget, self.unit))
         })
     }
 
-    /// What it follows from, in words.
-    pub(super) fn behind(&self) -> String {
-        match &self.behind {
-            Behind::Slope {
+    /// Formats the source of the value.
+    pub(super) fn source_text(&self) -> String {
+        match &self.source {
+            Source::Slope {
                 slope, name, size, ..
             } => {
-                let beyond = size(1.0) / slope.most();
-                let far = if beyond > 1.03 {
-                    format!(", 100 % is ×{} beyond", super::words::digits(beyond))
+                let beyond = size(1.0) / slope.max_size();
+                let extrapolation = if beyond > 1.03 {
+                    format!(", 100 % is ×{} beyond", super::format::digits(beyond))
                 } else {
                     String::new()
                 };
                 format!(
-                    "{name} up to {}{far} ({})",
-                    parted(slope.most()),
+                    "{name} up to {}{extrapolation} ({})",
+                    integer(slope.max_size()),
                     slope.file
                 )
             }
-            Behind::Largest { slope, name } => {
+            Source::Largest { slope, name } => {
                 format!(
                     "{name}: of one, at {} ({})",
-                    parted(slope.most()),
+                    integer(slope.max_size()),
                     slope.file
                 )
             }
-            Behind::Plan(_) => "plan".into(),
-            Behind::Nobody => "—".into(),
-            Behind::Unmeasured(name) => format!("{name}: not run yet"),
+            Source::Plan(_) => "plan".into(),
+            Source::NoMechanism => "—".into(),
+            Source::Unmeasured(name) => format!("{name}: not run yet"),
         }
     }
 
     fn cells(&self) -> Vec<String> {
-        if let Behind::Nobody = self.behind {
+        if let Source::NoMechanism = self.source {
             let nothing = || "no mechanism today".to_string();
             return vec![
                 self.what.into(),
@@ -264,8 +266,8 @@
                 "".into(),
             ];
         }
-        let each = match &self.behind {
-            Behind::Slope { slope, .. } => slope.each().and_then(|each| {
+        let per_unit = match &self.source {
+            Source::Slope { slope, .. } => slope.slope_per_unit().and_then(|each| {
                 let unit = slope
                     .points
                     .first()
@@ -275,27 +277,27 @@
             }),
             _ => None,
         };
-        let shown = |share: f64| match (self.at(share), &self.behind) {
+        let value_text = |share: f64| match (self.at(share), &self.source) {
             (Some(value), _) if value.measured => {
                 format!("**{}**", amount(value.amount, self.unit))
             }
             (Some(value), _) => format!("*{}*", amount(value.amount, self.unit)),
             (None, _) => "not run yet".to_string(),
         };
-        let left = match (self.budget, self.at(1.0)) {
+        let margin_text = match (self.budget, self.at(1.0)) {
             (Some((budget, _)), Some(value)) => margin(value.amount, budget),
             _ => String::new(),
         };
-        let mut cells = vec![self.what.to_string(), each.unwrap_or_default()];
-        cells.extend(SHARES.map(shown));
-        cells.extend([self.behind(), self.budget(), left]);
+        let mut cells = vec![self.what.to_string(), per_unit.unwrap_or_default()];
+        cells.extend(SHARES.map(value_text));
+        cells.extend([self.source_text(), self.budget_text(), margin_text]);
         cells
     }
 }
 
-/// A table of rows.
-pub(super) fn shown(rows: &[Row]) -> String {
-    let heads = [
+/// Renders the rows as a Markdown table.
+pub(super) fn row_table(rows: &[Row]) -> String {
+    let columns = [
         "what",
         "one more",
         "1 %",
@@ -306,5 +308,5 @@
         "margin at 100 %",
     ];
     let cells: Vec<Vec<String>> = rows.iter().map(Row::cells).collect();
-    table(&heads, &cells)
+    table(&columns, &cells)
 }
--- a/crates/scale/src/page/shard_map.rs
+++ b/crates/scale/src/page/shard_map.rs
@@ -1,11 +1,13 @@
-//! The rows of the table of the catalog.
+//! Rows of the table of the shard map.
 
 use super::data::Data;
 use super::plan::PLAN;
-use super::roles::{BYTES, MEMORY, READY, changes, destinations, senders};
+use super::roles::{
+    CONTROL_BYTES_BUDGET, CONTROL_MEMORY_BUDGET, START_BUDGET, changes_per_s, destinations, senders,
+};
 use super::rows::Row;
 
-/// The catalog: its state machines alone, with no wire between them.
+/// Returns the rows of the shard map, whose state machines were measured without a network between them.
 pub(super) fn rows(data: &Data) -> Vec<Row> {
     let all = ("destinations", PLAN.destinations);
     let assign = |what, quantity, unit| {
@@ -22,11 +24,11 @@
             data,
             what,
             (role, quantity, "missed changes"),
-            |_| MISSED,
+            |_| MISSED_CHANGES,
             unit,
         )
     };
-    let holder = |what, quantity, size, unit| {
+    let replica = |what, quantity, size, unit| {
         Row::slope(
             data,
             what,
@@ -37,7 +39,7 @@
     };
     vec![
         assign("who serves what, from nothing: processor time", "cpu", "s")
-            .within(PLAN.in_force, "plan: in force"),
+            .budget(PLAN.max_propagation_s, "plan: in force"),
         assign("memory of it, at a machine of control", "resident", "B"),
         assign("shards of a sender, in the mean", "load.mean", "ranges"),
         assign("shards of the fullest sender", "load.most", "ranges"),
@@ -48,14 +50,14 @@
         ),
         assign("copies that nobody serves", "short", ""),
         assign("a sender is lost: processor time", "loss.cpu", "s")
-            .within(PLAN.in_force, "plan: in force"),
+            .budget(PLAN.max_propagation_s, "plan: in force"),
         assign("copies that it served", "loss.lost", ""),
         assign("copies that move", "loss.moves", ""),
         assign("a sender comes: processor time", "join.cpu", "s")
-            .within(PLAN.in_force, "plan: in force"),
+            .budget(PLAN.max_propagation_s, "plan: in force"),
         assign("copies that move", "join.moves", ""),
         assign("a zone is lost: processor time", "zone.cpu", "s")
-            .within(PLAN.in_force, "plan: in force"),
+            .budget(PLAN.max_propagation_s, "plan: in force"),
         assign("copies that it served", "zone.lost", ""),
         assign("copies that move", "zone.moves", ""),
         assign(
@@ -64,69 +66,86 @@
             "",
         ),
         assign("copies that move", "places.moves", ""),
-        holder(
+        replica(
             "memory of a sender's copy of its part, three times the destinations",
             "resident",
-            thrice,
+            destinations_of_three,
             "B",
         )
-        .alone()
-        .within(MEMORY.0, MEMORY.1),
-        holder(
+        .per_unit_only()
+        .budget(CONTROL_MEMORY_BUDGET.0, CONTROL_MEMORY_BUDGET.1),
+        replica(
             "memory of a session proxy's copy of all, beside the changes that it keeps",
             "resident",
             destinations,
             "B",
         )
-        .by(all.0, all.1),
-        holder("processor time to read all", "cpu", destinations, "s")
-            .within(READY.0, READY.1)
-            .by(all.0, all.1),
-        holder("bytes of a change", "change.wire", thrice, "B"),
-        holder(
+        .grows_with(all.0, all.1),
+        replica("processor time to read all", "cpu", destinations, "s")
+            .budget(START_BUDGET.0, START_BUDGET.1)
+            .grows_with(all.0, all.1),
+        replica(
+            "bytes of a change",
+            "change.wire",
+            destinations_of_three,
+            "B",
+        ),
+        replica(
             "bytes a second of a sender's changes",
             "change.wire",
-            thrice,
+            destinations_of_three,
             "B/s",
         )
-        .times(change_share)
-        .within(BYTES.0, BYTES.1),
-        holder(
+        .times(changes_per_sender)
+        .budget(CONTROL_BYTES_BUDGET.0, CONTROL_BYTES_BUDGET.1),
+        replica(
             "bytes a second of a sender's questions, four in 17 s",
             "check.wire",
-            thrice,
+            destinations_of_three,
             "B/s",
         )
-        .times(|_| 4.0 / PLAN.in_force)
-        .within(BYTES.0, BYTES.1),
+        .times(|_| 4.0 / PLAN.max_propagation_s)
+        .budget(CONTROL_BYTES_BUDGET.0, CONTROL_BYTES_BUDGET.1),
         missed(
             "bytes of a sender's part, from nothing",
             "shard-map.sender",
             "first.wire",
             "B",
         )
-        .within(PLAN.control_bytes * PLAN.in_force, "plan: 17 s at 6 KB/s"),
+        .budget(
+            PLAN.control_bytes_per_s * PLAN.max_propagation_s,
+            "plan: 17 s at 6 KB/s",
+        ),
         missed(
             "the same, of the fullest of 200",
             "shard-map.sender",
             "first.most",
             "B",
         )
-        .within(PLAN.control_bytes * PLAN.in_force, "plan: 17 s at 6 KB/s"),
+        .budget(
+            PLAN.control_bytes_per_s * PLAN.max_propagation_s,
+            "plan: 17 s at 6 KB/s",
+        ),
         missed(
             "2,000 changes missed: bytes of a sender, both ways",
             "shard-map.sender",
             "missed.wire",
             "B",
         )
-        .within(PLAN.control_bytes * PLAN.in_force, "plan: 17 s at 6 KB/s"),
+        .budget(
+            PLAN.control_bytes_per_s * PLAN.max_propagation_s,
+            "plan: 17 s at 6 KB/s",
+        ),
         missed(
             "the same, of the one with most of 200",
             "shard-map.sender",
             "missed.most",
             "B",
         )
-        .within(PLAN.control_bytes * PLAN.in_force, "plan: 17 s at 6 KB/s"),
+        .budget(
+            PLAN.control_bytes_per_s * PLAN.max_propagation_s,
+            "plan: 17 s at 6 KB/s",
+        ),
         missed(
             "the same of a session proxy that holds all, both ways",
             "shard-map.session-proxy",
@@ -151,19 +170,19 @@
             "missed.cpu",
             "s",
         )
-        .within(PLAN.in_force, "plan: in force"),
+        .budget(PLAN.max_propagation_s, "plan: in force"),
     ]
 }
 
-/// Changes that a region misses in its hour alone.
-const MISSED: f64 = 2_000.0;
+/// Number of changes that a region misses during a partition of one hour.
+const MISSED_CHANGES: f64 = 2_000.0;
 
-/// Destinations of a sender, if each is served by three.
-fn thrice(_: f64) -> f64 {
-    3.0 * PLAN.served()
+/// Returns the destinations of one sender if each destination is served by three senders.
+fn destinations_of_three(_: f64) -> f64 {
+    3.0 * PLAN.destinations_per_sender()
 }
 
-/// Changes a second that one of the plan's senders hears, if each goes to three.
-fn change_share(share: f64) -> f64 {
-    changes(share) * 3.0 / senders(share)
+/// Returns the changes per second that one sender receives if each change goes to three senders.
+fn changes_per_sender(share: f64) -> f64 {
+    changes_per_s(share) * 3.0 / senders(share)
 }
--- a/crates/scale/src/page/kept.rs
+++ b/crates/scale/src/page/stored.rs
@@ -1,23 +1,23 @@
-//! The rows of the tables of what a sender keeps and tells: journal, store, figures.
+//! Rows of the tables of the journal, the dead-letter store and the metrics of a sender.
 
 use super::data::Data;
 use super::plan::PLAN;
-use super::roles::{READY, destinations, held, senders};
+use super::roles::{START_BUDGET, destinations, pending, senders};
 use super::rows::Row;
 
-/// Journal and backlog; its shares are those of the messages that one sender holds.
+/// Returns the rows of the journal. The shares of the plan are shares of the messages pending in one sender.
 pub(super) fn journal(data: &Data) -> Vec<Row> {
-    let one = ("messages held by one sender", PLAN.held());
+    let one = ("messages held by one sender", PLAN.pending_per_sender());
     let axis = "messages held";
-    let mut rows = vec![Row::plan("messages held by one sender", held, "")];
+    let mut rows = vec![Row::plan("messages held by one sender", pending, "")];
     if let Some(most) = data
         .find("limits.held", "most", "bound")
         .and_then(|slope| slope.points.first())
     {
         rows.push(
-            Row::plan("messages that a sidecar may be told to hold", held, "")
-                .within(most.value, "`limits.held`, measured")
-                .by(one.0, one.1),
+            Row::plan("messages that a sidecar may be told to hold", pending, "")
+                .budget(most.value, "`limits.held`, measured")
+                .grows_with(one.0, one.1),
         );
     }
     rows.extend([
@@ -25,132 +25,138 @@
             data,
             "journal on disk, bodies of 256 B",
             ("journal", "disk", axis),
-            held,
+            pending,
             "B",
         ),
         Row::slope(
             data,
             "memory of the journal",
             ("journal", "resident", axis),
-            held,
+            pending,
             "B",
         ),
         Row::slope(
             data,
             "processor time to write them down",
             ("journal", "cpu", axis),
-            held,
+            pending,
             "s",
         ),
         Row::slope(
             data,
             "memory of the whole sender behind a start",
             ("restart", "resident", axis),
-            held,
+            pending,
             "B",
         ),
         Row::slope(
             data,
             "most memory in a start",
             ("restart", "peak", axis),
-            held,
+            pending,
             "B",
         ),
         Row::slope(
             data,
             "start to ready, time on the wall",
             ("restart", "ready", axis),
-            held,
+            pending,
             "s",
         )
-        .within(READY.0, READY.1)
-        .by(one.0, one.1),
+        .budget(START_BUDGET.0, START_BUDGET.1)
+        .grows_with(one.0, one.1),
         Row::slope(
             data,
             "start to ready, processor time",
             ("restart", "cpu", axis),
-            held,
+            pending,
             "s",
         )
-        .within(READY.0, READY.1)
-        .by(one.0, one.1),
+        .budget(START_BUDGET.0, START_BUDGET.1)
+        .grows_with(one.0, one.1),
         Row::slope(
             data,
             "of it: the journal is read and written anew",
             ("journal.open", "cpu", axis),
-            held,
+            pending,
             "s",
         ),
         Row::slope(
             data,
             "of it: the engine takes them back",
             ("journal.open", "resume.cpu", axis),
-            held,
+            pending,
             "s",
         ),
         Row::slope(
             data,
             "cores in the three seconds behind it",
             ("restart", "beside", axis),
-            held,
+            pending,
             "core",
         ),
         Row::slope(
             data,
             "the sender stands still while the journal is written anew",
             ("journal.compact", "stall", axis),
-            held,
+            pending,
             "s",
         ),
         Row::plan(
             "hours of all events for destinations that are down",
-            |share| PLAN.backlog * share / (PLAN.events * PLAN.down),
+            |share| PLAN.pending_events * share / (PLAN.events_per_s * PLAN.down_share),
             "s",
         ),
     ]);
     rows
 }
 
-/// The store of what could not be delivered.
+/// Returns the rows of the dead-letter store.
 pub(super) fn dead_letters(data: &Data) -> Vec<Row> {
     let axis = "messages kept";
     vec![
-        Row::plan("messages kept, if all that is held ends there", held, ""),
+        Row::plan("messages kept, if all that is held ends there", pending, ""),
         Row::slope(
             data,
             "file, bodies of 256 B",
             ("dead-letter", "disk", axis),
-            held,
+            pending,
+            "B",
+        ),
+        Row::slope(
+            data,
+            "memory",
+            ("dead-letter", "resident", axis),
+            pending,
             "B",
         ),
-        Row::slope(data, "memory", ("dead-letter", "resident", axis), held, "B"),
         Row::slope(
             data,
             "processor time to keep them, 64 a transaction",
             ("dead-letter", "cpu", axis),
-            held,
+            pending,
             "s",
         ),
         Row::slope(
             data,
             "processor time to open it, before ready",
             ("dead-letter", "open.cpu", axis),
-            held,
+            pending,
             "s",
         )
-        .within(READY.0, READY.1)
-        .by("messages kept by one sender", PLAN.held()),
+        .budget(START_BUDGET.0, START_BUDGET.1)
+        .grows_with("messages kept by one sender", PLAN.pending_per_sender()),
         Row::slope(
             data,
             "processor time to check it, on its thread",
             ("dead-letter", "check.cpu", axis),
-            held,
+            pending,
             "s",
         ),
     ]
 }
 
-/// What a sender tells of itself.
+/// Returns the rows of the metrics of a sender.
 pub(super) fn figures(data: &Data) -> Vec<Row> {
     vec![
         Row::slope(
@@ -189,7 +195,9 @@
             "B",
         )
         .times(senders),
-        Row::nobody("figures by destination"),
-        Row::nobody("figures of the fleet as a whole, beside `milletturn access-log` over logs"),
+        Row::no_mechanism("figures by destination"),
+        Row::no_mechanism(
+            "figures of the fleet as a whole, beside `milletturn access-log` over logs",
+        ),
     ]
 }
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -95,7 +95,7 @@
         kinds: vec!["one".into()],
         clock: Clock::new(i64::try_from(wall).unwrap_or(0)),
         cached_endpoints,
-        journal: journal,
+        journal,
         archive: None,
         first_message_number: 1,
         transport: Box::new(calls),
--- a/crates/scale/tests/page.rs
+++ b/crates/scale/tests/page.rs
@@ -1,7 +1,7 @@
 //! docs/CAPACITY.md says what docs/capacity has, and nothing else.
 
 use milletturn_scale::figures::{Line, read, write};
-use milletturn_scale::page::{check, made};
+use milletturn_scale::page::{check, render_page};
 use std::path::{Path, PathBuf};
 
 fn docs() -> PathBuf {
@@ -74,7 +74,7 @@
     write(&file, &lines).expect("written");
     let again = read(&file).expect("read again");
     assert_eq!(again.len(), sound.len());
-    made("<!-- made: breaks -->\n<!-- end -->\n", folder.path()).expect("it is left out");
+    render_page("<!-- made: breaks -->\n<!-- end -->\n", folder.path()).expect("it is left out");
 
     let by_hand = folder.path().join("page.md");
     let text = std::fs::read_to_string(&page).expect("the page");
@@ -90,16 +90,17 @@
         "<!-- made: plan -->\n",
         "<!-- made: nonsense -->\n<!-- end -->\n",
     ] {
-        made(text, &figures).expect_err(text);
+        render_page(text, &figures).expect_err(text);
     }
-    let made = made(
+    let rendered = render_page(
         "before\n<!-- made: plan -->\nold\n<!-- end -->\nbehind\n",
         &figures,
     )
     .expect("sound");
     assert!(
-        made.starts_with("before\n<!-- made: plan -->\n| the size |") && !made.contains("old"),
-        "{made}"
+        rendered.starts_with("before\n<!-- made: plan -->\n| the size |")
+            && !rendered.contains("old"),
+        "{rendered}"
     );
-    assert!(made.ends_with("<!-- end -->\nbehind\n"), "{made}");
+    assert!(rendered.ends_with("<!-- end -->\nbehind\n"), "{rendered}");
 }
