--- a/crates/scale/tests/counts.rs
+++ b/crates/scale/tests/counts.rs
@@ -1,5 +1,5 @@
-//! What the scale run counts is what happened: a list that lacks something, has something twice, or comes out of
-//! order is found; a line through points is the line that they lie on.
+//! Tests the counting of the scale run: missing, duplicate and reordered endpoint updates are counted, and a fit through
+//! points on a line recovers that line.
 
 use milletturn_engine::{EndpointListUpdate, ListedEndpoint};
 use milletturn_policy::EndpointStatus;
@@ -7,14 +7,14 @@
 use milletturn_scale::fleet::tally::{Mark, Report, Tally, sum_of};
 use milletturn_scale::fleet::times::Spread;
 
-const BEGUN: u64 = 1_000_000;
+const SENDER_START_US: u64 = 1_000_000;
 
-fn list(
+fn update(
     version: u64,
     full: bool,
     destinations: impl IntoIterator<Item = u64>,
 ) -> EndpointListUpdate {
-    let target = |destination: u64| ListedEndpoint {
+    let endpoint = |destination: u64| ListedEndpoint {
         uid: format!("s-{destination}"),
         address: "127.0.0.1:9".parse().expect("an address"),
         zone: String::new(),
@@ -26,15 +26,15 @@
     EndpointListUpdate {
         version,
         full,
-        endpoints: destinations.into_iter().map(target).collect(),
+        endpoints: destinations.into_iter().map(endpoint).collect(),
     }
 }
 
-/// What a sender reports that heard a first list of ten and then these, where twelve had been published, the last at
-/// version 2,000,020.
-fn heard(updates: &[EndpointListUpdate]) -> Report {
-    let mut tally = Tally::new(0, BEGUN, 10);
-    tally.listed(BEGUN + 5, &list(1, true, 0..10), None);
+/// Returns the report of a sender that received a first list of ten destinations and then the given updates, after twelve
+/// destinations had been published, the last at version 2,000,020.
+fn report_after(updates: &[EndpointListUpdate]) -> Report {
+    let mut tally = Tally::new(0, SENDER_START_US, 10);
+    tally.listed(SENDER_START_US + 5, &update(1, true, 0..10), None);
     updates
         .iter()
         .for_each(|update| tally.listed(2_000_050, update, None));
@@ -43,95 +43,104 @@
     report
 }
 
-fn astray(report: &Report) -> (u64, u64, u64) {
+fn fault_counts(report: &Report) -> (u64, u64, u64) {
     (report.lost, report.doubled, report.wrong_order)
 }
 
 #[test]
-fn a_sender_that_heard_all_lacks_nothing() {
-    let report = heard(&[list(2_000_010, false, [10]), list(2_000_020, false, [11])]);
-    assert_eq!(astray(&report), (0, 0, 0));
+fn a_sender_that_received_all_changes_has_no_faults() {
+    let report = report_after(&[
+        update(2_000_010, false, [10]),
+        update(2_000_020, false, [11]),
+    ]);
+    assert_eq!(fault_counts(&report), (0, 0, 0));
     assert_eq!((report.lines, report.senders), (3, 1));
     assert_eq!(report.in_force.values().sum::<u64>(), 2);
     assert_eq!(
         report.begun.keys().next(),
         Some(&5),
-        "the first list was whole after 5 us"
+        "the first list was complete after 5 us"
     );
-    // both at once, as after a cut
+    // both changes arrive in one update, as after a lost connection
     assert_eq!(
-        astray(&heard(&[list(2_000_020, false, [10, 11])])),
+        fault_counts(&report_after(&[update(2_000_020, false, [10, 11])])),
         (0, 0, 0)
     );
-    // and the whole list anew
+    // the second change arrives as a full list
     assert_eq!(
-        astray(&heard(&[
-            list(2_000_010, false, [10]),
-            list(2_000_020, true, 0..12)
+        fault_counts(&report_after(&[
+            update(2_000_010, false, [10]),
+            update(2_000_020, true, 0..12)
         ])),
         (0, 0, 0)
     );
 }
 
 #[test]
-fn what_went_astray_is_counted() {
+fn lost_duplicate_and_reordered_changes_are_counted() {
     assert_eq!(
-        astray(&heard(&[list(2_000_010, false, [10])])),
+        fault_counts(&report_after(&[update(2_000_010, false, [10])])),
         (1, 0, 0),
-        "the last one is missing"
+        "the last change is missing"
     );
     assert_eq!(
-        astray(&heard(&[list(2_000_020, false, [11])])),
+        fault_counts(&report_after(&[update(2_000_020, false, [11])])),
         (1, 0, 0),
-        "one before it is missing"
+        "the change before the last is missing"
     );
     let twice = [
-        list(2_000_010, false, [10]),
-        list(2_000_010, false, [10]),
-        list(2_000_020, false, [11]),
+        update(2_000_010, false, [10]),
+        update(2_000_010, false, [10]),
+        update(2_000_020, false, [11]),
     ];
     assert_eq!(
-        heard(&twice).doubled,
+        report_after(&twice).doubled,
         2,
-        "a version and a destination, twice"
+        "one version and one destination arrived twice"
     );
-    let overtaken = [list(2_000_020, false, [11]), list(2_000_010, false, [10])];
-    assert_eq!(astray(&heard(&overtaken)), (0, 0, 1));
-    let other = [list(2_000_010, false, [10]), list(2_000_020, false, [12])];
+    let out_of_order = [
+        update(2_000_020, false, [11]),
+        update(2_000_010, false, [10]),
+    ];
+    assert_eq!(fault_counts(&report_after(&out_of_order)), (0, 0, 1));
+    let other = [
+        update(2_000_010, false, [10]),
+        update(2_000_020, false, [12]),
+    ];
     assert_eq!(
-        heard(&other).lost,
+        report_after(&other).lost,
         1,
-        "as many as there should be, and not the same ones"
+        "the number of destinations is right, but one of them is not a published one"
     );
 }
 
 #[test]
-fn a_mark_counts_once_for_each_sender_and_from_its_own_beginning() {
+fn a_mark_counts_once_per_sender_and_not_before_the_sender_started() {
     let mark = Some(Mark {
         version: 2_000_010,
         from: 900_000,
     });
-    let mut tally = Tally::new(0, BEGUN, 1);
-    tally.listed(1_500_000, &list(1, true, [0]), mark);
-    tally.listed(2_000_500, &list(2_000_010, false, [1]), mark);
-    tally.listed(2_000_900, &list(2_000_020, false, [2]), mark);
+    let mut tally = Tally::new(0, SENDER_START_US, 1);
+    tally.listed(1_500_000, &update(1, true, [0]), mark);
+    tally.listed(2_000_500, &update(2_000_010, false, [1]), mark);
+    tally.listed(2_000_900, &update(2_000_020, false, [2]), mark);
     let mut report = Report::default();
     tally.report(2_000_020, 3, sum_of(3), &mut report);
     let spread = Spread::of(&report.marked);
     assert_eq!(spread.count, 1);
-    // counted from the sender's beginning, told to 1 part in 256 and three digits
+    // counted from the start of the sender (1,000,000 us), with a resolution of 1/256 and three digits
     assert!((spread.worst_s - 1.0005).abs() < 0.005, "{spread:?}");
-    // one that knew the version before the mark was set has not waited for it
-    let mut knew = Tally::new(0, BEGUN, 1);
-    knew.listed(2_000_500, &list(2_000_010, true, [0]), None);
-    knew.listed(2_000_900, &list(2_000_020, false, [1]), mark);
+    // a sender that had received the version before the mark was set did not wait for it
+    let mut already_current = Tally::new(0, SENDER_START_US, 1);
+    already_current.listed(2_000_500, &update(2_000_010, true, [0]), None);
+    already_current.listed(2_000_900, &update(2_000_020, false, [1]), mark);
     let mut report = Report::default();
-    knew.report(2_000_020, 2, sum_of(2), &mut report);
+    already_current.report(2_000_020, 2, sum_of(2), &mut report);
     assert!(report.marked.is_empty(), "{report:?}");
 }
 
 #[test]
-fn a_line_is_found_again_with_the_form_that_made_it() {
+fn a_fit_recovers_the_form_and_slope_of_exact_points() {
     let sizes = [31.0, 62.0, 125.0, 250.0, 500.0, 1000.0];
     for form in Form::ALL {
         let points: Vec<(f64, f64)> = sizes
@@ -145,8 +154,8 @@
             "{found:?}"
         );
     }
-    let off: Vec<(f64, f64)> = vec![(1.0, 1.0), (2.0, 2.0), (3.0, 6.0)];
-    let line = fit(Form::Linear, &off).expect("three sizes");
+    let off_line: Vec<(f64, f64)> = vec![(1.0, 1.0), (2.0, 2.0), (3.0, 6.0)];
+    let line = fit(Form::Linear, &off_line).expect("three sizes");
     assert!(
         (line.slope - 2.5).abs() < 1e-9 && (line.constant + 2.0).abs() < 1e-9,
         "{line:?}"
@@ -157,6 +166,6 @@
     );
     assert!(
         fit(Form::Linear, &[(1.0, 1.0), (1.0, 2.0)]).is_none(),
-        "one size is no line"
+        "a single size does not determine a line"
     );
 }
--- a/crates/scale/tests/page.rs
+++ b/crates/scale/tests/page.rs
@@ -1,4 +1,4 @@
-//! docs/CAPACITY.md says what docs/capacity has, and nothing else.
+//! Tests that the generated tables of docs/CAPACITY.md match the records in docs/capacity.
 
 use milletturn_scale::figures::{Line, read, write};
 use milletturn_scale::page::{check, render_page};
@@ -8,29 +8,30 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs")
 }
 
-fn copied(to: &Path) {
-    for entry in std::fs::read_dir(docs().join("capacity")).expect("the folder of figures") {
-        let path = entry.expect("an entry").path();
-        std::fs::copy(&path, to.join(path.file_name().expect("a name"))).expect("copied");
+fn copy_records(to: &Path) {
+    for entry in std::fs::read_dir(docs().join("capacity")).expect("read docs/capacity") {
+        let path = entry.expect("read a folder entry").path();
+        std::fs::copy(&path, to.join(path.file_name().expect("a file name")))
+            .expect("copy a record file");
     }
 }
 
 #[test]
-fn the_page_says_what_its_figures_say() {
+fn the_page_matches_its_records() {
     if let Err(error) = check(&docs().join("CAPACITY.md"), &docs().join("capacity")) {
-        panic!("{error}\nmake it anew: cargo run --release -p milletturn-scale -- page");
+        panic!("{error}\nregenerate the page: cargo run --release -p milletturn-scale -- page");
     }
 }
 
 #[test]
-fn a_figure_that_changes_is_found_and_so_is_a_table_changed_by_hand() {
-    // guards against a check that compares nothing
-    let folder = tempfile::tempdir().expect("a folder");
-    copied(folder.path());
+fn a_changed_record_or_a_hand_edited_table_fails_the_check() {
+    // a check that compared nothing would pass on every page
+    let folder = tempfile::tempdir().expect("create a temporary folder");
+    copy_records(folder.path());
     let page = docs().join("CAPACITY.md");
-    check(&page, folder.path()).expect("a copy is the same");
+    check(&page, folder.path()).expect("copied records generate the same page");
     let file = folder.path().join("roles.jsonl");
-    let sound = read(&file).expect("figures");
+    let original = read(&file).expect("read the records");
     let changes: [fn(&mut Line) -> bool; 3] = [
         |line| match line {
             Line::Head(head) => {
@@ -55,36 +56,39 @@
         },
     ];
     for (number, change) in changes.into_iter().enumerate() {
-        let mut lines = sound.clone();
+        let mut lines = original.clone();
         assert!(
             lines.iter_mut().any(change),
-            "there is a line to change: {number}"
+            "change {number} found no record to change"
         );
-        write(&file, &lines).expect("written");
-        check(&page, folder.path()).expect_err("another figure makes another page");
+        write(&file, &lines).expect("write the file");
+        check(&page, folder.path()).expect_err("a changed record generates another page");
     }
 
-    // a figure that never came stands as null in a file, and in no table
-    let mut lines = sound.clone();
+    // a value that is not a number is stored as null, and left out of the tables
+    let mut lines = original.clone();
     let last = lines.iter_mut().rev().find_map(|line| match line {
         Line::Point(point) => Some(point),
         _ => None,
     });
-    last.expect("a point").value = f64::NAN;
-    write(&file, &lines).expect("written");
-    let again = read(&file).expect("read again");
-    assert_eq!(again.len(), sound.len());
-    render_page("<!-- made: breaks -->\n<!-- end -->\n", folder.path()).expect("it is left out");
+    last.expect("a point record").value = f64::NAN;
+    write(&file, &lines).expect("write the file");
+    let again = read(&file).expect("read the records again");
+    assert_eq!(again.len(), original.len());
+    render_page("<!-- made: breaks -->\n<!-- end -->\n", folder.path())
+        .expect("the value without a number is left out");
 
-    let by_hand = folder.path().join("page.md");
-    let text = std::fs::read_to_string(&page).expect("the page");
+    let edited_page = folder.path().join("page.md");
+    let text = std::fs::read_to_string(&page).expect("read the page");
     let at = text.find("| **").expect("a measured figure") + "| **".len();
-    std::fs::write(&by_hand, format!("{}9{}", &text[..at], &text[at..])).expect("written");
-    check(&by_hand, &docs().join("capacity")).expect_err("a figure typed by hand");
+    std::fs::write(&edited_page, format!("{}9{}", &text[..at], &text[at..]))
+        .expect("write the file");
+    check(&edited_page, &docs().join("capacity"))
+        .expect_err("a table edited by hand differs from the records");
 }
 
 #[test]
-fn a_mark_without_end_or_of_no_known_name_is_an_error() {
+fn a_section_marker_without_end_or_with_an_unknown_name_is_an_error() {
     let figures = docs().join("capacity");
     for text in [
         "<!-- made: plan -->\n",
@@ -96,7 +100,7 @@
         "before\n<!-- made: plan -->\nold\n<!-- end -->\nbehind\n",
         &figures,
     )
-    .expect("sound");
+    .expect("a valid section");
     assert!(
         rendered.starts_with("before\n<!-- made: plan -->\n| the size |")
             && !rendered.contains("old"),
--- a/crates/scale/tests/small.rs
+++ b/crates/scale/tests/small.rs
@@ -1,10 +1,11 @@
-//! The scale run in its small form: what is counted, and never how long anything takes.
+//! Runs the scale run with few senders and checks what it counts. Durations are not checked, so that a slow machine does
+//! not fail the test.
 
 use milletturn_scale::fleet::small;
 use std::path::Path;
 
-const HOLLOW: u64 = 200;
-const REAL: u64 = 5;
+const HOLLOW_SENDERS: u64 = 200;
+const REAL_SENDERS: u64 = 5;
 
 #[test]
 fn two_hundred_hollow_senders_and_five_real_ones_lose_nothing() {
@@ -14,24 +15,38 @@
         program.is_file(),
         "build the whole workspace first: cargo build --workspace"
     );
-    let seen = small(&program, scale, HOLLOW, REAL).expect("it runs");
-    println!("{seen:?}");
-    assert_eq!(seen.senders, HOLLOW);
-    assert!(seen.published >= 100, "{seen:?}");
+    let counts = small(&program, scale, HOLLOW_SENDERS, REAL_SENDERS).expect("the small scale run");
+    println!("{counts:?}");
+    assert_eq!(counts.senders, HOLLOW_SENDERS);
+    assert!(counts.published >= 100, "{counts:?}");
     assert_eq!(
-        (seen.lost, seen.doubled, seen.wrong_order),
+        (counts.lost, counts.doubled, counts.wrong_order),
         (0, 0, 0),
-        "{seen:?}"
+        "{counts:?}"
+    );
+    // a sender receives each change in a separate update, or several in one where the machine is slow
+    assert!(
+        counts.heard <= counts.published * HOLLOW_SENDERS,
+        "{counts:?}"
+    );
+    assert_eq!(
+        counts.watches,
+        HOLLOW_SENDERS + REAL_SENDERS,
+        "each sender opens one watch, once: {counts:?}"
     );
-    // each hears of each change by itself, or several together where the machine is slow
-    assert!(seen.heard <= seen.published * HOLLOW, "{seen:?}");
     assert_eq!(
-        seen.watches,
-        HOLLOW + REAL,
-        "one watch each, opened once: {seen:?}"
+        (counts.joined, counts.left),
+        (HOLLOW_SENDERS, 0),
+        "{counts:?}"
+    );
+    assert_eq!(
+        counts.book,
+        HOLLOW_SENDERS + REAL_SENDERS,
+        "each sender has one session: {counts:?}"
+    );
+    assert!(
+        counts.taken > 0 && counts.delivered >= counts.taken,
+        "{counts:?}"
     );
-    assert_eq!((seen.joined, seen.left), (HOLLOW, 0), "{seen:?}");
-    assert_eq!(seen.book, HOLLOW + REAL, "one session each: {seen:?}");
-    assert!(seen.taken > 0 && seen.delivered >= seen.taken, "{seen:?}");
-    assert!(seen.requests > 0, "{seen:?}");
+    assert!(counts.requests > 0, "{counts:?}");
 }
