--- a/crates/scale/src/page/data.rs
+++ b/crates/scale/src/page/data.rs
@@ -30,8 +30,8 @@
 const SIZE_TOLERANCE: f64 = 0.03;
 
 impl Slope {
-    /// Returns the value at a size: the mean of the points measured there, else an interpolation between the two nearest
-    /// sizes, else the value of the fitted line.
+    /// Returns the value at a size: the mean of the points measured there, else an interpolation between the measured
+    /// sizes below and above, else the value of the fitted line.
     pub(super) fn at(&self, size: f64) -> Option<Value> {
         let measured = self
             .points
@@ -83,14 +83,16 @@
             .collect()
     }
 
-    /// Returns the value of the fitted line, or zero where the line is negative. A falling line gives the mean of all points.
+    /// Returns the value of the fitted line, or zero where the line is negative. A falling line gives the mean of all
+    /// points.
     fn line_value(&self, size: f64) -> Option<f64> {
         let fit = self.fit.as_ref()?;
         let form = Form::ALL.into_iter().find(|form| form.name() == fit.form)?;
         let [constant, slope] = fit.coefficients[..] else {
             return None;
         };
-        // a negative slope is taken as noise of a loaded machine on a constant quantity: extrapolated, it would go below zero
+        // a negative slope is taken as noise of a loaded machine on a constant quantity: extrapolated, it would go
+        // below zero
         if slope < 0.0 {
             return Some(
                 self.points.iter().map(|point| point.value).sum::<f64>() / self.points.len() as f64,
@@ -114,8 +116,8 @@
     }
 }
 
-/// Returns the role of a point, with the kind of sender appended unless the point was measured with hollow senders, which
-/// the slopes are based on. Other kinds at the same size are kept apart.
+/// Returns the role of a point, with the kind of sender appended unless the point was measured with hollow senders,
+/// which the slopes are based on. Other kinds at the same size are kept apart.
 fn role_of(point: &Point) -> String {
     match point.other.get("kind").and_then(|kind| kind.as_str()) {
         None | Some("hollow") => point.role.clone(),
@@ -135,8 +137,8 @@
     ("account", "access-log"),
 ];
 
-/// Returns a label with its older words replaced by the current terms. Record files are not rewritten after a rename, so
-/// that the page has to read old and new labels.
+/// Returns a label with its older words replaced by the current terms. Record files are not rewritten after a rename,
+/// so that the page has to read old and new labels.
 fn current_label(label: &str) -> String {
     let is_word_char = |character: char| character.is_alphanumeric();
     let mut out = String::new();
--- a/crates/scale/src/page/estimates.rs
+++ b/crates/scale/src/page/estimates.rs
@@ -17,11 +17,11 @@
         }
     };
     let per_unit = |role: &str, quantity: &str, axis: &str, unit: &str| {
-        let each = data
+        let slope = data
             .find(role, quantity, axis)
             .and_then(super::data::Slope::slope_per_unit);
-        each.map_or("not run yet".to_string(), |each| {
-            format!("*{}*", amount(each, unit))
+        slope.map_or("not run yet".to_string(), |slope| {
+            format!("*{}*", amount(slope, unit))
         })
     };
     let transfer_time = |role: &str| {
--- a/crates/scale/src/page/mod.rs
+++ b/crates/scale/src/page/mod.rs
@@ -1,6 +1,7 @@
 //! `milletturn-scale page`: generates the tables of docs/CAPACITY.md from the records in docs/capacity.
 //!
-//! Only the text between `<!-- made: NAME -->` and `<!-- end -->` is generated. The rest of the page is written by hand.
+//! Only the text between `<!-- made: NAME -->` and `<!-- end -->` is generated. The rest of the page is written by
+//! hand.
 
 mod data;
 mod estimates;
@@ -38,13 +39,14 @@
 /// # Errors
 /// The page or the records cannot be read, or the page cannot be written; with `--check`, the page differs from the
 /// records.
-pub fn run(words: &Words) -> Result<(), Error> {
-    if words.check {
-        return check(&words.page, &words.figures);
+pub fn run(arguments: &Words) -> Result<(), Error> {
+    if arguments.check {
+        return check(&arguments.page, &arguments.figures);
     }
-    let text = read(&words.page)?;
-    let rendered = render_page(&text, &words.figures)?;
-    std::fs::write(&words.page, rendered).map_err(Error::io(words.page.display().to_string()))
+    let text = read(&arguments.page)?;
+    let rendered = render_page(&text, &arguments.figures)?;
+    std::fs::write(&arguments.page, rendered)
+        .map_err(Error::io(arguments.page.display().to_string()))
 }
 
 /// Compares the page with the text generated from its records.
--- a/crates/scale/src/page/plan.rs
+++ b/crates/scale/src/page/plan.rs
@@ -1,4 +1,5 @@
-//! The design size: the users' plan for the next two years, and the figures per sender, zone and region derived from it.
+//! The design size: the users' plan for the next two years, and the figures per sender, zone and region derived from
+//! it.
 
 /// Figures of the plan. None of them is measured.
 #[derive(Debug, Clone, Copy)]
--- a/crates/scale/src/page/rows.rs
+++ b/crates/scale/src/page/rows.rs
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Creates a row of a measured quantity per sender that does not depend on the number of senders. Its value is the one
-    /// at the largest measured number.
+    /// Creates a row of a measured quantity per sender that does not depend on the number of senders. Its value is the
+    /// one at the largest measured number.
     pub(super) fn at_largest_size(
         data: &Data,
         what: &'static str,
@@ -187,9 +187,9 @@
         }
     }
 
-    /// Returns the largest share of the plan at which the value stays within its budget, using the fitted line beyond the
-    /// measured sizes. Returns `None` without a budget or a value, for a value that does not grow, and where the budget holds
-    /// for up to 10,000 times the plan.
+    /// Returns the largest share of the plan at which the value stays within its budget, using the fitted line beyond
+    /// the measured sizes. Returns `None` without a budget or a value, for a value that does not grow, and where the
+    /// budget holds for up to 10,000 times the plan.
     pub(super) fn max_share_within_budget(&self) -> Option<f64> {
         let (budget, _) = self.budget?;
         if let Source::Largest { .. } = self.source {
--- a/crates/scale/src/page/stored.rs
+++ b/crates/scale/src/page/stored.rs
@@ -10,13 +10,13 @@
     let one = ("messages held by one sender", PLAN.pending_per_sender());
     let axis = "messages held";
     let mut rows = vec![Row::plan("messages held by one sender", pending, "")];
-    if let Some(most) = data
+    if let Some(max_pending) = data
         .find("limits.held", "most", "bound")
         .and_then(|slope| slope.points.first())
     {
         rows.push(
             Row::plan("messages that a sidecar may be told to hold", pending, "")
-                .budget(most.value, "`limits.held`, measured")
+                .budget(max_pending.value, "`limits.held`, measured")
                 .grows_with(one.0, one.1),
         );
     }
--- a/crates/scale/src/roles/catalog.rs
+++ b/crates/scale/src/roles/catalog.rs
@@ -1,5 +1,5 @@
-//! Measures the state machines of the shard map at the planned size: the assignment of shards to senders, the memory of a
-//! replica, and the bytes of its requests and updates as JSON, without HTTP.
+//! Measures the state machines of the shard map at the planned size: the assignment of shards to senders, the memory of
+//! a replica, and the bytes of its requests and updates as JSON, without HTTP.
 
 use super::{MeasurementContext, point, probe};
 use crate::Error;
@@ -70,11 +70,11 @@
 }
 
 fn members(senders: u64) -> BTreeMap<Box<str>, Member> {
-    let one = |n: u64| {
+    let member = |n: u64| {
         let zone = format!("zone-{}", n % ZONES).into();
         (format!("sender-{n:05}").into(), Member { zone, weight: 1 })
     };
-    (0..senders).map(one).collect()
+    (0..senders).map(member).collect()
 }
 
 fn membership(senders: u64) -> Result<Membership, Error> {
@@ -89,10 +89,10 @@
     Ok(serde_json::to_vec(value).map_err(failure)?.len() as f64)
 }
 
-/// Measures the assignment of shards: its first computation, changes after the loss of senders or of a zone, and how evenly
-/// the shards are distributed.
+/// Measures the assignment of shards: its first computation, changes after the loss of senders or of a zone, and how
+/// evenly the shards are distributed.
 pub(super) fn assign(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
-    let ranges = ShardCount::default();
+    let shard_count = ShardCount::default();
     let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
             "catalog.assign",
@@ -105,31 +105,31 @@
     };
     let mut now = membership(context.size)?;
     let before = probe::resident()?;
-    let (cpu, mut assignment) = probe::cpu_in(|| Assignment::new(ranges, now.clone()));
+    let (cpu, mut assignment) = probe::cpu_in(|| Assignment::new(shard_count, now.clone()));
     let mut points = vec![
         new_point("cpu", "s", cpu),
         new_point("resident", "B", probe::resident()? - before),
     ];
 
     let loads = assignment.loads();
-    let most = loads.values().max().copied().unwrap_or(0) as f64;
+    let max_load = loads.values().max().copied().unwrap_or(0) as f64;
     let mean = loads.values().sum::<usize>() as f64 / loads.len().max(1) as f64;
     points.push(new_point("load.mean", "ranges", mean));
-    points.push(new_point("load.most", "ranges", most));
+    points.push(new_point("load.most", "ranges", max_load));
     points.push(new_point(
         "short",
         "copies",
         assignment.unassigned_replicas() as f64,
     ));
     // the number of destinations per sender is that of the plan
-    let mut in_range = vec![0u32; ShardCount::MAX as usize];
+    let mut destinations_in_shard = vec![0u32; ShardCount::MAX as usize];
     for destination in 0..context.size * DESTINATIONS / SENDERS {
-        in_range[usize::from(ranges.shard_of(destination).0)] += 1;
+        destinations_in_shard[usize::from(shard_count.shard_of(destination).0)] += 1;
     }
     let mut served: BTreeMap<&str, u32> = BTreeMap::new();
-    for range in ranges.shards() {
-        for name in assignment.senders_of(range) {
-            *served.entry(name).or_default() += in_range[usize::from(range.0)];
+    for shard in shard_count.shards() {
+        for name in assignment.senders_of(shard) {
+            *served.entry(name).or_default() += destinations_in_shard[usize::from(shard.0)];
         }
     }
     points.push(new_point(
@@ -180,7 +180,7 @@
 
     // a whole zone is lost
     all.retain(|_, member| &*member.zone != "zone-7");
-    let gone: BTreeSet<&Box<str>> = now
+    let lost_senders: BTreeSet<&Box<str>> = now
         .members()
         .keys()
         .filter(|name| !all.contains_key(*name))
@@ -188,7 +188,7 @@
     let lost: usize = assignment
         .loads()
         .iter()
-        .filter(|(name, _)| gone.contains(&Box::from(**name)))
+        .filter(|(name, _)| lost_senders.contains(&Box::from(**name)))
         .map(|(_, load)| load)
         .sum();
     let next = now
@@ -206,9 +206,9 @@
 
     // a fifth of the senders leaves at once, so that the number of shards per weight may grow: this also moves shards
     // between senders that stay
-    let few = (context.size * 4 / 5) as usize;
+    let remaining = (context.size * 4 / 5) as usize;
     let mut fewer = all.clone();
-    while fewer.len() > few {
+    while fewer.len() > remaining {
         fewer.pop_last();
     }
     let load = assignment.loads();
@@ -217,11 +217,11 @@
         .filter(|(name, _)| !fewer.contains_key(**name))
         .map(|(_, load)| load)
         .sum();
-    let places = next.shards_per_weight();
+    let shards_per_weight = next.shards_per_weight();
     let next = next
         .with_members(fewer, ShardCount::default())
         .map_err(failure)?;
-    let grown = next.shards_per_weight() > places;
+    let grown = next.shards_per_weight() > shards_per_weight;
     let moves = assignment.update(next);
     if grown {
         points.push(new_point("places.lost", "copies", lost as f64));
@@ -230,7 +230,8 @@
     Ok(points)
 }
 
-/// Syncs a replica until it has no further requests. Returns the number of requests, and the bytes of requests and updates.
+/// Syncs a replica until it has no further requests. Returns the number of requests, and the bytes of requests and
+/// updates.
 fn sync_until_current(
     replica: &mut ShardMapReplica,
     source: &ShardMapSource,
@@ -250,7 +251,7 @@
 }
 
 /// Measures the memory, CPU time and bytes of a replica of the given number of destinations.
-pub(super) fn held(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+pub(super) fn replica(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
             "catalog.holder",
@@ -261,38 +262,38 @@
             value,
         )
     };
-    let ranges = ShardCount::default();
+    let shard_count = ShardCount::default();
     // as many shards of the planned size as hold the given number of destinations
-    let count = (context.size * u64::from(ranges.count()))
+    let count = (context.size * u64::from(shard_count.count()))
         .div_ceil(DESTINATIONS)
-        .min(u64::from(ranges.count()));
-    let wanted = |range: ShardId| u64::from(range.0) < count;
-    let mut source = ShardMapSource::new(ranges, replica_limits(), LeaderTerm(1));
-    let mut mine = Vec::new();
+        .min(u64::from(shard_count.count()));
+    let wanted = |shard: ShardId| u64::from(shard.0) < count;
+    let mut source = ShardMapSource::new(shard_count, replica_limits(), LeaderTerm(1));
+    let mut kept_destinations = Vec::new();
     for number in 0..DESTINATIONS {
-        if wanted(ranges.shard_of(number)) {
+        if wanted(shard_count.shard_of(number)) {
             source.propose(put_change(number, 8_080)).map_err(failure)?;
-            mine.push(number);
+            kept_destinations.push(number);
         }
     }
     // updates are parsed from JSON, as they are when received from the network
     let mut text = Vec::new();
     let mut bytes = 0;
     let mut replica = ShardMapReplica::new(
-        ranges,
+        shard_count,
         Limits {
             history: 0,
             ..replica_limits()
         },
     );
-    replica.subscribe(ranges.shards().filter(|range| wanted(*range)));
+    replica.subscribe(shard_count.shards().filter(|shard| wanted(*shard)));
     let mut cpu = 0.0;
     let before = probe::resident()?;
-    for ask in replica.sync_requests() {
+    for request in replica.sync_requests() {
         // a session proxy first requests the whole span, a sender each of its shards
-        let asks = match ask {
+        let requests = match request {
             SyncRequest::Span { .. } => {
-                let versions: Vec<_> = ranges
+                let versions: Vec<_> = shard_count
                     .shards()
                     .map(|shard| milletturn_shard_map::ShardVersion {
                         shard,
@@ -303,15 +304,15 @@
                 versions
                     .chunks(512)
                     .map(|part| SyncRequest::Shards {
-                        shard_count: ranges,
+                        shard_count,
                         versions: part.to_vec(),
                     })
                     .collect()
             }
             each => vec![each],
         };
-        for ask in asks {
-            for update in source.respond(&ask).map_err(failure)? {
+        for request in requests {
+            for update in source.respond(&request).map_err(failure)? {
                 text.clear();
                 serde_json::to_writer(&mut text, &update).map_err(failure)?;
                 bytes += text.len();
@@ -328,7 +329,7 @@
     let mut change = (0.0, 0.0);
     const CHANGES: u64 = 200;
     for n in 0..CHANGES {
-        let number = mine[(n * 7_919 % mine.len() as u64) as usize];
+        let number = kept_destinations[(n * 7_919 % kept_destinations.len() as u64) as usize];
         let update = Update::Change(
             source
                 .propose(put_change(number, 9_000 + n as u16))
@@ -359,12 +360,15 @@
         new_point("change.cpu", "s", change.0),
         new_point("change.wire", "B", change.1),
     ];
-    let (cpu, asks) = probe::cpu_in(|| replica.sync_requests());
+    let (cpu, requests) = probe::cpu_in(|| replica.sync_requests());
     points.push(new_point("check.cpu", "s", cpu));
     points.push(new_point(
         "check.wire",
         "B",
-        asks.iter().map(json_bytes).sum::<Result<f64, Error>>()?,
+        requests
+            .iter()
+            .map(json_bytes)
+            .sum::<Result<f64, Error>>()?,
     ));
     Ok(points)
 }
@@ -376,16 +380,16 @@
     let new_point = |role: &str, quantity: &str, unit: &str, value: f64| {
         point(role, quantity, unit, "missed changes", context.size, value)
     };
-    let ranges = ShardCount::default();
+    let shard_count = ShardCount::default();
     let mut source = source_with_destinations(DESTINATIONS)?;
-    let assignment = Assignment::new(ranges, membership(SENDERS)?);
-    let mut relay = ShardMapReplica::new(ranges, replica_limits());
-    relay.subscribe(ranges.shards());
-    sync_until_current(&mut relay, &source)?;
+    let assignment = Assignment::new(shard_count, membership(SENDERS)?);
+    let mut session_proxy = ShardMapReplica::new(shard_count, replica_limits());
+    session_proxy.subscribe(shard_count.shards());
+    sync_until_current(&mut session_proxy, &source)?;
     let mut senders = Vec::new();
     for n in 0..SAMPLED_SENDERS {
         let mut sender = ShardMapReplica::new(
-            ranges,
+            shard_count,
             Limits {
                 history: 0,
                 ..replica_limits()
@@ -405,25 +409,30 @@
             source.propose(put_change(number, port)).map_err(failure)?,
         ))?;
     }
-    let (cpu, caught) = probe::cpu_in(|| sync_until_current(&mut relay, &source));
-    let (asked, bytes) = caught?;
+    let (cpu, synced) = probe::cpu_in(|| sync_until_current(&mut session_proxy, &source));
+    let (request_count, bytes) = synced?;
     let mut points = vec![
         new_point("catalog.relay", "missed.wire", "B", bytes),
         new_point("catalog.relay", "missed.changes", "B", changes),
-        new_point("catalog.relay", "missed.questions", "messages", asked),
+        new_point(
+            "catalog.relay",
+            "missed.questions",
+            "messages",
+            request_count,
+        ),
         new_point("catalog.relay", "missed.cpu", "s", cpu),
     ];
-    let (mut sum, mut most, mut first, mut first_most) = (0.0, 0.0f64, 0.0, 0.0f64);
+    let (mut sum, mut max_bytes, mut first, mut max_first) = (0.0, 0.0f64, 0.0, 0.0f64);
     for (sender, whole) in &mut senders {
         let (_, bytes) = sync_until_current(sender, &source)?;
         sum += bytes / SAMPLED_SENDERS as f64;
-        most = most.max(bytes);
+        max_bytes = max_bytes.max(bytes);
         first += *whole / SAMPLED_SENDERS as f64;
-        first_most = first_most.max(*whole);
+        max_first = max_first.max(*whole);
     }
     points.push(new_point("catalog.sender", "missed.wire", "B", sum));
-    points.push(new_point("catalog.sender", "missed.most", "B", most));
+    points.push(new_point("catalog.sender", "missed.most", "B", max_bytes));
     points.push(new_point("catalog.sender", "first.wire", "B", first));
-    points.push(new_point("catalog.sender", "first.most", "B", first_most));
+    points.push(new_point("catalog.sender", "first.most", "B", max_first));
     Ok(points)
 }
--- a/crates/scale/src/roles/journal.rs
+++ b/crates/scale/src/roles/journal.rs
@@ -1,5 +1,5 @@
-//! Measures pending messages in the journal: their memory and disk space, the time of a start with many of them, and how
-//! long a compaction of the journal blocks the sender.
+//! Measures pending messages in the journal: their memory and disk space, the time of a start with many of them, and
+//! how long a compaction of the journal blocks the sender.
 
 use super::list::{endpoint, endpoints_file, engine_status, limits_section, new_engine, run_local};
 use super::program::{Sender, SidecarConfig, journal_dir, temp_dir, unused_address};
@@ -152,9 +152,9 @@
             "s",
             started.elapsed().as_secs_f64(),
         ));
-        let (now, most) = probe::memory_of("self")?;
-        points.push(new_point("running", "B", now - resident));
-        points.push(new_point("peak", "B", most - resident));
+        let (memory, peak) = probe::memory_of("self")?;
+        points.push(new_point("running", "B", memory - resident));
+        points.push(new_point("peak", "B", peak - resident));
         Ok(points)
     })
 }
@@ -182,8 +182,8 @@
     Ok(points)
 }
 
-/// Measures the journal entry that triggers a compaction, during which the sender does nothing else. Entries are written
-/// until the file shrinks, and the one with the most CPU time is reported.
+/// Measures the journal entry that triggers a compaction, during which the sender does nothing else. Entries are
+/// written until the file shrinks, and the one with the most CPU time is reported.
 pub(super) fn compact(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
@@ -197,17 +197,18 @@
     };
     let dir = temp_dir()?;
     drop(journal_with_messages(dir.path(), context.size, BODY_BYTES)?);
-    let live = journal_file_bytes(dir.path())?;
-    let (mut journal, _) = FileJournal::open(dir.path(), (live * (2.0 + EXTRA_SPACE)) as u64, 0)
-        .map_err(journal_error)?;
-    let (mut most, mut wall, mut size) = (0.0f64, 0.0f64, journal_file_bytes(dir.path())?);
+    let live_bytes = journal_file_bytes(dir.path())?;
+    let (mut journal, _) =
+        FileJournal::open(dir.path(), (live_bytes * (2.0 + EXTRA_SPACE)) as u64, 0)
+            .map_err(journal_error)?;
+    let (mut max_cpu, mut wall, mut size) = (0.0f64, 0.0f64, journal_file_bytes(dir.path())?);
     for entry in 0u64.. {
         let started_at = Instant::now();
         let (cpu, written) =
             probe::cpu_in(|| journal.record_never_ran(1 + entry % context.size, 0));
         written.map_err(journal_error)?;
-        if cpu > most {
-            (most, wall) = (cpu, started_at.elapsed().as_secs_f64());
+        if cpu > max_cpu {
+            (max_cpu, wall) = (cpu, started_at.elapsed().as_secs_f64());
         }
         if entry % 256 == 0 {
             let now = journal_file_bytes(dir.path())?;
@@ -219,7 +220,7 @@
     }
     Ok(vec![
         new_point("stall", "s", wall),
-        new_point("cpu", "s", most),
+        new_point("cpu", "s", max_cpu),
     ])
 }
 
@@ -248,12 +249,12 @@
         list: &endpoints_file(DESTINATIONS, unused_address()),
     };
     let sender = Sender::start_sidecar(&context.program, dir.path(), &config)?;
-    let (cpu, (now, most)) = (sender.cpu()?, sender.memory()?);
+    let (cpu, (memory, peak)) = (sender.cpu()?, sender.memory()?);
     let mut points = vec![
         new_point("ready", "s", sender.ready),
         new_point("cpu", "s", cpu),
-        new_point("resident", "B", now),
-        new_point("peak", "B", most),
+        new_point("resident", "B", memory),
+        new_point("peak", "B", peak),
     ];
     std::thread::sleep(Duration::from_secs(3));
     points.push(new_point("beside", "core", (sender.cpu()? - cpu) / 3.0));
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -1,5 +1,5 @@
-//! Measures the cost of an endpoint list: in the engine with its real transport, in a sidecar with an endpoints file, and in
-//! a sender that watches discovery; and finds the largest list that each of the latter two accepts.
+//! Measures the cost of an endpoint list: in the engine with its real transport, in a sidecar with an endpoints file,
+//! and in a sender that watches discovery; and finds the largest list that each of the latter two accepts.
 
 use super::program::{Sender, SidecarConfig, temp_dir, unused_address, write};
 use super::{MeasurementContext, point, probe};
@@ -113,24 +113,24 @@
 pub(super) async fn engine_status(
     inputs: &mpsc::UnboundedSender<Input>,
 ) -> Result<EngineStatus, Error> {
-    let (reply, answer) = oneshot::channel();
+    let (reply, response) = oneshot::channel();
     let engine_ended = || Error::Wrong("the engine has ended".into());
     inputs
         .send(Input::GetStatus(reply))
         .map_err(|_| engine_ended())?;
-    answer.await.map_err(|_| engine_ended())
+    response.await.map_err(|_| engine_ended())
 }
 
-/// Waits until the engine has processed all inputs sent so far, without requesting its status, whose cost grows with the
-/// number of listed endpoints.
+/// Waits until the engine has processed all inputs sent so far, without requesting its status, whose cost grows with
+/// the number of listed endpoints.
 async fn inputs_processed(inputs: &mpsc::UnboundedSender<Input>) -> Result<(), Error> {
-    let (reply, answer) = oneshot::channel();
+    let (reply, response) = oneshot::channel();
     let engine_ended = || Error::Wrong("the engine has ended".into());
     let unknown_id = SharedStr::new(b"nobody").map_err(|error| Error::Wrong(error.to_string()))?;
     inputs
         .send(Input::IsOpen(unknown_id, reply))
         .map_err(|_| engine_ended())?;
-    answer.await.map(drop).map_err(|_| engine_ended())
+    response.await.map(drop).map_err(|_| engine_ended())
 }
 
 /// Runs a future, which may spawn local tasks, to completion on a new single-threaded runtime.
@@ -154,7 +154,7 @@
             new_engine(Box::new(MemoryJournal::default()), None, 400)?;
         tokio::task::spawn_local(async move { engine.run(&mut received).await });
         inputs_processed(&inputs).await?;
-        let (resident, begun, mut version) = (probe::resident()?, probe::cpu(), 0);
+        let (resident, cpu_before, mut version) = (probe::resident()?, probe::cpu(), 0);
         let mut send_update = |full: bool, endpoints: Vec<ListedEndpoint>| {
             version += 1;
             let update = EndpointListUpdate {
@@ -173,10 +173,10 @@
             inputs_processed(&inputs).await?;
         }
         let mut points = vec![
-            new_point("cpu", "s", probe::cpu() - begun),
+            new_point("cpu", "s", probe::cpu() - cpu_before),
             new_point("resident", "B", probe::resident()? - resident),
         ];
-        let begun = probe::cpu();
+        let cpu_before = probe::cpu();
         for change in 0..MEASURED_CHANGES {
             send_update(false, vec![endpoint(change * 7_919 % count, address, 2.0)])?;
             inputs_processed(&inputs).await?;
@@ -184,24 +184,24 @@
         points.push(new_point(
             "change.cpu",
             "s",
-            (probe::cpu() - begun) / MEASURED_CHANGES as f64,
+            (probe::cpu() - cpu_before) / MEASURED_CHANGES as f64,
         ));
-        let begun = probe::cpu();
+        let cpu_before = probe::cpu();
         for _ in 0..MEASURED_SCRAPES {
             engine_status(&inputs).await?;
         }
         points.push(new_point(
             "look.cpu",
             "s",
-            (probe::cpu() - begun) / MEASURED_SCRAPES as f64,
+            (probe::cpu() - cpu_before) / MEASURED_SCRAPES as f64,
         ));
         let whole = (0..count)
             .map(|number| endpoint(number, address, 3.0))
             .collect();
-        let begun = probe::cpu();
+        let cpu_before = probe::cpu();
         send_update(true, whole)?;
         inputs_processed(&inputs).await?;
-        points.push(new_point("whole.cpu", "s", probe::cpu() - begun));
+        points.push(new_point("whole.cpu", "s", probe::cpu() - cpu_before));
         Ok(points)
     })
 }
@@ -236,24 +236,25 @@
         list: &text,
     };
     let sender = Sender::start_sidecar(&context.program, folder.path(), &config)?;
-    let (cpu, (now, most)) = (sender.cpu()?, sender.memory()?);
+    let (cpu, (resident, peak)) = (sender.cpu()?, sender.memory()?);
     let mut points = vec![
         new_point("wire", "B", text.len() as f64),
         new_point("ready", "s", sender.ready),
         new_point("cpu", "s", cpu),
-        new_point("resident", "B", now),
-        new_point("peak", "B", most),
+        new_point("resident", "B", resident),
+        new_point("peak", "B", peak),
     ];
     // after adding one destination, the sidecar reads the whole file again and applies the list as a full update
-    let longer = format!(
+    let extended = format!(
         "{text}[destination.{}]\nendpoints = ['127.0.0.1:9']\n",
         context.size + 1
     );
-    write(&folder.path().join("list.toml"), &longer)?;
+    write(&folder.path().join("list.toml"), &extended)?;
     let mut last = sender.cpu()?;
     let until = std::time::Instant::now() + Duration::from_secs(20);
     let before = last;
-    // the sidecar checks the file every 250 ms; the change has been applied once a whole second takes almost no CPU time
+    // the sidecar checks the file every 250 ms; the change has been applied once a whole second takes almost no CPU
+    // time
     loop {
         std::thread::sleep(Duration::from_secs(1));
         let now = sender.cpu()?;
@@ -340,8 +341,8 @@
     ])
 }
 
-/// Finds the largest accepted size by bisection, to within 1/`part` of that size. The initial `accepted` must be accepted and
-/// the initial `rejected` must be rejected.
+/// Finds the largest accepted size by bisection, to within 1/`part` of that size. The initial `accepted` must be
+/// accepted and the initial `rejected` must be rejected.
 fn largest_accepted(
     mut accepted: u64,
     mut rejected: u64,
@@ -412,12 +413,12 @@
     let held = largest_accepted(1_000, 1_500_000, u64::MAX, |held| {
         is_valid_config(&limits_section(1_024, held), &short)
     })?;
-    let most =
+    let max_point =
         |role: &str, unit: &str, value: u64| point(role, "most", unit, "bound", 0, value as f64);
     Ok(vec![
-        most("list.watch", "destinations", watch),
-        most("list.file", "destinations", file),
-        most("limits.held", "messages", held),
+        max_point("list.watch", "destinations", watch),
+        max_point("list.file", "destinations", file),
+        max_point("limits.held", "messages", held),
     ])
 }
 
@@ -445,24 +446,24 @@
         Some(operators),
     )?;
     std::thread::sleep(Duration::from_secs(1));
-    let (begun, mut bytes) = (sender.cpu()?, 0);
+    let (cpu_before, mut bytes) = (sender.cpu()?, 0);
     for _ in 0..MEASURED_SCRAPES {
         let mut stream = TcpStream::connect(operators).map_err(Error::io("the admin listener"))?;
-        let asked =
+        let written =
             stream.write_all(b"GET /-/metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
-        asked.map_err(Error::io("the admin listener"))?;
-        let mut answer = Vec::new();
+        written.map_err(Error::io("the admin listener"))?;
+        let mut response = Vec::new();
         stream
-            .read_to_end(&mut answer)
+            .read_to_end(&mut response)
             .map_err(Error::io("the admin listener"))?;
-        if !answer.starts_with(b"HTTP/1.1 200") {
+        if !response.starts_with(b"HTTP/1.1 200") {
             return Err(Error::Wrong(
                 "metrics request did not return status 200".into(),
             ));
         }
-        bytes = answer.len();
+        bytes = response.len();
     }
-    let cpu = (sender.cpu()? - begun) / MEASURED_SCRAPES as f64;
+    let cpu = (sender.cpu()? - cpu_before) / MEASURED_SCRAPES as f64;
     Ok(vec![
         new_point("scrape", "B", bytes as f64),
         new_point("cpu", "s", cpu),
--- a/crates/scale/src/roles/mod.rs
+++ b/crates/scale/src/roles/mod.rs
@@ -1,9 +1,10 @@
-//! `milletturn-scale roles`: measures how the cost of each part of a single sender grows with size, using the real code.
+//! `milletturn-scale roles`: measures how the cost of each part of a single sender grows with size, using the real
+//! code.
 //!
-//! Each size is measured in a separate process, so that memory left over from the previous size does not count. CPU time is
-//! measured rather than wall-clock time, because load on the machine makes a run slower but does not increase its CPU
-//! time. Quantities that need wall-clock time (such as the time until a sender is ready) are named accordingly, and every
-//! point records the load average of the machine.
+//! Each size is measured in a separate process, so that memory left over from the previous size does not count. CPU
+//! time is measured rather than wall-clock time, because load on the machine makes a run slower but does not increase
+//! its CPU time. Quantities that need wall-clock time (such as the time until a sender is ready) are named accordingly,
+//! and every point records the load average of the machine.
 
 mod catalog;
 mod journal;
@@ -137,7 +138,7 @@
     Measurement {
         name: "turn.held",
         sizes: &[100, 1_000, 10_000, 30_000, 100_000, 300_000],
-        measure: turn::held,
+        measure: turn::pending_messages,
     },
     Measurement {
         name: "undelivered",
@@ -157,7 +158,7 @@
     Measurement {
         name: "catalog.holder",
         sizes: &[106, 319, 1_000, 5_000, 17_000, 170_000, 1_700_000],
-        measure: catalog::held,
+        measure: catalog::replica,
     },
     Measurement {
         name: "catalog.missed",
@@ -195,39 +196,40 @@
 /// Runs the selected measurements and writes their points and fitted lines to the output file.
 ///
 /// # Errors
-/// A process cannot be started, or the output file cannot be written. A size that fails is reported and left out.
-pub fn run(words: &Words) -> Result<(), Error> {
-    let program = match &words.program {
+/// The head of the records cannot be determined, or the output file cannot be written; with `--one`, the measurement
+/// fails. Without `--one`, a size that fails is reported on standard error and left out.
+pub fn run(arguments: &Words) -> Result<(), Error> {
+    let program = match &arguments.program {
         Some(program) => program.clone(),
         None => std::env::current_exe()
             .map_err(Error::io("this program"))?
             .with_file_name("milletturn"),
     };
-    if let Some(name) = &words.one {
+    if let Some(name) = &arguments.one {
         let measurement = MEASUREMENTS
             .iter()
             .find(|measurement| measurement.name == name);
         let measurement =
             measurement.ok_or_else(|| Error::Wrong(format!("unknown measurement {name}")))?;
         let points = (measurement.measure)(&MeasurementContext {
-            size: words.at,
+            size: arguments.at,
             program,
-            folder: words.folder.clone(),
+            folder: arguments.folder.clone(),
         })?;
         let text =
             serde_json::to_string(&points).map_err(|error| Error::Wrong(error.to_string()))?;
         println!("{text}");
         return Ok(());
     }
-    let mut lines = vec![Line::Head(head(words)?)];
+    let mut lines = vec![Line::Head(head(arguments)?)];
     let mut points = Vec::new();
     for measurement in MEASUREMENTS.iter().filter(|measurement| {
-        words
+        arguments
             .only
             .as_ref()
             .is_none_or(|prefix| measurement.name.starts_with(prefix))
     }) {
-        let max_size = measurement.sizes.iter().max().copied().unwrap_or(0) as f64 * words.most;
+        let max_size = measurement.sizes.iter().max().copied().unwrap_or(0) as f64 * arguments.most;
         for &at in measurement
             .sizes
             .iter()
@@ -248,7 +250,7 @@
     }
     lines.extend(points.iter().cloned().map(Line::Point));
     lines.extend(fits(&points).into_iter().map(Line::Fit));
-    figures::write(&words.out, &lines)
+    figures::write(&arguments.out, &lines)
 }
 
 /// Runs one measurement in a separate process and adds the load average from before its start to each point.
@@ -285,7 +287,7 @@
     Ok(points)
 }
 
-fn head(words: &Words) -> Result<Head, Error> {
+fn head(arguments: &Words) -> Result<Head, Error> {
     let stdout_of = |program: &str, arguments: &[&str]| -> Result<String, Error> {
         let output = Command::new(program)
             .args(arguments)
@@ -294,11 +296,11 @@
         Ok(String::from_utf8_lossy(&output.stdout).trim().to_string())
     };
     let mut command = "milletturn-scale roles".to_string();
-    if let Some(only) = &words.only {
+    if let Some(only) = &arguments.only {
         command.push_str(&format!(" --only {only}"));
     }
-    if words.most < 1.0 {
-        command.push_str(&format!(" --most {}", words.most));
+    if arguments.most < 1.0 {
+        command.push_str(&format!(" --most {}", arguments.most));
     }
     let changed = stdout_of(
         "git",
--- a/crates/scale/src/roles/path.rs
+++ b/crates/scale/src/roles/path.rs
@@ -35,7 +35,7 @@
             .map(|client| {
                 let rejected = rejected.clone();
                 std::thread::spawn(move || {
-                    let begun = Instant::now();
+                    let started_at = Instant::now();
                     let mut connection = Client::new(http);
                     for round in 0u64.. {
                         let number = client + round * CLIENTS;
@@ -43,7 +43,9 @@
                         if due > span {
                             return;
                         }
-                        std::thread::sleep((begun + due).saturating_duration_since(Instant::now()));
+                        std::thread::sleep(
+                            (started_at + due).saturating_duration_since(Instant::now()),
+                        );
                         let text = message_request(
                             "notice",
                             &format!("{number}"),
@@ -88,10 +90,10 @@
         WARM_UP + MEASURED_TIME,
     );
     std::thread::sleep(WARM_UP);
-    let (begun, cpu, count) = (Instant::now(), sender.cpu()?, endpoint.request_count());
+    let (started_at, cpu, count) = (Instant::now(), sender.cpu()?, endpoint.request_count());
     std::thread::sleep(MEASURED_TIME - Duration::from_millis(200));
     let (seconds, cpu, count) = (
-        begun.elapsed().as_secs_f64(),
+        started_at.elapsed().as_secs_f64(),
         sender.cpu()? - cpu,
         endpoint.request_count() - count,
     );
--- a/crates/scale/src/roles/program.rs
+++ b/crates/scale/src/roles/program.rs
@@ -89,7 +89,7 @@
         } else {
             Stdio::null()
         };
-        let begun = Instant::now();
+        let started_at = Instant::now();
         let process = command
             .stdin(Stdio::null())
             .stdout(Stdio::null())
@@ -107,7 +107,7 @@
                     "the sender exited before it was ready: {status}"
                 )));
             }
-            if begun.elapsed() > timeout {
+            if started_at.elapsed() > timeout {
                 return Err(Error::Wrong(format!(
                     "sender not ready within {} s",
                     timeout.as_secs()
@@ -115,7 +115,7 @@
             }
             std::thread::sleep(Duration::from_millis(2));
         }
-        sender.ready = begun.elapsed().as_secs_f64();
+        sender.ready = started_at.elapsed().as_secs_f64();
         Ok(sender)
     }
 
--- a/crates/scale/src/roles/store.rs
+++ b/crates/scale/src/roles/store.rs
@@ -99,10 +99,10 @@
     let disk = std::fs::metadata(&path)
         .map_err(Error::io("the store"))?
         .len() as f64;
-    let begun = Instant::now();
+    let started_at = Instant::now();
     let (open_cpu, store) = probe::cpu_in(|| open_service(&path));
     let mut store = store?;
-    let wall = begun.elapsed().as_secs_f64();
+    let wall = started_at.elapsed().as_secs_f64();
     let (check_cpu, checked) = probe::cpu_in(|| store.recover(&BTreeSet::new(), true, NOW));
     checked.map_err(failed)?;
     Ok(vec![
--- a/crates/scale/src/roles/turn.rs
+++ b/crates/scale/src/roles/turn.rs
@@ -42,7 +42,7 @@
             max_batch_size: 1,
         });
         let sender = Sender::new(settings, 3).map_err(|error| Error::Wrong(error.to_string()))?;
-        let mut host = PolicyHarness {
+        let mut harness = PolicyHarness {
             sender,
             now: 100 * SECOND,
             actions: Vec::new(),
@@ -50,11 +50,11 @@
         let entries = (0..destinations)
             .map(|n| EndpointEntry::new(EndpointId(n as u32), n))
             .collect();
-        host.handle(&[Event::EndpointList {
+        harness.handle(&[Event::EndpointList {
             kind: EndpointListKind::Full,
             entries,
         }]);
-        Ok(host)
+        Ok(harness)
     }
 
     /// Passes events to the policy and returns the CPU time of the turn, in seconds.
@@ -94,8 +94,8 @@
         self.sends().into_iter().map(ended).collect()
     }
 
-    /// Returns the median CPU time of a turn in which a call to one of the healthy destinations ends. Their numbers begin
-    /// at `first`.
+    /// Returns the median CPU time of a turn in which a call to one of the healthy destinations ends. Their numbers
+    /// begin at `first`.
     fn median_turn_cpu(&mut self, first: u64, healthy: u64) -> Result<f64, Error> {
         let mut times = Vec::new();
         for round in 0..MEASURED_TURNS {
@@ -116,18 +116,18 @@
 /// Measures a turn while the given number of calls is in flight without a response.
 pub(super) fn calls(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let (in_flight, slots) = (context.size, context.size as usize + 100);
-    let mut host = PolicyHarness::new(slots, 2 * slots, in_flight + HEALTHY_DESTINATIONS)?;
+    let mut harness = PolicyHarness::new(slots, 2 * slots, in_flight + HEALTHY_DESTINATIONS)?;
     let mut sent = 0;
     for number in 0..in_flight {
-        host.submit(number, number);
-        sent += host.sends().len() as u64;
+        harness.submit(number, number);
+        sent += harness.sends().len() as u64;
     }
     if sent < in_flight {
         return Err(Error::Wrong(format!(
             "only {sent} of {in_flight} calls were sent"
         )));
     }
-    let cpu = host.median_turn_cpu(in_flight, HEALTHY_DESTINATIONS)?;
+    let cpu = harness.median_turn_cpu(in_flight, HEALTHY_DESTINATIONS)?;
     Ok(vec![point(
         "turn",
         "cpu",
@@ -139,53 +139,53 @@
 }
 
 /// Measures a turn, and the memory, while the given number of messages is pending for failing destinations.
-pub(super) fn held(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
-    let mut host = PolicyHarness::new(
+pub(super) fn pending_messages(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+    let mut harness = PolicyHarness::new(
         200,
         context.size as usize + 1_000,
         FAILING_DESTINATIONS + HEALTHY_DESTINATIONS,
     )?;
     for id in 0..6 * FAILING_DESTINATIONS {
-        host.now += 10 * MILLISECOND;
-        host.submit(id, id % FAILING_DESTINATIONS);
-        let ends = host.attempt_ends(Outcome::Error);
-        host.now += MILLISECOND;
-        host.handle(&ends);
+        harness.now += 10 * MILLISECOND;
+        harness.submit(id, id % FAILING_DESTINATIONS);
+        let ends = harness.attempt_ends(Outcome::Error);
+        harness.now += MILLISECOND;
+        harness.handle(&ends);
     }
     let resident = probe::resident()?;
     for id in 0..context.size {
-        host.submit(1_000 + id, id % FAILING_DESTINATIONS);
+        harness.submit(1_000 + id, id % FAILING_DESTINATIONS);
     }
-    let grown = probe::resident()? - resident;
-    let cpu = host.median_turn_cpu(FAILING_DESTINATIONS, HEALTHY_DESTINATIONS)?;
+    let added_bytes = probe::resident()? - resident;
+    let cpu = harness.median_turn_cpu(FAILING_DESTINATIONS, HEALTHY_DESTINATIONS)?;
     let new_point = |quantity: &str, unit: &str, value: f64| {
         point("turn", quantity, unit, "messages held", context.size, value)
     };
     Ok(vec![
         new_point("cpu", "s", cpu),
-        new_point("resident", "B", grown),
+        new_point("resident", "B", added_bytes),
     ])
 }
 
 /// Measures the memory that destinations take when each was called once, in addition to that of their list entries.
 pub(super) fn used(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
-    let mut host = PolicyHarness::new(200, 1_000, context.size)?;
+    let mut harness = PolicyHarness::new(200, 1_000, context.size)?;
     let resident = probe::resident()?;
     for number in 0..context.size {
-        host.now += MILLISECOND / 10;
-        host.submit(number, number);
-        let ends = host.attempt_ends(Outcome::Success);
-        host.now += MILLISECOND / 10;
-        host.handle(&ends);
+        harness.now += MILLISECOND / 10;
+        harness.submit(number, number);
+        let ends = harness.attempt_ends(Outcome::Success);
+        harness.now += MILLISECOND / 10;
+        harness.handle(&ends);
     }
-    let grown = probe::resident()? - resident;
+    let added_bytes = probe::resident()? - resident;
     Ok(vec![point(
         "destination.used",
         "resident",
         "B",
         "destinations in use",
         context.size,
-        grown,
+        added_bytes,
     )])
 }
 
--- a/crates/scale/tests/counts.rs
+++ b/crates/scale/tests/counts.rs
@@ -1,5 +1,5 @@
-//! Tests the counting of the scale run: missing, duplicate and reordered endpoint updates are counted, and a fit through
-//! points on a line recovers that line.
+//! Tests the counting of the scale run: missing, duplicate and reordered endpoint updates are counted, and a fit
+//! through points on a line recovers that line.
 
 use milletturn_engine::{EndpointListUpdate, ListedEndpoint};
 use milletturn_policy::EndpointStatus;
@@ -30,8 +30,8 @@
     }
 }
 
-/// Returns the report of a sender that received a first list of ten destinations and then the given updates, after twelve
-/// destinations had been published, the last at version 2,000,020.
+/// Returns the report of a sender that received a first list of ten destinations and then the given updates, after
+/// twelve destinations had been published, the last at version 2,000,020.
 fn report_after(updates: &[EndpointListUpdate]) -> Report {
     let mut tally = Tally::new(0, SENDER_START_US, 10);
     tally.listed(SENDER_START_US + 5, &update(1, true, 0..10), None);
