--- a/crates/scale/tests/small.rs
+++ b/crates/scale/tests/small.rs
@@ -26,7 +26,7 @@
     );
     // a sender receives each change in a separate update, or several in one where the machine is slow
     assert!(
-        counts.heard <= counts.published * HOLLOW_SENDERS,
+        counts.received <= counts.published * HOLLOW_SENDERS,
         "{counts:?}"
     );
     assert_eq!(
@@ -35,17 +35,17 @@
         "each sender opens one watch, once: {counts:?}"
     );
     assert_eq!(
-        (counts.joined, counts.left),
+        (counts.sessions_opened, counts.sessions_lost),
         (HOLLOW_SENDERS, 0),
         "{counts:?}"
     );
     assert_eq!(
-        counts.book,
+        counts.sessions_in_state,
         HOLLOW_SENDERS + REAL_SENDERS,
         "each sender has one session: {counts:?}"
     );
     assert!(
-        counts.taken > 0 && counts.delivered >= counts.taken,
+        counts.accepted > 0 && counts.delivered >= counts.accepted,
         "{counts:?}"
     );
     assert!(counts.requests > 0, "{counts:?}");
