--- a/crates/platform/src/call_codec.rs
+++ b/crates/platform/src/call_codec.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Persistence {
     /// The connection may be used for further calls.
-    Keep,
+    KeepAlive,
     /// The endpoint is asked to close the connection after the response.
     Close,
 }
@@ -58,7 +58,7 @@
         request = request.header(CONNECTION, "close");
     }
     let request = request.body(Full::new(body)).ok()?;
-    let request_line_bytes = "POST  HTTP/1.1\r\n\r\n".len() + path.len();
+    let request_line_and_blank_line_bytes = "POST  HTTP/1.1\r\n\r\n".len() + path.len();
     let header_bytes: usize = request
         .headers()
         .iter()
@@ -66,7 +66,7 @@
         .sum();
     Some((
         request,
-        (request_line_bytes + header_bytes) as u64 + body_bytes,
+        (request_line_and_blank_line_bytes + header_bytes) as u64 + body_bytes,
     ))
 }
 
--- a/crates/platform/src/connection_monitor.rs
+++ b/crates/platform/src/connection_monitor.rs
@@ -1,6 +1,6 @@
 //! Observes the raw bytes on a connection to an endpoint for what hyper reports too late or not at all: how much of a
-//! request has been written, the first line of a response whose head hyper rejects, a `Retry-After` as soon as its line
-//! is complete, and data that no call has requested.
+//! request has been written, the status line of a response whose head hyper rejects, a `Retry-After` as soon as its
+//! line is complete, and data that no call has requested.
 
 mod first_line;
 mod stream;
@@ -9,7 +9,7 @@
 
 pub(crate) use self::stream::MonitoredStream;
 
-use self::first_line::FirstLine;
+use self::first_line::StatusLine;
 use crate::call_codec::parse_retry_after;
 use milletturn_engine::{Attribution, ConnectionUse, MAX_BODY_BYTES, UnsolicitedData};
 use milletturn_policy::Micros;
@@ -50,13 +50,13 @@
     pub bytes_written: Cell<u64>,
     /// Whether the next write must first check that no unread data has arrived while the connection was idle.
     must_check_idle: Cell<bool>,
-    /// Parser state for the first line of the response.
-    first_line: Cell<FirstLine>,
-    /// The header line that is being received; `None` after the end of the head.
-    header_line: RefCell<Option<Vec<u8>>>,
+    /// Parser state for the status line of the response.
+    status_line_state: Cell<StatusLine>,
+    /// The bytes of the header field that is being received; `None` after the end of the head.
+    header_field_buffer: RefCell<Option<Vec<u8>>>,
     /// Called for each `Retry-After`, even if the response, the call or the connection fails afterwards.
     on_retry_after: Box<dyn Fn(Micros)>,
-    /// Number of bytes of interim (1xx) responses and of the first line in the current call.
+    /// Number of bytes of interim (1xx) responses and of the status line in the current call.
     interim_bytes: Cell<usize>,
     /// Bytes of the body that are still to be received; `None` if the head does not state the length.
     body_bytes_left: Cell<Option<u64>>,
@@ -66,13 +66,13 @@
     /// Whether bytes were received after the end of the response.
     has_extra_bytes: Cell<bool>,
     /// How many bytes of a second status line have been matched.
-    matched_status_line_bytes: Cell<usize>,
+    second_status_line_matched_bytes: Cell<usize>,
     /// Whether the current request asks the endpoint to close the connection after the response.
     is_closing: Cell<bool>,
     /// Whether the endpoint has closed its side of the connection.
     has_end_of_stream: Cell<bool>,
-    /// Wakes the task that waits for the first line.
-    first_line_notify: Notify,
+    /// Wakes the task that waits for the status line.
+    status_line_notify: Notify,
     /// The request that is being written; `None` once it is complete.
     request_in_progress: RefCell<Option<RequestInProgress>>,
 }
@@ -84,8 +84,8 @@
 
 /// The status code if the bytes begin with a status line.
 fn status_at_start(bytes: &[u8]) -> Option<u16> {
-    let line = bytes.strip_prefix(b"HTTP/1.")?;
-    let status = line.get(2..5)?;
+    let after_version_prefix = bytes.strip_prefix(b"HTTP/1.")?;
+    let status = after_version_prefix.get(2..5)?;
     std::str::from_utf8(status).ok()?.parse().ok()
 }
 
@@ -93,7 +93,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("ConnectionMonitor")
             .field("bytes_written", &self.bytes_written)
-            .field("first_line", &self.first_line)
+            .field("first_line", &self.status_line_state)
             .finish()
     }
 }
@@ -124,17 +124,17 @@
             ended_notify: Notify::default(),
             bytes_written: Cell::default(),
             must_check_idle: Cell::default(),
-            first_line: Cell::default(),
-            header_line: RefCell::default(),
+            status_line_state: Cell::default(),
+            header_field_buffer: RefCell::default(),
             on_retry_after: Box::new(on_retry_after),
             interim_bytes: Cell::default(),
             body_bytes_left: Cell::default(),
             is_chunked: Cell::default(),
             has_extra_bytes: Cell::default(),
-            matched_status_line_bytes: Cell::default(),
+            second_status_line_matched_bytes: Cell::default(),
             is_closing: Cell::default(),
             has_end_of_stream: Cell::default(),
-            first_line_notify: Notify::default(),
+            status_line_notify: Notify::default(),
             request_in_progress: RefCell::default(),
         }
     }
@@ -164,10 +164,10 @@
         self.body_bytes_left.set(None);
         self.is_chunked.set(false);
         self.has_extra_bytes.set(false);
-        self.matched_status_line_bytes.set(0);
+        self.second_status_line_matched_bytes.set(0);
         self.is_closing.set(false);
-        self.first_line.set(FirstLine::Status(0, 0));
-        self.header_line.replace(Some(Vec::new()));
+        self.status_line_state.set(StatusLine::Status(0, 0));
+        self.header_field_buffer.replace(Some(Vec::new()));
     }
 
     /// Records that the current request asks the endpoint to close the connection, which is then read up to its end.
@@ -178,7 +178,8 @@
     /// Whether the end of the connection must still be awaited: the endpoint was asked to close it, has not done so,
     /// and no second response has been received.
     fn awaits_end(&self) -> bool {
-        let has_second_response = self.has_extra_data() && self.header_line.borrow().is_none();
+        let has_second_response =
+            self.has_extra_data() && self.header_field_buffer.borrow().is_none();
         self.is_closing.get() && !self.has_end_of_stream.get() && !has_second_response
     }
 
@@ -228,13 +229,13 @@
     /// Whether more than one response, or parts of several, were received in the current call.
     pub(crate) fn has_extra_data(&self) -> bool {
         let has_second_status_line =
-            self.matched_status_line_bytes.get() == STATUS_LINE_PATTERN.len();
+            self.second_status_line_matched_bytes.get() == STATUS_LINE_PATTERN.len();
         self.has_extra_bytes.get() || has_second_status_line
     }
 
     /// Advances the search for a second status line by one byte.
     fn match_status_line(&self, byte: u8) {
-        let matched = self.matched_status_line_bytes.get();
+        let matched = self.second_status_line_matched_bytes.get();
         let Some(&expected) = STATUS_LINE_PATTERN.get(matched) else {
             return;
         };
@@ -242,7 +243,7 @@
             b'd' => byte.is_ascii_digit(),
             _ => byte == expected,
         };
-        self.matched_status_line_bytes.set(match is_match {
+        self.second_status_line_matched_bytes.set(match is_match {
             true => matched + 1,
             false => usize::from(byte == STATUS_LINE_PATTERN[0]),
         });
@@ -255,7 +256,7 @@
             match self.body_bytes_left.get() {
                 Some(0) if !self.has_extra_bytes.replace(true) => {
                     self.set_unsolicited(&bytes[position..]);
-                    self.header_line.replace(Some(Vec::new()));
+                    self.header_field_buffer.replace(Some(Vec::new()));
                     self.process_header_byte(*byte);
                 }
                 Some(0) => self.process_header_byte(*byte),
@@ -317,37 +318,37 @@
     /// Whether a status line with 200 has been received that can only belong to the current call: the call is the first
     /// on the connection, and its request was complete before the response began.
     pub(crate) fn has_unambiguous_200(&self) -> bool {
-        self.first_line.get() == FirstLine::Complete(200)
+        self.status_line_state.get() == StatusLine::Complete(200)
             && self.is_first_call()
             && self.response_time().is_some()
     }
 
-    /// Waits until the first line of the final response is complete or known to be invalid.
-    pub(crate) async fn until_first_line(&self) {
+    /// Waits until the status line of the final response is complete or known to be invalid.
+    pub(crate) async fn until_status_line(&self) {
         while !matches!(
-            self.first_line.get(),
-            FirstLine::Complete(_) | FirstLine::Invalid
+            self.status_line_state.get(),
+            StatusLine::Complete(_) | StatusLine::Invalid
         ) {
-            self.first_line_notify.notified().await;
+            self.status_line_notify.notified().await;
         }
     }
 
-    /// Processes one byte of the head after the first line. The head ends at the first empty line (RFC 9112), so
+    /// Processes one byte of the head after the status line. The head ends at the first empty line (RFC 9112), so
     /// nothing in a body is taken for a header.
     fn process_header_byte(&self, byte: u8) {
-        let mut header_line = self.header_line.borrow_mut();
-        let Some(line) = header_line.as_mut() else {
+        let mut header_field_buffer = self.header_field_buffer.borrow_mut();
+        let Some(field_bytes) = header_field_buffer.as_mut() else {
             return;
         };
         if byte != b'\n' {
-            if line.len() < MAX_HEADER_LINE_BYTES {
-                line.push(byte);
+            if field_bytes.len() < MAX_HEADER_LINE_BYTES {
+                field_bytes.push(byte);
             }
             return;
         }
-        let text = line.trim_ascii_end();
+        let text = field_bytes.trim_ascii_end();
         if text.is_empty() {
-            *header_line = None;
+            *header_field_buffer = None;
             return;
         }
         let colon = text
@@ -366,8 +367,8 @@
             self.is_chunked.set(is_chunked);
             self.body_bytes_left.set(length.filter(|_| !is_chunked));
         }
-        line.clear();
-        drop(header_line);
+        field_bytes.clear();
+        drop(header_field_buffer);
         if let Some(wait) = wait {
             (self.on_retry_after)(wait);
         }
@@ -382,36 +383,39 @@
             let first_byte_at = self.first_byte_at.get().or_else(|| Some(Instant::now()));
             self.first_byte_at.set(first_byte_at);
         }
-        let mut first_line = self.first_line.get();
+        let mut status_line_state = self.status_line_state.get();
         let mut interim_bytes = self.interim_bytes.get();
         let mut body_start = None;
         for (position, byte) in bytes.iter_mut().enumerate() {
-            match first_line {
-                FirstLine::Complete(_) if self.header_line.borrow().is_some() => {
+            match status_line_state {
+                StatusLine::Complete(_) if self.header_field_buffer.borrow().is_some() => {
                     self.match_status_line(*byte);
                     self.process_header_byte(*byte);
                 }
-                FirstLine::Complete(_) => {
+                StatusLine::Complete(_) => {
                     body_start = Some(position);
                     break;
                 }
-                FirstLine::Invalid => break,
+                StatusLine::Invalid => break,
                 _ => {
-                    if matches!(first_line, FirstLine::ReasonPhrase(_)) {
+                    if matches!(status_line_state, StatusLine::ReasonPhrase(_)) {
                         self.match_status_line(*byte);
                     }
-                    first_line = first_line.advance(byte);
+                    status_line_state = status_line_state.advance(byte);
                     interim_bytes += 1;
                 }
             }
         }
-        if let Some(rest) = body_start.and_then(|position| bytes.get(position..)) {
-            self.process_after_head(rest);
+        if let Some(after_head) = body_start.and_then(|position| bytes.get(position..)) {
+            self.process_after_head(after_head);
         }
         self.interim_bytes.set(interim_bytes);
-        self.first_line.set(first_line);
-        if matches!(first_line, FirstLine::Complete(_) | FirstLine::Invalid) {
-            self.first_line_notify.notify_one();
+        self.status_line_state.set(status_line_state);
+        if matches!(
+            status_line_state,
+            StatusLine::Complete(_) | StatusLine::Invalid
+        ) {
+            self.status_line_notify.notify_one();
         } else if interim_bytes > MAX_BODY_BYTES {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidData,
--- a/crates/platform/src/connection_monitor/tests.rs
+++ b/crates/platform/src/connection_monitor/tests.rs
@@ -1,9 +1,9 @@
-use super::{ConnectionMonitor, FirstLine};
+use super::{ConnectionMonitor, StatusLine};
 use std::rc::Rc;
 
 /// The parser state after these bytes, which must not depend on how they are divided into reads, and the bytes that
 /// hyper receives.
-fn parse(text: &str) -> (FirstLine, String) {
+fn parse(text: &str) -> (StatusLine, String) {
     let mut results = Vec::new();
     for size in [1, 2, 5, 13, text.len().max(1)] {
         let (monitor, mut bytes) = (ConnectionMonitor::new(1, |_| {}), text.as_bytes().to_vec());
@@ -12,7 +12,7 @@
             .chunks_mut(size)
             .for_each(|chunk| monitor.process(chunk).expect("short enough"));
         results.push((
-            monitor.first_line.get(),
+            monitor.status_line_state.get(),
             String::from_utf8(bytes).expect("text"),
         ));
     }
@@ -27,32 +27,35 @@
 #[test]
 fn the_final_status_line_is_found_wherever_reads_end() {
     for (text, expected) in [
-        ("HTTP/1.1 200 OK\r\n", FirstLine::Complete(200)),
-        ("\r\nHTTP/1.0 200\n", FirstLine::Complete(200)),
-        ("HTTP/1.1 200 O", FirstLine::ReasonPhrase(200)),
-        ("HTTP/1.1 2000 OK\r\n", FirstLine::Invalid),
-        ("HTTP/1.1 20 OK\r\n", FirstLine::Invalid),
-        ("HTTP/2.0 200 OK\r\n", FirstLine::Invalid),
-        ("noise HTTP/1.1 200 OK\r\n", FirstLine::Invalid),
-        ("HTTP/1.1 500 HTTP/1.1 200 OK\r\n", FirstLine::Complete(500)),
+        ("HTTP/1.1 200 OK\r\n", StatusLine::Complete(200)),
+        ("\r\nHTTP/1.0 200\n", StatusLine::Complete(200)),
+        ("HTTP/1.1 200 O", StatusLine::ReasonPhrase(200)),
+        ("HTTP/1.1 2000 OK\r\n", StatusLine::Invalid),
+        ("HTTP/1.1 20 OK\r\n", StatusLine::Invalid),
+        ("HTTP/2.0 200 OK\r\n", StatusLine::Invalid),
+        ("noise HTTP/1.1 200 OK\r\n", StatusLine::Invalid),
+        (
+            "HTTP/1.1 500 HTTP/1.1 200 OK\r\n",
+            StatusLine::Complete(500),
+        ),
         (
             "HTTP/1.1 103 Hint\r\nA: b\r\n\r\nHTTP/1.1 200 OK\r\n",
-            FirstLine::Complete(200),
+            StatusLine::Complete(200),
         ),
         (
             "HTTP/1.1 100\r\n\r\nHTTP/1.1 102 x\n\nHTTP/1.1 503 No\r\n",
-            FirstLine::Complete(503),
+            StatusLine::Complete(503),
         ),
         // a status line inside the head of an interim response does not count
         (
             "HTTP/1.1 103 Hint\r\nHTTP/1.1 200 OK\r\n",
-            FirstLine::Interim(true),
+            StatusLine::Interim(true),
         ),
     ] {
         assert_eq!(parse(text), (expected, text.to_string()), "{text}");
     }
-    let (line, forwarded) = parse("HTTP/1.1 101 Other\r\n\r\nHTTP/1.1 200 OK\r\n");
-    assert_eq!(line, FirstLine::Complete(200));
+    let (state, forwarded) = parse("HTTP/1.1 101 Other\r\n\r\nHTTP/1.1 200 OK\r\n");
+    assert_eq!(state, StatusLine::Complete(200));
     assert!(
         forwarded.starts_with("HTTP/1.1 100 Other"),
         "hyper would stop treating the connection as HTTP after a 101: {forwarded}"
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -1,6 +1,6 @@
 //! The discovery client: watches the endpoint list over HTTP.
 
-use crate::discovery_backoff::{DiscoveryBackoff, Failure, MAX_SILENCE};
+use crate::discovery_backoff::{DiscoveryBackoff, Failure, WATCH_INACTIVITY_TIMEOUT};
 use crate::watch_stream::{WatchEvent, WatchStream};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -26,7 +26,7 @@
 
 #[derive(Debug, Error)]
 enum WatchError {
-    #[error("silent for {MAX_SILENCE:?}")]
+    #[error("silent for {WATCH_INACTIVITY_TIMEOUT:?}")]
     Unresponsive,
     #[error("discovery responded with status {0}")]
     Status(StatusCode),
@@ -177,11 +177,11 @@
                     }
                 }
                 response = &mut newest => break response?,
-                () = sleep_until(since + MAX_SILENCE) => {
+                () = sleep_until(since + WATCH_INACTIVITY_TIMEOUT) => {
                     // Keep the request that has waited longest, because it is furthest ahead in discovery's queue.
-                    let keeps_earlier =
+                    let retains_queued_request =
                         progress.queued.as_ref().is_some_and(|queued| queued.since.elapsed() < max_queue_wait);
-                    if connected.get() && !keeps_earlier {
+                    if connected.get() && !retains_queued_request {
                         progress.queued = Some(QueuedRequest { since, response: newest });
                     }
                     return Err(RequestError::TimedOut.into());
@@ -208,7 +208,7 @@
         (WatchStream::default(), Instant::now(), false);
     loop {
         // Only complete events extend the time limit: single bytes that keep coming do not show that discovery works.
-        let frame = timeout_at(last_event_at + MAX_SILENCE, body.frame())
+        let frame = timeout_at(last_event_at + WATCH_INACTIVITY_TIMEOUT, body.frame())
             .await
             .map_err(|_| WatchError::Unresponsive)?;
         let frame = frame.ok_or(WatchError::Ended)??;
--- a/crates/platform/src/discovery_backoff.rs
+++ b/crates/platform/src/discovery_backoff.rs
@@ -17,7 +17,7 @@
 const MAX_UPDATE_DELAY: Duration = Duration::from_millis(6000);
 /// A watch, or a request that opens one, is abandoned after this time without data. Discovery sends an empty line every
 /// 2 s.
-pub(crate) const MAX_SILENCE: Duration = Duration::from_millis(3000);
+pub(crate) const WATCH_INACTIVITY_TIMEOUT: Duration = Duration::from_millis(3000);
 /// Longest delay after a failure to reach discovery, and after a first rejection.
 pub(crate) const MAX_SHORT_DELAY: Duration = Duration::from_millis(1900);
 /// Time within which a healthy discovery agent has responded. The agent runs on the same machine.
@@ -26,7 +26,7 @@
 const TIMING_SLACK: Duration = Duration::from_millis(100);
 // Worst case: discovery comes back just after the last keep-alive, or just after a request that it will never answer.
 const _: () = assert!(
-    MAX_SILENCE.as_millis()
+    WATCH_INACTIVITY_TIMEOUT.as_millis()
         + MAX_SHORT_DELAY.as_millis()
         + RESPONSE_TIMEOUT.as_millis()
         + TIMING_SLACK.as_millis()
--- a/crates/platform/src/drain_gate.rs
+++ b/crates/platform/src/drain_gate.rs
@@ -3,7 +3,7 @@
 //! ```text
 //! Open <-> Draining         by operators
 //!   \        |
-//!    +----> HandedOver      by a process that takes over, permanent
+//!    +----> TakenOver       by a process that takes over, permanent
 //!    +----> ShuttingDown    by SIGTERM, permanent
 //! ```
 
@@ -36,7 +36,7 @@
     Draining(Instant),
     /// Another process has taken over. Clients that are still connected are served, and asked to close their
     /// connections.
-    HandedOver,
+    TakenOver,
     /// SIGTERM came at this time.
     ShuttingDown(Instant),
 }
@@ -46,7 +46,7 @@
     fn closes_idle_at(self) -> Option<Instant> {
         match self {
             // such a connection gets one more response, or is closed by its usual idle time limit
-            Phase::Open | Phase::HandedOver => None,
+            Phase::Open | Phase::TakenOver => None,
             Phase::Draining(since) => Some(since + DRAIN_IDLE_CLOSE_DELAY),
             Phase::ShuttingDown(since) => Some(since + SHUTDOWN_IDLE_CLOSE_DELAY),
         }
@@ -76,7 +76,7 @@
     /// Whether connections with an incomplete request are to be closed too.
     closing_all: watch::Sender<bool>,
     /// Whether another process has taken over; `GET /ready` then stays positive whatever this process does.
-    is_handed_over: Cell<bool>,
+    is_taken_over: Cell<bool>,
     open_connections: Cell<usize>,
 }
 
@@ -89,14 +89,14 @@
             phase: watch::channel(Phase::Open).0,
             closing_idle: watch::channel(false).0,
             closing_all: watch::channel(false).0,
-            is_handed_over: Cell::new(false),
+            is_taken_over: Cell::new(false),
             open_connections: Cell::new(0),
         }
     }
 
     /// The answer to `GET /ready`: whether new clients are to be sent here.
     pub fn is_ready(&self) -> bool {
-        *self.phase.borrow() == Phase::Open || self.is_handed_over.get()
+        *self.phase.borrow() == Phase::Open || self.is_taken_over.get()
     }
 
     /// Whether each response must close its connection.
@@ -144,23 +144,23 @@
     }
 
     /// Records that another process has taken over. A shutdown that has begun continues.
-    pub fn hand_over(&self) {
-        self.is_handed_over.set(true);
+    pub fn record_takeover(&self) {
+        self.is_taken_over.set(true);
         let next = if self.is_retiring() {
             *self.phase.borrow()
         } else {
-            Phase::HandedOver
+            Phase::TakenOver
         };
         self.phase.send_replace(next);
     }
 
     /// Waits until another process has taken over.
-    pub async fn until_handed_over(&self) {
+    pub async fn until_taken_over(&self) {
         // waiting cannot fail: the sender of the channel lives as long as `self`
         let _ = self
             .phase
             .subscribe()
-            .wait_for(|_| self.is_handed_over.get())
+            .wait_for(|_| self.is_taken_over.get())
             .await;
     }
 
@@ -173,7 +173,7 @@
     pub fn is_retiring(&self) -> bool {
         matches!(
             *self.phase.borrow(),
-            Phase::ShuttingDown(_) | Phase::HandedOver
+            Phase::ShuttingDown(_) | Phase::TakenOver
         )
     }
 
--- a/crates/platform/src/http_transport.rs
+++ b/crates/platform/src/http_transport.rs
@@ -2,7 +2,7 @@
 //!
 //! The transport never retries a call by itself, because a retry that the decision module does not know of would be a
 //! duplicate. If it is unclear whether a call has run, the outcome says that it may have. `MonitoredStream` extracts
-//! from the raw bytes what hyper does not report, such as the first line of a response whose head hyper rejects.
+//! from the raw bytes what hyper does not report, such as the status line of a response whose head hyper rejects.
 
 mod response;
 
@@ -318,7 +318,7 @@
         tokio::select! {
             biased;
             response = &mut response => Some(response),
-            () = connection.monitor.until_first_line() => {
+            () = connection.monitor.until_status_line() => {
                 let head_timeout = match is_delivered(monitor, message_count) {
                     true => HEAD_TIMEOUT_AFTER_200,
                     false => READ_TIMEOUT,
@@ -382,7 +382,7 @@
     match attribution {
         Attribution::LastCall => Persistence::Close,
         Attribution::FirstCall if call.at_most_once && is_unknown() => Persistence::Close,
-        Attribution::FirstCall | Attribution::NamesMessages => Persistence::Keep,
+        Attribution::FirstCall | Attribution::NamesMessages => Persistence::KeepAlive,
     }
 }
 
--- a/crates/platform/src/http_transport/response.rs
+++ b/crates/platform/src/http_transport/response.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 use tokio::time::{Instant, timeout};
 
-/// Time limit for the rest of a response after its first line. A short time is enough because all responses are small.
+/// Time limit for the rest of a response after its status line. A short time is enough because all responses are small.
 pub(super) const READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest wait for an endpoint to close a connection after its response.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
--- a/crates/platform/src/notifications.rs
+++ b/crates/platform/src/notifications.rs
@@ -149,7 +149,7 @@
     for (_, number) in order {
         if let Some(entry) = pending.get_mut(&number) {
             entry.post = post;
-            text += &notification_line(&entry.notification);
+            text += &notification_json_line(&entry.notification);
             batch.push(number);
         }
     }
@@ -177,7 +177,7 @@
     }
 }
 
-fn notification_line(notification: &Notification) -> String {
+fn notification_json_line(notification: &Notification) -> String {
     let mut object = serde_json::json!({ "id": notification.id.as_str() });
     match notification.ending {
         // the platform expects no notification of a delivered message
--- a/crates/platform/src/pools.rs
+++ b/crates/platform/src/pools.rs
@@ -80,10 +80,10 @@
         now: Instant,
         connection: C,
     ) {
-        let has_room = self.idle_count < self.max_idle;
+        let is_below_max_idle = self.idle_count < self.max_idle;
         let is_acceptable =
             |pool: &Pool<C>| pool.address == address && pool.idle.len() < MAX_IDLE_PER_ENDPOINT;
-        if has_room && self.pools.get(&endpoint).is_some_and(is_acceptable) {
+        if is_below_max_idle && self.pools.get(&endpoint).is_some_and(is_acceptable) {
             self.update(endpoint, |idle| idle.push_back((now, connection)));
         }
     }
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -172,7 +172,7 @@
     /// Asks the connection that has been idle for longest to close, unless as many connections as there are waiting
     /// clients have been asked already. Must be called whenever a client begins to wait, a connection stays open
     /// although it was asked to close, or a connection has sent its response.
-    fn ask_longest_idle_to_close(&self) {
+    fn request_close_of_longest_idle(&self) {
         if self.waiting_clients.get() == 0 {
             return;
         }
@@ -197,7 +197,7 @@
     /// Waits for a slot, which another connection may have to free; `None` if there is none within [`SLOT_TIMEOUT`].
     async fn acquire_slot(&self, slots: &Arc<Semaphore>) -> Option<OwnedSemaphorePermit> {
         self.waiting_clients.update(|count| count + 1);
-        self.ask_longest_idle_to_close();
+        self.request_close_of_longest_idle();
         let slot = timeout(SLOT_TIMEOUT, slots.clone().acquire_owned()).await;
         self.waiting_clients.update(|count| count - 1);
         slot.ok()?.ok()
@@ -215,7 +215,7 @@
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             // the connections still in the listen queue belong to the other process
-            () = server.drain_gate.until_handed_over() => return,
+            () = server.drain_gate.until_taken_over() => return,
         };
         let stream = match accepted {
             Ok((stream, _)) => stream,
@@ -338,7 +338,7 @@
             state.deadline.set(Instant::now() + IDLE_TIMEOUT);
         }
         if state.is_close_requested.replace(false) {
-            connections.ask_longest_idle_to_close();
+            connections.request_close_of_longest_idle();
         }
     }
     let stream = connection.into_parts().io.into_inner().stream;
@@ -517,7 +517,7 @@
     // hyper writes the response before any other task runs, so no task can ask the connection to close in between.
     state.finish_response(close);
     // This connection is idle now, so a client that waits while all connections are busy can have its slot.
-    connections.ask_longest_idle_to_close();
+    connections.request_close_of_longest_idle();
     Ok(response)
 }
 
--- a/crates/platform/src/watch_stream.rs
+++ b/crates/platform/src/watch_stream.rs
@@ -28,7 +28,7 @@
     /// Received bytes that do not yet form an event.
     buffer: Vec<u8>,
     /// Whether the rest of a line that was too long is still to be skipped.
-    is_skipping_line: bool,
+    is_discarding_oversized_line: bool,
 }
 
 impl WatchStream {
@@ -53,43 +53,44 @@
         }
         if self.buffer.len() > MAX_OBJECT_BYTES {
             events.push(WatchEvent::Malformed(excerpt(&self.buffer)));
-            (self.buffer, self.is_skipping_line) = (Vec::new(), true);
+            (self.buffer, self.is_discarding_oversized_line) = (Vec::new(), true);
         }
         events
     }
 
     /// Parses what begins at a position of the buffer. Returns its length, or `None` if more bytes are needed.
     fn parse_next(&mut self, position: usize, events: &mut Vec<WatchEvent>) -> Option<usize> {
-        let rest = &self.buffer[position..];
-        let line_length = |from: &[u8]| {
+        let unparsed = &self.buffer[position..];
+        let length_through_newline = |from: &[u8]| {
             from.iter()
                 .position(|&byte| byte == b'\n')
                 .map(|end| end + 1)
         };
-        if self.is_skipping_line {
-            self.is_skipping_line = line_length(rest).is_none();
-            return line_length(rest).or(Some(rest.len()).filter(|&length| length > 0));
+        if self.is_discarding_oversized_line {
+            self.is_discarding_oversized_line = length_through_newline(unparsed).is_none();
+            return length_through_newline(unparsed)
+                .or(Some(unparsed.len()).filter(|&length| length > 0));
         }
-        let first = *rest.first()?;
+        let first = *unparsed.first()?;
         if first.is_ascii_whitespace() {
             events.extend((first == b'\n').then_some(WatchEvent::KeepAlive));
             return Some(1);
         }
-        let mut values = Deserializer::from_slice(rest).into_iter::<Value>();
+        let mut values = Deserializer::from_slice(unparsed).into_iter::<Value>();
         match values.next()? {
             Ok(value) => {
                 let length = values.byte_offset();
                 events.push(match parse_list(&value) {
                     Some((update, malformed)) => WatchEvent::Update(update, malformed),
-                    None => WatchEvent::Malformed(excerpt(&rest[..length])),
+                    None => WatchEvent::Malformed(excerpt(&unparsed[..length])),
                 });
                 Some(length)
             }
             Err(error) if error.is_eof() => None,
             Err(_) => {
                 // continue at the next line, which may be well-formed
-                let length = line_length(rest)?;
-                events.push(WatchEvent::Malformed(excerpt(&rest[..length])));
+                let length = length_through_newline(unparsed)?;
+                events.push(WatchEvent::Malformed(excerpt(&unparsed[..length])));
                 Some(length)
             }
         }
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn updates_arrive_in_time_after_discovery_recovers_whatever_the_state_of_the_watch() {
+fn updates_arrive_in_time_after_discovery_recovers_in_any_watch_state() {
     virtual_time(async {
         let mut worst = (ms(0), String::new());
         for state in [
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_new_address_is_used_at_once_whatever_the_state_of_the_watch() {
+fn a_new_address_is_used_at_once_in_any_watch_state() {
     virtual_time(async {
         for state in [
             State::ConnectionRefused,
@@ -316,7 +316,7 @@
             accepted.dedup();
             assert_eq!(accepted.len(), 1000, "each once");
             assert!(
-                response_delay_ms > 100 || agent.posted_lines() == 1000,
+                response_delay_ms > 100 || agent.posted_notification_count() == 1000,
                 "a fast agent receives each notification once"
             );
             // three requests in flight, and one whose connection is being closed
--- a/crates/platform/tests/single_calls.rs
+++ b/crates/platform/tests/single_calls.rs
@@ -20,7 +20,7 @@
 /// The result of a call: the waits that were reported, and how the call ended.
 #[derive(Debug, PartialEq)]
 struct CallReport {
-    waits: Vec<Micros>,
+    retry_after_waits: Vec<Micros>,
     outcome: Outcome,
     cause: EndCause,
 }
@@ -75,7 +75,7 @@
     /// Waits until the call has ended, and with `stream` also until its connection is closed, so that waits that are
     /// reported late are included.
     async fn next_report(&mut self, mut stream: Option<TcpStream>) -> CallReport {
-        let mut waits = Vec::new();
+        let mut retry_after_waits = Vec::new();
         loop {
             match common::next_input(&mut self.received)
                 .await
@@ -83,7 +83,7 @@
             {
                 Input::RetryAfter { endpoint, wait } => {
                     assert_eq!(endpoint, EndpointId(1));
-                    waits.push(wait);
+                    retry_after_waits.push(wait);
                 }
                 Input::AttemptEnded(ended) => {
                     if let Some(stream) = &mut stream {
@@ -92,11 +92,11 @@
                     }
                     while let Ok(input) = self.received.try_recv() {
                         if let Input::RetryAfter { wait, .. } = input {
-                            waits.push(wait);
+                            retry_after_waits.push(wait);
                         }
                     }
                     return CallReport {
-                        waits,
+                        retry_after_waits,
                         outcome: ended.outcome,
                         cause: ended.cause,
                     };
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_call_that_may_not_start_sends_nothing_and_keeps_its_connection() {
+fn a_call_that_may_not_start_sends_nothing_and_leaves_its_connection_open() {
     run_local(async {
         let endpoint = FakeEndpoint::new(|_, _| OK);
         let mut fixture = TransportFixture::new(endpoint.address);
@@ -219,9 +219,10 @@
 }
 
 /// The waits that must be reported for this beginning of [`HEAD`].
-fn expected_waits(prefix: &str) -> Vec<Micros> {
-    let line_end = HEAD.find("1.5\r\n").expect("the header is in the text") + "1.5\r\n".len();
-    if prefix.len() >= line_end {
+fn expected_retry_after_waits(prefix: &str) -> Vec<Micros> {
+    let retry_after_end =
+        HEAD.find("1.5\r\n").expect("the header is in the text") + "1.5\r\n".len();
+    if prefix.len() >= retry_after_end {
         vec![1500 * MILLISECOND]
     } else {
         Vec::new()
@@ -241,7 +242,11 @@
                 .expect("open");
             drop(stream);
             let report = fixture.calls.next_report(None).await;
-            assert_eq!(report.waits, expected_waits(&text[..cut]), "cut at {cut}");
+            assert_eq!(
+                report.retry_after_waits,
+                expected_retry_after_waits(&text[..cut]),
+                "cut at {cut}"
+            );
             assert_eq!(
                 report.outcome,
                 Outcome::Reset,
@@ -264,7 +269,11 @@
             // cancel at once, before the transport has read the response
             cancel.send(0).expect("the call is in flight");
             let report = fixture.calls.next_report(Some(stream)).await;
-            assert_eq!(report.waits, expected_waits(&HEAD[..cut]), "cut at {cut}");
+            assert_eq!(
+                report.retry_after_waits,
+                expected_retry_after_waits(&HEAD[..cut]),
+                "cut at {cut}"
+            );
             assert_eq!(
                 (report.outcome, report.cause),
                 (Outcome::Cancelled, EndCause::Cancelled)
@@ -293,7 +302,7 @@
             (report.outcome, report.cause),
             (Outcome::Reset, EndCause::ResponseIncomplete(429))
         );
-        assert!(report.waits.is_empty());
+        assert!(report.retry_after_waits.is_empty());
     });
 }
 
@@ -334,7 +343,7 @@
                 format!("HTTP/1.1 503 No\r\n{headers}\r\nContent-Length: {length}\r\n\r\n{body}");
             stream.write_all(text.as_bytes()).await.expect("open");
             let report = fixture.calls.next_report(None).await;
-            assert_eq!(report.waits, expected, "{headers}");
+            assert_eq!(report.retry_after_waits, expected, "{headers}");
             let wait = expected.into_iter().max();
             assert_eq!(
                 report.outcome,
@@ -495,7 +504,7 @@
         stream.write_all(both.as_bytes()).await.expect("open");
         stream.shutdown().await.expect("open");
         let report = fixture.calls.next_report(None).await;
-        assert_eq!(report.waits, vec![1500 * MILLISECOND]);
+        assert_eq!(report.retry_after_waits, vec![1500 * MILLISECOND]);
         assert_eq!(report.outcome, Outcome::Reset);
     });
 }
@@ -550,8 +559,11 @@
     run_local(async {
         let mut fixture = EndpointFixture::new().await;
         let (mut stream, _cancel) = fixture.call().await;
-        let gone = response("410 Gone", "");
-        stream.write_all(gone.as_bytes()).await.expect("open");
+        let gone_response = response("410 Gone", "");
+        stream
+            .write_all(gone_response.as_bytes())
+            .await
+            .expect("open");
         assert_eq!(
             fixture.calls.next_end().await.outcome,
             Outcome::Unsent { no_slot: false }
--- a/crates/platform/tests/virtual_discovery/mod.rs
+++ b/crates/platform/tests/virtual_discovery/mod.rs
@@ -49,7 +49,7 @@
     rejected_requests: u32,
     queue_ends_at: Instant,
     accepted_at: BTreeMap<String, Instant>,
-    posted_lines: usize,
+    posted_notification_count: usize,
     open_connections: usize,
     max_open_connections: usize,
 }
@@ -87,7 +87,7 @@
             rejected_requests: 0,
             queue_ends_at: Instant::now(),
             accepted_at: BTreeMap::new(),
-            posted_lines: 0,
+            posted_notification_count: 0,
             open_connections: 0,
             max_open_connections: 0,
         })))
@@ -108,8 +108,8 @@
     }
 
     /// Number of notifications received, including duplicates.
-    pub(crate) fn posted_lines(&self) -> usize {
-        self.0.borrow().posted_lines
+    pub(crate) fn posted_notification_count(&self) -> usize {
+        self.0.borrow().posted_notification_count
     }
 
     /// Largest number of connections that were open at once.
@@ -168,10 +168,11 @@
             }
         }
         if is_post {
-            for line in request.split('\n').filter(|line| line.starts_with('{')) {
-                let line: serde_json::Value = serde_json::from_str(line).expect("JSON");
-                let id = line["id"].as_str().expect("an id").to_string();
-                self.0.borrow_mut().posted_lines += 1;
+            for json_line in request.split('\n').filter(|text| text.starts_with('{')) {
+                let notification: serde_json::Value =
+                    serde_json::from_str(json_line).expect("JSON");
+                let id = notification["id"].as_str().expect("an id").to_string();
+                self.0.borrow_mut().posted_notification_count += 1;
                 self.0
                     .borrow_mut()
                     .accepted_at
@@ -188,11 +189,11 @@
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await
             .ok()?;
-        let mut line = format!("{{\"rev\":{position},\"all\":true,\"targets\":[]}}");
+        let mut watch_line = format!("{{\"rev\":{position},\"all\":true,\"targets\":[]}}");
         loop {
-            let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
+            let chunk = format!("{:x}\r\n{watch_line}\n\r\n", watch_line.len() + 1);
             stream.write_all(chunk.as_bytes()).await.ok()?;
-            line = String::new();
+            watch_line = String::new();
             sleep(Duration::from_secs(2)).await;
             match self.0.borrow().current_state(address) {
                 (current, _) if current == position => {}
--- a/src/assemble/takeover.rs
+++ b/src/assemble/takeover.rs
@@ -145,7 +145,7 @@
         };
         match old_process::offer_takeover(request, engine, &inherited).await {
             Ok(outcome) => {
-                handover.gate.hand_over();
+                handover.gate.record_takeover();
                 log(format_args!(
                     "hot restart: {} clients and {} calls stay here",
                     handover.gate.open_connections(),
