--- a/crates/coordination/tests/golden/commands.rs
+++ b/crates/coordination/tests/golden/commands.rs
@@ -1,4 +1,4 @@
-//! Log entries, and what they are answered with.
+//! The JSON form of log entries and of their outcomes.
 
 use super::{
     AFTER_RESTORE, LEADER_TERM, LEASE, LONG_LEASE, STATE, claim, member_info, open, read_state,
@@ -18,7 +18,7 @@
 const ERROR_TEXTS: &str = include_str!("data/texts.txt");
 const REJECTED_TEXTS: &str = include_str!("data/rejected-texts.jsonl");
 
-/// One of each kind, and a batch of them.
+/// Commands of each kind, a batch of all of them, and an empty batch.
 fn commands() -> Vec<Command> {
     let each_kind = vec![
         Command::OpenSession {
@@ -133,7 +133,7 @@
         .collect()
 }
 
-/// Each line is the value at its place in the list, and the value is that line.
+/// Checks that each line is parsed to the value at the same index, and that the value is serialized to that line.
 fn assert_serialized<T: Debug + PartialEq + Serialize + DeserializeOwned>(
     text: &str,
     values: &[T],
@@ -147,33 +147,35 @@
 }
 
 #[test]
-fn each_kind_of_log_entry_is_read_and_written_as_before() {
+fn log_entries_of_each_kind_have_an_unchanged_json_form() {
     assert_serialized(COMMANDS, &commands());
 }
 
 #[test]
-fn each_kind_of_answer_and_refusal_is_read_and_written_as_before() {
+fn outcomes_and_rejections_of_each_kind_have_an_unchanged_json_form() {
     assert_serialized(OUTCOMES, &outcomes());
 }
 
-/// The texts of errors go over the wire and into the output of commands.
+/// Error texts are sent over the wire and printed by commands.
 #[test]
-fn each_error_has_the_same_text() {
+fn error_texts_are_unchanged() {
     let restore = CoordinationState::default().restored(0, LEASE);
     let texts = rejections()
         .iter()
         .map(ToString::to_string)
         .chain([
             QueueFull.to_string(),
-            restore.expect_err("a generation twice").to_string(),
+            restore
+                .expect_err("the generation is not higher")
+                .to_string(),
         ])
         .collect::<Vec<_>>();
     assert_eq!(texts, ERROR_TEXTS.lines().collect::<Vec<_>>());
 }
 
-/// What the state itself answers to texts out of bounds: the words in it are read by people at the other end.
+/// The state's own rejections of invalid commands. Their texts are shown to operators by other processes.
 #[test]
-fn texts_out_of_bounds_are_rejected_with_the_same_text() {
+fn rejections_of_invalid_commands_have_unchanged_texts() {
     let long = "x".repeat(513);
     let opening = |change: fn(&mut MemberInfo, &str)| {
         let mut member = member_info("n9");
--- a/crates/coordination/tests/golden/fencing.rs
+++ b/crates/coordination/tests/golden/fencing.rs
@@ -1,4 +1,4 @@
-//! The guard at the receiver of writes.
+//! The JSON form of the fencing guard, which a receiver of fenced writes stores.
 
 use super::AFTER_RESTORE;
 use milletturn_coordination::fencing::Admission;
@@ -7,7 +7,7 @@
 const GUARD: &str = include_str!("data/fence.json");
 
 #[test]
-fn a_guard_is_read_and_written_as_before() {
+fn a_fencing_guard_has_an_unchanged_json_form() {
     let mut guard: FencingGuard = serde_json::from_str(GUARD).expect("a guard");
     assert_eq!(serde_json::to_string(&guard).expect("serializable"), GUARD);
     assert_eq!(
--- a/crates/coordination/tests/golden/main.rs
+++ b/crates/coordination/tests/golden/main.rs
@@ -1,5 +1,6 @@
-//! Text that a build of before the renames has written: log entries, answers, snapshots, a fencing guard. Today's code
-//! reads each to the same values and writes the very same text. A coordinator stores and sends all of it as compact JSON.
+//! Golden files written by a build that predates the renaming of identifiers: log entries, outcomes, snapshots and a
+//! fencing guard. The current code must read the same values from them and write identical text. A coordinator stores
+//! and sends all of them as compact JSON.
 
 mod commands;
 mod fencing;
@@ -14,7 +15,7 @@
 const LEASE: Micros = Micros(9_000_000);
 const LONG_LEASE: Micros = Micros(12_000_000);
 const LEADER_TERM: LeaderTerm = LeaderTerm(6);
-/// The first number after a restore of generation 2: `2 << 40`.
+/// The base of session ids, tokens and event numbers after a restore with generation 2: `2 << 40`.
 const AFTER_RESTORE: u64 = 2_199_023_255_552;
 
 fn member_info(name: &str) -> MemberInfo {
@@ -51,7 +52,7 @@
     }
 }
 
-/// The state of this text, which is the text of the state.
+/// Parses a state and checks that it is serialized to the same text.
 fn read_state(text: &str) -> CoordinationState {
     let state: CoordinationState = serde_json::from_str(text).expect("a state");
     assert_eq!(serde_json::to_string(&state).expect("serializable"), text);
--- a/crates/coordination/tests/golden/snapshots.rs
+++ b/crates/coordination/tests/golden/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots, which are also what backups have.
+//! The JSON form of snapshots, which backups contain too.
 
 use super::{
     AFTER_RESTORE, LEADER_TERM, LEASE, LONG_LEASE, STATE, claim, member_info, open, read_state,
@@ -15,8 +15,8 @@
 const STATE_IN_USE_AFTER_RESTORE: &str = include_str!("data/state-in-use-after-restore.json");
 const STATE_BEFORE_BATCHES: &str = include_str!("data/state-before-batches.json");
 
-/// The state after some life: open sessions with different leases, owned and unowned resource, and an event of each kind.
-fn lived_state() -> CoordinationState {
+/// A state with open sessions that have different leases, owned and unowned resources, and an event of each kind.
+fn populated_state() -> CoordinationState {
     let mut state = CoordinationState::default();
     let commands = [
         open("n1", 11, LEASE),
@@ -64,8 +64,8 @@
     }
 }
 
-/// The events of [`lived_state`].
-fn lived_events() -> Vec<Event> {
+/// The events of [`populated_state`].
+fn populated_events() -> Vec<Event> {
     vec![
         event(1, "w", 1, "n1", EventKind::Acquired),
         event(2, "w", 1, "n1", EventKind::Written(1)),
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_snapshot_is_read_and_written_as_before() {
+fn a_snapshot_has_an_unchanged_json_form() {
     let state = read_state(STATE);
     let sessions = BTreeMap::from([
         (SessionId(1), open_session("n1", 11, LEASE)),
@@ -124,7 +124,10 @@
     ]);
     assert_eq!(state.sessions(), &sessions);
     assert_eq!(state.resources(), &resources);
-    assert_eq!(state.history().cloned().collect::<Vec<_>>(), lived_events());
+    assert_eq!(
+        state.history().cloned().collect::<Vec<_>>(),
+        populated_events()
+    );
     assert_eq!(state.generation(), 0);
     let leases = [
         (SessionId(1), LEASE),
@@ -136,30 +139,30 @@
     assert!(state.batching_enabled());
     assert_eq!(
         state,
-        lived_state(),
-        "the same commands make the same state"
+        populated_state(),
+        "the same commands produce the same state"
     );
 }
 
 #[test]
-fn a_snapshot_of_before_batches_is_read_as_one_that_has_had_none() {
+fn a_snapshot_that_predates_batches_is_read_with_batching_disabled() {
     let state: CoordinationState = serde_json::from_str(STATE_BEFORE_BATCHES).expect("a state");
     assert!(!state.batching_enabled());
-    let with_the_field =
+    let with_batching_field =
         STATE_BEFORE_BATCHES.replace(r#""resting":null}"#, r#""resting":null,"several":false}"#);
     assert_eq!(
         serde_json::to_string(&state).expect("serializable"),
-        with_the_field
+        with_batching_field
     );
     assert_eq!(
-        with_the_field.replace(r#""several":false"#, r#""several":true"#),
+        with_batching_field.replace(r#""several":false"#, r#""several":true"#),
         STATE,
-        "else it is the other one"
+        "the two snapshots differ only in the batching field"
     );
 }
 
 #[test]
-fn a_restored_snapshot_is_read_and_written_as_before() {
+fn a_restored_snapshot_has_an_unchanged_json_form() {
     let state = read_state(RESTORED_STATE);
     assert!(state.sessions().is_empty());
     let resources = BTreeMap::from([
@@ -168,7 +171,7 @@
         ("w".to_string(), resource(AFTER_RESTORE, None, 0, "fourth")),
     ]);
     assert_eq!(state.resources(), &resources);
-    let mut events = lived_events();
+    let mut events = populated_events();
     events.push(event(15, "u \"ü\"", 1, "n1", EventKind::Expired));
     events.push(event(16, "w", 3, "n2", EventKind::Expired));
     assert_eq!(state.history().cloned().collect::<Vec<_>>(), events);
@@ -187,7 +190,7 @@
     );
 }
 
-/// What a group that was restored went on with.
+/// The commands that were applied to the restored state.
 fn commands_after_restore() -> [Command; 6] {
     let id = AFTER_RESTORE + 1;
     [
@@ -208,7 +211,7 @@
 }
 
 #[test]
-fn a_snapshot_of_a_group_that_goes_on_after_a_restore_is_read_and_written_as_before() {
+fn a_snapshot_taken_after_commands_on_a_restored_state_has_an_unchanged_json_form() {
     let state = read_state(STATE_IN_USE_AFTER_RESTORE);
     let id = AFTER_RESTORE + 1;
     let token = AFTER_RESTORE + 1;
@@ -241,7 +244,7 @@
     for command in commands_after_restore() {
         replayed.apply(command, LeaderTerm(1));
     }
-    assert_eq!(state, replayed, "the same commands make the same state");
+    assert_eq!(state, replayed, "the same commands produce the same state");
 }
 
 fn opened(id: u64) -> CommandOutcome {
@@ -251,7 +254,7 @@
     }
 }
 
-/// The outcome of a claim of a resource that was not known.
+/// The outcome of the first claim of a resource.
 fn claimed(token: u64) -> CommandOutcome {
     CommandOutcome::Claimed {
         token: FencingToken(token),
@@ -260,9 +263,9 @@
     }
 }
 
-/// The numbers that no accessor shows: what a read state gives out next.
+/// Covers counters without accessors: the next session id, token and event number of a state that was read.
 #[test]
-fn a_snapshot_that_was_read_counts_on_from_its_numbers() {
+fn numbering_continues_after_a_snapshot_is_read() {
     let mut state = read_state(STATE);
     assert_eq!(state.apply(open("n5", 1, LEASE), LEADER_TERM), opened(5));
     assert_eq!(state.apply(claim(5, "new"), LEADER_TERM), claimed(1));
