--- a/crates/dead-letter/tests/simulation/clients.rs
+++ b/crates/dead-letter/tests/simulation/clients.rs
@@ -77,7 +77,7 @@
                 time_to_live: DEADLINE,
                 submitted_at: Instant::now(),
                 resubmitted: false,
-                from_failed_sender: false,
+                from_lost_sender: false,
                 body: format!("body of {name}").into(),
                 reply,
             };
--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -72,7 +72,7 @@
                 .as_ref()
                 .and_then(|name| self.decision_module.tenant_index(name.as_str())),
             resubmitted: arrival.resubmitted,
-            from_lost_sender: arrival.from_failed_sender,
+            from_lost_sender: arrival.from_lost_sender,
             ..NewMessage::new(message_id, class, destination, deadline - self.clock.now())
         };
         self.events.push(Event::Accepted(new_message));
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -47,8 +47,8 @@
     pub submitted_at: Instant,
     /// The client has submitted the message before.
     pub resubmitted: bool,
-    /// The message was submitted before to a sender that has failed.
-    pub from_failed_sender: bool,
+    /// The message was submitted before to a sender that was lost.
+    pub from_lost_sender: bool,
     /// The message's body, at most [`MAX_BODY_BYTES`] bytes.
     pub body: Bytes,
     /// Receives exactly one outcome.
--- a/crates/hot-restart/src/bridge.rs
+++ b/crates/hot-restart/src/bridge.rs
@@ -146,7 +146,7 @@
             time_to_live: forwarded.time_to_live,
             submitted_at: now.checked_sub(age).unwrap_or(now),
             resubmitted: forwarded.resubmitted,
-            from_failed_sender: forwarded.from_failed_sender,
+            from_lost_sender: forwarded.from_lost_sender,
             body: forwarded.body.into(),
             reply,
         })
--- a/crates/hot-restart/src/forwarding.rs
+++ b/crates/hot-restart/src/forwarding.rs
@@ -183,7 +183,7 @@
             time_to_live: arrival.time_to_live,
             age_us: u64::try_from(arrival.submitted_at.elapsed().as_micros()).unwrap_or(u64::MAX),
             resubmitted: arrival.resubmitted,
-            from_failed_sender: arrival.from_failed_sender,
+            from_lost_sender: arrival.from_lost_sender,
             body: arrival.body.to_vec(),
         }
     }
--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -63,7 +63,7 @@
     /// Microseconds from the submission to the sending of this frame.
     pub age_us: u64,
     pub resubmitted: bool,
-    pub from_failed_sender: bool,
+    pub from_lost_sender: bool,
     pub body: Vec<u8>,
 }
 
--- a/crates/hot-restart/tests/golden/data.rs
+++ b/crates/hot-restart/tests/golden/data.rs
@@ -80,7 +80,7 @@
         time_to_live: 20_000_000,
         submitted_at: Instant::now() - Duration::from_micros(1234),
         resubmitted: slot == 1,
-        from_failed_sender: slot == 2,
+        from_lost_sender: slot == 2,
         body: vec![b'x'; slot].into(),
         reply,
     };
--- a/crates/hot-restart/tests/golden/new_process.rs
+++ b/crates/hot-restart/tests/golden/new_process.rs
@@ -82,10 +82,10 @@
                     (expected.class, expected.destination, expected.time_to_live)
                 );
                 assert_eq!(
-                    (found.resubmitted, found.from_failed_sender, found.body),
+                    (found.resubmitted, found.from_lost_sender, found.body),
                     (
                         expected.resubmitted,
-                        expected.from_failed_sender,
+                        expected.from_lost_sender,
                         expected.body
                     )
                 );
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -609,7 +609,7 @@
         .and_then(parse_destination)
         .ok_or(bad_request("dest can't be read"))?;
     let retried = single_value(headers, "x-retried", "X-Retried")?;
-    let (is_resubmitted, is_from_failed_sender) = (
+    let (is_resubmitted, is_from_lost_sender) = (
         retried.is_some(),
         retried.is_some_and(|value| value == "again"),
     );
@@ -658,7 +658,7 @@
         time_to_live,
         submitted_at: received_at,
         resubmitted: is_resubmitted,
-        from_failed_sender: is_from_failed_sender,
+        from_lost_sender: is_from_lost_sender,
         body,
         reply,
     };
--- a/crates/sidecar/src/callback.rs
+++ b/crates/sidecar/src/callback.rs
@@ -183,7 +183,7 @@
             time_to_live: callback.time_to_live,
             submitted_at: Instant::now(),
             resubmitted: false,
-            from_failed_sender: false,
+            from_lost_sender: false,
             body: body.clone(),
             reply,
         };
--- a/crates/sidecar/tests/golden/callback.rs
+++ b/crates/sidecar/tests/golden/callback.rs
@@ -37,7 +37,7 @@
                 (arrival.class, arrival.destination, arrival.time_to_live),
                 (3, 5, 60_000_000)
             );
-            assert!(arrival.key.is_none() && !arrival.resubmitted && !arrival.from_failed_sender);
+            assert!(arrival.key.is_none() && !arrival.resubmitted && !arrival.from_lost_sender);
         }
     });
 }
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -14,7 +14,7 @@
 /// The bit of a `demand` line that marks a message which the client has submitted before.
 const RESUBMITTED_BIT: u64 = 2;
 /// The bit of a `demand` line that marks a message which was submitted before to a sender that has failed.
-const FROM_FAILED_SENDER_BIT: u64 = 16;
+const FROM_LOST_SENDER_BIT: u64 = 16;
 
 /// Endpoint lists by number; the rows of each list are unparsed text.
 pub(crate) type EndpointLists = BTreeMap<u64, Vec<String>>;
@@ -137,7 +137,7 @@
             key,
             tenant,
             resubmitted: bits & RESUBMITTED_BIT != 0,
-            from_lost_sender: bits & FROM_FAILED_SENDER_BIT != 0,
+            from_lost_sender: bits & FROM_LOST_SENDER_BIT != 0,
             deferred: false,
         }))
     }
--- a/crates/test-support/src/engine_ports.rs
+++ b/crates/test-support/src/engine_ports.rs
@@ -99,7 +99,7 @@
         time_to_live: 20 * SECOND,
         submitted_at: Instant::now(),
         resubmitted: false,
-        from_failed_sender: false,
+        from_lost_sender: false,
         body: "x".into(),
         reply,
     };
