--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -162,10 +162,10 @@
         help: Option<String>,
     ) {
         if self.findings.len() < MAX_FINDINGS {
-            let place = self.location(span, label);
+            let location = self.location(span, label);
             self.findings.push(Finding {
                 code,
-                locations: vec![place],
+                locations: vec![location],
                 help,
             });
         }
@@ -586,8 +586,8 @@
         self.findings
             .iter()
             .flat_map(|finding| &finding.locations)
-            .any(|place| {
-                let line = place.span.as_ref().map(|span| {
+            .any(|location| {
+                let line = location.span.as_ref().map(|span| {
                     let start = self.text[..span.start.min(self.text.len())]
                         .rfind('\n')
                         .map_or(0, |at| at + 1);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -12,7 +12,7 @@
 
 #![expect(
     clippy::too_many_lines,
-    reason = "checks that compare many settings are one sequence of independent conditions"
+    reason = "a function that validates settings is one long sequence of independent checks"
 )]
 
 pub mod check;
--- a/crates/config/src/neighbours.rs
+++ b/crates/config/src/neighbours.rs
@@ -108,13 +108,13 @@
             continue;
         };
         if ports_overlap(&earlier_value, &later_value) {
-            let later_label = if earlier_value == later_value {
+            let later_file_label = if earlier_value == later_value {
                 "the same port".to_string()
             } else {
                 format!("the same port as {earlier_value}")
             };
             let locations = vec![
-                later.location(later.span(&later_path), later_label),
+                later.location(later.span(&later_path), later_file_label),
                 earlier.location(earlier.span(&earlier_path), "claimed first here"),
             ];
             findings.push(Finding {
@@ -124,10 +124,10 @@
             });
         }
     }
-    let mut add = |code, path: &[&str], later_label: String, earlier_label: String| {
+    let mut add = |code, path: &[&str], later_file_label: String, earlier_file_label: String| {
         let locations = vec![
-            later.location(later.span(path), later_label),
-            earlier.location(earlier.span(path), earlier_label),
+            later.location(later.span(path), later_file_label),
+            earlier.location(earlier.span(path), earlier_file_label),
         ];
         findings.push(Finding {
             code,
@@ -140,14 +140,14 @@
         && resolve_links(&earlier_value) == resolve_links(&later_value)
     {
         let as_written = |document: &Document| document.text_of(&["state"]).unwrap_or_default();
-        let later_label = match as_written(earlier) == as_written(later) {
+        let later_file_label = match as_written(earlier) == as_written(later) {
             true => "the same folder".to_string(),
             false => format!("the same folder as {}", as_written(earlier)),
         };
         add(
             Code::SharedStateFolder,
             &["state"],
-            later_label,
+            later_file_label,
             "claimed first here".into(),
         );
     }
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -74,13 +74,13 @@
     color: bool,
 ) -> String {
     let mut reports: Vec<FileReport> = Vec::new();
-    for place in &finding.locations {
-        let name = place.path.display().to_string();
-        let text = text_of(&place.path).unwrap_or_default();
-        let label = place.span.as_ref().map(|span| {
+    for location in &finding.locations {
+        let name = location.path.display().to_string();
+        let text = text_of(&location.path).unwrap_or_default();
+        let label = location.span.as_ref().map(|span| {
             let length = span.end.saturating_sub(span.start);
             LabeledSpan::new(
-                Some(place.label.clone()),
+                Some(location.label.clone()),
                 span.start.min(text.len()),
                 length,
             )
@@ -97,7 +97,7 @@
             (None, label) => {
                 let title = match (reports.is_empty(), &label) {
                     (true, Some(_)) => finding.code.title().to_string(),
-                    (true, None) => format!("{}: {name}: {}", finding.code.title(), place.label),
+                    (true, None) => format!("{}: {name}: {}", finding.code.title(), location.label),
                     (false, _) => format!("beside {name}"),
                 };
                 reports.push(FileReport {
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn every_setting_keeps_its_key_and_its_meaning() {
+fn every_setting_has_an_unchanged_key_and_meaning() {
     let document = check_documents(vec![parse_golden("all.toml")]).remove(0);
     assert!(document.findings.is_empty(), "{:?}", document.findings);
     let mut lines = String::new();
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn findings_as_json_keep_their_keys_codes_and_positions() {
+fn findings_as_json_have_unchanged_keys_codes_and_positions() {
     let lines = |documents: &[Document]| -> String {
         let found = findings(documents);
         let plain = found
@@ -106,24 +106,27 @@
         .find(|line| line.contains("MT005"))
         .expect("a finding with code MT005");
     let first: serde_json::Value = serde_json::from_str(line).expect("valid JSON");
-    let place = &first["places"][0];
+    let location = &first["places"][0];
     assert_eq!(first["code"], "MT005");
     assert_eq!(first["title"], "there is no such setting");
     assert_eq!(first["help"], "did you mean `name`?");
     assert_eq!(
-        (&place["file"], &place["text"]),
+        (&location["file"], &location["text"]),
         (&"broken.toml".into(), &"nam".into())
     );
-    assert_eq!((&place["line"], &place["column"]), (&1.into(), &1.into()));
     assert_eq!(
-        (&place["end_line"], &place["end_column"]),
+        (&location["line"], &location["column"]),
+        (&1.into(), &1.into())
+    );
+    assert_eq!(
+        (&location["end_line"], &location["end_column"]),
         (&1.into(), &4.into())
     );
-    assert_eq!(place["label"], "unknown");
+    assert_eq!(location["label"], "unknown");
 }
 
 #[test]
-fn codes_keep_their_numbers_and_the_schema_its_text() {
+fn code_numbers_and_the_schema_text_are_unchanged() {
     let codes: String = Code::ALL
         .iter()
         .map(|code| format!("{} {}\n", code.text(), code.title()))
