--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -246,19 +246,22 @@
         .collect()
 }
 
-/// Starts a process on a journal with the first `whole` records and the first `torn` bytes of the next one. It must send
-/// the message again where that is safe, fail it where it may have run, and not send it where it has ended.
-fn check_start_after_kill(class: &str, records: &[&[u8]], whole: usize, torn: usize) {
-    let next = records.get(whole).map_or(&[][..], |record| &record[..torn]);
-    let journal = [records[..whole].concat(), next.to_vec()].concat();
+/// Starts a process on a journal with the first `complete` records and the first `torn` bytes of the next one. The
+/// process must send the message again where that is safe, fail it where the endpoint may already have processed it,
+/// and not send it where it has ended.
+fn check_start_after_kill(class: &str, records: &[&[u8]], complete: usize, torn: usize) {
+    let next = records
+        .get(complete)
+        .map_or(&[][..], |record| &record[..torn]);
+    let journal = [records[..complete].concat(), next.to_vec()].concat();
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let discovery = discovery_with(&endpoint);
     let node = Node::prepared(discovery.address, 3.0, EMPTY_ENDPOINT_LIST, |state| {
         std::fs::write(state.join("journal"), journal).expect("written");
     });
     let node = node.ready();
-    let case = format!("{class}, {whole} records and {torn} bytes");
-    let expected_attempts = match (class, whole) {
+    let case = format!("{class}, {complete} records and {torn} bytes");
+    let expected_attempts = match (class, complete) {
         (_, 1) | ("webhook", 2) => {
             wait_until(&case, || endpoint.attempt_count("m1") == 1);
             1
@@ -281,7 +284,7 @@
     assert_eq!(endpoint.attempt_count("m1"), expected_attempts, "{case}");
     assert_eq!(
         discovery.notifications().len(),
-        usize::from(class == "order" && whole == 2),
+        usize::from(class == "order" && complete == 2),
         "{case}"
     );
 }
@@ -302,10 +305,10 @@
         let journal = std::fs::read(node.journal()).expect("the journal");
         let records = records(&journal);
         assert_eq!(records.len(), 3, "accepted, attempted, ended");
-        for whole in 0..=3 {
+        for complete in 0..=3 {
             // with and without the first 5 bytes of the next record
-            for torn in [0, 5].into_iter().filter(|torn| whole < 3 || *torn == 0) {
-                check_start_after_kill(class, &records, whole, torn);
+            for torn in [0, 5].into_iter().filter(|torn| complete < 3 || *torn == 0) {
+                check_start_after_kill(class, &records, complete, torn);
             }
         }
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -11,7 +11,7 @@
 use milletturn_coordination_protocol::messages::{COMMAND_PATH, HEARTBEAT_PATH};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_milletturn");
-/// Attempts after which a test fails if another leader was elected in each of them while a write was held back.
+/// Attempts after which a test fails if another leader was elected in each of them while a write was delayed.
 const MAX_ELECTIONS: usize = 5;
 
 /// The number of writes that the process did with this fencing token.
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -57,13 +57,13 @@
     let mut idle = Client::new(node.address);
     assert_eq!(
         idle.send(&message_request("webhook", "m1", 7, 20_000, b"x"))
-            .map(|answer| answer.0),
+            .map(|response| response.0),
         Some(202)
     );
     let mut used = Client::new(node.address);
     assert_eq!(
         used.send(&message_request("webhook", "m2", 7, 20_000, b"x"))
-            .map(|answer| answer.0),
+            .map(|response| response.0),
         Some(202)
     );
     assert_eq!(node.admin_status("GET", "/-/ready"), 200);
@@ -76,10 +76,13 @@
         (503, 503)
     );
     // a client that does not know of the drain is served, and its connection is closed after the response
-    let answer = used
+    let response = used
         .send(&message_request("webhook", "m3", 7, 20_000, b"x"))
         .expect("a response");
-    assert_eq!((answer.0, answer.1.header("connection")), (202, "close"));
+    assert_eq!(
+        (response.0, response.1.header("connection")),
+        (202, "close")
+    );
     wait_until("the idle connection is closed", || idle.is_closed());
     wait_until("no message is accepted any more", || {
         node.submit("webhook", "late", 7, 20_000, b"x") == 503
@@ -97,10 +100,10 @@
     );
     let mut client = Client::new(node.address);
     for id in ["m4", "m5"] {
-        let answer = client
+        let response = client
             .send(&message_request("webhook", id, 7, 20_000, b"x"))
             .expect("connections stay open again");
-        assert_eq!(answer.0, 202);
+        assert_eq!(response.0, 202);
     }
 }
 
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -162,7 +162,7 @@
 fn late_responses_to_a_proxy_do_not_renew_a_lease() {
     let (cluster, owner_proxy, _other_proxy, _links, a, b) = owner_and_next();
     let (token, before) = (highest_token(&a), join_count(&a));
-    // heartbeat batches reach the coordinators, and the responses are held back until another member owns the resource
+    // heartbeat batches reach the coordinators, and the responses are delayed until another member owns the resource
     owner_proxy
         .coordinator_links
         .links
@@ -547,20 +547,21 @@
     // A batch is in flight for 2.3 s at most. On a slow machine the callers may still be connected when the next batch is
     // sent; then the scenario is repeated.
     for number in 0..20 {
-        let [kept, ahead, gone] = ["kept", "ahead", "gone"].map(|what| format!("{what}-{number}"));
-        let session = opened_session(&open_until_answered(address, &kept, 1));
+        let [existing, in_flight, disconnected] =
+            ["kept", "ahead", "gone"].map(|what| format!("{what}-{number}"));
+        let session = opened_session(&open_until_answered(address, &existing, 1));
         proxy
             .coordinator_links
             .links
             .iter()
             .for_each(|link| link.set_directions(LinkMode::Buffer, LinkMode::Pass));
         let before = proxy_status(address);
-        let ahead = std::thread::spawn(move || open(address, &ahead, 2));
+        let in_flight = std::thread::spawn(move || open(address, &in_flight, 2));
         wait_until("a batch is sent", || {
             proxy_status(address).command_batches > before.command_batches
         });
         let close = format!("{{\"close\":{{\"session\":{session}}}}}");
-        let text = serde_json::to_string(&open_request(&gone, 3)).expect("written");
+        let text = serde_json::to_string(&open_request(&disconnected, 3)).expect("written");
         let disconnecting = [("/v1/open", &text), ("/v1/order", &close)].map(|(path, text)| {
             let mut stream = TcpStream::connect(address).expect("connected");
             stream
@@ -583,13 +584,13 @@
             .links
             .iter()
             .for_each(|link| link.set_both(LinkMode::Pass));
-        let _ = ahead.join().expect("answered");
+        let _ = in_flight.join().expect("answered");
         wait_until("the session is closed", || {
-            sessions_named(&leader_status_and_state(&cluster).1, &kept).is_empty()
+            sessions_named(&leader_status_and_state(&cluster).1, &existing).is_empty()
         });
         if is_disconnected_in_time {
             assert_eq!(
-                sessions_named(&leader_status_and_state(&cluster).1, &gone),
+                sessions_named(&leader_status_and_state(&cluster).1, &disconnected),
                 [],
                 "no session that nobody renews is opened"
             );
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -55,24 +55,34 @@
     log: Arc<Mutex<Vec<String>>>,
 }
 
-/// A configuration with two classes, to which `rest` is appended.
-fn config(http: SocketAddr, outcomes: SocketAddr, rest: &str) -> String {
+/// A configuration with two classes, to which `extra_settings` is appended.
+fn config(http: SocketAddr, outcomes: SocketAddr, extra_settings: &str) -> String {
     format!(
         "name = 'app'\nstate = 'app.state'\n[listen]\nhttp = '{http}'\noutcomes = '{outcomes}'\n\
          [class.notice]\neffect = 'keyed'\nwindow = '12s'\ndeadline = '12s'\n\
-         [class.order]\neffect = 'unsafe'\ndeadline = '2s'\naim = '1s'\n{rest}"
+         [class.order]\neffect = 'unsafe'\ndeadline = '2s'\naim = '1s'\n{extra_settings}"
     )
 }
 
 impl Sidecar {
-    fn new(rest: &str) -> Self {
-        Sidecar::start(new_folder(), unused_address(), unused_address(), rest)
+    fn new(extra_settings: &str) -> Self {
+        Sidecar::start(
+            new_folder(),
+            unused_address(),
+            unused_address(),
+            extra_settings,
+        )
     }
 
     /// Writes the configuration file, and starts a sidecar with it.
-    fn start(folder: PathBuf, http: SocketAddr, outcomes: SocketAddr, rest: &str) -> Self {
+    fn start(
+        folder: PathBuf,
+        http: SocketAddr,
+        outcomes: SocketAddr,
+        extra_settings: &str,
+    ) -> Self {
         let file = folder.join("app.toml");
-        std::fs::write(&file, config(http, outcomes, rest)).expect("written");
+        std::fs::write(&file, config(http, outcomes, extra_settings)).expect("written");
         Sidecar::run(file, http, outcomes)
     }
 
@@ -222,8 +232,10 @@
 #[test]
 fn each_message_has_exactly_one_outcome_across_kills_and_reconnects() {
     let (good, bad) = good_and_bad_endpoint();
-    let rest = destinations(good.address, bad.address);
-    let mut sidecar = Sidecar::new(&format!("[limits]\nheld = 4000\ndisk = '60MB'\n{rest}"));
+    let extra_settings = destinations(good.address, bad.address);
+    let mut sidecar = Sidecar::new(&format!(
+        "[limits]\nheld = 4000\ndisk = '60MB'\n{extra_settings}"
+    ));
     let (mut cursor, mut submitted, mut outcome_counts) = (0, 0u32, BTreeMap::<String, u32>::new());
     let mut accepted = Vec::new();
     for round in 0..12u32 {
@@ -308,14 +320,14 @@
 
 #[test]
 fn a_message_that_gets_a_410_has_a_failed_outcome() {
-    let gone = FakeEndpoint::new(|_, _| Reply::Respond("410 Gone", String::new()));
+    let gone_endpoint = FakeEndpoint::new(|_, _| Reply::Respond("410 Gone", String::new()));
     let (good, _) = good_and_bad_endpoint();
-    let sidecar = Sidecar::new(&destinations(gone.address, good.address));
+    let sidecar = Sidecar::new(&destinations(gone_endpoint.address, good.address));
     assert_eq!(sidecar.submit("notice", "m1", 1), 202);
     wait_until("the message has failed", || {
         sidecar.get("/v1/messages/m1").1.contains("failed")
     });
-    assert_eq!(gone.attempt_count("m1"), 1);
+    assert_eq!(gone_endpoint.attempt_count("m1"), 1);
 }
 
 #[test]
@@ -369,11 +381,12 @@
     let folder = new_folder();
     let file = folder.join("app.toml");
     let (http, outcomes) = (unused_address(), unused_address());
-    let rest = "[destination.a]\nid = 1\nendpoints = ['127.0.0.1:9']\n";
+    let extra_settings = "[destination.a]\nid = 1\nendpoints = ['127.0.0.1:9']\n";
     // a configuration that is invalid in itself
     std::fs::write(
         &file,
-        config(http, outcomes, rest).replace("'12s'\n[class.order]", "'30s'\n[class.order]"),
+        config(http, outcomes, extra_settings)
+            .replace("'12s'\n[class.order]", "'30s'\n[class.order]"),
     )
     .expect("written");
     let text = rejection_text(&file);
@@ -390,7 +403,7 @@
     assert_eq!(first_finding(&text), first_finding(&checked));
     assert!(!folder.join("app.state").exists(), "nothing is started");
     // a state folder with files of another program
-    std::fs::write(&file, config(http, outcomes, rest)).expect("written");
+    std::fs::write(&file, config(http, outcomes, extra_settings)).expect("written");
     std::fs::create_dir(folder.join("app.state")).expect("made");
     std::fs::write(folder.join("app.state/precious.doc"), "x").expect("written");
     assert!(rejection_text(&file).contains("MT052"));
@@ -401,8 +414,8 @@
     assert!(text.contains("MT053") && text.contains("MT054"), "{text}");
     drop(sidecar);
     // an endpoints file that does not exist
-    let rest = "[endpoints]\nfile = 'none.toml'\n";
-    std::fs::write(&file, config(http, outcomes, rest)).expect("written");
+    let extra_settings = "[endpoints]\nfile = 'none.toml'\n";
+    std::fs::write(&file, config(http, outcomes, extra_settings)).expect("written");
     assert!(rejection_text(&file).contains("MT055"));
     // a state folder that can't be created
     let text = config(
@@ -418,7 +431,7 @@
 #[test]
 fn a_reload_of_an_invalid_configuration_is_logged_and_counted_and_changes_nothing() {
     let (good, bad) = good_and_bad_endpoint();
-    let rest = destinations(good.address, bad.address);
+    let extra_settings = destinations(good.address, bad.address);
     let (folder, http, outcomes, admin_address) = (
         new_folder(),
         unused_address(),
@@ -426,7 +439,7 @@
         unused_address(),
     );
     let file = folder.join("app.toml");
-    let text = config(http, outcomes, &rest);
+    let text = config(http, outcomes, &extra_settings);
     let text = text.replace(
         "[class.notice]",
         &format!("operators = '{admin_address}'\n[class.notice]"),
@@ -602,9 +615,9 @@
         number if number < 4 || number % 3 == 0 => Reply::Respond("500 Oops", String::new()),
         _ => OK,
     });
-    let rest = destinations(good.address, bad.address);
+    let extra_settings = destinations(good.address, bad.address);
     let mut sidecar = Sidecar::new(&format!(
-        "[outcomes]\ncallback = '{}'\n{rest}",
+        "[outcomes]\ncallback = '{}'\n{extra_settings}",
         callback.address
     ));
     let mut accepted = Vec::new();
@@ -658,10 +671,10 @@
 #[test]
 fn a_returned_message_is_stored_and_listed_by_the_configuration_file() {
     let (good, bad) = good_and_bad_endpoint();
-    let rest = destinations(good.address, bad.address);
+    let extra_settings = destinations(good.address, bad.address);
     let store = "[undelivered]\nkeep = true\n[resend.soon]\nclass = 'notice'\nwell_for = '0s'\n";
     let sidecar = Sidecar::new(&format!(
-        "[limits]\ndisk = '60MB'\n[retry]\nattempts = 2\n{store}{rest}"
+        "[limits]\ndisk = '60MB'\n[retry]\nattempts = 2\n{store}{extra_settings}"
     ));
     assert_eq!(sidecar.submit("notice", "m1", 2), 202);
     wait_until("the message is returned", || {
