--- a/crates/test-support/src/crash_point.rs
+++ b/crates/test-support/src/crash_point.rs
@@ -18,7 +18,7 @@
 }
 
 impl CrashPoint {
-    /// A process that crashes after `max_steps` steps; with `u64::MAX` it never does.
+    /// Crashes the process after `max_steps` steps; `u64::MAX` means never.
     #[must_use]
     pub fn new(max_steps: u64) -> Self {
         CrashPoint(Rc::new(Inner {
@@ -27,7 +27,7 @@
         }))
     }
 
-    /// Counts one step. Returns false, from then on always, once the process has crashed.
+    /// Counts a step and returns true, or returns false without counting it if the process has crashed.
     #[must_use]
     pub fn try_step(&self) -> bool {
         if self.has_crashed() {
@@ -37,7 +37,7 @@
         true
     }
 
-    /// Whether the process has taken all the steps that it may.
+    /// Whether the process has crashed, which is once it has taken `max_steps` steps.
     #[must_use]
     pub fn has_crashed(&self) -> bool {
         self.0.steps_taken.get() >= self.0.max_steps.get()
