--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -2,7 +2,8 @@
 //! messages, attempts, calls and endpoints are plain data in `state.rs`.
 //!
 //! Reading order: the constants, `handle` (one turn), the handlers of events, the checks of what the delivery
-//! rules allow, and then the choices within those rules: sends, hedged requests and the end of messages.
+//! rules allow (only they know these rules), and then the choices within the rules: sends, hedged requests and
+//! the end of messages.
 
 use crate::interface::{
     Action, DestinationId, Effect, EndpointId, Event, MILLISECOND, MessageId, Micros, NewMessage,
@@ -28,7 +29,8 @@
 const HEDGE_DELAY_RANK: usize = 19;
 /// Initial concurrency window of a health scope, as a share of the call slots.
 const INITIAL_WINDOW_SHARE: f64 = 0.25;
-/// Largest concurrency window of a health scope, as a share of the call slots.
+/// Largest concurrency window of a health scope, and most calls in flight to all scopes of a destination
+/// together, as a share of the call slots.
 const MAX_WINDOW_SHARE: f64 = 0.75;
 /// Largest concurrency window of an ejected scope, and the slots that all slow and ejected scopes may use
 /// together, as a share of the call slots.
@@ -147,7 +149,8 @@
 /// them knows about the scope. Larger values detect recovery sooner, smaller ones put less load on a small
 /// destination.
 const MAX_FLEET_PROBES: f64 = 3.0;
-/// Weight of one rejected connection in the moving average of connection rejections.
+/// Weight of one call in the moving average of connection rejections, if the call could not open a connection
+/// or met a full connection table.
 const CONNECTION_REJECTION_WEIGHT: f64 = 0.2;
 /// Connection rejection score above which idle connections are closed. Smaller values relieve busy endpoints
 /// sooner, larger ones save handshakes.
@@ -751,8 +754,9 @@
 
     /// Adjusts the rate limit to a load report of the limit that all senders share, the only sign of their
     /// total load. The rate rises while much of the limit remains and falls while little does. It is at most
-    /// the fair share while nothing remains, and more by the square of the used share otherwise. This
-    /// protects limits that count rejected calls too; it can hold back a sender that has most of the traffic.
+    /// the fair share divided by the square of the used share: the fair share itself while nothing remains,
+    /// more otherwise. This protects limits that count rejected calls too; it can hold back a sender that has
+    /// most of the traffic.
     fn on_load_report(&mut self, scope_id: HealthScopeId, report: &[f64]) {
         let read_field =
             |position: Option<usize>| position.and_then(|index| report.get(index).copied());
@@ -804,9 +808,11 @@
         );
     }
 
-    /// Closes an idle connection that would time out before it is used again, where connections were
-    /// rejected. This protects endpoints that accept few connections from hundreds of senders that each keep
-    /// one idle. Where traffic comes in bursts with long pauses, the next call pays for a handshake.
+    /// Closes the idle connections to an endpoint without calls that has rejected connections lately. A
+    /// scope that is called so rarely that its connections would time out before they are used again closes
+    /// them as soon as other endpoints of the kind reject connections. This protects endpoints that accept
+    /// few connections from hundreds of senders that each keep one idle. Where traffic comes in bursts with
+    /// long pauses, the next call pays for a handshake.
     fn release_idle_connections(
         &mut self,
         scope_id: HealthScopeId,
@@ -1262,7 +1268,8 @@
         scopes.peek().is_some() && scopes.all(|scope| scope.is_some_and(is_late))
     }
 
-    /// Whether every health scope of the destination is ejected, recovering or under suspicion.
+    /// Whether every health scope of the destination is ejected, recovering or not trusted because of recent
+    /// failures.
     fn has_no_healthy_scope(&self, destination: DestinationId) -> bool {
         let is_reliable = |scope: &HealthScope| {
             scope.health == Health::Healthy
@@ -1451,7 +1458,8 @@
                     if now < until { until } else { Micros::MAX },
                 )
             }
-            // An unsafe message cannot be retried, so it does not go to a scope with a call that is overdue.
+            // An unsafe message cannot be sent again, so it is not sent to a scope that may be about to
+            // fail: one where a call has been without a sign of life for longer than the hedge delay.
             Health::Healthy
                 if unsafe_class
                     && scope.unresponsive_age
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -92,8 +92,8 @@
         self.scheduler.activate_destination(destination);
     }
 
-    /// Removes endpoints that are no longer served and that no pending message has tried, then destinations
-    /// and health scopes without endpoints. The cost depends on what has been removed, not on what is listed.
+    /// Removes endpoints that are not serving and that no pending message has tried, then destinations and
+    /// health scopes without endpoints. The cost depends on what has been removed, not on what is listed.
     pub(crate) fn remove_stale_state(&mut self) {
         let (now, candidates) = (self.now, std::mem::take(&mut self.removable_endpoints));
         let attempted: BTreeSet<EndpointId> = match candidates.is_empty() {
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -161,7 +161,8 @@
     /// The host reports the end of messages by notifications, which may arrive later than the decision. If
     /// false, ends are known at once.
     pub notifications_enabled: bool,
-    /// Endpoints may be probed. No decision uses probes at present.
+    /// The host may be asked for an [`Action::Probe`]. No decision asks for one at present: the probes of
+    /// ejected destinations are ordinary attempts.
     pub probing_enabled: bool,
     /// Senders may send each other gossip. No decision uses gossip at present.
     pub gossip_enabled: bool,
@@ -491,7 +492,7 @@
     Cancelled,
     /// The attempt never left the sender.
     Unsent {
-        /// The reason was that no connection slot was free.
+        /// The reason was that no slot was free for the call.
         no_slot: bool,
     },
 }
--- a/crates/policy/src/outage_evidence.rs
+++ b/crates/policy/src/outage_evidence.rs
@@ -1,13 +1,15 @@
 //! Evidence that a health scope is down, rather than having its baseline share of failed calls. Uses neither
-//! clock nor I/O.  This is a sequential test (Page's CUSUM of log-likelihood ratios, E. S. Page, Continuous
-//! Inspection Schemes, Biometrika 41, 1954). Each call adds the log-likelihood ratio of its result under an
+//! clock nor I/O.
+//!
+//! This is a sequential test (Page's CUSUM of log-likelihood ratios, E. S. Page, Continuous Inspection
+//! Schemes, Biometrika 41, 1954). Each call adds the log-likelihood ratio of its result under an
 //! outage against the baseline: positive for a failure, negative for a success. The sum does not fall below
 //! zero. False alarms then occur less often than once in exp(threshold) calls, whatever the baseline failure
 //! rate is.
 
-/// Failures and calls of the prior of the baseline failure rate. The prior is weak, so that a few dozen calls
-/// outweigh it. A higher prior rate detects the first outage of an unknown scope later, a lower one takes its
-/// first noise for an outage.
+/// Failures and calls of the prior of the baseline failure rate. The prior is weak, so that about a dozen
+/// calls outweigh it. A higher prior rate detects the first outage of an unknown scope later, a lower one
+/// takes its first noise for an outage.
 const PRIOR_FAILURES: f64 = 0.1;
 /// See [`PRIOR_FAILURES`].
 const PRIOR_CALLS: f64 = 10.0;
@@ -119,8 +121,8 @@
 
     /// Records a failed call with the given weight and returns the resulting evidence. `baseline_rate` is the
     /// failure rate of a class that fails while other classes succeed, or 0. If that rate is above the
-    /// baseline of the scope, the failure adds less evidence and does not count in the present run of
-    /// failures.
+    /// baseline of the scope, the failure says little about the scope: it adds less evidence and does not
+    /// count in the present run of failures.
     pub fn record_failure(&mut self, weight: f64, baseline_rate: f64) -> f64 {
         self.pending_failures += if baseline_rate > self.baseline_rate() {
             0.0
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -512,7 +512,8 @@
         Some(head)
     }
 
-    /// Adds the next message of a queue that is less urgent than `after`.
+    /// Adds the next message of a queue, unless one of its messages is waiting in the pass already. Skips
+    /// messages that are to be sent before `after`.
     pub(crate) fn push(
         &mut self,
         scheduler: &SendScheduler,
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -32,7 +32,7 @@
     pub(crate) idle_scopes: BTreeMap<HealthScopeId, CompactState>,
     /// The scope that the scan for idle scopes checked last.
     pub(crate) idle_scan_position: Option<HealthScopeId>,
-    /// Endpoints that are no longer served and may be removed.
+    /// Endpoints that are not serving (draining or no longer listed) and may be removed.
     pub(crate) removable_endpoints: BTreeSet<EndpointId>,
     /// Destinations without endpoints, and since when; removed after a retention period.
     pub(crate) unlisted_destinations: BTreeSet<(Micros, DestinationId)>,
