--- a/crates/cluster-harness/src/scripted_link.rs
+++ b/crates/cluster-harness/src/scripted_link.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// Applies a fault after the number of bytes that precede it.
+/// Applies a cut or a stall once the bytes that precede it have been forwarded.
 fn apply_fault(from: &TcpStream, to: &TcpStream, fault: ConnectionFault) {
     if matches!(fault, ConnectionFault::StallAfter(_)) {
         loop {
--- a/crates/coordination-protocol/src/client.rs
+++ b/crates/coordination-protocol/src/client.rs
@@ -99,7 +99,7 @@
         /// The call number in the response, if it has one.
         found: Option<u64>,
     },
-    /// The time limit of the call, which is contained here, has passed.
+    /// No response arrived within this time limit.
     #[error("nothing within {} ms", .0.as_millis())]
     Timeout(Duration),
 }
--- a/crates/coordination/src/bounds.rs
+++ b/crates/coordination/src/bounds.rs
@@ -8,7 +8,7 @@
 /// the number.
 pub const MAX_SESSIONS: usize = 32_768;
 /// Maximum number of members that send heartbeats to a coordinator directly; larger fleets use session proxies. Each
-/// member costs a connection, and each heartbeat a round trip to a majority: 600 per second take a third of a core.
+/// member costs a connection, and each heartbeat a round trip to a quorum: 600 per second take a third of a core.
 pub const MAX_DIRECT_MEMBERS: usize = 1_024;
 /// Maximum number of heartbeats that wait at one session proxy, and of commands in its queue. Each waiting heartbeat
 /// holds a connection. With 16,000 members and 19 proxies, each proxy serves 842 members while all proxies are up. The
--- a/crates/coordination/src/lease_table.rs
+++ b/crates/coordination/src/lease_table.rs
@@ -52,7 +52,7 @@
     pub holder_expired: bool,
 }
 
-/// A heartbeat that waits until a majority has confirmed that this coordinator still leads in the given term.
+/// A heartbeat that waits until a quorum has confirmed that this coordinator still leads in the given term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingHeartbeat {
     heartbeat: Heartbeat,
@@ -111,7 +111,7 @@
     /// Starts to process a heartbeat that has arrived.
     ///
     /// Returns `None` if the session has ended or is ending, this coordinator does not lead, or the heartbeat may not
-    /// extend the lease. Otherwise the caller must have a majority confirm, after this call, that this coordinator
+    /// extend the lease. Otherwise the caller must have a quorum confirm, after this call, that this coordinator
     /// still leads, and then call [`confirm_heartbeat`](Self::confirm_heartbeat).
     #[must_use]
     pub fn begin_heartbeat(&self, heartbeat: Heartbeat) -> Option<PendingHeartbeat> {
@@ -125,10 +125,10 @@
         })
     }
 
-    /// Extends the lease. To be called after a majority has confirmed that this coordinator leads, in a round that
+    /// Extends the lease. To be called after a quorum has confirmed that this coordinator leads, in a round that
     /// began after [`begin_heartbeat`](Self::begin_heartbeat).
     ///
-    /// Returns whether the lease is extended; only then may the member be told so.
+    /// Returns whether the lease is extended; only then may the response to the member confirm the heartbeat.
     pub fn confirm_heartbeat(&mut self, pending: PendingHeartbeat, now: Timestamp) -> bool {
         let PendingHeartbeat {
             heartbeat,
--- a/crates/coordination/tests/leases/simulation.rs
+++ b/crates/coordination/tests/leases/simulation.rs
@@ -274,7 +274,7 @@
             return;
         };
         let now = self.coordinator_clock(coordinator);
-        // A majority confirms only the real leader, not a coordinator that merely believes it leads.
+        // A quorum confirms only the real leader, not a coordinator that merely believes it leads.
         if coordinator != self.leader || !self.tables[coordinator].confirm_heartbeat(pending, now) {
             return;
         }
--- a/crates/coordination/tests/model/steps.rs
+++ b/crates/coordination/tests/model/steps.rs
@@ -93,7 +93,7 @@
 
     /// Adds the steps that exist only in this scenario.
     fn scenario_steps(&self, state: &ClusterState, steps: &mut Vec<Step>) {
-        // A run has either a proxy restart or an abandoned call or batch, not both.
+        // A run has at most one fault: a proxy restart, or an abandoned call or batch.
         let is_faultless = state.proxy_restarts + state.abandoned == 0;
         match self.scenario {
             Scenario::Leases => {}
--- a/crates/coordinator/src/leadership.rs
+++ b/crates/coordinator/src/leadership.rs
@@ -64,7 +64,8 @@
     }
 }
 
-/// All leases of a state: those of open sessions and those that a restored backup still listed as open.
+/// All leases of a state: those of open sessions, and one that stands for all leases from before a restore until it
+/// has expired.
 fn collect_leases(state: &CoordinationState) -> Vec<(SessionId, Micros)> {
     state.leases().collect()
 }
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -23,8 +23,8 @@
 
 /// Number of log entries from one snapshot to the next. A restart applies at most this many, which takes milliseconds.
 const SNAPSHOT_INTERVAL: u64 = 2_000;
-/// Number of log entries kept before a snapshot, so that a replica that was down for a short time catches up from the
-/// log and needs no snapshot.
+/// Number of log entries that are kept although the last snapshot covers them, so that a replica that was down for a
+/// short time catches up from the log and needs no snapshot.
 const LOG_RETENTION: u64 = 500;
 /// Time limit for sending and installing one chunk of a snapshot.
 const SNAPSHOT_TIMEOUT_MS: u64 = 5_000;
--- a/crates/shard-map/src/limits.rs
+++ b/crates/shard-map/src/limits.rs
@@ -17,8 +17,8 @@
 /// Maximum number of shards in one request. Each takes 40 bytes, so that a request has at most 20 KB.
 pub const MAX_REQUEST_SHARDS: usize = 512;
 
-/// Size of the endpoints in one response, in bytes by [`Endpoint::size_bytes`](crate::Endpoint::size_bytes), from which
-/// on no further shard is added.
+/// Target size of the endpoints in one response, in bytes by [`Endpoint::size_bytes`](crate::Endpoint::size_bytes). No
+/// shard is added to a response that has reached this size.
 ///
 /// Shards that are left out get no update and are requested again. The response to a request for 512 shards of the
 /// planned size has 3 MB; without this limit, one for 512 shards of the maximum size would have 52 MB.
