--- a/crates/platform/src/attribution.rs
+++ b/crates/platform/src/attribution.rs
@@ -84,7 +84,8 @@
         .is_some_and(|value| value.as_bytes() == item.id.as_str().as_bytes())
 }
 
-/// Whether a response announces with `Connection: close` that the connection ends after the response.
+/// Whether a response announces with `Connection: close` that the connection ends after the response. No earlier
+/// response on the connection did, so a duplicate of one does not either.
 pub(crate) fn announces_close(head: &Parts) -> bool {
     let options = head.headers.get_all(CONNECTION).iter();
     options
--- a/crates/platform/src/connection_monitor.rs
+++ b/crates/platform/src/connection_monitor.rs
@@ -2,14 +2,14 @@
 //! request has been written, the status line of a response whose head hyper rejects, a `Retry-After` as soon as its
 //! line is complete, and data that no call has requested.
 
-mod first_line;
+mod status_line;
 mod stream;
 #[cfg(test)]
 mod tests;
 
 pub(crate) use self::stream::MonitoredStream;
 
-use self::first_line::StatusLine;
+use self::status_line::StatusLine;
 use crate::call_codec::parse_retry_after;
 use milletturn_engine::{Attribution, ConnectionUse, MAX_BODY_BYTES, UnsolicitedData};
 use milletturn_policy::Micros;
@@ -93,7 +93,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("ConnectionMonitor")
             .field("bytes_written", &self.bytes_written)
-            .field("first_line", &self.status_line_state)
+            .field("status_line_state", &self.status_line_state)
             .finish()
     }
 }
@@ -176,11 +176,10 @@
     }
 
     /// Whether the end of the connection must still be awaited: the endpoint was asked to close it, has not done so,
-    /// and no second response has been received.
+    /// and the head of a second response, which may contain a `Retry-After`, is not complete.
     fn awaits_end(&self) -> bool {
-        let has_second_response =
-            self.has_extra_data() && self.header_field_buffer.borrow().is_none();
-        self.is_closing.get() && !self.has_end_of_stream.get() && !has_second_response
+        let has_second_head = self.has_extra_data() && self.header_field_buffer.borrow().is_none();
+        self.is_closing.get() && !self.has_end_of_stream.get() && !has_second_head
     }
 
     /// Whether the current request asks the endpoint to close the connection.
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -118,8 +118,8 @@
     /// Whether the current watch was opened because part of the previous one could not be parsed. A further parse
     /// error does not end such a watch, so that a permanently malformed entry causes only one refetch.
     is_refetch: bool,
-    /// An earlier request that discovery has accepted but not answered: its position in a long queue may be far ahead
-    /// of a newer request's.
+    /// An earlier request whose connection discovery has accepted, without a response so far: its position in a long
+    /// queue may be far ahead of a newer request's.
     queued: Option<QueuedRequest>,
 }
 
--- a/crates/platform/src/discovery_backoff.rs
+++ b/crates/platform/src/discovery_backoff.rs
@@ -97,8 +97,8 @@
         DEFAULT_MAX_DELAY.max(self.time_per_round * MAX_DELAY_ROUNDS)
     }
 
-    /// The random delay before the retry after a failure. The limit is two seconds; from the second rejection on the
-    /// limit is one second or, if that is longer, the time in which every sender sends four requests.
+    /// The random delay before the retry after a failure: at most 1.9 s, but from the second rejection on at most one
+    /// second or, if that is longer, the time in which every sender sends four requests.
     pub fn next_delay(&mut self, failure: Failure) -> Duration {
         let (failures, limit) = match failure {
             Failure::Unreachable => (&mut self.unreachable_failures, MAX_SHORT_DELAY),
--- a/crates/platform/src/drain_gate.rs
+++ b/crates/platform/src/drain_gate.rs
@@ -18,8 +18,8 @@
 
 /// Time from the start of a drain until idle client connections are closed. The load balancer polls `GET /ready` every
 /// 100 ms and sends no new connection 200 ms after a negative response; a connection that is used before the close is
-/// closed after its response. Larger values let more clients leave by themselves; smaller values leave more margin
-/// before the limit of 4 s, after which no connection may be idle.
+/// closed after its response. Larger values give clients more time to use their connections once more; smaller values
+/// leave more margin before the limit of 4 s, after which no connection may be idle.
 const DRAIN_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1000);
 /// Time from the start of a drain during which messages are still accepted. 4 s after the start, no connection may
 /// exist on which a message came within the last 2 s.
@@ -78,7 +78,8 @@
     closing_idle: watch::Sender<bool>,
     /// Whether connections with an incomplete request are to be closed too.
     closing_all: watch::Sender<bool>,
-    /// Whether another process has taken over; `GET /ready` then stays positive whatever this process does.
+    /// Whether another process has taken over. `GET /ready` then stays positive whatever this process does, because the
+    /// sender serves in the other one.
     is_taken_over: Cell<bool>,
     open_connections: Cell<usize>,
 }
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -377,7 +377,7 @@
 ) {
     // the client may have closed the connection already
     let _ = stream.shutdown().await;
-    let drained = match lingering_slots.clone().try_acquire_owned() {
+    let discarded = match lingering_slots.clone().try_acquire_owned() {
         Ok(_lingering_slot) => {
             drop(slot);
             timeout(LINGER_TIMEOUT, discard_input(&mut stream)).await
@@ -390,7 +390,7 @@
         }
     };
     // If the client has not closed its side in time, whatever it still writes is answered with a reset.
-    drop(drained);
+    drop(discarded);
 }
 
 async fn discard_input(stream: &mut TcpStream) {
