--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -32,7 +32,7 @@
     let mut pages = vec![root().join("README.md"), root().join("CHANGELOG.md")];
     let mut folders = vec![root().join("docs")];
     while let Some(folder) = folders.pop() {
-        for entry in fs::read_dir(&folder).expect("the folder is created") {
+        for entry in fs::read_dir(&folder).expect("the folder is read") {
             let path = entry.expect("an entry").path();
             if path.is_dir() {
                 folders.push(path);
@@ -167,7 +167,7 @@
 
 /// Appends all Rust sources below a folder to a text.
 fn append_sources(folder: &Path, text: &mut String) {
-    for entry in fs::read_dir(folder).expect("the folder is created") {
+    for entry in fs::read_dir(folder).expect("the folder is read") {
         let path = entry.expect("an entry").path();
         if path.is_dir() {
             append_sources(&path, text);
@@ -199,7 +199,7 @@
 fn the_architecture_page_names_every_package() {
     let page = text(&root().join("docs/ARCHITECTURE.md"));
     let named: BTreeSet<&str> = page.lines().flat_map(quoted).collect();
-    let packages = fs::read_dir(root().join("crates")).expect("the folder is created");
+    let packages = fs::read_dir(root().join("crates")).expect("the folder is read");
     let missing: Vec<String> = packages
         .map(|entry| {
             entry
--- a/tests/duplicate_responses.rs
+++ b/tests/duplicate_responses.rs
@@ -43,7 +43,7 @@
     }
 }
 
-/// Delivers only the requests that overlap with a duplicate response.
+/// Answers 200 to requests that overlap with a duplicate response, and rejects all others.
 fn deliver_overlapping(overlaps_duplicate: bool, _: usize) -> Reply {
     match overlaps_duplicate {
         true => OK,
@@ -168,7 +168,7 @@
         unfinished().cloned().collect()
     }
 
-    /// Checks that the endpoint delivered each message at most once.
+    /// Checks that the endpoint answered each message with 200 at most once, so that none ran twice.
     fn assert_none_repeated(&self) {
         let mut delivered = self.delivered();
         let run_count = delivered.len();
--- a/tests/fleet_commands/answers.rs
+++ b/tests/fleet_commands/answers.rs
@@ -71,7 +71,7 @@
     format!("{}{}", open_body("long", 1), " ".repeat(17_000))
 }
 
-/// Valid calls of a coordinator, in an order in which each one has an effect or a defined rejection.
+/// Valid calls to a coordinator, in an order in which each one has an effect or a defined rejection.
 fn valid_calls() -> Vec<(&'static str, String)> {
     let batch = format!(
         "{{\"wishes\":[{{\"open\":{}}},{{\"order\":{}}}]}}",
@@ -111,7 +111,7 @@
     ]
 }
 
-/// Invalid calls of a coordinator, and calls that clients may not make.
+/// Invalid calls to a coordinator, and calls that clients may not make.
 fn rejected_calls() -> Vec<(&'static str, String)> {
     let renewals = format!("{{\"renewals\":[{}]}}", vec!["[99,false]"; 513].join(","));
     vec![
@@ -135,7 +135,7 @@
     ]
 }
 
-/// Valid and invalid calls of a session proxy.
+/// Valid and invalid calls to a session proxy.
 fn session_proxy_calls() -> Vec<(&'static str, String)> {
     vec![
         ("/v1/open", open_body("p", 1)),
--- a/tests/fleet_commands/held.rs
+++ b/tests/fleet_commands/held.rs
@@ -60,7 +60,7 @@
             *stage = 2;
             ok(r#"{"refused":{"out_of_order":{"work":"list","term":3,"number":8,"last":7}}}"#)
         }
-        // no response: the member sends the write again on another connection before its timeout
+        // no response: the member sends the write again on another connection before the write's deadline
         2 | 3 if is_write(3, 9) => {
             *stage += 1;
             None
--- a/tests/golden_reports.rs
+++ b/tests/golden_reports.rs
@@ -75,7 +75,7 @@
 
 #[test]
 fn config_commands_match_the_golden_files() {
-    for (name, words) in [
+    for (name, arguments) in [
         (
             "broken.json.txt",
             &["config", "check", "broken.toml", "--format", "json"][..],
@@ -108,7 +108,7 @@
             ],
         ),
     ] {
-        assert_matches_golden(&format!("config/{name}"), &run("config", words));
+        assert_matches_golden(&format!("config/{name}"), &run("config", arguments));
     }
     let all = Path::new(env!("CARGO_MANIFEST_DIR")).join("crates/config/tests/golden");
     let schema = run("config", &["config", "schema"]);
@@ -121,7 +121,7 @@
 
 #[test]
 fn commands_exit_without_an_error_when_their_output_pipe_is_closed() {
-    for (folder, words) in [
+    for (folder, arguments) in [
         ("account", &["access-log", "first.log", "second.log"][..]),
         ("account", &["access-log", "first.log", "--format", "json"]),
         ("config", &["config", "explain"]),
@@ -132,15 +132,15 @@
         let (reader, writer) = std::io::pipe().expect("a pipe");
         drop(reader);
         let output = Command::new(env!("CARGO_BIN_EXE_milletturn"))
-            .args(words)
+            .args(arguments)
             .current_dir(golden(folder))
             .stdin(Stdio::null())
             .stdout(writer)
             .output()
             .expect("the command runs");
         let errors = String::from_utf8(output.stderr).expect("text");
-        assert!(output.status.success(), "{words:?}: {errors}");
-        assert!(!errors.contains("panicked"), "{words:?}: {errors}");
+        assert!(output.status.success(), "{arguments:?}: {errors}");
+        assert!(!errors.contains("panicked"), "{arguments:?}: {errors}");
     }
 }
 
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -132,7 +132,11 @@
     ] {
         assert_eq!(node.admin_status(method, path), status, "{method} {path}");
     }
-    assert_eq!(node.readiness_status(), 200, "a GET of the drain drained");
+    assert_eq!(
+        node.readiness_status(),
+        200,
+        "a GET of /-/drain must not drain the sender"
+    );
     wait_until("the idle connections are closed", || {
         idle.iter_mut().all(Client::is_closed)
     });
@@ -175,8 +179,8 @@
     });
     // orders are idempotent now, with at most 2 attempts
     assert_eq!(node.submit("order", "bad-order", 7, 20_000, b"x"), 202);
-    // the new order is shed, since a repeat does no harm now; the old one may have run, and fails
-    wait_until("the new order is shed", || {
+    // the new order is returned, since a repeat does no harm now, and counted as shed; the old one may have run, and fails
+    wait_until("the new order is returned", || {
         node.metric("responses.order.shed") == 1
     });
     wait_until("the old order has failed", || {
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -1,5 +1,6 @@
-//! Messages of one subject in a class with `oneAtATime` are sent one at a time: the next one waits until the end of the
-//! message before is recorded and notified, also across restarts.
+//! Messages of one subject in a class with `oneAtATime` are sent one at a time, also across restarts: the next one waits
+//! until the message before has ended, however it ended, and, if that end is notified, until the platform has acknowledged
+//! the notification.
 
 mod node;
 
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -1,5 +1,6 @@
 //! Runs session proxies between members and coordinators as processes with faults. A proxy that is suspended, partitioned in
-//! one direction, late, duplicated or killed must neither prolong a lease nor lose a session.
+//! one direction, late, duplicated or killed may cost a member its lease, but must not prolong a lease, let two members own
+//! a resource at once, or open a second session for the same request.
 
 #![expect(
     clippy::too_many_lines,
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -505,7 +505,7 @@
     let good = FakeEndpoint::new(|_, _| OK);
     let folder = new_folder();
     for effect in ["keyed", "unsafe", "repeatable"] {
-        let words = [
+        let arguments = [
             "config",
             "new",
             "--name",
@@ -514,7 +514,7 @@
             effect,
             "--endpoint",
         ];
-        let output = command(&words)
+        let output = command(&arguments)
             .arg(good.address.to_string())
             .stdout(Stdio::piped())
             .output()
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn without_a_response_the_message_may_have_run_and_fails_at_its_deadline() {
+fn without_a_response_the_message_may_have_run_and_fails_in_time() {
     let (_, attempts, notifications) = attempts_and_notifications_after(Reply::NoResponse);
     assert_eq!((attempts, notifications), (1, vec![failed("unsafe")]));
 }
@@ -493,7 +493,7 @@
 }
 
 #[test]
-fn a_torn_record_is_dropped_and_records_behind_a_damaged_one_are_kept() {
+fn a_torn_record_is_dropped_and_records_after_a_damaged_one_are_kept() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let draining = ("s-7", endpoint.address, "one", 7, "draining");
     let discovery = FakeDiscovery::new(vec![list_json(&[
@@ -623,13 +623,14 @@
 }
 
 #[test]
-fn no_call_starts_in_the_last_second_of_a_drain() {
+fn no_call_that_would_be_cut_off_starts_near_the_end_of_a_drain() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let discovery = discovery_with(&endpoint);
     let node = Node::new(&discovery).ready();
     node.terminate();
     wait_until("the sender drains", || node.logged("draining"));
-    std::thread::sleep(Duration::from_millis(2450)); // into the last second, in which no call with unknown latency is started
+    // into the last second: a call of unknown latency is assumed to need 1 s, so the end of the process would cut it off
+    std::thread::sleep(Duration::from_millis(2450));
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     let mut node = node;
     assert!(node.process.wait().expect("the process ends").success());
