--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -14,7 +14,7 @@
 /// File descriptors for everything except connections from clients and to endpoints: standard streams, epoll, signals,
 /// listener, journal, endpoints file, outcome log, dead-letter store and its commands.
 const OTHER_DESCRIPTORS: u64 = 34;
-/// File descriptors of the admin server, if one is configured.
+/// File descriptors of the admin listener, if one is configured.
 pub const ADMIN_DESCRIPTORS: u64 = 14;
 /// Share of the descriptors beyond [`OTHER_DESCRIPTORS`] that is given to connections from clients.
 const CLIENT_DESCRIPTOR_SHARE: f64 = 0.4;
@@ -104,7 +104,7 @@
         0
     };
     let outcome_bytes = document.size(&["outcomes", "size"]);
-    let admin_server = document
+    let admin_listener = document
         .explicit_value(&["listen", "operators"])
         .map(|_| ("operators", ADMIN_DESCRIPTORS));
     let journal_bytes = max_pending
@@ -120,7 +120,7 @@
                 ("rest", OTHER_DESCRIPTORS),
             ]
             .into_iter()
-            .chain(admin_server)
+            .chain(admin_listener)
             .collect(),
             limit: max_descriptors,
             is_bytes: false,
--- a/crates/sidecar/src/plan.rs
+++ b/crates/sidecar/src/plan.rs
@@ -22,7 +22,8 @@
 /// File descriptors reserved for the outcome log, its readers, the endpoints file, and the dead-letter store with its
 /// commands.
 const OTHER_DESCRIPTORS: usize = 20;
-/// Files that the outcome log may take up at once: while the log is rewritten, the old and the new file both exist.
+/// Disk space of the outcome log as a multiple of its size limit: while the log is rewritten, the old and the new file
+/// both exist.
 const OUTCOME_LOG_FILES: u64 = 2;
 
 /// The values that a sidecar runs with.
@@ -36,7 +37,7 @@
     pub ingress_address: SocketAddr,
     /// Address where the application reads outcomes.
     pub outcomes_address: SocketAddr,
-    /// Address of the admin server, if one is configured.
+    /// Address of the admin listener, if one is configured.
     pub admin_address: Option<SocketAddr>,
     /// The decision module's settings.
     pub settings: Settings,
@@ -161,8 +162,8 @@
 
 /// Divides descriptors and memory between connections. The descriptors that the sidecar itself needs are subtracted
 /// first.
-fn budget_from(document: &Document, has_admin_server: bool) -> ResourceBudget {
-    let admin_descriptors = if has_admin_server {
+fn budget_from(document: &Document, has_admin_listener: bool) -> ResourceBudget {
+    let admin_descriptors = if has_admin_listener {
         ADMIN_DESCRIPTORS as usize
     } else {
         0
--- a/crates/sidecar/tests/golden/readers.rs
+++ b/crates/sidecar/tests/golden/readers.rs
@@ -86,6 +86,6 @@
     });
     assert_eq!(
         text,
-        std::fs::read_to_string(golden("reader.txt")).expect("the response is readable")
+        std::fs::read_to_string(golden("reader.txt")).expect("the golden file is readable")
     );
 }
--- a/src/assemble/running.rs
+++ b/src/assemble/running.rs
@@ -107,8 +107,8 @@
                 ended = &mut engine => {
                     return match ended? {
                         true => Ok(()),
-                        // the engine has handed over its state, so this process must not respond to clients or call
-                        // endpoints any more
+                        // the new process starts from the journal once this one has ended; this one must not respond to
+                        // clients or call endpoints any more
                         false => Err("the process that takes over can't read the state of this one".into()),
                     };
                 }
--- a/src/assemble/takeover.rs
+++ b/src/assemble/takeover.rs
@@ -117,8 +117,8 @@
     }
 }
 
-/// Runs the engine until its inputs end, which gives none, or until an offered takeover ends this process's ownership of
-/// the state folder, which gives the outcome. After a failed takeover the engine goes on.
+/// Runs the engine until its inputs end, and returns none then, or until the new process has decided on an offered
+/// takeover, and returns the outcome. After a failed takeover the engine goes on.
 async fn run_until_takeover(
     engine: &mut Engine,
     inputs: &mut mpsc::UnboundedReceiver<Input>,
--- a/src/config.rs
+++ b/src/config.rs
@@ -140,8 +140,8 @@
     ExitCode::from(u8::from(found > 0))
 }
 
-/// Checks files together: configurations as sidecars on one machine, and endpoint lists against the configurations that
-/// name them.
+/// Checks files together: configurations as sidecars on one machine, and endpoints files against the configurations
+/// that name them.
 fn check(files: &[PathBuf], here: bool, format: Format) -> ExitCode {
     let read = files.iter().map(|file| Document::read(file));
     let (mut lists, sidecars): (Vec<_>, Vec<_>) =
--- a/src/dead_letter/printer.rs
+++ b/src/dead_letter/printer.rs
@@ -45,7 +45,7 @@
                     Response::Stats(stats) => serde_json::to_string(stats),
                     other => serde_json::to_string(other),
                 };
-                // a closed standard output is no error of the command
+                // the command counts as carried out even if its output can't be written
                 let _ = output::print_line(text.unwrap_or_default());
             }
             response => self.responses.push(response),
@@ -55,7 +55,7 @@
     /// Prints the table unless the output is JSON, and returns the result. `now` is Unix time in microseconds.
     pub(super) fn finish(self, now: i64) -> CommandResult {
         if !self.json {
-            // a closed standard output is no error of the command
+            // the command counts as carried out even if its output can't be written
             let _ = output::print(table::format(&self.responses, now));
         }
         self.result
--- a/src/logger.rs
+++ b/src/logger.rs
@@ -3,7 +3,7 @@
 use milletturn_engine::{EngineEvent, Observer};
 use milletturn_logging::{RateLimitedLog, log};
 
-/// Logs the texts of the decision module, and journal errors at a limited rate.
+/// Writes the log lines of the decision module to the program's log, and journal errors at a limited rate.
 #[derive(Debug, Default)]
 pub(crate) struct Logger {
     journal_errors: RateLimitedLog,
--- a/src/main.rs
+++ b/src/main.rs
@@ -94,7 +94,7 @@
     }
 }
 
-/// Prints the error of a command that failed on standard error.
+/// Converts the result of a command to its exit code, and prints its error on standard error.
 fn into_exit_code(result: Result<(), Box<dyn std::error::Error>>) -> ExitCode {
     match result {
         Ok(()) => ExitCode::SUCCESS,
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -130,8 +130,8 @@
     running: &mut Running,
 ) {
     let callback = callback.map(|callback| {
-        let (sender, outcomes) = mpsc::unbounded_channel();
-        tokio::task::spawn_local(callback.run(shared.clone(), seed, outcomes));
+        let (sender, endings) = mpsc::unbounded_channel();
+        tokio::task::spawn_local(callback.run(shared.clone(), seed, endings));
         (callback.class, sender)
     });
     if let Some(final_outcomes) = running.final_outcomes.take() {
--- a/src/timekeeper.rs
+++ b/src/timekeeper.rs
@@ -1,23 +1,24 @@
 //! A start time for the engine's clock that does not go back from one process to the next, even if the wall clock does.
 //!
-//! The window in which destinations drop repeats of an idempotency key is counted from attempts of earlier processes. If
-//! the wall clock was set back between two processes, too little of the window would seem to have passed, and a redriven
-//! message could take effect twice. So each process saves its clock's time together with the machine's uptime, which
-//! can't be set.
+//! The window in which destinations drop repeats of an idempotency key is counted from attempts of earlier processes.
+//! If the wall clock was set back between two processes, too little of the window would seem to have passed, and a
+//! redriven message could take effect twice. So each process saves its clock's time together with the machine's uptime,
+//! which can't be set.
 
 use std::fs;
 use std::path::Path;
 
-/// Name of the file in the state folder. It holds the kernel's boot id, the uptime in microseconds and the clock's time in
-/// Unix microseconds.
+/// Name of the file in the state folder. It holds the kernel's boot id, the uptime in microseconds and the clock's time
+/// in Unix microseconds.
 const CLOCK_FILE: &str = "clock";
 /// A saved time more than a year (in microseconds) ahead of the wall clock is ignored as damaged.
 const MAX_LEAD_US: i64 = 366 * 86_400 * 1_000_000;
 
 /// Returns a start time for the engine's clock, in Unix microseconds, and saves it for the next process.
 ///
-/// The time is the later of the wall clock and what the clock of the previous process would show now. If the file or the uptime can't be read, returns the wall clock; a clock that was set back
-/// is then noticed only if it shows a time before a recorded attempt.
+/// The time is the later of the wall clock and what the clock of the previous process would show now. If the file or
+/// the uptime can't be read, the time is that of the wall clock; a clock that was set back is then noticed only if it
+/// shows a time before a recorded attempt.
 pub(crate) fn module_time(folder: &Path, wall: i64) -> i64 {
     let Some((boot, uptime)) = since_boot() else {
         return wall;
