--- a/crates/policy/tests/dormancy.rs
+++ b/crates/policy/tests/dormancy.rs
@@ -30,7 +30,7 @@
     }
 }
 
-/// Lets this time pass, and then runs turns without other events, each of which inspects some idle destinations.
+/// Lets this time pass, and then runs this many turns with only an alarm. Each turn inspects some idle destinations.
 fn stay_idle(harness: &mut Harness, span: Micros, turns: usize) {
     harness.run_until(harness.now + span);
     (0..turns).for_each(|_| _ = harness.handle(vec![Event::Alarm]));
--- a/crates/policy/tests/guards.rs
+++ b/crates/policy/tests/guards.rs
@@ -24,7 +24,7 @@
 
 #[test]
 fn calls_to_an_unresponsive_destination_are_cancelled() {
-    // Guards against calls without a response that each occupy a call slot until their deadline and so fill all slots.
+    // Guards against calls without a response that each occupy a call slot until they expire and so fill all slots.
     let mut harness = Harness::new(settings(8), two_destinations());
     warm_up(&mut harness);
     harness.handle((0..8).map(|id| message(id, REPEATABLE, 7)).collect());
@@ -79,8 +79,8 @@
 }
 
 #[test]
-fn a_slow_destination_uses_at_most_half_of_the_call_slots() {
-    // Guards against a slow destination that responds now and then, and comes to occupy every call slot.
+fn slow_destinations_together_use_at_most_half_of_the_call_slots() {
+    // Guards against slow destinations that respond now and then, and come to occupy every call slot.
     let mut harness = Harness::new(settings(8), vec![entry(1, 7), entry(2, 8), entry(3, 9)]);
     warm_up(&mut harness);
     harness.handle((0..30).map(|id| message(id, UNSAFE, 7 + id % 2)).collect());
@@ -233,7 +233,7 @@
     let probes = within(fail_until - 6 * SECOND, fail_until);
     assert!(
         (2..=4).contains(&probes),
-        "one call per overload span: {probes}"
+        "one call per overload window: {probes}"
     );
     let at_slow_start = within(fail_until, fail_until + 4 * SECOND);
     let at_full_rate = within(fail_until + 10 * SECOND, fail_until + 14 * SECOND);
@@ -467,8 +467,8 @@
 
 #[test]
 fn a_call_overtaken_by_later_ones_is_cancelled_and_a_slow_one_is_not() {
-    // Guards against calls on dead connections that occupy call slots (a sixth of all slots in one run) until their
-    // deadline, because other calls to the same endpoint succeed.
+    // Guards against calls on dead connections that occupy call slots (a sixth of all slots in one run) until they
+    // expire, because other calls to the same endpoint succeed.
     for overtaken in [true, false] {
         let mut harness = Harness::new(settings(8), two_destinations());
         warm_up(&mut harness);
--- a/crates/policy/tests/resumed.rs
+++ b/crates/policy/tests/resumed.rs
@@ -200,7 +200,7 @@
             let mut ended_calls = 0;
             for _ in 0..200 {
                 harness.run_until(harness.now + 50 * MILLISECOND);
-                // ends each call with this outcome, and checks that the next attempt may begin only within the window
+                // checks that each call may be written only within the window, and ends it with the outcome, if any
                 while let Some(send) = harness.sends.get(ended_calls).copied() {
                     ended_calls += 1;
                     let until = harness
--- a/crates/policy/tests/retune.rs
+++ b/crates/policy/tests/retune.rs
@@ -10,7 +10,7 @@
 use milletturn_policy::*;
 
 #[test]
-fn a_pending_message_never_gets_more_attempts_than_when_it_was_accepted() {
+fn a_pending_message_never_gets_more_attempts_than_were_allowed_when_it_was_accepted() {
     let mut settings = settings(8);
     for (before, now, max_sends) in [(3, 8, 3), (8, 2, 2)] {
         settings.max_attempts = before;
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn no_hedged_request_is_sent_after_the_key_window_and_the_message_fails() {
+fn no_hedged_request_is_sent_after_the_deduplication_window_and_the_message_fails() {
     let mut short_window = settings(40);
     short_window.classes[KEYED].effect = Effect::Keyed {
         window: 1_500 * MILLISECOND,
@@ -520,7 +520,7 @@
 }
 
 #[test]
-fn the_key_window_starts_at_a_first_attempt_that_was_never_executed_if_a_hedge_overlaps() {
+fn the_deduplication_window_starts_at_a_never_executed_first_attempt_if_a_hedge_overlaps() {
     // Guards against a window that starts at the hedged request when the first attempt fails to connect after the
     // hedged request was sent.
     let mut harness = Harness::new(settings(40), pool(2));
@@ -598,7 +598,7 @@
 }
 
 #[test]
-fn a_retry_must_begin_before_its_key_window_ends() {
+fn a_retry_must_begin_before_its_deduplication_window_ends() {
     // Guards against a retry that is sent within the window and executed after it, because connecting takes a second.
     let mut harness = Harness::new(settings(40), pool(1));
     harness.handle(vec![message(1, KEYED, 7)]);
--- a/crates/test-support/src/cold_fleet.rs
+++ b/crates/test-support/src/cold_fleet.rs
@@ -43,11 +43,12 @@
 /// Load on the destination during its slow start.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RecoveryResult {
-    /// Largest excess of calls in a span over the number N that the settings allow, in units of the square root of N.
+    /// Largest excess of the calls in one overload window over the number N that the settings allow in it, in units of
+    /// the square root of N.
     pub max_excess_in_roots: f64,
     /// When that excess occurred, counted from the recovery.
     pub max_excess_at: Micros,
-    /// Whether a span had more than N + 2 x sqrt(N) + 2 calls, at which the destination collapses.
+    /// Whether an overload window had more than N + 2 x sqrt(N) + 2 calls, at which the destination collapses.
     pub collapsed: bool,
     /// Calls during the slow start, as a fraction of those that the settings allow in that time.
     pub capacity_used: f64,
@@ -254,10 +255,10 @@
                 recent_calls.pop_front();
             }
             let (allowed, call_count) = (calls_allowed(now), recent_calls.len() as f64);
-            let max_excess_in_roots = (call_count - allowed) / allowed.sqrt();
-            if max_excess_in_roots > result.max_excess_in_roots {
+            let excess_in_roots = (call_count - allowed) / allowed.sqrt();
+            if excess_in_roots > result.max_excess_in_roots {
                 (result.max_excess_in_roots, result.max_excess_at) =
-                    (max_excess_in_roots, now - recovery);
+                    (excess_in_roots, now - recovery);
             }
             result.collapsed |= call_count > allowed + 2.0 * allowed.sqrt() + 2.0;
             allowed_calls += scenario.capacity_per_s
--- a/crates/test-support/src/limited_fleet/mod.rs
+++ b/crates/test-support/src/limited_fleet/mod.rs
@@ -64,7 +64,7 @@
 }
 
 impl MessageProfile {
-    /// Notices that may wait for seconds, and clients that submit returned messages again three times.
+    /// Notices that may wait for seconds, and clients that submit returned messages again up to three times.
     #[must_use]
     pub fn patient() -> Self {
         let effect = Effect::Keyed {
--- a/crates/test-support/src/limited_fleet/simulation.rs
+++ b/crates/test-support/src/limited_fleet/simulation.rs
@@ -20,7 +20,7 @@
 const FIRST_REPORT_AFTER: Micros = 600 * MILLISECOND;
 /// Time between updates of what load reports contain.
 const REPORT_INTERVAL: Micros = 300 * MILLISECOND;
-/// Time after which destinations close an idle connection.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Micros = 5 * SECOND;
 /// The n-th destination has a share of the messages and of the limit proportional to n to the power of minus this.
 const DESTINATION_SKEW: f64 = 0.8;
--- a/crates/test-support/src/unused_address.rs
+++ b/crates/test-support/src/unused_address.rs
@@ -24,7 +24,7 @@
         let address = SocketAddr::new(address.into(), 0);
         let socket =
             Socket::new(Domain::for_address(address), Type::STREAM, None).expect("a socket");
-        // lets the process under test bind and listen on the port while this socket still holds it
+        // lets a process listen on the port while this socket, or a child process's copy of it, is still open
         socket.set_reuse_address(true).expect("set");
         socket.bind(&address.into()).expect("a port");
         let address = socket
