--- a/benches/failing.rs
+++ b/benches/failing.rs
@@ -23,7 +23,7 @@
 /// none runs the sender without a store.
 fn measure_response_times(store: Option<&str>) -> Vec<u64> {
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("500 Oops", String::new()));
-    let agent = FakeDiscovery::new(vec![list_json(&[(
+    let discovery = FakeDiscovery::new(vec![list_json(&[(
         "s-1",
         endpoint.address,
         "one",
@@ -31,8 +31,8 @@
         "up",
     )])]);
     let node = match store {
-        Some(settings) => Node::with_store(&agent, settings),
-        None => Node::new(&agent),
+        Some(settings) => Node::with_store(&discovery, settings),
+        None => Node::new(&discovery),
     };
     let node = node.ready();
     let address = node.address;
--- a/crates/dead-letter/src/record.rs
+++ b/crates/dead-letter/src/record.rs
@@ -166,8 +166,8 @@
     /// Number of redrives so far.
     #[serde(rename = "resends")]
     pub redrives: u32,
-    /// When the first attempt was sent that the destination may have processed; `None` if there is none, or an
-    /// operator has confirmed that the message did not run.
+    /// When the first attempt was sent that the destination may have processed, without attempts that an operator has
+    /// confirmed not to have run; `None` if there is none.
     #[serde(rename = "first_risk")]
     pub first_uncertain_at: Option<Micros>,
     /// True if an operator has confirmed that the message did not run, or that its client does not resubmit it.
--- a/crates/dead-letter/src/redrive_schedule.rs
+++ b/crates/dead-letter/src/redrive_schedule.rs
@@ -68,8 +68,8 @@
     failed_at: Option<Micros>,
     /// True if the last attempt succeeded.
     recovered: bool,
-    /// True if a redrive was released as a probe, because no attempt has succeeded since the last failure, and its
-    /// result is not known yet.
+    /// True if a redrive was released as a probe, because the last attempt failed or there was none, and the probe has
+    /// not ended yet.
     probing: bool,
 }
 
--- a/crates/dead-letter/src/row.rs
+++ b/crates/dead-letter/src/row.rs
@@ -80,8 +80,8 @@
     pub ended_at: Micros,
     /// Number of redrives so far.
     pub redrives: u32,
-    /// When the first attempt was sent that the destination may have processed; `None` if there is none, or an
-    /// operator has confirmed that the message did not run.
+    /// When the first attempt was sent that the destination may have processed, without attempts that an operator has
+    /// confirmed not to have run; `None` if there is none.
     pub first_uncertain_at: Option<Micros>,
     /// True if an operator has confirmed that the message did not run, or that its client does not resubmit it.
     pub confirmed_not_run: bool,
--- a/crates/dead-letter/src/store/prune.rs
+++ b/crates/dead-letter/src/store/prune.rs
@@ -32,7 +32,7 @@
         let deleted = transaction.execute(DELETE_EXPIRED, params![before, PRUNE_BATCH as i64])?;
         add_to_count(&transaction, -(deleted as i64))?;
         transaction.commit()?;
-        // returns up to 64 free pages to the file system
+        // returns free pages to the file system a few at a time, at most 64 in one step
         self.connection
             .execute_batch("PRAGMA incremental_vacuum(64)")?;
         Ok(deleted)
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -42,7 +42,7 @@
 const OUTAGE: Duration = Duration::from_secs(12);
 /// Changes that a region cut off for an hour misses, at 48,000 changes a day.
 const MISSED_CHANGES: u64 = 2_000;
-/// Number of steps in which the missed changes are published, spread over `AWAY` instead of an hour.
+/// Number of steps in which the missed changes are published, spread over [`OUTAGE`] instead of an hour.
 const MISSED_CHANGE_STEPS: u64 = 40;
 
 type FaultScenario = fn(&mut Scenario) -> Result<(), Error>;
--- a/crates/scale/src/fleet/harness.rs
+++ b/crates/scale/src/fleet/harness.rs
@@ -194,7 +194,7 @@
         self.wait_until_ready(numbers.end, sessions)
     }
 
-    /// Waits until `know` senders know the current list and `may` senders may act on their resource.
+    /// Waits until `informed` senders know the current list and `permitted` senders may act on their resource.
     ///
     /// # Errors
     /// They do not within the time limit.
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -150,7 +150,7 @@
     /// Hollow senders in one process: one thread serves them, and must not be what their renewals wait for.
     #[arg(long, default_value_t = 200)]
     each: u64,
-    /// FaultArgs at the largest size: a zone, all control, a release.
+    /// Faults at the largest size: a zone, all control, a release.
     #[arg(long)]
     faults: bool,
     /// Destinations of the list, which does not go through relays.
--- a/crates/scale/src/fleet/network_proxy.rs
+++ b/crates/scale/src/fleet/network_proxy.rs
@@ -1,5 +1,5 @@
 //! A TCP proxy in this process, in front of a coordinator or session proxy. It counts the traffic, can simulate a
-//! network partition or a dead host, and follows the upstream process to its new port after a restart.
+//! network partition or an ended process, and follows the upstream process to its new port after a restart.
 
 use super::meter::{Meter, Traffic};
 use crate::Error;
--- a/crates/scale/src/fleet/scaling.rs
+++ b/crates/scale/src/fleet/scaling.rs
@@ -42,7 +42,7 @@
     pub seed: u64,
 }
 
-/// Configuration of a coordinator group with the default heartbeat for its lease.
+/// Usual configuration of a coordinator group, with a heartbeat of 200 ms, or 60 ms for a lease below 3 s.
 #[must_use]
 pub fn default_group(count: usize, lease_s: u64) -> GroupConfig {
     // the lease must be at least 15 times the heartbeat
--- a/crates/scale/src/fleet/simulated_senders.rs
+++ b/crates/scale/src/fleet/simulated_senders.rs
@@ -127,8 +127,8 @@
     member: Option<Rc<Member>>,
     resource: String,
     tasks: Vec<AbortHandle>,
-    /// Kept so that the channel stays open; the agent's address never changes.
-    _agent: watch::Sender<SocketAddr>,
+    /// Kept so that the channel stays open; the address of discovery never changes.
+    _discovery_address: watch::Sender<SocketAddr>,
 }
 
 impl Drop for SimulatedSender {
@@ -337,7 +337,7 @@
             simulation_config.destinations,
         )));
         let mut tasks = Vec::new();
-        let (agent, agents) = watch::channel(config.discovery_address);
+        let (address_sender, addresses) = watch::channel(config.discovery_address);
         let (inputs, mut list_inputs) = mpsc::unbounded_channel();
         let seed = simulation_config.seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let backoff = DiscoveryBackoff::new(
@@ -346,7 +346,10 @@
             seed,
         );
         tasks.push(
-            spawn_local(discovery::watch_endpoints(Tcp, agents, 0, backoff, inputs)).abort_handle(),
+            spawn_local(discovery::watch_endpoints(
+                Tcp, addresses, 0, backoff, inputs,
+            ))
+            .abort_handle(),
         );
         let (list_counters, current_mark) = (counters.clone(), self.current_mark.clone());
         if simulation_config.run_engines {
@@ -408,7 +411,7 @@
             member,
             resource,
             tasks,
-            _agent: agent,
+            _discovery_address: address_sender,
         })
     }
 }
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -26,9 +26,9 @@
     #[command(name = "hollow", hide = true)]
     SimulatedSenders,
     /// Slopes of a single sender's parts.
-    Roles(roles::Words),
+    Roles(roles::RolesArgs),
     /// Tables of docs/CAPACITY.md from docs/capacity.
-    Page(page::Words),
+    Page(page::PageArgs),
 }
 
 fn main() -> ExitCode {
--- a/crates/scale/src/page/mod.rs
+++ b/crates/scale/src/page/mod.rs
@@ -22,7 +22,7 @@
 
 /// Words of `page`.
 #[derive(Debug, Clone, Args)]
-pub struct Words {
+pub struct PageArgs {
     /// The page.
     #[arg(long, default_value = "docs/CAPACITY.md")]
     page: PathBuf,
@@ -39,7 +39,7 @@
 /// # Errors
 /// The page or the records cannot be read, or the page cannot be written; with `--check`, the page differs from the
 /// records.
-pub fn run(arguments: &Words) -> Result<(), Error> {
+pub fn run(arguments: &PageArgs) -> Result<(), Error> {
     if arguments.check {
         return check(&arguments.page, &arguments.figures);
     }
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -287,10 +287,10 @@
     line: String,
     timeout: Duration,
 ) -> Result<Sender, Error> {
-    let agent = FakeDiscovery::new(vec![line]);
+    let discovery = FakeDiscovery::new(vec![line]);
     let listen = unused_address();
     let config = serde_json::json!({
-        "name": "n1", "listen": listen.to_string(), "discovery": agent.address.to_string(), "seed": "8c1f",
+        "name": "n1", "listen": listen.to_string(), "discovery": discovery.address.to_string(), "seed": "8c1f",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024, "disk_mb": 30.0},
         "known": {"rev": 0, "all": true, "targets": []},
         "settings": {
--- a/crates/scale/src/roles/mod.rs
+++ b/crates/scale/src/roles/mod.rs
@@ -26,7 +26,7 @@
 
 /// Words of `roles`.
 #[derive(Debug, Clone, Args)]
-pub struct Words {
+pub struct RolesArgs {
     /// The sender that is measured; left out: the program beside this one.
     #[arg(long)]
     program: Option<PathBuf>,
@@ -198,7 +198,7 @@
 /// # Errors
 /// The head of the records cannot be determined, or the output file cannot be written; with `--one`, the measurement
 /// fails. Without `--one`, a size that fails is reported on standard error and left out.
-pub fn run(arguments: &Words) -> Result<(), Error> {
+pub fn run(arguments: &RolesArgs) -> Result<(), Error> {
     let program = match &arguments.program {
         Some(program) => program.clone(),
         None => std::env::current_exe()
@@ -287,7 +287,7 @@
     Ok(points)
 }
 
-fn head(arguments: &Words) -> Result<Head, Error> {
+fn head(arguments: &RolesArgs) -> Result<Head, Error> {
     let stdout_of = |program: &str, arguments: &[&str]| -> Result<String, Error> {
         let output = Command::new(program)
             .args(arguments)
--- a/crates/scale/tests/counts.rs
+++ b/crates/scale/tests/counts.rs
@@ -33,13 +33,13 @@
 /// Returns the report of a sender that received a first list of ten destinations and then the given updates, after
 /// twelve destinations had been published, the last at version 2,000,020.
 fn report_after(updates: &[EndpointListUpdate]) -> Report {
-    let mut tally = SenderCounters::new(0, SENDER_START_US, 10);
-    tally.record_update(SENDER_START_US + 5, &update(1, true, 0..10), None);
+    let mut counters = SenderCounters::new(0, SENDER_START_US, 10);
+    counters.record_update(SENDER_START_US + 5, &update(1, true, 0..10), None);
     updates
         .iter()
-        .for_each(|update| tally.record_update(2_000_050, update, None));
+        .for_each(|update| counters.record_update(2_000_050, update, None));
     let mut report = Report::default();
-    tally.report(2_000_020, 12, hash_sum_of(12), &mut report);
+    counters.report(2_000_020, 12, hash_sum_of(12), &mut report);
     report
 }
 
@@ -120,12 +120,12 @@
         version: 2_000_010,
         from: 900_000,
     });
-    let mut tally = SenderCounters::new(0, SENDER_START_US, 1);
-    tally.record_update(1_500_000, &update(1, true, [0]), mark);
-    tally.record_update(2_000_500, &update(2_000_010, false, [1]), mark);
-    tally.record_update(2_000_900, &update(2_000_020, false, [2]), mark);
+    let mut counters = SenderCounters::new(0, SENDER_START_US, 1);
+    counters.record_update(1_500_000, &update(1, true, [0]), mark);
+    counters.record_update(2_000_500, &update(2_000_010, false, [1]), mark);
+    counters.record_update(2_000_900, &update(2_000_020, false, [2]), mark);
     let mut report = Report::default();
-    tally.report(2_000_020, 3, hash_sum_of(3), &mut report);
+    counters.report(2_000_020, 3, hash_sum_of(3), &mut report);
     let spread = Percentiles::of(&report.marked);
     assert_eq!(spread.count, 1);
     // counted from the start of the sender (1,000,000 us), with a resolution of 1/256 and three digits
--- a/crates/scale/tests/small.rs
+++ b/crates/scale/tests/small.rs
@@ -4,7 +4,7 @@
 use milletturn_scale::fleet::small;
 use std::path::Path;
 
-const HOLLOW_SENDERS: u64 = 200;
+const SIMULATED_SENDERS: u64 = 200;
 const REAL_SENDERS: u64 = 5;
 
 #[test]
@@ -15,9 +15,10 @@
         program.is_file(),
         "build the whole workspace first: cargo build --workspace"
     );
-    let counts = small(&program, scale, HOLLOW_SENDERS, REAL_SENDERS).expect("the small scale run");
+    let counts =
+        small(&program, scale, SIMULATED_SENDERS, REAL_SENDERS).expect("the small scale run");
     println!("{counts:?}");
-    assert_eq!(counts.senders, HOLLOW_SENDERS);
+    assert_eq!(counts.senders, SIMULATED_SENDERS);
     assert!(counts.published >= 100, "{counts:?}");
     assert_eq!(
         (counts.lost, counts.doubled, counts.wrong_order),
@@ -26,22 +27,22 @@
     );
     // a sender receives each change in a separate update, or several in one where the machine is slow
     assert!(
-        counts.received <= counts.published * HOLLOW_SENDERS,
+        counts.received <= counts.published * SIMULATED_SENDERS,
         "{counts:?}"
     );
     assert_eq!(
         counts.watches,
-        HOLLOW_SENDERS + REAL_SENDERS,
+        SIMULATED_SENDERS + REAL_SENDERS,
         "each sender opens one watch, once: {counts:?}"
     );
     assert_eq!(
         (counts.sessions_opened, counts.sessions_lost),
-        (HOLLOW_SENDERS, 0),
+        (SIMULATED_SENDERS, 0),
         "{counts:?}"
     );
     assert_eq!(
         counts.sessions_in_state,
-        HOLLOW_SENDERS + REAL_SENDERS,
+        SIMULATED_SENDERS + REAL_SENDERS,
         "each sender has one session: {counts:?}"
     );
     assert!(
