--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -147,7 +147,7 @@
         /// Why the message was given up.
         #[serde(rename = "why", default)]
         reason: GiveUpReason,
-        /// True if no attempt was ever started for the message.
+        /// True if no call was ever started for the message.
         #[serde(rename = "untried", default)]
         never_attempted: bool,
     },
--- a/crates/access-log/src/summary.rs
+++ b/crates/access-log/src/summary.rs
@@ -39,7 +39,7 @@
     pub age_us: u64,
     /// Messages that were given up.
     pub given_up: u64,
-    /// Given-up messages for which no attempt was ever started, by reason.
+    /// Given-up messages for which no call was ever started, by reason.
     #[serde(rename = "untried")]
     pub never_attempted: BTreeMap<GiveUpReason, u64>,
     /// Number of times that a sender ejected the destination.
--- a/crates/admin/src/metrics/tests.rs
+++ b/crates/admin/src/metrics/tests.rs
@@ -20,7 +20,7 @@
     }
 }
 
-fn given_up(ending: Ending) -> EngineEvent<'static> {
+fn abandoned(ending: Ending) -> EngineEvent<'static> {
     EngineEvent::Abandoned {
         id: "m-1",
         class: 0,
@@ -48,8 +48,8 @@
         rejected(ArrivalOutcome::Rejected { wait: None }),
         rejected(ArrivalOutcome::NoCapacity),
         rejected(ArrivalOutcome::Failed),
-        given_up(Ending::Failed),
-        given_up(Ending::Returned { after_ms: None }),
+        abandoned(Ending::Failed),
+        abandoned(Ending::Returned { after_ms: None }),
     ] {
         metrics.count_event(&event);
     }
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -50,7 +50,7 @@
         at: 0,
         outcome,
     };
-    let given_up = |ending| EngineEvent::Abandoned {
+    let abandoned = |ending| EngineEvent::Abandoned {
         id: "m-1",
         class: 0,
         destination: 7,
@@ -71,8 +71,8 @@
         delivered(0),
         rejected(ArrivalOutcome::Rejected { wait: None }),
         rejected(ArrivalOutcome::Failed),
-        given_up(Ending::Returned { after_ms: None }),
-        given_up(Ending::Failed),
+        abandoned(Ending::Returned { after_ms: None }),
+        abandoned(Ending::Failed),
         delivered(9),
     ] {
         observer.observe(&event);
--- a/crates/engine/src/delivered.rs
+++ b/crates/engine/src/delivered.rs
@@ -4,7 +4,7 @@
 use crate::shared_str::SharedStr;
 use std::collections::{HashSet, VecDeque};
 
-/// How many ids are remembered. At 120 messages per second this covers the last half minute, longer than a client
+/// How many ids are remembered. At 120 messages per second this covers the last half minute, longer than any client
 /// waits before it resubmits.
 const MAX_REMEMBERED: usize = 4096;
 
--- a/crates/engine/src/reconfiguration.rs
+++ b/crates/engine/src/reconfiguration.rs
@@ -72,13 +72,13 @@
         if !entries.is_empty() {
             self.ready.send_replace(true);
         }
-        let listing = match (origin, update.full) {
+        let list_kind = match (origin, update.full) {
             (ListOrigin::Cache, _) => EndpointListKind::Cached,
             (ListOrigin::Source, true) => EndpointListKind::Full,
             (ListOrigin::Source, false) => EndpointListKind::Changes,
         };
         self.events.push(Event::EndpointList {
-            kind: listing,
+            kind: list_kind,
             entries,
         });
     }
--- a/crates/engine/src/recovery.rs
+++ b/crates/engine/src/recovery.rs
@@ -14,8 +14,8 @@
 const REMOVED_CLASS_TIME: Micros = 20 * SECOND;
 
 impl Engine {
-    /// Resumes the messages in the journal: open messages are passed to the decision module, and ended messages are
-    /// notified and offered to the archive again.
+    /// Resumes the messages in the journal: open messages are passed to the decision module; clients of ended messages
+    /// are notified again, and these messages are offered to the archive again.
     pub(crate) fn resume_unfinished(&mut self) {
         let unfinished = self.journal.unfinished();
         let now = self.clock.now();
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -94,7 +94,7 @@
     ClosedByPeer,
     /// Data arrived that is not the response to any call.
     UnsolicitedData,
-    /// The responses that the connection has carried rule out another call on the connection.
+    /// The calls that the connection has carried, or their responses, rule out another call on it.
     NotReusable,
 }
 
--- a/crates/journal/src/records.rs
+++ b/crates/journal/src/records.rs
@@ -29,7 +29,7 @@
     body: Vec<u8>,
 }
 
-/// Stored form of the effect of a repeated delivery.
+/// Stored form of the effect of a duplicate delivery.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(remote = "Effect")]
 enum StoredEffect {
@@ -79,7 +79,7 @@
     at: i64,
 }
 
-/// An attempt made before a redrive whose effect a further attempt could repeat. The rules that limit repeated delivery
+/// The attempt, made before a redrive, that the redrive could duplicate. The rules that limit duplicate deliveries
 /// count their time from this attempt.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct PriorAttempt(#[serde(with = "StoredAttempt")] pub(crate) AttemptStarted);
@@ -98,7 +98,7 @@
 /// One record of the journal. The `u64` at the start of most variants is the number of the message.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Record {
-    /// A message is accepted; its class defined no effect of a repeated delivery.
+    /// A message is accepted; the effect of its class is not recorded.
     Accepted(u64, #[serde(with = "StoredAccepted")] Accepted),
     /// An attempt starts.
     AttemptStarted(u64, #[serde(with = "StoredAttempt")] AttemptStarted),
@@ -111,7 +111,7 @@
     },
     /// A message has ended, without reason and time. Only older builds write this record.
     EndedWithoutReason(u64, #[serde(with = "StoredEnding")] Ending),
-    /// A message is finished: neither an attempt nor a notification is due for it any more.
+    /// A message is finished: no attempt, no notification and no storage as a dead letter is due for it any more.
     Finished(u64),
     /// A message from the dead-letter store is redriven.
     Redriven(
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -63,8 +63,8 @@
     }
 }
 
-/// What a program that runs the decision module needs besides its settings, above all the names behind the positions
-/// in them.
+/// What a program that runs the decision module needs in addition to the settings: the names behind the positions in
+/// them, and the time limit for opening a connection.
 #[derive(Debug, Default)]
 pub struct SettingNames {
     /// Names of the zones, in the order of their numbers.
@@ -226,7 +226,7 @@
     let max_batch_sizes = raw.list("specifics.bundleMax");
     let mut kinds = Vec::new();
     for (index, name) in names.iter().enumerate() {
-        let bundle_max = match max_batch_sizes.get(index) {
+        let max_batch_size = match max_batch_sizes.get(index) {
             Some(text) => text
                 .parse()
                 .map_err(|_| SettingsError::new("specifics.bundleMax", "is not a whole number"))?,
@@ -235,7 +235,7 @@
         kinds.push(DestinationKind {
             name: name.clone(),
             separate_routes: separate_routes.get(index) == Some(&"true"),
-            max_batch_size: bundle_max,
+            max_batch_size,
         });
     }
     Ok(kinds)
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -13,7 +13,7 @@
 
 /// The bit of a `demand` line that marks a message which the client has submitted before.
 const RESUBMITTED_BIT: u64 = 2;
-/// The bit of a `demand` line that marks a message which was submitted before to a sender that has failed.
+/// The bit of a `demand` line that marks a message which was submitted before to a sender that was lost.
 const FROM_LOST_SENDER_BIT: u64 = 16;
 
 /// Endpoint lists by number; the rows of each list are unparsed text.
@@ -147,7 +147,7 @@
         fields: &mut Fields,
         lists: &EndpointLists,
     ) -> Result<Event, Malformed> {
-        let listing = match fields.text("a kind of announcement")? {
+        let list_kind = match fields.text("a kind of announcement")? {
             "delta" => EndpointListKind::Changes,
             "full" => EndpointListKind::Full,
             "cached" => EndpointListKind::Cached,
@@ -163,7 +163,7 @@
             entries.push(self.parse_endpoint_row(row)?);
         }
         Ok(Event::EndpointList {
-            kind: listing,
+            kind: list_kind,
             entries,
         })
     }
