--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -104,7 +104,7 @@
         };
         message.clients = message.clients.saturating_sub(1);
         if message.clients == 0 {
-            self.events.push(Event::Cancelled(message_id));
+            self.events.push(Event::MessageCancelled(message_id));
             self.end(message_id, EndOrigin::Client);
         }
     }
@@ -170,7 +170,7 @@
         if outcome != ArrivalOutcome::Accepted {
             self.close(message_id);
             if outcome == ArrivalOutcome::NoCapacity {
-                self.events.push(Event::Cancelled(message_id));
+                self.events.push(Event::MessageCancelled(message_id));
             }
         }
         // if this fails, the client has disconnected, which the server reports
--- a/crates/engine/src/reconfiguration.rs
+++ b/crates/engine/src/reconfiguration.rs
@@ -78,7 +78,7 @@
             (ListOrigin::Source, false) => EndpointListKind::Changes,
         };
         self.events.push(Event::EndpointList {
-            kind: listing,
+            list_kind: listing,
             entries,
         });
     }
--- a/crates/engine/src/recovery.rs
+++ b/crates/engine/src/recovery.rs
@@ -79,7 +79,7 @@
                 .unwrap_or(EndpointId(u32::MAX)),
             // an attempt in the future means that the clock was set back: how much of the key's deduplication window
             // has passed is unknown, and time 0 makes the window count as over
-            sent: if sent.sent_at > now { 0 } else { sent.sent_at },
+            sent_at: if sent.sent_at > now { 0 } else { sent.sent_at },
             may_have_run: !sent.never_ran,
         }
     }
@@ -134,6 +134,8 @@
 fn prior_attempts(past: &[PastAttempt], sent: &[AttemptStarted]) -> Vec<Attempt> {
     past.iter()
         .zip(sent)
-        .map(|(past, sent)| Attempt::prior(past.endpoint, &sent.uid, past.sent, past.may_have_run))
+        .map(|(past, sent)| {
+            Attempt::prior(past.endpoint, &sent.uid, past.sent_at, past.may_have_run)
+        })
         .collect()
 }
--- a/crates/engine/src/redrive.rs
+++ b/crates/engine/src/redrive.rs
@@ -97,7 +97,7 @@
                 .push(Attempt::prior(endpoint, &sent.uid, sent.sent_at, true));
             past_attempts.push(PastAttempt {
                 endpoint,
-                sent: sent.sent_at,
+                sent_at: sent.sent_at,
                 may_have_run: true,
             });
         }
--- a/crates/idle-state/src/compact.rs
+++ b/crates/idle-state/src/compact.rs
@@ -27,31 +27,31 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct DestinationState {
     /// End of the last `Retry-After`; no call may be sent before this time.
-    pub wait_until: Micros,
+    pub retry_after_until: Micros,
     /// Whether the destination was healthy, ejected or recovering.
     pub health: Health,
     /// When the destination was last healthy. Meaningful only if `health` is not [`Health::Healthy`].
     pub unhealthy_since: Micros,
     /// When the destination was first known to this sender.
-    pub first_seen: Micros,
+    pub first_seen_at: Micros,
     /// When the last call was sent.
-    pub last_sent: Micros,
+    pub last_sent_at: Micros,
     /// Number of calls sent so far; the compact form stops counting at 2^32 - 1.
-    pub sent: u64,
+    pub calls_sent: u64,
     /// The rate limit that the destination announced in its responses, in calls per second.
     pub announced_limit: Option<f64>,
     /// This sender's part of an announced limit that all senders share evenly, in calls per second; 0 if there is none.
-    pub share: f64,
+    pub fair_share: f64,
     /// Rate limit in calls per second; infinite if there was no limit.
-    pub rate: f64,
+    pub rate_limit: f64,
     /// The highest rate that the destination served, in calls per second.
     pub best_rate: f64,
     /// Maximum number of calls in flight.
-    pub window: f64,
+    pub concurrency_window: f64,
     /// Typical latency of a call in microseconds; `None` if it is not known.
     pub typical_latency: Option<Micros>,
     /// Time in microseconds after which a call without a response is hedged; `None` if it is not known.
-    pub hedge_after: Option<Micros>,
+    pub hedge_delay: Option<Micros>,
     /// Weight of the failed calls, and weight of all calls that were counted.
     pub failures: (f64, f64),
     /// Weight of the rejections, and weight of all responses that were counted.
@@ -63,27 +63,27 @@
 /// A [`DestinationState`] in 88 bytes. Serialized by position: the order of the fields is the format.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct CompactState {
-    wait_until: Micros,
+    retry_after_until: Micros,
     /// When the destination was ejected, or began to recover; 0 if it is healthy.
     health_since: Micros,
     health_kind: HealthKind,
     /// Unix time in seconds, rounded up.
     unhealthy_since: u32,
     /// Unix time in seconds, rounded up.
-    first_seen: u32,
+    first_seen_at: u32,
     /// Unix time in seconds, rounded up.
-    last_sent: u32,
-    sent: u32,
+    last_sent_at: u32,
+    calls_sent: u32,
     /// Zero or less if there is no announced limit.
     announced_limit: f32,
-    share: f32,
-    rate: f32,
+    fair_share: f32,
+    rate_limit: f32,
     best_rate: f32,
-    window: f32,
+    concurrency_window: f32,
     /// Microseconds, or [`UNKNOWN_DURATION`].
     typical_latency: u32,
     /// Microseconds, or [`UNKNOWN_DURATION`].
-    hedge_after: u32,
+    hedge_delay: u32,
     failures: (f32, f32),
     rejections: (f32, f32),
     outage_evidence: f32,
@@ -105,8 +105,8 @@
 impl CompactState {
     /// End of the last `Retry-After`, as Unix time in microseconds. Exact.
     #[must_use]
-    pub fn wait_until(&self) -> Micros {
-        self.wait_until
+    pub fn retry_after_until(&self) -> Micros {
+        self.retry_after_until
     }
 
     /// True if the destination is ejected, whether unresponsive or not.
@@ -120,8 +120,8 @@
 
     /// When the last call was sent, as Unix time in microseconds, rounded up to a whole second.
     #[must_use]
-    pub fn last_sent(&self) -> Micros {
-        Micros::from(self.last_sent) * SECOND
+    pub fn last_sent_at(&self) -> Micros {
+        Micros::from(self.last_sent_at) * SECOND
     }
 
     /// The state from which this compact form was made, with the precision described in the crate documentation.
@@ -129,19 +129,19 @@
     pub fn expand(&self) -> DestinationState {
         let pair = |(part, total): (f32, f32)| (f64::from(part), f64::from(total));
         DestinationState {
-            wait_until: self.wait_until,
+            retry_after_until: self.retry_after_until,
             health: self.health(),
             unhealthy_since: Micros::from(self.unhealthy_since) * SECOND,
-            first_seen: Micros::from(self.first_seen) * SECOND,
-            last_sent: self.last_sent(),
-            sent: u64::from(self.sent),
+            first_seen_at: Micros::from(self.first_seen_at) * SECOND,
+            last_sent_at: self.last_sent_at(),
+            calls_sent: u64::from(self.calls_sent),
             announced_limit: (self.announced_limit > 0.0).then(|| f64::from(self.announced_limit)),
-            share: f64::from(self.share),
-            rate: f64::from(self.rate),
+            fair_share: f64::from(self.fair_share),
+            rate_limit: f64::from(self.rate_limit),
             best_rate: f64::from(self.best_rate),
-            window: f64::from(self.window),
+            concurrency_window: f64::from(self.concurrency_window),
             typical_latency: expand_duration(self.typical_latency),
-            hedge_after: expand_duration(self.hedge_after),
+            hedge_delay: expand_duration(self.hedge_delay),
             failures: pair(self.failures),
             rejections: pair(self.rejections),
             outage_evidence: f64::from(self.outage_evidence),
@@ -169,7 +169,7 @@
     fn from(state: &DestinationState) -> Self {
         let pair = |(part, total): (f64, f64)| (round_down(part), round_down(total));
         CompactState {
-            wait_until: state.wait_until,
+            retry_after_until: state.retry_after_until,
             health_since: match state.health {
                 Health::Healthy => 0,
                 Health::Ejected { since, .. } | Health::Recovering { since } => since,
@@ -186,16 +186,16 @@
                 Health::Recovering { .. } => HealthKind::Recovering,
             },
             unhealthy_since: seconds_rounded_up(state.unhealthy_since),
-            first_seen: seconds_rounded_up(state.first_seen),
-            last_sent: seconds_rounded_up(state.last_sent),
-            sent: u32::try_from(state.sent).unwrap_or(u32::MAX),
+            first_seen_at: seconds_rounded_up(state.first_seen_at),
+            last_sent_at: seconds_rounded_up(state.last_sent_at),
+            calls_sent: u32::try_from(state.calls_sent).unwrap_or(u32::MAX),
             announced_limit: state.announced_limit.map_or(0.0, round_down),
-            share: round_down(state.share),
-            rate: round_down(state.rate),
+            fair_share: round_down(state.fair_share),
+            rate_limit: round_down(state.rate_limit),
             best_rate: round_down(state.best_rate),
-            window: round_down(state.window),
+            concurrency_window: round_down(state.concurrency_window),
             typical_latency: compact_duration(state.typical_latency),
-            hedge_after: compact_duration(state.hedge_after),
+            hedge_delay: compact_duration(state.hedge_delay),
             failures: pair(state.failures),
             rejections: pair(state.rejections),
             outage_evidence: round_down(state.outage_evidence),
--- a/crates/idle-state/src/initial_limits.rs
+++ b/crates/idle-state/src/initial_limits.rs
@@ -22,27 +22,27 @@
     /// True if the measurements are not stale, so that the limits are the same as at the last call.
     pub is_fresh: bool,
     /// Maximum calls per second; infinite if there is no limit.
-    pub rate: f64,
+    pub rate_limit: f64,
     /// Maximum calls in flight.
-    pub window: f64,
+    pub concurrency_window: f64,
 }
 
 /// The limits to start with at `now`, depending on the time since the last call. A `Retry-After` is not affected: it
 /// applies until its end, whatever its age.
 #[must_use]
 pub fn initial_limits(state: &DestinationState, now: Micros) -> InitialLimits {
-    let is_fresh = now - state.last_sent < STALE_AFTER;
+    let is_fresh = now - state.last_sent_at < STALE_AFTER;
     if is_fresh {
         return InitialLimits {
             is_fresh,
-            rate: state.rate,
-            window: state.window,
+            rate_limit: state.rate_limit,
+            concurrency_window: state.concurrency_window,
         };
     }
     // the destination may have lowered its limit: start low and let successes raise the rate, without a burst
     InitialLimits {
         is_fresh,
-        rate: state.rate.min(MAX_STALE_RATE),
-        window: state.window.min(MAX_STALE_WINDOW),
+        rate_limit: state.rate_limit.min(MAX_STALE_RATE),
+        concurrency_window: state.concurrency_window.min(MAX_STALE_WINDOW),
     }
 }
--- a/crates/policy/benches/turn.rs
+++ b/crates/policy/benches/turn.rs
@@ -86,7 +86,7 @@
         .map(|n| EndpointEntry::new(EndpointId(n as u32), n))
         .collect();
     host.timed_turn(&[Event::EndpointList {
-        kind: EndpointListKind::Full,
+        list_kind: EndpointListKind::Full,
         entries,
     }]);
     let message = |id, destination| {
--- a/crates/policy/src/cleanup.rs
+++ b/crates/policy/src/cleanup.rs
@@ -30,7 +30,7 @@
         let first_sent = attempts
             .iter()
             .filter(|past| past.may_have_run)
-            .map(|past| past.sent)
+            .map(|past| past.sent_at)
             .min();
         let time_left = first_sent
             .map_or(Micros::MAX, |sent| sent + window - self.now)
@@ -45,7 +45,7 @@
         pending.unattempted_before_restart = !message.deferred && attempts.is_empty();
         pending.attempts.extend(attempts.iter().map(|past| Attempt {
             endpoint: past.endpoint,
-            sent_at: past.sent,
+            sent_at: past.sent_at,
             call_id: u64::MAX,
             in_flight: false,
             may_have_run: past.may_have_run,
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -252,7 +252,9 @@
 
     fn on_event(&mut self, event: &Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList { kind, entries } => self.on_endpoint_list(*kind, entries),
+            Event::EndpointList { list_kind, entries } => {
+                self.on_endpoint_list(*list_kind, entries);
+            }
             Event::EndpointListFailed => {
                 let jitter = Micros::from(self.random.next_u32()) % self.list_retry_backoff;
                 self.list_retry_at = Some(self.now + self.list_retry_backoff / 2 + jitter);
@@ -285,7 +287,7 @@
                 self.apply_retry_after(scope_id, *retry_after, actions);
             }
             Event::AttemptEnded { .. } => self.on_attempt_ended(event, actions),
-            Event::Cancelled(message) => {
+            Event::MessageCancelled(message) => {
                 self.close_message(*message, actions);
                 self.remove_if_finished(*message);
             }
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -141,7 +141,7 @@
                 || self
                     .idle_scopes
                     .get(&id)
-                    .is_some_and(|compact| compact.wait_until() > now)
+                    .is_some_and(|compact| compact.retry_after_until() > now)
             {
                 self.removable_scopes.insert(id);
             } else {
--- a/crates/policy/src/idle.rs
+++ b/crates/policy/src/idle.rs
@@ -119,19 +119,19 @@
 /// What is kept of an idle scope.
 fn to_destination_state(scope: &HealthScope) -> DestinationState {
     DestinationState {
-        wait_until: scope.retry_after_until,
+        retry_after_until: scope.retry_after_until,
         health: scope.health,
         unhealthy_since: scope.unhealthy_since,
-        first_seen: scope.first_seen_at,
-        last_sent: scope.last_sent_at,
-        sent: scope.calls_sent,
+        first_seen_at: scope.first_seen_at,
+        last_sent_at: scope.last_sent_at,
+        calls_sent: scope.calls_sent,
         announced_limit: scope.announced_limit,
-        share: scope.fair_share,
-        rate: scope.rate_limit,
+        fair_share: scope.fair_share,
+        rate_limit: scope.rate_limit,
         best_rate: scope.best_rate,
-        window: scope.concurrency_window,
+        concurrency_window: scope.concurrency_window,
         typical_latency: scope.typical_latency,
-        hedge_after: scope.hedge_delay,
+        hedge_delay: scope.hedge_delay,
         failures: scope.outage_evidence.observed_counts(),
         rejections: scope.rejections.observed_counts(),
         outage_evidence: scope.outage_evidence.evidence(),
@@ -147,29 +147,30 @@
     let limits = initial_limits(state, now);
     let mut scope = HealthScope {
         health: state.health,
-        retry_after_until: state.wait_until,
+        retry_after_until: state.retry_after_until,
         // At most half a slow start lies between the assumed start of the recovery and its first success.
         slow_start_ends_at: match state.health {
             Health::Recovering { since } => since + slow_start * 3 / 2,
             _ => 0,
         },
         unhealthy_since: state.unhealthy_since,
-        first_seen_at: state.first_seen,
-        last_sent_at: state.last_sent,
-        calls_sent: state.sent,
+        first_seen_at: state.first_seen_at,
+        last_sent_at: state.last_sent_at,
+        calls_sent: state.calls_sent,
         announced_limit: state.announced_limit,
-        fair_share: state.share,
-        rate_limit: limits.rate,
+        fair_share: state.fair_share,
+        rate_limit: limits.rate_limit,
         // An outdated rate limit may rise as fast as calls succeed.
-        limited_by_rejection: limits.is_fresh && limits.rate.is_finite(),
+        limited_by_rejection: limits.is_fresh && limits.rate_limit.is_finite(),
         best_rate: state.best_rate,
         typical_latency: state.typical_latency,
-        hedge_delay: state.hedge_after,
+        hedge_delay: state.hedge_delay,
         tokens_updated_at: now,
-        ..HealthScope::new(limits.window.max(1.0))
+        ..HealthScope::new(limits.concurrency_window.max(1.0))
     };
-    if limits.rate.is_finite() {
-        (scope.tokens, scope.refill, scope.burst) = (1.0, RefillRate::constant(limits.rate), 1.0);
+    if limits.rate_limit.is_finite() {
+        (scope.tokens, scope.refill, scope.burst) =
+            (1.0, RefillRate::constant(limits.rate_limit), 1.0);
     }
     scope
         .outage_evidence
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -465,7 +465,7 @@
     /// The endpoint of the attempt. If the list no longer names the endpoint, its zone is unknown.
     pub endpoint: EndpointId,
     /// When the attempt was sent, on the clock of the present process.
-    pub sent: Micros,
+    pub sent_at: Micros,
     /// Nothing proves that the attempt never ran.
     pub may_have_run: bool,
 }
@@ -523,7 +523,7 @@
     /// The endpoint list was read or has changed.
     EndpointList {
         /// How the entries relate to the list.
-        kind: EndpointListKind,
+        list_kind: EndpointListKind,
         /// The entries of the update.
         entries: Vec<EndpointEntry>,
     },
@@ -590,7 +590,7 @@
         attempt: usize,
     },
     /// The message is no longer wanted; its attempts are cancelled.
-    Cancelled(MessageId),
+    MessageCancelled(MessageId),
     /// A probe has ended.
     Probed {
         /// The probed endpoint.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -14,7 +14,7 @@
 //! let mut actions = Vec::new();
 //! let events = [
 //!     Event::EndpointList {
-//!         kind: EndpointListKind::Full,
+//!         list_kind: EndpointListKind::Full,
 //!         entries: vec![EndpointEntry::new(EndpointId(1), 40)],
 //!     },
 //!     Event::Accepted(NewMessage::new(MessageId(5), 0, 40, 10_000_000)),
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -139,7 +139,7 @@
             action_log: Vec::new(),
         };
         harness.handle(vec![Event::EndpointList {
-            kind: EndpointListKind::Full,
+            list_kind: EndpointListKind::Full,
             entries,
         }]);
         harness
--- a/crates/policy/tests/dormancy.rs
+++ b/crates/policy/tests/dormancy.rs
@@ -112,7 +112,7 @@
         if harness.sends.iter().any(|send| send.1 == id) {
             harness.end_attempt(id, Outcome::NoConnection, 10 * MILLISECOND);
         }
-        harness.handle(vec![Event::Cancelled(MessageId(id))]);
+        harness.handle(vec![Event::MessageCancelled(MessageId(id))]);
     }
     assert_eq!(harness.sender.ejected_endpoint_count(), 1);
     stay_idle(&mut harness, HOUR / 2, 60);
@@ -154,11 +154,11 @@
         };
         let entries = vec![removed, entry(new, destination)];
         harness.handle(vec![Event::EndpointList {
-            kind: EndpointListKind::Changes,
+            list_kind: EndpointListKind::Changes,
             entries,
         }]);
         harness.run_until(harness.now + 200 * MILLISECOND);
-        harness.handle(vec![Event::Cancelled(MessageId(round))]);
+        harness.handle(vec![Event::MessageCancelled(MessageId(round))]);
         let calls = harness.sends.split_off(0);
         let late_end = |call: &(Micros, u64, u32, usize)| {
             ended(call.1, call.3, call.2, Outcome::TimedOut, 200 * MILLISECOND)
@@ -172,14 +172,14 @@
     harness.run_until(harness.now + 61 * SECOND);
     let entries = vec![entry(0, 0)];
     harness.handle(vec![Event::EndpointList {
-        kind: EndpointListKind::Full,
+        list_kind: EndpointListKind::Full,
         entries,
     }]);
     // calls without a response end with their deadline, and the next list update removes the state that they kept
     for _ in 0..3 {
         harness.run_until(harness.now + 61 * SECOND);
         harness.handle(vec![Event::EndpointList {
-            kind: EndpointListKind::Changes,
+            list_kind: EndpointListKind::Changes,
             entries: Vec::new(),
         }]);
     }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -354,7 +354,7 @@
         let mut harness = Harness::new(settings.clone(), vec![]);
         harness.sender = Sender::new(settings.clone(), seed).expect("settings make sense");
         harness.handle(vec![Event::EndpointList {
-            kind: EndpointListKind::Full,
+            list_kind: EndpointListKind::Full,
             entries: entries.clone(),
         }]);
         let resumed = |id| NewMessage::new(MessageId(id), KEYED, 7, 15 * SECOND);
--- a/crates/policy/tests/guards.rs
+++ b/crates/policy/tests/guards.rs
@@ -402,7 +402,7 @@
             Outcome::Success
         };
         harness.end_attempt(id, outcome, 100 * MILLISECOND);
-        harness.handle(vec![Event::Cancelled(MessageId(id))]); // no retry
+        harness.handle(vec![Event::MessageCancelled(MessageId(id))]); // no retry
     }
     assert_eq!(
         harness
@@ -416,7 +416,7 @@
         if !harness.send_times(id).is_empty() {
             harness.end_attempt(id, Outcome::Reset, 100 * MILLISECOND);
         }
-        harness.handle(vec![Event::Cancelled(MessageId(id))]);
+        harness.handle(vec![Event::MessageCancelled(MessageId(id))]);
     }
     assert_eq!(
         harness
@@ -444,11 +444,11 @@
         open = waiting;
         for id in sent {
             harness.end_attempt(id, Outcome::Error, 100 * MILLISECOND);
-            harness.handle(vec![Event::Cancelled(MessageId(id))]);
+            harness.handle(vec![Event::MessageCancelled(MessageId(id))]);
         }
     }
     open.into_iter()
-        .for_each(|id| _ = harness.handle(vec![Event::Cancelled(MessageId(id))]));
+        .for_each(|id| _ = harness.handle(vec![Event::MessageCancelled(MessageId(id))]));
     assert!(
         harness
             .count_actions(|action| matches!(action, Action::Log(text) if text.contains("sick")))
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -97,7 +97,7 @@
     let mut all_actions = Vec::new();
     let mut alarms: BTreeSet<Micros> = BTreeSet::new();
     let mut events = vec![Event::EndpointList {
-        kind: EndpointListKind::Cached,
+        list_kind: EndpointListKind::Cached,
         entries: (0..12).map(listed_entry).collect(),
     }];
     let mut sends = 0;
@@ -147,7 +147,7 @@
                 stopped_endpoints.insert(endpoint, now);
             }
             events.push(Event::EndpointList {
-                kind: EndpointListKind::Changes,
+                list_kind: EndpointListKind::Changes,
                 entries: vec![changed],
             });
         }
--- a/crates/policy/tests/resumed.rs
+++ b/crates/policy/tests/resumed.rs
@@ -14,7 +14,7 @@
     let mut harness = Harness::new(settings.clone(), vec![]);
     harness.sender = Sender::new(settings.clone(), seed).expect("settings make sense");
     harness.handle(vec![Event::EndpointList {
-        kind: EndpointListKind::Full,
+        list_kind: EndpointListKind::Full,
         entries,
     }]);
     harness
@@ -167,7 +167,7 @@
 fn resumed_after_send(id: u64, age: Micros, time_left: Micros) -> Event {
     let past = PastAttempt {
         endpoint: EndpointId(1),
-        sent: START - age,
+        sent_at: START - age,
         may_have_run: true,
     };
     Event::Resumed {
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -269,7 +269,7 @@
     let mut draining = entry(other, 7);
     draining.status = EndpointStatus::Draining;
     harness.handle(vec![Event::EndpointList {
-        kind: EndpointListKind::Changes,
+        list_kind: EndpointListKind::Changes,
         entries: vec![draining],
     }]);
     harness.run_until(START + 3 * SECOND);
@@ -279,7 +279,7 @@
         "no hedged request to the draining endpoint"
     );
     harness.handle(vec![Event::EndpointList {
-        kind: EndpointListKind::Full,
+        list_kind: EndpointListKind::Full,
         entries: Vec::new(),
     }]);
     harness.end_attempt(1, Outcome::Error, SECOND);
@@ -294,7 +294,7 @@
     let sent_before = harness.sends.len();
     harness.handle(vec![
         Event::EndpointList {
-            kind: EndpointListKind::Full,
+            list_kind: EndpointListKind::Full,
             entries: pool(2),
         },
         message(3, REPEATABLE, 7),
@@ -379,7 +379,7 @@
     );
     harness.handle(vec![ordered_message(4, 5)]);
     harness.now += 50 * MILLISECOND;
-    harness.handle(vec![Event::Cancelled(MessageId(2))]);
+    harness.handle(vec![Event::MessageCancelled(MessageId(2))]);
     assert_eq!(
         harness.send_times(4).len(),
         0,
@@ -435,8 +435,8 @@
         ended(1, 1, endpoint, Outcome::Success, SECOND), // a cancelled attempt that succeeds after all
         ended(1, 1, endpoint, Outcome::TimedOut, SECOND),
         ended(77, 0, 99, Outcome::Success, SECOND),
-        Event::Cancelled(MessageId(1)),
-        Event::Cancelled(MessageId(78)),
+        Event::MessageCancelled(MessageId(1)),
+        Event::MessageCancelled(MessageId(78)),
         Event::ResponseStarted {
             message: MessageId(79),
             attempt: 4,
@@ -452,7 +452,7 @@
         },
         Event::EndpointListFailed,
         Event::EndpointList {
-            kind: EndpointListKind::Changes,
+            list_kind: EndpointListKind::Changes,
             entries: Vec::new(),
         },
         Event::Alarm,
@@ -587,13 +587,13 @@
         ..entry(1, 7)
     };
     harness.handle(vec![Event::EndpointList {
-        kind: EndpointListKind::Changes,
+        list_kind: EndpointListKind::Changes,
         entries: vec![draining],
     }]);
     assert_eq!(write_deadline(&harness, 1), None, "the endpoint drains");
 
     let mut harness = with_one_call();
-    harness.handle(vec![Event::Cancelled(MessageId(1))]);
+    harness.handle(vec![Event::MessageCancelled(MessageId(1))]);
     assert_eq!(write_deadline(&harness, 1), None, "the message has ended");
 }
 
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -51,7 +51,7 @@
             fleet.handle(
                 index,
                 vec![Event::EndpointList {
-                    kind: EndpointListKind::Full,
+                    list_kind: EndpointListKind::Full,
                     entries: entries.clone(),
                 }],
             );
@@ -353,7 +353,7 @@
         let (id, number) = (u64::from(round), round + 1);
         let entries = vec![entry(number, u64::from(number) + 100)];
         harness.handle(vec![Event::EndpointList {
-            kind: EndpointListKind::Full,
+            list_kind: EndpointListKind::Full,
             entries,
         }]);
         let mut new = NewMessage::new(MessageId(id), ORDERED, u64::from(number) + 100, 30 * SECOND);
@@ -378,7 +378,7 @@
     let mut harness = Harness::new(settings(8), vec![entry(1, 7)]);
     harness.handle(vec![message(1, REPEATABLE, 7)]);
     harness.handle(vec![Event::EndpointList {
-        kind: EndpointListKind::Full,
+        list_kind: EndpointListKind::Full,
         entries: vec![EndpointEntry {
             kind: 1,
             zone: 1,
--- a/crates/scale/src/roles/turn.rs
+++ b/crates/scale/src/roles/turn.rs
@@ -51,7 +51,7 @@
             .map(|n| EndpointEntry::new(EndpointId(n as u32), n))
             .collect();
         harness.handle(&[Event::EndpointList {
-            kind: EndpointListKind::Full,
+            list_kind: EndpointListKind::Full,
             entries,
         }]);
         Ok(harness)
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -53,7 +53,7 @@
             "demand" => self.parse_new_message(fields),
             "first_byte" => self.parse_attempt_started(fields),
             "outcome" => self.parse_attempt_ended(fields),
-            "dropped" => Ok(Event::Cancelled(self.parse_message(fields)?)),
+            "dropped" => Ok(Event::MessageCancelled(self.parse_message(fields)?)),
             "echo" => self.parse_health_check(fields),
             "heard" => {
                 let from = fields.integer("a sender's number")? as u32;
@@ -163,7 +163,7 @@
             entries.push(self.parse_endpoint_row(row)?);
         }
         Ok(Event::EndpointList {
-            kind: listing,
+            list_kind: listing,
             entries,
         })
     }
--- a/crates/test-support/src/cold_fleet.rs
+++ b/crates/test-support/src/cold_fleet.rs
@@ -88,7 +88,7 @@
     let safety = settings.safety.clone();
     let entries = vec![EndpointEntry::new(EndpointId(1), DESTINATION)];
     let endpoint_list = Event::EndpointList {
-        kind: EndpointListKind::Full,
+        list_kind: EndpointListKind::Full,
         entries,
     };
     let start = |seed| Sender::new(settings.clone(), seed).expect("settings make sense");
@@ -218,7 +218,7 @@
                         let past_attempts = attempts.entry(message.0).or_default();
                         past_attempts.push(PastAttempt {
                             endpoint,
-                            sent: now,
+                            sent_at: now,
                             may_have_run: true,
                         });
                         let is_down = (START + scenario.healthy_time..recovery).contains(&now);
--- a/crates/test-support/src/limited_fleet/simulation.rs
+++ b/crates/test-support/src/limited_fleet/simulation.rs
@@ -74,7 +74,7 @@
     });
     let entries = among_idle_destinations(scenario.destination_count);
     let endpoint_list = Event::EndpointList {
-        kind: EndpointListKind::Full,
+        list_kind: EndpointListKind::Full,
         entries,
     };
     let mut random = Pcg32::seed_from_u64(scenario.seed);
