--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -1,4 +1,4 @@
-//! The admin server for operators, which listens on a separate address: readiness, metrics, drain and resume. Also the
+//! The admin listener for operators, which listens on a separate address: readiness, metrics, drain and resume. Also the
 //! observer that counts engine events for the metrics. Nothing in this package affects how messages are delivered.
 
 mod metrics;
--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -58,7 +58,7 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 faults.log(format_args!(
-                    "admin server: accepting a connection failed: {error}"
+                    "admin listener: accepting a connection failed: {error}"
                 ));
                 sleep(Duration::from_millis(50)).await;
                 continue;
@@ -66,7 +66,7 @@
         };
         let Ok(Ok(permit)) = timeout(SLOT_TIMEOUT, free_slots.clone().acquire_owned()).await else {
             faults.log(format_args!(
-                "admin server: connection rejected, all {MAX_CONNECTIONS} connection slots are in use"
+                "admin listener: connection rejected, all {MAX_CONNECTIONS} connection slots are in use"
             ));
             continue;
         };
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -1,4 +1,4 @@
-//! The admin server compared with stored responses: paths, methods, statuses, headers, bodies and the names of the
+//! The admin listener compared with stored responses: paths, methods, statuses, headers, bodies and the names of the
 //! metrics. Guards against a rename in the code that changes what operators' scripts read.
 
 use milletturn_admin::server::{AdminState, serve};
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -23,7 +23,7 @@
     setup: Setup,
     pub process: Child,
     pub address: SocketAddr,
-    /// Address of the admin server.
+    /// Address of the admin listener.
     pub admin_address: Option<SocketAddr>,
     pub log: Arc<Mutex<Vec<String>>>,
     keeps_reading_log: Arc<AtomicBool>,
@@ -266,7 +266,7 @@
             .0
     }
 
-    /// Sends a request to the admin server; returns the status, 0 if no response comes.
+    /// Sends a request to the admin listener; returns the status, 0 if no response comes.
     pub(crate) fn admin_status(&self, method: &str, path: &str) -> u16 {
         self.admin_request(method, path).0
     }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -1,4 +1,4 @@
-//! Tests of the admin server and of reloads: readiness, metrics, drain and resume, with misbehaving clients.
+//! Tests of the admin listener and of reloads: readiness, metrics, drain and resume, with misbehaving clients.
 
 mod node;
 
