--- a/crates/engine/src/reconfiguration.rs
+++ b/crates/engine/src/reconfiguration.rs
@@ -77,10 +77,7 @@
             (ListOrigin::Source, true) => EndpointListKind::Full,
             (ListOrigin::Source, false) => EndpointListKind::Changes,
         };
-        self.events.push(Event::EndpointList {
-            list_kind: list_kind,
-            entries,
-        });
+        self.events.push(Event::EndpointList { list_kind, entries });
     }
 
     /// Applies one listed endpoint to the table and the transport; `None` for the removal of an unknown endpoint.
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -162,10 +162,7 @@
         for row in rows {
             entries.push(self.parse_endpoint_row(row)?);
         }
-        Ok(Event::EndpointList {
-            list_kind: list_kind,
-            entries,
-        })
+        Ok(Event::EndpointList { list_kind, entries })
     }
 
     /// Parses one row of an endpoint list.
