--- a/crates/policy/src/cleanup.rs
+++ b/crates/policy/src/cleanup.rs
@@ -14,10 +14,10 @@
 
     /// Restores a message after a restart. Its calls ended with the old process, and those without a known
     /// outcome may have run. All its attempts count as overlapped: the order in which they ended is unknown,
-    /// and the window in which the destination drops repeats must count from the first.
+    /// and the deduplication window must count from the first.
     pub(crate) fn on_resumed(&mut self, message: &NewMessage, attempts: &[PastAttempt]) {
-        // A message that may be repeated only while the destination remembers its key must not be delayed
-        // beyond that.
+        // A keyed message may be repeated only within its deduplication window, so the stagger must not delay
+        // it beyond that window.
         let window = match self
             .settings
             .classes
@@ -84,9 +84,9 @@
             .for_each(|key| self.leave_key_queue(key, id));
     }
 
-    /// Ends a message by the sender's own decision. If the host reports such ends by notifications, whoever
-    /// observes the order learns of the end only from the notification: until that is acknowledged, the
-    /// message keeps its position in the queue of its key.
+    /// Ends a message by the sender's own decision. If the host reports such ends by notifications, the client
+    /// learns of the end only from the notification. So that the client sees the messages of a key in order,
+    /// the message keeps its position in the queue of the key until the notification is acknowledged.
     pub(crate) fn end_message(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let key = self
             .messages
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -2,8 +2,8 @@
 //! messages, attempts, calls and endpoints are plain data in `state.rs`.
 //!
 //! Reading order: the constants, `handle` (one turn), the handlers of events, the checks of what the delivery
-//! rules allow (only they know these rules), and then the choices within the rules: sends, hedged requests and
-//! the end of messages.
+//! rules allow (no other code knows these rules), and then the choices within the rules: sends, hedged requests
+//! and the end of messages.
 
 use crate::interface::{
     Action, DestinationId, Effect, EndpointId, Event, MILLISECOND, MessageId, Micros, NewMessage,
@@ -117,8 +117,8 @@
 /// Number of half unresponsive limits, for each attempt so far, after which a call is cancelled if calls that
 /// were sent later have succeeded.
 const OVERTAKEN_HALF_LIMITS: i64 = 3;
-/// Share of the slots in use from which on unsafe calls are cancelled too. Smaller values give up more
-/// messages, larger ones free fewer slots.
+/// Share of the slots in use from which on unsafe calls are cancelled too. Smaller values abandon
+/// more messages, larger ones free fewer slots.
 const SCARCE_SLOTS_SHARE: f64 = 0.7;
 /// Share of the latency objective up to which the oldest message comes first. Beyond it, the messages that
 /// lose most by waiting come first.
@@ -172,8 +172,7 @@
 const INITIAL_RETRY_BACKOFF: Micros = 150 * MILLISECOND;
 /// Longest backoff before a retry. Longer values save attempts, shorter ones save time.
 const MAX_RETRY_BACKOFF: Micros = 2 * SECOND;
-/// Time that is left before a deadline, and before the end of a window in which the destination drops
-/// repeats.
+/// Safety margin before a deadline, and before the end of a deduplication window: no attempt starts within it.
 pub(crate) const DEADLINE_MARGIN: Micros = 30 * MILLISECOND;
 /// Share of the capacity for pending messages above which messages of unavailable destinations are shed.
 const SHEDDING_THRESHOLD: f64 = 0.85;
@@ -484,10 +483,10 @@
             self.release_idle_connections(scope_id, endpoint_id, actions);
         }
         if let Outcome::Rejected {
-            retry_after: Some(wait),
+            retry_after: Some(delay),
         } = outcome
         {
-            self.apply_retry_after(scope_id, wait, actions);
+            self.apply_retry_after(scope_id, delay, actions);
         }
         if is_first_outcome {
             self.on_load_report(scope_id, report);
@@ -587,8 +586,8 @@
                 scope.record_latency(latency);
                 scope.consecutive_rejections = 0;
                 scope.succeeded_since_reduction = true;
-                // Successes that continue for longer than an outage and its recovery last mean that the scope
-                // is only noisy.
+                // A scope that still has successes long after an outage and its recovery would have ended is
+                // only noisy.
                 let baseline_unknown = scope.outage_evidence.observed_calls() < MIN_KNOWN_CALLS
                     && scope.average_send_rate(now, overload_window / 30) >= BUSY_CALLS_PER_S;
                 let is_noise = now - scope.unhealthy_since > MAX_OUTAGE_SLOW_STARTS * slow_start
@@ -691,7 +690,7 @@
                     ),
                 };
                 scope.apply_rate_advice(advice, recent_rate);
-                // A finite rate limit lets the sender find out by its rate when the circuit closes again.
+                // With a finite rate limit, calls go on at that rate and show when the circuit closes again.
                 let needs_rate_limit =
                     circuit_open && !limit_known && scope.rate_limit.is_infinite();
                 if (advice == RateAdvice::Reduce && scope.reduce_window(sent_at, now))
@@ -737,7 +736,7 @@
         }
     }
 
-    /// Blocks a health scope for an announced wait, and ejects the scope if the wait is long.
+    /// Blocks a health scope for a retry-after delay, and ejects the scope if the delay is long.
     fn apply_retry_after(
         &mut self,
         scope_id: HealthScopeId,
@@ -745,7 +744,8 @@
         actions: &mut Vec<Action>,
     ) {
         if retry_after > 2 * self.settings.safety.overload_window {
-            self.eject(scope_id, false, "shut", actions); // closed, not throttled: needs a slow start
+            // The destination is out of service rather than throttled, so it needs a slow start afterwards.
+            self.eject(scope_id, false, "shut", actions);
         }
         let until = self.now + retry_after + MILLISECOND;
         self.settle_scope_tokens(scope_id);
@@ -860,8 +860,8 @@
         let scope = self.scope_mut(scope_id);
         if !matches!(scope.health, Health::Ejected { .. }) {
             scope.tokens = phase;
-            // While the scope is ejected or recovering, the recovery budget sets the rate, so what failures
-            // alone took off the rate limit is undone.
+            // While the scope is ejected or recovering, the recovery budget sets the rate, so reductions of the
+            // rate limit that failures alone have caused are undone.
             scope.rate_limit = if reason == "shut" {
                 scope.rate_limit
             } else {
@@ -898,8 +898,8 @@
         self.settle_scope_tokens(scope_id);
     }
 
-    /// Ejects scopes that answer nothing while calls wait far beyond their typical latency, and cancels their
-    /// calls some time later where that is safe. This keeps hung, vanished or crawling destinations from
+    /// Ejects scopes that send no response while calls wait far beyond their typical latency, and cancels their
+    /// calls some time later where that is safe. This keeps hung, vanished or very slow destinations from
     /// filling the slots of healthy ones. A single long call may be the only traffic of a scope, so a lone
     /// call gets twice the time.
     fn detect_unresponsive_calls(&mut self, actions: &mut Vec<Action>) {
@@ -1045,7 +1045,7 @@
 
     /// By when the last byte of an attempt that has not begun must be written; `None` if it must not begin.
     /// This covers what happened while its connection was opened: a Retry-After, a drain, or the end of the
-    /// window in which the destination drops repeats of a key.
+    /// deduplication window.
     #[must_use]
     pub fn write_deadline(&self, now: Micros, id: MessageId, index: usize) -> Option<Micros> {
         let message = self.messages.get(&id).filter(|message| message.open)?;
@@ -1289,8 +1289,9 @@
         self.degraded_calls >= slot_share(self.settings.call_slots, MAX_DEGRADED_SHARE)
     }
 
-    /// The value that sending the message now would still gain. Within the latency objective the oldest
-    /// message comes first. Messages with a higher urgency are sent first.
+    /// The value that sending the message now would still gain, as a sort key: messages with a higher urgency
+    /// are sent first. Up to `OLDEST_FIRST_SHARE` of the latency objective, the urgency rises with the age, so
+    /// that the oldest message comes first.
     pub(crate) fn urgency(&self, message: &PendingMessage) -> f64 {
         let age = self.now - message.accepted_at;
         let Some(class) = self.settings.classes.get(message.class) else {
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,5 +1,5 @@
-//! Types of the policy's interface: settings, ids, time, events, outcomes and actions. They are validated
-//! here, but nothing is decided.
+//! Types of the policy's interface: settings, ids, time, events, outcomes and actions. Settings are validated
+//! here; all decisions are made elsewhere.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -31,7 +31,7 @@
     Repeatable,
     /// The destination drops repeats within `window`, counted from the first attempt that may have run.
     Keyed {
-        /// How long the destination remembers the idempotency key.
+        /// The deduplication window: how long the destination remembers the idempotency key.
         window: Micros,
         /// Endpoints know only the keys that endpoints of their own zone have received.
         zone_only: bool,
@@ -254,15 +254,16 @@
             if !names.insert(&class.name) {
                 return Err(SettingsError::new(
                     &format!("classes.{}.name", class.name),
-                    "stands twice",
+                    "is not unique",
                 ));
             }
         }
-        self.validate_figures()
+        self.validate_values()
     }
 
-    /// Checks everything but the names of classes: after a reload, one name may stand at two positions.
-    pub(crate) fn validate_figures(&self) -> Result<(), SettingsError> {
+    /// Checks everything but the names of classes: after a reload, two positions may have classes of the same
+    /// name.
+    pub(crate) fn validate_values(&self) -> Result<(), SettingsError> {
         let positive = |name: &str, ok: bool| {
             if ok {
                 Ok(())
@@ -270,7 +271,7 @@
                 Err(SettingsError::new(name, "must be above zero"))
             }
         };
-        let share = |name: &str, value: f64| {
+        let non_negative = |name: &str, value: f64| {
             if value.is_finite() && value >= 0.0 {
                 Ok(())
             } else {
@@ -284,14 +285,14 @@
         positive("call_slots", self.call_slots > 0)?;
         positive("max_held", self.max_pending > 0)?;
         positive("max_attempts", self.max_attempts > 0)?;
-        share("over_share_worth", self.over_share_weight)?;
-        share("weight_trust", self.weight_trust)?;
-        share("price_cross_zone", self.price_cross_zone)?;
-        share("price_probe", self.price_probe)?;
-        share("price_waste", self.price_waste)?;
+        non_negative("over_share_worth", self.over_share_weight)?;
+        non_negative("weight_trust", self.weight_trust)?;
+        non_negative("price_cross_zone", self.price_cross_zone)?;
+        non_negative("price_probe", self.price_probe)?;
+        non_negative("price_waste", self.price_waste)?;
         self.zone_fees
             .iter()
-            .try_for_each(|&fee| share("zone_fees", fee))?;
+            .try_for_each(|&fee| non_negative("zone_fees", fee))?;
         let safety = &self.safety;
         for (name, span) in [
             ("safety.drain_grace", safety.drain_grace),
@@ -307,14 +308,14 @@
                 return Err(SettingsError::new(name, "must not be negative"));
             }
         }
-        share("safety.start_capacity", safety.initial_capacity)?;
-        share("safety.fall_multiple", safety.overload_multiple)?;
+        non_negative("safety.start_capacity", safety.initial_capacity)?;
+        non_negative("safety.fall_multiple", safety.overload_multiple)?;
         for class in &self.classes {
             let name = |field: &str| format!("classes.{}.{field}", class.name);
             positive(&name("aim"), class.latency_objective > 0)?;
             positive(&name("deadline"), class.deadline > 0)?;
-            share(&name("worth"), class.priority_weight)?;
-            share(&name("late_share"), class.late_value_share)?;
+            non_negative(&name("worth"), class.priority_weight)?;
+            non_negative(&name("late_share"), class.late_value_share)?;
             if let Effect::Keyed { window, .. } = class.effect {
                 positive(&name("window"), window > 0)?;
             }
@@ -326,7 +327,7 @@
             )?;
         }
         for tenant in &self.tenants {
-            share(
+            non_negative(
                 &format!("tenants.{}.allowance", tenant.name),
                 tenant.allowance,
             )?;
@@ -338,7 +339,7 @@
 /// A setting that is invalid.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SettingsError {
-    /// Outer name of the setting, which may differ from the name of the field.
+    /// Name under which the error reports the setting; it may differ from the name of the field.
     pub setting: String,
     /// What is wrong with the setting.
     pub problem: String,
@@ -546,7 +547,7 @@
     },
     /// A response that rejected no message announced a Retry-After.
     RetryAfter {
-        /// The endpoint that announced the wait.
+        /// The endpoint that announced the Retry-After.
         endpoint: EndpointId,
         /// How long to wait before the next call.
         retry_after: Micros,
--- a/crates/policy/src/introspection.rs
+++ b/crates/policy/src/introspection.rs
@@ -1,4 +1,5 @@
-//! Figures about the sender's state, for tests and operators.
+//! Counts of the sender's state and work, for operators and tests, and the switch that tests use to turn
+//! incremental scheduling off.
 
 use crate::state::Health;
 use crate::state::Sender;
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -29,7 +29,7 @@
     clippy::needless_pass_by_value,
     clippy::struct_excessive_bools,
     clippy::too_many_lines,
-    reason = "the shape of this package has not been reworked yet: long functions, records with many flags"
+    reason = "the functions and the structs of flags mirror the decision rules and are not split up yet"
 )]
 
 mod attempt_end;
--- a/crates/policy/src/reconfigure.rs
+++ b/crates/policy/src/reconfigure.rs
@@ -19,8 +19,8 @@
             .position(|tenant| tenant.name == name)
     }
 
-    /// Replaces the settings. Classes keep their positions: the class of an open message must stand at its
-    /// position unchanged. `reused_positions` lists the positions that now stand for another class. An open
+    /// Replaces the settings. Classes keep their positions: the class of an open message must be unchanged at
+    /// its position. `reused_positions` lists the positions that now hold another class. An open
     /// message keeps its class and never gets more attempts than it was allowed before. Kinds, zones, tenants
     /// and the way to obtain the endpoint list stay as they were at start-up, because entries and messages
     /// refer to them by position.
@@ -32,7 +32,7 @@
         mut settings: Settings,
         reused_positions: &[usize],
     ) -> Result<(), SettingsError> {
-        settings.validate_figures()?;
+        settings.validate_values()?;
         settings.zone = self.settings.zone;
         settings.list_requires_subscription = self.settings.list_requires_subscription;
         settings.kinds = std::mem::take(&mut self.settings.kinds);
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -64,9 +64,9 @@
 /// Phase of a message's urgency by its age; sets the order within a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum UrgencyPhase {
-    /// Within the latency objective: the oldest message comes first.
+    /// Up to `OLDEST_FIRST_SHARE` of the latency objective: the oldest message comes first.
     WithinObjective,
-    /// Just before the latency objective, with full value: the oldest message comes first.
+    /// From there to the latency objective, with full value: the oldest message comes first.
     FullValue,
     /// The value decays: the youngest message comes first.
     Decaying,
@@ -333,9 +333,9 @@
     }
 
     pub(crate) fn call_ended(&mut self, endpoint: EndpointId) {
-        if let Some(load) = self.calls_by_endpoint.get_mut(&endpoint) {
-            *load -= 1;
-            if *load == 0 {
+        if let Some(calls) = self.calls_by_endpoint.get_mut(&endpoint) {
+            *calls -= 1;
+            if *calls == 0 {
                 self.calls_by_endpoint.remove(&endpoint);
             }
         }
@@ -375,13 +375,12 @@
     }
 }
 
-/// Iterates over a queue in the order of urgency: messages within their latency objective, then those with
-/// decaying value, then those at their minimum value.
+/// Iterates over a queue in the order of urgency: phase by phase, in the order of [`UrgencyPhase`].
 #[derive(Debug, Clone, Copy)]
 struct QueueCursor {
     phase: UrgencyPhase,
     last_returned: Option<(Micros, MessageId)>,
-    /// Messages accepted from this time on are within their latency objective.
+    /// Messages accepted from this time on are in the phase [`UrgencyPhase::WithinObjective`].
     within_objective_from: Micros,
     /// Messages accepted from this time on have their full value.
     full_value_from: Micros,
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,4 +1,5 @@
-//! Plain records behind the decisions. The rules and tuned values are in `decide.rs`.
+//! The sender's state: messages, attempts, calls, endpoints and health scopes. The rules and the tuned values
+//! are in `decide.rs`.
 
 use crate::interface::{DestinationId, EndpointId, MessageId, Micros, SECOND, Settings};
 use crate::outage_evidence::OutageEvidence;
@@ -167,8 +168,8 @@
     }
 
     /// Attempts that may run or have run, except the one at `excluded_index`. If there are any, the result
-    /// includes attempts that a later one overlapped: the window in which the destination drops repeats
-    /// counts from the first of them, even if that one turns out never to have run.
+    /// includes attempts that a later one overlapped: the deduplication window counts from the first of them,
+    /// even if that one turns out never to have run.
     pub(crate) fn possibly_executed_attempts(
         &self,
         excluded_index: usize,
@@ -239,7 +240,7 @@
     pub outage_unconfirmed_until: Micros,
     /// When a recovering scope becomes healthy at the earliest: one slow start after its first success.
     pub slow_start_ends_at: Micros,
-    /// When the scope was last healthy before its latest ejection.
+    /// When the scope was last ejected while it was healthy.
     pub unhealthy_since: Micros,
     /// Calls sent per second up to `unhealthy_since`: the outage that follows does not lower this rate.
     pub healthy_rate: f64,
