--- a/crates/idle-state/src/compact.rs
+++ b/crates/idle-state/src/compact.rs
@@ -3,7 +3,7 @@
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// The health of a destination at the time when it became idle.
+/// The health of a destination. The decision module uses this type for destinations in use too.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub enum Health {
     /// The destination gets calls without restriction.
@@ -11,14 +11,14 @@
     Healthy,
     /// The destination gets only probes, because its calls failed, were rejected or got no response.
     Ejected {
-        /// True if calls only got no response: there was no failure and no rejection.
+        /// True if the ejection was caused by calls without a response, not by failures or rejections.
         unresponsive: bool,
         /// When it was ejected.
         since: Micros,
     },
-    /// The destination has responded again after an ejection and is warming up.
+    /// A call has succeeded after an ejection, and the rate of calls rises in a slow start.
     Recovering {
-        /// Time of the first success after the ejection.
+        /// The assumed start of the recovery, between the last failed call and the first success.
         since: Micros,
     },
 }
@@ -30,7 +30,8 @@
     pub retry_after_until: Micros,
     /// Whether the destination was healthy, ejected or recovering.
     pub health: Health,
-    /// When the destination was last healthy. Meaningful only if `health` is not [`Health::Healthy`].
+    /// When the destination was last ejected while it was healthy. Meaningful only if `health` is not
+    /// [`Health::Healthy`].
     pub unhealthy_since: Micros,
     /// When the destination was first known to this sender.
     pub first_seen_at: Micros,
@@ -40,11 +41,12 @@
     pub calls_sent: u64,
     /// The rate limit that the destination announced in its responses, in calls per second.
     pub announced_limit: Option<f64>,
-    /// This sender's part of an announced limit that all senders share evenly, in calls per second; 0 if there is none.
+    /// This sender's equal share of the limit that the destination or the endpoint list announced, in calls per second;
+    /// 0 if unknown.
     pub fair_share: f64,
     /// Rate limit in calls per second; infinite if there was no limit.
     pub rate_limit: f64,
-    /// The highest rate that the destination served, in calls per second.
+    /// The highest rate of successful calls, or the announced rate if that is higher, in calls per second.
     pub best_rate: f64,
     /// Maximum number of calls in flight.
     pub concurrency_window: f64,
@@ -52,9 +54,9 @@
     pub typical_latency: Option<Micros>,
     /// Time in microseconds after which a call without a response is hedged; `None` if it is not known.
     pub hedge_delay: Option<Micros>,
-    /// Weight of the failed calls, and weight of all calls that were counted.
+    /// Failed calls and all calls of the baseline failure rate; older calls count less than one each.
     pub failures: (f64, f64),
-    /// Weight of the rejections, and weight of all responses that were counted.
+    /// Rejections and all responses of the baseline rejection rate; older responses count less than one each.
     pub rejections: (f64, f64),
     /// Evidence of an outage as a log-likelihood ratio: the larger the value, the more likely the outage.
     pub outage_evidence: f64,
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -40,12 +40,12 @@
             Action::Send {
                 message,
                 endpoint,
-                expires_at: expires,
+                expires_at,
             } => {
-                let (message, endpoint) =
+                let (message_name, endpoint_name) =
                     (self.message_name(*message), self.endpoint_name(*endpoint));
-                let expires = Seconds(*expires);
-                writeln!(reply, "issue {id} {message} {expires} {endpoint}")
+                let expiry = Seconds(*expires_at);
+                writeln!(reply, "issue {id} {message_name} {expiry} {endpoint_name}")
             }
             Action::Cancel { message, attempt } => {
                 writeln!(
@@ -56,11 +56,11 @@
             }
             Action::Reject {
                 message,
-                retry_after: wait,
+                retry_after,
             } => {
                 let message_name = self.message_name(*message);
-                match wait {
-                    Some(wait) => writeln!(reply, "shed {id} {message_name} {}", Seconds(*wait)),
+                match retry_after {
+                    Some(delay) => writeln!(reply, "shed {id} {message_name} {}", Seconds(*delay)),
                     None => writeln!(reply, "shed {id} {message_name} -"),
                 }
             }
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -23,7 +23,7 @@
     Io(#[from] io::Error),
 }
 
-/// A malformed field; [`InputLines`](crate::input::InputLines) adds the line's number.
+/// A malformed field; [`LineReader`](crate::input::LineReader) adds the line's number.
 pub(crate) struct Malformed {
     /// What the adapter expected.
     pub(crate) expected: String,
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -51,10 +51,10 @@
         match kind {
             "announce" => self.parse_endpoint_list(fields, lists),
             "demand" => self.parse_new_message(fields),
-            "first_byte" => self.parse_attempt_started(fields),
+            "first_byte" => self.parse_response_started(fields),
             "outcome" => self.parse_attempt_ended(fields),
             "dropped" => Ok(Event::MessageCancelled(self.parse_message(fields)?)),
-            "echo" => self.parse_health_check(fields),
+            "echo" => self.parse_probe_result(fields),
             "heard" => {
                 let from = fields.integer("a sender's number")? as u32;
                 let bytes = decode(fields.text("bytes")?)?;
@@ -67,7 +67,7 @@
         }
     }
 
-    fn parse_attempt_started(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
+    fn parse_response_started(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
         let message = self.parse_message(fields)?;
         fields.number("a latency")?;
         let attempt = fields.integer("an attempt")? as usize;
@@ -98,7 +98,7 @@
         })
     }
 
-    fn parse_health_check(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
+    fn parse_probe_result(&mut self, fields: &mut Fields) -> Result<Event, Malformed> {
         fields.number("a latency")?;
         let endpoint = self.parse_endpoint(fields)?;
         let outcome: Outcome = outcome_from(fields.outcome_name()?, 0.0);
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -104,8 +104,8 @@
     (seconds * 1e6).round() as Micros
 }
 
-/// Converts an outcome's name and the remark that follows the name. For `shed`, the remark is the advised wait in
-/// milliseconds (0 for none); for `unused`, the remark is 1 if no call slot was free.
+/// Converts an outcome's name and the remark that follows the name. For `shed`, the remark is the retry-after delay
+/// in milliseconds (0 for none); for `unused`, the remark is 1 if no call slot was free.
 pub(crate) fn outcome_from(name: &str, remark: f64) -> Outcome {
     match name {
         "delivered" => Outcome::Success,
--- a/crates/simulator-adapter/src/input.rs
+++ b/crates/simulator-adapter/src/input.rs
@@ -4,16 +4,16 @@
 use std::io::BufRead;
 
 /// Reads lines, and counts them so that errors can name the line.
-pub(crate) struct InputLines<R> {
+pub(crate) struct LineReader<R> {
     input: R,
     line_number: usize,
     text: String,
 }
 
-impl<R: BufRead> InputLines<R> {
+impl<R: BufRead> LineReader<R> {
     /// Starts reading at line 1 of the input.
     pub(crate) fn new(input: R) -> Self {
-        InputLines {
+        LineReader {
             input,
             line_number: 0,
             text: String::new(),
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -10,7 +10,7 @@
 use crate::error::{Malformed, malformed};
 use crate::events::{EndpointLists, EventNames};
 use crate::fields::Fields;
-use crate::input::InputLines;
+use crate::input::LineReader;
 use milletturn_platform_settings::{RawSettings, read_settings};
 use milletturn_policy::{Action, Event, Micros, Sender};
 use std::collections::BTreeMap;
@@ -67,7 +67,7 @@
         input: impl BufRead,
         mut output: impl Write,
     ) -> Result<(), ProtocolError> {
-        let mut lines = InputLines::new(input);
+        let mut lines = LineReader::new(input);
         let mut reply = String::new();
         while lines.advance()? {
             if lines.text().is_empty() {
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    fn read_batch(&mut self, lines: &mut InputLines<impl BufRead>) -> Result<(), ProtocolError> {
+    fn read_batch(&mut self, lines: &mut LineReader<impl BufRead>) -> Result<(), ProtocolError> {
         self.turn_order.clear();
         loop {
             if !lines.advance()? {
@@ -102,7 +102,7 @@
     }
 
     /// Reads an endpoint list: its head, which is the current line, and its rows.
-    fn read_list(&mut self, lines: &mut InputLines<impl BufRead>) -> Result<(), ProtocolError> {
+    fn read_list(&mut self, lines: &mut LineReader<impl BufRead>) -> Result<(), ProtocolError> {
         let (number, row_count) = lines.with_line_number(parse_list_head(lines.text()))?;
         let mut rows = Vec::new();
         for _ in 0..row_count {
