--- a/crates/access-log/src/observer.rs
+++ b/crates/access-log/src/observer.rs
@@ -80,9 +80,9 @@
             reason: give_up_reason(reason),
             never_attempted,
         },
-        EngineEvent::RetryAfter { uid, wait } => AccessEvent::RetryAfter {
+        EngineEvent::RetryAfter { uid, retry_after } => AccessEvent::RetryAfter {
             uid: uid.to_string(),
-            delay_us: non_negative(wait),
+            delay_us: non_negative(retry_after),
         },
         EngineEvent::PolicyLog(text) => AccessEvent::PolicyLog {
             text: text.to_string(),
--- a/crates/access-log/tests/golden.rs
+++ b/crates/access-log/tests/golden.rs
@@ -305,7 +305,7 @@
     }
     observe(&EngineEvent::RetryAfter {
         uid: "s-1",
-        wait: 1_500_000,
+        retry_after: 1_500_000,
     });
     observe(&EngineEvent::PolicyLog("destination 7 sick: shut"));
     observe(&EngineEvent::PolicyLog("destination 7 returns"));
--- a/crates/admin/src/metrics/tests.rs
+++ b/crates/admin/src/metrics/tests.rs
@@ -45,7 +45,7 @@
     for event in [
         accepted,
         delivered(0),
-        rejected(ArrivalOutcome::Rejected { wait: None }),
+        rejected(ArrivalOutcome::Rejected { retry_after: None }),
         rejected(ArrivalOutcome::NoCapacity),
         rejected(ArrivalOutcome::Failed),
         abandoned(Ending::Failed),
--- a/crates/admin/tests/golden.rs
+++ b/crates/admin/tests/golden.rs
@@ -69,7 +69,7 @@
         EngineEvent::Classes(&names),
         delivered(0),
         delivered(0),
-        rejected(ArrivalOutcome::Rejected { wait: None }),
+        rejected(ArrivalOutcome::Rejected { retry_after: None }),
         rejected(ArrivalOutcome::Failed),
         abandoned(Ending::Returned { after_ms: None }),
         abandoned(Ending::Failed),
--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -43,7 +43,7 @@
         } else if self.delivered.contains(&arrival.id) {
             let _ = arrival.reply.send(ArrivalOutcome::AlreadyDelivered);
         } else if self.messages.open_count() >= self.max_open_messages {
-            let outcome = ArrivalOutcome::Rejected { wait: None };
+            let outcome = ArrivalOutcome::Rejected { retry_after: None };
             self.observe_rejected(
                 arrival.id.as_str(),
                 arrival.class,
@@ -126,7 +126,7 @@
             let _ = duplicate.reply.send(match is_open {
                 true => ArrivalOutcome::Accepted,
                 false if self.delivered.contains(&duplicate.id) => ArrivalOutcome::AlreadyDelivered,
-                false => ArrivalOutcome::Rejected { wait: None },
+                false => ArrivalOutcome::Rejected { retry_after: None },
             });
         }
     }
@@ -228,8 +228,10 @@
     actions.iter().find_map(|action| match action {
         Action::Reject {
             message,
-            retry_after: wait,
-        } if *message == message_id => Some(ArrivalOutcome::Rejected { wait: *wait }),
+            retry_after,
+        } if *message == message_id => Some(ArrivalOutcome::Rejected {
+            retry_after: *retry_after,
+        }),
         Action::Fail(message) if *message == message_id => Some(ArrivalOutcome::Failed),
         _ => None,
     })
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -205,9 +205,10 @@
             Action::Cancel { message, attempt } => self.cancel(message, attempt),
             Action::Reject {
                 message,
-                retry_after: wait,
+                retry_after,
             } => {
-                let after_ms = wait.and_then(|wait| u64::try_from(wait / MILLISECOND).ok());
+                let after_ms =
+                    retry_after.and_then(|delay| u64::try_from(delay / MILLISECOND).ok());
                 self.abandon(message, Ending::Returned { after_ms });
             }
             Action::Fail(message) => self.abandon(message, Ending::Failed),
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -65,10 +65,10 @@
     Accepted,
     /// The message was already delivered.
     AlreadyDelivered,
-    /// The message was not accepted; resubmitting it is harmless, preferably after the wait.
+    /// The message was not accepted; resubmitting it is harmless, preferably after the retry-after delay.
     Rejected {
-        /// How long the client is advised to wait, in microseconds; `None` without advice.
-        wait: Option<Micros>,
+        /// The retry-after delay that the client is advised to observe, in microseconds; `None` without advice.
+        retry_after: Option<Micros>,
     },
     /// The message could not be written to the journal; resubmitting it is harmless.
     NoCapacity,
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -31,12 +31,12 @@
     /// the time by which the last byte of the request must be written; a dropped reply means that the call must not
     /// start.
     RequestStart(u64, oneshot::Sender<Instant>),
-    /// An endpoint asked callers to wait, such as by a `Retry-After` header.
+    /// An endpoint demanded a retry-after delay, such as by a `Retry-After` header.
     RetryAfter {
-        /// The endpoint that asked callers to wait.
+        /// The endpoint that demanded the delay.
         endpoint: EndpointId,
         /// How long to wait from now on, in microseconds.
-        wait: Micros,
+        retry_after: Micros,
     },
     /// The attempt for one message of a call ended.
     AttemptEnded(AttemptEnd),
@@ -87,7 +87,7 @@
     pub open_messages: usize,
     /// Endpoints in the list.
     pub listed_endpoints: usize,
-    /// Listed endpoints that are in service but ejected by the decision module because of failures.
+    /// Listed endpoints that are serving but that the decision module has ejected, so that they get only probes.
     pub ejected_endpoints: usize,
 }
 
@@ -103,7 +103,10 @@
             Input::RequestStart(call, reply) => {
                 self.start_requests.push(StartRequest { call, reply });
             }
-            Input::RetryAfter { endpoint, wait } => self.on_retry_after(endpoint, wait),
+            Input::RetryAfter {
+                endpoint,
+                retry_after,
+            } => self.on_retry_after(endpoint, retry_after),
             Input::AttemptEnded(end) => self.on_attempt_ended(end),
             Input::ConnectionClosed {
                 endpoint,
@@ -151,13 +154,15 @@
         }
     }
 
-    fn on_retry_after(&mut self, endpoint: EndpointId, wait: Micros) {
+    fn on_retry_after(&mut self, endpoint: EndpointId, retry_after: Micros) {
         let uid = self.endpoint_name(endpoint);
-        self.observer
-            .observe(&EngineEvent::RetryAfter { uid: &uid, wait });
+        self.observer.observe(&EngineEvent::RetryAfter {
+            uid: &uid,
+            retry_after,
+        });
         self.events.push(Event::RetryAfter {
             endpoint,
-            retry_after: wait,
+            retry_after,
         });
     }
 
--- a/crates/engine/src/journal.rs
+++ b/crates/engine/src/journal.rs
@@ -28,7 +28,8 @@
     Failed,
     /// Returned to the client undelivered; resubmitting the message is harmless.
     Returned {
-        /// How long the client is advised to wait before it resubmits, in milliseconds; `None` without advice.
+        /// The retry-after delay that the client is advised to observe before it resubmits, in milliseconds; `None`
+        /// without advice.
         after_ms: Option<u64>,
     },
     /// Delivered. The journal records this end for redriven messages, until the archive has stored the end, and for
--- a/crates/engine/src/observer.rs
+++ b/crates/engine/src/observer.rs
@@ -86,12 +86,12 @@
         /// Data that arrived while the connection had no call in flight.
         unsolicited: Option<UnsolicitedData>,
     },
-    /// An endpoint asked callers to wait.
+    /// An endpoint demanded a retry-after delay.
     RetryAfter {
         /// The endpoint's name; empty if the endpoint is no longer listed.
         uid: &'a str,
         /// How long to wait from now on, in microseconds.
-        wait: Micros,
+        retry_after: Micros,
     },
     /// A message was delivered.
     Delivered {
--- a/crates/engine/src/snapshot.rs
+++ b/crates/engine/src/snapshot.rs
@@ -73,7 +73,7 @@
     open: bool,
     clients: usize,
     /// The end of the message, if the journal records it: when it ended and, for [`Ending::Returned`], the advised
-    /// wait `after_ms`.
+    /// retry-after delay `after_ms`.
     end: Option<(Micros, Option<Option<u64>>)>,
     attempts: Vec<StoredAttempt>,
 }
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -140,7 +140,7 @@
 /// Makes calls to endpoints.
 ///
 /// A call that can't start at once first asks whether it still may, by
-/// [`Input::RequestStart`](crate::Input::RequestStart). If a response asks callers to wait, the transport reports
+/// [`Input::RequestStart`](crate::Input::RequestStart). If a response has a `Retry-After`, the transport reports
 /// [`Input::RetryAfter`](crate::Input::RetryAfter) as soon as the response's bytes arrive, however the call ends. For
 /// each message of a call, the transport reports exactly one [`Input::AttemptEnded`](crate::Input::AttemptEnded). The
 /// transport never retries by itself: a retry that the decision module does not know of could deliver a message
--- a/crates/engine/tests/start_requests.rs
+++ b/crates/engine/tests/start_requests.rs
@@ -28,10 +28,10 @@
     (engine.expect("valid settings"), Inputs { sender, receiver })
 }
 
-fn rejection(call: u64, wait: Micros) -> Input {
+fn rejection(call: u64, retry_after: Micros) -> Input {
     let (outcome, cause) = (
         Outcome::Rejected {
-            retry_after: Some(wait),
+            retry_after: Some(retry_after),
         },
         EndCause::Response(429),
     );
@@ -56,7 +56,7 @@
 }
 
 #[tokio::test(flavor = "current_thread", start_paused = true)]
-async fn a_call_must_not_start_after_its_destination_asked_callers_to_wait() {
+async fn a_call_must_not_start_during_a_retry_after_delay() {
     LocalSet::new()
         .run_until(async {
             let calls = RecordingTransport::default();
@@ -80,14 +80,14 @@
                 write_by > Instant::now()
                     && write_by <= Instant::now() + std::time::Duration::from_secs(20)
             );
-            // both inputs are handled in one turn, and the wait must already apply to the request
+            // both inputs are handled in one turn, and the retry-after delay must already apply to the request
             inputs
                 .send(rejection(first, 3 * SECOND))
                 .expect("the input channel is open");
             let reply = request_start(&inputs, second);
             assert!(
                 reply.await.is_err(),
-                "the destination has asked callers to wait"
+                "the destination has demanded a retry-after delay"
             );
             assert!(
                 request_start(&inputs, 99).await.is_err(),
--- a/crates/hot-restart/src/bridge.rs
+++ b/crates/hot-restart/src/bridge.rs
@@ -110,7 +110,7 @@
             ToNewProcess::Rejected { class, destination } => Input::Rejected { class, destination },
             ToNewProcess::RetryAfter { endpoint, wait } => Input::RetryAfter {
                 endpoint: EndpointId(endpoint),
-                wait,
+                retry_after: wait,
             },
             ToNewProcess::AttemptEnded(end) => {
                 self.in_flight.remove(end.call, end.position);
--- a/crates/hot-restart/src/forwarding.rs
+++ b/crates/hot-restart/src/forwarding.rs
@@ -145,9 +145,12 @@
                 closed: end.closed,
                 load_report: end.report,
             }),
-            Input::RetryAfter { endpoint, wait } => ToNewProcess::RetryAfter {
+            Input::RetryAfter {
+                endpoint,
+                retry_after,
+            } => ToNewProcess::RetryAfter {
                 endpoint: endpoint.0,
-                wait,
+                wait: retry_after,
             },
             Input::GetStatus(reply) => {
                 // this process has no engine any more; the send fails only if nobody waits for the status
--- a/crates/hot-restart/tests/golden/data.rs
+++ b/crates/hot-restart/tests/golden/data.rs
@@ -27,9 +27,9 @@
 pub(crate) const ARRIVAL_OUTCOMES: [ArrivalOutcome; 6] = [
     ArrivalOutcome::Accepted,
     ArrivalOutcome::AlreadyDelivered,
-    ArrivalOutcome::Rejected { wait: None },
+    ArrivalOutcome::Rejected { retry_after: None },
     ArrivalOutcome::Rejected {
-        wait: Some(2_500_000),
+        retry_after: Some(2_500_000),
     },
     ArrivalOutcome::NoCapacity,
     ArrivalOutcome::Failed,
@@ -118,7 +118,7 @@
     inputs.extend((0..OUTCOMES.len()).map(|number| Input::AttemptEnded(ended(number))));
     inputs.push(Input::RetryAfter {
         endpoint: EndpointId(9),
-        wait: 3_000_000,
+        retry_after: 3_000_000,
     });
     (inputs, outcomes)
 }
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -41,9 +41,12 @@
         let stream = TcpStream::connect(address).await?;
         stream.set_nodelay(true)?;
         let retry_after_inputs = inputs.clone();
-        let monitor = Rc::new(ConnectionMonitor::new(number, move |wait| {
+        let monitor = Rc::new(ConnectionMonitor::new(number, move |retry_after| {
             // sending fails only when the process ends
-            let _ = retry_after_inputs.send(Input::RetryAfter { endpoint, wait });
+            let _ = retry_after_inputs.send(Input::RetryAfter {
+                endpoint,
+                retry_after,
+            });
         }));
         let monitored = MonitoredStream {
             stream,
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -671,10 +671,10 @@
     match outcome {
         Ok(ArrivalOutcome::Accepted) => *response.status_mut() = StatusCode::ACCEPTED,
         Ok(ArrivalOutcome::AlreadyDelivered) => {}
-        Ok(ArrivalOutcome::Rejected { wait }) => {
+        Ok(ArrivalOutcome::Rejected { retry_after }) => {
             *response.status_mut() = StatusCode::TOO_MANY_REQUESTS;
-            if let Some(wait) = wait {
-                let text = format!("{:.3}", wait as f64 / 1e6);
+            if let Some(delay) = retry_after {
+                let text = format!("{:.3}", delay as f64 / 1e6);
                 if let Ok(value) = HeaderValue::from_str(&text) {
                     response.headers_mut().insert(RETRY_AFTER, value);
                 }
--- a/crates/platform/tests/single_calls.rs
+++ b/crates/platform/tests/single_calls.rs
@@ -81,9 +81,12 @@
                 .await
                 .expect("the transport lives")
             {
-                Input::RetryAfter { endpoint, wait } => {
+                Input::RetryAfter {
+                    endpoint,
+                    retry_after,
+                } => {
                     assert_eq!(endpoint, EndpointId(1));
-                    retry_after_waits.push(wait);
+                    retry_after_waits.push(retry_after);
                 }
                 Input::AttemptEnded(ended) => {
                     if let Some(stream) = &mut stream {
@@ -91,8 +94,8 @@
                         let _ = stream.read(&mut [0; 64]).await;
                     }
                     while let Ok(input) = self.received.try_recv() {
-                        if let Input::RetryAfter { wait, .. } = input {
-                            retry_after_waits.push(wait);
+                        if let Input::RetryAfter { retry_after, .. } = input {
+                            retry_after_waits.push(retry_after);
                         }
                     }
                     return CallReport {
@@ -293,7 +296,7 @@
         }
         let first = common::next_input(&mut fixture.calls.received).await;
         assert!(
-            matches!(first, Some(Input::RetryAfter { wait, .. }) if wait == 1500 * MILLISECOND),
+            matches!(first, Some(Input::RetryAfter { retry_after, .. }) if retry_after == 1500 * MILLISECOND),
             "{first:?}"
         );
         // the response ends only by a time limit
