--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -133,14 +133,14 @@
         if let Some(attempt) = message.attempts.get_mut(attempt) {
             attempt.finish(outcome, 0);
         }
-        let closed = !message.open;
+        let message_closed = !message.open;
         self.events.push(Event::AttemptEnded {
             message: message_id,
             attempt,
             endpoint,
             outcome,
             latency: 0,
-            message_closed: closed,
+            message_closed,
             report: Vec::new(),
             ambiguous: false,
         });
--- a/crates/engine/src/endings.rs
+++ b/crates/engine/src/endings.rs
@@ -54,7 +54,7 @@
             let written = self.journal.record_never_ran(message_id.0, attempt_index);
             self.check_journal(written);
         }
-        if end.closed {
+        if end.message_closed {
             if end.outcome == Outcome::Success {
                 self.on_delivered(message_id, now);
             }
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -107,8 +107,8 @@
     pub position: usize,
     /// How the attempt ended. An attempt that may have run is never reported with an outcome that rules that out.
     pub outcome: Outcome,
-    /// The message needs no further attempt, such as after its delivery.
-    pub closed: bool,
+    /// The message has reached its end: no further attempt is needed, such as after its delivery.
+    pub message_closed: bool,
     /// The load report in the endpoint's response, with its fields in the order of the settings; empty without one.
     pub report: Vec<f64>,
     /// What the transport observed.
--- a/crates/engine/tests/ambiguous_responses.rs
+++ b/crates/engine/tests/ambiguous_responses.rs
@@ -41,7 +41,7 @@
         call: number,
         position: 0,
         outcome: Outcome::Rejected { retry_after: None },
-        closed: false,
+        message_closed: false,
         report: Vec::new(),
         cause: EndCause::Response(503),
         ambiguous,
--- a/crates/engine/tests/golden_snapshot/scenario.rs
+++ b/crates/engine/tests/golden_snapshot/scenario.rs
@@ -137,7 +137,7 @@
     }
 
     /// Ends the attempt for the message in the last call that carries the message.
-    fn end_attempt(&self, id: &str, outcome: Outcome, closed: bool) {
+    fn end_attempt(&self, id: &str, outcome: Outcome, message_closed: bool) {
         let calls = self.calls.0.borrow();
         let carries = |call: &&Call| call.items.iter().any(|item| item.id.as_str() == id);
         let call = calls
@@ -155,7 +155,7 @@
             call,
             position,
             outcome,
-            closed,
+            message_closed,
             report: Vec::new(),
             cause: EndCause::ForeignProcess,
             ambiguous: false,
--- a/crates/engine/tests/start_requests.rs
+++ b/crates/engine/tests/start_requests.rs
@@ -39,7 +39,7 @@
         call,
         position: 0,
         outcome,
-        closed: false,
+        message_closed: false,
         report: Vec::new(),
         cause,
         ambiguous: false,
--- a/crates/hot-restart/src/bridge.rs
+++ b/crates/hot-restart/src/bridge.rs
@@ -184,7 +184,7 @@
         call: end.call,
         position: end.position,
         outcome: end.outcome,
-        closed: end.closed,
+        message_closed: end.closed,
         report: end.load_report,
         cause: EndCause::ForeignProcess,
         ambiguous: false,
--- a/crates/hot-restart/src/forwarding.rs
+++ b/crates/hot-restart/src/forwarding.rs
@@ -142,7 +142,7 @@
                     true => Outcome::Reset,
                     false => end.outcome,
                 },
-                closed: end.closed,
+                closed: end.message_closed,
                 load_report: end.report,
             }),
             Input::RetryAfter {
--- a/crates/hot-restart/tests/golden/data.rs
+++ b/crates/hot-restart/tests/golden/data.rs
@@ -93,7 +93,7 @@
         call: 300,
         position: number,
         outcome: OUTCOMES[number],
-        closed: number == 0,
+        message_closed: number == 0,
         report: if number == 0 {
             vec![0.5, 40.0]
         } else {
--- a/crates/hot-restart/tests/golden/new_process.rs
+++ b/crates/hot-restart/tests/golden/new_process.rs
@@ -166,7 +166,7 @@
                 panic!("{input:?}")
             };
             assert_eq!(
-                (end.outcome, end.cause, end.closed),
+                (end.outcome, end.cause, end.message_closed),
                 (Outcome::Reset, EndCause::ForeignProcess, false)
             );
             cut_off.push((end.call, end.position));
--- a/crates/hot-restart/tests/snapshot.rs
+++ b/crates/hot-restart/tests/snapshot.rs
@@ -112,7 +112,7 @@
         call,
         position: 0,
         outcome,
-        closed: outcome == Outcome::Success,
+        message_closed: outcome == Outcome::Success,
         report: Vec::new(),
         cause: EndCause::ForeignProcess,
         ambiguous: false,
--- a/crates/platform/src/http_transport.rs
+++ b/crates/platform/src/http_transport.rs
@@ -174,12 +174,12 @@
         .as_ref()
         .map(|monitor| monitor.connection_use());
     for position in 0..call.items.len() {
-        let (outcome, closed) = result.message_result(position);
+        let (outcome, message_closed) = result.message_result(position);
         let end = AttemptEnd {
             call: call.number,
             position,
             outcome,
-            closed,
+            message_closed,
             report: result.load_report.clone(),
             cause: result.cause,
             ambiguous: result.may_be_duplicate,
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -81,7 +81,7 @@
         let endpoint = self.parse_endpoint(fields)?;
         let name = fields.outcome_name()?;
         let latency = fields.time("a latency")?;
-        let closed = fields.flag("1 or 0")?;
+        let message_closed = fields.flag("1 or 0")?;
         let remark = fields
             .optional("a remark")?
             .map_or(Ok(0.0), |text| parse_number(text, "a remark"))?;
@@ -92,7 +92,7 @@
             endpoint,
             outcome: outcome_from(name, remark),
             latency,
-            message_closed: closed,
+            message_closed,
             report,
             ambiguous: false,
         })
--- a/crates/test-support/src/virtual_transport.rs
+++ b/crates/test-support/src/virtual_transport.rs
@@ -114,12 +114,12 @@
             let end = |item: usize, outcome: Outcome| {
                 // receiving the response's last byte is an externally visible step as well
                 if crash_point.try_step() {
-                    let closed = outcome == Outcome::Success;
+                    let message_closed = outcome == Outcome::Success;
                     let ended = AttemptEnd {
                         call: call.number,
                         position: item,
                         outcome,
-                        closed,
+                        message_closed,
                         report: Vec::new(),
                         cause: EndCause::ForeignProcess,
                         ambiguous: false,
