--- a/crates/engine/src/archive.rs
+++ b/crates/engine/src/archive.rs
@@ -22,7 +22,8 @@
     NotRetryable,
     /// The message used all the attempts that the settings allow.
     AttemptsExhausted,
-    /// The message was rejected before its deadline: no capacity, no such destination, or no route.
+    /// The decision module returned the message to its client before the deadline, such as because there was no capacity,
+    /// no such destination or no route; or an endpoint's response ended the message without delivering it.
     Rejected,
     /// The message was delivered. Only a redriven message is archived with this reason.
     Delivered,
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -34,7 +34,7 @@
     endpoint: EndpointId,
     /// The earliest expiry among the attempts. They share one response, and a response after this time counts for
     /// none of them.
-    expires: Micros,
+    expires_at: Micros,
     attempts: Vec<AttemptRef>,
     size_bytes: usize,
 }
@@ -51,7 +51,7 @@
         match fitting {
             Some(batch) => {
                 batch.attempts.extend(self.attempts);
-                batch.expires = batch.expires.min(self.expires);
+                batch.expires_at = batch.expires_at.min(self.expires_at);
                 batch.size_bytes += self.size_bytes;
             }
             None => batches.push(self),
@@ -59,7 +59,7 @@
     }
 }
 
-/// A call that asks whether it may still start.
+/// The request of a call that asks whether it may still start.
 pub(crate) struct StartRequest {
     /// The call's number.
     pub call: u64,
@@ -75,7 +75,7 @@
         now: Micros,
         message_id: MessageId,
         endpoint: EndpointId,
-        expires: Micros,
+        expires_at: Micros,
         batches: &mut Vec<Batch>,
     ) {
         let Some(message) = self.messages.get_mut(message_id) else {
@@ -113,7 +113,7 @@
         });
         let single = Batch {
             endpoint,
-            expires,
+            expires_at,
             attempts: vec![attempt_ref],
             size_bytes,
         };
@@ -189,7 +189,7 @@
             address,
             items,
             at_most_once,
-            expires: self.clock.instant(batch.expires),
+            expires: self.clock.instant(batch.expires_at),
         };
         self.transport.start(call, cancelled);
     }
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -74,9 +74,9 @@
         (self.classes.len() - 1, true)
     }
 
-    /// How long the destination drops duplicates by idempotency key, in microseconds: zero if a duplicate is never
-    /// allowed, `None` if duplicates are always allowed.
-    pub(crate) fn key_window(&self, position: usize) -> Option<Micros> {
+    /// The deduplication window of the class in microseconds: zero if a duplicate is never allowed, `None` if
+    /// duplicates are always allowed.
+    pub(crate) fn deduplication_window(&self, position: usize) -> Option<Micros> {
         match self.classes.get(position)?.effect {
             Effect::Repeatable => None,
             Effect::Keyed { window, .. } => Some(window),
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -200,8 +200,8 @@
             Action::Send {
                 message,
                 endpoint,
-                expires_at: expires,
-            } => self.send(now, message, endpoint, expires, batches),
+                expires_at,
+            } => self.send(now, message, endpoint, expires_at, batches),
             Action::Cancel { message, attempt } => self.cancel(message, attempt),
             Action::Reject {
                 message,
--- a/crates/engine/src/redrive.rs
+++ b/crates/engine/src/redrive.rs
@@ -9,10 +9,10 @@
     EndpointId, Event, MILLISECOND, MessageId, Micros, NewMessage, PastAttempt,
 };
 
-/// Open redrives are limited to the limit on open messages divided by this number, but at least to one.
+/// The maximum number of open redrives is the limit on open messages divided by this number, but at least one.
 const REDRIVE_CAPACITY_DIVISOR: usize = 8;
-/// No redrive is accepted once the number of open messages reaches the limit on open messages divided by this number,
-/// so that new messages have precedence.
+/// No redrive is accepted while the number of open messages is at least the limit on open messages divided by this
+/// number, so that new messages have precedence.
 const BUSY_DIVISOR: usize = 2;
 /// The least time, in microseconds, that must be left of the idempotency key's deduplication window for a redrive to
 /// be accepted. With less, the message could reach the destination after the window: the decision module keeps a
@@ -125,7 +125,7 @@
         now: Micros,
     ) -> Option<Micros> {
         let max_delivery_time = self.classes.deadline(class)?;
-        match self.key_window_left(class, uncertain_attempt, now) {
+        match self.deduplication_time_left(class, uncertain_attempt, now) {
             None => Some(now + max_delivery_time),
             Some(left) if left < MIN_TIME_TO_DELIVER => None,
             Some(left) => Some(now + left.min(max_delivery_time)),
@@ -135,14 +135,14 @@
     /// The time left, in microseconds, of the idempotency key's deduplication window; `None` if no attempt can have
     /// run or the class has no window. If the current time is before that attempt, the clock was set back: how much
     /// of the window has passed is unknown, so no time is left.
-    fn key_window_left(
+    fn deduplication_time_left(
         &self,
         class: usize,
         uncertain_attempt: Option<&UncertainAttempt>,
         now: Micros,
     ) -> Option<Micros> {
         let sent_at = uncertain_attempt?.sent_at;
-        let window = self.classes.key_window(class)?;
+        let window = self.classes.deduplication_window(class)?;
         Some(if sent_at > now {
             0
         } else {
--- a/crates/engine/tests/redrives.rs
+++ b/crates/engine/tests/redrives.rs
@@ -44,7 +44,7 @@
     notifications: mpsc::UnboundedReceiver<Notification>,
     journal: MemoryJournal,
     archive: MemoryArchive,
-    outside: SimulatedEnvironment,
+    environment: SimulatedEnvironment,
     /// How each call ends.
     call_script: Rc<Cell<ScriptedOutcome>>,
 }
@@ -64,11 +64,11 @@
 impl TestEngine {
     fn start(slots: usize, max_open_messages: usize) -> Self {
         let mut settings = common::keyed_settings(slots, max_open_messages, 1);
-        let no_repeat = Class::new("unsafe", Effect::Unsafe, 4 * SECOND, 20 * SECOND);
-        settings.classes.insert(0, no_repeat);
+        let unsafe_class = Class::new("unsafe", Effect::Unsafe, 4 * SECOND, 20 * SECOND);
+        settings.classes.insert(0, unsafe_class);
         let call_script = Rc::new(Cell::new(outcome_after_20_ms(Outcome::Error)));
         let script = call_script.clone();
-        let outside = SimulatedEnvironment {
+        let environment = SimulatedEnvironment {
             started_at: Instant::now(),
             effects: Rc::new(RefCell::new(EffectRecorder::new(|_| 0))),
             script: Rc::new(RefCell::new(move |_: &CallItem, _| script.get())),
@@ -77,8 +77,8 @@
         let (inputs, received) = mpsc::unbounded_channel();
         let (notification_sender, notifications) = mpsc::unbounded_channel();
         let (journal, archive) = (MemoryJournal::default(), MemoryArchive::default());
-        let power = CrashPoint::new(u64::MAX);
-        let transport = VirtualTransport::new(outside.clone(), power, inputs.clone());
+        let crash_point = CrashPoint::new(u64::MAX);
+        let transport = VirtualTransport::new(environment.clone(), crash_point, inputs.clone());
         let engine = Engine::new(Ports {
             archive: Some(Box::new(archive.clone())),
             notifications: notification_sender,
@@ -97,7 +97,7 @@
             notifications,
             journal,
             archive,
-            outside,
+            environment,
             call_script,
         }
     }
@@ -143,7 +143,7 @@
     }
 
     fn calls(&self) -> Vec<String> {
-        self.outside
+        self.environment
             .received_messages
             .borrow()
             .iter()
@@ -277,7 +277,7 @@
         // the accepted redrive is attempted until the deduplication window ends, and no longer
         wait_ms(3_000).await;
         assert!(!engine.calls().is_empty());
-        let calls = engine.outside.received_messages.borrow().clone();
+        let calls = engine.environment.received_messages.borrow().clone();
         assert!(
             calls
                 .iter()
