--- a/crates/dead-letter/benches/store.rs
+++ b/crates/dead-letter/benches/store.rs
@@ -5,7 +5,7 @@
 use milletturn_dead_letter::config::Config;
 use milletturn_dead_letter::redrive_service::RedriveService;
 use milletturn_dead_letter::store::{DeadLetterStore, StoreLimits};
-use milletturn_engine::archive::ArchivedMessage;
+use milletturn_engine::archive::EndedMessage;
 use milletturn_engine::{AttemptRecord, EndReason, Ending, RedriveOutcome, SharedStr};
 use milletturn_policy::{Effect, Micros, Outcome, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
@@ -18,7 +18,7 @@
 const LARGE_STORE_MESSAGES: u64 = 100_000;
 const RUNS: u64 = 5;
 
-fn message(number: u64) -> ArchivedMessage {
+fn message(number: u64) -> EndedMessage {
     let attempt = |index: i64| AttemptRecord {
         uid: format!("s-{index}"),
         sent_at: NOW + index,
@@ -27,7 +27,7 @@
         may_have_run: false,
     };
     let shared = |text: String| SharedStr::new(text.as_bytes()).expect("a short text");
-    ArchivedMessage {
+    EndedMessage {
         number,
         id: shared(format!("m{number}")),
         key: Some(shared(format!("key-{number}"))),
@@ -88,7 +88,7 @@
     let mut service = open_service(path);
     let started = Instant::now();
     for first in (0..512).step_by(batch as usize) {
-        let messages: Vec<ArchivedMessage> = (first + 1..=first + batch).map(message).collect();
+        let messages: Vec<EndedMessage> = (first + 1..=first + batch).map(message).collect();
         service.save(&messages, NOW).expect("saved");
     }
     started.elapsed().as_secs_f64() * 1e6 / 512.0
@@ -97,7 +97,7 @@
 /// Rate of redrives per second, one after the other, including the save of each result.
 fn redrive(path: &Path) -> f64 {
     let mut service = open_service(path);
-    let messages: Vec<ArchivedMessage> = (1..=256).map(message).collect();
+    let messages: Vec<EndedMessage> = (1..=256).map(message).collect();
     service.save(&messages, NOW).expect("saved");
     let started = Instant::now();
     for (message, number) in messages.iter().zip(1..) {
@@ -107,7 +107,7 @@
         service
             .on_engine_answer(number, RedriveOutcome::Accepted, NOW)
             .expect("written");
-        let delivered = ArchivedMessage {
+        let delivered = EndedMessage {
             ending: Ending::Delivered,
             accepted_at: NOW + 1,
             redriven: true,
@@ -123,7 +123,7 @@
     let before = resident_kib();
     let mut service = open_service(path);
     for first in (0..LARGE_STORE_MESSAGES).step_by(64) {
-        let messages: Vec<ArchivedMessage> = (first + 1..=(first + 64).min(LARGE_STORE_MESSAGES))
+        let messages: Vec<EndedMessage> = (first + 1..=(first + 64).min(LARGE_STORE_MESSAGES))
             .map(message)
             .collect();
         service.save(&messages, NOW).expect("saved");
--- a/crates/dead-letter/src/archive_handle.rs
+++ b/crates/dead-letter/src/archive_handle.rs
@@ -3,21 +3,21 @@
 //! Both send to the store's thread through bounded channels, and never block the engine.
 
 use crate::job::Job;
-use milletturn_engine::archive::ArchivedMessage;
-use milletturn_engine::{Archive, Ending, EngineEvent, Observer};
+use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::{DeadLetterSink, Ending, EngineEvent, Observer};
 use milletturn_policy::Outcome;
 use std::sync::mpsc::{SyncSender, TrySendError};
 
 /// The engine's archive, which sends messages to the store's thread.
 #[derive(Debug)]
 pub struct ArchiveHandle {
-    pub(crate) messages: SyncSender<Box<ArchivedMessage>>,
+    pub(crate) messages: SyncSender<Box<EndedMessage>>,
     pub(crate) jobs: SyncSender<Job>,
     pub(crate) store_returned: bool,
 }
 
-impl Archive for ArchiveHandle {
-    fn wants(&self, ending: Ending) -> bool {
+impl DeadLetterSink for ArchiveHandle {
+    fn should_store(&self, ending: Ending) -> bool {
         match ending {
             Ending::Failed => true,
             Ending::Returned { .. } => self.store_returned,
@@ -25,7 +25,7 @@
         }
     }
 
-    fn store(&mut self, message: Box<ArchivedMessage>) -> Result<(), Box<ArchivedMessage>> {
+    fn store(&mut self, message: Box<EndedMessage>) -> Result<(), Box<EndedMessage>> {
         self.messages
             .try_send(message)
             .map_err(|error| match error {
--- a/crates/dead-letter/src/redrive_service.rs
+++ b/crates/dead-letter/src/redrive_service.rs
@@ -13,7 +13,7 @@
 use crate::redrive_schedule::{Candidate, RedriveSchedule};
 use crate::row::Row;
 use crate::store::{DeadLetterStore, Page, SaveOutcome, StoreLimits};
-use milletturn_engine::archive::ArchivedMessage;
+use milletturn_engine::archive::EndedMessage;
 use milletturn_engine::{EndReason, Ending, RedriveOrder, RedriveOutcome};
 use milletturn_policy::{Effect, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -114,7 +114,7 @@
     /// When the file can't be written; then no message is saved.
     pub fn save(
         &mut self,
-        messages: &[ArchivedMessage],
+        messages: &[EndedMessage],
         now: Micros,
     ) -> Result<SaveReport, StoreError> {
         let outcomes = self.store.save(messages, now)?;
--- a/crates/dead-letter/src/row.rs
+++ b/crates/dead-letter/src/row.rs
@@ -7,7 +7,7 @@
 };
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
-use milletturn_engine::archive::ArchivedMessage;
+use milletturn_engine::archive::EndedMessage;
 use milletturn_engine::{EndReason, Ending};
 use milletturn_policy::Micros;
 use rusqlite::types::ValueRef;
@@ -98,7 +98,7 @@
 impl Row {
     /// A row for a message that has just ended, without the message's round in the history.
     #[must_use]
-    pub fn new(ended: &ArchivedMessage) -> Self {
+    pub fn new(ended: &EndedMessage) -> Self {
         Row {
             number: ended.number,
             id: ended.id.to_string(),
--- a/crates/dead-letter/src/store/save.rs
+++ b/crates/dead-letter/src/store/save.rs
@@ -6,7 +6,7 @@
 use crate::record::{Attempt, Round, State, ending_text, outcome_text, reason_text};
 use crate::row::Row;
 use milletturn_engine::Ending;
-use milletturn_engine::archive::ArchivedMessage;
+use milletturn_engine::archive::EndedMessage;
 use milletturn_policy::{Micros, Outcome};
 use rusqlite::{ErrorCode, Transaction};
 
@@ -29,7 +29,7 @@
     /// When the file can't be written; then no message is saved.
     pub fn save(
         &mut self,
-        messages: &[ArchivedMessage],
+        messages: &[EndedMessage],
         now: Micros,
     ) -> Result<Vec<SaveOutcome>, StoreError> {
         let limits = self.limits;
@@ -58,7 +58,7 @@
 
 fn save_one(
     transaction: &Transaction<'_>,
-    message: &ArchivedMessage,
+    message: &EndedMessage,
     now: Micros,
     limits: StoreLimits,
 ) -> Result<SaveOutcome, StoreError> {
@@ -95,7 +95,7 @@
 }
 
 /// Records the end of a round in the row; a round that is recorded already is replaced.
-fn record_round(row: &mut Row, message: &ArchivedMessage) {
+fn record_round(row: &mut Row, message: &EndedMessage) {
     // the client got its one final response when the first round ended, so a redrive can't be returned to the
     // client: it counts as failed
     let ending = match message.ending {
@@ -141,7 +141,7 @@
     };
 }
 
-fn round_of(message: &ArchivedMessage, ending: Ending) -> Round {
+fn round_of(message: &EndedMessage, ending: Ending) -> Round {
     let attempts = message.attempts.iter().map(|attempt| Attempt {
         endpoint: attempt.uid.clone(),
         sent_at: attempt.sent_at,
--- a/crates/dead-letter/src/store_worker.rs
+++ b/crates/dead-letter/src/store_worker.rs
@@ -8,7 +8,7 @@
 use crate::redrive_decision::RedriveDecision;
 use crate::redrive_service::RedriveService;
 use crate::store::{DeadLetterStore, set_aside};
-use milletturn_engine::archive::ArchivedMessage;
+use milletturn_engine::archive::EndedMessage;
 use milletturn_engine::{Clock, Input, RedriveOrder, RedriveOutcome, RedriveRequest};
 use milletturn_logging::log;
 use milletturn_policy::{Effect, Micros};
@@ -62,7 +62,7 @@
 pub struct StoreWorker {
     /// The sending half of the queue of jobs.
     pub jobs: SyncSender<Job>,
-    messages: SyncSender<Box<ArchivedMessage>>,
+    messages: SyncSender<Box<EndedMessage>>,
     /// Greater than the number of any message in the store.
     pub first_number: u64,
     store_returned: bool,
@@ -187,7 +187,7 @@
     path: &Path,
     store: DeadLetterStore,
     jobs: &Receiver<Job>,
-    messages: &Receiver<Box<ArchivedMessage>>,
+    messages: &Receiver<Box<EndedMessage>>,
 ) {
     // the engine's clock needs the tokio runtime, which this thread does not have, so it reads the clock once and
     // adds the time elapsed since then
@@ -243,7 +243,7 @@
     service: RedriveService,
     engine: mpsc::UnboundedSender<Input>,
     /// The batch of messages to save next, at most [`SAVE_BATCH`].
-    unsaved: Vec<ArchivedMessage>,
+    unsaved: Vec<EndedMessage>,
     /// No messages are saved before this time; `None` if there is no backoff.
     backoff_until: Option<Instant>,
 }
@@ -315,7 +315,7 @@
     }
 
     /// Moves messages from their queue to the batch, up to [`SAVE_BATCH`].
-    fn collect(&mut self, messages: &Receiver<Box<ArchivedMessage>>) {
+    fn collect(&mut self, messages: &Receiver<Box<EndedMessage>>) {
         let capacity = SAVE_BATCH.saturating_sub(self.unsaved.len());
         self.unsaved
             .extend(messages.try_iter().take(capacity).map(|message| *message));
@@ -340,7 +340,7 @@
                     ));
                     self.backoff_until = Some(Instant::now() + FULL_BACKOFF);
                 }
-                let _ = self.engine.send(Input::Archived(report.saved));
+                let _ = self.engine.send(Input::Stored(report.saved));
             }
             Err(error) => {
                 log(format_args!(
--- a/crates/dead-letter/tests/golden/store_script.rs
+++ b/crates/dead-letter/tests/golden/store_script.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use milletturn_dead_letter::redrive_service::{RedriveService, Resolution, SaveReport};
 use milletturn_dead_letter::store::StoreLimits;
-use milletturn_engine::archive::ArchivedMessage;
+use milletturn_engine::archive::EndedMessage;
 use milletturn_engine::{AttemptRecord, EndReason, Ending, RedriveOutcome, SharedStr};
 use milletturn_policy::{MILLISECOND, Micros, Outcome, SECOND};
 use std::collections::BTreeSet;
@@ -29,9 +29,9 @@
     class: &str,
     reason: EndReason,
     attempts: Vec<AttemptRecord>,
-) -> ArchivedMessage {
+) -> EndedMessage {
     let shared = |text: String| SharedStr::new(text.as_bytes()).expect("a short text");
-    ArchivedMessage {
+    EndedMessage {
         number,
         id: shared(format!("m-{number}")),
         key: Some(shared(format!("key-{number}"))),
@@ -72,7 +72,7 @@
 }
 
 /// Messages 1 to 14, as the engine first offers them to the store.
-fn messages() -> Vec<ArchivedMessage> {
+fn messages() -> Vec<EndedMessage> {
     use EndReason::{
         AttemptsExhausted, DeadlineExceeded, NotRetryable, Rejected as RejectedByEndpoint, Unknown,
     };
@@ -83,7 +83,7 @@
     ];
     vec![
         message(1, "licence", NotRetryable, every_outcome()),
-        ArchivedMessage {
+        EndedMessage {
             key: None,
             ending: Ending::Returned {
                 after_ms: Some(250),
@@ -92,22 +92,22 @@
         },
         message(3, "licence", DeadlineExceeded, never_ran("s-1")),
         message(4, "licence", AttemptsExhausted, never_ran("s-2")),
-        ArchivedMessage {
+        EndedMessage {
             body: Bytes::from(vec![0, 255, 10, 13]),
             ..message(5, "licence", DeadlineExceeded, never_ran("s-3"))
         },
         message(6, "order", NotRetryable, answered_late),
-        ArchivedMessage {
+        EndedMessage {
             body: Bytes::from(vec![b'x'; 20_000]),
             ..message(7, "order", NotRetryable, uncertain.clone())
         },
         message(8, "order", NotRetryable, uncertain.clone()),
         message(9, "webhook", AttemptsExhausted, uncertain.clone()),
-        ArchivedMessage {
+        EndedMessage {
             destination: u64::MAX - 1,
             ..message(10, "gone", Unknown, Vec::new())
         },
-        ArchivedMessage {
+        EndedMessage {
             redriven: true,
             ..message(11, "licence", DeadlineExceeded, never_ran("s-4"))
         },
@@ -137,8 +137,8 @@
 }
 
 /// Saves the end of a redrive that delivered message 5.
-fn deliver_redriven(service: &mut RedriveService, message: &ArchivedMessage) {
-    let delivered = ArchivedMessage {
+fn deliver_redriven(service: &mut RedriveService, message: &EndedMessage) {
+    let delivered = EndedMessage {
         accepted_at: at(2002),
         ended_at: at(2500),
         ending: Ending::Delivered,
--- a/crates/dead-letter/tests/simulation/ports.rs
+++ b/crates/dead-letter/tests/simulation/ports.rs
@@ -1,9 +1,9 @@
 //! The engine's ports: the journal, whose writes stop at the crash, the archive, and the observer of attempts.
 
-use milletturn_engine::archive::ArchivedMessage;
+use milletturn_engine::archive::EndedMessage;
 use milletturn_engine::{
-    Accepted, Archive, AttemptStarted, Ending, EngineEvent, Journal, JournalError, MessageEnd,
-    Observer, Unfinished,
+    Accepted, AttemptStarted, DeadLetterSink, Ending, EngineEvent, Journal, JournalError,
+    MessageEnd, Observer, Unfinished,
 };
 use milletturn_journal::FileJournal;
 use milletturn_policy::{Micros, Outcome};
@@ -87,14 +87,14 @@
 
 /// An archive that queues messages until the service saves them.
 #[derive(Clone, Default)]
-pub(super) struct ArchiveQueue(pub(super) Rc<RefCell<VecDeque<ArchivedMessage>>>);
+pub(super) struct ArchiveQueue(pub(super) Rc<RefCell<VecDeque<EndedMessage>>>);
 
-impl Archive for ArchiveQueue {
-    fn wants(&self, ending: Ending) -> bool {
+impl DeadLetterSink for ArchiveQueue {
+    fn should_store(&self, ending: Ending) -> bool {
         ending != Ending::Delivered
     }
 
-    fn store(&mut self, message: Box<ArchivedMessage>) -> Result<(), Box<ArchivedMessage>> {
+    fn store(&mut self, message: Box<EndedMessage>) -> Result<(), Box<EndedMessage>> {
         // the queue is short, so that it is often full
         if self.0.borrow().len() >= 3 {
             return Err(message);
--- a/crates/dead-letter/tests/simulation/process.rs
+++ b/crates/dead-letter/tests/simulation/process.rs
@@ -6,7 +6,7 @@
 use super::{Simulation, rows};
 use milletturn_dead_letter::record::Summary;
 use milletturn_dead_letter::redrive_service::RedriveService;
-use milletturn_engine::archive::ArchivedMessage;
+use milletturn_engine::archive::EndedMessage;
 use milletturn_engine::{
     ArrivalOutcome, Clock, EndpointListUpdate, Engine, Input, ListedEndpoint, Notification, Ports,
     RedriveOrder, RedriveRequest,
@@ -134,7 +134,7 @@
                 endpoints: endpoints.collect(),
             }),
             journal: Box::new(journal),
-            archive: Some(Box::new(self.archive.clone())),
+            dead_letters: Some(Box::new(self.archive.clone())),
             first_message_number,
             transport: Box::new(VirtualTransport::new(
                 simulation.environment.clone(),
@@ -240,7 +240,7 @@
     /// The service saves the queued messages. The process may crash before the save, or between the save and the
     /// confirmation to the engine.
     fn save(&mut self) {
-        let batch: Vec<ArchivedMessage> = self.archive.0.borrow().iter().cloned().collect();
+        let batch: Vec<EndedMessage> = self.archive.0.borrow().iter().cloned().collect();
         if batch.is_empty() || !self.crash_point.try_step() {
             return;
         }
@@ -257,7 +257,7 @@
             .trace
             .borrow_mut()
             .push(format!("saved {saved:?}"));
-        let _ = self.engine.send(Input::Archived(saved));
+        let _ = self.engine.send(Input::Stored(saved));
     }
 
     /// Submits a redrive to the engine, and records the engine's answer.
--- a/crates/dead-letter/tests/store.rs
+++ b/crates/dead-letter/tests/store.rs
@@ -6,7 +6,7 @@
 use milletturn_dead_letter::record::{BodyMode, Filter, Record, State};
 use milletturn_dead_letter::redrive_service::{RedriveService, Resolution, SaveReport};
 use milletturn_dead_letter::store::{DeadLetterStore, StoreLimits};
-use milletturn_engine::archive::ArchivedMessage;
+use milletturn_engine::archive::EndedMessage;
 use milletturn_engine::{AttemptRecord, EndReason, Ending, RedriveOutcome, SharedStr};
 use milletturn_policy::{Effect, Micros, Outcome, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,8 +14,8 @@
 
 const NOW: Micros = 1_000_000 * SECOND;
 
-fn message(number: u64, body: usize, outcome: Outcome) -> ArchivedMessage {
-    ArchivedMessage {
+fn message(number: u64, body: usize, outcome: Outcome) -> EndedMessage {
+    EndedMessage {
         number,
         id: SharedStr::new(format!("m{number}").as_bytes()).expect("a short text"),
         key: None,
@@ -167,7 +167,7 @@
         ..Config::default()
     };
     let mut service = open_service(&folder.path().join("u.db"), &config);
-    let batch: Vec<ArchivedMessage> = (1..=5)
+    let batch: Vec<EndedMessage> = (1..=5)
         .map(|number| message(number, 10, Outcome::Error))
         .collect();
     let report = |saved, unsaved| SaveReport { saved, unsaved };
@@ -194,7 +194,7 @@
 /// Writes six messages, one of them confirmed not to have run; returns their records.
 fn write_six(path: &Path, config: &Config) -> Vec<Record> {
     let mut service = open_service(path, config);
-    let batch: Vec<ArchivedMessage> = (1..=6)
+    let batch: Vec<EndedMessage> = (1..=6)
         .map(|number| message(number, 700, Outcome::Error))
         .collect();
     service.save(&batch, NOW).expect("written");
@@ -294,7 +294,7 @@
     for round in 1..=40 {
         let now = NOW + round * 100 * SECOND;
         redrive_once(&mut service, now);
-        let redriven = ArchivedMessage {
+        let redriven = EndedMessage {
             accepted_at: now,
             ended_at: now + SECOND,
             redriven: true,
@@ -331,7 +331,7 @@
     let config = Config::default();
     {
         let mut service = open_service(&path, &config);
-        let batch: Vec<ArchivedMessage> = (1..=3)
+        let batch: Vec<EndedMessage> = (1..=3)
             .map(|number| message(number, 10, Outcome::NoConnection))
             .collect();
         service.save(&batch, NOW).expect("written");
--- a/crates/engine/src/archive.rs
+++ b/crates/engine/src/archive.rs
@@ -1,10 +1,10 @@
-//! The archive port: stores messages that ended undelivered (dead letters), and requests their redrive.
+//! The dead-letter port: stores messages that ended undelivered (dead letters), and requests their redrive.
 //!
-//! A message that ends undelivered stays in the journal until the archive has reported
-//! [`Input::Archived`](crate::Input::Archived) for its number, so that at every instant the message is in the journal
-//! or in the archive. [`Input::Redrive`](crate::Input::Redrive) moves a message back: a single journal entry records
-//! it under its old number, and from that entry on the journal owns the message. When the redrive ends, delivered or
-//! not, the journal keeps the message until the archive has stored that end.
+//! A message that ends undelivered stays in the journal until the dead-letter store has reported
+//! [`Input::Stored`](crate::Input::Stored) for its number, so that at every instant the message is in the journal or
+//! in the store. [`Input::Redrive`](crate::Input::Redrive) moves a message back: a single journal entry records it
+//! under its old number, and from that entry on the journal owns the message. When the redrive ends, delivered or not,
+//! the journal keeps the message until the store has stored that end.
 
 use crate::{Ending, SharedStr};
 use bytes::Bytes;
@@ -22,14 +22,14 @@
     NotRetryable,
     /// The message used all the attempts that the settings allow.
     AttemptsExhausted,
-    /// The decision module returned the message to its client before the deadline, such as because there was no capacity,
-    /// no such destination or no route; or an endpoint's response ended the message without delivering it.
+    /// The decision module returned the message to its client before the deadline, such as because there was no
+    /// capacity, no such destination or no route; or an endpoint's response ended the message without delivering it.
     Rejected,
-    /// The message was delivered. Only a redriven message is archived with this reason.
+    /// The message was delivered. Only a redriven message is stored with this reason.
     Delivered,
 }
 
-/// One attempt of an archived message. Times are Unix time in microseconds.
+/// One attempt of an ended message. Times are Unix time in microseconds.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptRecord {
     /// The endpoint's name; empty for an attempt that is presumed because the journal was damaged.
@@ -44,9 +44,10 @@
     pub may_have_run: bool,
 }
 
-/// A message that has ended, in the form in which the archive stores it. Times are Unix time in microseconds.
+/// A message that has ended, in the form in which the dead-letter store receives it. Times are Unix time in
+/// microseconds.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct ArchivedMessage {
+pub struct EndedMessage {
     /// The message's number, never used for another message.
     pub number: u64,
     /// The id that the client gave the message.
@@ -71,22 +72,22 @@
     pub reason: EndReason,
     /// The message's attempts in order; for a redriven message, only those of the latest redrive.
     pub attempts: Vec<AttemptRecord>,
-    /// The message was redriven from the archive.
+    /// The message was redriven from the dead-letter store.
     pub redriven: bool,
 }
 
 /// Stores messages that have ended.
 ///
 /// No method may block: an implementation writes to its storage on another thread or task.
-pub trait Archive {
+pub trait DeadLetterSink {
     /// Whether messages with this ending are to be stored.
-    fn wants(&self, ending: Ending) -> bool;
-    /// Takes a message to store. [`Input::Archived`](crate::Input::Archived) follows once the message is stored
+    fn should_store(&self, ending: Ending) -> bool;
+    /// Takes a message to store. [`Input::Stored`](crate::Input::Stored) follows once the message is stored
     /// durably. The same number may be passed again after a restart, and must be stored only once.
     ///
     /// # Errors
-    /// Returns the message while the archive has no capacity; the engine offers it again later.
-    fn store(&mut self, ended: Box<ArchivedMessage>) -> Result<(), Box<ArchivedMessage>>;
+    /// Returns the message while the store has no capacity; the engine offers it again later.
+    fn store(&mut self, ended: Box<EndedMessage>) -> Result<(), Box<EndedMessage>>;
 }
 
 /// The earliest attempt of a message that may have run: the destination's deduplication window for the message's
@@ -99,7 +100,7 @@
     pub sent_at: Micros,
 }
 
-/// An archived message to redrive.
+/// A message in the dead-letter store to redrive.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RedriveOrder {
     /// The number under which the message was first accepted.
@@ -131,10 +132,10 @@
 /// Whether a redrive was accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RedriveOutcome {
-    /// The journal holds the message again; its end will be passed to [`Archive::store`].
+    /// The journal holds the message again; its end will be passed to [`DeadLetterSink::store`].
     Accepted,
     /// The message is not finished: a call of the original message or of an earlier redrive is in flight, or its end
-    /// is not notified or archived yet.
+    /// is not notified or stored yet.
     InFlight,
     /// New messages or other redrives use the capacity; the redrive may be requested again later.
     Busy,
--- a/crates/engine/src/endings.rs
+++ b/crates/engine/src/endings.rs
@@ -142,13 +142,14 @@
         closed
     }
 
-    /// Removes a message from the table if the message and its attempts have ended, and offers it to the archive.
+    /// Removes a message from the table if the message and its attempts have ended, and offers it to the dead-letter
+    /// store.
     pub(crate) fn remove_if_finished(&mut self, message_id: MessageId) {
         if let Some(message) = self.messages.take_finished(message_id)
             && message.end.is_some()
         {
             let class = self.classes.name(message.class);
-            self.archive_ended(message_id, class, message);
+            self.store_ended(message_id, class, message);
         }
     }
 
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,7 +1,7 @@
 //! The engine's state and its turns. In each turn the decision module handles all pending events in one call, and its
 //! actions become calls, replies and notifications.
 
-use crate::archive::Archive;
+use crate::archive::DeadLetterSink;
 use crate::arrivals::{DuplicateArrival, PendingArrival};
 use crate::calls::{Batch, OutstandingCall, StartRequest};
 use crate::classes::ClassTable;
@@ -23,7 +23,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// How often idle connections are evicted, and failed writes to the journal and the archive are retried.
+/// How often idle connections are evicted, and failed writes to the journal and the dead-letter store are retried.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Owns the messages and the decision module, and connects the decision module to the ports.
@@ -44,15 +44,15 @@
     pub(crate) classes: ClassTable,
     pub(crate) journal: Box<dyn Journal>,
     pub(crate) transport: Box<dyn Transport>,
-    pub(crate) archive: Option<Box<dyn Archive>>,
+    pub(crate) dead_letters: Option<Box<dyn DeadLetterSink>>,
     pub(crate) notify_delivered: bool,
     pub(crate) observer: Box<dyn Observer>,
     pub(crate) notifications: mpsc::UnboundedSender<Notification>,
     pub(crate) ready: watch::Sender<bool>,
     pub(crate) endpoints: EndpointTable,
     pub(crate) messages: MessageTable,
-    /// Ended messages that the journal must still hold, if there is an archive. Each of these messages is in the
-    /// journal, so the journal's capacity bounds the map's size.
+    /// Ended messages that the journal must still hold, if there is a dead-letter store. Each of these messages is in
+    /// the journal, so the journal's capacity bounds the map's size.
     pub(crate) pending_release: BTreeMap<MessageId, PendingRelease>,
     /// Ordering keys of ended messages whose notification is not confirmed. Each of these messages is in the journal.
     pub(crate) unconfirmed_keys: BTreeMap<MessageId, u64>,
@@ -114,7 +114,7 @@
             classes,
             journal: ports.journal,
             transport: ports.transport,
-            archive: ports.archive,
+            dead_letters: ports.dead_letters,
             notify_delivered: ports.notify_delivered,
             observer: ports.observer,
             notifications: ports.notifications,
@@ -153,7 +153,7 @@
                 () = sleep_until(alarm.unwrap_or_else(Instant::now)), if alarm.is_some() => {}
                 _ = maintenance.tick() => {
                     self.transport.evict_idle();
-                    self.retry_archive();
+                    self.retry_store();
                     let written = self.journal.retry();
                     self.check_journal(written);
                     continue;
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -15,8 +15,8 @@
 
 /// Whether a class is internal to the sender.
 ///
-/// Clients may not use an internal class, and its failed messages are not archived. The name of an internal class
-/// contains a colon, which a name in a configuration may not.
+/// Clients may not use an internal class, and its failed messages do not go to the dead-letter store. The name of an
+/// internal class contains a colon, which a name in a configuration may not.
 #[must_use]
 pub fn is_internal_class(name: &str) -> bool {
     name.contains(':')
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -57,9 +57,9 @@
     EndpointsListed(EndpointListUpdate),
     /// The numbers of messages whose notifications have been confirmed by their receiver.
     Notified(Vec<u64>),
-    /// The numbers of messages that the archive has stored.
-    Archived(Vec<u64>),
-    /// An archived message is to be redriven.
+    /// The numbers of messages that the dead-letter store has stored.
+    Stored(Vec<u64>),
+    /// A message in the dead-letter store is to be redriven.
     Redrive(RedriveRequest),
     /// A server rejected a message for lack of capacity, without submitting it to the engine.
     Rejected {
@@ -130,9 +130,9 @@
                     self.on_notified(MessageId(number));
                 }
             }
-            Input::Archived(numbers) => {
+            Input::Stored(numbers) => {
                 for number in numbers {
-                    self.on_archived(MessageId(number));
+                    self.on_stored(MessageId(number));
                 }
             }
             Input::Redrive(request) => self.on_redrive(request),
--- a/crates/engine/src/journal.rs
+++ b/crates/engine/src/journal.rs
@@ -32,8 +32,8 @@
         /// without advice.
         after_ms: Option<u64>,
     },
-    /// Delivered. The journal records this end for redriven messages, until the archive has stored the end, and for
-    /// all messages if notifications of delivered messages are enabled.
+    /// Delivered. The journal records this end for redriven messages, until the dead-letter store has stored
+    /// the end, and for all messages if notifications of delivered messages are enabled.
     Delivered,
 }
 
@@ -92,10 +92,10 @@
     pub accepted: Accepted,
     /// The message's attempts, in order.
     pub attempts: Vec<AttemptStarted>,
-    /// The end of a message whose notification is not confirmed or which the archive has not stored; `None` for an
-    /// open message.
+    /// The end of a message whose notification is not confirmed or which the dead-letter store has not stored; `None`
+    /// for an open message.
     pub end: Option<MessageEnd>,
-    /// The message was redriven from the archive.
+    /// The message was redriven from the dead-letter store.
     pub redriven: bool,
     /// How many of the first attempts were made before that redrive.
     pub prior_attempts: usize,
@@ -113,8 +113,8 @@
     /// # Errors
     /// When the entry is not written; the journal is unchanged then.
     fn record_accepted(&mut self, number: u64, accepted: Accepted) -> Result<(), JournalError>;
-    /// Records in a single entry that a message was redriven from the archive, with the earlier attempt that the
-    /// redrive could duplicate.
+    /// Records in a single entry that a message was redriven from the dead-letter store, with the earlier attempt that
+    /// the redrive could duplicate.
     ///
     /// # Errors
     /// As [`Journal::record_accepted`].
@@ -139,8 +139,8 @@
     /// # Errors
     /// As [`Journal::record_accepted`].
     fn record_never_ran(&mut self, number: u64, attempt: usize) -> Result<(), JournalError>;
-    /// Records how a message ended, while the notification has yet to be confirmed or the archive has yet to store
-    /// the message.
+    /// Records how a message ended, while the notification has yet to be confirmed or the dead-letter store has yet to
+    /// store the message.
     ///
     /// # Errors
     /// As [`Journal::record_accepted`].
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -12,7 +12,7 @@
 //! | transport | makes calls to endpoints ([`Transport`], [`Call`], [`AttemptEnd`]) | [`transport`] |
 //! | endpoint list | reports which endpoints exist ([`EndpointListUpdate`]) | [`endpoint_list`] |
 //! | journal | records what must survive the process ([`Journal`]) | [`journal`] |
-//! | archive | stores undelivered messages and requests redrives ([`Archive`], [`RedriveRequest`]) | [`archive`] |
+//! | dead letters | stores undelivered messages and requests redrives ([`DeadLetterSink`], [`RedriveRequest`]) | [`archive`] |
 //! | observer | receives engine events for logs and metrics ([`Observer`], [`EngineEvent`]) | [`observer`] |
 //!
 //! Behind the ports, each module holds one part of the [`Engine`]'s work:
@@ -25,7 +25,7 @@
 //! | `calls` | batches of attempts, calls in flight, cancellations |
 //! | `endings` | ends of attempts and messages, and notifications |
 //! | `retention` | when the journal may drop a message that has ended |
-//! | `redrive` | archived messages that are sent again |
+//! | `redrive` | messages of the dead-letter store that are sent again |
 //! | `recovery` | the start from the journal of an earlier process |
 //! | `reconfiguration` | new settings and endpoint lists |
 //! | `snapshot` | the state that one process passes to the next in a hot restart |
@@ -60,7 +60,7 @@
 pub mod transport;
 
 pub use archive::{
-    Archive, AttemptRecord, EndReason, RedriveOrder, RedriveOutcome, RedriveRequest,
+    AttemptRecord, DeadLetterSink, EndReason, RedriveOrder, RedriveOutcome, RedriveRequest,
     UncertainAttempt,
 };
 pub use clock::Clock;
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -101,7 +101,7 @@
     pub clients: usize,
     /// The message's attempts in order, including those made before this process started.
     pub attempts: Vec<Attempt>,
-    /// The message was redriven from the archive.
+    /// The message was redriven from the dead-letter store.
     pub redriven: bool,
     /// How many of the first attempts were made before that redrive.
     pub prior_attempts: usize,
--- a/crates/engine/src/message_table.rs
+++ b/crates/engine/src/message_table.rs
@@ -120,7 +120,7 @@
         self.open_count
     }
 
-    /// How many open messages were redriven from the archive.
+    /// How many open messages were redriven from the dead-letter store.
     pub(crate) fn open_redrives(&self) -> usize {
         self.messages
             .values()
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -1,6 +1,6 @@
 //! The settings and port implementations that an engine is built from.
 
-use crate::archive::Archive;
+use crate::archive::DeadLetterSink;
 use crate::clock::Clock;
 use crate::endpoint_list::EndpointListUpdate;
 use crate::ingress::Notification;
@@ -26,9 +26,10 @@
     pub cached_endpoints: Option<EndpointListUpdate>,
     /// Records what must survive the process.
     pub journal: Box<dyn Journal>,
-    /// Stores undelivered messages; without an archive their bodies are dropped once their notification is confirmed.
-    pub archive: Option<Box<dyn Archive>>,
-    /// The number of the first new message, greater than any number in the archive.
+    /// Stores undelivered messages; without a dead-letter store their bodies are dropped once their notification is
+    /// confirmed.
+    pub dead_letters: Option<Box<dyn DeadLetterSink>>,
+    /// The number of the first new message, greater than any number in the dead-letter store.
     pub first_message_number: u64,
     /// Carries calls to endpoints.
     pub transport: Box<dyn Transport>,
--- a/crates/engine/src/recovery.rs
+++ b/crates/engine/src/recovery.rs
@@ -15,7 +15,7 @@
 
 impl Engine {
     /// Resumes the messages in the journal: open messages are passed to the decision module; clients of ended messages
-    /// are notified again, and these messages are offered to the archive again.
+    /// are notified again, and these messages are offered to the dead-letter store again.
     pub(crate) fn resume_unfinished(&mut self) {
         let unfinished = self.journal.unfinished();
         let now = self.clock.now();
--- a/crates/engine/src/redrive.rs
+++ b/crates/engine/src/redrive.rs
@@ -1,4 +1,4 @@
-//! Redrives: archived messages whose delivery is attempted again.
+//! Redrives: messages in the dead-letter store whose delivery is attempted again.
 
 use crate::archive::{RedriveOrder, RedriveOutcome, RedriveRequest, UncertainAttempt};
 use crate::engine::Engine;
@@ -20,7 +20,7 @@
 const MIN_TIME_TO_DELIVER: Micros = 100 * MILLISECOND;
 
 impl Engine {
-    /// Handles a request to redrive an archived message, and replies to it.
+    /// Handles a request to redrive a message, and replies to it.
     pub(crate) fn on_redrive(&mut self, request: RedriveRequest) {
         let outcome = self.redrive(request.order);
         // a caller that no longer waits needs no reply: the journal records whether the redrive was accepted
--- a/crates/engine/src/retention.rs
+++ b/crates/engine/src/retention.rs
@@ -1,26 +1,26 @@
 //! Retention of messages that have ended: the journal holds each one until its notification is confirmed and the
-//! archive has stored it.
+//! dead-letter store has stored it.
 
-use crate::archive::{ArchivedMessage, AttemptRecord};
+use crate::archive::{AttemptRecord, EndedMessage};
 use crate::engine::Engine;
 use crate::ingress::is_internal_class;
 use crate::journal::{Ending, MessageEnd};
 use crate::message::{Attempt, Message};
 use milletturn_policy::{Event, MessageId};
 
-/// What must still happen before the journal may drop an ended message: `notified` and `archived` must both be true.
+/// What must still happen before the journal may drop an ended message: `notified` and `stored` must both be true.
 pub(crate) struct PendingRelease {
     /// The message's notification is confirmed, or none is needed.
     notified: bool,
-    /// The archive has stored the message.
-    archived: bool,
-    /// The message itself, until the archive has capacity to take it.
-    unarchived: Option<Box<ArchivedMessage>>,
+    /// The dead-letter store has stored the message.
+    stored: bool,
+    /// The message itself, until the dead-letter store has capacity for it.
+    unstored: Option<Box<EndedMessage>>,
 }
 
 impl Engine {
     /// Resumes a message that had ended before this process started: notifies its client again and offers the message
-    /// to the archive again.
+    /// to the dead-letter store again.
     pub(crate) fn resume_ended(
         &mut self,
         message_id: MessageId,
@@ -40,17 +40,17 @@
             let id = message.item.id.clone();
             self.notify(message_id, id, message.class, end.ending, ordering_key);
         }
-        self.archive_ended(message_id, class, message);
+        self.store_ended(message_id, class, message);
     }
 
-    /// Offers a message to the archive if the archive wants it. The message and its attempts must have ended.
-    pub(crate) fn archive_ended(&mut self, message_id: MessageId, class: String, message: Message) {
+    /// Offers a message to the dead-letter store if it is to be stored. The message and its attempts must have ended.
+    pub(crate) fn store_ended(&mut self, message_id: MessageId, class: String, message: Message) {
         let Some(end) = message.end else { return };
         let wanted = !is_internal_class(&class)
             && self
-                .archive
+                .dead_letters
                 .as_ref()
-                .is_some_and(|archive| message.redriven || archive.wants(end.ending));
+                .is_some_and(|sink| message.redriven || sink.should_store(end.ending));
         // the notification may have been confirmed while an attempt was in flight
         let notified = message.redriven
             || self
@@ -63,44 +63,44 @@
             }
             return;
         }
-        let archived = Box::new(archived_message(message_id, class, message, end));
-        let unarchived = self.offer_to_archive(archived);
+        let ended = Box::new(ended_message(message_id, class, message, end));
+        let unstored = self.offer_to_store(ended);
         let pending = PendingRelease {
             notified,
-            archived: false,
-            unarchived,
+            stored: false,
+            unstored,
         };
         self.pending_release.insert(message_id, pending);
     }
 
-    /// Passes a message to the archive; returns the message if the archive has no capacity.
-    fn offer_to_archive(&mut self, message: Box<ArchivedMessage>) -> Option<Box<ArchivedMessage>> {
-        let archive = self.archive.as_mut()?;
-        archive.store(message).err()
+    /// Passes a message to the dead-letter store; returns the message if the store has no capacity.
+    fn offer_to_store(&mut self, message: Box<EndedMessage>) -> Option<Box<EndedMessage>> {
+        let sink = self.dead_letters.as_mut()?;
+        sink.store(message).err()
     }
 
-    /// Offers the messages again that the archive had no capacity for, oldest first, until the archive rejects one.
-    pub(crate) fn retry_archive(&mut self) {
-        let unarchived_ids: Vec<MessageId> = self
+    /// Offers the messages again that the dead-letter store had no capacity for, oldest first, until it rejects one.
+    pub(crate) fn retry_store(&mut self) {
+        let unstored_ids: Vec<MessageId> = self
             .pending_release
             .iter()
-            .filter(|(_, pending)| pending.unarchived.is_some())
+            .filter(|(_, pending)| pending.unstored.is_some())
             .map(|(&message_id, _)| message_id)
             .collect();
-        for message_id in unarchived_ids {
+        for message_id in unstored_ids {
             let Some(message) = self
                 .pending_release
                 .get_mut(&message_id)
-                .and_then(|pending| pending.unarchived.take())
+                .and_then(|pending| pending.unstored.take())
             else {
                 continue;
             };
-            let unarchived = self.offer_to_archive(message);
-            let archive_is_full = unarchived.is_some();
+            let unstored = self.offer_to_store(message);
+            let store_is_full = unstored.is_some();
             if let Some(pending) = self.pending_release.get_mut(&message_id) {
-                pending.unarchived = unarchived;
+                pending.unstored = unstored;
             }
-            if archive_is_full {
+            if store_is_full {
                 return;
             }
         }
@@ -108,7 +108,7 @@
 
     /// Handles the confirmation of a message's notification.
     pub(crate) fn on_notified(&mut self, message_id: MessageId) {
-        let has_archive = self.archive.is_some();
+        let has_store = self.dead_letters.is_some();
         if let Some(key) = self.unconfirmed_keys.remove(&message_id) {
             self.events.push(Event::Notification {
                 message: message_id,
@@ -119,12 +119,12 @@
         if let Some(pending) = self.pending_release.get_mut(&message_id) {
             pending.notified = true;
             self.release_if_complete(message_id);
-        } else if has_archive && self.messages.contains(message_id) {
-            // an attempt is in flight: the message is offered to the archive when that attempt ends
+        } else if has_store && self.messages.contains(message_id) {
+            // an attempt is in flight: the message is offered to the dead-letter store when that attempt ends
             let pending = PendingRelease {
                 notified: true,
-                archived: false,
-                unarchived: None,
+                stored: false,
+                unstored: None,
             };
             self.pending_release.insert(message_id, pending);
         } else {
@@ -132,10 +132,10 @@
         }
     }
 
-    /// Handles the archive's report that it has stored a message.
-    pub(crate) fn on_archived(&mut self, message_id: MessageId) {
+    /// Handles the dead-letter store's report that it has stored a message.
+    pub(crate) fn on_stored(&mut self, message_id: MessageId) {
         if let Some(pending) = self.pending_release.get_mut(&message_id) {
-            pending.archived = true;
+            pending.stored = true;
             self.release_if_complete(message_id);
         }
     }
@@ -144,7 +144,7 @@
         if self
             .pending_release
             .get(&message_id)
-            .is_some_and(|pending| pending.notified && pending.archived)
+            .is_some_and(|pending| pending.notified && pending.stored)
         {
             self.pending_release.remove(&message_id);
             self.release(message_id);
@@ -159,20 +159,20 @@
     }
 }
 
-/// Converts a message into the form in which the archive stores it.
-fn archived_message(
+/// Converts a message into the form in which the dead-letter store receives it.
+fn ended_message(
     message_id: MessageId,
     class: String,
     message: Message,
     end: MessageEnd,
-) -> ArchivedMessage {
+) -> EndedMessage {
     let attempts = message
         .attempts
         .iter()
         .skip(message.prior_attempts)
         .map(attempt_record)
         .collect();
-    ArchivedMessage {
+    EndedMessage {
         number: message_id.0,
         id: message.item.id,
         key: message.item.key,
--- a/crates/engine/src/snapshot.rs
+++ b/crates/engine/src/snapshot.rs
@@ -136,8 +136,8 @@
 impl Engine {
     /// Encodes the state that the next process needs, followed by a CRC-32 checksum.
     ///
-    /// Must be called between two calls of [`Engine::run`], and only on an engine without an archive: a snapshot does
-    /// not contain the messages that the archive has yet to store.
+    /// Must be called between two calls of [`Engine::run`], and only on an engine without a dead-letter store: a
+    /// snapshot does not contain the messages that the dead-letter store has yet to store.
     ///
     /// # Errors
     /// When the state can't be encoded.
--- a/crates/engine/tests/redrives.rs
+++ b/crates/engine/tests/redrives.rs
@@ -1,8 +1,8 @@
-//! Redrives from the archive, tested with a complete engine in virtual time.
+//! Redrives from the dead-letter store, tested with a complete engine in virtual time.
 
 mod common;
 
-use milletturn_engine::archive::ArchivedMessage;
+use milletturn_engine::archive::EndedMessage;
 use milletturn_engine::*;
 use milletturn_policy::{Class, Effect, MILLISECOND, Micros, Outcome, SECOND};
 use milletturn_test_support::{
@@ -18,19 +18,19 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
-/// An archive in memory that rejects messages while `full` is set.
+/// A dead-letter store in memory that rejects messages while `full` is set.
 #[derive(Clone, Default)]
-struct MemoryArchive {
-    stored: Rc<RefCell<VecDeque<ArchivedMessage>>>,
+struct MemoryDeadLetters {
+    stored: Rc<RefCell<VecDeque<EndedMessage>>>,
     full: Rc<Cell<bool>>,
 }
 
-impl Archive for MemoryArchive {
-    fn wants(&self, ending: Ending) -> bool {
+impl DeadLetterSink for MemoryDeadLetters {
+    fn should_store(&self, ending: Ending) -> bool {
         ending != Ending::Delivered
     }
 
-    fn store(&mut self, ended: Box<ArchivedMessage>) -> Result<(), Box<ArchivedMessage>> {
+    fn store(&mut self, ended: Box<EndedMessage>) -> Result<(), Box<EndedMessage>> {
         if self.full.get() {
             return Err(ended);
         }
@@ -43,7 +43,7 @@
     inputs: mpsc::UnboundedSender<Input>,
     notifications: mpsc::UnboundedReceiver<Notification>,
     journal: MemoryJournal,
-    archive: MemoryArchive,
+    dead_letters: MemoryDeadLetters,
     environment: SimulatedEnvironment,
     /// How each call ends.
     call_script: Rc<Cell<ScriptedOutcome>>,
@@ -76,11 +76,11 @@
         };
         let (inputs, received) = mpsc::unbounded_channel();
         let (notification_sender, notifications) = mpsc::unbounded_channel();
-        let (journal, archive) = (MemoryJournal::default(), MemoryArchive::default());
+        let (journal, dead_letters) = (MemoryJournal::default(), MemoryDeadLetters::default());
         let crash_point = CrashPoint::new(u64::MAX);
         let transport = VirtualTransport::new(environment.clone(), crash_point, inputs.clone());
         let engine = Engine::new(Ports {
-            archive: Some(Box::new(archive.clone())),
+            dead_letters: Some(Box::new(dead_letters.clone())),
             notifications: notification_sender,
             ..engine_ports(
                 settings,
@@ -96,7 +96,7 @@
             inputs,
             notifications,
             journal,
-            archive,
+            dead_letters,
             environment,
             call_script,
         }
@@ -166,9 +166,10 @@
     sleep(Duration::from_millis(duration_ms)).await;
 }
 
-/// Makes message 1 of class `unsafe` fail and get archived. Each redrive requested before that must be rejected.
-async fn fail_and_archive(engine: &mut TestEngine) {
-    engine.archive.full.set(true);
+/// Makes message 1 of class `unsafe` fail and go to the dead-letter store. Each redrive requested before that must be
+/// rejected.
+async fn fail_and_store(engine: &mut TestEngine) {
+    engine.dead_letters.full.set(true);
     assert_eq!(engine.submit("m1", 0).await, Ok(ArrivalOutcome::Accepted));
     // the message's call is in flight
     assert_eq!(
@@ -180,7 +181,7 @@
         .notifications
         .try_recv()
         .expect("the message has failed");
-    // the notification is not confirmed, and the archive does not have the message
+    // the notification is not confirmed, and the dead-letter store does not have the message
     assert_eq!(
         engine.redrive(1, "m1", "unsafe", None).await,
         Ok(RedriveOutcome::InFlight)
@@ -195,32 +196,32 @@
     );
     assert!(
         engine.journal.unfinished.borrow().contains_key(&1),
-        "the journal must hold the message until the archive has it"
+        "the journal must hold the message until the dead-letter store has it"
     );
-    engine.archive.full.set(false);
+    engine.dead_letters.full.set(false);
     wait_ms(600).await;
     assert_eq!(
-        engine.archive.stored.borrow().len(),
+        engine.dead_letters.stored.borrow().len(),
         1,
-        "the message is offered to the archive again"
+        "the message is offered to the dead-letter store again"
     );
     assert!(
         engine.journal.unfinished.borrow().contains_key(&1),
-        "the journal must hold the message until the archive reports it as stored"
+        "the journal must hold the message until the dead-letter store reports it as stored"
     );
     engine
         .inputs
-        .send(Input::Archived(vec![1]))
+        .send(Input::Stored(vec![1]))
         .expect("the engine runs");
     wait_ms(10).await;
     assert!(engine.journal.unfinished.borrow().is_empty());
 }
 
 #[test]
-fn a_redrive_waits_until_the_original_is_notified_and_archived() {
+fn a_redrive_waits_until_the_original_is_notified_and_stored() {
     run_in_virtual_time(async {
         let mut engine = TestEngine::start(8, 100);
-        fail_and_archive(&mut engine).await;
+        fail_and_store(&mut engine).await;
         // of two concurrent requests, only the first is accepted
         engine.call_script.set(SUCCESS);
         let (first, second) = (
@@ -234,12 +235,12 @@
         wait_ms(100).await;
         assert_eq!(engine.calls(), ["m1", "m1"]);
         let ended = engine
-            .archive
+            .dead_letters
             .stored
             .borrow()
             .back()
             .cloned()
-            .expect("the end of the redrive is archived");
+            .expect("the end of the redrive is stored");
         assert_eq!(
             (ended.ending, ended.redriven, ended.attempts.len()),
             (Ending::Delivered, true, 1)
@@ -285,12 +286,12 @@
             "{calls:?}"
         );
         let ended = engine
-            .archive
+            .dead_letters
             .stored
             .borrow()
             .back()
             .cloned()
-            .expect("the undelivered message is archived again");
+            .expect("the undelivered message is stored again");
         assert_eq!(
             (ended.redriven, ended.ending == Ending::Delivered),
             (true, false)
--- a/crates/hot-restart/src/forwarding.rs
+++ b/crates/hot-restart/src/forwarding.rs
@@ -162,7 +162,7 @@
             Input::RequestStart(..)
             | Input::EndpointsListed(_)
             | Input::Notified(_)
-            | Input::Archived(_)
+            | Input::Stored(_)
             | Input::Redrive(_)
             | Input::Reconfigure(..)
             | Input::IsOpen(..)
--- a/crates/scale/src/fleet/idle_engine.rs
+++ b/crates/scale/src/fleet/idle_engine.rs
@@ -91,7 +91,7 @@
         clock: Clock::new(i64::try_from(unix).unwrap_or(i64::MAX)),
         cached_endpoints: None,
         journal: Box::new(NoopPorts),
-        archive: None,
+        dead_letters: None,
         first_message_number: 1,
         transport: Box::new(NoopPorts),
         notify_delivered: false,
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -96,7 +96,7 @@
         clock: Clock::new(i64::try_from(wall).unwrap_or(0)),
         cached_endpoints,
         journal,
-        archive: None,
+        dead_letters: None,
         first_message_number: 1,
         transport: Box::new(calls),
         notify_delivered: false,
--- a/crates/scale/src/roles/store.rs
+++ b/crates/scale/src/roles/store.rs
@@ -8,7 +8,7 @@
 use milletturn_dead_letter::config::Config;
 use milletturn_dead_letter::redrive_service::RedriveService;
 use milletturn_dead_letter::store::DeadLetterStore;
-use milletturn_engine::archive::ArchivedMessage;
+use milletturn_engine::archive::EndedMessage;
 use milletturn_engine::{AttemptRecord, EndReason, Ending, SharedStr};
 use milletturn_policy::{Effect, Micros, Outcome, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,7 +20,7 @@
 /// Messages per transaction, as when many messages end together.
 const BATCH: u64 = 64;
 
-fn archived_message(number: u64) -> Result<ArchivedMessage, Error> {
+fn archived_message(number: u64) -> Result<EndedMessage, Error> {
     let shared_string = |text: String| {
         SharedStr::new(text.as_bytes()).map_err(|error| Error::Wrong(error.to_string()))
     };
@@ -31,7 +31,7 @@
         latency: Some(1000),
         may_have_run: false,
     };
-    Ok(ArchivedMessage {
+    Ok(EndedMessage {
         number,
         id: shared_string(format!("m{number}"))?,
         key: Some(shared_string(format!("key-{number}"))?),
--- a/crates/test-support/src/engine_ports.rs
+++ b/crates/test-support/src/engine_ports.rs
@@ -35,7 +35,7 @@
             endpoints,
         }),
         journal: Box::new(journal.clone()),
-        archive: None,
+        dead_letters: None,
         first_message_number: 1,
         transport: Box::new(transport),
         notify_delivered: false,
--- a/src/assemble/engine.rs
+++ b/src/assemble/engine.rs
@@ -5,7 +5,9 @@
 use super::takeover::{Predecessor, bridge_until_exit};
 use super::{SenderOptions, client_classes};
 use milletturn_dead_letter::store_worker::StoreWorker;
-use milletturn_engine::{Archive, Clock, Engine, Notification, Observer, Ports, RestoredEngine};
+use milletturn_engine::{
+    Clock, DeadLetterSink, Engine, Notification, Observer, Ports, RestoredEngine,
+};
 use milletturn_journal::FileJournal;
 use milletturn_logging::log;
 use milletturn_platform::http_transport::HttpTransport;
@@ -37,8 +39,8 @@
             clock: self.clock,
             cached_endpoints: options.cached_endpoints.take(),
             journal: Box::new(self.journal),
-            archive: store_worker
-                .map(|worker| Box::new(worker.archive_handle()) as Box<dyn Archive>),
+            dead_letters: store_worker
+                .map(|worker| Box::new(worker.archive_handle()) as Box<dyn DeadLetterSink>),
             first_message_number: store_worker
                 .map_or(0, |worker| worker.first_number)
                 .max(options.first_message_number),
