--- a/crates/engine/src/endings.rs
+++ b/crates/engine/src/endings.rs
@@ -187,7 +187,7 @@
     }
 
     /// Sends a notification. `ordering_key` is given if the next message with that key must wait until this
-    /// notification is confirmed.
+    /// notification is acknowledged.
     pub(crate) fn notify(
         &mut self,
         message_id: MessageId,
@@ -197,7 +197,7 @@
         ordering_key: Option<u64>,
     ) {
         if let Some(key) = ordering_key {
-            self.unconfirmed_keys.insert(message_id, key);
+            self.unacknowledged_keys.insert(message_id, key);
         }
         // sending can't fail: the receiver lives as long as the process
         let _ = self.notifications.send(Notification {
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -54,8 +54,9 @@
     /// Ended messages that the journal must still hold, if there is a dead-letter store. Each of these messages is in
     /// the journal, so the journal's capacity bounds the map's size.
     pub(crate) pending_release: BTreeMap<MessageId, PendingRelease>,
-    /// Ordering keys of ended messages whose notification is not confirmed. Each of these messages is in the journal.
-    pub(crate) unconfirmed_keys: BTreeMap<MessageId, u64>,
+    /// Ordering keys of ended messages whose notification is not acknowledged. Each of these messages is in the
+    /// journal.
+    pub(crate) unacknowledged_keys: BTreeMap<MessageId, u64>,
     /// Calls in flight, by number.
     pub(crate) calls: BTreeMap<u64, OutstandingCall>,
     pub(crate) next_call: u64,
@@ -122,7 +123,7 @@
             endpoints: EndpointTable::default(),
             messages: MessageTable::new(ports.first_message_number),
             pending_release: BTreeMap::new(),
-            unconfirmed_keys: BTreeMap::new(),
+            unacknowledged_keys: BTreeMap::new(),
             calls: BTreeMap::new(),
             next_call: 0,
             delivered: DeliveredIds::default(),
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -3,8 +3,8 @@
 //! A server sends [`Input::Arrived`](crate::Input::Arrived) for each message and waits for its one
 //! [`ArrivalOutcome`]. If its client disconnects before that, the server sends
 //! [`Input::ClientDisconnected`](crate::Input::ClientDisconnected). A message whose client received
-//! [`ArrivalOutcome::Accepted`] and that is not delivered ends with one [`Notification`]. The receiver confirms it by
-//! [`Input::Notified`](crate::Input::Notified); after a restart, the same notification may be sent again.
+//! [`ArrivalOutcome::Accepted`] and that is not delivered ends with one [`Notification`]. The receiver acknowledges
+//! it by [`Input::Notified`](crate::Input::Notified); after a restart, the same notification may be sent again.
 
 use crate::{Ending, SharedStr};
 use bytes::Bytes;
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -17,8 +17,8 @@
 /// One input of the engine.
 ///
 /// The channel that carries inputs needs no bound of its own: arrivals are bounded by the servers' connection limits,
-/// ends of attempts by the calls in flight, confirmed notifications by the unfinished messages, and endpoint lists by
-/// their source.
+/// ends of attempts by the calls in flight, acknowledged notifications by the unfinished messages, and endpoint lists
+/// by their source.
 #[derive(Debug)]
 pub enum Input {
     /// A client submitted a message.
@@ -55,7 +55,7 @@
     },
     /// A complete endpoint list, or changes to one.
     EndpointsListed(EndpointListUpdate),
-    /// The numbers of messages whose notifications have been confirmed by their receiver.
+    /// The numbers of messages whose notifications have been acknowledged by their receiver.
     Notified(Vec<u64>),
     /// The numbers of messages that the dead-letter store has stored.
     Stored(Vec<u64>),
--- a/crates/engine/src/journal.rs
+++ b/crates/engine/src/journal.rs
@@ -92,8 +92,8 @@
     pub accepted: Accepted,
     /// The message's attempts, in order.
     pub attempts: Vec<AttemptStarted>,
-    /// The end of a message whose notification is not confirmed or which the dead-letter store has not stored; `None`
-    /// for an open message.
+    /// The end of a message whose notification is not acknowledged or which the dead-letter store has not stored;
+    /// `None` for an open message.
     pub end: Option<MessageEnd>,
     /// The message was redriven from the dead-letter store.
     pub redriven: bool,
@@ -139,8 +139,8 @@
     /// # Errors
     /// As [`Journal::record_accepted`].
     fn record_never_ran(&mut self, number: u64, attempt: usize) -> Result<(), JournalError>;
-    /// Records how a message ended, while the notification has yet to be confirmed or the dead-letter store has yet to
-    /// store the message.
+    /// Records how a message ended, while the notification has yet to be acknowledged or the dead-letter store has yet
+    /// to store the message.
     ///
     /// # Errors
     /// As [`Journal::record_accepted`].
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -27,7 +27,7 @@
     /// Records what must survive the process.
     pub journal: Box<dyn Journal>,
     /// Stores undelivered messages; without a dead-letter store their bodies are dropped once their notification is
-    /// confirmed.
+    /// acknowledged.
     pub dead_letters: Option<Box<dyn DeadLetterSink>>,
     /// The number of the first new message, greater than any number in the dead-letter store.
     pub first_message_number: u64,
--- a/crates/engine/src/retention.rs
+++ b/crates/engine/src/retention.rs
@@ -1,4 +1,4 @@
-//! Retention of messages that have ended: the journal holds each one until its notification is confirmed and the
+//! Retention of messages that have ended: the journal holds each one until its notification is acknowledged and the
 //! dead-letter store has stored it.
 
 use crate::archive::{AttemptRecord, EndedMessage};
@@ -10,7 +10,7 @@
 
 /// What must still happen before the journal may drop an ended message: `notified` and `stored` must both be true.
 pub(crate) struct PendingRelease {
-    /// The message's notification is confirmed, or none is needed.
+    /// The message's notification is acknowledged, or none is needed.
     notified: bool,
     /// The dead-letter store has stored the message.
     stored: bool,
@@ -51,7 +51,7 @@
                 .dead_letters
                 .as_ref()
                 .is_some_and(|sink| message.redriven || sink.should_store(end.ending));
-        // the notification may have been confirmed while an attempt was in flight
+        // the notification may have been acknowledged while an attempt was in flight
         let notified = message.redriven
             || self
                 .pending_release
@@ -106,10 +106,10 @@
         }
     }
 
-    /// Handles the confirmation of a message's notification.
+    /// Handles the acknowledgement of a message's notification.
     pub(crate) fn on_notified(&mut self, message_id: MessageId) {
         let has_store = self.dead_letters.is_some();
-        if let Some(key) = self.unconfirmed_keys.remove(&message_id) {
+        if let Some(key) = self.unacknowledged_keys.remove(&message_id) {
             self.events.push(Event::Notification {
                 message: message_id,
                 key,
--- a/crates/engine/src/snapshot.rs
+++ b/crates/engine/src/snapshot.rs
@@ -237,7 +237,7 @@
     }
 
     /// Restores the messages, with their bodies from the journal. The snapshot does not tell whether a notification
-    /// that was sent has been confirmed, so each is sent again; receivers must expect duplicates anyway.
+    /// that was sent has been acknowledged, so each is sent again; receivers must expect duplicates anyway.
     fn restore_messages(&mut self, stored: Vec<StoredMessage>) {
         let mut unfinished = self.journal.unfinished();
         for stored in stored {
--- a/crates/engine/tests/redrives.rs
+++ b/crates/engine/tests/redrives.rs
@@ -181,7 +181,7 @@
         .notifications
         .try_recv()
         .expect("the message has failed");
-    // the notification is not confirmed, and the dead-letter store does not have the message
+    // the notification is not acknowledged, and the dead-letter store does not have the message
     assert_eq!(
         engine.redrive(1, "m1", "unsafe", None).await,
         Ok(RedriveOutcome::InFlight)
--- a/crates/journal/src/records.rs
+++ b/crates/journal/src/records.rs
@@ -79,8 +79,8 @@
     at: i64,
 }
 
-/// The attempt, made before a redrive, that the redrive could duplicate. The rules that limit duplicate deliveries
-/// count their time from this attempt.
+/// The attempt, made before a redrive, that the redrive could duplicate. The deduplication window counts from this
+/// attempt.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) struct PriorAttempt(#[serde(with = "StoredAttempt")] pub(crate) AttemptStarted);
 
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -433,7 +433,7 @@
         ) {
             let backoff = message.retry_backoff;
             message.retry_backoff = (backoff * 2).min(MAX_RETRY_BACKOFF);
-            // With an announced limit or Retry-After, the rate limit already delays the retry.
+            // With a rate limit or a Retry-After, the health scope already delays the retry.
             let is_rate_limited = scope.is_some_and(|scope| {
                 scope.announced_limit.is_some() || scope.rate_limit.is_finite()
             });
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -67,7 +67,7 @@
             let announced_rate =
                 self.settings.weight_trust * entry.weight / f64::from(self.settings.senders);
             self.expand_scopes_if_pending(destination);
-            // Nothing needs to be recorded for scopes that are never called.
+            // A scope that has no announced rate needs no state before its first call.
             if announced_rate > 0.0 || self.scopes.contains_key(&scope_id) {
                 let scope = self.scope_mut(scope_id);
                 (scope.fair_share, scope.best_rate) =
