--- a/crates/hot-restart/src/old_process.rs
+++ b/crates/hot-restart/src/old_process.rs
@@ -111,7 +111,7 @@
         snapshot: engine.snapshot()?,
         client_connections: inherited.gate.open_connections(),
         calls_in_flight: engine.calls_in_flight(),
-        is_drained: inherited.gate.is_drained(),
+        is_drained: inherited.gate.is_draining(),
     };
     let exchange = async {
         send_descriptors(&request.0, [inherited.listener, inherited.lock]).await?;
--- a/crates/platform/src/drain_gate.rs
+++ b/crates/platform/src/drain_gate.rs
@@ -3,7 +3,7 @@
 //! ```text
 //! Open <-> Draining         by operators
 //!   \        |
-//!    +----> TakenOver       by a process that takes over, permanent
+//!    +----> Replaced        by a process that takes over in a hot restart, permanent
 //!    +----> ShuttingDown    by SIGTERM, permanent
 //! ```
 
@@ -37,9 +37,9 @@
     Open,
     /// An operator started a drain at this time.
     Draining(Instant),
-    /// Another process has taken over. Clients that are still connected are served, and asked to close their
-    /// connections.
-    TakenOver,
+    /// Another process has taken over in a hot restart. Clients that are still connected are served, and asked to close
+    /// their connections.
+    Replaced,
     /// SIGTERM came at this time.
     ShuttingDown(Instant),
 }
@@ -49,7 +49,7 @@
     fn closes_idle_at(self) -> Option<Instant> {
         match self {
             // such a connection gets one more response, or is closed by its usual idle time limit
-            Phase::Open | Phase::TakenOver => None,
+            Phase::Open | Phase::Replaced => None,
             Phase::Draining(since) => Some(since + DRAIN_IDLE_CLOSE_DELAY),
             Phase::ShuttingDown(since) => Some(since + SHUTDOWN_IDLE_CLOSE_DELAY),
         }
@@ -78,9 +78,9 @@
     closing_idle: watch::Sender<bool>,
     /// Whether connections with an incomplete request are to be closed too.
     closing_all: watch::Sender<bool>,
-    /// Whether another process has taken over. `GET /ready` then stays positive whatever this process does, because the
-    /// sender serves in the other one.
-    is_taken_over: Cell<bool>,
+    /// Whether another process has taken over in a hot restart. `GET /ready` then stays positive whatever this process
+    /// does, because the other one serves clients on the same address.
+    is_replaced: Cell<bool>,
     open_connections: Cell<usize>,
 }
 
@@ -93,14 +93,14 @@
             phase: watch::channel(Phase::Open).0,
             closing_idle: watch::channel(false).0,
             closing_all: watch::channel(false).0,
-            is_taken_over: Cell::new(false),
+            is_replaced: Cell::new(false),
             open_connections: Cell::new(0),
         }
     }
 
     /// The answer to `GET /ready`: whether new clients are to be sent here.
     pub fn is_ready(&self) -> bool {
-        *self.phase.borrow() == Phase::Open || self.is_taken_over.get()
+        *self.phase.borrow() == Phase::Open || self.is_replaced.get()
     }
 
     /// Whether each response must close its connection.
@@ -123,7 +123,7 @@
         self.closing_all.subscribe()
     }
 
-    /// Starts a drain, unless one is in progress. Returns false if the process shuts down or has been taken over.
+    /// Starts a drain, unless one is in progress. Returns false if the process shuts down or has been replaced.
     pub fn drain(&self) -> bool {
         self.phase.send_if_modified(|phase| {
             let is_open = *phase == Phase::Open;
@@ -132,10 +132,10 @@
             }
             is_open
         });
-        !self.is_retiring()
+        !self.is_terminating()
     }
 
-    /// Ends a drain. Returns false if the process shuts down or has been taken over.
+    /// Ends a drain. Returns false if the process shuts down or has been replaced.
     pub fn resume(&self) -> bool {
         self.phase.send_if_modified(|phase| {
             let is_draining = matches!(phase, Phase::Draining(_));
@@ -144,27 +144,27 @@
             }
             is_draining
         });
-        !self.is_retiring()
+        !self.is_terminating()
     }
 
     /// Records that another process has taken over. A shutdown that has begun continues.
     pub fn record_takeover(&self) {
-        self.is_taken_over.set(true);
-        let next = if self.is_retiring() {
+        self.is_replaced.set(true);
+        let next = if self.is_terminating() {
             *self.phase.borrow()
         } else {
-            Phase::TakenOver
+            Phase::Replaced
         };
         self.phase.send_replace(next);
     }
 
-    /// Waits until another process has taken over.
-    pub async fn until_taken_over(&self) {
+    /// Waits until another process has taken over in a hot restart.
+    pub async fn wait_for_takeover(&self) {
         // waiting cannot fail: the sender of the channel lives as long as `self`
         let _ = self
             .phase
             .subscribe()
-            .wait_for(|_| self.is_taken_over.get())
+            .wait_for(|_| self.is_replaced.get())
             .await;
     }
 
@@ -173,16 +173,16 @@
         self.phase.send_replace(Phase::ShuttingDown(Instant::now()));
     }
 
-    /// Whether the process shuts down or has been taken over.
-    pub fn is_retiring(&self) -> bool {
+    /// Whether the process shuts down or has been replaced in a hot restart, so that it will end soon.
+    pub fn is_terminating(&self) -> bool {
         matches!(
             *self.phase.borrow(),
-            Phase::ShuttingDown(_) | Phase::TakenOver
+            Phase::ShuttingDown(_) | Phase::Replaced
         )
     }
 
     /// Whether a drain is in progress.
-    pub fn is_drained(&self) -> bool {
+    pub fn is_draining(&self) -> bool {
         matches!(*self.phase.borrow(), Phase::Draining(_))
     }
 
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -215,7 +215,7 @@
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
             // the connections still in the listen queue belong to the other process
-            () = server.drain_gate.until_taken_over() => return,
+            () = server.drain_gate.wait_for_takeover() => return,
         };
         let stream = match accepted {
             Ok((stream, _)) => stream,
--- a/src/assemble/takeover.rs
+++ b/src/assemble/takeover.rs
@@ -134,7 +134,7 @@
         let Some(lock) = handover
             .lock
             .as_ref()
-            .filter(|_| !handover.gate.is_retiring())
+            .filter(|_| !handover.gate.is_terminating())
         else {
             continue;
         };
