--- a/crates/platform/src/attribution.rs
+++ b/crates/platform/src/attribution.rs
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// After this time, an endpoint that failed to close a connection in order may be asked to do so again.
+/// After this time, an endpoint that did not close a connection as requested may be asked to close one again.
 const MAX_AGE: Duration = Duration::from_secs(30);
 
 /// The earlier calls of a connection, as far as they matter for attributing the next response.
@@ -98,7 +98,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CloseBehaviour {
     /// The endpoint announces the close and closes the connection, as RFC 9112 requires.
-    InOrder,
+    Orderly,
     /// The endpoint does not announce the close, or leaves the connection open.
     Other,
 }
@@ -113,11 +113,11 @@
         self.0.insert(endpoint, (behaviour, now));
     }
 
-    /// Removes entries of endpoints that did not close in order and are older than [`MAX_AGE`]: the cause may have been
+    /// Removes entries of endpoints that did not close as requested and are older than [`MAX_AGE`]: the cause may have been
     /// a single broken connection.
     pub(crate) fn evict(&mut self, now: Instant) {
         self.0.retain(|_, (behaviour, seen_at)| {
-            *behaviour == CloseBehaviour::InOrder || now - *seen_at < MAX_AGE
+            *behaviour == CloseBehaviour::Orderly || now - *seen_at < MAX_AGE
         });
     }
 
@@ -134,7 +134,7 @@
     /// Whether a call whose response would be attributed by this criterion may be made on a connection to the endpoint.
     /// A call that must run at most once fails if its response cannot be attributed, so such a call is not made as the
     /// last one of a connection while the close behaviour of the endpoint is unknown.
-    pub(crate) fn allow(
+    pub(crate) fn allows(
         &self,
         endpoint: EndpointId,
         attribution: Attribution,
@@ -143,7 +143,7 @@
         match (attribution, self.0.get(&endpoint)) {
             (Attribution::FirstCall | Attribution::NamesMessages, _) => true,
             (Attribution::LastCall, None) => !at_most_once,
-            (Attribution::LastCall, Some((behaviour, _))) => *behaviour == CloseBehaviour::InOrder,
+            (Attribution::LastCall, Some((behaviour, _))) => *behaviour == CloseBehaviour::Orderly,
         }
     }
 }
--- a/crates/platform/src/attribution/tests.rs
+++ b/crates/platform/src/attribution/tests.rs
@@ -72,7 +72,7 @@
     let mut behaviours = CloseBehaviours::default();
     let allowed = |behaviours: &CloseBehaviours| {
         [false, true]
-            .map(|at_most_once| behaviours.allow(ENDPOINT, Attribution::LastCall, at_most_once))
+            .map(|at_most_once| behaviours.allows(ENDPOINT, Attribution::LastCall, at_most_once))
     };
     assert_eq!(
         allowed(&behaviours),
@@ -81,14 +81,14 @@
     );
     behaviours.record(ENDPOINT, CloseBehaviour::Other, now);
     assert_eq!(allowed(&behaviours), [false, false]);
-    assert!(behaviours.allow(ENDPOINT, Attribution::NamesMessages, true));
+    assert!(behaviours.allows(ENDPOINT, Attribution::NamesMessages, true));
     behaviours.evict(now + MAX_AGE);
     assert_eq!(
         allowed(&behaviours),
         [true, false],
         "the entry has been evicted"
     );
-    behaviours.record(ENDPOINT, CloseBehaviour::InOrder, now);
+    behaviours.record(ENDPOINT, CloseBehaviour::Orderly, now);
     behaviours.evict(now + MAX_AGE);
     assert_eq!(allowed(&behaviours), [true, true]);
 }
--- a/crates/platform/src/call_codec.rs
+++ b/crates/platform/src/call_codec.rs
@@ -15,8 +15,8 @@
 const LOAD_REPORT_HEADER: &str = "x-server-load";
 /// Header with the id of a message; a response may repeat it.
 pub(crate) const REQUEST_ID_HEADER: &str = "x-request-id";
-/// Longest accepted `Retry-After` in seconds, 31 days; a longer one is cut to this. A destination that announces an
-/// absurd time is retried after a month.
+/// Longest accepted `Retry-After` in seconds, 31 days; a longer one is cut to this, so that a destination that sends
+/// an absurd value is called again after a month.
 const MAX_RETRY_AFTER_S: f64 = 31.0 * 86_400.0;
 
 /// What the request says about the connection after the response.
@@ -58,16 +58,14 @@
         request = request.header(CONNECTION, "close");
     }
     let request = request.body(Full::new(body)).ok()?;
-    let request_line_and_blank_line_bytes = "POST  HTTP/1.1\r\n\r\n".len() + path.len();
+    // the request line, and the empty line after the headers
+    let fixed_bytes = "POST  HTTP/1.1\r\n\r\n".len() + path.len();
     let header_bytes: usize = request
         .headers()
         .iter()
         .map(|(name, value)| name.as_str().len() + value.len() + 4)
         .sum();
-    Some((
-        request,
-        (request_line_and_blank_line_bytes + header_bytes) as u64 + body_bytes,
-    ))
+    Some((request, (fixed_bytes + header_bytes) as u64 + body_bytes))
 }
 
 /// Number of bytes that a message takes in the body of a batch call.
@@ -108,12 +106,12 @@
 pub(crate) fn parse_message_results(
     text: &[u8],
     items: &[CallItem],
-    wait: Option<Micros>,
+    retry_after: Option<Micros>,
 ) -> Vec<(Outcome, bool)> {
     let results = results_by_id(text);
     let parse_result = |item: &CallItem| match results.get(item.id.as_str().as_bytes()).copied() {
         Some(b"ok") => (Outcome::Success, true),
-        Some(b"later") => (Outcome::Rejected { retry_after: wait }, false),
+        Some(b"later") => (Outcome::Rejected { retry_after }, false),
         Some(b"gone") => (Outcome::Unsent { no_slot: false }, true),
         Some(b"exhausted") => (Outcome::Unsent { no_slot: false }, false),
         _ => (Outcome::Error, false),
@@ -121,8 +119,8 @@
     items.iter().map(parse_result).collect()
 }
 
-/// The longest wait in the `Retry-After` headers of a response.
-pub(crate) fn retry_after(headers: &HeaderMap) -> Option<Micros> {
+/// The longest delay in the `Retry-After` headers of a response.
+pub(crate) fn max_retry_after(headers: &HeaderMap) -> Option<Micros> {
     headers
         .get_all(RETRY_AFTER)
         .iter()
--- a/crates/platform/src/call_result.rs
+++ b/crates/platform/src/call_result.rs
@@ -1,6 +1,6 @@
 //! Maps the end of a call to a result for each of its messages.
 
-use crate::call_codec::{parse_load_report, parse_message_results, retry_after};
+use crate::call_codec::{max_retry_after, parse_load_report, parse_message_results};
 use hyper::StatusCode;
 use hyper::http::response::Parts;
 use milletturn_engine::{Call, EndCause};
@@ -46,12 +46,14 @@
         report_fields: &[String],
         fault_log: &RateLimitedLog,
     ) -> Self {
-        let wait = retry_after(&head.headers);
+        let retry_after = max_retry_after(&head.headers);
         let messages = match head.status {
             StatusCode::OK if call.items.len() == 1 => {
                 MessageResults::All((Outcome::Success, true))
             }
-            StatusCode::OK => MessageResults::Each(parse_message_results(body, &call.items, wait)),
+            StatusCode::OK => {
+                MessageResults::Each(parse_message_results(body, &call.items, retry_after))
+            }
             _ => MessageResults::All(result_of_status(call, head, fault_log)),
         };
         CallResult {
@@ -84,16 +86,16 @@
 
 /// The result of all messages of a call for a status other than 200.
 fn result_of_status(call: &Call, head: &Parts, fault_log: &RateLimitedLog) -> MessageResult {
-    let wait = retry_after(&head.headers);
+    let retry_after = max_retry_after(&head.headers);
     let unsent = Outcome::Unsent { no_slot: false };
     let address = call.address;
     match head.status {
-        StatusCode::TOO_MANY_REQUESTS => (Outcome::Rejected { retry_after: wait }, false),
+        StatusCode::TOO_MANY_REQUESTS => (Outcome::Rejected { retry_after }, false),
         StatusCode::SERVICE_UNAVAILABLE => {
             let slots_taken = head.headers.get("slots-taken");
             match slots_taken.is_some_and(|value| value == "1") {
                 true => (Outcome::Unsent { no_slot: true }, false),
-                false => (Outcome::Rejected { retry_after: wait }, false),
+                false => (Outcome::Rejected { retry_after }, false),
             }
         }
         StatusCode::GATEWAY_TIMEOUT => (unsent, false),
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -62,9 +62,9 @@
     pub name: String,
     /// Address on which clients connect.
     pub listen_address: SocketAddr,
-    /// Address of the admin interface, if there is one.
+    /// Address of the admin listener, if there is one.
     pub management_address: Option<SocketAddr>,
-    /// Address of discovery's agent.
+    /// Address of discovery.
     pub discovery_address: SocketAddr,
     /// Folder for files that must survive a restart.
     pub state_dir: PathBuf,
@@ -113,9 +113,9 @@
     disk_mb: f64,
 }
 
-/// How much later than the sender an endpoint may notice that a call has been abandoned: 50 ms ("each time limit is 50
+/// How much later than the sender an endpoint may notice that a call has been aborted: 50 ms ("each time limit is 50
 /// ms longer" on sockets, according to the protocol page). The next message with the same key waits for this time,
-/// because it could otherwise reach the endpoint while the abandoned call is still in progress there.
+/// because it could otherwise reach the endpoint while the aborted call is still in progress there.
 pub const SOCKET_SLACK: Micros = 50 * MILLISECOND;
 
 /// Memory limit in megabytes if the file has none. The limit determines only the share for request bodies, which is
@@ -127,7 +127,7 @@
 /// The parts of the configuration that a reload can change. All others take effect at the next start.
 #[derive(Debug)]
 pub struct ReloadedConfig {
-    /// Address of discovery's agent.
+    /// Address of discovery.
     pub discovery_address: SocketAddr,
     /// Settings of the decision module.
     pub settings: Settings,
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -21,6 +21,7 @@
     pub(crate) sender: SendRequest<Full<Bytes>>,
     pub(crate) monitor: Rc<ConnectionMonitor>,
     endpoint: EndpointId,
+    /// The reason that is reported if the connection is closed now.
     close_reason: CloseReason,
     /// The calls that the connection has carried.
     pub(crate) record: ConnectionRecord,
@@ -83,7 +84,7 @@
     }
 
     /// Waits until the connection can carry the next call; false if it was closed while it was idle.
-    pub(crate) async fn is_ready(&mut self) -> bool {
+    pub(crate) async fn wait_until_ready(&mut self) -> bool {
         let is_ready = self.sender.ready().await.is_ok();
         if is_ready {
             self.close_reason = CloseReason::CallFailed;
@@ -104,7 +105,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Aborting the driver closes the socket, so that the endpoint notices an abandoned call. This also holds while
+        // Aborting the driver closes the socket, so that the endpoint notices an aborted call. This also holds while
         // the connection waits for the endpoint to close.
         self.driver.abort();
         if self.close_reason == CloseReason::Evicted && self.sender.is_closed() {
@@ -114,7 +115,7 @@
         let _ = self.inputs.send(Input::ConnectionClosed {
             endpoint: self.endpoint,
             connection: self.monitor.number(),
-            calls: self.monitor.calls(),
+            calls: self.monitor.call_count(),
             reason: self.close_reason,
             unsolicited: self.monitor.unsolicited_data(),
         });
--- a/crates/platform/src/connection_monitor.rs
+++ b/crates/platform/src/connection_monitor.rs
@@ -54,7 +54,7 @@
     status_line_state: Cell<StatusLine>,
     /// The bytes of the header field that is being received; `None` after the end of the head.
     header_field_buffer: RefCell<Option<Vec<u8>>>,
-    /// Called for each `Retry-After`, even if the response, the call or the connection fails afterwards.
+    /// Called with the delay of each `Retry-After`, even if the response, the call or the connection fails afterwards.
     on_retry_after: Box<dyn Fn(Micros)>,
     /// Number of bytes of interim (1xx) responses and of the status line in the current call.
     interim_bytes: Cell<usize>,
@@ -68,7 +68,7 @@
     /// How many bytes of a second status line have been matched.
     second_status_line_matched_bytes: Cell<usize>,
     /// Whether the current request asks the endpoint to close the connection after the response.
-    is_closing: Cell<bool>,
+    is_close_requested: Cell<bool>,
     /// Whether the endpoint has closed its side of the connection.
     has_end_of_stream: Cell<bool>,
     /// Wakes the task that waits for the status line.
@@ -109,8 +109,8 @@
 }
 
 impl ConnectionMonitor {
-    /// Creates the monitor of a new connection. `on_retry_after` is called for each `Retry-After` that a response
-    /// contains.
+    /// Creates the monitor of a new connection. `on_retry_after` is called with the delay of each `Retry-After` that a
+    /// response contains.
     pub(crate) fn new(number: u64, on_retry_after: impl Fn(Micros) + 'static) -> Self {
         ConnectionMonitor {
             number,
@@ -132,7 +132,7 @@
             is_chunked: Cell::default(),
             has_extra_bytes: Cell::default(),
             second_status_line_matched_bytes: Cell::default(),
-            is_closing: Cell::default(),
+            is_close_requested: Cell::default(),
             has_end_of_stream: Cell::default(),
             status_line_notify: Notify::default(),
             request_in_progress: RefCell::default(),
@@ -165,26 +165,26 @@
         self.is_chunked.set(false);
         self.has_extra_bytes.set(false);
         self.second_status_line_matched_bytes.set(0);
-        self.is_closing.set(false);
+        self.is_close_requested.set(false);
         self.status_line_state.set(StatusLine::Status(0, 0));
         self.header_field_buffer.replace(Some(Vec::new()));
     }
 
     /// Records that the current request asks the endpoint to close the connection, which is then read up to its end.
-    pub(crate) fn set_closing(&self) {
-        self.is_closing.set(true);
+    pub(crate) fn set_close_requested(&self) {
+        self.is_close_requested.set(true);
     }
 
     /// Whether the end of the connection must still be awaited: the endpoint was asked to close it, has not done so,
     /// and the head of a second response, which may contain a `Retry-After`, is not complete.
     fn awaits_end(&self) -> bool {
         let has_second_head = self.has_extra_data() && self.header_field_buffer.borrow().is_none();
-        self.is_closing.get() && !self.has_end_of_stream.get() && !has_second_head
+        self.is_close_requested.get() && !self.has_end_of_stream.get() && !has_second_head
     }
 
     /// Whether the current request asks the endpoint to close the connection.
-    pub(crate) fn is_closing(&self) -> bool {
-        self.is_closing.get()
+    pub(crate) fn is_close_requested(&self) -> bool {
+        self.is_close_requested.get()
     }
 
     /// Records that the call is over and its response has been read.
@@ -196,7 +196,7 @@
         self.number
     }
 
-    pub(crate) fn calls(&self) -> u64 {
+    pub(crate) fn call_count(&self) -> u64 {
         self.call_count.get()
     }
 
@@ -233,7 +233,7 @@
     }
 
     /// Advances the search for a second status line by one byte.
-    fn match_status_line(&self, byte: u8) {
+    fn match_second_status_line(&self, byte: u8) {
         let matched = self.second_status_line_matched_bytes.get();
         let Some(&expected) = STATUS_LINE_PATTERN.get(matched) else {
             return;
@@ -260,7 +260,7 @@
                 }
                 Some(0) => self.process_header_byte(*byte),
                 Some(left) => self.body_bytes_left.set(Some(left - 1)),
-                None => self.match_status_line(*byte),
+                None => self.match_second_status_line(*byte),
             }
         }
     }
@@ -279,7 +279,7 @@
     }
 
     /// Waits until the connection has ended. Data after a response ends the connection too.
-    pub(crate) async fn until_ended(&self) {
+    pub(crate) async fn wait_for_end(&self) {
         while !self.has_ended.get() {
             self.ended_notify.notified().await;
         }
@@ -323,7 +323,7 @@
     }
 
     /// Waits until the status line of the final response is complete or known to be invalid.
-    pub(crate) async fn until_status_line(&self) {
+    pub(crate) async fn wait_for_status_line(&self) {
         while !matches!(
             self.status_line_state.get(),
             StatusLine::Complete(_) | StatusLine::Invalid
@@ -359,7 +359,7 @@
             let named = header.filter(|(name, _)| name.eq_ignore_ascii_case(wanted));
             named.map(|(_, value)| value)
         };
-        let wait = value_of(b"retry-after").and_then(parse_retry_after);
+        let delay = value_of(b"retry-after").and_then(parse_retry_after);
         let length = value_of(b"content-length").and_then(parse_content_length);
         let is_chunked = self.is_chunked.get() || value_of(b"transfer-encoding").is_some();
         if !self.has_extra_bytes.get() && (is_chunked || length.is_some()) {
@@ -368,8 +368,8 @@
         }
         field_bytes.clear();
         drop(header_field_buffer);
-        if let Some(wait) = wait {
-            (self.on_retry_after)(wait);
+        if let Some(delay) = delay {
+            (self.on_retry_after)(delay);
         }
     }
 
@@ -388,7 +388,7 @@
         for (position, byte) in bytes.iter_mut().enumerate() {
             match status_line_state {
                 StatusLine::Complete(_) if self.header_field_buffer.borrow().is_some() => {
-                    self.match_status_line(*byte);
+                    self.match_second_status_line(*byte);
                     self.process_header_byte(*byte);
                 }
                 StatusLine::Complete(_) => {
@@ -398,7 +398,7 @@
                 StatusLine::Invalid => break,
                 _ => {
                     if matches!(status_line_state, StatusLine::ReasonPhrase(_)) {
-                        self.match_status_line(*byte);
+                        self.match_second_status_line(*byte);
                     }
                     status_line_state = status_line_state.advance(byte);
                     interim_bytes += 1;
--- a/crates/platform/src/connection_monitor/stream.rs
+++ b/crates/platform/src/connection_monitor/stream.rs
@@ -12,7 +12,7 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// How many bytes of a response are still read when its call has been abandoned: more than a response head has.
+/// How many bytes of a response are still read when its call has been aborted: more than a response head has.
 const MAX_FINAL_READ_BYTES: usize = 4096;
 
 /// The stream of a connection to an endpoint. The monitor observes all bytes that are read and written.
--- a/crates/platform/src/discovery.rs
+++ b/crates/platform/src/discovery.rs
@@ -233,7 +233,7 @@
             }
         }
         if is_incomplete {
-            // Resuming from a later version would skip the changes that could not be parsed for good.
+            // Resuming from a later version would lose the changes that could not be parsed.
             progress.version = 0;
             if !progress.is_refetch {
                 return Err(WatchError::Incomplete);
@@ -277,7 +277,7 @@
     TimedOut,
 }
 
-/// Sends one request on a new connection. Connections are not reused: discovery's agent runs on the same machine, so a
+/// Sends one request on a new connection. Connections are not reused: discovery listens on the same machine, so a
 /// connection is cheap, and an idle one may have become unresponsive unnoticed.
 ///
 /// Sets `connected` once the connection is established. There is no time limit; dropping the future closes the
--- a/crates/platform/src/discovery_backoff.rs
+++ b/crates/platform/src/discovery_backoff.rs
@@ -1,12 +1,12 @@
 //! How long a sender waits before it contacts discovery again. Performs no I/O and reads no clock.
 //!
 //! All senders lose their watches at the same time, and with short delays all would retry together. Requests that queue
-//! for longer than their caller waits are answered in vain, so discovery would work at its limit without serving anyone
+//! for longer than their caller waits are served after the caller has gone, so discovery would be overloaded without serving anyone
 //! (metastable failure: Bronson and others, Metastable Failures in Distributed Systems, HotOS 2021). Delays after a
 //! rejection therefore grow with the number of senders, and each is random (M. Brooker, Exponential Backoff and Jitter,
 //! 2015).
 //!
-//! A discovery that can't be reached has no queue that a request could lengthen. Delays after such a failure stay
+//! An unreachable discovery service has no queue that a request could lengthen. Delays after such a failure stay
 //! short, so that changes are received in time once discovery is back.
 
 #[cfg(test)]
@@ -18,12 +18,12 @@
 
 /// A change must be known to the sender within this time after discovery has it and can be reached.
 const MAX_UPDATE_DELAY: Duration = Duration::from_millis(6000);
-/// A watch, or a request that opens one, is abandoned after this time without data. Discovery sends an empty line every
+/// A watch, or a request that opens one, counts as failed after this time without data. Discovery sends an empty line every
 /// 2 s.
 pub(crate) const WATCH_INACTIVITY_TIMEOUT: Duration = Duration::from_millis(3000);
 /// Longest delay after a failure to reach discovery, and after a first rejection.
 pub(crate) const MAX_SHORT_DELAY: Duration = Duration::from_millis(1900);
-/// Time within which a healthy discovery agent has responded. The agent runs on the same machine.
+/// Time within which a healthy discovery service on the same machine has responded.
 pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Reserve for socket delays of 50 ms and for a busy machine.
 const TIMING_SLACK: Duration = Duration::from_millis(100);
@@ -73,8 +73,9 @@
 
 impl DiscoveryBackoff {
     /// Creates the backoff of one sender. `senders` is the number of senders that share one discovery, and `seed` must
-    /// differ between them. With `is_pushed`, the list comes from an agent that serves this sender alone; `senders` is
-    /// then ignored, because a change that the agent has must be known in time however many senders there are.
+    /// differ between them. With `is_pushed`, the list comes from a local process that serves this sender alone;
+    /// `senders` is then ignored, because a change that this process has must be known in time however many senders
+    /// there are.
     #[must_use]
     pub fn new(senders: u32, is_pushed: bool, seed: u64) -> Self {
         let senders = if is_pushed { 1 } else { senders };
--- a/crates/platform/src/discovery_backoff/tests.rs
+++ b/crates/platform/src/discovery_backoff/tests.rs
@@ -91,7 +91,7 @@
         for failure in [Failure::Unreachable, Failure::Rejected] {
             assert!(
                 (0..20).all(|_| local.next_delay(failure) <= DEFAULT_MAX_DELAY),
-                "seed {seed}: no other sender uses this agent"
+                "seed {seed}: discovery serves no other sender"
             );
         }
     }
--- a/crates/platform/src/endpoint_list.rs
+++ b/crates/platform/src/endpoint_list.rs
@@ -41,7 +41,7 @@
         let address = entry
             .endpoint
             .parse()
-            .map_err(|_| format!("bad address '{}'", entry.endpoint))?;
+            .map_err(|_| format!("invalid address '{}'", entry.endpoint))?;
         Ok(ListedEndpoint {
             uid: entry.uid,
             address,
--- a/crates/platform/src/http_transport.rs
+++ b/crates/platform/src/http_transport.rs
@@ -46,7 +46,7 @@
     descriptors: Arc<Semaphore>,
     /// Idle connections are closed after this time, somewhat before the endpoint would close them.
     max_idle_time: Duration,
-    dial_timeout: Duration,
+    connect_timeout: Duration,
     report_fields: Vec<String>,
     fault_log: RateLimitedLog,
     inputs: mpsc::UnboundedSender<Input>,
@@ -63,7 +63,7 @@
     /// messages of each request that has been written completely.
     pub fn new(
         idle_timeout: Duration,
-        dial_timeout: Duration,
+        connect_timeout: Duration,
         report_fields: Vec<String>,
         budget: &ResourceBudget,
         inputs: mpsc::UnboundedSender<Input>,
@@ -80,7 +80,7 @@
             pools: RefCell::new(Pools::new(budget.idle_connections)),
             descriptors: Arc::new(Semaphore::new(budget.endpoint_connections)),
             max_idle_time,
-            dial_timeout,
+            connect_timeout,
             report_fields,
             fault_log: RateLimitedLog::default(),
             inputs,
@@ -155,7 +155,7 @@
                 biased;
                 result = &mut exchange => break result,
                 () = sleep_until(call.expires) => {
-                    break without_response(&monitor, call.items.len(), Outcome::TimedOut, EndCause::TimedOut);
+                    break result_without_response(&monitor, call.items.len(), Outcome::TimedOut, EndCause::TimedOut);
                 }
                 Some(item) = cancels.recv() => {
                     if is_delivered(&monitor, call.items.len()) {
@@ -202,7 +202,7 @@
 }
 
 /// The result of a call without a complete response.
-fn without_response(
+fn result_without_response(
     monitor: &CurrentMonitor,
     message_count: usize,
     outcome: Outcome,
@@ -219,7 +219,7 @@
     connection: Connection,
     /// Whether the connection was idle before; otherwise it is new.
     is_reused: bool,
-    /// Time limit for the last byte of the request.
+    /// Deadline for the last byte of the request.
     write_deadline: Instant,
 }
 
@@ -270,7 +270,7 @@
     shared.opened_connections.set(number);
     let (endpoint, address) = (call.endpoint, call.address);
     let opening = Connection::open(number, endpoint, address, descriptor, &shared.inputs);
-    match timeout(shared.dial_timeout, opening).await {
+    match timeout(shared.connect_timeout, opening).await {
         Ok(Ok(connection)) => Ok(connection),
         Ok(Err(_)) | Err(_) => Err(CallResult::uniform(
             Outcome::NoConnection,
@@ -308,7 +308,7 @@
         attempts_written,
     );
     if persistence == Persistence::Close {
-        connection.monitor.set_closing();
+        connection.monitor.set_close_requested();
     }
     *monitor.borrow_mut() = Some(connection.monitor.clone());
     let written_before = connection.monitor.bytes_written.get();
@@ -318,7 +318,7 @@
         tokio::select! {
             biased;
             response = &mut response => Some(response),
-            () = connection.monitor.until_status_line() => {
+            () = connection.monitor.wait_for_status_line() => {
                 let head_timeout = match is_delivered(monitor, message_count) {
                     true => HEAD_TIMEOUT_AFTER_200,
                     false => READ_TIMEOUT,
@@ -354,10 +354,15 @@
         // the head was not complete in time
         None => (Outcome::Reset, EndCause::NoResponseHead),
     };
-    Some(without_response(monitor, message_count, outcome, cause))
+    Some(result_without_response(
+        monitor,
+        message_count,
+        outcome,
+        cause,
+    ))
 }
 
-/// Asks the engine, once the connection is established, whether the call may start. Returns the time limit for the last
+/// Asks the engine, once the connection is established, whether the call may start. Returns the deadline for the last
 /// byte of the request; `None` if the call may not start any more.
 async fn await_start_permission(shared: &Shared, call: u64) -> Option<Instant> {
     let (reply, write_deadline) = oneshot::channel();
@@ -408,7 +413,7 @@
     let is_usable = |connection: &Connection| {
         let attribution = connection.record.attribution(&call.items);
         let behaviours = shared.close_behaviours.borrow();
-        behaviours.allow(endpoint, attribution, call.at_most_once)
+        behaviours.allows(endpoint, attribution, call.at_most_once)
     };
     let acquire = |is_usable: &dyn Fn(&Connection) -> bool| {
         let mut pools = shared.pools.borrow_mut();
@@ -421,7 +426,7 @@
             }
             return None;
         };
-        if since.elapsed() < shared.max_idle_time && connection.is_ready().await {
+        if since.elapsed() < shared.max_idle_time && connection.wait_until_ready().await {
             return Some(connection);
         }
     }
--- a/crates/platform/src/http_transport/response.rs
+++ b/crates/platform/src/http_transport/response.rs
@@ -132,11 +132,11 @@
     async fn finish(self, shared: &Shared, mut connection: Connection) {
         let record = &mut connection.record;
         record.record(&self.items, &self.head, self.is_all_delivered);
-        if connection.monitor.is_closing() && connection.monitor.is_first_call() {
+        if connection.monitor.is_close_requested() && connection.monitor.is_first_call() {
             await_orderly_close(shared, self.endpoint, &connection, &self.head).await;
         }
-        let is_full = connection.monitor.calls() >= MAX_CALLS_PER_CONNECTION;
-        match connection.monitor.is_closing() || is_full {
+        let is_full = connection.monitor.call_count() >= MAX_CALLS_PER_CONNECTION;
+        match connection.monitor.is_close_requested() || is_full {
             true => connection.retire(),
             false => return_connection(shared, self.endpoint, self.address, connection),
         }
@@ -166,17 +166,17 @@
     head: &Parts,
 ) -> bool {
     let monitor = &connection.monitor;
-    let has_ended = timeout(CLOSE_TIMEOUT, monitor.until_ended()).await.is_ok();
+    let has_ended = timeout(CLOSE_TIMEOUT, monitor.wait_for_end()).await.is_ok();
     if monitor.has_extra_data() {
         return false;
     }
     let behaviour = match announces_close(head) && has_ended && monitor.ended_after_response() {
-        true => CloseBehaviour::InOrder,
+        true => CloseBehaviour::Orderly,
         false => CloseBehaviour::Other,
     };
     let mut behaviours = shared.close_behaviours.borrow_mut();
     behaviours.record(endpoint, behaviour, Instant::now());
-    behaviour == CloseBehaviour::InOrder
+    behaviour == CloseBehaviour::Orderly
 }
 
 /// Reads the body; `None` if it is incomplete, exceeds the size limit, or takes longer than [`READ_TIMEOUT`].
--- a/crates/platform/src/notifications.rs
+++ b/crates/platform/src/notifications.rs
@@ -1,4 +1,4 @@
-//! Notifications that end undelivered messages, posted to the platform's discovery agent.
+//! Posts notifications to discovery: how undelivered messages have ended.
 
 use crate::discovery::{Network, RequestError, send_request};
 use crate::discovery_backoff::{MIN_DELAY, RESPONSE_TIMEOUT};
@@ -38,7 +38,7 @@
 /// A notification that has not been accepted yet, and the number of the last request that carried it; 0 for none.
 struct PendingNotification {
     notification: Notification,
-    post: u64,
+    last_post: u64,
 }
 
 /// The requests in flight, the oldest first.
@@ -51,7 +51,7 @@
 impl Posts {
     fn start(&mut self, post: impl Future<Output = (Vec<u64>, PostResult)> + 'static) {
         if self.in_flight.len() >= MAX_POSTS {
-            // Abort the second one: a slow agent can still respond to the oldest.
+            // Abort the second one: a slow discovery service can still respond to the oldest.
             self.in_flight.remove(1).abort();
         }
         let handle = self.tasks.spawn_local(post);
@@ -87,14 +87,14 @@
     let mut pending: BTreeMap<u64, PendingNotification> = BTreeMap::new();
     let (mut posts, mut started_posts) = (Posts::default(), 0);
     let (mut next_post_at, mut delay) = (Instant::now(), MIN_DELAY);
-    let (mut is_failing, mut is_open) = (false, true);
-    while is_open || !pending.is_empty() {
+    let (mut is_failing, mut is_queue_open) = (false, true);
+    while is_queue_open || !pending.is_empty() {
         tokio::select! {
-            notification = queue.recv(), if is_open => {
-                is_open = notification.is_some();
+            notification = queue.recv(), if is_queue_open => {
+                is_queue_open = notification.is_some();
                 let mut next = notification;
                 while let Some(notification) = next {
-                    pending.insert(notification.number, PendingNotification { notification, post: 0 });
+                    pending.insert(notification.number, PendingNotification { notification, last_post: 0 });
                     next = queue.try_recv().ok();
                 }
             }
@@ -110,7 +110,7 @@
                         return;
                     }
                 }
-                // Another request has delivered all of these notifications meanwhile, so this failure means nothing.
+                // Other requests have delivered all of these notifications in the meantime, so this failure is ignored.
                 _ if !batch.iter().any(|number| pending.contains_key(number)) => {}
                 other => {
                     if !std::mem::replace(&mut is_failing, true) {
@@ -141,15 +141,15 @@
 fn next_batch(pending: &mut BTreeMap<u64, PendingNotification>, post: u64) -> (Vec<u64>, String) {
     let mut order: Vec<(u64, u64)> = pending
         .iter()
-        .map(|(number, entry)| (entry.post, *number))
+        .map(|(number, entry)| (entry.last_post, *number))
         .collect();
     order.sort_unstable();
     order.truncate(MAX_BATCH_SIZE);
     let (mut batch, mut text) = (Vec::new(), String::new());
     for (_, number) in order {
         if let Some(entry) = pending.get_mut(&number) {
-            entry.post = post;
-            text += &notification_json_line(&entry.notification);
+            entry.last_post = post;
+            text += &to_json_line(&entry.notification);
             batch.push(number);
         }
     }
@@ -177,7 +177,8 @@
     }
 }
 
-fn notification_json_line(notification: &Notification) -> String {
+/// Encodes a notification as one line of JSON; empty for a delivered message.
+fn to_json_line(notification: &Notification) -> String {
     let mut object = serde_json::json!({ "id": notification.id.as_str() });
     match notification.ending {
         // the platform expects no notification of a delivered message
--- a/crates/platform/src/pools.rs
+++ b/crates/platform/src/pools.rs
@@ -92,7 +92,7 @@
     }
 
     /// Takes the most recently used of the usable connections that have been idle for at least `min_idle_time`. The
-    /// others become older, so that connections beyond the need expire.
+    /// others become older, so that surplus connections expire.
     pub(crate) fn acquire(
         &mut self,
         endpoint: EndpointId,
--- a/crates/platform/src/resource_budget.rs
+++ b/crates/platform/src/resource_budget.rs
@@ -10,8 +10,8 @@
 /// body that is being read counts against one of these shares, so that no part can starve another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResourceBudget {
-    /// Maximum number of open connections from clients. Clients occupy up to a third of all descriptors with requests,
-    /// so the limit is larger than that.
+    /// Maximum number of open connections from clients. Clients with an open request occupy up to a third of all
+    /// descriptors, so the limit is larger than that.
     pub client_connections: usize,
     /// Maximum number of new client connections that wait for a slot, in addition to `client_connections`. The same
     /// number again may be closing, with their remaining input being read.
--- a/crates/platform/src/resource_budget/tests.rs
+++ b/crates/platform/src/resource_budget/tests.rs
@@ -22,7 +22,7 @@
                 "{descriptors}: {budget:?}"
             );
         }
-        // clients occupy up to a third of the descriptors with requests
+        // clients with an open request occupy up to a third of the descriptors
         let client_connections =
             ResourceBudget::new(descriptors, 32_000_000, 40).client_connections;
         assert!(
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// Records that a request head has been read; returns the time limit for the body. Until the body is complete, the
+    /// Records that a request head has been read; returns the deadline of the body. Until the body is complete, the
     /// connection may still be asked to close, so that an incomplete request cannot occupy a slot that others need.
     fn begin_request(&self) -> Instant {
         let deadline = self
@@ -147,7 +147,7 @@
     /// Whether the request head may contain a `Content-Length`; false only if the raw head shows that it has none.
     /// hyper removes that header if there is a `Transfer-Encoding` too, but both together can hide a second request in
     /// the body (request smuggling).
-    fn may_have_length(&self) -> bool {
+    fn may_have_content_length(&self) -> bool {
         let head = self.head.borrow();
         let mut headers = [httparse::EMPTY_HEADER; 100];
         let mut request = httparse::Request::new(&mut headers);
@@ -536,7 +536,7 @@
         !transfer_encoding
             .as_bytes()
             .eq_ignore_ascii_case(b"chunked")
-            || state.may_have_length()
+            || state.may_have_content_length()
     }) {
         return Err(bad_request("the length of the body is not clear"));
     }
--- a/crates/platform/src/watch_stream.rs
+++ b/crates/platform/src/watch_stream.rs
@@ -27,8 +27,8 @@
 pub struct WatchStream {
     /// Received bytes that do not yet form an event.
     buffer: Vec<u8>,
-    /// Whether the rest of a line that was too long is still to be skipped.
-    is_discarding_oversized_line: bool,
+    /// Whether input is skipped up to the next newline, because an object was too long.
+    is_skipping_to_newline: bool,
 }
 
 impl WatchStream {
@@ -53,7 +53,7 @@
         }
         if self.buffer.len() > MAX_OBJECT_BYTES {
             events.push(WatchEvent::Malformed(excerpt(&self.buffer)));
-            (self.buffer, self.is_discarding_oversized_line) = (Vec::new(), true);
+            (self.buffer, self.is_skipping_to_newline) = (Vec::new(), true);
         }
         events
     }
@@ -66,8 +66,8 @@
                 .position(|&byte| byte == b'\n')
                 .map(|end| end + 1)
         };
-        if self.is_discarding_oversized_line {
-            self.is_discarding_oversized_line = length_through_newline(unparsed).is_none();
+        if self.is_skipping_to_newline {
+            self.is_skipping_to_newline = length_through_newline(unparsed).is_none();
             return length_through_newline(unparsed)
                 .or(Some(unparsed.len()).filter(|&length| length > 0));
         }
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! The watch of the endpoint list and the notifications in virtual time, against a discovery agent that is unreachable,
-//! hangs, rejects requests, truncates responses or is slow, and recovers.
+//! The watch of the endpoint list and the notifications in virtual time, against a discovery service that is
+//! unreachable, hangs, rejects requests, truncates responses or is slow, and recovers.
 
 #![expect(
     clippy::too_many_lines,
@@ -23,7 +23,7 @@
 /// The platform counts a message as lost when its notification has not been accepted this long after the message's
 /// deadline.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_millis(300);
-/// Response time of a healthy agent in the worst case.
+/// Response time of a healthy discovery service in the worst case.
 const RESPONSE_DELAY: Duration = Duration::from_millis(950);
 
 const fn ms(ms: u64) -> Duration {
@@ -36,13 +36,13 @@
 
 /// Starts a watch; returns the inputs that the watch sends.
 fn start_watch(
-    agent: &VirtualDiscovery,
+    service: &VirtualDiscovery,
     addresses: watch::Receiver<SocketAddr>,
     backoff: DiscoveryBackoff,
 ) -> mpsc::UnboundedReceiver<Input> {
     let (inputs, received) = mpsc::unbounded_channel();
     spawn_local(discovery::watch_endpoints(
-        agent.clone(),
+        service.clone(),
         addresses,
         0,
         backoff,
@@ -62,7 +62,7 @@
     }
 }
 
-/// Time from the recovery of the agent until the sender receives the new list. The agent is healthy until
+/// Time from the recovery of discovery until the sender receives the new list. Discovery is healthy until
 /// `fault_start`, if that is not zero, then in `state`, and healthy again from `recovery` on.
 async fn update_delay(
     state: State,
@@ -71,7 +71,7 @@
     backoff: DiscoveryBackoff,
 ) -> Duration {
     let started_at = Instant::now();
-    let agent = VirtualDiscovery::new(
+    let service = VirtualDiscovery::new(
         vec![
             (ms(0), State::Healthy),
             (fault_start, state),
@@ -80,7 +80,7 @@
         RESPONSE_DELAY,
     );
     let (_address_sender, addresses) = watch::channel(address(1));
-    let mut received = start_watch(&agent, addresses, backoff);
+    let mut received = start_watch(&service, addresses, backoff);
     let received_in_time =
         timeout(recovery + ms(300_000), wait_for_version(&mut received, 3)).await;
     assert!(
@@ -102,7 +102,7 @@
             State::StalledResponse,
         ] {
             for (senders, is_pushed) in [(300, false), (25, false), (3, false), (300, true)] {
-                // zero: the agent is faulty from the start of the sender on
+                // zero: discovery is faulty from the start of the sender on
                 for fault_start in [0, 5000, 5700, 6400] {
                     for step in 0..60 {
                         let (fault_start, recovery) =
@@ -130,12 +130,12 @@
     virtual_time(async {
         for seed in 0..200 {
             for (senders, is_pushed) in [(300, false), (3, false), (300, true)] {
-                let agent =
+                let service =
                     VirtualDiscovery::new(vec![(ms(0), State::Rejecting(1))], RESPONSE_DELAY);
                 let (_address_sender, addresses) = watch::channel(address(1));
                 let started_at = Instant::now();
                 let mut received = start_watch(
-                    &agent,
+                    &service,
                     addresses,
                     DiscoveryBackoff::new(senders, is_pushed, seed),
                 );
@@ -180,20 +180,20 @@
         ] {
             for move_time in 0..40 {
                 let move_time = ms(5000 + 330 * move_time);
-                let agent = VirtualDiscovery::new(
+                let service = VirtualDiscovery::new(
                     vec![(ms(0), State::Healthy), (ms(5000), state)],
                     ms(100),
                 );
-                agent.add_address(address(2), vec![(ms(0), State::Healthy)]);
+                service.add_address(address(2), vec![(ms(0), State::Healthy)]);
                 let (address_sender, addresses) = watch::channel(address(1));
                 let mut received =
-                    start_watch(&agent, addresses, DiscoveryBackoff::new(300, false, 7));
+                    start_watch(&service, addresses, DiscoveryBackoff::new(300, false, 7));
                 wait_for_version(&mut received, 1).await;
-                sleep_until(agent.started_at() + move_time).await;
+                sleep_until(service.started_at() + move_time).await;
                 while received.try_recv().is_ok() {}
                 address_sender.send_replace(address(2));
                 wait_for_version(&mut received, 1).await;
-                let delay = Instant::now() - agent.started_at() - move_time;
+                let delay = Instant::now() - service.started_at() - move_time;
                 assert!(delay <= ms(200), "{state:?} {move_time:?}: {delay:?}");
             }
         }
@@ -201,15 +201,15 @@
 }
 
 #[test]
-fn requests_that_queue_longer_than_the_silence_limit_are_answered() {
+fn requests_that_queue_longer_than_the_inactivity_timeout_are_answered() {
     virtual_time(async {
         // serves 12.5 requests per second in the order of their arrival, including those whose callers have gone
-        let agent = VirtualDiscovery::new(vec![(ms(0), State::Queue(ms(80)))], ms(0));
+        let service = VirtualDiscovery::new(vec![(ms(0), State::Queue(ms(80)))], ms(0));
         let (_address_sender, addresses) = watch::channel(address(1));
         let mut watches: Vec<_> = (0..100)
             .map(|seed| {
                 start_watch(
-                    &agent,
+                    &service,
                     addresses.clone(),
                     DiscoveryBackoff::new(100, false, seed),
                 )
@@ -232,11 +232,16 @@
 }
 
 impl NotificationSender {
-    fn start(agent: &VirtualDiscovery) -> Self {
+    fn start(service: &VirtualDiscovery) -> Self {
         let (notifications, queue) = mpsc::unbounded_channel();
         let (inputs, received) = mpsc::unbounded_channel();
         let (address_sender, addresses) = watch::channel(address(1));
-        spawn_local(post_notifications(agent.clone(), addresses, queue, inputs));
+        spawn_local(post_notifications(
+            service.clone(),
+            addresses,
+            queue,
+            inputs,
+        ));
         NotificationSender {
             notifications,
             inputs: received,
@@ -276,11 +281,11 @@
         for hanging_state in [State::Unresponsive, State::Unreachable] {
             for submit_offset_ms in [0, 1, 30, 99, 100, 101, 250, 700] {
                 // only the first request hangs
-                let agent = VirtualDiscovery::new(
+                let service = VirtualDiscovery::new(
                     vec![(ms(0), hanging_state), (ms(1), State::Healthy)],
                     ms(5),
                 );
-                let mut sender = NotificationSender::start(&agent);
+                let mut sender = NotificationSender::start(&service);
                 sender.submit(1);
                 sleep(ms(1 + submit_offset_ms)).await;
                 sender.submit(2);
@@ -288,8 +293,8 @@
                 let mut accepted = sender.wait_for_accepted(2).await;
                 accepted.sort_unstable();
                 assert_eq!(accepted, [1, 2], "each is reported once");
-                let first_delay = agent.accepted_at("m1") - agent.started_at();
-                let second_delay = agent.accepted_at("m2") - submitted_at;
+                let first_delay = service.accepted_at("m1") - service.started_at();
+                let second_delay = service.accepted_at("m2") - submitted_at;
                 assert!(
                     first_delay < NOTIFICATION_DEADLINE && second_delay < NOTIFICATION_DEADLINE,
                     "{hanging_state:?} {submit_offset_ms}: {first_delay:?} {second_delay:?}"
@@ -300,11 +305,12 @@
 }
 
 #[test]
-fn a_slow_agent_can_respond_and_few_requests_are_in_flight() {
+fn a_slow_discovery_service_can_respond_and_few_requests_are_in_flight() {
     virtual_time(async {
         for response_delay_ms in [5, 90, 150, 400, 950] {
-            let agent = VirtualDiscovery::new(vec![(ms(0), State::Healthy)], ms(response_delay_ms));
-            let mut sender = NotificationSender::start(&agent);
+            let service =
+                VirtualDiscovery::new(vec![(ms(0), State::Healthy)], ms(response_delay_ms));
+            let mut sender = NotificationSender::start(&service);
             for number in 1..=1000 {
                 sender.submit(number);
                 sleep(ms(number % 7)).await;
@@ -316,21 +322,21 @@
             accepted.dedup();
             assert_eq!(accepted.len(), 1000, "each once");
             assert!(
-                response_delay_ms > 100 || agent.posted_notification_count() == 1000,
-                "a fast agent receives each notification once"
+                response_delay_ms > 100 || service.posted_notification_count() == 1000,
+                "a fast discovery service receives each notification once"
             );
             // three requests in flight, and one whose connection is being closed
             assert!(
-                agent.max_open_connections() <= 4,
+                service.max_open_connections() <= 4,
                 "{response_delay_ms}: {} at once",
-                agent.max_open_connections()
+                service.max_open_connections()
             );
         }
     });
 }
 
 #[test]
-fn notifications_arrive_in_time_after_the_agent_recovers_or_moves() {
+fn notifications_arrive_in_time_after_discovery_recovers_or_moves() {
     virtual_time(async {
         for state in [
             State::ConnectionRefused,
@@ -341,28 +347,28 @@
         ] {
             for recovery in 0..40 {
                 let recovery = ms(4000 + 70 * recovery);
-                let agent =
+                let service =
                     VirtualDiscovery::new(vec![(ms(0), state), (recovery, State::Healthy)], ms(5));
-                let mut sender = NotificationSender::start(&agent);
+                let mut sender = NotificationSender::start(&service);
                 sender.submit(1);
-                sleep_until(agent.started_at() + recovery - ms(40)).await;
+                sleep_until(service.started_at() + recovery - ms(40)).await;
                 sender.submit(2);
                 sender.wait_for_accepted(2).await;
-                let delay = agent.accepted_at("m2") - agent.started_at() - recovery;
+                let delay = service.accepted_at("m2") - service.started_at() - recovery;
                 assert!(
                     delay < NOTIFICATION_DEADLINE - ms(40),
                     "{state:?} {recovery:?}: {delay:?}"
                 );
             }
-            let agent = VirtualDiscovery::new(vec![(ms(0), state)], ms(5));
-            agent.add_address(address(2), vec![(ms(0), State::Healthy)]);
-            let mut sender = NotificationSender::start(&agent);
+            let service = VirtualDiscovery::new(vec![(ms(0), state)], ms(5));
+            service.add_address(address(2), vec![(ms(0), State::Healthy)]);
+            let mut sender = NotificationSender::start(&service);
             sender.submit(1);
             sleep(ms(3210)).await;
             sender.addresses.send_replace(address(2));
             sender.wait_for_accepted(1).await;
             assert!(
-                agent.accepted_at("m1") - agent.started_at() < ms(3220),
+                service.accepted_at("m1") - service.started_at() < ms(3220),
                 "{state:?}"
             );
         }
--- a/crates/platform/tests/server.rs
+++ b/crates/platform/tests/server.rs
@@ -21,7 +21,7 @@
 use tokio::time::{Instant, advance, sleep_until};
 
 /// Limit on the polls of a condition; every condition in these tests is reached sooner.
-const MAX_TURNS: usize = 200_000;
+const MAX_POLLS: usize = 200_000;
 
 /// A running server with `max_connections` slots, and `extra_connections` each for waiting and for lingering
 /// connections.
@@ -139,7 +139,7 @@
 }
 
 async fn wait_until(description: &str, mut is_satisfied: impl FnMut() -> bool) {
-    for number in 0..MAX_TURNS {
+    for number in 0..MAX_POLLS {
         if is_satisfied() {
             return;
         }
@@ -285,9 +285,9 @@
         let mut client = write_at(client, last, started_at + Duration::from_millis(2000)).await;
         assert_eq!(client.status().await, "202");
         // the next request: the time limit is 2.5 s
-        let answered = Instant::now();
+        let responded_at = Instant::now();
         let text = message_request("order", "m2", 7, 20_000, b"x");
-        let mut client = write_at(client, text, answered + Duration::from_millis(2500)).await;
+        let mut client = write_at(client, text, responded_at + Duration::from_millis(2500)).await;
         assert_eq!(client.status().await, "202");
         assert_eq!(*fixture.accepted_ids.borrow(), ["m1", "m2"]);
     });
--- a/crates/platform/tests/settings.rs
+++ b/crates/platform/tests/settings.rs
@@ -4,7 +4,7 @@
 use milletturn_policy::MILLISECOND;
 
 #[test]
-fn the_wait_per_key_includes_the_time_until_an_endpoint_notices_an_abandoned_call() {
+fn the_wait_per_key_includes_the_time_until_an_endpoint_notices_an_aborted_call() {
     for (turn_gap, expected_ms) in [
         (serde_json::json!(0.0), 0),
         (serde_json::json!(0.7), 700),
--- a/crates/platform/tests/single_calls.rs
+++ b/crates/platform/tests/single_calls.rs
@@ -17,10 +17,10 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, timeout};
 
-/// The result of a call: the waits that were reported, and how the call ended.
+/// The result of a call: the retry-after delays that were reported, and how the call ended.
 #[derive(Debug, PartialEq)]
 struct CallReport {
-    retry_after_waits: Vec<Micros>,
+    retry_after_delays: Vec<Micros>,
     outcome: Outcome,
     cause: EndCause,
 }
@@ -72,10 +72,10 @@
         cancel
     }
 
-    /// Waits until the call has ended, and with `stream` also until its connection is closed, so that waits that are
-    /// reported late are included.
+    /// Waits until the call has ended, and with `stream` also until its connection is closed, so that delays that
+    /// are reported late are included.
     async fn next_report(&mut self, mut stream: Option<TcpStream>) -> CallReport {
-        let mut retry_after_waits = Vec::new();
+        let mut retry_after_delays = Vec::new();
         loop {
             match common::next_input(&mut self.received)
                 .await
@@ -83,7 +83,7 @@
             {
                 Input::RetryAfter { endpoint, wait } => {
                     assert_eq!(endpoint, EndpointId(1));
-                    retry_after_waits.push(wait);
+                    retry_after_delays.push(wait);
                 }
                 Input::AttemptEnded(ended) => {
                     if let Some(stream) = &mut stream {
@@ -92,16 +92,16 @@
                     }
                     while let Ok(input) = self.received.try_recv() {
                         if let Input::RetryAfter { wait, .. } = input {
-                            retry_after_waits.push(wait);
+                            retry_after_delays.push(wait);
                         }
                     }
                     return CallReport {
-                        retry_after_waits,
+                        retry_after_delays,
                         outcome: ended.outcome,
                         cause: ended.cause,
                     };
                 }
-                other => panic!("neither a wait nor an end: {other:?}"),
+                other => panic!("neither a retry-after delay nor an end: {other:?}"),
             }
         }
     }
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_request_that_is_incomplete_at_its_deadline_is_abandoned_and_never_ran() {
+fn a_request_that_is_incomplete_at_its_deadline_is_aborted_and_never_ran() {
     run_local(async {
         // The endpoint does not read, so the kernel's buffers hold only a part of the request.
         let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -218,8 +218,8 @@
     }
 }
 
-/// The waits that must be reported for this beginning of [`HEAD`].
-fn expected_retry_after_waits(prefix: &str) -> Vec<Micros> {
+/// The retry-after delays that must be reported for this beginning of [`HEAD`].
+fn expected_retry_after_delays(prefix: &str) -> Vec<Micros> {
     let retry_after_end =
         HEAD.find("1.5\r\n").expect("the header is in the text") + "1.5\r\n".len();
     if prefix.len() >= retry_after_end {
@@ -243,8 +243,8 @@
             drop(stream);
             let report = fixture.calls.next_report(None).await;
             assert_eq!(
-                report.retry_after_waits,
-                expected_retry_after_waits(&text[..cut]),
+                report.retry_after_delays,
+                expected_retry_after_delays(&text[..cut]),
                 "cut at {cut}"
             );
             assert_eq!(
@@ -270,8 +270,8 @@
             cancel.send(0).expect("the call is in flight");
             let report = fixture.calls.next_report(Some(stream)).await;
             assert_eq!(
-                report.retry_after_waits,
-                expected_retry_after_waits(&HEAD[..cut]),
+                report.retry_after_delays,
+                expected_retry_after_delays(&HEAD[..cut]),
                 "cut at {cut}"
             );
             assert_eq!(
@@ -302,7 +302,7 @@
             (report.outcome, report.cause),
             (Outcome::Reset, EndCause::ResponseIncomplete(429))
         );
-        assert!(report.retry_after_waits.is_empty());
+        assert!(report.retry_after_delays.is_empty());
     });
 }
 
@@ -343,7 +343,7 @@
                 format!("HTTP/1.1 503 No\r\n{headers}\r\nContent-Length: {length}\r\n\r\n{body}");
             stream.write_all(text.as_bytes()).await.expect("open");
             let report = fixture.calls.next_report(None).await;
-            assert_eq!(report.retry_after_waits, expected, "{headers}");
+            assert_eq!(report.retry_after_delays, expected, "{headers}");
             let wait = expected.into_iter().max();
             assert_eq!(
                 report.outcome,
@@ -477,7 +477,7 @@
 }
 
 #[test]
-fn a_last_response_followed_by_endless_data_is_abandoned_at_once() {
+fn a_call_whose_last_response_is_followed_by_endless_data_ends_at_once() {
     // Guards against an endpoint that sends without end and so occupies the connection.
     run_local(async {
         let mut fixture = EndpointFixture::new().await;
@@ -504,7 +504,7 @@
         stream.write_all(both.as_bytes()).await.expect("open");
         stream.shutdown().await.expect("open");
         let report = fixture.calls.next_report(None).await;
-        assert_eq!(report.retry_after_waits, vec![1500 * MILLISECOND]);
+        assert_eq!(report.retry_after_delays, vec![1500 * MILLISECOND]);
         assert_eq!(report.outcome, Outcome::Reset);
     });
 }
@@ -559,11 +559,8 @@
     run_local(async {
         let mut fixture = EndpointFixture::new().await;
         let (mut stream, _cancel) = fixture.call().await;
-        let gone_response = response("410 Gone", "");
-        stream
-            .write_all(gone_response.as_bytes())
-            .await
-            .expect("open");
+        let text = response("410 Gone", "");
+        stream.write_all(text.as_bytes()).await.expect("open");
         assert_eq!(
             fixture.calls.next_end().await.outcome,
             Outcome::Unsent { no_slot: false }
--- a/crates/platform/tests/virtual_discovery/mod.rs
+++ b/crates/platform/tests/virtual_discovery/mod.rs
@@ -1,4 +1,4 @@
-//! A fake discovery agent in virtual time, without sockets.
+//! A fake discovery service in virtual time, without sockets.
 
 use milletturn_platform::discovery::Network;
 use std::cell::RefCell;
@@ -20,7 +20,7 @@
     LocalSet::new().block_on(&runtime.expect("a runtime"), test);
 }
 
-/// How the agent treats connections and requests.
+/// How the service treats connections and requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum State {
     /// Responds to each request: a watch receives the list and keep-alives, and notifications are accepted.
@@ -35,7 +35,7 @@
     TruncatedResponse,
     /// Sends the beginning of a response, and nothing more.
     StalledResponse,
-    /// Responds to this many requests with 503, and to later ones like a healthy agent.
+    /// Responds to this many requests with 503, and to later ones like a healthy service.
     Rejecting(u32),
     /// Serves requests one after the other, each taking this time, even if the caller has gone.
     Queue(Duration),
@@ -43,7 +43,7 @@
 
 struct DiscoveryState {
     started_at: Instant,
-    /// For each address of the agent, its states with the times at which they begin.
+    /// For each address of the service, its states with the times at which they begin.
     schedules: BTreeMap<SocketAddr, Vec<(Duration, State)>>,
     response_delay: Duration,
     rejected_requests: u32,
@@ -72,12 +72,12 @@
     }
 }
 
-/// The agent and the network to it.
+/// The service and the network to it.
 #[derive(Clone)]
 pub(crate) struct VirtualDiscovery(Rc<RefCell<DiscoveryState>>);
 
 impl VirtualDiscovery {
-    /// Creates an agent with these states from these times on, which responds after `response_delay`. The version of
+    /// Creates a service with these states from these times on, which responds after `response_delay`. The version of
     /// the list is the number of the state.
     pub(crate) fn new(schedule: Vec<(Duration, State)>, response_delay: Duration) -> Self {
         VirtualDiscovery(Rc::new(RefCell::new(DiscoveryState {
@@ -93,7 +93,7 @@
         })))
     }
 
-    /// Adds another agent at this address.
+    /// Adds another service at this address.
     pub(crate) fn add_address(&self, address: SocketAddr, schedule: Vec<(Duration, State)>) {
         self.0.borrow_mut().schedules.insert(address, schedule);
     }
@@ -189,11 +189,11 @@
             .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             .await
             .ok()?;
-        let mut watch_line = format!("{{\"rev\":{position},\"all\":true,\"targets\":[]}}");
+        let mut line = format!("{{\"rev\":{position},\"all\":true,\"targets\":[]}}");
         loop {
-            let chunk = format!("{:x}\r\n{watch_line}\n\r\n", watch_line.len() + 1);
+            let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
             stream.write_all(chunk.as_bytes()).await.ok()?;
-            watch_line = String::new();
+            line = String::new();
             sleep(Duration::from_secs(2)).await;
             match self.0.borrow().current_state(address) {
                 (current, _) if current == position => {}
