--- a/src/access_log.rs
+++ b/src/access_log.rs
@@ -120,7 +120,7 @@
     }
     if summary.dropped_records() > 0 {
         eprintln!(
-            "milletturn: {} lines left out: too many rows; a longer --span makes fewer",
+            "milletturn: {} records dropped, because the summary has too many rows; a longer --span needs fewer",
             summary.dropped_records()
         );
     }
--- a/src/assemble.rs
+++ b/src/assemble.rs
@@ -9,9 +9,9 @@
 mod takeover;
 
 pub(crate) use running::Running;
-pub(crate) use signals::{Signals, block_on, until_terminated};
+pub(crate) use signals::{Signals, block_on, run_until_sigterm};
 
-use crate::timekeeper::module_time;
+use crate::persistent_clock::start_time_us;
 use engine::{EngineParts, start_engine};
 use listener::{ConnectionLimits, http_server, into_listener};
 use milletturn_dead_letter::config::Config as StoreConfig;
@@ -32,7 +32,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use takeover::{HandoverParts, InheritedParts, TakeoverRequests};
+use takeover::{HotRestartParts, InheritedParts, TakeoverRequests};
 use tokio::sync::{mpsc, watch};
 
 /// The options from which [`assemble()`] starts a sender.
@@ -145,14 +145,18 @@
     log(format_args!("{name}: listening on {address}"));
     let listening_socket = listener.as_fd().try_clone_to_owned()?;
     tokio::task::spawn_local(serve(listener, Rc::new(server)));
-    let handover = HandoverParts {
+    let hot_restart = HotRestartParts {
         gate: handles.gate.clone(),
         lock: inherited.lock,
         listening_socket,
     };
-    let requests = accept_takeovers(&name, &options.state_dir, &handover);
-    let engine =
-        tokio::task::spawn_local(takeover::run_engine(engine, received, requests, handover));
+    let requests = accept_takeovers(&name, &options.state_dir, &hot_restart);
+    let engine = tokio::task::spawn_local(takeover::run_engine(
+        engine,
+        received,
+        requests,
+        hot_restart,
+    ));
     Ok(Running::new(name, handles, final_outcomes, engine))
 }
 
@@ -167,7 +171,8 @@
     Ok(opened)
 }
 
-/// Logs how many records and unfinished messages the journal had, and how much of it was torn off or damaged.
+/// Logs how many records and unfinished messages the journal had, and how many bytes were truncated at its end or
+/// skipped as damaged.
 fn log_recovery(name: &str, journal: &FileJournal, recovery: &Recovery) {
     let Recovery {
         records,
@@ -208,16 +213,20 @@
         .unwrap_or_default();
     let wall_us = i64::try_from(since_epoch.as_micros())?;
     Ok(Clock::new(if options.store.is_some() {
-        module_time(&options.state_dir, wall_us)
+        start_time_us(&options.state_dir, wall_us)
     } else {
         wall_us
     }))
 }
 
 /// Listens for processes that request a takeover, if this one holds the folder's lock.
-fn accept_takeovers(name: &str, state_dir: &Path, handover: &HandoverParts) -> TakeoverRequests {
+fn accept_takeovers(
+    name: &str,
+    state_dir: &Path,
+    hot_restart: &HotRestartParts,
+) -> TakeoverRequests {
     let (requests, requested) = mpsc::channel(1);
-    match handover
+    match hot_restart
         .lock
         .is_some()
         .then(|| old_process::listen(state_dir))
--- a/src/assemble/running.rs
+++ b/src/assemble/running.rs
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// If the engine fails, or the process that takes over can't read this one's state.
-    pub(crate) async fn run_until_terminated(
+    pub(crate) async fn run_until_sigterm(
         self,
         mut signals: Signals,
         mut on_hangup: impl FnMut(),
@@ -130,7 +130,7 @@
                 Some(()) = signals.hangup.recv() => on_hangup(),
             }
         }
-        log(format_args!("{name}: ends"));
+        log(format_args!("{name}: exiting"));
         Ok(())
     }
 }
--- a/src/assemble/signals.rs
+++ b/src/assemble/signals.rs
@@ -22,7 +22,7 @@
     }
 
     /// Waits for SIGTERM and ignores SIGHUP, for processes without a configuration to reload.
-    pub(crate) async fn until_terminated(&mut self) {
+    pub(crate) async fn wait_for_sigterm(&mut self) {
         loop {
             tokio::select! {
                 _ = self.terminate.recv() => return,
@@ -42,16 +42,16 @@
     LocalSet::new().block_on(&runtime, future)
 }
 
-/// Runs a service until SIGTERM, or until it fails, and ends without draining. `name` is its name in the log.
-pub(crate) async fn until_terminated<E: Error + 'static>(
+/// Runs a service until SIGTERM, or until it fails, and returns without draining. `name` is its name in the log.
+pub(crate) async fn run_until_sigterm<E: Error + 'static>(
     name: String,
     service: impl Future<Output = Result<(), E>>,
 ) -> Result<(), Box<dyn Error>> {
     let mut signals = Signals::new()?;
     tokio::select! {
         ended = service => Ok(ended?),
-        () = signals.until_terminated() => {
-            log(format_args!("{name}: SIGTERM, ends"));
+        () = signals.wait_for_sigterm() => {
+            log(format_args!("{name}: SIGTERM, exiting"));
             Ok(())
         }
     }
--- a/src/assemble/takeover.rs
+++ b/src/assemble/takeover.rs
@@ -1,4 +1,4 @@
-//! Hot restart: what a process inherits from its predecessor, and how it hands over to its successor.
+//! Hot restart: what a process inherits from its predecessor, and how its successor takes over from it.
 
 use super::FolderAccess;
 use super::listener::ConnectionLimits;
@@ -84,8 +84,8 @@
     }
 }
 
-/// What a process needs in order to hand over to its successor.
-pub(super) struct HandoverParts {
+/// What a process needs so that its successor can take over.
+pub(super) struct HotRestartParts {
     /// Admits clients, and counts their open connections.
     pub(super) gate: Rc<DrainGate>,
     /// The lock of the state folder; none without hot restart.
@@ -100,16 +100,16 @@
     mut engine: Engine,
     mut inputs: mpsc::UnboundedReceiver<Input>,
     requests: TakeoverRequests,
-    handover: HandoverParts,
+    hot_restart: HotRestartParts,
 ) -> bool {
-    match run_until_takeover(&mut engine, &mut inputs, requests, &handover).await {
+    match run_until_takeover(&mut engine, &mut inputs, requests, &hot_restart).await {
         None => true,
         Some(OfferOutcome::MustExit) => false,
         Some(OfferOutcome::TakenOver(request)) => {
             let forwarding = ForwardingState {
                 cancels: engine.into_cancel_senders(),
                 inputs,
-                gate: handover.gate,
+                gate: hot_restart.gate,
             };
             forwarding.forward_until_idle(request).await;
             true
@@ -118,12 +118,12 @@
 }
 
 /// Runs the engine until its inputs end, and returns none then, or until the new process has decided on an offered
-/// takeover, and returns the outcome. After a failed takeover the engine goes on.
+/// takeover, and returns the outcome. After a failed takeover the engine continues.
 async fn run_until_takeover(
     engine: &mut Engine,
     inputs: &mut mpsc::UnboundedReceiver<Input>,
     mut requests: TakeoverRequests,
-    handover: &HandoverParts,
+    hot_restart: &HotRestartParts,
 ) -> Option<OfferOutcome> {
     loop {
         let request = tokio::select! {
@@ -131,30 +131,30 @@
             Some(request) = requests.recv() => request,
         };
         // no takeover while this process shuts down: the next process starts when this one has ended
-        let Some(lock) = handover
+        let Some(lock) = hot_restart
             .lock
             .as_ref()
-            .filter(|_| !handover.gate.is_terminating())
+            .filter(|_| !hot_restart.gate.is_terminating())
         else {
             continue;
         };
         let inherited = InheritedState {
-            listener: handover.listening_socket.as_fd(),
+            listener: hot_restart.listening_socket.as_fd(),
             lock: lock.as_fd(),
-            gate: &handover.gate,
+            gate: &hot_restart.gate,
         };
         match old_process::offer_takeover(request, engine, &inherited).await {
             Ok(outcome) => {
-                handover.gate.record_takeover();
+                hot_restart.gate.record_takeover();
                 log(format_args!(
                     "hot restart: {} clients and {} calls stay here",
-                    handover.gate.open_connections(),
+                    hot_restart.gate.open_connections(),
                     engine.calls_in_flight()
                 ));
                 return Some(outcome);
             }
             Err(error) => log(format_args!(
-                "hot restart: takeover failed, this process goes on: {error}"
+                "hot restart: takeover failed, this process continues: {error}"
             )),
         }
     }
--- a/src/config.rs
+++ b/src/config.rs
@@ -208,7 +208,7 @@
     let name = prompt_unless_given(options.name, "The application's name", "application");
     let port = prompt_unless_given(options.port, "Port where it hands messages in", "7001");
     let Ok(port) = port.parse::<u16>() else {
-        eprintln!("milletturn: {port} is no port");
+        eprintln!("milletturn: {port} is not a port number");
         return ExitCode::from(2);
     };
     let effect = prompt_unless_given(
--- a/src/coordinator.rs
+++ b/src/coordinator.rs
@@ -1,6 +1,6 @@
 //! `milletturn coordinator`: one replica of the coordination service.
 
-use crate::assemble::{block_on, until_terminated};
+use crate::assemble::{block_on, run_until_sigterm};
 use clap::Args;
 use milletturn_coordinator::service::{self, Restore};
 use milletturn_coordinator::settings::Settings;
@@ -62,5 +62,5 @@
         return Ok(());
     }
     let name = format!("coordinator {} of {}", settings.id, settings.group);
-    block_on(until_terminated(name, service::run(settings)))
+    block_on(run_until_sigterm(name, service::run(settings)))
 }
--- a/src/dead_letter.rs
+++ b/src/dead_letter.rs
@@ -69,7 +69,7 @@
         (None, Some(folder)) => Ok(folder.clone()),
         (None, None) => Err(report(
             concat!(
-                "which sender? Name a sidecar's configuration by --config, or a state folder by --folder or ",
+                "no sender given: name a sidecar's configuration with --config, or a state folder with --folder or ",
                 "RELAY_STATE"
             ),
             USAGE,
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -54,7 +54,7 @@
 "#
     ))?;
     running
-        .run_until_terminated(signals, || {
+        .run_until_sigterm(signals, || {
             drop(output::print_line(format_args!("{name}: SIGHUP")));
         })
         .await
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -117,6 +117,7 @@
         source: std::io::Error,
     },
 }
+
 /// Runs a command and prints its error. Scripts rely on the exit code.
 pub(crate) fn run(arguments: &Arguments) -> ExitCode {
     let ended = block_on(async { Ok(run_command(arguments).await) });
--- a/src/fleet/hold.rs
+++ b/src/fleet/hold.rs
@@ -65,7 +65,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            () = signals.until_terminated() => break,
+            () = signals.wait_for_sigterm() => break,
             Some(event) = events.recv() => print_event(&event, format),
             _ = ticks.tick() => {
                 // rewrites the previous owner's checkpoint unchanged, so that the next owner finds it
--- a/src/main.rs
+++ b/src/main.rs
@@ -12,10 +12,10 @@
 mod logger;
 mod operators;
 mod output;
+mod persistent_clock;
 mod run;
 mod session_proxy;
 mod sidecar;
-mod timekeeper;
 
 use clap::{Parser, Subcommand};
 use std::path::PathBuf;
--- a/src/operators.rs
+++ b/src/operators.rs
@@ -8,11 +8,11 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// Binds the admin listener to the address and serves it in the background.
+/// Binds the admin listener to the address, and serves it in a task of its own.
 ///
 /// # Errors
 /// If the address can't be bound.
-pub(crate) async fn open(
+pub(crate) async fn start_admin_listener(
     name: &str,
     address: SocketAddr,
     running: &Running,
--- a/src/timekeeper.rs
+++ b/src/persistent_clock.rs
@@ -1,8 +1,8 @@
 //! A start time for the engine's clock that does not go back from one process to the next, even if the wall clock does.
 //!
-//! The window in which destinations drop repeats of an idempotency key is counted from attempts of earlier processes.
-//! If the wall clock was set back between two processes, too little of the window would seem to have passed, and a
-//! redriven message could take effect twice. So each process saves its clock's time together with the machine's uptime,
+//! The deduplication window of an idempotency key, in which destinations drop repeats, is counted from attempts of
+//! earlier processes. If the wall clock was set back between two processes, too little of the window would seem to have
+//! passed, and a redriven message could take effect twice. So each process saves its clock's time together with the machine's uptime,
 //! which can't be set.
 
 use std::fs;
@@ -19,54 +19,57 @@
 /// The time is the later of the wall clock and what the clock of the previous process would show now. If the file or
 /// the uptime can't be read, the time is that of the wall clock; a clock that was set back is then noticed only if it
 /// shows a time before a recorded attempt.
-pub(crate) fn module_time(folder: &Path, wall: i64) -> i64 {
-    let Some((boot, uptime)) = since_boot() else {
-        return wall;
+pub(crate) fn start_time_us(folder: &Path, wall_us: i64) -> i64 {
+    let Some((boot_id, uptime_us)) = boot_id_and_uptime_us() else {
+        return wall_us;
     };
-    let time = continued_time(
+    let time_us = continued_time_us(
         &fs::read_to_string(folder.join(CLOCK_FILE)).unwrap_or_default(),
-        &boot,
-        uptime,
-        wall,
+        &boot_id,
+        uptime_us,
+        wall_us,
     );
     let new = folder.join(format!("{CLOCK_FILE}.new"));
-    let written = fs::write(&new, format!("{boot} {uptime} {time}\n"))
+    let written = fs::write(&new, format!("{boot_id} {uptime_us} {time_us}\n"))
         .and_then(|()| fs::rename(&new, folder.join(CLOCK_FILE)));
     if let Err(error) = written {
-        milletturn_logging::log(format_args!("clock not saved: {error}"));
+        milletturn_logging::log(format_args!(
+            "file {CLOCK_FILE} in the state folder not written: {error}"
+        ));
     }
-    time
+    time_us
 }
 
-/// Continues the saved time by the uptime that has passed since, or by nothing after a reboot. Never before `wall`.
-fn continued_time(text: &str, boot: &str, uptime: i64, wall: i64) -> i64 {
+/// The saved time plus the uptime that has passed since, which is unknown and taken as zero after a reboot. Never before
+/// `wall_us`.
+fn continued_time_us(text: &str, boot_id: &str, uptime_us: i64, wall_us: i64) -> i64 {
     let mut fields = text.split_whitespace();
-    let (Some(saved_boot), Some(saved_uptime), Some(saved_time)) =
+    let (Some(saved_boot_id), Some(saved_uptime_us), Some(saved_time_us)) =
         (fields.next(), fields.next(), fields.next())
     else {
-        return wall;
+        return wall_us;
     };
-    let (Ok(saved_uptime), Ok(saved_time)) =
-        (saved_uptime.parse::<i64>(), saved_time.parse::<i64>())
+    let (Ok(saved_uptime_us), Ok(saved_time_us)) =
+        (saved_uptime_us.parse::<i64>(), saved_time_us.parse::<i64>())
     else {
-        return wall;
+        return wall_us;
     };
-    let elapsed = if saved_boot == boot {
-        uptime.saturating_sub(saved_uptime).max(0)
+    let elapsed_us = if saved_boot_id == boot_id {
+        uptime_us.saturating_sub(saved_uptime_us).max(0)
     } else {
         0
     };
     // a damaged time far in the future must not hold the clock there
-    let continued = saved_time.saturating_add(elapsed);
-    if continued > wall.saturating_add(MAX_LEAD_US) {
-        wall
+    let continued_us = saved_time_us.saturating_add(elapsed_us);
+    if continued_us > wall_us.saturating_add(MAX_LEAD_US) {
+        wall_us
     } else {
-        wall.max(continued)
+        wall_us.max(continued_us)
     }
 }
 
-/// The kernel's boot id, and microseconds since the boot including suspend (proc(5)).
-fn since_boot() -> Option<(String, i64)> {
+/// The kernel's boot id, and the microseconds since boot, including time in suspend (proc(5)).
+fn boot_id_and_uptime_us() -> Option<(String, i64)> {
     let boot = fs::read_to_string("/proc/sys/kernel/random/boot_id")
         .ok()?
         .trim()
--- a/src/run.rs
+++ b/src/run.rs
@@ -1,4 +1,4 @@
-//! The sender on the platform: reads its configuration, connects to the discovery agent, and reloads on SIGHUP.
+//! The sender on the platform: reads its configuration, connects to discovery, and reloads on SIGHUP.
 
 use crate::assemble::{
     FolderAccess, Running, SenderOptions, Signals, StoreOptions, assemble, block_on, client_classes,
@@ -64,7 +64,7 @@
     let mut running = assemble(options).await?;
     let discovery = start_discovery(discovery, watch_start, &mut running);
     if let Some(address) = management {
-        operators::open(&name, address, &running).await?;
+        operators::start_admin_listener(&name, address, &running).await?;
     }
     let reload = Rc::new(Reload {
         name,
@@ -77,7 +77,7 @@
         reload_lock: Mutex::new(()),
     });
     running
-        .run_until_terminated(signals, move || {
+        .run_until_sigterm(signals, move || {
             tokio::task::spawn_local(reload.clone().run());
         })
         .await
@@ -89,16 +89,16 @@
     has_store: bool,
     signals: &mut Signals,
 ) -> std::io::Result<Option<FolderAccess>> {
-    // pending writes of a dead-letter store can't be handed over, so there is no hot restart with a store: the next
-    // process starts after this one has ended
+    // pending writes of a dead-letter store can't be passed to another process, so there is no hot restart with a store:
+    // the next process starts after this one has ended
     if has_store {
         return Ok(Some(FolderAccess::Configured));
     }
     tokio::select! {
         ownership = acquire_folder(&config.state_dir) => Ok(Some(FolderAccess::Locked(ownership?))),
         // no message has been accepted yet, and the process that holds the folder may run for an unlimited time
-        () = signals.until_terminated() => {
-            log(format_args!("{}: SIGTERM while waiting for the state folder, ends", config.name));
+        () = signals.wait_for_sigterm() => {
+            log(format_args!("{}: SIGTERM while waiting for the state folder, exiting", config.name));
             Ok(None)
         }
     }
@@ -170,8 +170,8 @@
     })
 }
 
-/// Starts to watch the endpoint list and to post notifications. The returned channel changes the discovery agent's
-/// address.
+/// Starts to watch the endpoint list and to post notifications. The returned channel changes the address of
+/// discovery.
 fn start_discovery(
     address: SocketAddr,
     start: WatchStart,
@@ -199,7 +199,7 @@
 /// The bytes of the state folder that remain for the journal beside the dead-letter store.
 ///
 /// # Errors
-/// If the store's reservation leaves the journal less than its minimum part.
+/// If the store's reservation leaves the journal less than its minimum share.
 fn journal_max_bytes(store: &StoreConfig, disk_bytes: u64) -> Result<u64, Box<dyn Error>> {
     let max_bytes = disk_bytes.saturating_sub(RESERVED_STORE_SIZES * store.max_bytes);
     if max_bytes >= disk_bytes / JOURNAL_DIVISOR {
@@ -222,7 +222,7 @@
     name: String,
     path: PathBuf,
     keys: ConfigKeys,
-    /// The address of the discovery agent.
+    /// The address of discovery.
     discovery: watch::Sender<SocketAddr>,
     metrics: Rc<Metrics>,
     inputs: mpsc::UnboundedSender<Input>,
--- a/src/session_proxy.rs
+++ b/src/session_proxy.rs
@@ -1,6 +1,6 @@
 //! `milletturn session-proxy`: batches the heartbeats and commands of many members for the coordinators.
 
-use crate::assemble::{block_on, until_terminated};
+use crate::assemble::{block_on, run_until_sigterm};
 use crate::config::{findings_count_text, report};
 use crate::format::Format;
 use crate::output;
@@ -56,5 +56,5 @@
         return Ok(());
     }
     let name = settings.log_name();
-    block_on(until_terminated(name, service::run(settings)))
+    block_on(run_until_sigterm(name, service::run(settings)))
 }
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -56,7 +56,7 @@
     let path = path.to_path_buf();
     let metrics = running.metrics.clone();
     running
-        .run_until_terminated(signals, || reload(&name, &path, &metrics))
+        .run_until_sigterm(signals, || reload(&name, &path, &metrics))
         .await
 }
 
@@ -99,7 +99,7 @@
     ));
     tokio::task::spawn_local(shared.clone().serve(listener));
     if let Some(address) = plan.admin_address {
-        operators::open(&name, address, &running).await?;
+        operators::start_admin_listener(&name, address, &running).await?;
     }
     store_outcomes(shared, plan.callback, seed, &mut running);
     if let Some(file) = plan.endpoints_file {
