--- a/crates/access-log/src/observer.rs
+++ b/crates/access-log/src/observer.rs
@@ -1,6 +1,6 @@
 //! The observer that writes the access records of one sender to its log.
 
-use crate::record::{AccessEvent, AccessRecord, AttemptOutcome, GiveUpReason, RECORD_PREFIX};
+use crate::record::{AbandonReason, AccessEvent, AccessRecord, AttemptOutcome, RECORD_PREFIX};
 use milletturn_engine::{Attribution, CloseReason, EndCause, EndReason, EngineEvent, Observer};
 use milletturn_policy::Outcome;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
@@ -73,11 +73,11 @@
             reason,
             never_attempted,
             ..
-        } => AccessEvent::GivenUp {
+        } => AccessEvent::Abandoned {
             id: id.to_string(),
             destination,
             age_us: non_negative(age),
-            reason: give_up_reason(reason),
+            reason: abandon_reason(reason),
             never_attempted,
         },
         EngineEvent::RetryAfter { uid, wait } => AccessEvent::RetryAfter {
@@ -135,7 +135,7 @@
             uid: uid.to_string(),
             call,
             cause: cause_text(cause),
-            retry_after_us: rejection_wait(&outcome).map(non_negative),
+            retry_after_us: retry_after_us(&outcome).map(non_negative),
             destination,
             outcome: attempt_outcome(&outcome),
             report: report.to_vec(),
@@ -169,20 +169,20 @@
     }
 }
 
-fn rejection_wait(outcome: &Outcome) -> Option<i64> {
+fn retry_after_us(outcome: &Outcome) -> Option<i64> {
     match outcome {
-        Outcome::Rejected { retry_after: wait } => *wait,
+        Outcome::Rejected { retry_after } => *retry_after,
         _ => None,
     }
 }
 
-fn give_up_reason(reason: EndReason) -> GiveUpReason {
+fn abandon_reason(reason: EndReason) -> AbandonReason {
     match reason {
-        EndReason::DeadlineExceeded => GiveUpReason::DeadlineExceeded,
-        EndReason::Rejected => GiveUpReason::Rejected,
-        EndReason::AttemptsExhausted => GiveUpReason::AttemptsExhausted,
-        EndReason::NotRetryable => GiveUpReason::NotRetryable,
-        EndReason::Delivered | EndReason::Unknown => GiveUpReason::Unknown,
+        EndReason::DeadlineExceeded => AbandonReason::DeadlineExceeded,
+        EndReason::Rejected => AbandonReason::Rejected,
+        EndReason::AttemptsExhausted => AbandonReason::AttemptsExhausted,
+        EndReason::NotRetryable => AbandonReason::NotRetryable,
+        EndReason::Delivered | EndReason::Unknown => AbandonReason::Unknown,
     }
 }
 
--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -133,8 +133,9 @@
         #[serde(rename = "age")]
         age_us: u64,
     },
-    /// A message was given up.
-    GivenUp {
+    /// A message was abandoned.
+    #[serde(rename = "given_up")]
+    Abandoned {
         /// Id of the message; empty in records of older senders.
         #[serde(default, skip_serializing_if = "String::is_empty")]
         id: String,
@@ -144,9 +145,9 @@
         /// Microseconds since the message was accepted.
         #[serde(rename = "age")]
         age_us: u64,
-        /// Why the message was given up.
+        /// Why the message was abandoned.
         #[serde(rename = "why", default)]
-        reason: GiveUpReason,
+        reason: AbandonReason,
         /// True if no call was ever started for the message.
         #[serde(rename = "untried", default)]
         never_attempted: bool,
@@ -168,10 +169,10 @@
     },
 }
 
-/// Why a message was given up.
+/// Why a message was abandoned.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum GiveUpReason {
+pub enum AbandonReason {
     /// The deadline of the message passed.
     #[serde(rename = "time_up")]
     DeadlineExceeded,
@@ -227,7 +228,7 @@
             | AccessEvent::AttemptStarted { destination, .. }
             | AccessEvent::AttemptEnded { destination, .. }
             | AccessEvent::Delivered { destination, .. }
-            | AccessEvent::GivenUp { destination, .. } => Some(*destination),
+            | AccessEvent::Abandoned { destination, .. } => Some(*destination),
             AccessEvent::ConnectionClosed { .. } | AccessEvent::RetryAfter { .. } => None,
             AccessEvent::PolicyLog { text } => destination_in_log(text),
         }
--- a/crates/access-log/src/summary.rs
+++ b/crates/access-log/src/summary.rs
@@ -1,6 +1,6 @@
 //! The summary of the records of all senders, by destination and interval.
 
-use crate::record::{AccessEvent, AccessRecord, AttemptOutcome, GiveUpReason};
+use crate::record::{AbandonReason, AccessEvent, AccessRecord, AttemptOutcome};
 use serde::Serialize;
 use std::collections::BTreeMap;
 
@@ -37,11 +37,12 @@
     pub delivered: u64,
     /// Sum of the ages of the delivered messages, in microseconds.
     pub age_us: u64,
-    /// Messages that were given up.
-    pub given_up: u64,
-    /// Given-up messages for which no call was ever started, by reason.
+    /// Messages that were abandoned.
+    #[serde(rename = "given_up")]
+    pub abandoned: u64,
+    /// Abandoned messages for which no call was ever started, by reason.
     #[serde(rename = "untried")]
-    pub never_attempted: BTreeMap<GiveUpReason, u64>,
+    pub never_attempted: BTreeMap<AbandonReason, u64>,
     /// Number of times that a sender ejected the destination.
     #[serde(rename = "fell_sick")]
     pub ejections: u64,
@@ -72,7 +73,7 @@
     pub destination: u64,
     /// Start of the interval, in seconds since the start of the earliest interval in the summary.
     pub from_s: f64,
-    /// Accepted messages that are neither delivered nor given up at the end of the interval.
+    /// Accepted messages that are neither delivered nor abandoned at the end of the interval.
     pub in_flight: i128,
     /// Counts for this destination in this interval.
     pub totals: &'a IntervalTotals,
@@ -122,7 +123,7 @@
                 previous = Some(*destination);
                 in_flight += i128::from(totals.accepted)
                     - i128::from(totals.delivered)
-                    - i128::from(totals.given_up);
+                    - i128::from(totals.abandoned);
                 SummaryRow {
                     destination: *destination,
                     from_s: ((interval - first) * self.interval_us) as f64 / 1e6,
@@ -149,12 +150,12 @@
                 self.delivered += 1;
                 self.age_us = self.age_us.saturating_add(*age_us);
             }
-            AccessEvent::GivenUp {
+            AccessEvent::Abandoned {
                 reason,
                 never_attempted,
                 ..
             } => {
-                self.given_up += 1;
+                self.abandoned += 1;
                 if *never_attempted {
                     *self.never_attempted.entry(*reason).or_default() += 1;
                 }
--- a/crates/access-log/tests/golden.rs
+++ b/crates/access-log/tests/golden.rs
@@ -2,7 +2,7 @@
 //! exactly the same text. Guards against a rename in the code that changes the format.
 
 use milletturn_access_log::{
-    AccessEvent, AccessLogObserver, AccessLogSummary, AccessRecord, AttemptOutcome, GiveUpReason,
+    AbandonReason, AccessEvent, AccessLogObserver, AccessLogSummary, AccessRecord, AttemptOutcome,
 };
 use milletturn_engine::observer::NoopObserver;
 use milletturn_engine::{
@@ -85,7 +85,7 @@
 }
 
 fn expected() -> Vec<AccessEvent> {
-    let given_up = |reason, never_attempted| AccessEvent::GivenUp {
+    let abandoned = |reason, never_attempted| AccessEvent::Abandoned {
         id: String::new(),
         destination: 7,
         age_us: 20_000_000,
@@ -108,11 +108,11 @@
             destination: 7,
             age_us: 2_500_000,
         },
-        given_up(GiveUpReason::DeadlineExceeded, true),
-        given_up(GiveUpReason::Rejected, false),
-        given_up(GiveUpReason::AttemptsExhausted, false),
-        given_up(GiveUpReason::NotRetryable, false),
-        given_up(GiveUpReason::Unknown, false),
+        abandoned(AbandonReason::DeadlineExceeded, true),
+        abandoned(AbandonReason::Rejected, false),
+        abandoned(AbandonReason::AttemptsExhausted, false),
+        abandoned(AbandonReason::NotRetryable, false),
+        abandoned(AbandonReason::Unknown, false),
         AccessEvent::RetryAfter {
             uid: "s-1".to_string(),
             delay_us: 1_500_000,
@@ -177,11 +177,11 @@
     );
     assert_eq!(
         read(r#"{"at":1,"what":"given_up","to":4,"age":5}"#),
-        AccessEvent::GivenUp {
+        AccessEvent::Abandoned {
             id: String::new(),
             destination: 4,
             age_us: 5,
-            reason: GiveUpReason::Unknown,
+            reason: AbandonReason::Unknown,
             never_attempted: false
         }
     );
--- a/src/access_log.rs
+++ b/src/access_log.rs
@@ -144,7 +144,7 @@
         totals.failed_attempts,
         totals.delivered,
         totals.age_us as f64 / 1e6 / totals.delivered.max(1) as f64,
-        totals.given_up,
+        totals.abandoned,
         totals.never_attempted.values().sum::<u64>(),
         row.in_flight,
         totals.ejections,
