--- a/crates/admin/src/server.rs
+++ b/crates/admin/src/server.rs
@@ -51,13 +51,13 @@
 
 /// Accepts and serves connections of operators; never returns.
 pub async fn serve(listener: TcpListener, state: Rc<AdminState>) {
-    let faults = RateLimitedLog::default();
+    let fault_log = RateLimitedLog::default();
     let free_slots = std::sync::Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                faults.log(format_args!(
+                fault_log.log(format_args!(
                     "admin listener: accepting a connection failed: {error}"
                 ));
                 sleep(Duration::from_millis(50)).await;
@@ -65,7 +65,7 @@
             }
         };
         let Ok(Ok(permit)) = timeout(SLOT_TIMEOUT, free_slots.clone().acquire_owned()).await else {
-            faults.log(format_args!(
+            fault_log.log(format_args!(
                 "admin listener: connection rejected, all {MAX_CONNECTIONS} connection slots are in use"
             ));
             continue;
@@ -73,13 +73,13 @@
         let state = state.clone();
         tokio::task::spawn_local(async move {
             // after the timeout the connection is closed, with or without a response
-            let _ = timeout(REQUEST_TIMEOUT, serve_one(stream, state)).await;
+            let _ = timeout(REQUEST_TIMEOUT, serve_request(stream, state)).await;
             drop(permit);
         });
     }
 }
 
-async fn serve_one(stream: TcpStream, state: Rc<AdminState>) {
+async fn serve_request(stream: TcpStream, state: Rc<AdminState>) {
     // an error is ignored: without TCP_NODELAY responses are only delayed
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
--- a/crates/hot-restart/src/new_process.rs
+++ b/crates/hot-restart/src/new_process.rs
@@ -146,7 +146,7 @@
     version: u32,
 ) -> Result<(Offer, Snapshot), HotRestartError> {
     if version != FORMAT_VERSION {
-        return Err(HotRestartError::Protocol("another form"));
+        return Err(HotRestartError::Protocol("another format version"));
     }
     let offer: Offer = with_timeout(read_frame(stream, MAX_OFFER_BYTES)).await?;
     let snapshot = Snapshot::decode(&offer.snapshot)?;
--- a/crates/hot-restart/src/old_process.rs
+++ b/crates/hot-restart/src/old_process.rs
@@ -48,7 +48,7 @@
 
 /// Accepts takeover requests one after the other and sends them to `requests`. Returns once the channel is closed.
 pub async fn accept_requests(listener: UnixListener, requests: mpsc::Sender<TakeoverRequest>) {
-    let faults = RateLimitedLog::default();
+    let fault_log = RateLimitedLog::default();
     loop {
         match accept_request(&listener).await {
             Ok(request) => {
@@ -57,7 +57,7 @@
                 }
             }
             Err(error) => {
-                faults.log(format_args!(
+                fault_log.log(format_args!(
                     "hot restart: takeover request failed: {error}"
                 ));
                 tokio::time::sleep(ACCEPT_PAUSE).await;
--- a/crates/hot-restart/tests/snapshot.rs
+++ b/crates/hot-restart/tests/snapshot.rs
@@ -46,7 +46,7 @@
         separate_routes: false,
         max_batch_size: 1,
     });
-    let outside = SimulatedEnvironment {
+    let environment = SimulatedEnvironment {
         started_at: Instant::now(),
         effects: Rc::new(RefCell::new(EffectRecorder::new(|_| 0))),
         script: Rc::new(RefCell::new(|_: &CallItem, _| ScriptedOutcome {
@@ -57,7 +57,7 @@
     };
     let (inputs, received) = mpsc::unbounded_channel();
     let (notifications, notified) = mpsc::unbounded_channel();
-    let transport = VirtualTransport::new(outside, CrashPoint::new(u64::MAX), inputs.clone());
+    let transport = VirtualTransport::new(environment, CrashPoint::new(u64::MAX), inputs.clone());
     let ports = Ports {
         notifications,
         ..engine_ports(settings, vec![serving_endpoint(1)], journal, transport)
--- a/crates/platform/tests/single_calls.rs
+++ b/crates/platform/tests/single_calls.rs
@@ -344,10 +344,10 @@
             stream.write_all(text.as_bytes()).await.expect("open");
             let report = fixture.calls.next_report(None).await;
             assert_eq!(report.retry_after_delays, expected, "{headers}");
-            let wait = expected.into_iter().max();
+            let retry_after = expected.into_iter().max();
             assert_eq!(
                 report.outcome,
-                Outcome::Rejected { retry_after: wait },
+                Outcome::Rejected { retry_after },
                 "{headers}"
             );
             drop(stream);
--- a/src/dead_letter/arguments.rs
+++ b/src/dead_letter/arguments.rs
@@ -118,33 +118,33 @@
     #[arg(long)]
     class: Option<String>,
     /// Why they ended: time-up, no-repeat, attempts-used, turned-away or delivered.
-    #[arg(long, value_parser = reason_name)]
+    #[arg(long, value_parser = parse_reason_name)]
     reason: Option<String>,
     /// Their state: kept, ordered, out, delivered or settled.
-    #[arg(long, value_parser = state)]
+    #[arg(long, value_parser = parse_state)]
     state: Option<State>,
     /// First taken longer ago than this, such as 90s, 15m, 6h or 3d.
-    #[arg(long, value_name = "AGE", value_parser = age)]
+    #[arg(long, value_name = "AGE", value_parser = parse_age)]
     older_than: Option<i64>,
     /// First taken no longer ago than this.
-    #[arg(long, value_name = "AGE", value_parser = age)]
+    #[arg(long, value_name = "AGE", value_parser = parse_age)]
     newer_than: Option<i64>,
     /// Whether an attempt may have run.
-    #[arg(long, value_name = "YES/NO", value_parser = yes_or_no)]
+    #[arg(long, value_name = "YES/NO", value_parser = parse_yes_or_no)]
     may_have_run: Option<bool>,
 }
 
-fn reason_name(text: &str) -> Result<String, String> {
+fn parse_reason_name(text: &str) -> Result<String, String> {
     parse_reason(text)
         .map(|_| text.to_string())
         .ok_or_else(|| "no such reason".to_string())
 }
 
-fn state(text: &str) -> Result<State, String> {
+fn parse_state(text: &str) -> Result<State, String> {
     State::parse(text).ok_or_else(|| "no such state".to_string())
 }
 
-fn yes_or_no(text: &str) -> Result<bool, String> {
+fn parse_yes_or_no(text: &str) -> Result<bool, String> {
     match text {
         "yes" | "true" => Ok(true),
         "no" | "false" => Ok(false),
@@ -153,7 +153,7 @@
 }
 
 /// Parses an age, a whole number with one of the units s, m, h and d, into microseconds.
-fn age(text: &str) -> Result<i64, String> {
+fn parse_age(text: &str) -> Result<i64, String> {
     let expected_form = || "a number and one of s, m, h, d".to_string();
     let unit = text.chars().last().ok_or_else(expected_form)?;
     let seconds = match unit {
--- a/src/dead_letter/table.rs
+++ b/src/dead_letter/table.rs
@@ -27,7 +27,7 @@
                 let result = match (rejection, until) {
                     (Some(reason), _) => format!("not done: {reason}"),
                     (None, Some(until)) => {
-                        format!("done; must start within {}", duration(until - now))
+                        format!("done; must start within {}", format_duration(until - now))
                     }
                     (None, None) => "done".to_string(),
                 };
@@ -52,7 +52,7 @@
         summary.class.clone(),
         summary.destination.to_string(),
         summary.reason.clone(),
-        duration(now - summary.accepted_at),
+        format_duration(now - summary.accepted_at),
         if uncertain { "may have" } else { "no" }.to_string(),
         summary.redrives.to_string(),
         summary
@@ -73,7 +73,7 @@
         summary.key.as_deref().unwrap_or("-"),
         summary.class,
         summary.destination,
-        duration(now - summary.accepted_at),
+        format_duration(now - summary.accepted_at),
     );
     for (number, round) in record.rounds.iter().enumerate() {
         text.push_str(&round_text(number, round));
@@ -96,10 +96,13 @@
         .iter()
         .map(|attempt| {
             vec![
-                format!("    +{}", duration(attempt.sent_at - round.accepted_at)),
+                format!(
+                    "    +{}",
+                    format_duration(attempt.sent_at - round.accepted_at)
+                ),
                 attempt.endpoint.clone(),
                 attempt.outcome.clone().unwrap_or("unknown".to_string()),
-                attempt.latency.map_or("-".to_string(), duration),
+                attempt.latency.map_or("-".to_string(), format_duration),
                 if attempt.may_have_run {
                     "may have run"
                 } else {
@@ -113,7 +116,7 @@
         "  {name}: {} ({}) after {}\n{}",
         round.ending,
         round.reason,
-        duration(round.ended_at - round.accepted_at),
+        format_duration(round.ended_at - round.accepted_at),
         columns(&rows)
     )
 }
@@ -127,7 +130,7 @@
     };
     format!(
         "  {} ago, {} by {}{reason}\n",
-        duration(now - entry.at),
+        format_duration(now - entry.at),
         entry.action,
         entry.actor
     )
@@ -140,12 +143,12 @@
         let _ = writeln!(text, "{:<10} {count:>8}", state.as_str());
     }
     let (count, bytes) = (stats.count(), stats.bytes);
-    let of_messages = share_of(count, stats.max_messages);
-    let of_bytes = share_of(bytes, stats.max_bytes);
+    let of_messages = format_share(count, stats.max_messages);
+    let of_bytes = format_share(bytes, stats.max_bytes);
     let _ = writeln!(text, "messages   {count:>8}{of_messages}");
     let _ = writeln!(text, "bytes      {bytes:>8}{of_bytes}");
     if let Some(oldest) = stats.oldest_unresolved {
-        let age = duration(now - oldest);
+        let age = format_duration(now - oldest);
         let _ = writeln!(text, "oldest that nobody has settled: {age} ago");
     }
     if stats.past_max_age > 0 {
@@ -164,7 +167,7 @@
 }
 
 /// Formats a limit and the percentage of it that is used; empty if there is no limit.
-fn share_of(used: u64, max: u64) -> String {
+fn format_share(used: u64, max: u64) -> String {
     match max {
         u64::MAX => String::new(),
         0 => " of 0".to_string(),
@@ -173,7 +176,7 @@
 }
 
 /// Formats a duration in microseconds with a unit that fits its size.
-fn duration(micros: i64) -> String {
+fn format_duration(micros: i64) -> String {
     let seconds = micros as f64 / 1e6;
     match seconds.abs() {
         size if size < 1.0 => format!("{:.0}ms", seconds * 1e3),
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -96,7 +96,9 @@
     #[error("{0}")]
     Rejected(String),
     /// No majority of the coordinators responds: exit code 3.
-    #[error("{0}. Delivery does not need the coordinators; fleet work rests until they answer")]
+    #[error(
+        "{0}. Delivery does not need the coordinators; resources can't be acquired or written until a majority of them responds"
+    )]
     Unanswered(String),
     /// The command line is wrong: exit code 2.
     #[error("{0}")]
@@ -164,7 +166,8 @@
             });
         }
         let Some(path) = &arguments.config else {
-            let why = "which group? Give --config FILE, or --group NAME and --coordinator ADDRESS";
+            let why =
+                "no group given: use --config FILE, or --group NAME with --coordinator ADDRESS";
             return Err(CommandError::Usage(why.to_string()));
         };
         let settings = Settings::read(path)?;
@@ -181,11 +184,11 @@
     let format = arguments.format;
     let mut client = CoordinatorClient::new(&group.name, &group.addresses);
     match &arguments.command {
-        Command::Status => status(&group, timeout, format).await,
-        Command::Members => members(&fetch_state(&mut client, timeout).await?, format),
+        Command::Status => print_status(&group, timeout, format).await,
+        Command::Members => print_members(&fetch_state(&mut client, timeout).await?, format),
         Command::Resources { name } => {
             let state = fetch_state(&mut client, timeout).await?;
-            resources(&state, name.as_deref(), format)
+            print_resources(&state, name.as_deref(), format)
         }
         Command::Revoke { name } => revoke(&mut client, name, timeout, format).await,
         Command::Backup { file } => backup(&mut client, file, timeout).await,
@@ -216,7 +219,11 @@
 }
 
 /// Prints the status of each coordinator; an error if none of them is the leader.
-async fn status(group: &Group, timeout: Duration, format: Format) -> Result<(), CommandError> {
+async fn print_status(
+    group: &Group,
+    timeout: Duration,
+    format: Format,
+) -> Result<(), CommandError> {
     let mut replies = Vec::new();
     for address in &group.addresses {
         let mut client = Client::new(address, &group.name);
@@ -249,7 +256,7 @@
 }
 
 /// Prints the members with an open session.
-fn members(state: &StateView, format: Format) -> Result<(), CommandError> {
+fn print_members(state: &StateView, format: Format) -> Result<(), CommandError> {
     if format == Format::Text {
         return print_table(&table::members(state));
     }
@@ -259,7 +266,11 @@
 }
 
 /// Prints the resources and the latest events, of all resources or of the named one.
-fn resources(state: &StateView, name: Option<&str>, format: Format) -> Result<(), CommandError> {
+fn print_resources(
+    state: &StateView,
+    name: Option<&str>,
+    format: Format,
+) -> Result<(), CommandError> {
     let is_selected = |resource: &str| name.is_none_or(|name| name == resource);
     if let Some(name) = name
         && !state.resources.contains_key(name)
--- a/src/fleet/hold.rs
+++ b/src/fleet/hold.rs
@@ -53,7 +53,7 @@
         [] => CoordinatorClient::new(&group.name, &group.addresses),
         proxies => CoordinatorClient::via_proxies(&group.name, proxies, &arguments.name),
     };
-    let (member, mut events) = member(arguments);
+    let (member, mut events) = create_member(arguments);
     let session = {
         let (member, client) = (member.clone(), client());
         tokio::task::spawn_local(async move {
@@ -81,7 +81,7 @@
 }
 
 /// Creates the group member that stands for this command, and the receiver of its events.
-fn member(arguments: &Arguments) -> (Rc<Member>, UnboundedReceiver<MemberEvent>) {
+fn create_member(arguments: &Arguments) -> (Rc<Member>, UnboundedReceiver<MemberEvent>) {
     let info = MemberInfo {
         name: arguments.name.clone(),
         zone: String::new(),
