--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -87,7 +87,7 @@
         /// Number of the call among those on the connection, from 1.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         call_on_connection: Option<u64>,
-        /// Time in microseconds from the last byte of the request to the first byte that came after it.
+        /// Time in microseconds from the last byte of the request to the first byte received after it.
         #[serde(
             rename = "response_after",
             default,
@@ -110,10 +110,10 @@
         /// Why the connection was closed, such as `evicted` or `unsolicited data`.
         #[serde(rename = "why")]
         reason: String,
-        /// Status of a response that came while no call was in flight on the connection.
+        /// Status of a response that was received while no call was in flight on the connection.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         unsolicited_status: Option<u16>,
-        /// Time in microseconds from the last request to the data that came while no call was in flight.
+        /// Time in microseconds from the last request to the data received while no call was in flight.
         #[serde(
             rename = "unsolicited_after",
             default,
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -105,7 +105,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Aborting the driver closes the socket, so that the endpoint notices an aborted call. This also holds while
+        // Aborting the driver closes the socket, so that the endpoint notices an aborted call. This also applies while
         // the connection waits for the endpoint to close.
         self.driver.abort();
         if self.close_reason == CloseReason::Evicted && self.sender.is_closed() {
--- a/crates/platform/src/discovery_backoff.rs
+++ b/crates/platform/src/discovery_backoff.rs
@@ -1,10 +1,10 @@
 //! How long a sender waits before it contacts discovery again. Performs no I/O and reads no clock.
 //!
 //! All senders lose their watches at the same time, and with short delays all would retry together. Requests that queue
-//! for longer than their caller waits are served after the caller has gone, so discovery would be overloaded without serving anyone
-//! (metastable failure: Bronson and others, Metastable Failures in Distributed Systems, HotOS 2021). Delays after a
-//! rejection therefore grow with the number of senders, and each is random (M. Brooker, Exponential Backoff and Jitter,
-//! 2015).
+//! for longer than their caller waits are served after the caller has gone, so discovery would work at its limit
+//! without serving anyone (metastable failure: Bronson and others, Metastable Failures in Distributed Systems, HotOS
+//! 2021). Delays after a rejection therefore grow with the number of senders, and each is random (M. Brooker,
+//! Exponential Backoff and Jitter, 2015).
 //!
 //! An unreachable discovery service has no queue that a request could lengthen. Delays after such a failure stay
 //! short, so that changes are received in time once discovery is back.
--- a/crates/platform/src/drain_gate.rs
+++ b/crates/platform/src/drain_gate.rs
@@ -22,9 +22,9 @@
 /// leave more margin before the limit of 4 s, after which no connection may be idle.
 const DRAIN_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1000);
 /// Time from the start of a drain during which messages are still accepted. 4 s after the start, no connection may
-/// exist on which a message came within the last 2 s.
+/// exist on which a message was received within the last 2 s.
 const DRAIN_ACCEPT_PERIOD: Duration = Duration::from_millis(1800);
-/// Time from SIGTERM until idle client connections are closed. SIGKILL comes no sooner than 3.7 s after SIGTERM.
+/// Time from SIGTERM until idle client connections are closed. SIGKILL follows no sooner than 3.7 s after SIGTERM.
 const SHUTDOWN_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2500);
 /// Time from SIGTERM until every connection without a complete request is closed; a partly received request is rejected
 /// with a response. The process ends 0.3 s later, which is the time for writing responses and for clients to close.
@@ -40,7 +40,7 @@
     /// Another process has taken over in a hot restart. Clients that are still connected are served, and asked to close
     /// their connections.
     Replaced,
-    /// SIGTERM came at this time.
+    /// SIGTERM was received at this time.
     ShuttingDown(Instant),
 }
 
@@ -197,7 +197,7 @@
         ConnectionGuard(self.clone())
     }
 
-    /// Updates [`closing_idle`](Self::closing_idle) and [`closing_all`](Self::closing_all) as their times come, and
+    /// Updates [`closing_idle`](Self::closing_idle) and [`closing_all`](Self::closing_all) when they are due, and
     /// resets them when the gate is opened again.
     pub async fn run(self: Rc<Self>) {
         let mut phases = self.phase.subscribe();
--- a/crates/platform/tests/single_calls.rs
+++ b/crates/platform/tests/single_calls.rs
@@ -79,7 +79,7 @@
         loop {
             match common::next_input(&mut self.received)
                 .await
-                .expect("the transport lives")
+                .expect("the transport is running")
             {
                 Input::RetryAfter { endpoint, wait } => {
                     assert_eq!(endpoint, EndpointId(1));
@@ -621,7 +621,7 @@
         {
             count += more;
         }
-        assert!(count < BODY_BYTES, "{count} bytes came");
+        assert!(count < BODY_BYTES, "{count} bytes received");
     });
 }
 
--- a/crates/platform/tests/watch_stream.rs
+++ b/crates/platform/tests/watch_stream.rs
@@ -6,11 +6,11 @@
 
 /// The events as text: for a list its version and the number of malformed entries, `-` for a keep-alive, `?` for
 /// malformed input.
-fn parse(pieces: &[&str]) -> String {
+fn parse(chunks: &[&str]) -> String {
     let mut stream = WatchStream::default();
-    let events = pieces
+    let events = chunks
         .iter()
-        .flat_map(|piece| stream.push(piece.as_bytes()));
+        .flat_map(|chunk| stream.push(chunk.as_bytes()));
     events
         .map(|event| match event {
             WatchEvent::KeepAlive => "-".to_string(),
@@ -27,8 +27,8 @@
     let indented = FIRST.replace(',', ",\n  ").replace('[', "[\n\t");
     let text = format!("{indented}\n\n{second}");
     assert_eq!(parse(&[&text]), "41/0 --42/0 ");
-    let pieces: Vec<&str> = text.split_inclusive(|_: char| true).collect();
-    assert_eq!(parse(&pieces), "41/0 --42/0 ", "byte by byte");
+    let chunks: Vec<&str> = text.split_inclusive(|_: char| true).collect();
+    assert_eq!(parse(&chunks), "41/0 --42/0 ", "byte by byte");
 }
 
 #[test]
@@ -55,11 +55,11 @@
 #[test]
 fn an_endless_line_is_bounded_in_memory_and_is_no_keep_alive() {
     let mut stream = WatchStream::default();
-    let piece = vec![b' '; 1 << 16];
+    let chunk = vec![b' '; 1 << 16];
     let mut events = stream.push(b"{\"rev\":41,");
     for _ in 0..40 {
-        events.extend(stream.push(&piece));
-        assert!(stream.buffered_bytes() <= MAX_OBJECT_BYTES + piece.len());
+        events.extend(stream.push(&chunk));
+        assert!(stream.buffered_bytes() <= MAX_OBJECT_BYTES + chunk.len());
     }
     assert_eq!(events.len(), 1, "{events:?}");
     assert!(matches!(&events[..], [WatchEvent::Malformed(_)]));
--- a/src/fleet/hold.rs
+++ b/src/fleet/hold.rs
@@ -35,7 +35,7 @@
     clock_error: f64,
 }
 
-/// Owns the resource until SIGTERM, then releases it. Goes on when the reader of standard output closes the pipe.
+/// Owns the resource until SIGTERM, then releases it. Continues when the reader of standard output closes the pipe.
 ///
 /// # Errors
 /// If `--clock-error` is out of range, or signal handlers can't be installed.
