--- a/crates/hot-restart/src/old_process.rs
+++ b/crates/hot-restart/src/old_process.rs
@@ -90,7 +90,8 @@
 /// The new process's decision on an offer.
 #[derive(Debug)]
 pub enum OfferOutcome {
-    /// The new process takes over. The engine must be released now, and the process continues with [`crate::forwarding`].
+    /// The new process takes over. The engine must be released now, and the old process continues with
+    /// [`crate::forwarding`].
     TakenOver(TakeoverRequest),
     /// The new process can't read the offer. This process must exit at once, so that the new one can use the journal.
     MustExit,
--- a/crates/platform/src/attribution.rs
+++ b/crates/platform/src/attribution.rs
@@ -24,7 +24,7 @@
 
 /// The earlier calls of a connection, as far as they matter for attributing the next response.
 #[derive(Debug, Default)]
-pub(crate) struct ConnectionRecord {
+pub(crate) struct CallHistory {
     /// Ids of all messages that were sent on the connection: a response that names one of them again may be a
     /// duplicate.
     carried_ids: HashSet<SharedStr>,
@@ -35,7 +35,7 @@
     repeats_request_id: bool,
 }
 
-impl ConnectionRecord {
+impl CallHistory {
     /// The criterion by which the response to a call with these messages can be attributed.
     pub(crate) fn attribution(&self, items: &[CallItem]) -> Attribution {
         if self.carried_ids.is_empty() {
--- a/crates/platform/src/attribution/tests.rs
+++ b/crates/platform/src/attribution/tests.rs
@@ -1,4 +1,4 @@
-use super::{CloseBehaviour, CloseBehaviours, ConnectionRecord, MAX_AGE, announces_close};
+use super::{CallHistory, CloseBehaviour, CloseBehaviours, MAX_AGE, announces_close};
 use hyper::Response;
 use hyper::http::response::Parts;
 use milletturn_engine::{Attribution, CallItem, SharedStr};
@@ -29,28 +29,28 @@
 #[test]
 fn a_response_must_name_its_messages_unless_its_call_is_the_first_or_last_on_the_connection() {
     let (one, other, two) = (items(&["m1"]), items(&["m2"]), items(&["m3", "m4"]));
-    let mut record = ConnectionRecord::default();
-    assert_eq!(record.attribution(&one), Attribution::FirstCall);
-    record.record(&one, &head(&[]), true);
-    assert_eq!(record.attribution(&other), Attribution::LastCall);
-    assert_eq!(record.attribution(&two), Attribution::NamesMessages);
-    record.record(&two, &head(&[]), true);
-    assert_eq!(record.attribution(&items(&["m5"])), Attribution::LastCall);
+    let mut history = CallHistory::default();
+    assert_eq!(history.attribution(&one), Attribution::FirstCall);
+    history.record(&one, &head(&[]), true);
+    assert_eq!(history.attribution(&other), Attribution::LastCall);
+    assert_eq!(history.attribution(&two), Attribution::NamesMessages);
+    history.record(&two, &head(&[]), true);
+    assert_eq!(history.attribution(&items(&["m5"])), Attribution::LastCall);
     let repeated = items(&["m6", "m1"]);
-    assert_eq!(record.attribution(&repeated), Attribution::LastCall);
+    assert_eq!(history.attribution(&repeated), Attribution::LastCall);
 }
 
 #[test]
 fn a_connection_carries_one_more_call_after_a_rejection() {
-    let mut record = ConnectionRecord::default();
+    let mut history = CallHistory::default();
     let response_with_id = head(&[("x-request-id", "m1")]);
-    record.record(&items(&["m1"]), &response_with_id, true);
+    history.record(&items(&["m1"]), &response_with_id, true);
     let next = items(&["m2"]);
-    assert_eq!(record.attribution(&next), Attribution::NamesMessages);
+    assert_eq!(history.attribution(&next), Attribution::NamesMessages);
     let response_with_id = head(&[("x-request-id", "m2")]);
-    record.record(&next, &response_with_id, false);
+    history.record(&next, &response_with_id, false);
     let batch = items(&["m3", "m4"]);
-    assert_eq!(record.attribution(&batch), Attribution::LastCall);
+    assert_eq!(history.attribution(&batch), Attribution::LastCall);
 }
 
 #[test]
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -1,7 +1,7 @@
-//! A connection to an endpoint, which may carry several calls one after the other. The reason for closing
-//! a connection is reported to the engine.
+//! A connection to an endpoint, which may carry several calls one after the other. The reason for closing a connection
+//! is reported to the engine.
 
-use crate::attribution::ConnectionRecord;
+use crate::attribution::CallHistory;
 use crate::connection_monitor::{ConnectionMonitor, MonitoredStream};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -24,7 +24,7 @@
     /// The reason that is reported if the connection is closed now.
     close_reason: CloseReason,
     /// The calls that the connection has carried.
-    pub(crate) record: ConnectionRecord,
+    pub(crate) history: CallHistory,
     /// The task that reads and writes the socket.
     driver: AbortHandle,
     inputs: mpsc::UnboundedSender<Input>,
@@ -66,7 +66,7 @@
             monitor,
             endpoint,
             close_reason: CloseReason::CallFailed,
-            record: ConnectionRecord::default(),
+            history: CallHistory::default(),
             driver: driver.abort_handle(),
             inputs: inputs.clone(),
         })
--- a/crates/platform/src/http_transport.rs
+++ b/crates/platform/src/http_transport.rs
@@ -293,7 +293,7 @@
         write_deadline,
     } = ready;
     let message_count = call.items.len();
-    let attribution = connection.record.attribution(&call.items);
+    let attribution = connection.history.attribution(&call.items);
     let persistence = persistence_of(shared, call, attribution);
     let request = build_request(call.address, &call.items, call.expires, persistence);
     let Some((request, min_request_bytes)) = request else {
@@ -411,7 +411,7 @@
 async fn take_idle(shared: &Shared, call: &Call) -> Option<Connection> {
     let (endpoint, address) = (call.endpoint, call.address);
     let is_usable = |connection: &Connection| {
-        let attribution = connection.record.attribution(&call.items);
+        let attribution = connection.history.attribution(&call.items);
         let behaviours = shared.close_behaviours.borrow();
         behaviours.allows(endpoint, attribution, call.at_most_once)
     };
--- a/crates/platform/src/http_transport/response.rs
+++ b/crates/platform/src/http_transport/response.rs
@@ -130,8 +130,8 @@
 impl CompletedCall {
     /// Returns the connection to the pool if it may carry another call, and closes it otherwise.
     async fn finish(self, shared: &Shared, mut connection: Connection) {
-        let record = &mut connection.record;
-        record.record(&self.items, &self.head, self.is_all_delivered);
+        let history = &mut connection.history;
+        history.record(&self.items, &self.head, self.is_all_delivered);
         if connection.monitor.is_close_requested() && connection.monitor.is_first_call() {
             await_orderly_close(shared, self.endpoint, &connection, &self.head).await;
         }
--- a/src/assemble.rs
+++ b/src/assemble.rs
@@ -109,8 +109,8 @@
     let (ready, ready_receiver) = watch::channel(false);
     let handles = SharedHandles::new(inputs, ready_receiver, &options.settings);
     tokio::task::spawn_local(handles.gate.clone().run());
-    let calls = create_transport(&options, &handles);
-    let limits = ConnectionLimits::new(&options.budget, &calls);
+    let transport = create_transport(&options, &handles);
+    let limits = ConnectionLimits::new(&options.budget, &transport);
     let server = http_server(&handles, &limits, &options.budget);
     let clock = create_clock(&options)?;
     let store_worker = store::start(&options, clock, &journal, &recovery, &handles.inputs)?;
@@ -120,7 +120,7 @@
         clock,
         journal,
         store_worker,
-        calls,
+        transport,
         notifications,
         observer,
         ready,
--- a/src/assemble/engine.rs
+++ b/src/assemble/engine.rs
@@ -18,7 +18,7 @@
     pub(super) clock: Clock,
     pub(super) journal: FileJournal,
     pub(super) store_worker: Option<StoreWorker>,
-    pub(super) calls: HttpTransport,
+    pub(super) transport: HttpTransport,
     pub(super) notifications: mpsc::UnboundedSender<Notification>,
     pub(super) observer: Box<dyn Observer>,
     pub(super) ready: watch::Sender<bool>,
@@ -42,7 +42,7 @@
             first_message_number: store_worker
                 .map_or(0, |worker| worker.first_number)
                 .max(options.first_message_number),
-            transport: Box::new(self.calls),
+            transport: Box::new(self.transport),
             notify_delivered: options.notify_delivered,
             notifications: self.notifications,
             observer: self.observer,
--- a/src/assemble/listener.rs
+++ b/src/assemble/listener.rs
@@ -23,10 +23,10 @@
 }
 
 impl ConnectionLimits {
-    pub(super) fn new(budget: &ResourceBudget, calls: &HttpTransport) -> Self {
+    pub(super) fn new(budget: &ResourceBudget, transport: &HttpTransport) -> Self {
         ConnectionLimits {
             clients: Arc::new(Semaphore::new(budget.client_connections)),
-            calls: calls.descriptors(),
+            calls: transport.descriptors(),
         }
     }
 }
