--- a/crates/hot-restart/src/old_process.rs
+++ b/crates/hot-restart/src/old_process.rs
@@ -48,7 +48,7 @@
 
 /// Accepts takeover requests one after the other and sends them to `requests`. Returns once the channel is closed.
 pub async fn accept_requests(listener: UnixListener, requests: mpsc::Sender<TakeoverRequest>) {
-    let faults = RateLimitedLog::default();
+    let fault_log = RateLimitedLog::default();
     loop {
         match accept_request(&listener).await {
             Ok(request) => {
@@ -57,7 +57,7 @@
                 }
             }
             Err(error) => {
-                faults.log(format_args!(
+                fault_log.log(format_args!(
                     "hot restart: takeover request failed: {error}"
                 ));
                 tokio::time::sleep(ACCEPT_PAUSE).await;
@@ -90,7 +90,8 @@
 /// The new process's decision on an offer.
 #[derive(Debug)]
 pub enum OfferOutcome {
-    /// The new process takes over. The engine must be released now, and the process goes on with [`crate::forwarding`].
+    /// The new process takes over. The engine must be released now, and the old process continues with
+    /// [`crate::forwarding`].
     TakenOver(TakeoverRequest),
     /// The new process can't read the offer. This process must exit at once, so that the new one can use the journal.
     MustExit,
@@ -111,7 +112,7 @@
         snapshot: engine.snapshot()?,
         client_connections: inherited.gate.open_connections(),
         calls_in_flight: engine.calls_in_flight(),
-        is_drained: inherited.gate.is_drained(),
+        is_drained: inherited.gate.is_draining(),
     };
     let exchange = async {
         send_descriptors(&request.0, [inherited.listener, inherited.lock]).await?;
--- a/crates/platform/src/attribution/tests.rs
+++ b/crates/platform/src/attribution/tests.rs
@@ -1,4 +1,4 @@
-use super::{CloseBehaviour, CloseBehaviours, ConnectionRecord, MAX_AGE, announces_close};
+use super::{CallHistory, CloseBehaviour, CloseBehaviours, MAX_AGE, announces_close};
 use hyper::Response;
 use hyper::http::response::Parts;
 use milletturn_engine::{Attribution, CallItem, SharedStr};
@@ -29,28 +29,28 @@
 #[test]
 fn a_response_must_name_its_messages_unless_its_call_is_the_first_or_last_on_the_connection() {
     let (one, other, two) = (items(&["m1"]), items(&["m2"]), items(&["m3", "m4"]));
-    let mut record = ConnectionRecord::default();
-    assert_eq!(record.attribution(&one), Attribution::FirstCall);
-    record.record(&one, &head(&[]), true);
-    assert_eq!(record.attribution(&other), Attribution::LastCall);
-    assert_eq!(record.attribution(&two), Attribution::NamesMessages);
-    record.record(&two, &head(&[]), true);
-    assert_eq!(record.attribution(&items(&["m5"])), Attribution::LastCall);
+    let mut history = CallHistory::default();
+    assert_eq!(history.attribution(&one), Attribution::FirstCall);
+    history.record(&one, &head(&[]), true);
+    assert_eq!(history.attribution(&other), Attribution::LastCall);
+    assert_eq!(history.attribution(&two), Attribution::NamesMessages);
+    history.record(&two, &head(&[]), true);
+    assert_eq!(history.attribution(&items(&["m5"])), Attribution::LastCall);
     let repeated = items(&["m6", "m1"]);
-    assert_eq!(record.attribution(&repeated), Attribution::LastCall);
+    assert_eq!(history.attribution(&repeated), Attribution::LastCall);
 }
 
 #[test]
 fn a_connection_carries_one_more_call_after_a_rejection() {
-    let mut record = ConnectionRecord::default();
+    let mut history = CallHistory::default();
     let response_with_id = head(&[("x-request-id", "m1")]);
-    record.record(&items(&["m1"]), &response_with_id, true);
+    history.record(&items(&["m1"]), &response_with_id, true);
     let next = items(&["m2"]);
-    assert_eq!(record.attribution(&next), Attribution::NamesMessages);
+    assert_eq!(history.attribution(&next), Attribution::NamesMessages);
     let response_with_id = head(&[("x-request-id", "m2")]);
-    record.record(&next, &response_with_id, false);
+    history.record(&next, &response_with_id, false);
     let batch = items(&["m3", "m4"]);
-    assert_eq!(record.attribution(&batch), Attribution::LastCall);
+    assert_eq!(history.attribution(&batch), Attribution::LastCall);
 }
 
 #[test]
@@ -72,7 +72,7 @@
     let mut behaviours = CloseBehaviours::default();
     let allowed = |behaviours: &CloseBehaviours| {
         [false, true]
-            .map(|at_most_once| behaviours.allow(ENDPOINT, Attribution::LastCall, at_most_once))
+            .map(|at_most_once| behaviours.allows(ENDPOINT, Attribution::LastCall, at_most_once))
     };
     assert_eq!(
         allowed(&behaviours),
@@ -81,14 +81,14 @@
     );
     behaviours.record(ENDPOINT, CloseBehaviour::Other, now);
     assert_eq!(allowed(&behaviours), [false, false]);
-    assert!(behaviours.allow(ENDPOINT, Attribution::NamesMessages, true));
+    assert!(behaviours.allows(ENDPOINT, Attribution::NamesMessages, true));
     behaviours.evict(now + MAX_AGE);
     assert_eq!(
         allowed(&behaviours),
         [true, false],
         "the entry has been evicted"
     );
-    behaviours.record(ENDPOINT, CloseBehaviour::InOrder, now);
+    behaviours.record(ENDPOINT, CloseBehaviour::Orderly, now);
     behaviours.evict(now + MAX_AGE);
     assert_eq!(allowed(&behaviours), [true, true]);
 }
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -1,7 +1,7 @@
-//! A connection to an endpoint, which may carry several calls one after the other. The reason for closing
-//! a connection is reported to the engine.
+//! A connection to an endpoint, which may carry several calls one after the other. The reason for closing a connection
+//! is reported to the engine.
 
-use crate::attribution::ConnectionRecord;
+use crate::attribution::CallHistory;
 use crate::connection_monitor::{ConnectionMonitor, MonitoredStream};
 use bytes::Bytes;
 use http_body_util::Full;
@@ -21,9 +21,10 @@
     pub(crate) sender: SendRequest<Full<Bytes>>,
     pub(crate) monitor: Rc<ConnectionMonitor>,
     endpoint: EndpointId,
+    /// The reason that is reported if the connection is closed now.
     close_reason: CloseReason,
     /// The calls that the connection has carried.
-    pub(crate) record: ConnectionRecord,
+    pub(crate) history: CallHistory,
     /// The task that reads and writes the socket.
     driver: AbortHandle,
     inputs: mpsc::UnboundedSender<Input>,
@@ -68,7 +69,7 @@
             monitor,
             endpoint,
             close_reason: CloseReason::CallFailed,
-            record: ConnectionRecord::default(),
+            history: CallHistory::default(),
             driver: driver.abort_handle(),
             inputs: inputs.clone(),
         })
@@ -86,7 +87,7 @@
     }
 
     /// Waits until the connection can carry the next call; false if it was closed while it was idle.
-    pub(crate) async fn is_ready(&mut self) -> bool {
+    pub(crate) async fn wait_until_ready(&mut self) -> bool {
         let is_ready = self.sender.ready().await.is_ok();
         if is_ready {
             self.close_reason = CloseReason::CallFailed;
@@ -107,7 +108,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        // Aborting the driver closes the socket, so that the endpoint notices an abandoned call. This also holds while
+        // Aborting the driver closes the socket, so that the endpoint notices an aborted call. This also applies while
         // the connection waits for the endpoint to close.
         self.driver.abort();
         if self.close_reason == CloseReason::Evicted && self.sender.is_closed() {
@@ -117,7 +118,7 @@
         let _ = self.inputs.send(Input::ConnectionClosed {
             endpoint: self.endpoint,
             connection: self.monitor.number(),
-            calls: self.monitor.calls(),
+            calls: self.monitor.call_count(),
             reason: self.close_reason,
             unsolicited: self.monitor.unsolicited_data(),
         });
--- a/src/access_log.rs
+++ b/src/access_log.rs
@@ -120,7 +120,7 @@
     }
     if summary.dropped_records() > 0 {
         eprintln!(
-            "milletturn: {} lines left out: too many rows; a longer --span makes fewer",
+            "milletturn: {} records dropped, because the summary has too many rows; a longer --span needs fewer",
             summary.dropped_records()
         );
     }
@@ -144,7 +144,7 @@
         totals.failed_attempts,
         totals.delivered,
         totals.age_us as f64 / 1e6 / totals.delivered.max(1) as f64,
-        totals.given_up,
+        totals.abandoned,
         totals.never_attempted.values().sum::<u64>(),
         row.in_flight,
         totals.ejections,
--- a/src/fleet/hold.rs
+++ b/src/fleet/hold.rs
@@ -35,7 +35,7 @@
     clock_error: f64,
 }
 
-/// Owns the resource until SIGTERM, then releases it. Goes on when the reader of standard output closes the pipe.
+/// Owns the resource until SIGTERM, then releases it. Continues when the reader of standard output closes the pipe.
 ///
 /// # Errors
 /// If `--clock-error` is out of range, or signal handlers can't be installed.
@@ -53,7 +53,7 @@
         [] => CoordinatorClient::new(&group.name, &group.addresses),
         proxies => CoordinatorClient::via_proxies(&group.name, proxies, &arguments.name),
     };
-    let (member, mut events) = member(arguments);
+    let (member, mut events) = create_member(arguments);
     let session = {
         let (member, client) = (member.clone(), client());
         tokio::task::spawn_local(async move {
@@ -65,7 +65,7 @@
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         tokio::select! {
-            () = signals.until_terminated() => break,
+            () = signals.wait_for_sigterm() => break,
             Some(event) = events.recv() => print_event(&event, format),
             _ = ticks.tick() => {
                 // rewrites the previous owner's checkpoint unchanged, so that the next owner finds it
@@ -81,7 +81,7 @@
 }
 
 /// Creates the group member that stands for this command, and the receiver of its events.
-fn member(arguments: &Arguments) -> (Rc<Member>, UnboundedReceiver<MemberEvent>) {
+fn create_member(arguments: &Arguments) -> (Rc<Member>, UnboundedReceiver<MemberEvent>) {
     let info = MemberInfo {
         name: arguments.name.clone(),
         zone: String::new(),
