--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -130,7 +130,7 @@
 
 impl Harness {
     pub(crate) fn new(settings: Settings, entries: Vec<EndpointEntry>) -> Self {
-        let sender = Sender::new(settings, 11).expect("settings make sense");
+        let sender = Sender::new(settings, 11).expect("valid settings");
         let mut harness = Harness {
             sender,
             now: START,
--- a/crates/policy/tests/common/traffic.rs
+++ b/crates/policy/tests/common/traffic.rs
@@ -8,8 +8,9 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How a call ends: takes its time, counted from the start, its endpoint and a source of random numbers between 0 and
-/// 1. Returns the outcome and after how long that is known, or `None` if the endpoint never responds.
+/// Decides how a call ends, from the time of its start, counted from the start of the simulation, its endpoint and a
+/// source of random numbers between 0 and 1. Returns the outcome and the time until it is known, or `None` if the
+/// endpoint never responds.
 pub(crate) type Script =
     dyn FnMut(Micros, u32, &mut dyn FnMut() -> f64) -> Option<(Outcome, Micros)>;
 
@@ -18,7 +19,7 @@
 pub(crate) struct Traffic {
     /// Mean arrival rate of messages, which arrive at random times.
     pub messages_per_s: f64,
-    /// How long messages arrive.
+    /// Time during which messages arrive.
     pub duration: Micros,
     /// Time after the start from which on wasted calls and ejections are counted.
     pub measured_from: Micros,
@@ -138,8 +139,8 @@
                         pending_ends.insert((time + MILLISECOND, message.0, attempt), call);
                     }
                 }
-                Action::Log(line)
-                    if line.contains("sick") && time - START >= traffic.measured_from =>
+                Action::Log(text)
+                    if text.contains("sick") && time - START >= traffic.measured_from =>
                 {
                     result.ejections += 1;
                     result.first_ejected_at = result.first_ejected_at.or(Some(time - START));
--- a/crates/policy/tests/dormancy.rs
+++ b/crates/policy/tests/dormancy.rs
@@ -1,5 +1,5 @@
-//! Destinations without traffic for long: their state is packed, announced waits are kept and old measurements count
-//! less.
+//! Destinations without traffic for long: their state is packed, retry-after delays still apply, and old
+//! measurements count less.
 
 #![expect(
     clippy::too_many_lines,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn an_announced_wait_of_thirty_days_outlasts_packing() {
+fn a_retry_after_delay_of_thirty_days_outlasts_packing() {
     let mut harness = new_harness(50);
     (0..50).for_each(|n| complete_call(&mut harness, n, n));
     let started = harness.now;
@@ -70,14 +70,18 @@
         complete_call(&mut harness, 1_000 + day, 7);
         assert!(
             harness.send_times(1_000 + day).is_empty(),
-            "sent on day {day} of the wait"
+            "sent on day {day} of the retry-after delay"
         );
     }
     let span = started + 30 * 24 * HOUR + SECOND - harness.now;
     stay_idle(&mut harness, span, 60);
     complete_call(&mut harness, 2_000, 7);
     harness.run_until(harness.now + 30 * SECOND);
-    assert_eq!(harness.send_times(2_000).len(), 1, "after the wait");
+    assert_eq!(
+        harness.send_times(2_000).len(),
+        1,
+        "after the retry-after delay"
+    );
 }
 
 #[test]
--- a/crates/policy/tests/evidence.rs
+++ b/crates/policy/tests/evidence.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn rejections_that_do_not_follow_the_load_leave_the_rate() {
+fn rejections_that_do_not_follow_the_load_do_not_reduce_the_rate() {
     for noise in [0.02, 0.05, 0.1, 0.2, 0.3] {
         let (rate, share) = simulate(400.0, noise, 1e9, 60);
         assert!(rate >= 0.9 * 400.0, "{noise}: {rate}");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn rejections_by_a_limit_hold_the_rate_at_the_limit() {
+fn rejections_by_a_limit_bring_the_rate_to_the_limit() {
     for (limit, noise) in [
         (300.0, 0.0),
         (200.0, 0.0),
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -46,7 +46,7 @@
     }
 }
 #[test]
-fn a_burst_over_all_senders_leaves_no_debt_behind() {
+fn a_burst_over_all_senders_does_not_use_up_the_limit_in_advance() {
     // Rejected calls use up the limit too, even in advance. Guards against each sender retrying at the rate that it had
     // reached while much of the limit was left: a burst of 1 s was followed by 10 s in which nothing was served.
     for seed in 1..=3 {
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn a_starting_fleet_without_a_reported_limit_causes_no_debt() {
+fn a_starting_fleet_without_a_reported_limit_does_not_use_up_the_limit_in_advance() {
     // Guards against each sender calling as fast as messages arrive until its first load report, at the start and again
     // after most senders restarted: that used up the limit in advance, and nothing was served for 3 s.
     for seed in 1..=3 {
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn an_unused_rate_lets_no_burst_through() {
+fn an_unused_rate_permits_no_burst() {
     // Guards against reports that raise the rate of senders with one call in 10 s, up to 100 times the even share, as
     // long as much of the limit is left: a burst worth 2 s of the limit was then sent in 0.4 s and used it up in
     // advance.
@@ -352,7 +352,7 @@
     let mut first_sends: Vec<Micros> = Vec::new();
     for seed in 0..300 {
         let mut harness = Harness::new(settings.clone(), vec![]);
-        harness.sender = Sender::new(settings.clone(), seed).expect("settings make sense");
+        harness.sender = Sender::new(settings.clone(), seed).expect("valid settings");
         harness.handle(vec![Event::EndpointList {
             list_kind: EndpointListKind::Full,
             entries: entries.clone(),
--- a/crates/policy/tests/guards.rs
+++ b/crates/policy/tests/guards.rs
@@ -80,7 +80,7 @@
 
 #[test]
 fn slow_destinations_together_use_at_most_half_of_the_call_slots() {
-    // Guards against slow destinations that respond now and then, and come to occupy every call slot.
+    // Guards against slow destinations that still respond occasionally and gradually occupy every call slot.
     let mut harness = Harness::new(settings(8), vec![entry(1, 7), entry(2, 8), entry(3, 9)]);
     warm_up(&mut harness);
     harness.handle((0..30).map(|id| message(id, UNSAFE, 7 + id % 2)).collect());
@@ -116,14 +116,14 @@
     harness.run_until(START + 3_900 * MILLISECOND);
     assert!(
         harness
-            .count_actions(|action| matches!(action, Action::Log(line) if line.contains("silent")))
+            .count_actions(|action| matches!(action, Action::Log(text) if text.contains("silent")))
             == 0
     );
 }
 
 #[test]
 fn one_rejected_call_after_a_pause_does_not_keep_the_rate_low() {
-    // Guards against a rate that falls to the demand at the time of the rejection and stays there.
+    // Guards against a rate that falls to the demand at the time of the rejection and does not recover.
     let mut harness = Harness::new(settings(40), two_destinations());
     for id in 1000..1040 {
         harness.handle(vec![message(id, REPEATABLE, 7)]);
@@ -312,7 +312,7 @@
         harness.handle(ends);
     }
     assert_eq!(
-        harness.count_actions(|a| matches!(a, Action::Log(line) if line.contains("shut"))),
+        harness.count_actions(|a| matches!(a, Action::Log(text) if text.contains("shut"))),
         1
     );
     assert!(
@@ -389,7 +389,7 @@
 #[test]
 fn connection_resets_alone_do_not_eject_a_destination() {
     // Guards against ejecting healthy destinations because of resets: with a third of the calls reset, 15 healthy
-    // destinations were given probes only.
+    // destinations received only probes.
     let mut harness = Harness::new(settings(8), two_destinations());
     warm_up(&mut harness);
     for id in 0..60 {
@@ -406,7 +406,7 @@
     }
     assert_eq!(
         harness
-            .count_actions(|action| matches!(action, Action::Log(line) if line.contains("sick"))),
+            .count_actions(|action| matches!(action, Action::Log(text) if text.contains("sick"))),
         0
     );
     // without any success the destination is down
@@ -420,13 +420,13 @@
     }
     assert_eq!(
         harness
-            .count_actions(|action| matches!(action, Action::Log(line) if line.contains("sick"))),
+            .count_actions(|action| matches!(action, Action::Log(text) if text.contains("sick"))),
         1
     );
 }
 
 #[test]
-fn an_unsafe_message_without_other_traffic_is_sent_after_a_long_wait() {
+fn an_unsafe_message_without_other_traffic_is_sent_after_a_long_delay() {
     // Guards against holding back unsafe messages forever: a destination that had failed and recovered with a poor
     // success rate was sent no unsafe message again while it had no other traffic. Found by the tests that kill
     // processes.
@@ -437,7 +437,7 @@
         harness.handle(vec![message(id, REPEATABLE, 7)]);
         open.push(id);
         harness.now += 10 * SECOND;
-        // a message that waits at the destination that has just been ejected is sent with the next one
+        // a message that is pending because its destination has just been ejected is sent with the next one
         let (sent, waiting) = open
             .into_iter()
             .partition(|id| harness.sends.iter().any(|send| send.1 == *id));
@@ -462,7 +462,7 @@
     harness.run_until(from + 4 * SECOND);
     assert_eq!(harness.send_times(20).len(), 0, "not immediately");
     harness.run_until(from + 25 * SECOND);
-    assert_eq!(harness.send_times(20).len(), 1, "after the wait");
+    assert_eq!(harness.send_times(20).len(), 1, "after the delay");
 }
 
 #[test]
@@ -472,7 +472,7 @@
     for overtaken in [true, false] {
         let mut harness = Harness::new(settings(8), two_destinations());
         warm_up(&mut harness);
-        // responses come late and in the order of the calls: the endpoint is only slow
+        // the responses are late but in the order of the calls, so the endpoint is only slow
         harness.handle(vec![message(50, KEYED, 7), message(51, KEYED, 7)]);
         harness.run_until(harness.now + 10 * MILLISECOND);
         harness.handle(vec![message(1, KEYED, 7)]);
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_decision_module_keeps_its_size() {
+fn the_decision_module_stays_within_its_token_limit() {
     let text = concat!(
         include_str!("../src/decide.rs"),
         include_str!("../src/rejection_correlation.rs")
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -22,7 +22,7 @@
     expires: Micros,
 }
 
-/// What the test knows about a message.
+/// Expected state of a message, from the events and actions so far.
 #[derive(Default)]
 struct MessageState {
     class: usize,
@@ -50,8 +50,8 @@
     }
 }
 
-/// The destination, and the endpoint if that is a route of its own, for which an announced wait holds.
-fn wait_scope(endpoint: u32) -> (u64, Option<u32>) {
+/// The destination, and the endpoint if that is a separate route, to which a retry-after delay applies.
+fn retry_after_scope(endpoint: u32) -> (u64, Option<u32>) {
     let is_separate_route = listed_entry(endpoint).kind == 1;
     (
         destination_of(endpoint),
@@ -91,9 +91,9 @@
     let mut message_states: BTreeMap<u64, MessageState> = BTreeMap::new();
     let mut calls_in_flight: Vec<CallInFlight> = Vec::new();
     let mut stopped_endpoints: BTreeMap<u32, Micros> = BTreeMap::new();
-    let mut waits_until: BTreeMap<(u64, Option<u32>), Micros> = BTreeMap::new();
+    let mut retry_after_until: BTreeMap<(u64, Option<u32>), Micros> = BTreeMap::new();
     let mut messages_by_key: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
-    let mut key_waits_until: BTreeMap<u64, Micros> = BTreeMap::new();
+    let mut key_backoff_until: BTreeMap<u64, Micros> = BTreeMap::new();
     let mut all_actions = Vec::new();
     let mut alarms: BTreeSet<Micros> = BTreeSet::new();
     let mut events = vec![Event::EndpointList {
@@ -181,14 +181,16 @@
             if let (Some(key), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) =
                 (message_state.key, outcome)
             {
-                key_waits_until.insert(key, now + settings.safety.ordered_key_backoff);
+                key_backoff_until.insert(key, now + settings.safety.ordered_key_backoff);
             }
             if let Outcome::Rejected {
-                retry_after: Some(wait),
+                retry_after: Some(delay),
             } = outcome
             {
-                let until = waits_until.entry(wait_scope(call.endpoint)).or_default();
-                *until = (*until).max(now + wait);
+                let until = retry_after_until
+                    .entry(retry_after_scope(call.endpoint))
+                    .or_default();
+                *until = (*until).max(now + delay);
             }
             let closed = message_state.ended || outcome == Outcome::Success;
             message_state.ended = closed;
@@ -254,8 +256,11 @@
                         "sent to a drained endpoint"
                     );
                     assert!(message_state.attempts < settings.max_attempts);
-                    let wait_until = waits_until.get(&wait_scope(endpoint)).copied().unwrap_or(0);
-                    assert!(now >= wait_until, "sent before a wait was over");
+                    let earliest_send = retry_after_until
+                        .get(&retry_after_scope(endpoint))
+                        .copied()
+                        .unwrap_or(0);
+                    assert!(now >= earliest_send, "sent during a retry-after delay");
                     match settings.classes[message_state.class].effect {
                         Effect::Repeatable => {}
                         Effect::Unsafe => assert!(
@@ -272,10 +277,10 @@
                     }
                     if let Some(key) = message_state.key {
                         assert!(!earlier_open(id, key), "sent out of order");
-                        let key_wait_until = key_waits_until.get(&key).copied().unwrap_or(0);
+                        let key_earliest_send = key_backoff_until.get(&key).copied().unwrap_or(0);
                         assert!(
-                            message_state.attempts > 0 || now >= key_wait_until,
-                            "sent before the key's wait was over"
+                            message_state.attempts > 0 || now >= key_earliest_send,
+                            "sent during the key's backoff"
                         );
                     }
                     let message_state = message_states.get_mut(&id).expect("known");
--- a/crates/policy/tests/resumed.rs
+++ b/crates/policy/tests/resumed.rs
@@ -12,7 +12,7 @@
 /// The decision module of a new process that has just received this endpoint list.
 fn restarted(settings: &Settings, seed: u64, entries: Vec<EndpointEntry>) -> Harness {
     let mut harness = Harness::new(settings.clone(), vec![]);
-    harness.sender = Sender::new(settings.clone(), seed).expect("settings make sense");
+    harness.sender = Sender::new(settings.clone(), seed).expect("valid settings");
     harness.handle(vec![Event::EndpointList {
         list_kind: EndpointListKind::Full,
         entries,
@@ -67,9 +67,9 @@
 }
 
 #[test]
-fn the_wait_after_a_start_leaves_time_for_a_call() {
-    // The wait after a start is up to three quarters of the latency objective, here 1.5 s, and the message has 0.4 s
-    // left.
+fn the_stagger_delay_after_a_restart_leaves_time_for_a_call() {
+    // The first call after a restart is delayed by up to three quarters of the latency objective, here 1.5 s, and the
+    // message has 0.4 s left.
     let mut settings = settings(4);
     (
         settings.report_remaining_index,
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_wait_after_a_start_leaves_time_for_a_later_message_with_less_time() {
+fn the_stagger_delay_after_a_restart_leaves_time_for_a_later_message_with_less_time() {
     // The destination's first message has all its time left and the second one 0.4 s.
     let mut settings = settings(4);
     (
@@ -235,8 +235,8 @@
 }
 
 #[test]
-fn the_wait_after_a_start_leaves_time_within_the_deduplication_window() {
-    // With a latency objective of 2 s the first call may wait 1.5 s, and the window has 0.7 s left.
+fn the_stagger_delay_after_a_restart_leaves_time_within_the_deduplication_window() {
+    // With a latency objective of 2 s the first call may be delayed by 1.5 s, and the window has 0.7 s left.
     let mut settings = one_second_window();
     (
         settings.report_remaining_index,
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -307,26 +307,26 @@
 }
 
 #[test]
-fn an_announced_wait_holds_for_the_destination_or_for_a_separate_route() {
-    let wait = Outcome::Rejected {
+fn a_retry_after_delay_applies_to_the_destination_or_to_a_separate_route() {
+    let with_retry_after = Outcome::Rejected {
         retry_after: Some(2 * SECOND),
     };
     let mut harness = Harness::new(settings(40), pool(3));
     harness.handle(vec![message(1, REPEATABLE, 7), message(2, UNSAFE, 7)]);
     harness.now += 10 * MILLISECOND;
-    let announced_at = harness.now;
-    harness.end_attempt(1, wait, 10 * MILLISECOND);
+    let received_at = harness.now;
+    harness.end_attempt(1, with_retry_after, 10 * MILLISECOND);
     harness.end_attempt(2, Outcome::Rejected { retry_after: None }, 10 * MILLISECOND);
     harness.handle(vec![message(3, REPEATABLE, 7)]);
-    harness.run_until(announced_at + 10 * SECOND);
+    harness.run_until(received_at + 10 * SECOND);
     let early: Vec<_> = harness.sends[2..]
         .iter()
-        .filter(|send| send.0 < announced_at + 2 * SECOND)
+        .filter(|send| send.0 < received_at + 2 * SECOND)
         .collect();
     assert!(early.is_empty(), "{early:?}");
     assert!(
         harness.sends.len() > 2,
-        "they are sent when the wait is over"
+        "they are sent after the retry-after delay"
     );
 
     let routes = (1..=2)
@@ -338,12 +338,12 @@
     let mut harness = Harness::new(settings(40), routes);
     harness.handle(vec![message(1, REPEATABLE, 7)]);
     let (used, _) = harness.last_send(1);
-    harness.end_attempt(1, wait, 10 * MILLISECOND);
+    harness.end_attempt(1, with_retry_after, 10 * MILLISECOND);
     harness.run_until(START + SECOND);
     assert_eq!(
         harness.last_send(1).0,
         3 - used,
-        "the wait does not hold for the other route"
+        "the retry-after delay does not apply to the other route"
     );
 }
 
@@ -355,7 +355,7 @@
 }
 
 #[test]
-fn messages_of_a_key_are_sent_in_order_with_a_wait_after_an_uncertain_end() {
+fn messages_of_a_key_are_sent_in_order_with_a_backoff_after_an_uncertain_end() {
     let mut harness = Harness::new(settings(40), pool(1));
     harness.handle(vec![
         ordered_message(1, 5),
@@ -385,11 +385,13 @@
         0,
         "an attempt of the earlier message is still in flight"
     );
-    let wait_begins = harness.now;
+    let backoff_begins = harness.now;
     harness.end_attempt(2, Outcome::Cancelled, 50 * MILLISECOND);
-    harness.run_until(wait_begins + SECOND);
+    harness.run_until(backoff_begins + SECOND);
     let sent = harness.send_times(4)[0] + START;
-    assert!(sent >= wait_begins + 100 * MILLISECOND && sent < wait_begins + 200 * MILLISECOND);
+    assert!(
+        sent >= backoff_begins + 100 * MILLISECOND && sent < backoff_begins + 200 * MILLISECOND
+    );
 }
 
 #[test]
@@ -552,9 +554,9 @@
 }
 
 #[test]
-fn a_call_still_connecting_is_held_back_by_a_wait_a_drain_or_the_messages_end() {
-    // Guards against connections that are established a second late and then carry calls into waits announced
-    // meanwhile.
+fn a_connecting_call_is_not_written_after_a_retry_after_a_drain_or_the_messages_end() {
+    // Guards against a connection that takes a second to open and then carries a call that may no longer start, for
+    // example because of a Retry-After received in that second.
     let write_deadline =
         |harness: &Harness, id| harness.sender.write_deadline(harness.now, MessageId(id), 0);
     let with_one_call = || {
@@ -577,9 +579,16 @@
         endpoint: EndpointId(1),
         retry_after: SECOND,
     }]);
-    assert_eq!(write_deadline(&harness, 1), None, "a wait was announced");
+    assert_eq!(
+        write_deadline(&harness, 1),
+        None,
+        "a Retry-After was received"
+    );
     harness.now += 1_100 * MILLISECOND;
-    assert!(write_deadline(&harness, 1).is_some(), "the wait is over");
+    assert!(
+        write_deadline(&harness, 1).is_some(),
+        "the retry-after delay is over"
+    );
 
     let mut harness = with_one_call();
     let draining = EndpointEntry {
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -164,22 +164,22 @@
 }
 
 #[test]
-fn senders_with_the_same_announced_wait_do_not_retry_together_at_its_end() {
-    // Guards against overloading a destination that announces to all senders a wait with the same end.
+fn senders_with_the_same_retry_after_delay_do_not_retry_together_at_its_end() {
+    // Guards against overloading a destination whose retry-after delays end at the same time for all senders.
     for count in FLEET_SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.submit_messages();
-        let wait_end = START + 6 * SECOND;
-        let with_wait = |now: Micros| Outcome::Rejected {
-            retry_after: Some((wait_end - now).max(MILLISECOND)),
+        let delay_end = START + 6 * SECOND;
+        let with_retry_after = |now: Micros| Outcome::Rejected {
+            retry_after: Some((delay_end - now).max(MILLISECOND)),
         };
-        fleet.run_until(wait_end, with_wait);
+        fleet.run_until(delay_end, with_retry_after);
         assert_eq!(
             fleet.sent_within(SECOND, 6 * SECOND),
             0,
-            "{count} senders: a wait was announced to all"
+            "{count} senders: all have a retry-after delay"
         );
-        fleet.run_until(wait_end + 3 * SECOND, |_| Outcome::Success);
+        fleet.run_until(delay_end + 3 * SECOND, |_| Outcome::Success);
         let burst = fleet.sent_within(6 * SECOND, 6 * SECOND + 200 * MILLISECOND);
         let all = fleet.sent_within(6 * SECOND, 9 * SECOND);
         assert!(burst <= 6, "{count} senders: {burst} in the first 200 ms");
@@ -258,12 +258,12 @@
         (100 * MILLISECOND..=5 * SECOND).contains(&rejected),
         "after one rejection: {rejected}"
     );
-    let after_wait = retried_at(Outcome::Rejected {
+    let after_delay = retried_at(Outcome::Rejected {
         retry_after: Some(SECOND),
     });
     assert!(
-        (1_051 * MILLISECOND..=6 * SECOND).contains(&after_wait),
-        "after an announced wait: {after_wait}"
+        (1_051 * MILLISECOND..=6 * SECOND).contains(&after_delay),
+        "after a retry-after delay: {after_delay}"
     );
 
     let mut harness = new_harness();
@@ -303,7 +303,7 @@
     assert_eq!(
         disconnects(&harness),
         before + 1,
-        "endpoints of this kind reject connections, and the next call is far off"
+        "endpoints of this kind reject connections, and no call is expected soon"
     );
 }
 
