--- a/tests/fleet_commands/stand_in.rs
+++ b/tests/fleet_commands/fake_coordinator.rs
@@ -15,7 +15,7 @@
 /// A fake coordinator that answers by a script and records the calls that it gets.
 pub(super) struct FakeCoordinator {
     pub(super) address: SocketAddr,
-    /// The first line and the body of each call, without repetitions.
+    /// The request line and the body of each call, without repetitions.
     pub(super) requests: Arc<Mutex<BTreeSet<String>>>,
 }
 
@@ -54,15 +54,15 @@
 ) -> std::io::Result<()> {
     let (mut reader, mut stream) = (BufReader::new(stream.try_clone()?), stream);
     loop {
-        let (mut first_line, mut length) = (String::new(), 0);
+        let (mut request_line, mut length) = (String::new(), 0);
         loop {
             let mut line = String::new();
             if reader.read_line(&mut line)? == 0 {
                 return Ok(());
             }
             let line = line.trim_end();
-            if first_line.is_empty() {
-                first_line = line.to_string();
+            if request_line.is_empty() {
+                request_line = line.to_string();
             } else if line.is_empty() {
                 break;
             } else if let Some(value) = line.strip_prefix("content-length: ") {
@@ -74,9 +74,9 @@
         let body = String::from_utf8(body).expect("text");
         requests
             .lock()
-            .expect("no holder panics")
-            .insert(format!("{first_line} {body}"));
-        let path = first_line.split(' ').nth(1).unwrap_or_default();
+            .expect("not poisoned")
+            .insert(format!("{request_line} {body}"));
+        let path = request_line.split(' ').nth(1).unwrap_or_default();
         let Some((status, text)) = script(path, &body) else {
             continue;
         };
--- a/tests/fleet_commands/held.rs
+++ b/tests/fleet_commands/hold_command.rs
@@ -1,8 +1,8 @@
 //! The JSON events that `milletturn fleet hold` prints and the calls that its member sends, compared with a golden file.
 
 use crate::PROGRAM;
+use crate::fake_coordinator::{FakeCoordinator, NO_LEADER};
 use crate::golden::{assert_matches_golden, masked};
-use crate::stand_in::{FakeCoordinator, NO_LEADER};
 use milletturn_cluster_harness::Process;
 use milletturn_cluster_harness::process::wait_until;
 use std::collections::BTreeSet;
@@ -15,7 +15,7 @@
 
 /// Answers a member's calls so that the member reports every kind of event; `stage` counts the steps of the scenario.
 fn scenario(stage: &Mutex<u32>, path: &str, body: &str) -> Option<(u16, String)> {
-    let mut stage = stage.lock().expect("no holder panics");
+    let mut stage = stage.lock().expect("not poisoned");
     match path {
         "/v1/open" => open(&mut stage),
         "/v1/order" if body.starts_with("{\"claim\"") => claim(*stage),
@@ -144,13 +144,7 @@
     let process = Process::start(&PROGRAM.into(), "hold", &arguments.map(String::from));
     process.wait_for_lines(1, |line| line.contains("{\"acted\":1,\"term\":6}"));
     process.terminate();
-    let requests = || {
-        coordinator
-            .requests
-            .lock()
-            .expect("no holder panics")
-            .clone()
-    };
+    let requests = || coordinator.requests.lock().expect("not poisoned").clone();
     wait_until("the member closes its session", || {
         requests().iter().any(|line| line.contains("\"close\""))
     });
--- a/tests/fleet_commands/main.rs
+++ b/tests/fleet_commands/main.rs
@@ -1,10 +1,10 @@
 //! Compares the `fleet` commands and the responses of coordinators and session proxies with golden files.
 
-mod answers;
+mod fake_coordinator;
 mod golden;
-mod held;
+mod hold_command;
 mod output;
 mod printed;
-mod stand_in;
+mod protocol_responses;
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_milletturn");
--- a/tests/fleet_commands/output.rs
+++ b/tests/fleet_commands/output.rs
@@ -2,7 +2,7 @@
 //! a full device they fail.
 
 use crate::PROGRAM;
-use crate::stand_in::{FakeCoordinator, NO_LEADER, STATE, STATUS};
+use crate::fake_coordinator::{FakeCoordinator, NO_LEADER, STATE, STATUS};
 use std::process::{Command, Stdio};
 use std::sync::Arc;
 
--- a/tests/fleet_commands/printed.rs
+++ b/tests/fleet_commands/printed.rs
@@ -1,8 +1,8 @@
 //! The text and JSON that the `fleet` commands print and their exit codes, compared with a golden file.
 
 use crate::PROGRAM;
+use crate::fake_coordinator::{BACKUP, FakeCoordinator, NO_LEADER, STATE, STATUS};
 use crate::golden::assert_matches_golden;
-use crate::stand_in::{BACKUP, FakeCoordinator, NO_LEADER, STATE, STATUS};
 use std::process::Command;
 use std::sync::Arc;
 
@@ -104,7 +104,7 @@
     let requests: Vec<String> = leader
         .requests
         .lock()
-        .expect("no holder panics")
+        .expect("not poisoned")
         .iter()
         .cloned()
         .collect();
@@ -117,7 +117,7 @@
             "POST /v1/order HTTP/1.1 {\"free\":{\"work\":\"list\",\"term\":5}}",
         ]
     );
-    // no coordinator is named, and no coordinator answers
+    // exit codes if no coordinator is named, and if none responds
     assert_eq!(run_fleet(&[], &["status"]), "> status\n< 2\n\n");
     let unanswered = Command::new(PROGRAM)
         .args([
--- a/tests/fleet_commands/answers.rs
+++ b/tests/fleet_commands/protocol_responses.rs
@@ -7,7 +7,7 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Sends a call; returns a text of the call and of the response without its `date` header.
+/// Sends a call; returns a transcript of the call and of the response, without its `date` header.
 fn transcript(
     address: &str,
     method: &str,
@@ -37,7 +37,7 @@
     )
 }
 
-/// What a member says of itself when it opens a session.
+/// The member's description in a call that opens a session.
 const MEMBER_INFO: &str = r#"{"name":"NAME","zone":"east","version":"0.1.0","serves":"sender"}"#;
 
 /// The body of a call that opens a session.
