--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -1,4 +1,5 @@
-//! Idle clients take every file descriptor they can get, while the discovery service stops and starts again.
+//! Idle clients occupy as many of the sender's file descriptors as they can, while the discovery service stops and starts
+//! again.
 
 mod node;
 
@@ -47,21 +48,21 @@
 
     fn serve(&self, mut stream: TcpStream, list: &str) -> std::io::Result<()> {
         let mut reader = BufReader::new(stream.try_clone()?);
-        let (mut line, mut first, mut length) = (String::new(), String::new(), 0);
+        let (mut line, mut request_line, mut length) = (String::new(), String::new(), 0);
         while line != "\r\n" {
             line.clear();
             if reader.read_line(&mut line)? == 0 {
                 // the sender may close a connection without a request
                 return Ok(());
             }
-            if first.is_empty() {
-                first.clone_from(&line);
+            if request_line.is_empty() {
+                request_line.clone_from(&line);
             }
             if let Some(value) = line.to_ascii_lowercase().strip_prefix("content-length:") {
                 length = value.trim().parse().expect("a length");
             }
         }
-        if first.starts_with("POST ") {
+        if request_line.starts_with("POST ") {
             let mut body = vec![0; length];
             reader.read_exact(&mut body)?;
             *self.notifications.lock().expect("not poisoned") +=
@@ -128,7 +129,7 @@
 }
 
 #[test]
-fn idle_clients_that_take_all_descriptors_block_neither_discovery_nor_calls_nor_shutdown() {
+fn idle_clients_that_occupy_all_descriptors_block_neither_discovery_nor_calls_nor_shutdown() {
     let (old, new) = (FakeEndpoint::new(|_, _| OK), FakeEndpoint::new(|_, _| OK));
     let lists = |old_state, new_state| {
         let draining = ("d-9", old.address, "one", 9, "draining");
--- a/tests/duplicate_responses.rs
+++ b/tests/duplicate_responses.rs
@@ -14,8 +14,8 @@
 const SERVICE_TIME: Duration = Duration::from_millis(80);
 /// Time from the submission of a message to its deadline.
 const TIME_TO_LIVE_MS: u64 = 3_000;
-/// A message that has neither been delivered nor ended by a notification this long after its deadline counts as lost
-/// (the protocol page).
+/// A message that has neither been delivered nor ended by a notification this long after its deadline counts as lost,
+/// as the protocol page says.
 const LOST_AFTER_MS: u64 = 300;
 /// Time between two submissions, long enough that the connection to the endpoint is idle again.
 const SUBMIT_INTERVAL: Duration = Duration::from_millis(160);
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_copy_of_a_200_with_the_next_request_delivers_nothing() {
+fn a_duplicate_200_with_the_next_request_delivers_nothing() {
     assert_no_loss(reject_overlapping, Duration::ZERO);
 }
 
@@ -272,7 +272,7 @@
 }
 
 #[test]
-fn a_copy_of_a_rejection_repeats_no_message_that_runs() {
+fn a_duplicate_rejection_repeats_no_running_message() {
     let fixture = Fixture::new(
         deliver_overlapping,
         DuplicateTiming::DuringNextRequest(Duration::ZERO),
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -186,7 +186,7 @@
     assert_eq!(node.readiness_status(), 503);
     node.terminate();
     assert!(node.process.wait().expect("the process ends").success());
-    // kills during the start lose nothing either, however much of a new journal file they leave
+    // kills during the start lose nothing either, with any length of a partly written new journal file
     for byte_count in [0, 1000, 400_000] {
         std::fs::write(
             node.folder.join("state/journal.new"),
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn the_account_counts_expired_messages_without_an_attempt_by_reason() {
+fn the_access_log_report_counts_expired_messages_without_an_attempt_by_reason() {
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("418 Teapot", String::new()));
     let draining = |uid, destination| (uid, endpoint.address, "one", destination, "draining");
     let discovery = FakeDiscovery::new(vec![list_json(&[
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -242,7 +242,7 @@
         );
         wait_until("the member owns again", || writes_above(&a, token) >= 3);
     }
-    // hold back a write of the lost group's owner
+    // buffer a write of the lost group's owner
     buffer_outgoing(&cluster, &links_a);
     a.suspend();
     let (lost_token, joined) = (highest_token(&a), join_count(&a));
--- a/tests/golden_dead_letter.rs
+++ b/tests/golden_dead_letter.rs
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn commands_print_and_request_what_the_golden_file_has() {
+fn output_and_requests_of_commands_match_the_golden_file() {
     let folder = tempfile::tempdir().expect("the folder is created");
     let (stopped, running) = (folder.path().join("stopped"), folder.path().join("running"));
     std::fs::create_dir(&stopped).expect("the folder is created");
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -17,7 +17,7 @@
 
 static FOLDERS: AtomicUsize = AtomicUsize::new(0);
 
-/// A sender process, with the folder and settings that are kept when the process is restarted.
+/// A sender process, with the folder and settings that a restarted process uses again.
 pub(crate) struct Node {
     pub folder: PathBuf,
     setup: Setup,
@@ -26,7 +26,7 @@
     /// Address of the admin listener.
     pub admin_address: Option<SocketAddr>,
     pub log: Arc<Mutex<Vec<String>>>,
-    keeps_reading_log: Arc<AtomicBool>,
+    reads_log: Arc<AtomicBool>,
 }
 
 /// The settings with which each process of a sender is started, other than its folder.
@@ -120,18 +120,18 @@
         )
     }
 
-    /// Starts a sender that writes trace lines, from which `milletturn account` makes its report.
+    /// Starts a sender that writes trace lines, which `milletturn access-log` evaluates.
     pub(crate) fn with_trace(discovery: &FakeDiscovery) -> Self {
         let node = Node::new(discovery);
         std::fs::write(node.folder.join("trace"), "").expect("written");
         node.restart()
     }
 
-    /// Starts a sender whose state folder `prepare` has filled, and whose configuration holds the endpoint list `known`.
+    /// Starts a sender whose state folder `prepare` has filled, and whose configuration has the endpoint list `cached_list`.
     pub(crate) fn prepared(
         discovery: SocketAddr,
         disk_mb: f64,
-        known: &str,
+        cached_list: &str,
         prepare: impl FnOnce(&Path),
     ) -> Self {
         let folder = new_folder();
@@ -143,7 +143,7 @@
         Node::write_config(&folder, discovery, disk_mb, setup.idle_s, setup.sockets);
         let file = folder.join("config.json");
         let text = std::fs::read_to_string(&file).expect("the configuration");
-        std::fs::write(&file, text.replace(EMPTY_ENDPOINT_LIST, known)).expect("written");
+        std::fs::write(&file, text.replace(EMPTY_ENDPOINT_LIST, cached_list)).expect("written");
         Node::launch(folder, setup)
     }
 
@@ -201,13 +201,13 @@
         std::fs::write(folder.join("config.json"), config).expect("written");
     }
 
-    /// Starts another process with the same folder and configuration, which takes over from this one if this one runs.
-    pub(crate) fn upgrade(&self) -> Self {
+    /// Starts another process with the same folder and configuration, which takes over from this one if this one is running.
+    pub(crate) fn hot_restart(&self) -> Self {
         Node::launch(self.folder.clone(), self.setup.clone())
     }
 
-    /// Does the same as [`upgrade`](Self::upgrade), with another build of the program.
-    pub(crate) fn upgrade_to(&self, program: &Path) -> Self {
+    /// Does the same as [`hot_restart`](Self::hot_restart), with another build of the program.
+    pub(crate) fn hot_restart_with(&self, program: &Path) -> Self {
         let program = program.to_path_buf();
         let setup = Setup {
             program,
@@ -229,9 +229,9 @@
         }
         let mut process = command.spawn().expect("the sender starts");
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
-        let keeps_reading_log = Arc::new(AtomicBool::new(true));
+        let reads_log = Arc::new(AtomicBool::new(true));
         let errors = process.stderr.take().expect("piped");
-        collect_lines(errors, log.clone(), keeps_reading_log.clone());
+        spawn_log_reader(errors, log.clone(), reads_log.clone());
         let logged_value = |label: &str| {
             let log = log.lock().expect("not poisoned");
             log.iter()
@@ -251,7 +251,7 @@
             address,
             admin_address,
             log,
-            keeps_reading_log,
+            reads_log,
         }
     }
 
@@ -373,16 +373,16 @@
     /// Kills the process, and starts a new one with the configuration file as the last reload left it.
     pub(crate) fn restart_keeping_config(mut self) -> Self {
         self.kill();
-        self.upgrade()
+        self.hot_restart()
     }
 
     pub(crate) fn journal(&self) -> PathBuf {
         self.folder.join("state/journal")
     }
 
-    /// Closes the pipe of the log once one more line has been read.
+    /// Makes the log reader close its pipe after the next line.
     pub(crate) fn close_log(&mut self) {
-        self.keeps_reading_log.store(false, Ordering::SeqCst);
+        self.reads_log.store(false, Ordering::SeqCst);
     }
 
     /// True if a line of the sender's log contains the text.
@@ -402,17 +402,17 @@
     }
 }
 
-/// Reads a process' standard error into a log, line by line; stops after the first line that comes once
-/// `keeps_reading` is false.
-fn collect_lines(
+/// Starts a thread that appends each line of a process' standard error to a log. Once `is_active` is false, the thread
+/// ends after the next line, which closes the pipe.
+fn spawn_log_reader(
     errors: impl Read + Send + 'static,
     log: Arc<Mutex<Vec<String>>>,
-    keeps_reading: Arc<AtomicBool>,
+    is_active: Arc<AtomicBool>,
 ) {
     thread::spawn(move || {
         for line in BufReader::new(errors).lines().map_while(Result::ok) {
             log.lock().expect("not poisoned").push(line);
-            if !keeps_reading.load(Ordering::SeqCst) {
+            if !is_active.load(Ordering::SeqCst) {
                 return;
             }
         }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -160,7 +160,7 @@
     let discovery = discovery_with(&endpoint);
     let node = Node::new(&discovery).ready();
     assert_eq!(node.submit("licence", "m1", 7, 20_000, b"x"), 400);
-    // an at-most-once message that may run must never be sent again, whatever effect its class gets later
+    // an at-most-once message that may run must never be sent again, even if its class gets another effect
     assert_eq!(node.submit("order", "slow-order", 7, 3_000, b"x"), 202);
     wait_until("the message is sent", || {
         endpoint.attempt_count("slow-order") == 1
--- a/tests/response_faults.rs
+++ b/tests/response_faults.rs
@@ -1,5 +1,5 @@
-//! Runs the sender against endpoints that break the rules of HTTP at random, by seed: whatever they send, each accepted
-//! message is delivered or ended by a notification, and at-most-once messages run at most once.
+//! Runs the sender against endpoints that violate HTTP at random, from a seed. Each accepted message must still be delivered
+//! or ended by a notification, and at-most-once messages must run at most once.
 //! `MILLETTURN_SEEDS=40..90` selects other seeds.
 
 mod node;
@@ -105,23 +105,23 @@
             thread::sleep(Duration::from_millis(20));
         }
         let (unfinished, seed) = (self.unfinished(), self.seed);
-        let records = unfinished
+        let log_lines = unfinished
             .first()
             .map(|id| self.node.log_lines_of(id))
             .unwrap_or_default();
         assert!(
             unfinished.is_empty(),
-            "seed {seed}: {} of {} lost: {unfinished:?}\n{records}",
+            "seed {seed}: {} of {} lost: {unfinished:?}\n{log_lines}",
             unfinished.len(),
             self.accepted.len()
         );
         let executions = self.executions.lock().expect("not poisoned");
         for (id, runs) in &executions.runs {
-            let records = || self.node.log_lines_of(id);
+            let log_lines = || self.node.log_lines_of(id);
             assert!(
                 *runs <= 1 || !id.starts_with("order"),
                 "seed {seed}: {id} ran {runs} times\n{}",
-                records()
+                log_lines()
             );
         }
         println!(
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn whatever_endpoints_send_each_message_has_its_one_end() {
+fn unreliable_endpoints_lose_no_message_and_repeat_no_at_most_once_message() {
     let runs: Vec<_> = seeds()
         .map(|seed| thread::spawn(move || Scenario::new(seed).run().check()))
         .collect();
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn clients_that_send_nothing_or_never_finish_are_closed_in_time() {
+fn connections_without_a_complete_request_are_closed_in_time() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&discovery_with(&endpoint)).ready();
     let text = message_request("webhook", "m1", 7, 20_000, b"12345");
@@ -84,7 +84,7 @@
 
 #[test]
 fn when_connection_slots_run_out_the_oldest_idle_connection_is_closed() {
-    // guards against new clients that are not accepted because idle connections take all slots
+    // guards against rejecting new clients because idle connections occupy all slots
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::with_descriptor_limit(&discovery_with(&endpoint), 64).ready();
     let text = message_request("webhook", "half", 7, 20_000, b"12345");
@@ -106,7 +106,7 @@
 
 #[test]
 fn a_body_of_ambiguous_length_smuggles_no_second_request() {
-    // hyper reports only one of the two headers; whatever their order, the hidden request must not be read
+    // hyper reports only one of the two headers; in either order, the hidden request must not be read
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&discovery_with(&endpoint)).ready();
     let hidden =
@@ -157,7 +157,7 @@
     wait_until("the connection is closed", || client.is_closed());
 }
 
-/// The number of attempts and the notifications for an at-most-once message whose first response is the given one.
+/// The number of attempts and the notifications for an at-most-once message whose first attempt gets this response.
 fn attempts_and_notifications_after(first: &'static str) -> (usize, Vec<String>) {
     let endpoint =
         FakeEndpoint::new(move |_, number| if number == 0 { Reply::Raw(first) } else { OK });
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn a_status_line_with_200_counts_as_delivered_whatever_follows() {
+fn a_200_status_line_counts_as_delivered_even_if_the_rest_is_malformed() {
     for response in [
         "HTTP/1.1 200 OK\r\nX-Half: a head without e",
         "HTTP/1.1 200 OK\r\nno header\x01\r\n\r\n",
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -4,7 +4,7 @@
 
 #![expect(
     clippy::too_many_lines,
-    reason = "tests of this file have not been split up yet"
+    reason = "each test spells out its whole scenario"
 )]
 
 use milletturn_cluster_harness::history::{
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -2,7 +2,7 @@
 
 #![expect(
     clippy::needless_pass_by_value,
-    reason = "functions of this file have not been refactored yet"
+    reason = "`Sidecar::start` takes a folder that its callers create for it"
 )]
 
 use milletturn_test_support::*;
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn a_start_rejects_what_config_check_finds_with_the_same_text() {
+fn a_start_rejects_a_configuration_with_the_text_of_config_check() {
     let folder = new_folder();
     let file = folder.join("app.toml");
     let (http, outcomes) = (unused_address(), unused_address());
@@ -451,8 +451,8 @@
             Client::new(admin_address).send(b"GET /-/metrics HTTP/1.1\r\nHost: a\r\n\r\n");
         let (status, response) = response.expect("a response");
         assert_eq!(status, 200);
-        let lines = String::from_utf8(response.body).expect("text");
-        lines
+        let metrics = String::from_utf8(response.body).expect("text");
+        metrics
             .lines()
             .find_map(|line| line.strip_prefix("relay.config_rejected:"))
             .map(str::to_string)
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -174,8 +174,8 @@
     );
 }
 
-/// Submits one message with an idempotency key and one at-most-once message, to each of which the endpoint's first reply is
-/// the given one. Returns the number of attempts of each, and the notifications. An at-most-once message may be sent again
+/// Submits one message with an idempotency key and one at-most-once message, and answers the first attempt of each with
+/// `first`. Returns the number of attempts of each, and the notifications. An at-most-once message may be sent again
 /// only if it never ran; a message with a key whenever it is undelivered.
 fn attempts_and_notifications_after(first: Reply) -> (usize, usize, Vec<String>) {
     let already_failed: Arc<Mutex<Vec<String>>> = Arc::default();
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn what_was_turned_away_never_ran() {
+fn a_rejected_message_never_ran() {
     for head in [
         "429 No\r\nRetry-After: 0.05",
         "503 Full",
@@ -623,13 +623,13 @@
 }
 
 #[test]
-fn no_call_that_would_be_cut_off_starts_near_the_end_of_a_drain() {
+fn no_call_that_the_exit_would_interrupt_starts_near_the_end_of_a_drain() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let discovery = discovery_with(&endpoint);
     let node = Node::new(&discovery).ready();
     node.terminate();
     wait_until("the sender drains", || node.logged("draining"));
-    // into the last second: a call of unknown latency is assumed to need 1 s, so the end of the process would cut it off
+    // into the last second of the drain: a call of unknown latency is assumed to need 1 s, so the exit would interrupt it
     std::thread::sleep(Duration::from_millis(2450));
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     let mut node = node;
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -103,18 +103,18 @@
 }
 
 #[test]
-fn an_upgrade_under_load_loses_nothing_sends_nothing_twice_and_cuts_no_client_off() {
+fn a_hot_restart_under_load_loses_no_message_repeats_none_and_disconnects_no_client() {
     let release = Arc::new(AtomicBool::new(false));
     let endpoint = blocked_until(&release);
     let old = Node::new(&discovery_with(&endpoint)).ready();
-    // an at-most-once call is in flight in the old process during the upgrade, and must not be sent twice
+    // an at-most-once call is in flight in the old process during the hot restart, and must not be sent twice
     assert_eq!(old.submit("order", "blocked-order", 7, 20_000, b"x"), 202);
     wait_until("the message is sent", || {
         endpoint.attempt_count("blocked-order") == 1
     });
     let load = Load::start(old.address);
     load.wait_for_more(50);
-    let new = old.upgrade().ready();
+    let new = old.hot_restart().ready();
     assert_eq!(new.address, old.address);
     assert!(new.logged("takes over"));
     load.wait_for_more(50);
@@ -152,9 +152,9 @@
         endpoint.attempt_count("first") == 1 && old.metric("active") <= 1
     });
     thread::sleep(Duration::from_millis(100)); // until the response has arrived
-    let new = old.upgrade().ready();
+    let new = old.hot_restart().ready();
     let _ = new.submit("webhook", "second", 7, 20_000, b"x");
-    // once this later message to another destination arrives, a call for the second one would have arrived too
+    // a call for the second message would have arrived before this later one for another destination
     assert_eq!(new.submit("webhook", "other", 8, 20_000, b"x"), 202);
     wait_until("the message to another destination is sent", || {
         endpoint.attempt_count("other") == 1
@@ -178,7 +178,7 @@
         assert_eq!(old.submit(class, id, 7, 20_000, b"x"), 202);
         wait_until("the message is sent", || endpoint.attempt_count(id) >= 1);
     }
-    let new = old.upgrade().ready();
+    let new = old.hot_restart().ready();
     old.kill();
     wait_until("the old calls are logged as cut off", || {
         new.logged("calls cut off")
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn invalid_callers_at_the_handover_socket_change_nothing() {
+fn invalid_callers_at_the_hot_restart_socket_change_nothing() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&discovery_with(&endpoint)).ready();
     let socket = node.folder.join("state/handover");
@@ -225,12 +225,12 @@
         });
     }
     // a valid new process still takes over
-    let new = node.upgrade().ready();
+    let new = node.hot_restart().ready();
     assert_eq!(new.submit("webhook", "m1", 7, 20_000, b"x"), 200);
 }
 
 #[test]
-fn a_restart_after_an_unreadable_handover_resumes_from_the_journal() {
+fn a_restart_after_an_unreadable_hot_restart_offer_resumes_from_the_journal() {
     let release = Arc::new(AtomicBool::new(false));
     let endpoint = blocked_until(&release);
     let mut old = Node::new(&discovery_with(&endpoint)).ready();
@@ -242,7 +242,8 @@
         UnixStream::connect(old.folder.join("state/handover")).expect("the socket listens");
     caller.write_all(b"MTH1\x01\0\0\0").expect("written");
     let _ = caller.read(&mut [0; 8]).expect("a hello");
-    caller.write_all(b"\x01\0\0\0\x01").expect("leave");
+    // the decision `Exit`, which a new process sends when it can't read the offer
+    caller.write_all(b"\x01\0\0\0\x01").expect("written");
     wait_until("the old process exits at once", || {
         old.process.try_wait().expect("a child process").is_some()
     });
@@ -256,11 +257,11 @@
 }
 
 #[test]
-fn a_drained_sender_stays_drained_after_an_upgrade() {
+fn a_drained_sender_stays_drained_after_a_hot_restart() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let old = Node::new(&discovery_with(&endpoint)).ready();
     assert_eq!(old.admin_status("POST", "/-/drain"), 200);
-    let new = old.upgrade();
+    let new = old.hot_restart();
     wait_until("the new process has taken over", || {
         new.logged("takes over")
     });
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -176,7 +176,7 @@
         wait_until("the message is sent", || endpoint.attempt_count(id) >= 1);
     }
     let mut client = Client::new(old.address);
-    let new = old.upgrade_to(to.path()).ready();
+    let new = old.hot_restart_with(to.path()).ready();
     assert_eq!(
         new.address, old.address,
         "the new process has the same socket"
@@ -202,11 +202,11 @@
 }
 
 #[test]
-fn a_sender_of_the_other_version_hands_over_to_this_one() {
+fn a_hot_restart_replaces_the_other_version_by_this_one() {
     hot_restart(&other_version(), &this_version());
 }
 
 #[test]
-fn a_sender_of_this_version_hands_over_to_the_other_one() {
+fn a_hot_restart_replaces_this_version_by_the_other_one() {
     hot_restart(&this_version(), &other_version());
 }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -128,7 +128,7 @@
         "{not json\n",
         "{\"rev\":8,\"all\":false,\"targets\":[{\"uid\":\"s-1\"}]}\n",
     ] {
-        // only the whole list of the second watch has the change that the invalid line announced
+        // the change that the invalid line should have carried is only in the whole list of the second watch
         let discovery = start_discovery(vec![
             Script::Text(format!("{}{invalid}", pair.list("up"))),
             Script::Text(pair.list("draining")),
