--- a/crates/test-support/src/cold_fleet.rs
+++ b/crates/test-support/src/cold_fleet.rs
@@ -34,7 +34,7 @@
     pub reports_limit: bool,
     /// How long the destination is healthy before it fails.
     pub healthy_time: Micros,
-    /// Whether all senders restart when the destination recovers, with the messages that they hold.
+    /// Whether all senders restart when the destination recovers, and resume their pending messages.
     pub restarts_on_recovery: bool,
     /// Seed of the arrivals and of the senders.
     pub seed: u64,
@@ -92,7 +92,7 @@
         list_kind: EndpointListKind::Full,
         entries,
     };
-    let start = |seed| Sender::new(settings.clone(), seed).expect("settings make sense");
+    let start = |seed| Sender::new(settings.clone(), seed).expect("valid settings");
     let mut random = Pcg32::seed_from_u64(scenario.seed);
     let mut random_fraction = move || f64::from(random.next_u32()) / f64::from(u32::MAX);
     let first_seed = scenario.seed * 1000;
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -44,7 +44,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Maximum time that a test waits for a condition; far longer than any condition takes to become true.
+/// Maximum time that a test waits for a condition; far longer than any condition should take to become true.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Waits until `is_met` returns true, and panics with `condition` if that takes longer than [`WAIT_TIMEOUT`].
@@ -126,7 +126,7 @@
     Some(request)
 }
 
-/// Whether the request asks for the connection to be closed after the response.
+/// Whether the request has `Connection: close`, so that the connection is closed after the response.
 fn asks_to_close(request: &Request) -> bool {
     request.header("connection").eq_ignore_ascii_case("close")
 }
@@ -255,9 +255,9 @@
     }
 }
 
-/// The platform's agent: sends the same update lines on each watch of the endpoint list, and receives notifications.
+/// A fake discovery service: sends the same update lines on each watch of the endpoint list, and receives notifications.
 pub struct FakeDiscovery {
-    /// Address on which the agent listens.
+    /// Address on which the service listens.
     pub address: SocketAddr,
     /// Lines of all notification requests that were acknowledged, repeats included.
     pub notifications: Arc<Mutex<Vec<String>>>,
@@ -270,7 +270,7 @@
 }
 
 impl FakeDiscovery {
-    /// Starts the agent on a free loopback port; it sends `lines` on each watch.
+    /// Starts the service on a free loopback port; it sends `lines` on each watch.
     #[must_use]
     pub fn new(lines: Vec<String>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/crates/test-support/src/limited_fleet/mod.rs
+++ b/crates/test-support/src/limited_fleet/mod.rs
@@ -18,7 +18,7 @@
     pub sender_count: usize,
     /// Messages per second over all senders, each submitted to a random sender.
     pub messages_per_s: f64,
-    /// How long messages are submitted.
+    /// Time during which messages are submitted.
     pub duration: Micros,
     /// Calls per second that all destinations together serve. Rejected calls use up the limit too, unless
     /// `limit_policy` says otherwise.
--- a/crates/test-support/src/limited_fleet/rate_limit.rs
+++ b/crates/test-support/src/limited_fleet/rate_limit.rs
@@ -14,11 +14,11 @@
     pub window: Option<Micros>,
     /// Whether rejected calls use up the limit too, into a debt of at most the bucket's depth.
     pub rejections_consume: bool,
-    /// Fraction of the rejections that announce a wait (`Retry-After`).
+    /// Fraction of the rejections that carry a `Retry-After`.
     pub retry_after_share: f64,
-    /// Range in which announced waits are uniformly distributed. They are unrelated to when a call will be served.
+    /// Range of the retry-after delays, which are uniformly distributed and unrelated to when a call will be served.
     pub retry_after_range: (Micros, Micros),
-    /// Fraction of all calls that is rejected at random, whatever the limit.
+    /// Fraction of all calls that is rejected at random, independently of the limit.
     pub random_rejection_share: f64,
     /// Temporary change of the limit: from the first time after the start up to the second, it is multiplied by the
     /// third value.
@@ -40,8 +40,8 @@
         }
     }
 
-    /// The limit shows only in rejections, which use up the limit too. Half of them announce a wait that is unrelated
-    /// to when a call will be served.
+    /// The limit shows only in rejections, which use up the limit too. Half of them carry a `Retry-After`
+    /// that is unrelated to when a call will be served.
     #[must_use]
     pub fn rejections_only() -> Self {
         let retry_after_range = (1300 * MILLISECOND, 1400 * MILLISECOND);
@@ -136,11 +136,12 @@
         if is_served {
             return Outcome::Success;
         }
-        let (min_wait, max_wait) = self.policy.retry_after_range;
-        let announces_wait = self.policy.retry_after_share > 0.0
+        let (min_delay, max_delay) = self.policy.retry_after_range;
+        let has_retry_after = self.policy.retry_after_share > 0.0
             && self.random_fraction() < self.policy.retry_after_share;
-        let retry_after = announces_wait
-            .then(|| min_wait + ((max_wait - min_wait) as f64 * self.random_fraction()) as Micros);
+        let retry_after = has_retry_after.then(|| {
+            min_delay + ((max_delay - min_delay) as f64 * self.random_fraction()) as Micros
+        });
         Outcome::Rejected { retry_after }
     }
 
--- a/crates/test-support/src/limited_fleet/simulation.rs
+++ b/crates/test-support/src/limited_fleet/simulation.rs
@@ -45,7 +45,7 @@
     first_sender: usize,
     /// How often the message was returned to its client.
     return_count: usize,
-    /// Attempts by the sender that holds the message now.
+    /// Attempts by the sender to which the message was last submitted.
     attempts: usize,
 }
 
@@ -83,7 +83,7 @@
         (random_fraction().powf(scenario.skew) * scenario.sender_count as f64) as usize
             % scenario.sender_count
     };
-    let start = |seed| Sender::new(settings.clone(), seed).expect("settings make sense");
+    let start = |seed| Sender::new(settings.clone(), seed).expect("valid settings");
     let mut senders: Vec<Sender> = (0..scenario.sender_count as u64)
         .map(|n| start(n + scenario.seed * 1000))
         .collect();
@@ -118,7 +118,7 @@
         .collect();
     let mut reported_shares = vec![1.0; scenario.destination_count];
     let (mut now, mut next_arrival, mut next_id, mut reported_at) = (START, START, 0, START);
-    // messages that clients will resubmit, by time
+    // messages that clients will submit again, by the time of the resubmission
     let mut resubmissions: BTreeMap<Micros, Vec<u64>> = BTreeMap::new();
     while now < START + scenario.duration + profile.time_to_live {
         now += STEP;
--- a/crates/test-support/src/unreliable_endpoint.rs
+++ b/crates/test-support/src/unreliable_endpoint.rs
@@ -1,5 +1,5 @@
 //! An endpoint with random faults from a seed: it delivers, rejects, fails, closes, hangs and sends duplicates of
-//! earlier responses at moments that HTTP does not allow, and records which messages it really executed.
+//! earlier responses at moments that HTTP does not allow, and records which messages it executed.
 
 use crate::{Request, asks_to_close, read_http};
 use rand_pcg::Pcg32;
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// What the endpoint really did, whatever it responded.
+/// What the endpoint executed and sent, which its responses need not reflect.
 #[derive(Debug, Default)]
 pub struct Executions {
     /// How often each message was executed, by message ID.
@@ -32,7 +32,7 @@
     Never,
 }
 
-/// How a request ends.
+/// What the endpoint does with a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum RequestEnd {
     Delivered,
