--- a/benches/failing.rs
+++ b/benches/failing.rs
@@ -61,7 +61,7 @@
     if store.is_some() {
         let (_, stats) = node.undelivered(&["stats"]);
         println!(
-            "kept: {} of {} handed in",
+            "stored: {} of {} submitted",
             stats[0]["by_state"][0],
             RATE_PER_S * ROUND_SECONDS
         );
@@ -72,7 +72,7 @@
 fn main() {
     println!(
         "{:<10} {:>10} {:>10} {:>10}",
-        "store", "p50 us", "p99 us", "most us"
+        "store", "p50 us", "p99 us", "max us"
     );
     let (mut on, mut off) = (Vec::new(), Vec::new());
     for _ in 0..ROUNDS {
--- a/benches/many.rs
+++ b/benches/many.rs
@@ -145,7 +145,7 @@
     let number = |name: &str, default: u64| {
         value_after(name).map_or(default, |text| {
             text.parse()
-                .unwrap_or_else(|_| panic!("{name} wants a number"))
+                .unwrap_or_else(|_| panic!("{name} requires a number"))
         })
     };
     let (max_destinations, seconds) = (number("--destinations", 50_000), number("--seconds", 6));
@@ -156,16 +156,7 @@
         .collect();
     println!(
         "{:<8} {:>12} {:>9} {:>7} | {:>9} {:>7} | {:>9} {:>7} {:>6} {:>7}",
-        "",
-        "destinations",
-        "ready ms",
-        "MB",
-        "alone /s",
-        "least",
-        "beside /s",
-        "least",
-        "part",
-        "MB"
+        "", "destinations", "ready ms", "MB", "healthy/s", "min", "mixed/s", "min", "ratio", "MB"
     );
     for count in [100, 1_000, max_destinations] {
         for (name, program) in &programs {
@@ -174,17 +165,17 @@
             let (sidecar, time_to_ready) =
                 start_sidecar(program, count, healthy.address, unresponsive.address);
             let memory_mb = sidecar.memory_mb();
-            let alone = delivery_rates(sidecar.http, &healthy, seconds, false);
-            let beside = delivery_rates(sidecar.http, &healthy, seconds, true);
+            let healthy_only = delivery_rates(sidecar.http, &healthy, seconds, false);
+            let mixed = delivery_rates(sidecar.http, &healthy, seconds, true);
             let min = |rates: &[f64]| rates.iter().copied().fold(f64::MAX, f64::min);
             println!(
                 "{name:<8} {count:>12} {:>9.0} {memory_mb:>7.1} | {:>9.0} {:>7.0} | {:>9.0} {:>7.0} {:>6.2} {:>7.1}",
                 time_to_ready.as_secs_f64() * 1e3,
-                median(&alone),
-                min(&alone),
-                median(&beside),
-                min(&beside),
-                median(&beside) / median(&alone),
+                median(&healthy_only),
+                min(&healthy_only),
+                median(&mixed),
+                min(&mixed),
+                median(&mixed) / median(&healthy_only),
                 sidecar.memory_mb(),
             );
             // the figures are void if the sidecar has exited
--- a/benches/noise.rs
+++ b/benches/noise.rs
@@ -66,20 +66,20 @@
             .expect("not poisoned")
             .insert(request.connection);
         let mut random = random.lock().expect("not poisoned");
-        let roll = f64::from(random.0.next_u32()) / f64::from(u32::MAX);
-        let bad = match (noise, random.1) {
-            (Noise::Bursts, true) => roll >= 0.2,
-            (Noise::Bursts, false) => roll < 0.2 * share / (1.0 - share),
-            (Noise::NewConnections, _) => is_first_call && roll < share,
-            _ => roll < share,
+        let random_fraction = f64::from(random.0.next_u32()) / f64::from(u32::MAX);
+        let fails = match (noise, random.1) {
+            (Noise::Bursts, true) => random_fraction >= 0.2,
+            (Noise::Bursts, false) => random_fraction < 0.2 * share / (1.0 - share),
+            (Noise::NewConnections, _) => is_first_call && random_fraction < share,
+            _ => random_fraction < share,
         };
-        random.1 = bad;
+        random.1 = fails;
         drop(random);
-        if bad && noise == Noise::Slow {
+        if fails && noise == Noise::Slow {
             std::thread::sleep(Duration::from_secs(2));
         }
         match noise {
-            _ if !bad => OK,
+            _ if !fails => OK,
             Noise::Rejected => Reply::Respond("503 Busy", String::new()),
             Noise::Reset => Reply::Close,
             _ => Reply::Respond("500 Oops", String::new()),
@@ -267,7 +267,7 @@
     let number = |name: &str, default: f64| {
         value_after(name).map_or(default, |text| {
             text.parse()
-                .unwrap_or_else(|_| panic!("{name} wants a number"))
+                .unwrap_or_else(|_| panic!("{name} requires a number"))
         })
     };
     Options {
@@ -288,7 +288,7 @@
     );
     println!(
         "{:<26} {:>28} {:>28} {:>17}",
-        "", "this: taken deliv. refused", "before: taken deliv. refused", "three tries"
+        "", "this: acc. deliv. rejected", "before: acc. deliv. rejected", "three tries"
     );
     let mut rows = vec![(Noise::Error, 0.0, false)];
     for noise in [Noise::Error, Noise::Rejected, Noise::Reset] {
--- a/benches/owners.rs
+++ b/benches/owners.rs
@@ -34,7 +34,7 @@
         ("owner killed", Fault::Kill),
         ("owner stopped", Fault::Suspend),
         ("owner cut off", Fault::Disconnect),
-        ("leading steward killed", Fault::KillLeader),
+        ("leading coordinator killed", Fault::KillLeader),
     ] {
         let mut seconds: Vec<f64> = (0..ROUNDS)
             .map(|_| time_to_next_write(fault).as_secs_f64())
@@ -139,7 +139,7 @@
     let leader = group.leader(&group.replicas());
     let addresses = group.addresses();
     println!(
-        "\nstewards over {} s, the leader's first",
+        "\ncoordinators over {} s, the leader first",
         MEASURED_TIME.as_secs()
     );
     println!(
@@ -190,12 +190,12 @@
                 .len()
                 == MEMBERS
         });
-        print_costs("300 members renewing");
+        print_costs("300 members with heartbeats");
         drop(stop_sender);
     });
 }
 
-/// A member of which only the name matters.
+/// A member with this name and no other properties.
 fn member_info(name: &str) -> MemberInfo {
     MemberInfo {
         name: name.to_string(),
--- a/benches/sidecar.rs
+++ b/benches/sidecar.rs
@@ -191,7 +191,7 @@
     let (sidecar_us, direct_us) = (sorted(sidecar_us), sorted(direct_us));
     for (name, times) in [
         ("through the sidecar, to delivery", &sidecar_us),
-        ("direct, to the answer", &direct_us),
+        ("direct, to the response", &direct_us),
     ] {
         println!(
             "{name}: p50 {:.0} us, p99 {:.0} us",
--- a/benches/starts.rs
+++ b/benches/starts.rs
@@ -1,4 +1,4 @@
-//! Time to ready of many senders that start at once: `cargo bench --bench starts -- [SENDERS] [MESSAGES HELD BY EACH]`.
+//! Time to ready of many senders that start at once: `cargo bench --bench starts -- [SENDERS] [PENDING MESSAGES OF EACH]`.
 //!
 //! All senders share one disk; each has a journal of its own with pending messages. Discovery and every endpoint are
 //! unresponsive. The time runs from the common start until each sender reports ready, and is compared with the start of
