--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -1,7 +1,7 @@
 //! Many senders at a rate limit that shows only in rejections, in virtual time.
 //!
-//! The bounds are what the present decisions reach on 20 seeds. The objectives are a goodput of 0.9 (0.85 for 300
-//! senders) and a share of 0.08 of rejected calls. `cargo bench --bench limits` runs all cases.
+//! The bounds are what the decision module currently reaches on 20 seeds. The objectives are a goodput of 0.9
+//! (0.85 for 300 senders) and a share of 0.08 of rejected calls. `cargo bench --bench limits` runs all cases.
 
 use milletturn_policy::SECOND;
 use milletturn_test_support::limited_fleet::{LimitPolicy, Scenario, ScenarioResult, simulate};
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -59,9 +59,9 @@
     )
 }
 
-/// Runs 6000 turns and returns all actions and the number of sends. Without shortcuts the module rebuilds its tables in
-/// each turn and inspects every message.
-fn run_random_events(seed: u64, shortcuts: bool) -> (Vec<Action>, usize) {
+/// Runs 6000 turns and returns all actions and the number of sends. Without incremental scheduling the module rebuilds
+/// its tables in each turn and inspects every message.
+fn run_random_events(seed: u64, is_incremental: bool) -> (Vec<Action>, usize) {
     let mut random = Pcg32::seed_from_u64(seed);
     let mut random_below = |bound: u32| random.next_u32() % bound;
     let mut settings = settings([10, 3, 2][seed as usize % 3]);
@@ -84,7 +84,7 @@
         }
     }
     let mut sender = Sender::new(settings.clone(), seed).expect("settings");
-    if !shortcuts {
+    if !is_incremental {
         sender = sender.without_incremental_scheduling();
     }
     let (mut now, mut next_id) = (START, 0u64);
@@ -367,21 +367,21 @@
 }
 
 #[test]
-fn shortcuts_in_a_turn_change_no_action() {
+fn incremental_scheduling_changes_no_action() {
     // compares all actions, alarms included, with those of a sender that rebuilds its tables in each turn and inspects
     // every message
     for seed in 0..12 {
-        let (with_shortcuts, without_shortcuts) = (
+        let (incremental, full) = (
             run_random_events(seed, true).0,
             run_random_events(seed, false).0,
         );
-        let first_difference = (0..with_shortcuts.len().max(without_shortcuts.len()))
-            .find(|&at| with_shortcuts.get(at) != without_shortcuts.get(at));
+        let first_difference =
+            (0..incremental.len().max(full.len())).find(|&at| incremental.get(at) != full.get(at));
         let context = first_difference.map(|at| {
             (
                 at,
-                with_shortcuts.get(at - 4..at + 4),
-                without_shortcuts.get(at - 4..at + 4),
+                incremental.get(at - 4..at + 4),
+                full.get(at - 4..at + 4),
             )
         });
         assert_eq!(context, None, "seed {seed}");
--- a/crates/test-support/src/engine_ports.rs
+++ b/crates/test-support/src/engine_ports.rs
@@ -80,7 +80,7 @@
 }
 
 /// A message for destination 1 that is submitted now and expires in 20 s, with its ID as idempotency key if `keyed`;
-/// and the receiver of the answer to the submission.
+/// and the receiver of the submission's outcome.
 #[must_use]
 pub fn new_arrival(
     id: &str,
--- a/crates/test-support/src/virtual_transport.rs
+++ b/crates/test-support/src/virtual_transport.rs
@@ -32,7 +32,7 @@
     pub started_at: Instant,
     /// Which messages took effect.
     pub effects: Rc<RefCell<EffectRecorder>>,
-    /// Decides what becomes of each message.
+    /// Decides what the destination does with each message.
     pub script: CallScript,
     /// Messages that reached the destination, in order: time in microseconds, message ID.
     pub received_messages: Rc<RefCell<Vec<(Micros, String)>>>,
--- a/tests/dead_letter.rs
+++ b/tests/dead_letter.rs
@@ -53,7 +53,7 @@
 }
 
 /// The command that resolves a message as not run, with a reason.
-const CONFIRM: [&str; 5] = ["settle", "--as", "did-not-run", "--why", "asked them"];
+const RESOLVE_AS_NOT_RUN: [&str; 5] = ["settle", "--as", "did-not-run", "--why", "asked them"];
 
 /// Checks the record of a message whose only attempt may have run.
 fn check_record(node: &Node, number: &str) {
@@ -81,7 +81,10 @@
         2,
         "without a reason"
     );
-    assert_eq!(exit_code(node, &[&CONFIRM[..], &[number]].concat()), 0);
+    assert_eq!(
+        exit_code(node, &[&RESOLVE_AS_NOT_RUN[..], &[number]].concat()),
+        0
+    );
     assert_eq!(exit_code(node, &["resend", "--dry-run", number]), 0);
 }
 
--- a/tests/duplicate_responses.rs
+++ b/tests/duplicate_responses.rs
@@ -97,10 +97,10 @@
             content,
             every_nth_response: 2,
         };
-        Self::behind(script, usual_time, duplication)
+        Self::with_duplication(script, usual_time, duplication)
     }
 
-    fn behind(script: Script, usual_time: Duration, duplication: Duplication) -> Self {
+    fn with_duplication(script: Script, usual_time: Duration, duplication: Duplication) -> Self {
         let delivered: Arc<Mutex<Vec<String>>> = Arc::default();
         let delivered_ids = delivered.clone();
         let endpoint = FakeEndpoint::new(move |request, number| {
@@ -153,7 +153,10 @@
     fn is_ended(&self, id: &String) -> bool {
         let quoted = format!("\"{id}\"");
         let notifications = self.discovery.notifications();
-        self.delivered().contains(id) || notifications.iter().any(|line| line.contains(&quoted))
+        self.delivered().contains(id)
+            || notifications
+                .iter()
+                .any(|notification| notification.contains(&quoted))
     }
 
     /// The messages that are neither delivered nor ended by a notification once their deadline and [`LOST_AFTER_MS`] are
@@ -255,7 +258,7 @@
         content: DuplicateContent::Identical,
         every_nth_response: 1,
     };
-    let fixture = Fixture::behind(reject_overlapping, SERVICE_TIME, duplication);
+    let fixture = Fixture::with_duplication(reject_overlapping, SERVICE_TIME, duplication);
     submit_and_assert_none_lost(&fixture);
     assert_eq!(
         fixture.endpoint.request_count(),
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -271,7 +271,7 @@
                 discovery
                     .notifications()
                     .iter()
-                    .any(|line| line.contains(r#""m1","state":"failed""#))
+                    .any(|notification| notification.contains(r#""m1","state":"failed""#))
             });
             0
         }
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -194,10 +194,9 @@
         (2, 1)
     );
     wait_until("the failure is notified", || {
-        discovery
-            .notifications()
-            .iter()
-            .any(|line| line.contains("slow-order") && line.contains("failed"))
+        discovery.notifications().iter().any(|notification| {
+            notification.contains("slow-order") && notification.contains("failed")
+        })
     });
     // and the new class is removed again
     node.reload(|text| text.replace(LICENCE_BEFORE_ORDER, r#"{"name":"order""#));
@@ -280,7 +279,7 @@
         discovery
             .notifications()
             .iter()
-            .any(|line| line.contains("m1") && line.contains("failed"))
+            .any(|notification| notification.contains("m1") && notification.contains("failed"))
     });
     wait_until(
         "the keyed message is sent again, though its class was removed",
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 
 /// Submits a message of a subject; returns the status.
-fn submit_about(node: &Node, subject: &str, id: &str, time_ms: u64) -> u16 {
+fn submit_for_subject(node: &Node, subject: &str, id: &str, time_ms: u64) -> u16 {
     let text = String::from_utf8(message_request("posting", id, 7, time_ms, b"x")).expect("text");
     node.raw(
         text.replace(
@@ -54,12 +54,12 @@
     });
     let discovery = discovery_with(&endpoint);
     let node = Node::new(&discovery).ready();
-    assert_eq!(submit_about(&node, "a", "m1", 20_000), 202);
+    assert_eq!(submit_for_subject(&node, "a", "m1", 20_000), 202);
     wait_until("the first is sent", || endpoint.attempt_count("m1") >= 1);
     assert_eq!(
         (
-            submit_about(&node, "a", "m2", 20_000),
-            submit_about(&node, "b", "other", 20_000)
+            submit_for_subject(&node, "a", "m2", 20_000),
+            submit_for_subject(&node, "b", "other", 20_000)
         ),
         (202, 202)
     );
@@ -87,8 +87,8 @@
     wait_until("the second is sent", || endpoint.attempt_count("m2") >= 1);
     assert!(first_call_position(&endpoint, "m1") < first_call_position(&endpoint, "m2"));
     // two subjects in one request are ambiguous, and an empty subject is invalid
-    assert_eq!(submit_about(&node, "a&subject=b", "m3", 20_000), 400);
-    assert_eq!(submit_about(&node, "", "m4", 20_000), 400);
+    assert_eq!(submit_for_subject(&node, "a&subject=b", "m3", 20_000), 400);
+    assert_eq!(submit_for_subject(&node, "", "m4", 20_000), 400);
 }
 
 #[test]
@@ -106,12 +106,12 @@
         .remaining_faults
         .store(usize::MAX, Ordering::SeqCst);
     let node = Node::new(&discovery).ready();
-    assert_eq!(submit_about(&node, "a", "m1", 400), 202);
-    assert_eq!(submit_about(&node, "a", "m2", 20_000), 202);
+    assert_eq!(submit_for_subject(&node, "a", "m1", 400), 202);
+    assert_eq!(submit_for_subject(&node, "a", "m2", 20_000), 202);
     wait_until("the first has ended, and its notification fails", || {
         node.logged("notices answered 500")
     });
-    assert_eq!(submit_about(&node, "b", "other", 20_000), 202);
+    assert_eq!(submit_for_subject(&node, "b", "other", 20_000), 202);
     wait_until("a message of another subject is delivered", || {
         endpoint.attempt_count("other") == 1
     });
@@ -125,7 +125,7 @@
     wait_until("the notification is attempted again", || {
         node.logged("notices answered 500")
     });
-    assert_eq!(submit_about(&node, "b", "another", 20_000), 202);
+    assert_eq!(submit_for_subject(&node, "b", "another", 20_000), 202);
     wait_until("a message of another subject is delivered", || {
         endpoint.attempt_count("another") == 1
     });
@@ -143,6 +143,6 @@
         discovery
             .notifications()
             .iter()
-            .any(|line| line.contains("m1"))
+            .any(|notification| notification.contains("m1"))
     );
 }
--- a/tests/response_faults.rs
+++ b/tests/response_faults.rs
@@ -93,7 +93,9 @@
         let is_ended = |id: &String| {
             let quoted = format!("\"{id}\"");
             executions.success_responses.contains_key(id)
-                || notifications.iter().any(|line| line.contains(&quoted))
+                || notifications
+                    .iter()
+                    .any(|notification| notification.contains(&quoted))
         };
         self.accepted.iter().filter(|id| !is_ended(id)).collect()
     }
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -49,7 +49,9 @@
     wait_until("delivered as before", || first.attempt_count("m1") == 1);
     node.reload(|_| valid.replace(&old.address.to_string(), &new.address.to_string()));
     wait_until("the pending notification comes to the new address", || {
-        new.notifications().iter().any(|line| line.contains("owed"))
+        new.notifications()
+            .iter()
+            .any(|notification| notification.contains("owed"))
     });
     wait_until("the new endpoint list is used", || {
         let id = format!("n{}", first.request_count());
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -92,20 +92,20 @@
     let a = cluster.start_member_through(&links, "w", "a");
     a.wait_for_lines(3, is_write);
     let token = highest_token(&a);
-    let assert_continues = |what: &str, proxies: &[&SessionProxyProcess]| {
+    let assert_continues = |condition: &str, proxies: &[&SessionProxyProcess]| {
         let writes_before = writes_of(&a).len();
         let confirmed_before = proxies
             .iter()
             .map(|proxy| confirmed_batches(proxy.address()))
             .sum::<u64>();
-        wait_until(what, || {
+        wait_until(condition, || {
             let now = proxies
                 .iter()
                 .map(|proxy| confirmed_batches(proxy.address()))
                 .sum::<u64>();
             writes_of(&a).len() >= writes_before + 3 && now > confirmed_before
         });
-        assert_eq!(highest_token(&a), token, "{what}: with the same token");
+        assert_eq!(highest_token(&a), token, "{condition}: with the same token");
     };
     for (index, proxy) in proxies.iter().enumerate() {
         // members reach this proxy, but the proxy reaches no coordinator
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -167,14 +167,14 @@
     }
 
     /// Opens a stream of outcomes after a cursor, which acknowledges all outcomes up to that cursor.
-    fn reader(&self, from: u64) -> Reader {
+    fn reader(&self, from: u64) -> OutcomeReader {
         let mut stream = TcpStream::connect(self.outcomes).expect("the listener accepts");
         let request = format!("GET /v1/outcomes?from={from} HTTP/1.1\r\nHost: a\r\n\r\n");
         stream.write_all(request.as_bytes()).expect("written");
         stream
             .set_read_timeout(Some(Duration::from_millis(100)))
             .expect("set");
-        Reader {
+        OutcomeReader {
             stream: BufReader::new(stream),
             line: Vec::new(),
         }
@@ -189,12 +189,12 @@
 }
 
 /// A stream of outcomes.
-struct Reader {
+struct OutcomeReader {
     stream: BufReader<TcpStream>,
     line: Vec<u8>,
 }
 
-impl Reader {
+impl OutcomeReader {
     /// The next outcome; `None` if none has arrived, an error at the end of the connection. Lines of response heads and
     /// chunk sizes are skipped.
     fn next(&mut self) -> Result<Option<serde_json::Value>, ()> {
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -199,7 +199,7 @@
             || discovery
                 .notifications()
                 .iter()
-                .any(|line| line.contains(id))
+                .any(|notification| notification.contains(id))
     };
     let is_settled = |id: &str| {
         is_retried_or_notified(id) || node.raw(&message_request("webhook", id, 7, 1, b"x")).0 == 200
@@ -302,7 +302,7 @@
         discovery
             .notifications()
             .iter()
-            .all(|line| line.contains("m2"))
+            .all(|notification| notification.contains("m2"))
     );
 }
 
@@ -408,7 +408,7 @@
         !discovery
             .notifications()
             .iter()
-            .any(|line| line.contains("b0") || line.contains("b3"))
+            .any(|notification| notification.contains("b0") || notification.contains("b3"))
     );
 }
 
@@ -463,7 +463,9 @@
     wait_until("both notifications arrive", || {
         let notifications = discovery.notifications();
         notifications.contains(&failed("unsafe"))
-            && notifications.iter().any(|line| line.contains("owed"))
+            && notifications
+                .iter()
+                .any(|notification| notification.contains("owed"))
     });
     assert_eq!(endpoint.attempt_count("unsafe"), 1);
     assert_eq!(
@@ -488,7 +490,7 @@
         discovery
             .notifications()
             .iter()
-            .any(|line| line.contains("m1"))
+            .any(|notification| notification.contains("m1"))
     });
 }
 
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -186,10 +186,9 @@
     release.store(true, Ordering::SeqCst);
     // the at-most-once message has failed for good, the keyed one is sent again
     wait_until("the at-most-once message has failed", || {
-        discovery
-            .notifications()
-            .iter()
-            .any(|line| line.contains("blocked-order") && line.contains("failed"))
+        discovery.notifications().iter().any(|notification| {
+            notification.contains("blocked-order") && notification.contains("failed")
+        })
     });
     wait_until("the message is delivered", || {
         new.submit("webhook", "blocked-webhook", 7, 0, b"x") == 200
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -35,9 +35,9 @@
 }
 
 /// Waits until a member has done three more writes.
-fn wait_for_progress(what: &str, process: &Process) {
+fn wait_for_progress(condition: &str, process: &Process) {
     let done = writes_of(process).len();
-    wait_for(what, || writes_of(process).len() >= done + 3);
+    wait_for(condition, || writes_of(process).len() >= done + 3);
 }
 
 /// Replaces the replicas of a cluster one by one, while a member of each version writes.
