--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn a_used_up_reported_limit_holds_a_sender_to_its_even_share() {
+fn a_used_up_reported_limit_restricts_a_sender_to_its_even_share() {
     // Guards against 50 senders that each probe a little: rejected calls use up the limit, and together they were more
     // than what was left of it.
     let sends_with = |remaining_share: f64| {
--- a/crates/test-support/src/unreliable_endpoint.rs
+++ b/crates/test-support/src/unreliable_endpoint.rs
@@ -11,7 +11,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// What the endpoint executed and sent, which its responses need not reflect.
+/// What the endpoint did, which its responses do not always show.
 #[derive(Debug, Default)]
 pub struct Executions {
     /// How often each message was executed, by message ID.
@@ -32,7 +32,7 @@
     Never,
 }
 
-/// What the endpoint does with a request.
+/// How the endpoint ends a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum RequestEnd {
     Delivered,
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -48,7 +48,7 @@
 
 /// Starts three coordinators, an owner that writes, and a second member that waits for the resource. Returns the cluster,
 /// the owner's links, the owner and the second member.
-fn owner_and_next() -> (Cluster, ClientLinks, Process, Process) {
+fn start_owner_and_second_member() -> (Cluster, ClientLinks, Process, Process) {
     let mut cluster = Cluster::start(PROGRAM, 3);
     let (links_a, links_b) = (cluster.connect_client(), cluster.connect_client());
     let a = cluster.start_member(&links_a, "w", "a");
@@ -60,7 +60,7 @@
 
 #[test]
 fn a_suspended_owner_writes_nothing_once_another_member_owns_the_resource() {
-    let (cluster, _links, a, b) = owner_and_next();
+    let (cluster, _links, a, b) = start_owner_and_second_member();
     // the owner is suspended, loses the resource to the other member, and is resumed
     for _ in 0..3 {
         let (owner, next) = if highest_token(&a) > highest_token(&b) {
@@ -96,7 +96,7 @@
 /// Delays a write until another member owns the resource, and checks that it is rejected. Returns `false` if another leader
 /// was elected in the meantime, so that the write would arrive at a replica that does no writes.
 fn check_late_write() -> bool {
-    let (cluster, links_a, a, b) = owner_and_next();
+    let (cluster, links_a, a, b) = start_owner_and_second_member();
     // the write has passed the member's own lease check and has been sent; the link buffers it and a heartbeat
     let leader = buffer_outgoing(&cluster, &links_a);
     a.suspend();
@@ -126,7 +126,7 @@
 
 #[test]
 fn an_owner_that_gets_no_responses_stops_writing_by_itself() {
-    let (cluster, links_a, a, b) = owner_and_next();
+    let (cluster, links_a, a, b) = start_owner_and_second_member();
     // the owner's heartbeats and writes reach only the leader, and no response comes back
     let leader = cluster.leader(&cluster.replicas());
     for (replica, link) in links_a.links.iter().enumerate() {
--- a/tests/golden_reports.rs
+++ b/tests/golden_reports.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn account_reports_of_stored_logs_match_the_golden_files() {
+fn access_log_reports_of_stored_logs_match_the_golden_files() {
     let logs = ["first.log", "second.log"];
     let table = run("account", &["account", logs[0], logs[1]]);
     assert_matches_golden("account/table.txt", &table);
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -127,7 +127,7 @@
         node.restart()
     }
 
-    /// Starts a sender whose state folder `prepare` has filled, and whose configuration has the endpoint list `cached_list`.
+    /// Starts a sender whose state folder `prepare` has filled and whose configuration has this endpoint list.
     pub(crate) fn prepared(
         discovery: SocketAddr,
         disk_mb: f64,
@@ -201,7 +201,7 @@
         std::fs::write(folder.join("config.json"), config).expect("written");
     }
 
-    /// Starts another process with the same folder and configuration, which takes over from this one if this one is running.
+    /// Starts another process with the same folder and configuration, which takes over from this one if it is running.
     pub(crate) fn hot_restart(&self) -> Self {
         Node::launch(self.folder.clone(), self.setup.clone())
     }
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -24,7 +24,7 @@
 
 /// Starts an owner and a second member, each behind a session proxy of its own. Returns the cluster, the proxies of the
 /// owner and of the second member, the owner's links, the owner and the second member.
-fn owner_and_next() -> (
+fn start_owner_and_second_member() -> (
     Cluster,
     SessionProxyProcess,
     SessionProxyProcess,
@@ -50,7 +50,7 @@
 
 #[test]
 fn an_owner_behind_a_suspended_proxy_stops_writing_and_late_heartbeats_do_not_renew_its_lease() {
-    let (cluster, owner_proxy, _other_proxy, _links, a, b) = owner_and_next();
+    let (cluster, owner_proxy, _other_proxy, _links, a, b) = start_owner_and_second_member();
     let (token, before) = (highest_token(&a), join_count(&a));
     owner_proxy.process.suspend();
     wait_until("the other member writes", || writes_above(&b, token) >= 3);
@@ -161,7 +161,7 @@
 
 #[test]
 fn late_responses_to_a_proxy_do_not_renew_a_lease() {
-    let (cluster, owner_proxy, _other_proxy, _links, a, b) = owner_and_next();
+    let (cluster, owner_proxy, _other_proxy, _links, a, b) = start_owner_and_second_member();
     let (token, before) = (highest_token(&a), join_count(&a));
     // heartbeat batches reach the coordinators, and the responses are delayed until another member owns the resource
     owner_proxy
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -534,7 +534,7 @@
 }
 
 #[test]
-fn the_reference_page_is_what_config_reference_prints() {
+fn the_reference_page_matches_the_output_of_config_reference() {
     let output = command(&["config", "reference"])
         .stdout(Stdio::piped())
         .output()
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -495,7 +495,7 @@
 }
 
 #[test]
-fn a_torn_record_is_dropped_and_records_after_a_damaged_one_are_kept() {
+fn a_torn_record_is_dropped_and_records_after_a_damaged_one_are_read() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let draining = ("s-7", endpoint.address, "one", 7, "draining");
     let discovery = FakeDiscovery::new(vec![list_json(&[
