--- a/crates/policy/tests/evidence.rs
+++ b/crates/policy/tests/evidence.rs
@@ -5,7 +5,7 @@
 use milletturn_policy::{MILLISECOND, SECOND};
 
 #[test]
-fn the_failures_needed_for_an_outage_grow_with_the_usual_failure_share() {
+fn the_failures_needed_for_an_outage_grow_with_the_baseline_rate() {
     for (share, min_run) in [(0.0, 3), (0.1, 6), (0.3, 11)] {
         let mut evidence = OutageEvidence::default();
         let mut failures_due = 0.0;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn failures_of_an_outage_do_not_count_as_usual() {
+fn failures_of_an_outage_are_excluded_from_the_baseline() {
     let mut evidence = OutageEvidence::default();
     (0..100).for_each(|_| evidence.record_success(true, 100.0));
     let baseline = evidence.baseline_rate();
--- a/crates/policy/tests/noise.rs
+++ b/crates/policy/tests/noise.rs
@@ -62,7 +62,7 @@
             false => evidence.record_success(true, 2.0 * EJECTION_THRESHOLD),
         }
         let is_outage = evidence.evidence() >= EJECTION_THRESHOLD;
-        // the first calls only show what is usual
+        // the first 200 calls only establish the baseline rate
         false_alarms += usize::from(is_outage && !was_outage && call > 200);
         was_outage = is_outage;
     }
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn with_three_slots_an_unresponsive_destination_leaves_one_and_hedging_still_works() {
+fn with_three_slots_an_unresponsive_destination_leaves_one_free_and_hedging_works() {
     let mut harness = Harness::new(settings(3), vec![entry(1, 7), entry(2, 7), entry(3, 8)]);
     harness.handle((0..6).map(|id| message(id, UNSAFE, 7)).collect());
     harness.run_until(START + 100 * MILLISECOND);
