--- a/crates/policy/tests/evidence.rs
+++ b/crates/policy/tests/evidence.rs
@@ -5,7 +5,7 @@
 use milletturn_policy::{MILLISECOND, SECOND};
 
 #[test]
-fn the_failures_needed_for_an_outage_grow_with_the_usual_failure_share() {
+fn the_failures_needed_for_an_outage_grow_with_the_baseline_rate() {
     for (share, min_run) in [(0.0, 3), (0.1, 6), (0.3, 11)] {
         let mut evidence = OutageEvidence::default();
         let mut failures_due = 0.0;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn failures_of_an_outage_do_not_count_as_usual() {
+fn failures_of_an_outage_are_excluded_from_the_baseline() {
     let mut evidence = OutageEvidence::default();
     (0..100).for_each(|_| evidence.record_success(true, 100.0));
     let baseline = evidence.baseline_rate();
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn rejections_that_do_not_follow_the_load_leave_the_rate() {
+fn rejections_that_do_not_follow_the_load_do_not_reduce_the_rate() {
     for noise in [0.02, 0.05, 0.1, 0.2, 0.3] {
         let (rate, share) = simulate(400.0, noise, 1e9, 60);
         assert!(rate >= 0.9 * 400.0, "{noise}: {rate}");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn rejections_by_a_limit_hold_the_rate_at_the_limit() {
+fn rejections_by_a_limit_bring_the_rate_to_the_limit() {
     for (limit, noise) in [
         (300.0, 0.0),
         (200.0, 0.0),
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -22,7 +22,7 @@
     expires: Micros,
 }
 
-/// What the test knows about a message.
+/// Expected state of a message, from the events and actions so far.
 #[derive(Default)]
 struct MessageState {
     class: usize,
@@ -50,8 +50,8 @@
     }
 }
 
-/// The destination, and the endpoint if that is a route of its own, for which an announced wait holds.
-fn wait_scope(endpoint: u32) -> (u64, Option<u32>) {
+/// The destination, and the endpoint if that is a separate route, to which a retry-after delay applies.
+fn retry_after_scope(endpoint: u32) -> (u64, Option<u32>) {
     let is_separate_route = listed_entry(endpoint).kind == 1;
     (
         destination_of(endpoint),
@@ -59,9 +59,9 @@
     )
 }
 
-/// Runs 6000 turns and returns all actions and the number of sends. Without shortcuts the module rebuilds its tables in
-/// each turn and inspects every message.
-fn run_random_events(seed: u64, shortcuts: bool) -> (Vec<Action>, usize) {
+/// Runs 6000 turns and returns all actions and the number of sends. Without incremental scheduling the module rebuilds
+/// its tables in each turn and inspects every message.
+fn run_random_events(seed: u64, is_incremental: bool) -> (Vec<Action>, usize) {
     let mut random = Pcg32::seed_from_u64(seed);
     let mut random_below = |bound: u32| random.next_u32() % bound;
     let mut settings = settings([10, 3, 2][seed as usize % 3]);
@@ -84,16 +84,16 @@
         }
     }
     let mut sender = Sender::new(settings.clone(), seed).expect("settings");
-    if !shortcuts {
+    if !is_incremental {
         sender = sender.without_incremental_scheduling();
     }
     let (mut now, mut next_id) = (START, 0u64);
     let mut message_states: BTreeMap<u64, MessageState> = BTreeMap::new();
     let mut calls_in_flight: Vec<CallInFlight> = Vec::new();
     let mut stopped_endpoints: BTreeMap<u32, Micros> = BTreeMap::new();
-    let mut waits_until: BTreeMap<(u64, Option<u32>), Micros> = BTreeMap::new();
+    let mut retry_after_until: BTreeMap<(u64, Option<u32>), Micros> = BTreeMap::new();
     let mut messages_by_key: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
-    let mut key_waits_until: BTreeMap<u64, Micros> = BTreeMap::new();
+    let mut key_backoff_until: BTreeMap<u64, Micros> = BTreeMap::new();
     let mut all_actions = Vec::new();
     let mut alarms: BTreeSet<Micros> = BTreeSet::new();
     let mut events = vec![Event::EndpointList {
@@ -181,14 +181,16 @@
             if let (Some(key), Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled) =
                 (message_state.key, outcome)
             {
-                key_waits_until.insert(key, now + settings.safety.ordered_key_backoff);
+                key_backoff_until.insert(key, now + settings.safety.ordered_key_backoff);
             }
             if let Outcome::Rejected {
-                retry_after: Some(wait),
+                retry_after: Some(delay),
             } = outcome
             {
-                let until = waits_until.entry(wait_scope(call.endpoint)).or_default();
-                *until = (*until).max(now + wait);
+                let until = retry_after_until
+                    .entry(retry_after_scope(call.endpoint))
+                    .or_default();
+                *until = (*until).max(now + delay);
             }
             let closed = message_state.ended || outcome == Outcome::Success;
             message_state.ended = closed;
@@ -254,8 +256,11 @@
                         "sent to a drained endpoint"
                     );
                     assert!(message_state.attempts < settings.max_attempts);
-                    let wait_until = waits_until.get(&wait_scope(endpoint)).copied().unwrap_or(0);
-                    assert!(now >= wait_until, "sent before a wait was over");
+                    let earliest_send = retry_after_until
+                        .get(&retry_after_scope(endpoint))
+                        .copied()
+                        .unwrap_or(0);
+                    assert!(now >= earliest_send, "sent during a retry-after delay");
                     match settings.classes[message_state.class].effect {
                         Effect::Repeatable => {}
                         Effect::Unsafe => assert!(
@@ -272,10 +277,10 @@
                     }
                     if let Some(key) = message_state.key {
                         assert!(!earlier_open(id, key), "sent out of order");
-                        let key_wait_until = key_waits_until.get(&key).copied().unwrap_or(0);
+                        let key_earliest_send = key_backoff_until.get(&key).copied().unwrap_or(0);
                         assert!(
-                            message_state.attempts > 0 || now >= key_wait_until,
-                            "sent before the key's wait was over"
+                            message_state.attempts > 0 || now >= key_earliest_send,
+                            "sent during the key's backoff"
                         );
                     }
                     let message_state = message_states.get_mut(&id).expect("known");
@@ -362,21 +367,21 @@
 }
 
 #[test]
-fn shortcuts_in_a_turn_change_no_action() {
+fn incremental_scheduling_changes_no_action() {
     // compares all actions, alarms included, with those of a sender that rebuilds its tables in each turn and inspects
     // every message
     for seed in 0..12 {
-        let (with_shortcuts, without_shortcuts) = (
+        let (incremental, full) = (
             run_random_events(seed, true).0,
             run_random_events(seed, false).0,
         );
-        let first_difference = (0..with_shortcuts.len().max(without_shortcuts.len()))
-            .find(|&at| with_shortcuts.get(at) != without_shortcuts.get(at));
+        let first_difference =
+            (0..incremental.len().max(full.len())).find(|&at| incremental.get(at) != full.get(at));
         let context = first_difference.map(|at| {
             (
                 at,
-                with_shortcuts.get(at - 4..at + 4),
-                without_shortcuts.get(at - 4..at + 4),
+                incremental.get(at - 4..at + 4),
+                full.get(at - 4..at + 4),
             )
         });
         assert_eq!(context, None, "seed {seed}");
--- a/tests/duplicate_responses.rs
+++ b/tests/duplicate_responses.rs
@@ -14,8 +14,8 @@
 const SERVICE_TIME: Duration = Duration::from_millis(80);
 /// Time from the submission of a message to its deadline.
 const TIME_TO_LIVE_MS: u64 = 3_000;
-/// A message that has neither been delivered nor ended by a notification this long after its deadline counts as lost
-/// (the protocol page).
+/// A message that has neither been delivered nor ended by a notification this long after its deadline counts as lost,
+/// as the protocol page says.
 const LOST_AFTER_MS: u64 = 300;
 /// Time between two submissions, long enough that the connection to the endpoint is idle again.
 const SUBMIT_INTERVAL: Duration = Duration::from_millis(160);
@@ -97,10 +97,10 @@
             content,
             every_nth_response: 2,
         };
-        Self::behind(script, usual_time, duplication)
+        Self::with_duplication(script, usual_time, duplication)
     }
 
-    fn behind(script: Script, usual_time: Duration, duplication: Duplication) -> Self {
+    fn with_duplication(script: Script, usual_time: Duration, duplication: Duplication) -> Self {
         let delivered: Arc<Mutex<Vec<String>>> = Arc::default();
         let delivered_ids = delivered.clone();
         let endpoint = FakeEndpoint::new(move |request, number| {
@@ -153,7 +153,10 @@
     fn is_ended(&self, id: &String) -> bool {
         let quoted = format!("\"{id}\"");
         let notifications = self.discovery.notifications();
-        self.delivered().contains(id) || notifications.iter().any(|line| line.contains(&quoted))
+        self.delivered().contains(id)
+            || notifications
+                .iter()
+                .any(|notification| notification.contains(&quoted))
     }
 
     /// The messages that are neither delivered nor ended by a notification once their deadline and [`LOST_AFTER_MS`] are
@@ -234,7 +237,7 @@
 }
 
 #[test]
-fn a_copy_of_a_200_with_the_next_request_delivers_nothing() {
+fn a_duplicate_200_with_the_next_request_delivers_nothing() {
     assert_no_loss(reject_overlapping, Duration::ZERO);
 }
 
@@ -255,7 +258,7 @@
         content: DuplicateContent::Identical,
         every_nth_response: 1,
     };
-    let fixture = Fixture::behind(reject_overlapping, SERVICE_TIME, duplication);
+    let fixture = Fixture::with_duplication(reject_overlapping, SERVICE_TIME, duplication);
     submit_and_assert_none_lost(&fixture);
     assert_eq!(
         fixture.endpoint.request_count(),
@@ -272,7 +275,7 @@
 }
 
 #[test]
-fn a_copy_of_a_rejection_repeats_no_message_that_runs() {
+fn a_duplicate_rejection_repeats_no_running_message() {
     let fixture = Fixture::new(
         deliver_overlapping,
         DuplicateTiming::DuringNextRequest(Duration::ZERO),
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -4,7 +4,7 @@
 
 #![expect(
     clippy::too_many_lines,
-    reason = "tests of this file have not been split up yet"
+    reason = "each test spells out its whole scenario"
 )]
 
 use milletturn_cluster_harness::history::{
@@ -24,7 +24,7 @@
 
 /// Starts an owner and a second member, each behind a session proxy of its own. Returns the cluster, the proxies of the
 /// owner and of the second member, the owner's links, the owner and the second member.
-fn owner_and_next() -> (
+fn start_owner_and_second_member() -> (
     Cluster,
     SessionProxyProcess,
     SessionProxyProcess,
@@ -50,7 +50,7 @@
 
 #[test]
 fn an_owner_behind_a_suspended_proxy_stops_writing_and_late_heartbeats_do_not_renew_its_lease() {
-    let (cluster, owner_proxy, _other_proxy, _links, a, b) = owner_and_next();
+    let (cluster, owner_proxy, _other_proxy, _links, a, b) = start_owner_and_second_member();
     let (token, before) = (highest_token(&a), join_count(&a));
     owner_proxy.process.suspend();
     wait_until("the other member writes", || writes_above(&b, token) >= 3);
@@ -92,20 +92,20 @@
     let a = cluster.start_member_through(&links, "w", "a");
     a.wait_for_lines(3, is_write);
     let token = highest_token(&a);
-    let assert_continues = |what: &str, proxies: &[&SessionProxyProcess]| {
+    let assert_continues = |condition: &str, proxies: &[&SessionProxyProcess]| {
         let writes_before = writes_of(&a).len();
         let confirmed_before = proxies
             .iter()
             .map(|proxy| confirmed_batches(proxy.address()))
             .sum::<u64>();
-        wait_until(what, || {
+        wait_until(condition, || {
             let now = proxies
                 .iter()
                 .map(|proxy| confirmed_batches(proxy.address()))
                 .sum::<u64>();
             writes_of(&a).len() >= writes_before + 3 && now > confirmed_before
         });
-        assert_eq!(highest_token(&a), token, "{what}: with the same token");
+        assert_eq!(highest_token(&a), token, "{condition}: with the same token");
     };
     for (index, proxy) in proxies.iter().enumerate() {
         // members reach this proxy, but the proxy reaches no coordinator
@@ -161,7 +161,7 @@
 
 #[test]
 fn late_responses_to_a_proxy_do_not_renew_a_lease() {
-    let (cluster, owner_proxy, _other_proxy, _links, a, b) = owner_and_next();
+    let (cluster, owner_proxy, _other_proxy, _links, a, b) = start_owner_and_second_member();
     let (token, before) = (highest_token(&a), join_count(&a));
     // heartbeat batches reach the coordinators, and the responses are delayed until another member owns the resource
     owner_proxy
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -2,7 +2,7 @@
 
 #![expect(
     clippy::needless_pass_by_value,
-    reason = "functions of this file have not been refactored yet"
+    reason = "`Sidecar::start` takes a folder that its callers create for it"
 )]
 
 use milletturn_test_support::*;
@@ -167,14 +167,14 @@
     }
 
     /// Opens a stream of outcomes after a cursor, which acknowledges all outcomes up to that cursor.
-    fn reader(&self, from: u64) -> Reader {
+    fn reader(&self, from: u64) -> OutcomeReader {
         let mut stream = TcpStream::connect(self.outcomes).expect("the listener accepts");
         let request = format!("GET /v1/outcomes?from={from} HTTP/1.1\r\nHost: a\r\n\r\n");
         stream.write_all(request.as_bytes()).expect("written");
         stream
             .set_read_timeout(Some(Duration::from_millis(100)))
             .expect("set");
-        Reader {
+        OutcomeReader {
             stream: BufReader::new(stream),
             line: Vec::new(),
         }
@@ -189,12 +189,12 @@
 }
 
 /// A stream of outcomes.
-struct Reader {
+struct OutcomeReader {
     stream: BufReader<TcpStream>,
     line: Vec<u8>,
 }
 
-impl Reader {
+impl OutcomeReader {
     /// The next outcome; `None` if none has arrived, an error at the end of the connection. Lines of response heads and
     /// chunk sizes are skipped.
     fn next(&mut self) -> Result<Option<serde_json::Value>, ()> {
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn a_start_rejects_what_config_check_finds_with_the_same_text() {
+fn a_start_rejects_a_configuration_with_the_text_of_config_check() {
     let folder = new_folder();
     let file = folder.join("app.toml");
     let (http, outcomes) = (unused_address(), unused_address());
@@ -451,8 +451,8 @@
             Client::new(admin_address).send(b"GET /-/metrics HTTP/1.1\r\nHost: a\r\n\r\n");
         let (status, response) = response.expect("a response");
         assert_eq!(status, 200);
-        let lines = String::from_utf8(response.body).expect("text");
-        lines
+        let metrics = String::from_utf8(response.body).expect("text");
+        metrics
             .lines()
             .find_map(|line| line.strip_prefix("relay.config_rejected:"))
             .map(str::to_string)
@@ -534,7 +534,7 @@
 }
 
 #[test]
-fn the_reference_page_is_what_config_reference_prints() {
+fn the_reference_page_matches_the_output_of_config_reference() {
     let output = command(&["config", "reference"])
         .stdout(Stdio::piped())
         .output()
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -174,8 +174,8 @@
     );
 }
 
-/// Submits one message with an idempotency key and one at-most-once message, to each of which the endpoint's first reply is
-/// the given one. Returns the number of attempts of each, and the notifications. An at-most-once message may be sent again
+/// Submits one message with an idempotency key and one at-most-once message, and answers the first attempt of each with
+/// `first`. Returns the number of attempts of each, and the notifications. An at-most-once message may be sent again
 /// only if it never ran; a message with a key whenever it is undelivered.
 fn attempts_and_notifications_after(first: Reply) -> (usize, usize, Vec<String>) {
     let already_failed: Arc<Mutex<Vec<String>>> = Arc::default();
@@ -199,7 +199,7 @@
             || discovery
                 .notifications()
                 .iter()
-                .any(|line| line.contains(id))
+                .any(|notification| notification.contains(id))
     };
     let is_settled = |id: &str| {
         is_retried_or_notified(id) || node.raw(&message_request("webhook", id, 7, 1, b"x")).0 == 200
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn what_was_turned_away_never_ran() {
+fn a_rejected_message_never_ran() {
     for head in [
         "429 No\r\nRetry-After: 0.05",
         "503 Full",
@@ -302,7 +302,7 @@
         discovery
             .notifications()
             .iter()
-            .all(|line| line.contains("m2"))
+            .all(|notification| notification.contains("m2"))
     );
 }
 
@@ -408,7 +408,7 @@
         !discovery
             .notifications()
             .iter()
-            .any(|line| line.contains("b0") || line.contains("b3"))
+            .any(|notification| notification.contains("b0") || notification.contains("b3"))
     );
 }
 
@@ -463,7 +463,9 @@
     wait_until("both notifications arrive", || {
         let notifications = discovery.notifications();
         notifications.contains(&failed("unsafe"))
-            && notifications.iter().any(|line| line.contains("owed"))
+            && notifications
+                .iter()
+                .any(|notification| notification.contains("owed"))
     });
     assert_eq!(endpoint.attempt_count("unsafe"), 1);
     assert_eq!(
@@ -488,12 +490,12 @@
         discovery
             .notifications()
             .iter()
-            .any(|line| line.contains("m1"))
+            .any(|notification| notification.contains("m1"))
     });
 }
 
 #[test]
-fn a_torn_record_is_dropped_and_records_after_a_damaged_one_are_kept() {
+fn a_torn_record_is_dropped_and_records_after_a_damaged_one_are_read() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let draining = ("s-7", endpoint.address, "one", 7, "draining");
     let discovery = FakeDiscovery::new(vec![list_json(&[
@@ -623,13 +625,13 @@
 }
 
 #[test]
-fn no_call_that_would_be_cut_off_starts_near_the_end_of_a_drain() {
+fn no_call_that_the_exit_would_interrupt_starts_near_the_end_of_a_drain() {
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let discovery = discovery_with(&endpoint);
     let node = Node::new(&discovery).ready();
     node.terminate();
     wait_until("the sender drains", || node.logged("draining"));
-    // into the last second: a call of unknown latency is assumed to need 1 s, so the end of the process would cut it off
+    // into the last second of the drain: a call of unknown latency is assumed to need 1 s, so the exit would interrupt it
     std::thread::sleep(Duration::from_millis(2450));
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     let mut node = node;
