--- a/crates/cluster-harness/src/cluster/clients.rs
+++ b/crates/cluster-harness/src/cluster/clients.rs
@@ -176,8 +176,8 @@
         wait_until("all replicas report the same leader", || {
             let (_, lines) = self.run_fleet_command(among, &["status"]);
             let statuses: Vec<&Value> = lines.iter().map(|line| &line["status"]).collect();
-            let leads = statuses.iter().find(|status| status["role"] == "leader");
-            leader_id = leads.and_then(|status| status["steward"].as_u64());
+            let leader_status = statuses.iter().find(|status| status["role"] == "leader");
+            leader_id = leader_status.and_then(|status| status["steward"].as_u64());
             leader_id.is_some()
                 && statuses
                     .iter()
@@ -197,7 +197,7 @@
         let mut events = Vec::new();
         wait_until("a majority returns the history", || {
             let (code, lines) = self.run_fleet_command(&self.replicas(), &["work", resource]);
-            events = lines.iter().filter_map(Event::read).collect();
+            events = lines.iter().filter_map(Event::parse).collect();
             code == 0
         });
         events
@@ -215,10 +215,10 @@
             .map(|process| (process.name.clone(), writes_of(process)))
             .collect();
         let events = self.events_of("w");
-        let shown = format!("{events:#?}");
-        check_single_owner(&events).unwrap_or_else(|error| panic!("{error}\n{shown}"));
+        let event_list = format!("{events:#?}");
+        check_single_owner(&events).unwrap_or_else(|error| panic!("{error}\n{event_list}"));
         check_reported_writes(&events, &reported)
-            .unwrap_or_else(|error| panic!("{error}\n{shown}"));
+            .unwrap_or_else(|error| panic!("{error}\n{event_list}"));
         for process in processes {
             check_writes_within_lease(process).unwrap_or_else(|error| panic!("{error}"));
         }
--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -21,7 +21,7 @@
 impl Event {
     /// Parses a line of `milletturn fleet work --format json`; `None` if the line is not an event.
     #[must_use]
-    pub fn read(line: &Value) -> Option<Self> {
+    pub fn parse(line: &Value) -> Option<Self> {
         let event: state::Event = serde_json::from_value(line.get("event")?.clone()).ok()?;
         Some(Self {
             number: event.number,
@@ -113,22 +113,22 @@
     events: &[Event],
     reported: &[(String, BTreeSet<ReportedWrite>)],
 ) -> Result<(), String> {
-    let mut done = BTreeMap::new();
+    let mut writers = BTreeMap::new();
     for event in events {
         if let EventKind::Written(number) = event.kind {
             let token = event.token;
             let write = ReportedWrite { token, number };
-            if done.insert(write, &event.member).is_some() {
+            if writers.insert(write, &event.member).is_some() {
                 return Err(format!("write is twice in the history: {event:?}"));
             }
         }
     }
     for (name, writes) in reported {
         for write in writes {
-            if done.get(write) != Some(&name) {
+            if writers.get(write) != Some(&name) {
                 return Err(format!(
                     "{name} reported {write:?}; the history has {:?}",
-                    done.get(write)
+                    writers.get(write)
                 ));
             }
         }
--- a/crates/cluster-harness/src/process.rs
+++ b/crates/cluster-harness/src/process.rs
@@ -47,7 +47,7 @@
 }
 
 impl Process {
-    /// Starts the program with these arguments.
+    /// Starts the program with these arguments, and collects what it prints on stdout and stderr.
     ///
     /// # Panics
     /// If the program cannot be started.
--- a/crates/coordination-protocol/src/client.rs
+++ b/crates/coordination-protocol/src/client.rs
@@ -52,7 +52,7 @@
     NotSent {
         /// The server's address.
         address: String,
-        /// What failed.
+        /// The failure, before the client began to send the request.
         source: CallFailure,
     },
     /// The call may have been sent but got no valid response, so the server may or may not have executed it.
@@ -60,7 +60,7 @@
     OutcomeUnknown {
         /// The server's address.
         address: String,
-        /// What failed.
+        /// The failure, after the client had begun to send the request.
         source: CallFailure,
     },
 }
@@ -92,7 +92,9 @@
         source: serde_json::Error,
     },
     /// The response has the number of another call of the connection, or none on a reused connection.
-    #[error("a response to call {found:?} of the connection came for call {expected}")]
+    #[error(
+        "expected the response to call {expected} of the connection, got call number {found:?}"
+    )]
     OtherCall {
         /// The number of the call that was made, from 1 on each connection.
         expected: u64,
--- a/crates/coordination-protocol/src/server.rs
+++ b/crates/coordination-protocol/src/server.rs
@@ -41,9 +41,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("{status}: {}", .body.message)]
 pub struct CallError {
-    /// The status of the response.
+    /// The HTTP status, a client or server error.
     pub status: StatusCode,
-    /// The body of the response.
+    /// The reason, sent as the JSON body.
     pub body: ErrorResponse,
 }
 
@@ -179,7 +179,7 @@
             let Some(slot) = limit.try_acquire() else {
                 let max = limit.max;
                 faults.log(format_args!(
-                    "{name}: all {max} connections are taken, one more is turned away"
+                    "{name}: all {max} connections are in use; rejected one more"
                 ));
                 continue;
             };
--- a/crates/coordination-protocol/src/shard_map.rs
+++ b/crates/coordination-protocol/src/shard_map.rs
@@ -1,8 +1,9 @@
 //! Synchronization of the shard map: a replica polls the source or another replica for updates.
 //!
 //! There is one call, [`SHARD_MAP_PATH`], whose body is a [`SyncRequest`] and whose response is a list of [`Update`].
-//! Nothing is pushed, so an unresponsive replica costs the others nothing. With four polls within the time in which a
-//! change has to arrive, a change passes through one intermediate replica and reaches the senders in half of that time.
+//! Nothing is pushed, so an unresponsive replica costs the others nothing. Each replica polls four times within the time
+//! in which a change has to arrive. A change that passes through one intermediate replica takes at most two polls, and
+//! so reaches the senders within half of that time.
 //! The digests that replicas compare are those of anti-entropy protocols (Dynamo; `DeCandia` and others, 2007).
 
 use crate::client::{Client, ClientError};
--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -124,7 +124,7 @@
     /// The session is open, opened by this command or by an earlier one with the same nonce.
     #[serde(rename = "opened")]
     SessionOpened {
-        /// The session's id.
+        /// The id that the member's heartbeats and commands carry.
         session: SessionId,
         /// The granted lease, as the leader tracks it.
         lease: Micros,
@@ -192,7 +192,7 @@
     )]
     #[serde(rename = "name_taken")]
     NameTaken {
-        /// The member's name.
+        /// The name with which the member tried to open a session.
         name: String,
         /// The open session that has the name.
         session: SessionId,
@@ -238,7 +238,7 @@
         /// The token of the write.
         #[serde(rename = "term")]
         token: FencingToken,
-        /// The write's number.
+        /// The number that the rejected write carried.
         number: u64,
         /// The number of the last write that was done.
         last: u64,
--- a/crates/coordination/src/fencing.rs
+++ b/crates/coordination/src/fencing.rs
@@ -1,4 +1,4 @@
-//! Fencing at the receiver of a write: it keeps the highest token seen for each resource and rejects lower ones.
+//! Fencing at the receiver of a write, which keeps the highest token seen for each resource and rejects lower ones.
 //!
 //! A lease alone does not protect a resource, since any amount of time may pass between the holder's check of its lease
 //! and the arrival of its write. A receiver therefore calls [`FencingGuard::admit`] before it executes a write. A
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -20,12 +20,12 @@
 use std::time::Duration;
 
 /// Wait before an unreachable replica is called again.
-const UNREACHABLE_PAUSE: Duration = Duration::from_millis(200);
+const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Opens clients to the other replicas of the group.
 #[derive(Debug, Clone)]
 pub struct PeerNetwork {
-    /// The name of the group.
+    /// The name of the group, which each call names; a replica of another group rejects the call.
     pub group: String,
     /// Identifies the initial state of the group, empty or restored from a backup. Replicas reject each other's calls
     /// if their origins differ.
@@ -115,6 +115,6 @@
     }
 
     fn backoff(&self) -> Backoff {
-        Backoff::new(std::iter::repeat(UNREACHABLE_PAUSE))
+        Backoff::new(std::iter::repeat(UNREACHABLE_BACKOFF))
     }
 }
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -43,9 +43,9 @@
     /// The backup belongs to another group, or has an unsupported format.
     #[error("the backup is of group {group:?}, format {format}; nothing was restored")]
     OtherBackup {
-        /// The group of the backup.
+        /// The group whose state the backup contains.
         group: String,
-        /// The format of the backup.
+        /// The backup's format; only [`BACKUP_FORMAT`] can be restored.
         format: u32,
     },
     /// The generation given for the restore is not valid for this backup.
@@ -78,7 +78,7 @@
     /// The first entry of a new group could not be written.
     #[error(transparent)]
     Initialize(Box<RaftError<ReplicaId, InitializeError<ReplicaId, BasicNode>>>),
-    /// The consensus ended without an error.
+    /// The task of the consensus is gone, without having reported a fatal error.
     #[error("the consensus ended without an error")]
     Ended,
 }
--- a/crates/coordinator/src/settings.rs
+++ b/crates/coordinator/src/settings.rs
@@ -35,7 +35,7 @@
     /// The file can't be read.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The settings file.
         path: PathBuf,
         /// The operating system's error.
         source: std::io::Error,
@@ -43,7 +43,7 @@
     /// The file is not valid TOML, lacks a required key, or has an unknown key.
     #[error("{path}: {source}")]
     Syntax {
-        /// The file.
+        /// The settings file.
         path: PathBuf,
         /// The position in the file and the reason.
         source: Box<toml::de::Error>,
@@ -51,7 +51,7 @@
     /// The settings contradict each other or are out of bounds.
     #[error("{path}: {}", .problems.join("; "))]
     Invalid {
-        /// The file.
+        /// The settings file.
         path: PathBuf,
         /// All problems that were found.
         problems: Vec<String>,
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -85,7 +85,7 @@
     }
 
     /// Removes a resource that this member no longer owns, and reports the loss.
-    pub(crate) fn lose(&self, resource: &str, token: FencingToken) {
+    pub(crate) fn resource_lost(&self, resource: &str, token: FencingToken) {
         self.lease.borrow_mut().resource_lost(resource, token);
         self.progress.borrow_mut().remove(resource);
         self.report(MemberEvent::Lost {
@@ -99,15 +99,17 @@
         let _ = self.events.send(event);
     }
 
+    /// Reports the reconnection, if a disconnection was reported before.
     pub(crate) fn report_answered(&self) {
         if self.disconnected.replace(false) {
             self.report(MemberEvent::Reconnected);
         }
     }
 
-    pub(crate) fn report_unanswered(&self, why: &impl ToString) {
+    /// Reports a disconnection with its reason, unless one was reported and no reconnection since.
+    pub(crate) fn report_unanswered(&self, reason: &impl ToString) {
         if !self.disconnected.replace(true) {
-            self.report(MemberEvent::Disconnected(why.to_string()));
+            self.report(MemberEvent::Disconnected(reason.to_string()));
         }
     }
 }
--- a/crates/member/src/session.rs
+++ b/crates/member/src/session.rs
@@ -63,18 +63,18 @@
     /// The time until the next heartbeat, randomized by plus or minus 25 %, so that members that started at the same
     /// time don't send their heartbeats at the same time.
     fn next_heartbeat_delay(&mut self) -> Duration {
-        let part = 0.75 + 0.5 * f64::from(self.random.next_u32()) / f64::from(u32::MAX);
-        self.member.heartbeat_period().mul_f64(part)
+        let jitter = 0.75 + 0.5 * f64::from(self.random.next_u32()) / f64::from(u32::MAX);
+        self.member.heartbeat_period().mul_f64(jitter)
     }
 
     /// Reports a session whose lease has expired by this member's clock. The heartbeats go on, since the coordinators
     /// may not have ended the session.
     fn report_if_expired(&self, session: SessionId) {
         if self.member.session().is_none() {
-            let why = format!(
+            let reason = format!(
                 "the lease of session {session} expired on this member's clock without a renewal"
             );
-            self.member.report_unanswered(&why);
+            self.member.report_unanswered(&reason);
         }
     }
 
@@ -146,14 +146,14 @@
         }
     }
 
-    /// Brings the member's resources in line with the replicated state: gives up those that the session no longer owns,
+    /// Brings the member's resources in line with the replicated state: removes those that the session no longer owns,
     /// since an operator may have revoked one, and releases those that the member does not want, since a claim whose
     /// response was lost may have been executed.
     async fn reconcile(&mut self, session: SessionId, owned: Vec<(String, FencingToken)>) {
         let owned: BTreeMap<String, FencingToken> = owned.into_iter().collect();
         for (resource, token) in self.member.owned_resources() {
             if owned.get(&resource) != Some(&token) {
-                self.member.lose(&resource, token);
+                self.member.resource_lost(&resource, token);
             }
         }
         for (resource, token) in owned {
@@ -203,7 +203,7 @@
         self.report(MemberEvent::SessionEnded(session));
     }
 
-    /// The resources that this member believes to own, with their fencing tokens.
+    /// The resources that this member owns as far as it knows, with their fencing tokens.
     fn owned_resources(&self) -> Vec<(String, FencingToken)> {
         let lease = self.lease.borrow();
         let owned = lease.resources();
--- a/crates/member/src/writes.rs
+++ b/crates/member/src/writes.rs
@@ -90,7 +90,7 @@
         match client.submit(&command, Instant::now() + safe_for).await {
             Ok(CommandOutcome::Rejected(rejection)) => {
                 if let Rejection::Fenced { .. } = rejection {
-                    self.lose(resource, token);
+                    self.resource_lost(resource, token);
                 }
                 WriteOutcome::Rejected(rejection)
             }
--- a/crates/session-proxy/src/heartbeats.rs
+++ b/crates/session-proxy/src/heartbeats.rs
@@ -136,9 +136,9 @@
         client: &mut CoordinatorClient,
         batch: HeartbeatBatch,
     ) -> Result<HeartbeatBatchResponse, RequestError> {
-        let pairs = batch.heartbeats.iter();
+        let heartbeats = batch.heartbeats.iter();
         let request = HeartbeatBatchRequest {
-            heartbeats: pairs
+            heartbeats: heartbeats
                 .map(|heartbeat| (heartbeat.session, heartbeat.holder_expired))
                 .collect(),
         };
--- a/crates/session-proxy/src/service.rs
+++ b/crates/session-proxy/src/service.rs
@@ -133,7 +133,7 @@
             }
             COMMAND_PATH => {
                 let command = read_json(request, MAX_CALL_BYTES).await?;
-                check_origin(&command)?;
+                check_allowed(&command)?;
                 let request = BatchedRequest::Command(command);
                 self.commands.forward(request).await
             }
@@ -146,7 +146,7 @@
 }
 
 /// Rejects commands that only the leading coordinator may write.
-fn check_origin(command: &Command) -> Result<(), CallError> {
+fn check_allowed(command: &Command) -> Result<(), CallError> {
     match command {
         Command::OpenSession { .. } | Command::ExpireSession { .. } | Command::Batch { .. } => {
             let message = "only the leading steward writes this";
--- a/crates/session-proxy/src/settings.rs
+++ b/crates/session-proxy/src/settings.rs
@@ -23,14 +23,14 @@
         kind: Kind::Name,
         default: "",
         required: true,
-        doc: "The session proxy's name, for its log and its status. Two session proxies under one name do no harm.",
+        doc: "The session proxy's name, for its log and its status. Two session proxies may have the same name.",
     },
     Field {
         path: "listen",
         kind: Kind::Text,
         default: "",
         required: true,
-        doc: "Where members reach it: loopback or a private address, since there is no sign-in. Port 0: a free one, told in the log.",
+        doc: "The address on which members reach it: loopback or private, since there is no authentication. Port 0 selects a free port, which is logged.",
     },
     Field {
         path: "stewards",
@@ -51,7 +51,7 @@
         kind: Kind::Count(16, bounds::MAX_PROXY_WAITERS as u64),
         default: "4096",
         required: false,
-        doc: "Connections of members at once. A member that comes when all are open goes to another session proxy.",
+        doc: "Largest number of open connections of members. A member whose connection is rejected tries another session proxy.",
     },
 ];
 
@@ -120,8 +120,8 @@
     };
     check_listen(&mut document, &settings);
     check_coordinators(&mut document, &settings);
-    let is_sound = document.findings.is_empty();
-    (document, is_sound.then_some(settings))
+    let is_valid = document.findings.is_empty();
+    (document, is_valid.then_some(settings))
 }
 
 fn check_listen(document: &mut Document, settings: &Settings) {
@@ -141,7 +141,7 @@
     let listed = document.list(&["stewards"]).to_vec();
     for (index, (address, span)) in listed.iter().enumerate() {
         if listed[..index].iter().any(|(before, _)| before == address) {
-            let label = "named before".to_string();
+            let label = "listed before".to_string();
             document.add(Code::DuplicateCoordinator, Some(span.clone()), label, None);
         }
         if ports_overlap(address, &settings.listen) {
@@ -150,8 +150,8 @@
         }
     }
     if !matches!(listed.len(), 1 | 3 | 5 | 7) {
-        let label = format!("{} are named", listed.len());
-        let help = Some("name all stewards of the group".to_string());
+        let label = format!("{} are listed", listed.len());
+        let help = Some("list all coordinators of the group".to_string());
         let span = document.span(&["stewards"]);
         document.add(Code::InvalidCoordinatorCount, span, label, help);
     }
--- a/crates/shard-map/src/assignment.rs
+++ b/crates/shard-map/src/assignment.rs
@@ -7,8 +7,8 @@
 //! Since both sides rank by the same score, there is only one stable matching (Gale and Shapley), whatever the order of
 //! the steps, and a change of the membership leaves shards and senders that it does not affect as they were.
 //!
-//! The assignment only advises clients where to submit an event; it is not a permission to deliver. A client with an
-//! older membership submits to another sender, which accepts the event as well.
+//! The assignment only advises clients where to submit a message; it is not a permission to deliver. A client with an
+//! older membership submits to another sender, which accepts the message as well.
 
 mod matching;
 mod score;
--- a/crates/shard-map/src/membership.rs
+++ b/crates/shard-map/src/membership.rs
@@ -34,10 +34,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum MembershipError {
     /// A replication factor of 0, or above [`limits::MAX_REPLICATION_FACTOR`].
-    #[error("{0} copies: there are 1 to {max}", max = limits::MAX_REPLICATION_FACTOR)]
+    #[error("{0} copies of each shard: the number must be from 1 to {max}", max = limits::MAX_REPLICATION_FACTOR)]
     ReplicationFactor(u8),
     /// More than [`limits::MAX_MEMBERS`] members.
-    #[error("{0} members, and {max} is the most", max = limits::MAX_MEMBERS)]
+    #[error("{0} members, more than the maximum of {max}", max = limits::MAX_MEMBERS)]
     TooManyMembers(usize),
     /// A member whose name or zone is empty or longer than [`limits::MAX_NAME_BYTES`].
     #[error(
@@ -46,7 +46,7 @@
     )]
     InvalidName,
     /// A member with a weight of 0, or above [`limits::MAX_MEMBER_WEIGHT`].
-    #[error("{0} shares: a member has 1 to {max}", max = limits::MAX_MEMBER_WEIGHT)]
+    #[error("a member has {0} shares: the number must be from 1 to {max}", max = limits::MAX_MEMBER_WEIGHT)]
     Weight(u8),
 }
 
@@ -89,8 +89,8 @@
             .sum();
         let needed = u64::from(shard_count.count()) * u64::from(self.replication_factor);
         let capacity = total_weight * u64::from(self.shards_per_weight);
-        let is_enough = capacity * 10 >= needed * 11 && capacity * 2 <= needed * 3;
-        let shards_per_weight = if is_enough {
+        let is_in_range = capacity * 10 >= needed * 11 && capacity * 2 <= needed * 3;
+        let shards_per_weight = if is_in_range {
             self.shards_per_weight
         } else {
             (needed * 5).div_ceil(4 * total_weight.max(1)) as u32
--- a/crates/shard-map/src/sync.rs
+++ b/crates/shard-map/src/sync.rs
@@ -56,7 +56,7 @@
     /// A shard with all of its endpoints, which replace those of the replica.
     #[serde(rename = "whole")]
     Snapshot {
-        /// The shard's version.
+        /// The shard, and the version and digest of these endpoints.
         #[serde(rename = "stand")]
         version: ShardVersion,
         /// The shard's endpoints, ordered by destination and name.
@@ -205,10 +205,10 @@
             digest,
             ..
         } => {
-            let ends_inside = first
+            let is_in_bounds = first
                 .checked_add(*count)
                 .is_some_and(|end| end <= shard_count.count());
-            if *count == 0 || !ends_inside {
+            if *count == 0 || !is_in_bounds {
                 return Err(SyncError::UnknownShard);
             }
             let span = Span {
