--- a/crates/coordination-protocol/tests/duplicate_responses.rs
+++ b/crates/coordination-protocol/tests/duplicate_responses.rs
@@ -20,7 +20,10 @@
     while !text.ends_with("\r\n\r\n") {
         let mut bytes = [0; 1_024];
         let count = stream.read(&mut bytes).await.expect("readable");
-        assert!(count > 0, "the call breaks off");
+        assert!(
+            count > 0,
+            "the connection closed in the middle of a request"
+        );
         text.push_str(std::str::from_utf8(&bytes[..count]).expect("text"));
     }
     let prefix = format!("{}: ", messages::CALL_HEADER);
@@ -50,7 +53,7 @@
 }
 
 #[test]
-fn a_copy_of_an_earlier_response_with_the_next_request_answers_no_call() {
+fn a_duplicate_of_an_earlier_response_answers_no_call() {
     run(async {
         let (listener, mut client) = listen().await;
         let serving = tokio::task::spawn_local(async move {
--- a/crates/coordination-protocol/tests/golden.rs
+++ b/crates/coordination-protocol/tests/golden.rs
@@ -66,8 +66,9 @@
             .get(name)
             .unwrap_or_else(|| panic!("no text for {name}"));
         assert_eq!(written, *text, "{name}: written");
-        let known: T = serde_json::from_str(text).unwrap_or_else(|error| panic!("{name}: {error}"));
-        assert_eq!(known, *value, "{name}: read");
+        let parsed: T =
+            serde_json::from_str(text).unwrap_or_else(|error| panic!("{name}: {error}"));
+        assert_eq!(parsed, *value, "{name}: read");
         assert!(self.seen.insert(name), "{name} twice");
     }
 
@@ -280,15 +281,15 @@
         },
         LeaderTerm(4),
     );
-    let act = |number| Command::FencedWrite {
+    let write = |number| Command::FencedWrite {
         session: SessionId(1),
         resource: "list".to_string(),
         token: FencingToken(1),
         number,
         checkpoint: format!("row {number}"),
     };
-    state.apply(act(1), LeaderTerm(4));
-    state.apply(act(2), LeaderTerm(4));
+    state.apply(write(1), LeaderTerm(4));
+    state.apply(write(2), LeaderTerm(4));
     state.apply(
         Command::Revoke {
             resource: "list".to_string(),
@@ -296,12 +297,12 @@
         },
         LeaderTerm(4),
     );
-    state.apply(act(3), LeaderTerm(4));
+    state.apply(write(3), LeaderTerm(4));
     state
 }
 
 fn state_view() -> StateView {
-    let member = Session {
+    let session = Session {
         member: member_info(),
         nonce: 11,
         lease: Micros(9_000_000),
@@ -320,8 +321,8 @@
         EventKind::Revoked,
         EventKind::Fenced,
     ];
-    let event = |(place, kind)| Event {
-        number: place as u64 + 1,
+    let event = |(index, kind)| Event {
+        number: index as u64 + 1,
         resource: "list".to_string(),
         token: FencingToken(3),
         member: "sender-1".to_string(),
@@ -330,7 +331,7 @@
     StateView {
         group: "north".to_string(),
         leader: 2,
-        sessions: BTreeMap::from([(SessionId(7), member)]),
+        sessions: BTreeMap::from([(SessionId(7), session)]),
         resources: BTreeMap::from([
             ("limits".to_string(), resource(None)),
             ("list".to_string(), resource(Some(SessionId(7)))),
@@ -519,7 +520,7 @@
 }
 
 fn shard_count() -> ShardCount {
-    ShardCount::new(1_024).expect("a number of ranges")
+    ShardCount::new(1_024).expect("a valid shard count")
 }
 
 fn endpoint() -> Endpoint {
@@ -634,8 +635,8 @@
         (messages::INSTALL_SNAPSHOT_PATH, "/consensus/snapshot"),
         (shard_map::SHARD_MAP_PATH, "/v1/catalog"),
     ];
-    for (path, known) in paths {
-        assert_eq!(path, known);
+    for (path, expected) in paths {
+        assert_eq!(path, expected);
     }
     let headers = [
         messages::VERSION_HEADER,
@@ -681,8 +682,8 @@
         match request.uri().path() {
             messages::STATUS_PATH => to_json(&status(Some(2), None)),
             messages::COMMAND_PATH => {
-                let entry: Command = read_json(request, messages::MAX_CALL_BYTES).await?;
-                assert_eq!(entry, fenced_write());
+                let command: Command = read_json(request, messages::MAX_CALL_BYTES).await?;
+                assert_eq!(command, fenced_write());
                 to_json(&CommandOutcome::Done)
             }
             messages::STATE_PATH => {
@@ -775,12 +776,12 @@
         };
         serde_json::to_string(&request).expect("written")
     };
-    let other = span(1_024).replace("\"ranges\":1024", "\"ranges\":512");
+    let other_shard_count = span(1_024).replace("\"ranges\":1024", "\"ranges\":512");
     let post = |body: &str| call("POST", shard_map::SHARD_MAP_PATH, "north", "1", body);
     vec![
         post(&span(4)),
         post(&span(2_000)),
-        post(&other),
+        post(&other_shard_count),
         call("GET", shard_map::SHARD_MAP_PATH, "north", "1", ""),
         call("GET", "/v1/open", "north", "1", ""),
     ]
--- a/crates/coordination-protocol/tests/shard_map.rs
+++ b/crates/coordination-protocol/tests/shard_map.rs
@@ -25,10 +25,10 @@
 const TIME_LIMIT: Duration = Duration::from_secs(60);
 
 fn shard_count() -> ShardCount {
-    ShardCount::new(1_024).expect("a number of ranges")
+    ShardCount::new(1_024).expect("a valid shard count")
 }
 
-fn bounds() -> Limits {
+fn limits() -> Limits {
     Limits::new(6_000, 17, 64 << 20, 8)
 }
 
@@ -49,25 +49,27 @@
 }
 
 fn source() -> ShardMapSource {
-    let mut source = ShardMapSource::new(shard_count(), bounds(), LeaderTerm(1));
+    let mut source = ShardMapSource::new(shard_count(), limits(), LeaderTerm(1));
     for number in 0..5_000 {
         source.propose(put(number, 80)).expect("valid");
     }
     source
 }
 
-fn replica(wanted: impl Iterator<Item = ShardId>) -> Rc<RefCell<ShardMapReplica>> {
-    let mut replica = ShardMapReplica::new(shard_count(), bounds());
-    replica.subscribe(wanted);
+/// An empty replica that is subscribed to these shards.
+fn replica(subscribed: impl Iterator<Item = ShardId>) -> Rc<RefCell<ShardMapReplica>> {
+    let mut replica = ShardMapReplica::new(shard_count(), limits());
+    replica.subscribe(subscribed);
     Rc::new(RefCell::new(replica))
 }
 
-async fn open<T: UpdatePublisher>(publisher: &Rc<RefCell<T>>) -> (String, JoinHandle<()>) {
+/// Serves a source or a replica. Returns its address, and the task that serves it until it is aborted.
+async fn serve<T: UpdatePublisher>(publisher: &Rc<RefCell<T>>) -> (String, JoinHandle<()>) {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("bound").to_string();
     let handler = Rc::new(ShardMapHandler::new(GROUP, publisher.clone()));
     let serving = tokio::task::spawn_local(async move {
-        Server::new("catalog", ConnectionLimit::new(64), handler)
+        Server::new("shard map", ConnectionLimit::new(64), handler)
             .serve(listener)
             .await;
     });
@@ -77,13 +79,13 @@
 fn assert_in_sync(replica: &Rc<RefCell<ShardMapReplica>>, source: &Rc<RefCell<ShardMapSource>>) {
     let (replica, source) = (replica.borrow(), source.borrow());
     for shard in replica.subscribed() {
-        let (here, there) = (
-            replica.shard(shard).expect("held"),
-            source.shard(shard).expect("there"),
+        let (local, remote) = (
+            replica.shard(shard).expect("subscribed"),
+            source.shard(shard).expect("an existing shard"),
         );
         assert_eq!(
-            (here.endpoints(), here.version()),
-            (there.endpoints(), there.version()),
+            (local.endpoints(), local.version()),
+            (remote.endpoints(), remote.version()),
             "{shard:?}"
         );
     }
@@ -115,26 +117,33 @@
         let source = Rc::new(RefCell::new(source()));
         let middle = replica(shard_count().shards());
         let sender = replica((0..12).map(ShardId));
-        let ((above, _), (between, _)) = (open(&source).await, open(&middle).await);
-        let (mut up, mut down) = (Client::new(above, GROUP), Client::new(between, GROUP));
-        catch_up(&mut up, &middle, TIME_LIMIT)
+        let ((source_address, _), (middle_address, _)) =
+            (serve(&source).await, serve(&middle).await);
+        let (mut source_client, mut middle_client) = (
+            Client::new(source_address, GROUP),
+            Client::new(middle_address, GROUP),
+        );
+        catch_up(&mut source_client, &middle, TIME_LIMIT)
             .await
             .expect("from the source");
         assert_in_sync(&middle, &source);
-        catch_up(&mut down, &sender, TIME_LIMIT)
+        catch_up(&mut middle_client, &sender, TIME_LIMIT)
             .await
             .expect("from the replica");
         assert_in_sync(&sender, &source);
 
-        let mine = (0..)
+        let in_shard_3 = (0..)
             .find(|number| shard_count().shard_of(*number) == ShardId(3))
-            .expect("one");
-        source.borrow_mut().propose(put(mine, 81)).expect("valid");
-        let round = catch_up(&mut up, &middle, TIME_LIMIT)
+            .expect("a destination in shard 3");
+        source
+            .borrow_mut()
+            .propose(put(in_shard_3, 81))
+            .expect("valid");
+        let round = catch_up(&mut source_client, &middle, TIME_LIMIT)
             .await
             .expect("from the source");
         assert!(round.applied >= 1 && round.requests <= 4, "{round:?}");
-        let round = catch_up(&mut down, &sender, TIME_LIMIT)
+        let round = catch_up(&mut middle_client, &sender, TIME_LIMIT)
             .await
             .expect("from the replica");
         assert_eq!(
@@ -147,7 +156,7 @@
             "the one change"
         );
         assert_in_sync(&sender, &source);
-        let round = catch_up(&mut down, &sender, TIME_LIMIT)
+        let round = catch_up(&mut middle_client, &sender, TIME_LIMIT)
             .await
             .expect("from the replica");
         assert_eq!(
@@ -165,10 +174,10 @@
             .borrow_mut()
             .assume_leadership(LeaderTerm(2))
             .expect("a later term");
-        catch_up(&mut up, &middle, TIME_LIMIT)
+        catch_up(&mut source_client, &middle, TIME_LIMIT)
             .await
             .expect("from the source");
-        catch_up(&mut down, &sender, TIME_LIMIT)
+        catch_up(&mut middle_client, &sender, TIME_LIMIT)
             .await
             .expect("from the replica");
         assert_in_sync(&sender, &source);
@@ -184,38 +193,38 @@
             replica(shard_count().shards()),
         );
         let sender = replica((0..12).map(ShardId));
-        let (above, _) = open(&source).await;
-        let (between, serving) = open(&middle).await;
-        let (beside, _) = open(&other).await;
-        let mut up = Client::new(above, GROUP);
+        let (source_address, _) = serve(&source).await;
+        let (middle_address, serving) = serve(&middle).await;
+        let (other_address, _) = serve(&other).await;
+        let mut source_client = Client::new(source_address, GROUP);
         for replica in [&middle, &other] {
-            catch_up(&mut up, replica, TIME_LIMIT)
+            catch_up(&mut source_client, replica, TIME_LIMIT)
                 .await
                 .expect("from the source");
         }
         for number in 0..5_000 {
             source.borrow_mut().propose(put(number, 81)).expect("valid");
         }
-        catch_up(&mut up, &middle, TIME_LIMIT)
+        catch_up(&mut source_client, &middle, TIME_LIMIT)
             .await
             .expect("from the source");
-        let mut down = Client::new(between, GROUP);
-        catch_up(&mut down, &sender, TIME_LIMIT)
+        let mut middle_client = Client::new(middle_address, GROUP);
+        catch_up(&mut middle_client, &sender, TIME_LIMIT)
             .await
             .expect("from the replica");
         assert_in_sync(&sender, &source);
         serving.abort();
-        let _ended = serving.await;
+        let _aborted = serving.await;
         let before = sender.borrow().clone();
-        // an open connection would end with the replica's process, which here is the test itself, so a new client
-        // stands for that: its connection is refused
-        let mut down = Client::new(down.address().to_string(), GROUP);
-        let broken = catch_up(&mut down, &sender, TIME_LIMIT)
+        // the replica runs in the test's own process, so a new client stands for one whose connection has ended with the
+        // replica's process: its next connection is refused
+        let mut middle_client = Client::new(middle_client.address().to_string(), GROUP);
+        let error = catch_up(&mut middle_client, &sender, TIME_LIMIT)
             .await
             .expect_err("the replica is stopped");
-        assert!(matches!(broken, CatchUpError::Client(_)), "{broken}");
+        assert!(matches!(error, CatchUpError::Client(_)), "{error}");
         // the other replica is behind the sender, and returns no outdated updates
-        let round = catch_up(&mut Client::new(beside, GROUP), &sender, TIME_LIMIT)
+        let round = catch_up(&mut Client::new(other_address, GROUP), &sender, TIME_LIMIT)
             .await
             .expect("answered");
         assert_eq!(
@@ -223,7 +232,7 @@
             (0, true),
             "{round:?}"
         );
-        catch_up(&mut up, &other, TIME_LIMIT)
+        catch_up(&mut source_client, &other, TIME_LIMIT)
             .await
             .expect("from the source");
         assert_in_sync(&other, &source);
@@ -232,18 +241,26 @@
 
 /// Requests with the status and a part of the body of each response: a valid one, and malformed ones.
 fn calls(valid: &str) -> Vec<(Vec<u8>, &'static str, &'static str)> {
-    let other = valid.replace("1024", "512");
-    let beyond = valid.replace("\"count\":1024", "\"count\":1025");
-    let long = format!("{}{valid}", " ".repeat(MAX_SYNC_REQUEST_BYTES));
+    let other_shard_count = valid.replace("1024", "512");
+    let beyond_last_shard = valid.replace("\"count\":1024", "\"count\":1025");
+    let too_long = format!("{}{valid}", " ".repeat(MAX_SYNC_REQUEST_BYTES));
     let post = |body: &str| call(GROUP, "1", body, body.len());
     let to = |group, version| call(group, version, valid, valid.len());
     vec![
         (to(GROUP, "1"), "200", "parts"),
         (to("south", "1"), "409", "this is group"),
         (to(GROUP, "2"), "409", "version 1 of the wire"),
-        (post(&other), "409", "1024 ranges here and 512 there"),
-        (post(&beyond), "409", "a range that does not exist"),
-        (post(&long), "413", "longer than"),
+        (
+            post(&other_shard_count),
+            "409",
+            "1024 ranges here and 512 there",
+        ),
+        (
+            post(&beyond_last_shard),
+            "409",
+            "a range that does not exist",
+        ),
+        (post(&too_long), "413", "longer than"),
         (post(&valid[..20]), "400", "EOF"),
         (post("\u{7f}\u{0}"), "400", "expected value"),
         (post("{\"span\":{\"ranges\":0}}"), "400", "0 ranges"),
@@ -254,7 +271,7 @@
 fn malformed_requests_are_rejected_and_change_nothing() {
     run(async {
         let source = Rc::new(RefCell::new(source()));
-        let (address, _) = open(&source).await;
+        let (address, _) = serve(&source).await;
         let before = source.borrow().clone();
         let request = SyncRequest::Span {
             shard_count: shard_count(),
@@ -263,16 +280,16 @@
             digest: Default::default(),
         };
         let valid = serde_json::to_string(&request).expect("written");
-        for (bytes, status, why) in calls(&valid) {
+        for (bytes, status, expected) in calls(&valid) {
             let answer = response(&address, &bytes, false).await;
             assert!(
-                answer.starts_with(&format!("HTTP/1.1 {status}")) && answer.contains(why),
-                "{why}: {answer}"
+                answer.starts_with(&format!("HTTP/1.1 {status}")) && answer.contains(expected),
+                "{expected}: {answer}"
             );
         }
         // the client disconnects before it has sent the whole body
-        let cut = response(&address, &call(GROUP, "1", &valid[..20], valid.len()), true).await;
-        assert!(!cut.contains("200"), "{cut}");
+        let answer = response(&address, &call(GROUP, "1", &valid[..20], valid.len()), true).await;
+        assert!(!answer.contains("200"), "{answer}");
         assert_eq!(*source.borrow(), before);
         let mut client = Client::new(address, GROUP);
         let sender = replica((0..12).map(ShardId));
@@ -310,7 +327,7 @@
     }
     run(async {
         let middle = replica(shard_count().shards());
-        let (address, _) = open(&Rc::new(RefCell::new(source()))).await;
+        let (address, _) = serve(&Rc::new(RefCell::new(source()))).await;
         catch_up(&mut Client::new(address, GROUP), &middle, TIME_LIMIT)
             .await
             .expect("from the source");
@@ -318,12 +335,12 @@
             let middle = middle.borrow();
             let all: Vec<_> = middle
                 .subscribed()
-                .map(|shard| middle.shard(shard).expect("held").digest())
+                .map(|shard| middle.shard(shard).expect("subscribed").digest())
                 .collect();
             all
         };
         let before = digests(&middle);
-        let (address, _) = open(&Rc::new(RefCell::new(MismatchingPublisher))).await;
+        let (address, _) = serve(&Rc::new(RefCell::new(MismatchingPublisher))).await;
         let ended = catch_up(&mut Client::new(address, GROUP), &middle, TIME_LIMIT).await;
         assert!(
             matches!(ended, Err(CatchUpError::Unfinished(1_024))),
--- a/crates/coordinator/tests/golden/disk.rs
+++ b/crates/coordinator/tests/golden/disk.rs
@@ -45,10 +45,10 @@
             push_row("log", key.value().to_string(), value.value());
         }
     }
-    let one = read
+    let values = read
         .open_table(TableDefinition::<&str, &[u8]>::new("one of each"))
-        .expect("the other table");
-    for row in one.iter().expect("rows") {
+        .expect("the table of single values");
+    for row in values.iter().expect("rows") {
         let (key, value) = row.expect("a row");
         push_row("one of each", key.value().to_string(), value.value());
     }
@@ -67,7 +67,7 @@
 fn initial_state() -> CoordinationState {
     state()
         .restored(1, Micros(2 * LEASE.0))
-        .expect("a restored book")
+        .expect("a restored state")
 }
 
 fn snapshot() -> StoredSnapshot {
@@ -79,14 +79,16 @@
 
 /// Creates a store with a value under every key and with log entries.
 fn write_store(folder: &Path) {
-    RaftStorage::bootstrap(folder, &identity(), &initial_state()).expect("founded");
+    RaftStorage::bootstrap(folder, &identity(), &initial_state()).expect("bootstrapped");
     let storage = RaftStorage::open(folder, GROUP, 2).expect("opened");
-    storage.save_vote(&Vote::new(4, 3)).expect("kept");
-    storage.save_vote(&Vote::new_committed(5, 2)).expect("kept");
-    storage.save_committed(Some(log_id(12))).expect("kept");
+    storage.save_vote(&Vote::new(4, 3)).expect("saved");
+    storage
+        .save_vote(&Vote::new_committed(5, 2))
+        .expect("saved");
+    storage.save_committed(Some(log_id(12))).expect("saved");
     storage.append(&log_entries(3)).expect("appended");
     storage.append(&log_entries(18)).expect("appended");
-    storage.save_snapshot(&snapshot()).expect("kept");
+    storage.save_snapshot(&snapshot()).expect("saved");
     storage.purge(log_id(2)).expect("purged");
     storage.truncate(18).expect("truncated");
 }
@@ -114,12 +116,12 @@
         (snapshot_meta(4), &snapshot().state_json)
     );
     assert_eq!(
-        serde_json::from_str::<CoordinationState>(&state_json).expect("a book"),
+        serde_json::from_str::<CoordinationState>(&state_json).expect("a state"),
         state()
     );
     // the state machine starts with the snapshot's state
     let state_machine = StateMachine::open(storage).expect("opened");
-    state_machine.read(|here| assert_eq!(here, &state()));
+    state_machine.read(|current| assert_eq!(current, &state()));
 }
 
 #[test]
@@ -153,14 +155,14 @@
 
 fn settings(folder: &Path) -> Settings {
     let text = golden_text("steward.toml");
-    Settings::parse(&folder.join("steward.toml"), &text).expect("sound")
+    Settings::parse(&folder.join("steward.toml"), &text).expect("valid settings")
 }
 
 #[test]
 fn a_new_group_is_bootstrapped_as_in_the_golden_data() {
     let folder = TempDir::new().expect("a folder");
     let settings = settings(folder.path());
-    let identity = service::bootstrap(&settings, None).expect("founded");
+    let identity = service::bootstrap(&settings, None).expect("bootstrapped");
     assert_eq!(identity.origin, "new");
     assert_eq!((identity.group.as_str(), identity.id), (GROUP, 2));
     assert_golden("founded.txt", &dump(&settings.state_folder.join(FILE)));
@@ -191,7 +193,7 @@
             generation: 3,
         }),
     )
-    .expect("founded");
+    .expect("bootstrapped");
     assert_eq!(identity.founding_replicas, [1, 2, 3]);
     assert_golden("restored.txt", &dump(&settings.state_folder.join(FILE)));
     // a backup from a version without command batches
--- a/crates/coordinator/tests/golden/settings.rs
+++ b/crates/coordinator/tests/golden/settings.rs
@@ -31,7 +31,7 @@
         heartbeat_interval: Duration::from_millis(250),
         replicas: replicas(),
     };
-    assert_eq!(settings.expect("sound"), expected);
+    assert_eq!(settings.expect("valid settings"), expected);
 }
 
 #[test]
@@ -44,7 +44,8 @@
     };
     let text: Vec<&str> = full.lines().filter(optional).collect();
     assert_eq!(text.len() + 3, full.lines().count());
-    let settings = Settings::parse(Path::new("steward.toml"), &text.join("\n")).expect("sound");
+    let settings =
+        Settings::parse(Path::new("steward.toml"), &text.join("\n")).expect("valid settings");
     assert_eq!(
         settings.lease_timing,
         LeaseTiming {
--- a/crates/coordinator/tests/golden/support.rs
+++ b/crates/coordinator/tests/golden/support.rs
@@ -26,8 +26,8 @@
 /// Checks that a text equals a golden file, line by line, so that a failure shows the differing line.
 pub(crate) fn assert_golden(name: &str, text: &str) {
     let expected = golden_text(name);
-    for (number, (was, is)) in expected.lines().zip(text.lines()).enumerate() {
-        assert_eq!(is, was, "{name}, line {}", number + 1);
+    for (number, (expected_line, line)) in expected.lines().zip(text.lines()).enumerate() {
+        assert_eq!(line, expected_line, "{name}, line {}", number + 1);
     }
     assert_eq!(text, expected, "{name}");
 }
--- a/crates/coordinator/tests/golden/wire.rs
+++ b/crates/coordinator/tests/golden/wire.rs
@@ -73,7 +73,7 @@
                 }
             }
             let count = stream.read_buf(&mut bytes).await.expect("a request");
-            assert_ne!(count, 0, "the caller left");
+            assert_ne!(count, 0, "the caller closed the connection");
         }
         let request = String::from_utf8(bytes).expect("text");
         let call = request
@@ -82,7 +82,7 @@
         let (status, body) = reply.split_once(' ').expect("a status");
         let answer = format!(
             "HTTP/1.1 {status} X\r\n{}\r\ncontent-length: {}\r\n\r\n{body}",
-            call.expect("a number"),
+            call.expect("a call number"),
             body.len()
         );
         requests.push(request);
@@ -201,7 +201,7 @@
         founding_replicas: Vec::new(),
         origin: ORIGIN.into(),
     };
-    RaftStorage::bootstrap(folder, &identity, &CoordinationState::default()).expect("founded");
+    RaftStorage::bootstrap(folder, &identity, &CoordinationState::default()).expect("bootstrapped");
     let storage = RaftStorage::open(folder, "harbour", 3).expect("opened");
     let state_machine = StateMachine::open(storage.clone()).expect("opened");
     let config = Config {
@@ -213,7 +213,7 @@
         election_timeout_max: 120_000,
         ..Config::default()
     };
-    let config = Arc::new(config.validate().expect("sound"));
+    let config = Arc::new(config.validate().expect("a valid configuration"));
     let peers = PeerNetwork {
         group: "harbour".into(),
         origin: ORIGIN.into(),
@@ -224,9 +224,9 @@
     };
     let raft = Raft::new(3, config, peers, log, state_machine.clone())
         .await
-        .expect("it runs");
+        .expect("the consensus starts");
     let text = golden_text("steward.toml").replacen("id = 2", "id = 3", 1);
-    let settings = Settings::parse(&folder.join("steward.toml"), &text).expect("sound");
+    let settings = Settings::parse(&folder.join("steward.toml"), &text).expect("valid settings");
     let leadership = Leadership::new(raft, state_machine.clone());
     let handler = Rc::new(RequestHandler {
         settings,
@@ -271,28 +271,33 @@
     run(async {
         let folder = TempDir::new().expect("a folder");
         let (state_machine, storage, address) = replica(folder.path()).await;
-        let right = headers(ORIGIN);
+        let valid_headers = headers(ORIGIN);
         let mut replies = String::new();
         let (append, vote, snapshot) = golden_bodies();
-        let (late, mismatch) = (
+        let (later_vote, mismatch) = (
             body(&VoteRequest::new(Vote::new(6u64, 1), None)),
             body(&snapshot_request(9)),
         );
         for (method, path, headers, body) in [
-            ("POST", "/consensus/vote", &right, &vote),
-            ("POST", "/consensus/append", &right, &append),
+            ("POST", "/consensus/vote", &valid_headers, &vote),
+            ("POST", "/consensus/append", &valid_headers, &append),
             // a vote for another candidate is rejected during the leader's lease
-            ("POST", "/consensus/vote", &right, &late),
-            ("POST", "/consensus/snapshot", &right, &mismatch),
-            ("POST", "/consensus/append", &right, &String::from("{}")),
-            ("GET", "/consensus/append", &right, &String::new()),
+            ("POST", "/consensus/vote", &valid_headers, &later_vote),
+            ("POST", "/consensus/snapshot", &valid_headers, &mismatch),
+            (
+                "POST",
+                "/consensus/append",
+                &valid_headers,
+                &String::from("{}"),
+            ),
+            ("GET", "/consensus/append", &valid_headers, &String::new()),
             ("POST", "/consensus/append", &headers("new"), &append),
-            ("POST", "/consensus/nothing", &right, &append),
+            ("POST", "/consensus/nothing", &valid_headers, &append),
         ] {
             replies.push_str(&call(&address, method, path, headers, body).await);
         }
         // the appended entries are committed, and the consensus applies them asynchronously
-        while state_machine.read(|here| here != &state()) {
+        while state_machine.read(|current| current != &state()) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         assert_eq!(storage.entries(..).expect("read"), log_entries(0));
@@ -300,7 +305,16 @@
             storage.vote().expect("read"),
             Some(Vote::new_committed(5, 2))
         );
-        replies.push_str(&call(&address, "POST", "/consensus/snapshot", &right, &snapshot).await);
+        replies.push_str(
+            &call(
+                &address,
+                "POST",
+                "/consensus/snapshot",
+                &valid_headers,
+                &snapshot,
+            )
+            .await,
+        );
         assert_golden("replies-of-replica.txt", &replies);
         let stored = storage.snapshot().expect("read").expect("a snapshot");
         assert_eq!(
--- a/crates/member/tests/session_open.rs
+++ b/crates/member/tests/session_open.rs
@@ -86,9 +86,9 @@
     });
 }
 
-/// Runs a member against the coordinator at this address until it owns its resource, and returns it. `disconnected`
-/// runs each time the member reports that no coordinator responds.
-fn run_until_owner(address: SocketAddr, mut disconnected: impl FnMut()) -> Rc<Member> {
+/// Runs a member against the coordinator at this address until it owns its resource, and returns it. `on_disconnected`
+/// is called each time the member reports that no coordinator responds.
+fn run_until_owner(address: SocketAddr, mut on_disconnected: impl FnMut()) -> Rc<Member> {
     let info = MemberInfo {
         name: "m".into(),
         zone: String::new(),
@@ -101,16 +101,16 @@
         .build()
         .expect("a runtime");
     tokio::task::LocalSet::new().block_on(&runtime, async {
-        let session = member.clone();
+        let running_member = member.clone();
         let client = CoordinatorClient::new("g", &[address.to_string()]);
-        tokio::task::spawn_local(async move { session.maintain_session(client, 1).await });
+        tokio::task::spawn_local(async move { running_member.maintain_session(client, 1).await });
         loop {
             match events
                 .recv()
                 .await
                 .expect("the member keeps its event sender")
             {
-                MemberEvent::Disconnected(_) => disconnected(),
+                MemberEvent::Disconnected(_) => on_disconnected(),
                 MemberEvent::Acquired { .. } => break,
                 _ => {}
             }
--- a/crates/shard-map/tests/assignment_load.rs
+++ b/crates/shard-map/tests/assignment_load.rs
@@ -13,13 +13,13 @@
 fn loss_of_a_sender_moves_only_its_own_shards_if_no_sender_is_full() {
     // capacity is unlimited here, so that rendezvous hashing alone decides
     let count = 2_048;
-    let mut wide = serde_json::to_value(membership(100, 7, 3, count)).expect("written");
-    wide["places"] = 100_000.into();
-    let wide: Membership = serde_json::from_value(wide).expect("read");
-    let mut assignment = assignment(&wide, count);
+    let mut unlimited = serde_json::to_value(membership(100, 7, 3, count)).expect("written");
+    unlimited["places"] = 100_000.into();
+    let unlimited: Membership = serde_json::from_value(unlimited).expect("read");
+    let mut assignment = assignment(&unlimited, count);
     let before = senders_by_shard(&assignment, count);
     let load = assignment.loads()["sender-3"];
-    let mut fewer = serde_json::to_value(&wide).expect("written");
+    let mut fewer = serde_json::to_value(&unlimited).expect("written");
     fewer["number"] = 100.into();
     fewer["members"]
         .as_object_mut()
@@ -46,7 +46,7 @@
     let mut all = members(60, 6);
     for n in 0..20 {
         all.get_mut(format!("sender-{n}").as_str())
-            .expect("there")
+            .expect("a member")
             .weight = 3;
     }
     let weighted = empty_membership(1, 3)
@@ -91,7 +91,7 @@
         .expect("there are senders");
     assert!(
         fullest as f64 <= (average * 1.25).ceil(),
-        "{fullest} of {average} on average"
+        "the fullest sender has {fullest} replicas, and the average is {average}"
     );
     assert_eq!(assignment.unassigned_replicas(), 0);
     let (mut worst, mut sum) = (0f64, 0f64);
@@ -109,11 +109,11 @@
     // and 1.41 for each one of a lost zone
     let average_moves = sum / 100.0;
     println!(
-        "worst {worst} moves for each copy lost, {average_moves} moves a loss of {average} copies"
+        "at most {worst} moves for each lost replica, {average_moves} moves on the loss of a sender with {average} replicas"
     );
     assert!(
         average_moves <= 1.3 * average,
-        "{average_moves} moves a loss"
+        "{average_moves} moves for each lost sender, which had {average} replicas"
     );
     assert!(worst <= 3.0, "{worst}");
 
@@ -125,7 +125,10 @@
     let after = without_members(&current, &zone, count);
     assert_eq!(after.shards_per_weight(), current.shards_per_weight());
     let moved = assignment.update(after);
-    println!("a zone of {} with {lost} copies: {moved:?}", zone.len());
+    println!(
+        "a zone of {} senders with {lost} replicas: {moved:?}",
+        zone.len()
+    );
     assert!(
         moved.gained as f64 <= 1.3 * lost as f64,
         "{moved:?} for {lost}"
--- a/crates/shard-map/tests/common/mod.rs
+++ b/crates/shard-map/tests/common/mod.rs
@@ -34,6 +34,7 @@
     }
 }
 
+/// A change of one destination with these operations.
 pub(crate) fn change_of(destination: u64, operations: Vec<Operation>) -> Change {
     Change {
         destination,
@@ -41,6 +42,7 @@
     }
 }
 
+/// A change that adds or replaces one endpoint.
 pub(crate) fn put(destination: u64, uid: &str, port: u16) -> Change {
     let operation = Operation::Put(endpoint(destination, uid, port));
     change_of(destination, vec![operation])
@@ -51,7 +53,7 @@
 }
 
 pub(crate) fn shard_count(count: u32) -> ShardCount {
-    ShardCount::new(count).expect("a number of shards")
+    ShardCount::new(count).expect("a valid shard count")
 }
 
 /// Limits for a link of 6 KB/s and 17 s, with a total of 64 MiB and a history of 8 changes.
@@ -152,7 +154,7 @@
 pub(crate) fn assert_in_sync(replica: &ShardMapReplica, source: &ShardMapSource) {
     for id in replica.subscribed() {
         let local = replica.shard(id).expect("subscribed");
-        let remote = source.shard(id).expect("there");
+        let remote = source.shard(id).expect("an existing shard");
         assert_eq!(local.endpoints(), remote.endpoints(), "{id:?}");
         assert_eq!(local.version(), remote.version(), "{id:?}");
     }
@@ -177,7 +179,7 @@
 pub(crate) fn without_members(membership: &Membership, names: &[&str], shards: u32) -> Membership {
     let mut members = membership.members().clone();
     for name in names {
-        members.remove(*name).expect("it was there");
+        members.remove(*name).expect("a member");
     }
     membership
         .with_members(members, shard_count(shards))
--- a/crates/shard-map/tests/golden.rs
+++ b/crates/shard-map/tests/golden.rs
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn endpoints_changes_versions_and_digests() {
+fn endpoints_changes_versions_and_digests_have_an_unchanged_json_form() {
     check("row", &full_endpoint());
     check("row ipv4", &endpoint(7, "endpoint-1", 80));
     let without_defaults: Endpoint =
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn requests() {
+fn requests_have_an_unchanged_json_form() {
     check(
         "ask each",
         &SyncRequest::Shards {
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn updates() {
+fn updates_have_an_unchanged_json_form() {
     check("told change", &Update::Change(versioned_change()));
     check("told stand", &Update::Version(shard_version()));
     check(
@@ -183,7 +183,7 @@
 
 /// The responding side sends these messages as the reason in an error response.
 #[test]
-fn texts_of_rejected_requests() {
+fn error_texts_of_rejected_requests_are_unchanged() {
     assert_eq!(
         SyncError::ShardCountMismatch {
             local: 64,
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn memberships() {
+fn memberships_have_an_unchanged_json_form() {
     check(
         "member",
         &Member {
--- a/crates/shard-map/tests/golden_map.rs
+++ b/crates/shard-map/tests/golden_map.rs
@@ -84,7 +84,7 @@
 fn record_source(transcript: &mut Transcript, source: &ShardMapSource) {
     transcript.record(&format!("size {}", source.size_bytes()));
     for id in source.shard_count().shards() {
-        let shard = source.shard(id).expect("there");
+        let shard = source.shard(id).expect("an existing shard");
         let Version { term, number } = shard.version();
         transcript.record(&format!(
             "range {} term {term} number {number} rows {} size {} digest {} mark {}",
@@ -174,7 +174,7 @@
     let mut all = members(40, 5);
     for n in 0..10 {
         all.get_mut(format!("sender-{}", n * 4).as_str())
-            .expect("there")
+            .expect("a member")
             .weight = 1 + n as u8 % 4;
     }
     let mut current = empty_membership(2, 3)
@@ -190,7 +190,7 @@
             weight: 3,
         },
     );
-    all.get_mut("sender-7").expect("there").zone = "zone-0".into();
+    all.get_mut("sender-7").expect("a member").zone = "zone-0".into();
     current = current
         .with_members(all.clone(), shard_count(count))
         .expect("valid");
--- a/crates/shard-map/tests/membership.rs
+++ b/crates/shard-map/tests/membership.rs
@@ -67,7 +67,7 @@
     let text = r#"{"term":1,"number":2,"copies":0,"places":1,"members":{}}"#;
     assert!(
         serde_json::from_str::<Membership>(text)
-            .expect_err("no copies")
+            .expect_err("zero senders for each shard")
             .to_string()
             .contains("copies")
     );
--- a/crates/shard-map/tests/model.rs
+++ b/crates/shard-map/tests/model.rs
@@ -25,12 +25,12 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct World {
-    broken: ViolatedAssumption,
+struct ReplicationModel {
+    violated: ViolatedAssumption,
     /// The maximum number of changes by each source.
-    changes: u64,
+    max_changes: u64,
     /// The maximum number of updates in transit to each replica.
-    in_transit: usize,
+    max_in_transit: usize,
 }
 
 /// The number of session proxies, which are the first replicas by index.
@@ -86,9 +86,9 @@
             .version()
     }
 
-    fn send(&mut self, world: &World, to: usize, update: Update) {
+    fn send(&mut self, model: &ReplicationModel, to: usize, update: Update) {
         let in_transit = &mut self.in_transit[to];
-        if !in_transit.contains(&update) && in_transit.len() < world.in_transit {
+        if !in_transit.contains(&update) && in_transit.len() < model.max_in_transit {
             in_transit.push(update);
             // sorted, so that states that differ only in the order of sending are equal
             in_transit.sort_by_key(fingerprint);
@@ -96,7 +96,9 @@
     }
 
     fn record(&mut self, source: usize) {
-        let shard = self.sources[source].shard(ShardId(0)).expect("there");
+        let shard = self.sources[source]
+            .shard(ShardId(0))
+            .expect("an existing shard");
         self.committed
             .entry(shard.version())
             .or_default()
@@ -110,22 +112,22 @@
         }
     }
 
-    fn propose(&mut self, world: &World, source: usize, change: usize) -> Option<()> {
+    fn propose(&mut self, model: &ReplicationModel, source: usize, change: usize) -> Option<()> {
         let change = self.sources[source]
             .propose(proposals()[change].clone())
             .ok()?;
         self.proposed[source] += 1;
         self.record(source);
         // each source sends to its own session proxy, and the second one also to the first proxy
-        self.send(world, source, Update::Change(change.clone()));
-        self.send(world, 0, Update::Change(change));
+        self.send(model, source, Update::Change(change.clone()));
+        self.send(model, 0, Update::Change(change));
         Some(())
     }
 
     /// Makes the second source the leader with all changes of the first, which continues without knowing of the election.
-    fn elect_second_source(&mut self, world: &World) -> Option<()> {
+    fn elect_second_source(&mut self, model: &ReplicationModel) -> Option<()> {
         let mut next = self.sources[0].clone();
-        if world.broken == ViolatedAssumption::OneLeaderPerTerm {
+        if model.violated == ViolatedAssumption::OneLeaderPerTerm {
             self.proposed[1] = 0;
         } else {
             next.assume_leadership(LeaderTerm(2)).ok()?;
@@ -138,13 +140,13 @@
         Some(())
     }
 
-    fn deliver(&mut self, world: &World, to: usize, index: usize) -> Option<()> {
+    fn deliver(&mut self, model: &ReplicationModel, to: usize, index: usize) -> Option<()> {
         let version_before = self.sender_version();
         let update = self.in_transit[to][index].clone();
         let outcome = self.replicas[to].apply(update).ok()?;
         if to < PROXIES {
             for update in outcome.updates {
-                self.send(world, SENDER, update);
+                self.send(model, SENDER, update);
             }
         }
         self.went_backwards |= self.sender_version() < version_before;
@@ -177,7 +179,7 @@
                 }
             }
         }
-        let remote = self.leader().shard(ShardId(0)).expect("there");
+        let remote = self.leader().shard(ShardId(0)).expect("an existing shard");
         after.replicas.iter().all(|replica| {
             let local = replica.shard(ShardId(0)).expect("subscribed");
             local.endpoints() == remote.endpoints() && local.version() == remote.version()
@@ -191,7 +193,7 @@
     hasher.finish()
 }
 
-impl Model for World {
+impl Model for ReplicationModel {
     type State = State;
     type Action = Action;
 
@@ -221,7 +223,7 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         for source in 0..2 {
-            if state.proposed[source] < self.changes {
+            if state.proposed[source] < self.max_changes {
                 actions
                     .extend((0..proposals().len()).map(|change| Action::Propose(source, change)));
             }
@@ -299,7 +301,7 @@
             }),
             Property::sometimes(
                 "the sender applies an uncommitted change",
-                |world, state: &State| {
+                |model, state: &State| {
                     state.sources[1].term() == LeaderTerm(2)
                         && state.sender_version()
                             > Version {
@@ -307,45 +309,46 @@
                                 number: 1,
                             }
                         && state.sender_version().term == LeaderTerm(1)
-                        && state.proposed[0] == world.changes
+                        && state.proposed[0] == model.max_changes
                 },
             ),
         ]
     }
 }
 
-fn discoveries(world: World) -> BTreeSet<&'static str> {
-    let checker = world
+fn discoveries(model: ReplicationModel) -> BTreeSet<&'static str> {
+    let checker = model
         .checker()
         .threads(2)
         .finish_when(HasDiscoveries::AnyFailures)
         .spawn_bfs()
         .join();
-    println!("{world:?}: {} states", checker.unique_state_count());
+    println!("{model:?}: {} states", checker.unique_state_count());
     checker.discoveries().into_keys().collect()
 }
 
-const SOMETIMES: [&str; 2] = [
+/// The `sometimes` properties, each of which a run must reach. A run that violates no property discovers only these.
+const SOMETIMES_PROPERTIES: [&str; 2] = [
     "the sender reaches the second term",
     "the sender applies an uncommitted change",
 ];
 
 #[test]
 fn replicas_are_correct_and_converge_in_every_order_of_events() {
-    let world = World {
-        broken: ViolatedAssumption::None,
-        changes: 1,
-        in_transit: 2,
+    let model = ReplicationModel {
+        violated: ViolatedAssumption::None,
+        max_changes: 1,
+        max_in_transit: 2,
     };
-    assert_eq!(discoveries(world), SOMETIMES.into());
+    assert_eq!(discoveries(model), SOMETIMES_PROPERTIES.into());
 }
 
 #[test]
 fn model_detects_two_leaders_of_one_term() {
-    let discoveries = discoveries(World {
-        broken: ViolatedAssumption::OneLeaderPerTerm,
-        changes: 1,
-        in_transit: 2,
+    let discoveries = discoveries(ReplicationModel {
+        violated: ViolatedAssumption::OneLeaderPerTerm,
+        max_changes: 1,
+        max_in_transit: 2,
     });
     assert!(
         discoveries.contains("each version has only one state"),
--- a/crates/shard-map/tests/network/checks.rs
+++ b/crates/shard-map/tests/network/checks.rs
@@ -1,14 +1,14 @@
 //! The invariants of every node at any time, and the convergence of all nodes in the end.
 
 use crate::common::shard_count;
-use crate::world::{PROXIES, SHARDS, World};
+use crate::world::{PROXIES, SHARDS, SimulatedCluster};
 use milletturn_shard_map::{Digest, Version};
 
-impl World {
+impl SimulatedCluster {
     /// Records the current state of each shard of a source as committed.
     pub(crate) fn record_source(&mut self, source: usize) {
         for id in shard_count(SHARDS).shards() {
-            let shard = self.sources[source].shard(id).expect("there");
+            let shard = self.sources[source].shard(id).expect("an existing shard");
             self.committed.insert((id, shard.version()), shard.digest());
         }
     }
@@ -64,7 +64,7 @@
         self.replicas.iter().all(|replica| {
             replica.subscribed().all(|id| {
                 let local = replica.shard(id).expect("subscribed");
-                let remote = source.shard(id).expect("there");
+                let remote = source.shard(id).expect("an existing shard");
                 local.endpoints() == remote.endpoints() && local.version() == remote.version()
             })
         })
--- a/crates/shard-map/tests/network/faults.rs
+++ b/crates/shard-map/tests/network/faults.rs
@@ -1,26 +1,26 @@
 //! Random changes, and random faults of nodes and links.
 
 use crate::common::{assume_leadership, change_of, endpoint, put, remove, replica, shard_count};
-use crate::world::{DESTINATIONS, PROXIES, SENDERS, SHARDS, World, proxy, sender};
+use crate::world::{DESTINATIONS, PROXIES, SENDERS, SHARDS, SimulatedCluster, proxy, sender};
 use milletturn_shard_map::{Operation, ShardId, Update};
 
-impl World {
+impl SimulatedCluster {
     pub(crate) fn propose_change(&mut self) {
         // mostly to the leader; 20 % go to the other source, which may be a deposed leader that still accepts changes
-        let source = if self.chance(20) {
+        let source = if self.random_chance(20) {
             1 - self.leader
         } else {
             self.leader
         };
-        let destination = self.below(DESTINATIONS);
-        let port = 1 + self.below(60_000) as u16;
-        let change = match self.below(10) {
+        let destination = self.random_below(DESTINATIONS);
+        let port = 1 + self.random_below(60_000) as u16;
+        let change = match self.random_below(10) {
             0 => {
-                let uid = format!("more-{destination}-{}", self.below(3));
+                let uid = format!("more-{destination}-{}", self.random_below(3));
                 put(destination, &uid, port)
             }
             1 => {
-                let uid = format!("more-{destination}-{}", self.below(3));
+                let uid = format!("more-{destination}-{}", self.random_below(3));
                 remove(destination, &uid)
             }
             2 => {
@@ -40,14 +40,14 @@
     }
 
     pub(crate) fn inject_fault(&mut self) {
-        let node = proxy(self.below(PROXIES as u64) as usize);
-        match self.below(8) {
+        let node = proxy(self.random_below(PROXIES as u64) as usize);
+        match self.random_below(8) {
             0 => {
                 self.stopped.entry(node).or_default();
             }
             1 => self.resume(node),
             2 => {
-                let to = sender(self.below(SENDERS as u64) as usize);
+                let to = sender(self.random_below(SENDERS as u64) as usize);
                 self.cut_one_way(node, to);
             }
             3 => self.cut_one_way(node, self.leader),
@@ -57,13 +57,13 @@
             6 => self.backups = self.replicas.clone(),
             _ => self.elect_other_source(),
         }
-        if self.chance(10) {
+        if self.random_chance(10) {
             self.restart_random_sender();
         }
     }
 
     fn cut_one_way(&mut self, node: usize, other: usize) {
-        let link = if self.chance(50) {
+        let link = if self.random_chance(50) {
             (node, other)
         } else {
             (other, node)
@@ -83,7 +83,7 @@
 
     /// Restarts a random sender with the same subscriptions and no data.
     fn restart_random_sender(&mut self) {
-        let index = self.below(SENDERS as u64) as usize;
+        let index = self.random_below(SENDERS as u64) as usize;
         let subscribed: Vec<ShardId> = self.replicas[PROXIES + index].subscribed().collect();
         self.replicas[PROXIES + index] = replica(shard_count(SHARDS));
         self.replicas[PROXIES + index].subscribe(subscribed);
--- a/crates/shard-map/tests/network/main.rs
+++ b/crates/shard-map/tests/network/main.rs
@@ -12,43 +12,43 @@
 mod faults;
 mod world;
 
-use world::{FAULTS_END_MS, PROXIES, SENDERS, SHARDS, SYNC_INTERVAL_MS, World, proxy};
+use world::{FAULTS_END_MS, PROXIES, SENDERS, SHARDS, SYNC_INTERVAL_MS, SimulatedCluster, proxy};
 
 #[test]
 fn nodes_have_only_committed_states_and_converge_after_faults() {
     let (mut applied, mut lost, mut terms) = (0, 0, 0);
     for seed in 1..=30 {
-        let mut world = World::new(seed);
-        world.run(FAULTS_END_MS);
-        world.faults_enabled = false;
-        world.cut_links.clear();
+        let mut cluster = SimulatedCluster::new(seed);
+        cluster.run(FAULTS_END_MS);
+        cluster.faults_enabled = false;
+        cluster.cut_links.clear();
         for n in 0..PROXIES {
-            world.resume(proxy(n));
+            cluster.resume(proxy(n));
         }
-        let before = world.packets;
+        let before = cluster.packets;
         // time for the packets in transit, then for one round of requests by each session proxy and one by each sender
-        world.run(FAULTS_END_MS + 400 + 2 * SYNC_INTERVAL_MS);
+        cluster.run(FAULTS_END_MS + 400 + 2 * SYNC_INTERVAL_MS);
         assert!(
-            world.is_converged(),
+            cluster.is_converged(),
             "seed {seed}: nodes have not converged"
         );
-        let sent = world.packets - before;
+        let sent = cluster.packets - before;
         // maximum in three rounds: requests and responses for the whole span, its parts and each shard, and each
         // update forwarded to all senders
         let bound =
             3 * (PROXIES + SENDERS) as u64 * 2 * u64::from(SHARDS + 17 + SHARDS * SENDERS as u32);
         assert!(sent < bound, "seed {seed}: {sent} packets to converge");
-        world.run(world.now_ms + 2 * SYNC_INTERVAL_MS);
-        let before = world.packets;
-        world.run(world.now_ms + SYNC_INTERVAL_MS);
+        cluster.run(cluster.now_ms + 2 * SYNC_INTERVAL_MS);
+        let before = cluster.packets;
+        cluster.run(cluster.now_ms + SYNC_INTERVAL_MS);
         // after convergence a round is one request by each node, and one response to each session proxy
         assert!(
-            world.packets - before <= (2 * PROXIES + SENDERS) as u64 + 2,
+            cluster.packets - before <= (2 * PROXIES + SENDERS) as u64 + 2,
             "seed {seed}: packets other than one round of requests after convergence"
         );
-        applied += world.applied;
-        lost += world.lost;
-        terms += world.term;
+        applied += cluster.applied;
+        lost += cluster.lost;
+        terms += cluster.term;
     }
     println!("{applied} states at senders, {lost} packets lost, {terms} terms");
     assert!(
--- a/crates/shard-map/tests/network/world.rs
+++ b/crates/shard-map/tests/network/world.rs
@@ -38,7 +38,7 @@
 }
 
 /// All nodes and the network. Nodes 0 and 1 are sources, followed by the session proxies and then the senders.
-pub(crate) struct World {
+pub(crate) struct SimulatedCluster {
     random: Pcg64,
     pub(crate) now_ms: u64,
     queue: BinaryHeap<Reverse<(u64, u64)>>,
@@ -86,7 +86,7 @@
     replicas
 }
 
-impl World {
+impl SimulatedCluster {
     pub(crate) fn new(seed: u64) -> Self {
         let mut source = empty_source(shard_count(SHARDS), 1);
         let mut committed = HashMap::new();
@@ -98,7 +98,7 @@
         let mut second = source.clone();
         second.observe_term(LeaderTerm(2));
         let replicas = replicas();
-        let mut world = World {
+        let mut cluster = SimulatedCluster {
             random: Pcg64::seed_from_u64(seed),
             now_ms: 0,
             queue: BinaryHeap::new(),
@@ -118,22 +118,24 @@
             lost: 0,
             packets: 0,
         };
-        world.record_source(0);
+        cluster.record_source(0);
         for node in 2..2 + PROXIES + SENDERS {
-            let at_ms = world.below(SYNC_INTERVAL_MS);
-            world.schedule(at_ms, Event::Sync(node));
+            let at_ms = cluster.random_below(SYNC_INTERVAL_MS);
+            cluster.schedule(at_ms, Event::Sync(node));
         }
-        world.schedule(10, Event::Change);
-        world.schedule(500, Event::Fault);
-        world
+        cluster.schedule(10, Event::Change);
+        cluster.schedule(500, Event::Fault);
+        cluster
     }
 
-    pub(crate) fn below(&mut self, bound: u64) -> u64 {
+    /// A random number from 0 to `bound - 1`.
+    pub(crate) fn random_below(&mut self, bound: u64) -> u64 {
         self.random.next_u64() % bound
     }
 
-    pub(crate) fn chance(&mut self, percent: u64) -> bool {
-        self.below(100) < percent
+    /// Returns `true` with a probability of this many percent.
+    pub(crate) fn random_chance(&mut self, percent: u64) -> bool {
+        self.random_below(100) < percent
     }
 
     fn schedule(&mut self, at_ms: u64, event: Event) {
@@ -144,18 +146,18 @@
 
     fn send(&mut self, from: usize, to: usize, packet: &Packet) {
         self.packets += 1;
-        if self.faults_enabled && (self.cut_links.contains(&(from, to)) || self.chance(15)) {
+        if self.faults_enabled && (self.cut_links.contains(&(from, to)) || self.random_chance(15)) {
             self.lost += 1;
             return;
         }
-        let copies = if self.faults_enabled && self.chance(15) {
+        let deliveries = if self.faults_enabled && self.random_chance(15) {
             2
         } else {
             1
         };
-        for _ in 0..copies {
+        for _ in 0..deliveries {
             let delay_ms = if self.faults_enabled {
-                self.below(400)
+                self.random_below(400)
             } else {
                 1
             };
@@ -169,11 +171,15 @@
     /// While faults are enabled, 20 % go to another session proxy, or to the source that is not the leader.
     fn upstream(&mut self, node: usize) -> usize {
         if node >= 2 + PROXIES {
-            let own = node % PROXIES;
-            let use_next = self.faults_enabled && self.chance(20);
-            return proxy(if use_next { (own + 1) % PROXIES } else { own });
+            let own_proxy = node % PROXIES;
+            let use_next = self.faults_enabled && self.random_chance(20);
+            return proxy(if use_next {
+                (own_proxy + 1) % PROXIES
+            } else {
+                own_proxy
+            });
         }
-        if self.faults_enabled && self.chance(20) {
+        if self.faults_enabled && self.random_chance(20) {
             1 - self.leader
         } else {
             self.leader
@@ -258,12 +264,12 @@
             }
             Event::Change if self.faults_enabled => {
                 self.propose_change();
-                let pause_ms = 1 + self.below(60);
+                let pause_ms = 1 + self.random_below(60);
                 self.schedule(at_ms + pause_ms, Event::Change);
             }
             Event::Fault if self.faults_enabled => {
                 self.inject_fault();
-                let pause_ms = 1 + self.below(800);
+                let pause_ms = 1 + self.random_below(800);
                 self.schedule(at_ms + pause_ms, Event::Fault);
             }
             Event::Change | Event::Fault => {}
--- a/crates/shard-map/tests/replica_changes.rs
+++ b/crates/shard-map/tests/replica_changes.rs
@@ -229,7 +229,7 @@
     sender.subscribe((0..4).map(ShardId));
     assume_leadership(&mut source, 2);
     // the session proxy learns of the new term from one shard; its other shards are unconfirmed
-    let shard = source.shard(ShardId(0)).expect("there");
+    let shard = source.shard(ShardId(0)).expect("an existing shard");
     proxy
         .apply(Update::Version(version_of(ShardId(0), shard)))
         .expect("confirms one shard");
@@ -255,7 +255,7 @@
     let change = port_changes(&mut source, 1, 100..101).remove(0);
     port_changes(&mut other, 1, 200..201);
     replica.apply(change).expect("next");
-    let conflicting = other.shard(ShardId(0)).expect("there");
+    let conflicting = other.shard(ShardId(0)).expect("an existing shard");
     assert_eq!(
         replica.apply(Update::Version(version_of(ShardId(0), conflicting))),
         Err(ApplyError::ConflictingVersion)
--- a/crates/shard-map/tests/replica_limits.rs
+++ b/crates/shard-map/tests/replica_limits.rs
@@ -23,11 +23,16 @@
     let size_bytes = |shards: &[u16]| -> usize {
         shards
             .iter()
-            .map(|&id| source.shard(ShardId(id)).expect("there").size_bytes())
+            .map(|&id| {
+                source
+                    .shard(ShardId(id))
+                    .expect("an existing shard")
+                    .size_bytes()
+            })
             .sum()
     };
     assert_eq!(replica.size_bytes(), size_bytes(&[3, 9]));
-    let other = source.shard(ShardId(4)).expect("there");
+    let other = source.shard(ShardId(4)).expect("an existing shard");
     assert_eq!(
         replica.apply(snapshot_of(ShardId(4), other)),
         Err(ApplyError::NotSubscribed)
@@ -45,9 +50,9 @@
 #[test]
 fn replica_rejects_updates_beyond_its_size_limits() {
     let source = filled_source(shard_count(1), 10);
-    let one = endpoint(0, "u0", 80).size_bytes();
-    let small_total = Limits::new(6_000, 17, 9 * one, 0);
-    let small_shard = Limits::new(9 * one, 1, 64 << 20, 0);
+    let endpoint_bytes = endpoint(0, "u0", 80).size_bytes();
+    let small_total = Limits::new(6_000, 17, 9 * endpoint_bytes, 0);
+    let small_shard = Limits::new(9 * endpoint_bytes, 1, 64 << 20, 0);
     for limits in [small_total, small_shard] {
         let mut replica = ShardMapReplica::new(shard_count(1), limits);
         replica.subscribe([ShardId(0)]);
@@ -68,7 +73,10 @@
             replica.apply(Update::Change(change)),
             Err(ApplyError::CapacityExceeded)
         );
-        assert_eq!((replica.size_bytes(), replica.stale_count()), (9 * one, 1));
+        assert_eq!(
+            (replica.size_bytes(), replica.stale_count()),
+            (9 * endpoint_bytes, 1)
+        );
     }
 }
 
