--- a/benches/owners.rs
+++ b/benches/owners.rs
@@ -73,7 +73,7 @@
     owner.wait_for_lines(3, |line| line.contains("\"acted\""));
     let successor = group.start_member(&successor_connection, "w", "b");
     successor.wait_for_lines(1, |line| line.contains("\"joined\""));
-    let leader = group.leader(&group.replicas());
+    let leader = group.wait_for_leader(&group.replicas());
     let started_at = Instant::now();
     let before = writes_of(&owner).len();
     match fault {
@@ -136,7 +136,7 @@
 /// heartbeats.
 fn measure_heartbeat_cost() {
     let group = Cluster::start(PROGRAM, 3);
-    let leader = group.leader(&group.replicas());
+    let leader = group.wait_for_leader(&group.replicas());
     let addresses = group.addresses();
     println!(
         "\nstewards over {} s, the leader's first",
--- a/crates/cluster-harness/src/cluster.rs
+++ b/crates/cluster-harness/src/cluster.rs
@@ -127,7 +127,7 @@
 
     /// The state folder of a replica, which stands for its disk.
     #[must_use]
-    pub fn disk_folder(&self, index: usize) -> PathBuf {
+    pub fn state_folder(&self, index: usize) -> PathBuf {
         self.folder.path().join(format!("disk{index}"))
     }
 
--- a/crates/cluster-harness/src/cluster/clients.rs
+++ b/crates/cluster-harness/src/cluster/clients.rs
@@ -69,7 +69,7 @@
 
     /// Creates links to these session proxies for one client.
     #[must_use]
-    pub fn connect_client_through(&self, proxies: &[&SessionProxyProcess]) -> ClientLinks {
+    pub fn connect_client_via_proxies(&self, proxies: &[&SessionProxyProcess]) -> ClientLinks {
         let mut links = ClientLinks::with_capacity(proxies.len());
         for proxy in proxies {
             links.add().forward_to(proxy.address);
@@ -94,7 +94,12 @@
     ///
     /// # Panics
     /// If the process cannot be started.
-    pub fn start_member_through(&self, links: &ClientLinks, resource: &str, name: &str) -> Process {
+    pub fn start_member_via_proxies(
+        &self,
+        links: &ClientLinks,
+        resource: &str,
+        name: &str,
+    ) -> Process {
         let mut arguments = member_arguments(resource, name);
         arguments.extend(["--steward", UNREACHABLE_ADDRESS].map(String::from));
         for address in &links.addresses {
@@ -171,7 +176,7 @@
     /// # Panics
     /// If that does not happen within [`MAX_WAIT`](crate::process::MAX_WAIT).
     #[expect(clippy::must_use_candidate, reason = "tests also call it only to wait")]
-    pub fn leader(&self, among: &[usize]) -> usize {
+    pub fn wait_for_leader(&self, among: &[usize]) -> usize {
         let mut leader_id = None;
         wait_until("all replicas report the same leader", || {
             let (_, lines) = self.run_fleet_command(among, &["status"]);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -36,7 +36,7 @@
         if !is_buffered(COMMAND_PATH) || !is_buffered(HEARTBEAT_PATH) {
             return false;
         }
-        leader = cluster.leader(&cluster.replicas());
+        leader = cluster.wait_for_leader(&cluster.replicas());
         let is_to_leader = links.links[leader].buffers_request(COMMAND_PATH);
         if !is_to_leader {
             set_outgoing(LinkMode::Pass);
@@ -102,7 +102,7 @@
     a.suspend();
     let (token, joined) = (highest_token(&a), join_count(&a));
     wait_until("the other member writes", || writes_above(&b, token) >= 3);
-    if cluster.leader(&cluster.replicas()) != leader {
+    if cluster.wait_for_leader(&cluster.replicas()) != leader {
         return false;
     }
     links_a
@@ -128,7 +128,7 @@
 fn an_owner_that_gets_no_responses_stops_writing_by_itself() {
     let (cluster, links_a, a, b) = owner_and_next();
     // the owner's heartbeats and writes reach only the leader, and no response comes back
-    let leader = cluster.leader(&cluster.replicas());
+    let leader = cluster.wait_for_leader(&cluster.replicas());
     for (replica, link) in links_a.links.iter().enumerate() {
         if replica == leader {
             link.set_directions(LinkMode::Pass, LinkMode::Buffer);
@@ -154,7 +154,7 @@
     let links = cluster.connect_client();
     let a = cluster.start_member(&links, "w", "a");
     a.wait_for_lines(3, is_write);
-    let old = cluster.leader(&all);
+    let old = cluster.wait_for_leader(&all);
     let others: Vec<usize> = all
         .iter()
         .copied()
@@ -163,7 +163,7 @@
     cluster
         .links_of_replica(old)
         .for_each(milletturn_cluster_harness::LinkControl::cut);
-    let new = cluster.leader(&others);
+    let new = cluster.wait_for_leader(&others);
     assert_ne!(old, new);
     // requests to the partitioned leader get an error and none of its state
     let (code, lines) = cluster.run_fleet_command(&[old], &["work"]);
@@ -182,7 +182,7 @@
     cluster
         .links_of_replica(old)
         .for_each(|link| link.set_both(LinkMode::Pass));
-    cluster.leader(&all);
+    cluster.wait_for_leader(&all);
     cluster.check_history(&[&a]);
 }
 
@@ -248,7 +248,7 @@
     let (lost_token, joined) = (highest_token(&a), join_count(&a));
     for replica in cluster.replicas() {
         cluster.kill_replica(replica);
-        std::fs::remove_dir_all(cluster.disk_folder(replica)).expect("a lost disk");
+        std::fs::remove_dir_all(cluster.state_folder(replica)).expect("a lost disk");
     }
     cluster.bootstrap(&[
         "--restore",
--- a/tests/fleet_commands/answers.rs
+++ b/tests/fleet_commands/answers.rs
@@ -159,7 +159,7 @@
 #[test]
 fn responses_of_a_coordinator_and_a_session_proxy_match_the_golden_files() {
     let mut group = Cluster::start_with_lease(PROGRAM, 1, "60s");
-    group.leader(&[0]);
+    group.wait_for_leader(&[0]);
     let coordinator = group.addresses()[0].clone();
     let proxy = group.start_session_proxy("r1");
     let mut text = String::new();
@@ -195,7 +195,7 @@
 #[test]
 fn responses_of_a_follower_and_of_a_group_without_majority_match_the_golden_file() {
     let mut group = Cluster::start_with_lease(PROGRAM, 3, "60s");
-    let leader = group.leader(&group.replicas());
+    let leader = group.wait_for_leader(&group.replicas());
     let addresses = group.addresses();
     let close = r#"{"close":{"session":99}}"#;
     let follower = &addresses[(leader + 1) % 3];
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -38,12 +38,12 @@
         cluster.start_session_proxy("r2"),
     );
     let (links_a, links_b) = (
-        cluster.connect_client_through(&[&owner_proxy]),
-        cluster.connect_client_through(&[&other_proxy]),
+        cluster.connect_client_via_proxies(&[&owner_proxy]),
+        cluster.connect_client_via_proxies(&[&other_proxy]),
     );
-    let a = cluster.start_member_through(&links_a, "w", "a");
+    let a = cluster.start_member_via_proxies(&links_a, "w", "a");
     a.wait_for_lines(3, is_write);
-    let b = cluster.start_member_through(&links_b, "w", "b");
+    let b = cluster.start_member_via_proxies(&links_b, "w", "b");
     b.wait_for_lines(1, is_join);
     (cluster, owner_proxy, other_proxy, links_a, a, b)
 }
@@ -64,12 +64,12 @@
     let mut cluster = Cluster::start(PROGRAM, 3);
     let proxy = cluster.start_session_proxy("r1");
     let (links_a, links_b) = (
-        cluster.connect_client_through(&[&proxy]),
-        cluster.connect_client_through(&[&proxy]),
+        cluster.connect_client_via_proxies(&[&proxy]),
+        cluster.connect_client_via_proxies(&[&proxy]),
     );
-    let a = cluster.start_member_through(&links_a, "w", "a");
+    let a = cluster.start_member_via_proxies(&links_a, "w", "a");
     a.wait_for_lines(3, is_write);
-    let b = cluster.start_member_through(&links_b, "w", "b");
+    let b = cluster.start_member_via_proxies(&links_b, "w", "b");
     b.wait_for_lines(1, is_join);
     // the owner's heartbeats reach the session proxy and the coordinators, and no response comes back to the owner
     links_a.links[0].set_directions(LinkMode::Pass, LinkMode::Buffer);
@@ -88,8 +88,8 @@
         cluster.start_session_proxy("r1"),
         cluster.start_session_proxy("r2"),
     ];
-    let links = cluster.connect_client_through(&[&proxies[0], &proxies[1]]);
-    let a = cluster.start_member_through(&links, "w", "a");
+    let links = cluster.connect_client_via_proxies(&[&proxies[0], &proxies[1]]);
+    let a = cluster.start_member_via_proxies(&links, "w", "a");
     a.wait_for_lines(3, is_write);
     let token = highest_token(&a);
     let assert_continues = |what: &str, proxies: &[&SessionProxyProcess]| {
@@ -203,8 +203,8 @@
 fn calls_that_a_proxy_does_not_serve_are_rejected_and_do_not_affect_members() {
     let mut cluster = Cluster::start(PROGRAM, 3);
     let proxy = cluster.start_session_proxy("r1");
-    let links = cluster.connect_client_through(&[&proxy]);
-    let a = cluster.start_member_through(&links, "w", "a");
+    let links = cluster.connect_client_via_proxies(&[&proxy]);
+    let a = cluster.start_member_via_proxies(&links, "w", "a");
     a.wait_for_lines(3, is_write);
     let renewal = "{\"session\":1,\"run_out\":false}";
     let long = format!(
@@ -377,7 +377,7 @@
 fn leader_status_and_state(cluster: &Cluster) -> (CoordinatorStatus, StateView) {
     let mut found = None;
     wait_until("the leader returns its state", || {
-        let address = cluster.addresses()[cluster.leader(&cluster.replicas())]
+        let address = cluster.addresses()[cluster.wait_for_leader(&cluster.replicas())]
             .parse()
             .expect("an address");
         let get = |path| response_to(address, &call("GET", path, "trial", "1", ""));
@@ -607,7 +607,7 @@
 #[test]
 fn coordinators_reject_command_batches_that_are_empty_too_large_or_invalid() {
     let cluster = Cluster::start(PROGRAM, 3);
-    let address = cluster.addresses()[cluster.leader(&cluster.replicas())]
+    let address = cluster.addresses()[cluster.wait_for_leader(&cluster.replicas())]
         .parse()
         .expect("an address");
     let send =
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -58,7 +58,7 @@
         wait_for_progress("the former member writes", &former_member);
         wait_for_progress("the new member writes", &new_member);
         cluster.start_replica(index);
-        cluster.leader(&all);
+        cluster.wait_for_leader(&all);
         wait_for_progress("the former member writes", &former_member);
         wait_for_progress("the new member writes", &new_member);
     }
@@ -87,8 +87,8 @@
     cluster.set_client_program(clients);
     let proxy = cluster.start_session_proxy("p");
     let direct = cluster.connect_client();
-    let through_proxy = cluster.connect_client_through(&[&proxy]);
-    let owner = cluster.start_member_through(&through_proxy, "w", "a");
+    let through_proxy = cluster.connect_client_via_proxies(&[&proxy]);
+    let owner = cluster.start_member_via_proxies(&through_proxy, "w", "a");
     owner.wait_for_lines(3, is_write);
     let next = cluster.start_member(&direct, "w", "b");
     next.wait_for_lines(1, is_join);
@@ -126,7 +126,7 @@
     assert_eq!(code, 0);
     for index in cluster.replicas() {
         cluster.kill_replica(index);
-        std::fs::remove_dir_all(cluster.disk_folder(index)).expect("a lost disk");
+        std::fs::remove_dir_all(cluster.state_folder(index)).expect("a lost disk");
         cluster.set_replica_program(index, to);
     }
     cluster.bootstrap(&["--restore", backup, "--generation", "1"]);
