--- a/crates/cluster-harness/src/cluster.rs
+++ b/crates/cluster-harness/src/cluster.rs
@@ -125,7 +125,7 @@
         self.client_program = program.clone();
     }
 
-    /// The state folder of a replica, which stands for its disk.
+    /// The state folder of a replica. Tests delete it to simulate the loss of the replica's disk.
     #[must_use]
     pub fn state_folder(&self, index: usize) -> PathBuf {
         self.folder.path().join(format!("disk{index}"))
--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -52,7 +52,7 @@
 /// Checks that a resource has one owner at a time.
 ///
 /// - The numbers of events increase.
-/// - The token of each acquisition is above all earlier tokens, and nobody owns the resource when it is acquired.
+/// - The token of each acquisition is above all earlier tokens, and no member owns the resource when it is acquired.
 /// - Each write is made by the current owner with its token, and numbered consecutively from 1.
 ///
 /// # Errors
--- a/crates/cluster-harness/src/scripted_link.rs
+++ b/crates/cluster-harness/src/scripted_link.rs
@@ -39,12 +39,12 @@
             let client_clone = client_stream.try_clone().expect("the socket can be cloned");
             let server_clone = server_stream.try_clone().expect("the socket can be cloned");
             thread::spawn(move || forward(client_stream, server_stream, fault));
-            let fault_back = match fault {
+            let fault_to_client = match fault {
                 ConnectionFault::Delay(_) => fault,
                 ConnectionFault::StallAfter(_) => ConnectionFault::StallAfter(0),
                 ConnectionFault::None | ConnectionFault::CutAfter(_) => ConnectionFault::None,
             };
-            thread::spawn(move || forward(server_clone, client_clone, fault_back));
+            thread::spawn(move || forward(server_clone, client_clone, fault_to_client));
         }
     });
     address
--- a/crates/coordination/src/command_batcher.rs
+++ b/crates/coordination/src/command_batcher.rs
@@ -26,8 +26,8 @@
 /// What happens to a queued request when its caller stops waiting for the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum OnAbandon {
-    /// The request is dropped, since its caller may no longer want the effect. For example, nobody would send heartbeats
-    /// for the session of an abandoned session open.
+    /// The request is dropped, since its caller may no longer want the effect. For example, no member would send
+    /// heartbeats for the session of an abandoned session open.
     Drop,
     /// The request is sent anyway. For example, a member that closes its session is about to exit and may not wait for
     /// the answer.
--- a/crates/coordinator/src/leadership.rs
+++ b/crates/coordinator/src/leadership.rs
@@ -1,7 +1,7 @@
 //! The work of the group's leader: serving heartbeats and expiring leases.
 //!
 //! A replica can be sure that it leads only after a quorum has confirmed it, as in Raft's linearizable reads. Every
-//! operation that depends on the leadership asks a quorum before it responds.
+//! operation that depends on the leadership waits for that confirmation before it responds.
 //!
 //! - `heartbeats`: serves one heartbeat or a batch with a single request to a quorum.
 //! - `lease_expiry`: ends sessions whose lease has expired.
@@ -24,7 +24,7 @@
 use std::time::Duration;
 use tokio::time::{MissedTickBehavior, interval, timeout};
 
-/// Longest wait for a quorum. A caller that gets no confirmation in this time asks another replica.
+/// Longest wait for a quorum. A caller that gets no confirmation in this time tries another replica.
 pub const QUORUM_TIMEOUT: Duration = Duration::from_secs(2);
 /// Interval between two checks for expired leases; a lease may end late by up to this interval.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/coordinator/src/request_handler.rs
+++ b/crates/coordinator/src/request_handler.rs
@@ -88,7 +88,7 @@
     /// The status of this replica by its own knowledge, without asking a quorum.
     fn status(&self) -> CoordinatorStatus {
         let metrics = self.leadership.raft.metrics().borrow().clone();
-        // a leader that was cut off keeps the state `Leader` until it hears of another one, so the age of the last
+        // a leader that was cut off keeps the state `Leader` until it learns of a later term, so the age of the last
         // quorum acknowledgement decides
         let cut_off_after = self.settings.heartbeat_interval * CUT_OFF_HEARTBEATS;
         let quorum_age_ms = metrics.millis_since_quorum_ack;
--- a/crates/member/src/events.rs
+++ b/crates/member/src/events.rs
@@ -3,7 +3,8 @@
 use crate::coordinator_client::RequestError;
 use milletturn_coordination::{FencingToken, Rejection, SessionId, Timestamp};
 
-/// A change of a member's session, of its resources or of its connection to the coordinators.
+/// A change of a member's session, of its resources or of its connection to the coordinators, a rejected request, or
+/// the start of a fenced write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MemberEvent {
     /// The member has opened a session, in which it owns no resource yet.
@@ -63,6 +64,6 @@
     /// The coordinators rejected the write, and it was not executed.
     Rejected(Rejection),
     /// No response arrived, so the write may or may not have been executed. The next write first claims the resource
-    /// again, whose response tells which.
+    /// again, and the response to the claim tells which.
     Unknown(RequestError),
 }
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// A member of the group. Its program has to ask for the permission immediately before each write.
+/// A member of the group. Its program has to check the [`permission`](Self::permission) immediately before each write.
 ///
 /// The task that keeps the session open and the one that writes share the member, so no borrow of its cells may be held
 /// across an `await`.
@@ -41,8 +41,9 @@
 
 impl Member {
     /// Creates a member that wants to own these resources, and the receiver of its events. The events have to be
-    /// received, since the channel is unbounded; events are sent only on changes. `clock_error_ppm` is the largest
-    /// difference of clock rates between this machine and the coordinators', in parts per million.
+    /// received, since the channel is unbounded; events are sent on changes, rejections and fenced writes.
+    /// `clock_error_ppm` is the largest difference of clock rates between this machine and the coordinators', in parts
+    /// per million.
     pub fn new(
         info: MemberInfo,
         clock_error_ppm: u32,
--- a/crates/member/src/session.rs
+++ b/crates/member/src/session.rs
@@ -21,8 +21,8 @@
 const HEARTBEATS_PER_LEASE: u32 = 4;
 /// Longest wait for a session to open before the failure is reported and the same request is sent again.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(3_000);
-/// Wait before a rejected request to open a session is sent again, usually because another session has the member's
-/// name.
+/// Wait before a rejected request to open a session is sent again. The usual reason for the rejection is that another
+/// session has the member's name.
 const REJECTED_OPEN_BACKOFF: Duration = Duration::from_millis(200);
 /// Longest wait for the response to a release or a close. Without one a later heartbeat repeats the release, and the
 /// lease of a session that was to be closed expires.
--- a/crates/member/src/writes.rs
+++ b/crates/member/src/writes.rs
@@ -40,8 +40,8 @@
             .await
     }
 
-    /// The number of the next write under this token. If the outcome of the last write is unknown, a claim asks the
-    /// coordinators for the number of executed writes. `None` if the claim fails.
+    /// The number of the next write under this token. If the outcome of the last write is unknown, claims the resource
+    /// again, since the response has the number of executed writes. `None` if the claim fails.
     async fn next_number(
         &self,
         client: &mut CoordinatorClient,
--- a/crates/session-proxy/src/commands.rs
+++ b/crates/session-proxy/src/commands.rs
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Sends batches one after the other until the future is dropped. `call_timeout` is asked before each batch for its
-    /// time limit; `name` begins each log line.
+    /// Sends batches one after the other until the future is dropped. `call_timeout` is called before each batch and
+    /// returns its time limit; `name` begins each log line.
     pub(crate) async fn run(
         &self,
         mut client: CoordinatorClient,
--- a/crates/shard-map/src/limits.rs
+++ b/crates/shard-map/src/limits.rs
@@ -14,7 +14,7 @@
 /// at most double the size of a shard of 26 endpoints.
 pub const MAX_HISTORY: usize = 8;
 
-/// Maximum number of shards in one request. Each takes 40 bytes, so that a request has at most 20 KB.
+/// Maximum number of shards in one request. Each takes at most 131 bytes of JSON, so a request has at most 68 KB.
 pub const MAX_REQUEST_SHARDS: usize = 512;
 
 /// Target size of the endpoints in one response, in bytes by [`Endpoint::size_bytes`](crate::Endpoint::size_bytes). No
