--- a/crates/coordination-protocol/tests/shard_map.rs
+++ b/crates/coordination-protocol/tests/shard_map.rs
@@ -117,12 +117,9 @@
         let source = Rc::new(RefCell::new(source()));
         let middle = replica(shard_count().shards());
         let sender = replica((0..12).map(ShardId));
-        let ((source_address, _), (middle_address, _)) =
-            (serve(&source).await, serve(&middle).await);
-        let (mut source_client, mut middle_client) = (
-            Client::new(source_address, GROUP),
-            Client::new(middle_address, GROUP),
-        );
+        let ((source_addr, _), (middle_addr, _)) = (serve(&source).await, serve(&middle).await);
+        let mut source_client = Client::new(source_addr, GROUP);
+        let mut middle_client = Client::new(middle_addr, GROUP);
         catch_up(&mut source_client, &middle, TIME_LIMIT)
             .await
             .expect("from the source");
@@ -132,13 +129,10 @@
             .expect("from the replica");
         assert_in_sync(&sender, &source);
 
-        let in_shard_3 = (0..)
+        let target = (0..)
             .find(|number| shard_count().shard_of(*number) == ShardId(3))
             .expect("a destination in shard 3");
-        source
-            .borrow_mut()
-            .propose(put(in_shard_3, 81))
-            .expect("valid");
+        source.borrow_mut().propose(put(target, 81)).expect("valid");
         let round = catch_up(&mut source_client, &middle, TIME_LIMIT)
             .await
             .expect("from the source");
@@ -193,10 +187,10 @@
             replica(shard_count().shards()),
         );
         let sender = replica((0..12).map(ShardId));
-        let (source_address, _) = serve(&source).await;
-        let (middle_address, serving) = serve(&middle).await;
-        let (other_address, _) = serve(&other).await;
-        let mut source_client = Client::new(source_address, GROUP);
+        let (source_addr, _) = serve(&source).await;
+        let (middle_addr, serving) = serve(&middle).await;
+        let (other_addr, _) = serve(&other).await;
+        let mut source_client = Client::new(source_addr, GROUP);
         for replica in [&middle, &other] {
             catch_up(&mut source_client, replica, TIME_LIMIT)
                 .await
@@ -208,7 +202,7 @@
         catch_up(&mut source_client, &middle, TIME_LIMIT)
             .await
             .expect("from the source");
-        let mut middle_client = Client::new(middle_address, GROUP);
+        let mut middle_client = Client::new(middle_addr, GROUP);
         catch_up(&mut middle_client, &sender, TIME_LIMIT)
             .await
             .expect("from the replica");
@@ -224,7 +218,7 @@
             .expect_err("the replica is stopped");
         assert!(matches!(error, CatchUpError::Client(_)), "{error}");
         // the other replica is behind the sender, and returns no outdated updates
-        let round = catch_up(&mut Client::new(other_address, GROUP), &sender, TIME_LIMIT)
+        let round = catch_up(&mut Client::new(other_addr, GROUP), &sender, TIME_LIMIT)
             .await
             .expect("answered");
         assert_eq!(
