--- a/crates/cluster-harness/src/cluster/clients.rs
+++ b/crates/cluster-harness/src/cluster/clients.rs
@@ -69,7 +69,7 @@
 
     /// Creates links to these session proxies for one client.
     #[must_use]
-    pub fn connect_client_through(&self, proxies: &[&SessionProxyProcess]) -> ClientLinks {
+    pub fn connect_client_via_proxies(&self, proxies: &[&SessionProxyProcess]) -> ClientLinks {
         let mut links = ClientLinks::with_capacity(proxies.len());
         for proxy in proxies {
             links.add().forward_to(proxy.address);
@@ -94,7 +94,12 @@
     ///
     /// # Panics
     /// If the process cannot be started.
-    pub fn start_member_through(&self, links: &ClientLinks, resource: &str, name: &str) -> Process {
+    pub fn start_member_via_proxies(
+        &self,
+        links: &ClientLinks,
+        resource: &str,
+        name: &str,
+    ) -> Process {
         let mut arguments = member_arguments(resource, name);
         arguments.extend(["--steward", UNREACHABLE_ADDRESS].map(String::from));
         for address in &links.addresses {
@@ -171,13 +176,13 @@
     /// # Panics
     /// If that does not happen within [`MAX_WAIT`](crate::process::MAX_WAIT).
     #[expect(clippy::must_use_candidate, reason = "tests also call it only to wait")]
-    pub fn leader(&self, among: &[usize]) -> usize {
+    pub fn wait_for_leader(&self, among: &[usize]) -> usize {
         let mut leader_id = None;
         wait_until("all replicas report the same leader", || {
             let (_, lines) = self.run_fleet_command(among, &["status"]);
             let statuses: Vec<&Value> = lines.iter().map(|line| &line["status"]).collect();
-            let leads = statuses.iter().find(|status| status["role"] == "leader");
-            leader_id = leads.and_then(|status| status["steward"].as_u64());
+            let leader_status = statuses.iter().find(|status| status["role"] == "leader");
+            leader_id = leader_status.and_then(|status| status["steward"].as_u64());
             leader_id.is_some()
                 && statuses
                     .iter()
@@ -197,7 +202,7 @@
         let mut events = Vec::new();
         wait_until("a majority returns the history", || {
             let (code, lines) = self.run_fleet_command(&self.replicas(), &["work", resource]);
-            events = lines.iter().filter_map(Event::read).collect();
+            events = lines.iter().filter_map(Event::parse).collect();
             code == 0
         });
         events
@@ -215,10 +220,10 @@
             .map(|process| (process.name.clone(), writes_of(process)))
             .collect();
         let events = self.events_of("w");
-        let shown = format!("{events:#?}");
-        check_single_owner(&events).unwrap_or_else(|error| panic!("{error}\n{shown}"));
+        let event_list = format!("{events:#?}");
+        check_single_owner(&events).unwrap_or_else(|error| panic!("{error}\n{event_list}"));
         check_reported_writes(&events, &reported)
-            .unwrap_or_else(|error| panic!("{error}\n{shown}"));
+            .unwrap_or_else(|error| panic!("{error}\n{event_list}"));
         for process in processes {
             check_writes_within_lease(process).unwrap_or_else(|error| panic!("{error}"));
         }
--- a/crates/coordinator/src/request_handler.rs
+++ b/crates/coordinator/src/request_handler.rs
@@ -32,7 +32,7 @@
 
 /// Handles the requests to one replica.
 pub struct RequestHandler {
-    /// The settings of the coordinator.
+    /// The coordinator's settings, of which requests need the group, the id, the lease and the heartbeat interval.
     pub settings: Settings,
     /// Identifies the initial state of the group. Raft calls of a replica with another origin are rejected.
     pub origin: String,
@@ -88,7 +88,7 @@
     /// The status of this replica by its own knowledge, without asking a quorum.
     fn status(&self) -> CoordinatorStatus {
         let metrics = self.leadership.raft.metrics().borrow().clone();
-        // a leader that was cut off keeps the state `Leader` until it hears of another one, so the age of the last
+        // a leader that was cut off keeps the state `Leader` until it learns of a later term, so the age of the last
         // quorum acknowledgement decides
         let cut_off_after = self.settings.heartbeat_interval * CUT_OFF_HEARTBEATS;
         let quorum_age_ms = metrics.millis_since_quorum_ack;
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -12,7 +12,7 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// A member of the group. Its program has to ask for the permission immediately before each write.
+/// A member of the group. Its program has to check the [`permission`](Self::permission) immediately before each write.
 ///
 /// The task that keeps the session open and the one that writes share the member, so no borrow of its cells may be held
 /// across an `await`.
@@ -41,8 +41,9 @@
 
 impl Member {
     /// Creates a member that wants to own these resources, and the receiver of its events. The events have to be
-    /// received, since the channel is unbounded; events are sent only on changes. `clock_error_ppm` is the largest
-    /// difference of clock rates between this machine and the coordinators', in parts per million.
+    /// received, since the channel is unbounded; events are sent on changes, rejections and fenced writes.
+    /// `clock_error_ppm` is the largest difference of clock rates between this machine and the coordinators', in parts
+    /// per million.
     pub fn new(
         info: MemberInfo,
         clock_error_ppm: u32,
@@ -85,7 +86,7 @@
     }
 
     /// Removes a resource that this member no longer owns, and reports the loss.
-    pub(crate) fn lose(&self, resource: &str, token: FencingToken) {
+    pub(crate) fn resource_lost(&self, resource: &str, token: FencingToken) {
         self.lease.borrow_mut().resource_lost(resource, token);
         self.progress.borrow_mut().remove(resource);
         self.report(MemberEvent::Lost {
@@ -99,15 +100,17 @@
         let _ = self.events.send(event);
     }
 
+    /// Reports the reconnection, if a disconnection was reported before.
     pub(crate) fn report_answered(&self) {
         if self.disconnected.replace(false) {
             self.report(MemberEvent::Reconnected);
         }
     }
 
-    pub(crate) fn report_unanswered(&self, why: &impl ToString) {
+    /// Reports a disconnection with its reason, unless one was reported and no reconnection since.
+    pub(crate) fn report_unanswered(&self, reason: &impl ToString) {
         if !self.disconnected.replace(true) {
-            self.report(MemberEvent::Disconnected(why.to_string()));
+            self.report(MemberEvent::Disconnected(reason.to_string()));
         }
     }
 }
