--- a/crates/coordination-protocol/src/server.rs
+++ b/crates/coordination-protocol/src/server.rs
@@ -179,7 +179,7 @@
             let Some(slot) = limit.try_acquire() else {
                 let max = limit.max;
                 faults.log(format_args!(
-                    "{name}: all {max} connections are in use; rejected one more"
+                    "{name}: all {max} connections are taken, one more is turned away"
                 ));
                 continue;
             };
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -2,8 +2,8 @@
 //! messages, attempts, calls and endpoints are plain data in `state.rs`.
 //!
 //! Reading order: the constants, `handle` (one turn), the handlers of events, the checks of what the delivery
-//! rules allow (no other code knows these rules), and then the choices within the rules: sends, hedged requests
-//! and the end of messages.
+//! rules allow (no other code knows these rules), and then the choices within the rules: sends, hedged
+//! requests and the end of messages.
 
 use crate::interface::{
     Action, DestinationId, Effect, EndpointId, Event, MILLISECOND, MessageId, Micros, NewMessage,
@@ -172,7 +172,8 @@
 const INITIAL_RETRY_BACKOFF: Micros = 150 * MILLISECOND;
 /// Longest backoff before a retry. Longer values save attempts, shorter ones save time.
 const MAX_RETRY_BACKOFF: Micros = 2 * SECOND;
-/// Safety margin before a deadline, and before the end of a deduplication window: no attempt starts within it.
+/// Safety margin before a deadline, and before the end of a deduplication window: no attempt starts within
+/// it.
 pub(crate) const DEADLINE_MARGIN: Micros = 30 * MILLISECOND;
 /// Share of the capacity for pending messages above which messages of unavailable destinations are shed.
 const SHEDDING_THRESHOLD: f64 = 0.85;
@@ -860,8 +861,8 @@
         let scope = self.scope_mut(scope_id);
         if !matches!(scope.health, Health::Ejected { .. }) {
             scope.tokens = phase;
-            // While the scope is ejected or recovering, the recovery budget sets the rate, so reductions of the
-            // rate limit that failures alone have caused are undone.
+            // While the scope is ejected or recovering, the recovery budget sets the rate, so reductions of
+            // the rate limit that failures alone have caused are undone.
             scope.rate_limit = if reason == "shut" {
                 scope.rate_limit
             } else {
@@ -898,10 +899,10 @@
         self.settle_scope_tokens(scope_id);
     }
 
-    /// Ejects scopes that send no response while calls wait far beyond their typical latency, and cancels their
-    /// calls some time later where that is safe. This keeps hung, vanished or very slow destinations from
-    /// filling the slots of healthy ones. A single long call may be the only traffic of a scope, so a lone
-    /// call gets twice the time.
+    /// Ejects scopes that send no response while calls wait far beyond their typical latency, and cancels
+    /// their calls some time later where that is safe. This keeps hung, vanished or very slow destinations
+    /// from filling the slots of healthy ones. A single long call may be the only traffic of a scope, so a
+    /// lone call gets twice the time.
     fn detect_unresponsive_calls(&mut self, actions: &mut Vec<Action>) {
         for call in self.calls.values() {
             if let Some(scope) = self.scopes.get_mut(&call.scope) {
@@ -1290,8 +1291,8 @@
     }
 
     /// The value that sending the message now would still gain, as a sort key: messages with a higher urgency
-    /// are sent first. Up to `OLDEST_FIRST_SHARE` of the latency objective, the urgency rises with the age, so
-    /// that the oldest message comes first.
+    /// are sent first. Up to `OLDEST_FIRST_SHARE` of the latency objective, the urgency rises with the age,
+    /// and the oldest message comes first.
     pub(crate) fn urgency(&self, message: &PendingMessage) -> f64 {
         let age = self.now - message.accepted_at;
         let Some(class) = self.settings.classes.get(message.class) else {
