--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -42,38 +42,38 @@
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant};
 
-/// Words that slopes and faults have in common.
+/// Arguments of all commands that run a fleet.
 #[derive(Debug, Clone, Args)]
 pub struct CommonArgs {
-    /// Where the figures go (JSON lines).
+    /// Results file to write (JSON lines).
     #[arg(long, value_name = "FILE")]
     pub out: PathBuf,
-    /// The product's program; beside this one unless said otherwise.
+    /// The `milletturn` program to measure; by default the one in this program's folder.
     #[arg(long, value_name = "FILE")]
     pub program: Option<PathBuf>,
-    /// What begins later than this is left out: `10m`, `90s`.
+    /// Time limit, such as `10m` or `90s`: measurements that would begin later are skipped.
     #[arg(long, default_value = "10m", value_parser = parse_time)]
     pub time: Duration,
-    /// Of all that is drawn at random.
+    /// Seed of all random numbers.
     #[arg(long, default_value_t = 1)]
     pub seed: u64,
 }
 
-/// Words of `fleet`.
+/// Arguments of `fleet`.
 #[derive(Debug, Clone, Args)]
 pub struct ScalingArgs {
     #[command(flatten)]
     common: CommonArgs,
-    /// Folder for plots (SVG).
+    /// Folder for plots (SVG); without it, none are drawn.
     #[arg(long, value_name = "FOLDER")]
     plots: Option<PathBuf>,
-    /// Seconds of one measurement.
+    /// Duration of one measurement, in seconds.
     #[arg(long, default_value_t = 8)]
     span: u64,
-    /// Senders with sessions.
+    /// Numbers of senders with a session.
     #[arg(long, value_delimiter = ',', default_value = "31,62,125,250,500,1000")]
     sessions: Vec<u64>,
-    /// Senders that watch the list.
+    /// Numbers of senders that watch the list.
     #[arg(
         long,
         value_delimiter = ',',
@@ -83,63 +83,63 @@
     /// Rates of changes, as multiples of 48,000 a day.
     #[arg(long, value_delimiter = ',', default_value = "0.1,0.3,1,3,10,100")]
     rates: Vec<f64>,
-    /// Destinations of the list.
+    /// Numbers of destinations in the list.
     #[arg(
         long,
         value_delimiter = ',',
         default_value = "1000,5000,10000,50000,200000,1700000"
     )]
     destinations: Vec<u64>,
-    /// Which parts are run. `refit` alone: none; the points that the file has are fitted and drawn anew.
+    /// Parts to run. `refit` measures nothing, and fits and plots the points that the results file already holds.
     #[arg(
         long,
         value_delimiter = ',',
         default_value = "compare,sessions,beyond,lease,five,senders,rates,destinations,reloads"
     )]
     parts: Vec<String>,
-    /// Senders of the comparison of real and hollow ones.
+    /// Number of senders in the comparison of real with simulated ones.
     #[arg(long, default_value_t = 30)]
     compare: u64,
 }
 
-/// Words of `faults`.
+/// Arguments of `faults`.
 #[derive(Debug, Clone, Args)]
 pub struct FaultArgs {
     #[command(flatten)]
     common: CommonArgs,
-    /// Hollow senders with sessions.
+    /// Number of simulated senders with a session.
     #[arg(long, default_value_t = 1000)]
     sessions: u64,
-    /// Hollow senders that watch the list, those with sessions among them.
+    /// Number of simulated senders that watch the list, including those with a session.
     #[arg(long, default_value_t = 4000)]
     senders: u64,
-    /// Real senders beside them, which deliver.
+    /// Number of real senders, which deliver messages.
     #[arg(long, default_value_t = 20)]
     real: u64,
-    /// Hollow senders in one process: one thread serves them, and must not be what senders wait for.
+    /// Simulated senders per process. One thread serves them all, so a large number would delay them.
     #[arg(long, default_value_t = 200)]
     each: u64,
-    /// Which faults are run; all unless said otherwise.
+    /// Runs only scenarios whose name contains one of these texts; by default all.
     #[arg(long, value_delimiter = ',')]
     only: Vec<String>,
 }
 
-/// Words of `relays`.
+/// Arguments of `relays`.
 #[derive(Debug, Clone, Args)]
 pub struct ProxiedArgs {
     #[command(flatten)]
     common: CommonArgs,
-    /// Seconds of one measurement.
+    /// Duration of one measurement, in seconds.
     #[arg(long, default_value_t = 10)]
     span: u64,
-    /// Hollow senders, all with sessions.
+    /// Numbers of simulated senders, all with a session.
     #[arg(
         long,
         value_delimiter = ',',
         default_value = "250,500,1000,2000,4000,8000,16000"
     )]
     senders: Vec<u64>,
-    /// The product's relays between them and three stewards.
+    /// Number of session proxies between the senders and three coordinators.
     #[arg(
         long = "relays",
         value_name = "RELAYS",
@@ -147,13 +147,14 @@
         value_parser = clap::value_parser!(u64).range(1..=64)
     )]
     session_proxies: u64,
-    /// Hollow senders in one process: one thread serves them, and must not be what their renewals wait for.
+    /// Simulated senders per process. One thread serves them all, so a large number would delay their heartbeats.
     #[arg(long, default_value_t = 200)]
     each: u64,
-    /// Faults at the largest size: a zone, all control, a release.
+    /// Runs fault scenarios at the largest size (zone killed, all coordinators and session proxies killed, release)
+    /// instead of killing one session proxy.
     #[arg(long)]
     faults: bool,
-    /// Destinations of the list, which does not go through relays.
+    /// Number of destinations in the list, which does not pass through session proxies.
     #[arg(long, default_value_t = scaling::DESTINATIONS / 10)]
     destinations: u64,
 }
--- a/crates/scale/src/main.rs
+++ b/crates/scale/src/main.rs
@@ -4,8 +4,8 @@
 use milletturn_scale::{fleet, page, roles};
 use std::process::ExitCode;
 
-/// What each role costs by its size, and control of a fleet at that size. A command of the repository, not of the
-/// product's users.
+/// Measures how the cost of each role grows with its size, and how coordination and discovery behave with a large
+/// fleet. For work on this repository; not part of the product.
 #[derive(Debug, Parser)]
 #[command(name = "milletturn-scale", version)]
 struct Arguments {
@@ -15,19 +15,19 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Slopes of control by senders, destinations and rate of changes.
+    /// Measure the cost of coordination and of the endpoint list by senders, destinations and rate of changes.
     Fleet(fleet::ScalingArgs),
-    /// Slopes of control behind relays, and a relay killed.
+    /// Measure the load of coordinators and session proxies by sessions, and the failure of a session proxy.
     #[command(name = "relays")]
     SessionProxies(fleet::ProxiedArgs),
-    /// Faults at size.
+    /// Run fault scenarios against a whole fleet.
     Faults(fleet::FaultArgs),
-    /// A process of hollow senders, which obeys orders on its standard input.
+    /// Run simulated senders that are controlled by JSON lines on standard input.
     #[command(name = "hollow", hide = true)]
     SimulatedSenders,
-    /// Slopes of a single sender's parts.
+    /// Measure how the cost of each part of a single sender grows with size.
     Roles(roles::RolesArgs),
-    /// Tables of docs/CAPACITY.md from docs/capacity.
+    /// Generate the tables of docs/CAPACITY.md from the records in docs/capacity.
     Page(page::PageArgs),
 }
 
--- a/crates/scale/src/page/mod.rs
+++ b/crates/scale/src/page/mod.rs
@@ -20,16 +20,16 @@
 use format::{amount, digits, integer, table};
 use std::path::{Path, PathBuf};
 
-/// Words of `page`.
+/// Arguments of `page`.
 #[derive(Debug, Clone, Args)]
 pub struct PageArgs {
-    /// The page.
+    /// Page whose tables are generated.
     #[arg(long, default_value = "docs/CAPACITY.md")]
     page: PathBuf,
-    /// The folder of figures.
+    /// Folder with the records (`.jsonl` files).
     #[arg(long, default_value = "docs/capacity")]
     figures: PathBuf,
-    /// Changes nothing; ends with an error when page and figures differ.
+    /// Writes nothing; fails if the page differs from the records.
     #[arg(long)]
     check: bool,
 }
