--- a/crates/scale/src/fleet/proxied_sessions.rs
+++ b/crates/scale/src/fleet/proxied_sessions.rs
@@ -145,28 +145,28 @@
     (
         "steward.leader",
         "cpu",
-        "Throne::renew_all (crates/steward/src/reign.rs): one question to the majority for a batch, a look at each of its \
-         sessions, and a walk over all works",
+        "Leadership::serve_heartbeat_batch (crates/coordinator/src/leadership/heartbeats.rs): one request to a quorum for \
+         a batch, a look-up of each of its sessions, and a pass through all resources",
     ),
     (
         "steward.leader",
         "resident",
-        "a session in the book, in its snapshot and among the leases",
+        "a session in the coordination state, in its snapshot and in the lease table",
     ),
     (
         "steward.leader",
         "descriptors",
-        "a connection for each relay, whatever it carries",
+        "a connection for each session proxy, whatever it carries",
     ),
     (
         "steward.leader",
         "disk",
-        "nothing is written for a renewal (reign.rs)",
+        "nothing is written for a heartbeat (heartbeats.rs)",
     ),
     (
         "steward.leader",
         "asked_by_senders",
-        "Relay::next (crates/fleet/src/relay.rs): a batch in each time of gathering",
+        "HeartbeatBatcher::next_step (crates/coordination/src/heartbeat_batcher.rs): a batch in each batching delay",
     ),
     (
         "steward.leader",
@@ -176,29 +176,29 @@
     (
         "steward.leader",
         "bytes_to_senders",
-        "each session in the answer to its batch",
+        "each session in the response to its batch",
     ),
     (
         "steward.follower",
         "cpu",
-        "answers the leader's question for each batch",
+        "responds to the leader's request for each batch",
     ),
     (
         "steward.follower",
         "resident",
-        "a session in the book and in its snapshot",
+        "a session in the coordination state and in its snapshot",
     ),
     (
         "relay",
         "cpu",
-        "Relay::ask and one HTTP call for each renewal of its members",
+        "HeartbeatForwarder::forward and one HTTP call for each heartbeat of its members",
     ),
     ("relay", "resident", "a connection for each member"),
     ("relay", "descriptors", "a connection for each member"),
     (
         "relay",
         "messages",
-        "Member::keep: four renewals in a lease, asked and told",
+        "Member::maintain_session: four heartbeats in a lease, each with a request and a response",
     ),
 ];
 
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -17,84 +17,88 @@
     (
         "steward.leader",
         "cpu",
-        "Throne::renew (crates/steward/src/reign.rs): each renewal asks the majority once, rebuilds the map of all \
-         sessions (Leases::seen) and walks all works: n renewals a lease over n sessions",
+        "Leadership::serve_heartbeat (crates/coordinator/src/leadership/heartbeats.rs): each heartbeat asks a quorum once \
+         and goes through all resources: four heartbeats a lease for each of n sessions, over n resources",
     ),
     (
         "steward.leader",
         "resident",
-        "a connection and a counted lease for each session (door.rs, leases.rs)",
+        "a connection and a tracked lease for each session (coordination-protocol/src/server.rs, lease_table.rs)",
     ),
     (
         "steward.leader",
         "descriptors",
-        "a connection for each session (door.rs, PLACES)",
+        "a connection for each session (request_handler.rs, MAX_CONNECTIONS)",
     ),
     (
         "steward.leader",
         "disk",
-        "nothing is written for a renewal (reign.rs)",
+        "nothing is written for a heartbeat (heartbeats.rs)",
     ),
     (
         "steward.leader",
         "asked_by_senders",
-        "Member::keep: RENEWALS in a lease (crates/member/src/member.rs)",
+        "SessionLoop::run: HEARTBEATS_PER_LEASE (crates/member/src/session.rs)",
     ),
     (
         "steward.leader",
         "bytes_from_senders",
-        "one renewal of some 260 bytes, four in a lease (line.rs)",
+        "one heartbeat of some 260 bytes, four in a lease (coordination-protocol/src/client.rs)",
     ),
     (
         "steward.leader",
         "bytes_to_senders",
-        "one answer for each renewal, with the works it owns (door.rs)",
+        "one response for each heartbeat, with the resources that the session owns (heartbeats.rs)",
     ),
     (
         "steward.leader",
         "asked_between_stewards",
-        "Throne::confirm: each renewal asks every other steward (reign.rs)",
+        "Leadership::confirm_leadership: each heartbeat asks every other coordinator (leadership.rs)",
     ),
     (
         "steward.leader",
         "bytes_to_stewards",
-        "Throne::confirm: each renewal asks every other steward (reign.rs)",
+        "Leadership::confirm_leadership: each heartbeat asks every other coordinator (leadership.rs)",
     ),
     (
         "steward.leader",
         "bytes_from_stewards",
-        "Throne::confirm: each renewal asks every other steward (reign.rs)",
+        "Leadership::confirm_leadership: each heartbeat asks every other coordinator (leadership.rs)",
     ),
     (
         "steward.follower",
         "cpu",
-        "answers the leader's question of each renewal (Throne::confirm)",
+        "responds to the leader's request for each heartbeat (Leadership::confirm_leadership)",
+    ),
+    (
+        "steward.follower",
+        "resident",
+        "the coordination state (state_machine.rs)",
     ),
-    ("steward.follower", "resident", "the book (machine.rs)"),
     (
         "steward.follower",
         "descriptors",
-        "connections of the other stewards, and of senders that asked here first",
+        "connections of the other coordinators, and of senders that called this one first",
     ),
     (
         "sender",
         "cpu",
-        "agent::watch and Member::keep: one watch and one session, whoever else there is",
+        "watch_endpoints and Member::maintain_session: one watch and one session, however many senders there are",
     ),
     (
         "sender",
         "resident",
-        "one watch and one session; the list itself is not kept by a hollow sender",
+        "one watch and one session; a simulated sender does not keep the list itself",
     ),
     (
         "stand-in.discovery",
         "cpu",
-        "each change is written to each watch; the stand-in's own, no product's",
+        "each change is written to each watch; cost of the test double, not of the product",
     ),
     (
         "stand-in.discovery",
         "messages",
-        "each change and each sign of life goes to each watch",
+        "each change and each keep-alive goes to each watch",
     ),
 ];
 
@@ -117,15 +121,15 @@
     for (quantity, term) in [
         (
             "list_messages",
-            "agent::watch: a line for each change, a sign of life every 2 s",
+            "watch_endpoints: a line for each change, a keep-alive every 2 s",
         ),
         (
             "list_bytes_in",
-            "agent::watch: some 190 bytes for each change of one endpoint",
+            "watch_endpoints: some 190 bytes for each change of one endpoint",
         ),
         (
             "cpu",
-            "Feed::take and parse_list for each change (crates/platform/src/feed.rs, list.rs)",
+            "WatchStream::push and parse_list for each change (crates/platform/src/watch_stream.rs, endpoint_list.rs)",
         ),
     ] {
         results.add_fit("sender", quantity, "changes/s", &Parameters::new(), term);
@@ -137,11 +141,11 @@
         ),
         (
             "list_cpu",
-            "Feed::take and parse_list: each entry is read as a JSON value, then as a target",
+            "WatchStream::push and parse_list: each entry is read as a JSON value, then as a target",
         ),
         (
             "list_time",
-            "Feed::take and parse_list; on a shared machine, wall time",
+            "WatchStream::push and parse_list; on a shared machine, wall time",
         ),
     ] {
         results.add_fit(
--- a/crates/scale/src/roles/mod.rs
+++ b/crates/scale/src/roles/mod.rs
@@ -24,28 +24,28 @@
 use std::process::{Command, Stdio};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Words of `roles`.
+/// Arguments of `roles`.
 #[derive(Debug, Clone, Args)]
 pub struct RolesArgs {
-    /// The sender that is measured; left out: the program beside this one.
+    /// The `milletturn` program to measure; by default the one in this program's folder.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Where the figures go.
+    /// Results file to write (JSON lines).
     #[arg(long, default_value = "docs/capacity/roles.jsonl")]
     out: PathBuf,
-    /// Only measurements whose name begins so.
+    /// Runs only measurements whose name begins with this text.
     #[arg(long)]
     only: Option<String>,
-    /// Sizes above this share of the largest are left out.
+    /// Skips sizes above this fraction of each measurement's largest size.
     #[arg(long, default_value_t = 1.0)]
     most: f64,
-    /// For its own use: one measurement at one size, its points on standard output.
+    /// Internal: runs one measurement at one size and prints its points to standard output.
     #[arg(long, hide = true)]
     one: Option<String>,
-    /// For its own use: that size.
+    /// Internal: the size for `--one`.
     #[arg(long, hide = true, default_value_t = 0)]
     at: u64,
-    /// For its own use: a folder for what it makes.
+    /// Internal: the folder for files that the measurement with `--one` creates.
     #[arg(long, hide = true)]
     folder: Option<PathBuf>,
 }
@@ -336,25 +336,31 @@
 fn slope_cause(role: &str, quantity: &str) -> &'static str {
     match (role, quantity) {
         ("list.engine" | "list.file", "resident") => {
-            "endpoints, routes, pools and units keep an entry for each listed destination"
+            "endpoints, routes and pools keep an entry for each listed destination"
         }
         ("list.engine" | "list.file", "cpu" | "whole.cpu" | "ready") => {
             "a whole list is read entry by entry"
         }
         ("list.engine", "change.cpu") => "a change costs what it names",
-        ("list.engine", "look.cpu") => "a look counts what the module avoids",
-        ("catalog.assign", "cpu") => "Assignment::best_scores: a hash for each range and sender",
+        ("list.engine", "look.cpu") => {
+            "a status request goes through all listed endpoints and counts the ejected ones"
+        }
+        ("catalog.assign", "cpu") => "Assignment::best_scores: a hash for each shard and sender",
         ("catalog.assign", "loss.cpu" | "zone.cpu" | "join.cpu") => {
             "Matching::run: all shards are matched anew"
         }
-        ("catalog.assign", _) => "Assignment: 16 bids of each range, and the ranges of each sender",
-        ("catalog.holder", "wire" | "cpu" | "resident") => "each row is told, read and kept",
+        ("catalog.assign", _) => {
+            "Assignment: 16 cached scores of each shard, and the shards of each sender"
+        }
+        ("catalog.holder", "wire" | "cpu" | "resident") => "each endpoint is sent, parsed and kept",
         ("catalog.holder", _) => {
             "ShardReplica: a change costs the endpoints of its shard; a sync requests each shard"
         }
-        ("catalog.relay", _) => "a change costs its bytes, and the digests on the way to its range",
+        ("catalog.relay", _) => {
+            "a change costs its bytes, and the digests of the spans above its shard"
+        }
         ("catalog.sender", _) => {
-            "a check asks for each of its ranges, and changes come for these alone"
+            "a sync requests each of its shards, and gets changes of these alone"
         }
         (_, "wire") => "each destination is told in full",
         ("journal", "disk") => "a record for each message that is owed",
