--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -187,7 +187,7 @@
 
 fn check_redrive_rules(document: &mut Document) {
     let classes = document.table_names("class");
-    let numbers: Vec<u64> = document
+    let ids: Vec<u64> = document
         .table_names("destination")
         .iter()
         .map(|name| document.count(&["destination", name, "id"]))
@@ -208,13 +208,11 @@
         if let Some(class) = document.text_of(&setting("class")) {
             check_class_exists(document, &setting("class"), &class, &classes);
         }
-        let number = document
+        let id = document
             .explicit_value(&setting("destination"))
             .map(|_| document.count(&setting("destination")));
-        if let Some(number) =
-            number.filter(|number| !has_endpoints_file && !numbers.contains(number))
-        {
-            let label = format!("no destination has the number {number}");
+        if let Some(id) = id.filter(|id| !has_endpoints_file && !ids.contains(id)) {
+            let label = format!("no destination has the number {id}");
             document.add(
                 Code::UnknownDestination,
                 document.span(&setting("destination")),
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -64,22 +64,22 @@
 pub fn fit(form: Form, points: &[(f64, f64)]) -> Option<Fitted> {
     let count = points.len() as f64;
     let mean = |of: &dyn Fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
-    let (x, y) = (mean(&|point| form.term(point.0)), mean(&|point| point.1));
-    let spread: f64 = points
+    let (mean_term, mean_value) = (mean(&|point| form.term(point.0)), mean(&|point| point.1));
+    let squared_deviations: f64 = points
         .iter()
-        .map(|point| (form.term(point.0) - x).powi(2))
+        .map(|point| (form.term(point.0) - mean_term).powi(2))
         .sum();
-    if points.len() < 2 || spread <= 0.0 {
+    if points.len() < 2 || squared_deviations <= 0.0 {
         return None;
     }
-    let both: f64 = points
+    let codeviations: f64 = points
         .iter()
-        .map(|point| (form.term(point.0) - x) * (point.1 - y))
+        .map(|point| (form.term(point.0) - mean_term) * (point.1 - mean_value))
         .sum();
-    let slope = both / spread;
+    let slope = codeviations / squared_deviations;
     let mut fitted = Fitted {
         form,
-        constant: y - slope * x,
+        constant: mean_value - slope * mean_term,
         slope,
         rms: 0.0,
         worst: 0.0,
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -138,7 +138,7 @@
             scenario.harness.endpoint.received(),
         );
         eprintln!(
-            "real senders: {submitted} handed in, {accepted} taken on, {delivered} delivered, {notifications} notices, {repeated_calls} calls beyond"
+            "real senders: {submitted} messages submitted, {accepted} accepted, {delivered} delivered, {notifications} notifications, {repeated_calls} repeated calls"
         );
         let conditions = super::results::Conditions {
             axis: "senders",
@@ -414,7 +414,7 @@
     scenario.publish_marked()?;
     let known = scenario.count_informed_within(senders, Duration::from_secs(90))?;
     scenario.add_note(format!(
-        "{known} of {senders} knew it within 90 s; rests grow by 80 ms for each sender (discovery_backoff.rs)"
+        "{known} of {senders} knew it within 90 s; retry delays grow by 80 ms for each sender (discovery_backoff.rs)"
     ));
     let line = scenario.end_fault()?;
     eprintln!("{}", serde_json::to_string(&line).unwrap_or_default());
--- a/crates/scale/src/fleet/proxied_sessions.rs
+++ b/crates/scale/src/fleet/proxied_sessions.rs
@@ -275,7 +275,7 @@
     results.record_span(conditions, &before, &after, senders, 0, leader);
     let span = plan.span.as_secs_f64();
     let mut total_traffic = super::meter::Traffic::default();
-    let bytes = require_session_proxies(harness)?.has_byte_counts();
+    let has_byte_counts = require_session_proxies(harness)?.has_byte_counts();
     for ((cost, traffic), (cost_before, traffic_before)) in
         proxies_after.into_iter().zip(proxies_before)
     {
@@ -289,7 +289,7 @@
         ] {
             results.add_point("relay", quantity, unit, conditions, value);
         }
-        if bytes {
+        if has_byte_counts {
             let (from, to) = (
                 traffic.request_bytes as f64 / span,
                 traffic.response_bytes as f64 / span,
@@ -306,7 +306,7 @@
         conditions,
         total_traffic.messages() as f64 / sender_seconds,
     );
-    if bytes {
+    if has_byte_counts {
         results.add_point(
             "sender",
             "session_bytes_out",
--- a/crates/scale/src/fleet/session_proxies.rs
+++ b/crates/scale/src/fleet/session_proxies.rs
@@ -72,7 +72,7 @@
 
 impl SessionProxies {
     /// Starts the given number of session proxies. They reach the coordinators through the regions of `group` from
-    /// `first` on, one region each.
+    /// `first_region` on, one region each.
     ///
     /// # Errors
     /// A session proxy does not start.
--- a/crates/scale/src/fleet/simulated_senders.rs
+++ b/crates/scale/src/fleet/simulated_senders.rs
@@ -416,7 +416,7 @@
     }
 }
 
-/// A member whose permission is checked, the resource, and the counters that records changes.
+/// A member whose permission is checked, the resource, and the counters that record changes.
 type PermissionProbe = (Rc<Member>, String, Rc<RefCell<SenderCounters>>);
 
 impl SimulatedSender {
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -434,7 +434,7 @@
             value,
         )
     };
-    let (folder, operators) = (temp_dir()?, unused_address());
+    let (folder, admin_address) = (temp_dir()?, unused_address());
     let config = SidecarConfig {
         limits: &limits_section(1_024, 1_000),
         list: &endpoints_file(context.size, unused_address()),
@@ -443,12 +443,13 @@
         &context.program,
         folder.path(),
         &config,
-        Some(operators),
+        Some(admin_address),
     )?;
     std::thread::sleep(Duration::from_secs(1));
     let (cpu_before, mut bytes) = (sender.cpu()?, 0);
     for _ in 0..MEASURED_SCRAPES {
-        let mut stream = TcpStream::connect(operators).map_err(Error::io("the admin listener"))?;
+        let mut stream =
+            TcpStream::connect(admin_address).map_err(Error::io("the admin listener"))?;
         let written =
             stream.write_all(b"GET /-/metrics HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
         written.map_err(Error::io("the admin listener"))?;
--- a/crates/scale/src/roles/program.rs
+++ b/crates/scale/src/roles/program.rs
@@ -56,14 +56,14 @@
         program: &Path,
         folder: &Path,
         config: &SidecarConfig,
-        operators: Option<SocketAddr>,
+        admin_address: Option<SocketAddr>,
     ) -> Result<Self, Error> {
         let (http, outcomes) = (unused_address(), unused_address());
-        let operators = operators.map_or(String::new(), |address| {
+        let admin_setting = admin_address.map_or(String::new(), |address| {
             format!("operators = '{address}'\n")
         });
         let text = format!(
-            "name = 'app'\nstate = 'app.state'\n[listen]\nhttp = '{http}'\noutcomes = '{outcomes}'\n{operators}\
+            "name = 'app'\nstate = 'app.state'\n[listen]\nhttp = '{http}'\noutcomes = '{outcomes}'\n{admin_setting}\
              [limits]\n{}\n[endpoints]\nfile = 'list.toml'\n\
              [class.notice]\neffect = 'keyed'\nwindow = '7d'\ndeadline = '7d'\n",
             config.limits
--- a/crates/sidecar/src/shared_outcome_log.rs
+++ b/crates/sidecar/src/shared_outcome_log.rs
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A receiver that is notified when outcomes have been appended.
+    /// A receiver that is notified after each batch of endings has been processed, also if no outcome was appended.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
