--- a/crates/scale/src/figures.rs
+++ b/crates/scale/src/figures.rs
@@ -124,7 +124,7 @@
     for (number, text) in BufReader::new(file).lines().enumerate() {
         let text = text.map_err(Error::io(path.display().to_string()))?;
         let line = serde_json::from_str(&text).map_err(|error| {
-            Error::Wrong(format!("{}, line {}: {error}", path.display(), number + 1))
+            Error::Unexpected(format!("{}, line {}: {error}", path.display(), number + 1))
         })?;
         lines.push(line);
     }
@@ -138,7 +138,8 @@
 pub fn write(path: &Path, lines: &[Line]) -> Result<(), Error> {
     let mut text = String::new();
     for line in lines {
-        let line = serde_json::to_string(line).map_err(|error| Error::Wrong(error.to_string()))?;
+        let line =
+            serde_json::to_string(line).map_err(|error| Error::Unexpected(error.to_string()))?;
         text.push_str(&line);
         text.push('\n');
     }
--- a/crates/scale/src/fleet/compare.rs
+++ b/crates/scale/src/fleet/compare.rs
@@ -86,7 +86,7 @@
     let group = harness
         .coordinators
         .as_ref()
-        .ok_or_else(|| Error::Wrong("the harness has no coordinators".into()))?;
+        .ok_or_else(|| Error::Unexpected("the harness has no coordinators".into()))?;
     let leader = group.leader();
     let real_senders = match kind {
         Kind::Real => {
--- a/crates/scale/src/fleet/coordinators.rs
+++ b/crates/scale/src/fleet/coordinators.rs
@@ -91,7 +91,7 @@
                 .output();
             let bootstrap = bootstrap.map_err(Error::io(program.display().to_string()))?;
             if !bootstrap.status.success() {
-                return Err(Error::Wrong(
+                return Err(Error::Unexpected(
                     String::from_utf8_lossy(&bootstrap.stderr).into_owned(),
                 ));
             }
@@ -144,7 +144,7 @@
         let address = process.wait_for_output("listens on ")?;
         let address = address
             .parse()
-            .map_err(|_| Error::Wrong(format!("expected a listen address, got: {address}")))?;
+            .map_err(|_| Error::Unexpected(format!("expected a listen address, got: {address}")))?;
         self.listen_addresses[index] = Some(address);
         self.proxies_to(index)
             .for_each(|proxy| proxy.set_upstream(Some(address)));
@@ -176,7 +176,7 @@
     /// The coordinator is not running.
     pub fn process(&self, index: usize) -> Result<&Process, Error> {
         let process = self.processes.get(index).and_then(Option::as_ref);
-        process.ok_or_else(|| Error::Wrong(format!("coordinator {index} is not running")))
+        process.ok_or_else(|| Error::Unexpected(format!("coordinator {index} is not running")))
     }
 
     /// Process ids of the running coordinators.
@@ -275,7 +275,7 @@
             leader = self.leader();
             Ok(leader.is_some())
         })?;
-        leader.ok_or_else(|| Error::Wrong("no coordinator leads".into()))
+        leader.ok_or_else(|| Error::Unexpected("no coordinator leads".into()))
     }
 
     fn status(&self, index: usize) -> Option<CoordinatorStatus> {
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -87,7 +87,7 @@
         let group = harness
             .coordinators
             .as_ref()
-            .ok_or_else(|| Error::Wrong("the harness has no coordinators".into()))?;
+            .ok_or_else(|| Error::Unexpected("the harness has no coordinators".into()))?;
         let (discovery, addresses) = (harness.discovery.addresses[0], group.addresses(0));
         let numbers = size.senders..size.senders + size.real;
         // with every session slot taken by simulated senders, real senders run without sessions
--- a/crates/scale/src/fleet/harness.rs
+++ b/crates/scale/src/fleet/harness.rs
@@ -206,7 +206,7 @@
             Ok(last.0 >= informed && last.1 >= permitted)
         });
         reached.map_err(|error| {
-            Error::Wrong(format!("{error}: {last:?} of {informed} and {permitted}"))
+            Error::Unexpected(format!("{error}: {last:?} of {informed} and {permitted}"))
         })
     }
 
@@ -282,7 +282,7 @@
     let scale = std::env::current_exe().map_err(Error::io("this program"))?;
     let sender = sender.map_or_else(|| scale.with_file_name("milletturn"), Path::to_path_buf);
     if !sender.is_file() {
-        return Err(Error::Wrong(format!(
+        return Err(Error::Unexpected(format!(
             "program {} not found; build it first",
             sender.display()
         )));
--- a/crates/scale/src/fleet/idle_engine.rs
+++ b/crates/scale/src/fleet/idle_engine.rs
@@ -99,7 +99,7 @@
         observer: Box::new(NoopObserver),
         ready: watch::channel(false).0,
     })
-    .map_err(|error| Error::Wrong(error.to_string()))?;
+    .map_err(|error| Error::Unexpected(error.to_string()))?;
     let (inputs, mut engine_inputs) = mpsc::unbounded_channel();
     let forwarding = spawn_local(async move {
         while let Some(input) = list_inputs.recv().await {
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -237,7 +237,7 @@
             "destinations" => plan.measure_first_list(&mut results)?,
             "reloads" => plan.measure_reloads(&mut results, 1_000)?,
             "refit" => {}
-            other => return Err(Error::Wrong(format!("unknown part {other:?}"))),
+            other => return Err(Error::Unexpected(format!("unknown part {other:?}"))),
         }
         write(&arguments.common.out, &results.lines)?;
     }
--- a/crates/scale/src/fleet/process.rs
+++ b/crates/scale/src/fleet/process.rs
@@ -69,7 +69,7 @@
     let started = Instant::now();
     while !condition()? {
         if started.elapsed() > WAIT_TIMEOUT {
-            return Err(Error::Wrong(format!(
+            return Err(Error::Unexpected(format!(
                 "not reached within {} s: {text}",
                 WAIT_TIMEOUT.as_secs()
             )));
@@ -138,7 +138,7 @@
                 .iter()
                 .find_map(|line| Some(line.split_once(text)?.1.to_string()));
             if rest_of_line.is_none() && matches!(self.child.try_wait(), Ok(Some(_))) {
-                return Err(Error::Wrong(format!(
+                return Err(Error::Unexpected(format!(
                     "a process ended early; its output: {}",
                     lines.join(" / ")
                 )));
--- a/crates/scale/src/fleet/proxied_faults.rs
+++ b/crates/scale/src/fleet/proxied_faults.rs
@@ -132,7 +132,7 @@
     let (Some(coordinators), Some(session_proxies)) =
         (&mut harness.coordinators, &mut harness.session_proxies)
     else {
-        return Err(Error::Wrong(
+        return Err(Error::Unexpected(
             "the harness has no coordinators or no session proxies".into(),
         ));
     };
@@ -146,7 +146,7 @@
     let (Some(coordinators), Some(session_proxies)) =
         (&mut harness.coordinators, &mut harness.session_proxies)
     else {
-        return Err(Error::Wrong(
+        return Err(Error::Unexpected(
             "the harness has no coordinators or no session proxies".into(),
         ));
     };
--- a/crates/scale/src/fleet/proxied_sessions.rs
+++ b/crates/scale/src/fleet/proxied_sessions.rs
@@ -248,7 +248,7 @@
     harness
         .session_proxies
         .as_ref()
-        .ok_or_else(|| Error::Wrong("the harness has no session proxies".into()))
+        .ok_or_else(|| Error::Unexpected("the harness has no session proxies".into()))
 }
 
 fn measure(
--- a/crates/scale/src/fleet/real_senders.rs
+++ b/crates/scale/src/fleet/real_senders.rs
@@ -209,9 +209,9 @@
         }
         for mut process in processes {
             let address = process.wait_for_output("listening on ")?;
-            let address = address
-                .parse()
-                .map_err(|_| Error::Wrong(format!("expected a listen address, got: {address}")))?;
+            let address = address.parse().map_err(|_| {
+                Error::Unexpected(format!("expected a listen address, got: {address}"))
+            })?;
             real_senders.senders.push((process, address));
         }
         for session in &mut real_senders.session_processes {
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -301,7 +301,7 @@
     let group = harness
         .coordinators
         .as_ref()
-        .ok_or_else(|| Error::Wrong("the harness has no coordinators".into()))?;
+        .ok_or_else(|| Error::Unexpected("the harness has no coordinators".into()))?;
     let (discovery, addresses) = (harness.discovery.addresses[0], group.addresses(0));
     let numbers = simulated..simulated + real;
     let real_senders = RealSenders::start(
@@ -333,7 +333,7 @@
     let group = harness
         .coordinators
         .as_ref()
-        .ok_or_else(|| Error::Wrong("the harness has no coordinators".into()))?;
+        .ok_or_else(|| Error::Unexpected("the harness has no coordinators".into()))?;
     let mut sessions_in_state = 0;
     super::process::wait_until("the coordination state lists sessions", || {
         sessions_in_state = group
--- a/crates/scale/src/fleet/scenario.rs
+++ b/crates/scale/src/fleet/scenario.rs
@@ -100,7 +100,7 @@
         self.harness
             .coordinators
             .as_ref()
-            .ok_or_else(|| Error::Wrong("the harness has no coordinators".into()))
+            .ok_or_else(|| Error::Unexpected("the harness has no coordinators".into()))
     }
 
     /// Returns the coordinators for changes.
@@ -111,7 +111,7 @@
         self.harness
             .coordinators
             .as_mut()
-            .ok_or_else(|| Error::Wrong("the harness has no coordinators".into()))
+            .ok_or_else(|| Error::Unexpected("the harness has no coordinators".into()))
     }
 
     /// Adds a remark to the result of the scenario.
@@ -210,7 +210,7 @@
             }
             self.run_for(POLL_INTERVAL / 5)?;
         }
-        Err(Error::Wrong("no coordinator leads".into()))
+        Err(Error::Unexpected("no coordinator leads".into()))
     }
 
     /// Waits until the given number of senders know the current list.
@@ -220,7 +220,7 @@
     pub fn wait_until_informed(&mut self, senders: u64) -> Result<(), Error> {
         let informed = self.count_informed_within(senders, WAIT_TIMEOUT)?;
         if informed < senders {
-            Err(Error::Wrong(format!(
+            Err(Error::Unexpected(format!(
                 "{informed} of {senders} know the list"
             )))
         } else {
--- a/crates/scale/src/fleet/session_proxies.rs
+++ b/crates/scale/src/fleet/session_proxies.rs
@@ -64,9 +64,9 @@
         &folder.path().join(format!("relay{number}.log")),
     )?;
     let address_text = process.wait_for_output("listens on ")?;
-    let address = address_text
-        .parse()
-        .map_err(|_| Error::Wrong(format!("expected a listen address, got: {address_text}")))?;
+    let address = address_text.parse().map_err(|_| {
+        Error::Unexpected(format!("expected a listen address, got: {address_text}"))
+    })?;
     Ok((process, address))
 }
 
@@ -188,7 +188,7 @@
     pub fn read(&self, number: usize) -> Result<(Cost, Traffic), Error> {
         let process = self.processes[number].as_ref();
         let process = process
-            .ok_or_else(|| Error::Wrong(format!("session proxy {number} is not running")))?;
+            .ok_or_else(|| Error::Unexpected(format!("session proxy {number} is not running")))?;
         let cost = Cost::of(process.id())?;
         if let Some(proxy) = self.front_proxies.get(number) {
             return Ok((cost, proxy.meter.sum()));
@@ -225,11 +225,11 @@
             );
         });
         let no_response =
-            || Error::Wrong(format!("session proxy {number} did not report its status"));
+            || Error::Unexpected(format!("session proxy {number} did not report its status"));
         let reply = result_receiver
             .recv()
             .map_err(|_| no_response())?
-            .map_err(|error| Error::Wrong(error.to_string()))?;
+            .map_err(|error| Error::Unexpected(error.to_string()))?;
         reply.result.map_err(|_| no_response())
     }
 }
--- a/crates/scale/src/fleet/simulated_fleet.rs
+++ b/crates/scale/src/fleet/simulated_fleet.rs
@@ -57,7 +57,7 @@
                 .spawn();
             let mut child = child.map_err(Error::io(program.display().to_string()))?;
             let (Some(orders), Some(responses)) = (child.stdin.take(), child.stdout.take()) else {
-                return Err(Error::Wrong(
+                return Err(Error::Unexpected(
                     "a child process has no standard input or output".into(),
                 ));
             };
@@ -229,7 +229,7 @@
 impl HostProcess {
     fn send(&mut self, message: &impl serde::Serialize) -> Result<(), Error> {
         let text =
-            serde_json::to_string(message).map_err(|error| Error::Wrong(error.to_string()))?;
+            serde_json::to_string(message).map_err(|error| Error::Unexpected(error.to_string()))?;
         let sent = writeln!(self.orders, "{text}").and_then(|()| self.orders.flush());
         sent.map_err(Error::io("sending an order to simulated senders"))
     }
@@ -240,9 +240,9 @@
             .read_line(&mut text)
             .map_err(Error::io("reading the response of simulated senders"))?;
         match serde_json::from_str(&text) {
-            Ok(Response::Failed(error_message)) => Err(Error::Wrong(error_message)),
+            Ok(Response::Failed(error_message)) => Err(Error::Unexpected(error_message)),
             Ok(response) => Ok(response),
-            Err(error) => Err(Error::Wrong(format!(
+            Err(error) => Err(Error::Unexpected(format!(
                 "invalid response of simulated senders: {text:?}: {error}"
             ))),
         }
--- a/crates/scale/src/fleet/simulated_senders.rs
+++ b/crates/scale/src/fleet/simulated_senders.rs
@@ -173,7 +173,7 @@
                 Err(error) => Response::Failed(error.to_string()),
             };
             let text = serde_json::to_string(&response)
-                .map_err(|error| Error::Wrong(error.to_string()))?;
+                .map_err(|error| Error::Unexpected(error.to_string()))?;
             let mut out = std::io::stdout().lock();
             writeln!(out, "{text}")
                 .and_then(|()| out.flush())
@@ -184,7 +184,7 @@
 }
 
 fn parse<T: serde::de::DeserializeOwned>(line: &str) -> Result<T, Error> {
-    serde_json::from_str(line).map_err(|error| Error::Wrong(format!("invalid order: {error}")))
+    serde_json::from_str(line).map_err(|error| Error::Unexpected(format!("invalid order: {error}")))
 }
 
 struct SenderHost {
@@ -219,7 +219,7 @@
                 for sender in self.senders.values_mut() {
                     let reloaded = reload(&sender.config.path, &sender.config.keys);
                     sender.config.settings = reloaded
-                        .map_err(|error| Error::Wrong(error.to_string()))?
+                        .map_err(|error| Error::Unexpected(error.to_string()))?
                         .settings;
                 }
             }
@@ -330,7 +330,7 @@
             "RELAY_STATE" => Some("state".to_string()),
             _ => None,
         });
-        let config = config.map_err(|error| Error::Wrong(error.to_string()))?;
+        let config = config.map_err(|error| Error::Unexpected(error.to_string()))?;
         let counters = Rc::new(RefCell::new(SenderCounters::new(
             region,
             now().0,
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -38,7 +38,7 @@
     Io(String, #[source] std::io::Error),
     /// A process, response or file is not as expected.
     #[error("{0}")]
-    Wrong(String),
+    Unexpected(String),
 }
 
 impl Error {
--- a/crates/scale/src/page/data.rs
+++ b/crates/scale/src/page/data.rs
@@ -196,7 +196,7 @@
                 .into_owned();
             let lines = read(&path)?;
             let Some(Line::Head(head)) = lines.first() else {
-                return Err(Error::Wrong(format!(
+                return Err(Error::Unexpected(format!(
                     "{name} does not begin with a head record"
                 )));
             };
--- a/crates/scale/src/page/mod.rs
+++ b/crates/scale/src/page/mod.rs
@@ -62,12 +62,12 @@
         .enumerate()
         .find(|(_, (found, expected))| found != expected);
     match differ {
-        Some((line, (found, expected))) => Err(Error::Wrong(format!(
+        Some((line, (found, expected))) => Err(Error::Unexpected(format!(
             "{}, line {}: page differs from the table generated from the records\n  page:      {found}\n  generated: {expected}",
             page.display(),
             line + 1
         ))),
-        None if text != rendered => Err(Error::Wrong(format!(
+        None if text != rendered => Err(Error::Unexpected(format!(
             "{}: page ends differently from the text generated from the records",
             page.display()
         ))),
@@ -96,11 +96,11 @@
         let name = mark[SECTION_START.len()..]
             .split_once(SECTION_START_CLOSE)
             .map(|(name, _)| name);
-        let name =
-            name.ok_or_else(|| Error::Wrong("a section marker is not closed with `-->`".into()))?;
+        let name = name
+            .ok_or_else(|| Error::Unexpected("a section marker is not closed with `-->`".into()))?;
         let end = mark
             .find(SECTION_END)
-            .ok_or_else(|| Error::Wrong(format!("section {name} has no end marker")))?;
+            .ok_or_else(|| Error::Unexpected(format!("section {name} has no end marker")))?;
         out.push_str(before);
         out.push_str(&format!(
             "{SECTION_START}{name}{SECTION_START_CLOSE}\n{}{SECTION_END}",
@@ -130,7 +130,7 @@
         "breaks" => limits::limit_table(data),
         "slopes" => slope_table(data),
         "faults" => fault_table(data),
-        other => return Err(Error::Wrong(format!("unknown section {other}"))),
+        other => return Err(Error::Unexpected(format!("unknown section {other}"))),
     })
 }
 
--- a/crates/scale/src/plot.rs
+++ b/crates/scale/src/plot.rs
@@ -52,10 +52,10 @@
         min / 1.5..max * 1.5
     };
     if all.is_empty() {
-        return Err(Error::Wrong(format!("{title}: nothing to draw")));
+        return Err(Error::Unexpected(format!("{title}: nothing to draw")));
     }
     let failed =
-        |error: &dyn std::fmt::Display| Error::Wrong(format!("{}: {error}", path.display()));
+        |error: &dyn std::fmt::Display| Error::Unexpected(format!("{}: {error}", path.display()));
     let area = SVGBackend::new(path, SIZE).into_drawing_area();
     area.fill(&WHITE).map_err(|error| failed(&error))?;
     let mut chart = ChartBuilder::on(&area)
--- a/crates/scale/src/roles/catalog.rs
+++ b/crates/scale/src/roles/catalog.rs
@@ -28,7 +28,7 @@
 const MAX_REPLICA_BYTES: usize = 4 << 30;
 
 fn failure(error: impl ToString) -> Error {
-    Error::Wrong(error.to_string())
+    Error::Unexpected(error.to_string())
 }
 
 /// Limits for a link of 6 KB/s over which a shard's snapshot has to be sent within 17 s.
--- a/crates/scale/src/roles/journal.rs
+++ b/crates/scale/src/roles/journal.rs
@@ -25,7 +25,7 @@
 const EXTRA_SPACE: f64 = 0.1;
 
 fn journal_error(error: JournalError) -> Error {
-    Error::Wrong(format!("journal failed: {error}"))
+    Error::Unexpected(format!("journal failed: {error}"))
 }
 
 fn accepted_message(number: u64, body: usize, now: i64) -> Accepted {
@@ -117,7 +117,7 @@
     let (cpu, opened) = probe::cpu_in(|| FileJournal::open(dir.path(), u64::MAX / 4, 0));
     let (journal, recovery) = opened.map_err(journal_error)?;
     if recovery.records as u64 != context.size {
-        return Err(Error::Wrong(format!(
+        return Err(Error::Unexpected(format!(
             "journal recovered {} of {} records",
             recovery.records, context.size
         )));
@@ -141,7 +141,7 @@
         tokio::task::spawn_local(async move { engine.run(&mut received).await });
         let view = engine_status(&inputs).await?;
         if view.open_messages as u64 != context.size {
-            return Err(Error::Wrong(format!(
+            return Err(Error::Unexpected(format!(
                 "engine resumed {} of {} messages",
                 view.open_messages, context.size
             )));
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -104,7 +104,7 @@
         observer: Box::new(NoopObserver),
         ready: watch::channel(false).0,
     };
-    let engine = Engine::new(ports).map_err(|error| Error::Wrong(error.to_string()))?;
+    let engine = Engine::new(ports).map_err(|error| Error::Unexpected(error.to_string()))?;
     Ok((engine, inputs, received))
 }
 
@@ -114,7 +114,7 @@
     inputs: &mpsc::UnboundedSender<Input>,
 ) -> Result<EngineStatus, Error> {
     let (reply, response) = oneshot::channel();
-    let engine_ended = || Error::Wrong("the engine has ended".into());
+    let engine_ended = || Error::Unexpected("the engine has ended".into());
     inputs
         .send(Input::GetStatus(reply))
         .map_err(|_| engine_ended())?;
@@ -125,8 +125,9 @@
 /// the number of listed endpoints.
 async fn inputs_processed(inputs: &mpsc::UnboundedSender<Input>) -> Result<(), Error> {
     let (reply, response) = oneshot::channel();
-    let engine_ended = || Error::Wrong("the engine has ended".into());
-    let unknown_id = SharedStr::new(b"nobody").map_err(|error| Error::Wrong(error.to_string()))?;
+    let engine_ended = || Error::Unexpected("the engine has ended".into());
+    let unknown_id =
+        SharedStr::new(b"nobody").map_err(|error| Error::Unexpected(error.to_string()))?;
     inputs
         .send(Input::IsOpen(unknown_id, reply))
         .map_err(|_| engine_ended())?;
@@ -164,7 +165,7 @@
             };
             inputs
                 .send(Input::EndpointsListed(update))
-                .map_err(|_| Error::Wrong("the engine has ended".into()))
+                .map_err(|_| Error::Unexpected("the engine has ended".into()))
         };
         for from in (0..count).step_by(ENDPOINTS_PER_UPDATE as usize) {
             let part = (from..count.min(from + ENDPOINTS_PER_UPDATE))
@@ -350,7 +351,7 @@
     is_accepted: impl Fn(u64) -> Result<bool, Error>,
 ) -> Result<u64, Error> {
     if is_accepted(rejected)? {
-        return Err(Error::Wrong(format!(
+        return Err(Error::Unexpected(format!(
             "size {rejected} was accepted; the search needs a rejected size"
         )));
     }
@@ -399,7 +400,9 @@
     };
     let short = endpoints_file(10, address);
     if !is_valid_config(&limits_section(1_024, 1_000), &short)? {
-        return Err(Error::Wrong("a valid configuration was rejected".into()));
+        return Err(Error::Unexpected(
+            "a valid configuration was rejected".into(),
+        ));
     }
     // `config check` does not read the endpoints file, so that a sidecar has to be started
     let file = largest_accepted(200_000, 600_000, 100, |count| {
@@ -458,7 +461,7 @@
             .read_to_end(&mut response)
             .map_err(Error::io("the admin listener"))?;
         if !response.starts_with(b"HTTP/1.1 200") {
-            return Err(Error::Wrong(
+            return Err(Error::Unexpected(
                 "metrics request did not return status 200".into(),
             ));
         }
--- a/crates/scale/src/roles/mod.rs
+++ b/crates/scale/src/roles/mod.rs
@@ -210,14 +210,14 @@
             .iter()
             .find(|measurement| measurement.name == name);
         let measurement =
-            measurement.ok_or_else(|| Error::Wrong(format!("unknown measurement {name}")))?;
+            measurement.ok_or_else(|| Error::Unexpected(format!("unknown measurement {name}")))?;
         let points = (measurement.measure)(&MeasurementContext {
             size: arguments.at,
             program,
             folder: arguments.folder.clone(),
         })?;
         let text =
-            serde_json::to_string(&points).map_err(|error| Error::Wrong(error.to_string()))?;
+            serde_json::to_string(&points).map_err(|error| Error::Unexpected(error.to_string()))?;
         println!("{text}");
         return Ok(());
     }
@@ -274,13 +274,13 @@
         .output()
         .map_err(Error::io(name))?;
     if !output.status.success() {
-        return Err(Error::Wrong(format!(
+        return Err(Error::Unexpected(format!(
             "measurement process exited with {}",
             output.status
         )));
     }
-    let mut points: Vec<Point> =
-        serde_json::from_slice(&output.stdout).map_err(|error| Error::Wrong(error.to_string()))?;
+    let mut points: Vec<Point> = serde_json::from_slice(&output.stdout)
+        .map_err(|error| Error::Unexpected(error.to_string()))?;
     for point in &mut points {
         point.other.insert("load".into(), load.into());
     }
--- a/crates/scale/src/roles/path.rs
+++ b/crates/scale/src/roles/path.rs
@@ -69,7 +69,7 @@
         for thread in self.threads {
             thread
                 .join()
-                .map_err(|_| Error::Wrong("a client thread panicked".into()))?;
+                .map_err(|_| Error::Unexpected("a client thread panicked".into()))?;
         }
         Ok(self.rejected.load(Ordering::Relaxed))
     }
--- a/crates/scale/src/roles/probe.rs
+++ b/crates/scale/src/roles/probe.rs
@@ -41,7 +41,7 @@
         let line = text.lines().find_map(|line| line.strip_prefix(name));
         let size = line.and_then(|line| line.split_whitespace().next()?.parse::<f64>().ok());
         size.map(|kib| kib * 1024.0)
-            .ok_or_else(|| Error::Wrong(format!("no field {name} in /proc/{process}/status")))
+            .ok_or_else(|| Error::Unexpected(format!("no field {name} in /proc/{process}/status")))
     };
     Ok((field("VmRSS:")?, field("VmHWM:")?))
 }
@@ -74,7 +74,7 @@
         .nth(1)
         .and_then(|field| field.parse::<u64>().ok());
     kib.map(|kib| kib * 1024)
-        .ok_or_else(|| Error::Wrong("no total memory in /proc/meminfo".into()))
+        .ok_or_else(|| Error::Unexpected("no total memory in /proc/meminfo".into()))
 }
 
 fn read(path: &Path) -> Result<String, Error> {
--- a/crates/scale/src/roles/program.rs
+++ b/crates/scale/src/roles/program.rs
@@ -103,12 +103,12 @@
         };
         while !is_ready(http) {
             if let Some(status) = sender.process.try_wait().map_err(Error::io("the sender"))? {
-                return Err(Error::Wrong(format!(
+                return Err(Error::Unexpected(format!(
                     "the sender exited before it was ready: {status}"
                 )));
             }
             if started_at.elapsed() > timeout {
-                return Err(Error::Wrong(format!(
+                return Err(Error::Unexpected(format!(
                     "sender not ready within {} s",
                     timeout.as_secs()
                 )));
--- a/crates/scale/src/roles/store.rs
+++ b/crates/scale/src/roles/store.rs
@@ -22,7 +22,7 @@
 
 fn archived_message(number: u64) -> Result<ArchivedMessage, Error> {
     let shared_string = |text: String| {
-        SharedStr::new(text.as_bytes()).map_err(|error| Error::Wrong(error.to_string()))
+        SharedStr::new(text.as_bytes()).map_err(|error| Error::Unexpected(error.to_string()))
     };
     let attempt = |n: i64| AttemptRecord {
         uid: format!("s-{n}"),
@@ -55,7 +55,7 @@
         ..Config::default()
     };
     let store = DeadLetterStore::open(path, RedriveService::limits(&config))
-        .map_err(|error| Error::Wrong(error.to_string()))?;
+        .map_err(|error| Error::Unexpected(error.to_string()))?;
     let effect = Effect::Keyed {
         window: 12 * SECOND,
         zone_only: false,
@@ -79,7 +79,8 @@
             value,
         )
     };
-    let failed = |error: milletturn_dead_letter::error::StoreError| Error::Wrong(error.to_string());
+    let failed =
+        |error: milletturn_dead_letter::error::StoreError| Error::Unexpected(error.to_string());
     let dir = temp_dir()?;
     let path = dir.path().join("undelivered.db");
     let resident = probe::resident()?;
--- a/crates/scale/src/roles/turn.rs
+++ b/crates/scale/src/roles/turn.rs
@@ -41,7 +41,8 @@
             separate_routes: false,
             max_batch_size: 1,
         });
-        let sender = Sender::new(settings, 3).map_err(|error| Error::Wrong(error.to_string()))?;
+        let sender =
+            Sender::new(settings, 3).map_err(|error| Error::Unexpected(error.to_string()))?;
         let mut harness = PolicyHarness {
             sender,
             now: 100 * SECOND,
@@ -103,7 +104,9 @@
             self.submit(1_000_000_000 + round, first + round % healthy);
             let ends = self.attempt_ends(Outcome::Success);
             if ends.is_empty() {
-                return Err(Error::Wrong(format!("no call was sent in round {round}")));
+                return Err(Error::Unexpected(format!(
+                    "no call was sent in round {round}"
+                )));
             }
             self.now += MILLISECOND;
             times.push(self.handle(&ends));
@@ -123,7 +126,7 @@
         sent += harness.sends().len() as u64;
     }
     if sent < in_flight {
-        return Err(Error::Wrong(format!(
+        return Err(Error::Unexpected(format!(
             "only {sent} of {in_flight} calls were sent"
         )));
     }
