--- a/crates/scale/src/figures.rs
+++ b/crates/scale/src/figures.rs
@@ -8,10 +8,10 @@
 use std::io::{BufRead, BufReader, Write};
 use std::path::Path;
 
-/// One record.
+/// One record, a line of the file.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Line {
+pub enum Record {
     /// What was run, and where.
     Head(Head),
     /// One measured value.
@@ -118,28 +118,28 @@
 ///
 /// # Errors
 /// The file can't be read, or a line is not a valid record.
-pub fn read(path: &Path) -> Result<Vec<Line>, Error> {
+pub fn read(path: &Path) -> Result<Vec<Record>, Error> {
     let file = File::open(path).map_err(Error::io(path.display().to_string()))?;
-    let mut lines = Vec::new();
+    let mut records = Vec::new();
     for (number, text) in BufReader::new(file).lines().enumerate() {
         let text = text.map_err(Error::io(path.display().to_string()))?;
-        let line = serde_json::from_str(&text).map_err(|error| {
+        let record = serde_json::from_str(&text).map_err(|error| {
             Error::Unexpected(format!("{}, line {}: {error}", path.display(), number + 1))
         })?;
-        lines.push(line);
+        records.push(record);
     }
-    Ok(lines)
+    Ok(records)
 }
 
 /// Writes a results file and replaces an existing one atomically.
 ///
 /// # Errors
 /// The file can't be written.
-pub fn write(path: &Path, lines: &[Line]) -> Result<(), Error> {
+pub fn write(path: &Path, records: &[Record]) -> Result<(), Error> {
     let mut text = String::new();
-    for line in lines {
+    for record in records {
         let line =
-            serde_json::to_string(line).map_err(|error| Error::Unexpected(error.to_string()))?;
+            serde_json::to_string(record).map_err(|error| Error::Unexpected(error.to_string()))?;
         text.push_str(&line);
         text.push('\n');
     }
--- a/crates/scale/src/fleet/compare.rs
+++ b/crates/scale/src/fleet/compare.rs
@@ -125,11 +125,11 @@
     let mut span_results = Results::default();
     span_results.record_span(&conditions, &before, &after, senders, senders, leader);
     // the senders' own cost is recorded below, for real senders from their processes
-    span_results.lines.retain(|line| {
-        !matches!(line, crate::figures::Line::Point(point) if point.role == "sender"
+    span_results.records.retain(|record| {
+        !matches!(record, crate::figures::Record::Point(point) if point.role == "sender"
             && ["cpu", "resident", "descriptors"].contains(&point.quantity.as_str()))
     });
-    results.lines.append(&mut span_results.lines);
+    results.records.append(&mut span_results.records);
     let session = |reading: &super::harness::Reading| {
         reading
             .coordinators
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -10,7 +10,7 @@
 use super::scaling::{CHANGES_PER_S, Plan, default_group};
 use super::scenario::{BaselineCost, Scenario};
 use crate::Error;
-use crate::figures::{Line, write};
+use crate::figures::{Record, write};
 use milletturn_coordination_protocol::clock::now;
 use rustix::process::Signal;
 use std::path::Path;
@@ -124,10 +124,10 @@
             eprintln!("{name} ...");
             scenario.begin_fault(name)?;
             fault(&mut scenario)?;
-            let line = scenario.end_fault()?;
-            eprintln!("{}", serde_json::to_string(&line).unwrap_or_default());
-            results.lines.push(Line::Fault(line));
-            write(out, &results.lines)?;
+            let result = scenario.end_fault()?;
+            eprintln!("{}", serde_json::to_string(&result).unwrap_or_default());
+            results.records.push(Record::Fault(result));
+            write(out, &results.records)?;
         }
         clients.iter().for_each(tokio::task::AbortHandle::abort);
         // a message expires after 20 s, and its notification may have to wait for discovery
@@ -154,12 +154,12 @@
         ] {
             results.add_point("sender.real", quantity, "count", &conditions, value as f64);
         }
-        write(out, &results.lines)?;
+        write(out, &results.records)?;
     }
     let name = "discovery away for 10 s, list on request";
     if is_selected(name) && Instant::now() < plan.deadline {
         measure_polling_recovery(plan, results, name, 250)?;
-        write(out, &results.lines)?;
+        write(out, &results.records)?;
     }
     Ok(())
 }
@@ -416,8 +416,8 @@
     scenario.add_note(format!(
         "{known} of {senders} knew it within 90 s; retry delays grow by 80 ms for each sender (discovery_backoff.rs)"
     ));
-    let line = scenario.end_fault()?;
-    eprintln!("{}", serde_json::to_string(&line).unwrap_or_default());
-    results.lines.push(Line::Fault(line));
+    let result = scenario.end_fault()?;
+    eprintln!("{}", serde_json::to_string(&result).unwrap_or_default());
+    results.records.push(Record::Fault(result));
     Ok(())
 }
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -35,7 +35,7 @@
 
 use crate::Error;
 use crate::cost::head;
-use crate::figures::{Line, write};
+use crate::figures::{Record, write};
 use clap::Args;
 use results::Results;
 use scaling::{CHANGES_PER_S, Plan, default_group};
@@ -205,14 +205,14 @@
     let refit = arguments.parts.iter().any(|part| part == "refit");
     if refit {
         // keep the measured points and their head
-        results.lines = crate::figures::read(&arguments.common.out)?;
-        results.lines.retain(|line| match line {
-            Line::Fit(_) => false,
-            Line::Point(point) => !(point.role == "sender" && point.at == 0.0),
+        results.records = crate::figures::read(&arguments.common.out)?;
+        results.records.retain(|record| match record {
+            Record::Fit(_) => false,
+            Record::Point(point) => !(point.role == "sender" && point.at == 0.0),
             _ => true,
         });
     } else {
-        results.lines.push(Line::Head(head(plan.seed)?));
+        results.records.push(Record::Head(head(plan.seed)?));
     }
     let medium_sizes = [250, 500, 1000]
         .into_iter()
@@ -239,10 +239,10 @@
             "refit" => {}
             other => return Err(Error::Unexpected(format!("unknown part {other:?}"))),
         }
-        write(&arguments.common.out, &results.lines)?;
+        write(&arguments.common.out, &results.records)?;
     }
     report::add_fits(&mut results);
-    write(&arguments.common.out, &results.lines)?;
+    write(&arguments.common.out, &results.records)?;
     if let Some(folder) = &arguments.plots {
         report::draw_plots(&results, folder)?;
     }
@@ -260,7 +260,7 @@
         ..arguments.common.plan()?
     };
     let mut results = Results::default();
-    results.lines.push(Line::Head(head(plan.seed)?));
+    results.records.push(Record::Head(head(plan.seed)?));
     let options = proxied_sessions::ProxiedOptions {
         session_proxies: arguments.session_proxies as usize,
         senders_per_process: arguments.each,
@@ -269,7 +269,7 @@
     };
     let outcome = proxied_sessions::run(&plan, &mut results, options);
     proxied_sessions::add_fits(&mut results, arguments.session_proxies as usize);
-    write(&arguments.common.out, &results.lines)?;
+    write(&arguments.common.out, &results.records)?;
     outcome
 }
 
@@ -286,7 +286,7 @@
         senders_per_process: arguments.each,
     };
     let mut results = Results::default();
-    results.lines.push(Line::Head(head(plan.seed)?));
+    results.records.push(Record::Head(head(plan.seed)?));
     faults::run(
         &plan,
         &mut results,
--- a/crates/scale/src/fleet/proxied_faults.rs
+++ b/crates/scale/src/fleet/proxied_faults.rs
@@ -5,7 +5,7 @@
 use super::proxied_sessions::open_session_count;
 use super::results::Results;
 use crate::Error;
-use crate::figures::{Fault, Line};
+use crate::figures::{Fault, Record};
 use std::collections::BTreeMap;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -60,7 +60,7 @@
             report.sessions_opened, report.rejections
         );
         eprintln!("{name}: {note}");
-        results.lines.push(Line::Fault(Fault {
+        results.records.push(Record::Fault(Fault {
             name: name.to_string(),
             senders,
             p50_s: 0.0,
--- a/crates/scale/src/fleet/proxied_sessions.rs
+++ b/crates/scale/src/fleet/proxied_sessions.rs
@@ -7,7 +7,7 @@
 use super::scaling::{Plan, default_group};
 use super::session_proxies::SessionProxies;
 use crate::Error;
-use crate::figures::{Fault, Line};
+use crate::figures::{Fault, Record};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -374,7 +374,7 @@
     }
     let report = harness.fleet.take_report(&harness.discovery)?;
     let open_sessions = open_session_count(harness);
-    results.lines.push(Line::Fault(Fault {
+    results.records.push(Record::Fault(Fault {
         name: "a relay killed".to_string(),
         senders,
         p50_s: 0.0,
--- a/crates/scale/src/fleet/results.rs
+++ b/crates/scale/src/fleet/results.rs
@@ -2,7 +2,7 @@
 
 use super::harness::Reading;
 use crate::Error;
-use crate::figures::{Fit, Line, Point};
+use crate::figures::{Fit, Point, Record};
 use crate::fit::{Fitted, best};
 use crate::plot::{Series, draw};
 use serde_json::Value;
@@ -24,8 +24,8 @@
 /// All results of a run.
 #[derive(Debug, Default)]
 pub struct Results {
-    /// Lines recorded so far.
-    pub lines: Vec<Line>,
+    /// Records so far, in the order in which they are written.
+    pub records: Vec<Record>,
 }
 
 /// The measurement that a result belongs to.
@@ -52,7 +52,7 @@
         if !value.is_finite() {
             return;
         }
-        self.lines.push(Line::Point(Point {
+        self.records.push(Record::Point(Point {
             role: role.to_string(),
             quantity: quantity.to_string(),
             unit: unit.to_string(),
@@ -216,8 +216,8 @@
                 && point.other.get("kind") == parameters.get("kind")
                 && parameters.iter().all(|(name, value)| point.other.get(name) == Some(value))
         };
-        let points = self.lines.iter().filter_map(|line| {
-            if let Line::Point(point) = line {
+        let points = self.records.iter().filter_map(|record| {
+            if let Record::Point(point) = record {
                 Some(point)
             } else {
                 None
@@ -244,8 +244,8 @@
         distinct_sizes.sort_unstable();
         distinct_sizes.dedup();
         let fitted = best(&points).filter(|_| distinct_sizes.len() >= 3)?;
-        let unit = self.lines.iter().find_map(|line| match line {
-            Line::Point(point) if point.role == role && point.quantity == quantity => {
+        let unit = self.records.iter().find_map(|record| match record {
+            Record::Point(point) if point.role == role && point.quantity == quantity => {
                 Some(point.unit.clone())
             }
             _ => None,
@@ -263,7 +263,7 @@
         } else {
             format!(" [{}]", parameters.join(", "))
         };
-        self.lines.push(Line::Fit(Fit {
+        self.records.push(Record::Fit(Fit {
             role,
             quantity: quantity.to_string(),
             unit,
--- a/crates/scale/src/page/data.rs
+++ b/crates/scale/src/page/data.rs
@@ -1,7 +1,7 @@
 //! Reads the records of all measurements and finds them by role, quantity and axis.
 
 use crate::Error;
-use crate::figures::{Fault, Fit, Head, Line, Point, read};
+use crate::figures::{Fault, Fit, Head, Point, Record, read};
 use crate::fit::Form;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -194,23 +194,23 @@
                 .unwrap_or_default()
                 .to_string_lossy()
                 .into_owned();
-            let lines = read(&path)?;
-            let Some(Line::Head(head)) = lines.first() else {
+            let records = read(&path)?;
+            let Some(Record::Head(head)) = records.first() else {
                 return Err(Error::Unexpected(format!(
                     "{name} does not begin with a head record"
                 )));
             };
             data.heads.push((name.clone(), head.clone()));
-            data.add_records(&name, lines);
+            data.add_records(&name, records);
         }
         Ok(data)
     }
 
-    fn add_records(&mut self, file: &str, lines: Vec<Line>) {
-        for line in lines {
-            match line {
-                Line::Head(_) => {}
-                Line::Point(point) => {
+    fn add_records(&mut self, file: &str, records: Vec<Record>) {
+        for record in records {
+            match record {
+                Record::Head(_) => {}
+                Record::Point(point) => {
                     // a value that is not finite stands for a result that never arrived
                     if !point.value.is_finite() {
                         continue;
@@ -220,11 +220,11 @@
                         .points
                         .push(point);
                 }
-                Line::Fit(fit) => {
+                Record::Fit(fit) => {
                     self.slope_mut(file, (&fit.role, &fit.quantity, &fit.axis))
                         .fit = Some(fit.clone());
                 }
-                Line::Fault(fault) => self.faults.push((file.to_string(), fault)),
+                Record::Fault(fault) => self.faults.push((file.to_string(), fault)),
             }
         }
     }
--- a/crates/scale/src/roles/mod.rs
+++ b/crates/scale/src/roles/mod.rs
@@ -16,7 +16,7 @@
 mod turn;
 
 use crate::Error;
-use crate::figures::{self, Fit, Head, Line, Point};
+use crate::figures::{self, Fit, Head, Point, Record};
 use crate::fit::{Form, fit};
 use clap::Args;
 use std::ffi::OsStr;
@@ -221,7 +221,7 @@
         println!("{text}");
         return Ok(());
     }
-    let mut lines = vec![Line::Head(head(arguments)?)];
+    let mut records = vec![Record::Head(head(arguments)?)];
     let mut points = Vec::new();
     for measurement in MEASUREMENTS.iter().filter(|measurement| {
         arguments
@@ -248,9 +248,9 @@
             point.role, point.quantity, point.at, point.value, point.unit
         );
     }
-    lines.extend(points.iter().cloned().map(Line::Point));
-    lines.extend(fits(&points).into_iter().map(Line::Fit));
-    figures::write(&arguments.out, &lines)
+    records.extend(points.iter().cloned().map(Record::Point));
+    records.extend(fits(&points).into_iter().map(Record::Fit));
+    figures::write(&arguments.out, &records)
 }
 
 /// Runs one measurement in a separate process and adds the load average from before its start to each point.
--- a/crates/scale/tests/page.rs
+++ b/crates/scale/tests/page.rs
@@ -1,6 +1,6 @@
 //! Tests that the generated tables of docs/CAPACITY.md match the records in docs/capacity.
 
-use milletturn_scale::figures::{Line, read, write};
+use milletturn_scale::figures::{Record, read, write};
 use milletturn_scale::page::{check, render_page};
 use std::path::{Path, PathBuf};
 
@@ -32,23 +32,23 @@
     check(&page, folder.path()).expect("copied records generate the same page");
     let file = folder.path().join("roles.jsonl");
     let original = read(&file).expect("read the records");
-    let changes: [fn(&mut Line) -> bool; 3] = [
-        |line| match line {
-            Line::Head(head) => {
+    let changes: [fn(&mut Record) -> bool; 3] = [
+        |record| match record {
+            Record::Head(head) => {
                 head.commit.push('x');
                 true
             }
             _ => false,
         },
-        |line| match line {
-            Line::Fit(fit) => {
+        |record| match record {
+            Record::Fit(fit) => {
                 fit.coefficients[1] *= 2.0;
                 true
             }
             _ => false,
         },
-        |line| match line {
-            Line::Point(point) if point.at == 1_700_000.0 => {
+        |record| match record {
+            Record::Point(point) if point.at == 1_700_000.0 => {
                 point.value *= 2.0;
                 true
             }
@@ -56,23 +56,23 @@
         },
     ];
     for (number, change) in changes.into_iter().enumerate() {
-        let mut lines = original.clone();
+        let mut records = original.clone();
         assert!(
-            lines.iter_mut().any(change),
+            records.iter_mut().any(change),
             "change {number} found no record to change"
         );
-        write(&file, &lines).expect("write the file");
+        write(&file, &records).expect("write the file");
         check(&page, folder.path()).expect_err("a changed record generates another page");
     }
 
     // a value that is not a number is stored as null, and left out of the tables
-    let mut lines = original.clone();
-    let last = lines.iter_mut().rev().find_map(|line| match line {
-        Line::Point(point) => Some(point),
+    let mut records = original.clone();
+    let last = records.iter_mut().rev().find_map(|record| match record {
+        Record::Point(point) => Some(point),
         _ => None,
     });
     last.expect("a point record").value = f64::NAN;
-    write(&file, &lines).expect("write the file");
+    write(&file, &records).expect("write the file");
     let again = read(&file).expect("read the records again");
     assert_eq!(again.len(), original.len());
     render_page("<!-- made: breaks -->\n<!-- end -->\n", folder.path())
