--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -85,10 +85,10 @@
 fn findings_as_json_have_unchanged_keys_codes_and_positions() {
     let lines = |documents: &[Document]| -> String {
         let found = findings(documents);
-        let plain = found
+        let json_forms = found
             .iter()
             .map(|finding| finding.to_json_form(text_by_path(documents)));
-        plain
+        json_forms
             .map(|finding| serde_json::to_string(&finding).expect("valid JSON") + "\n")
             .collect()
     };
--- a/crates/scale/src/roles/journal.rs
+++ b/crates/scale/src/roles/journal.rs
@@ -79,8 +79,8 @@
             value,
         )
     };
-    let own = temp_dir()?;
-    let dir = context.folder.as_deref().unwrap_or(own.path());
+    let own_folder = temp_dir()?;
+    let dir = context.folder.as_deref().unwrap_or(own_folder.path());
     let resident = probe::resident()?;
     let (cpu, journal) = probe::cpu_in(|| journal_with_messages(dir, context.size, BODY_BYTES));
     let journal = journal?;
--- a/crates/scale/tests/small.rs
+++ b/crates/scale/tests/small.rs
@@ -8,7 +8,7 @@
 const REAL_SENDERS: u64 = 5;
 
 #[test]
-fn two_hundred_hollow_senders_and_five_real_ones_lose_nothing() {
+fn two_hundred_simulated_senders_and_five_real_ones_lose_nothing() {
     let scale = Path::new(env!("CARGO_BIN_EXE_milletturn-scale"));
     let program = scale.with_file_name("milletturn");
     assert!(
--- a/crates/sidecar/src/plan/decision_settings.rs
+++ b/crates/sidecar/src/plan/decision_settings.rs
@@ -13,6 +13,7 @@
     );
     settings.max_attempts = count_as_usize(document, &["retry", "attempts"]);
     settings.hedging_enabled = document.flag(&["retry", "copies"]);
+    // the decision module tells rejected clients to wait for half of this maximum
     settings.max_client_retry_after = document.time(&["retry", "client_wait"]) * 2;
     settings.idle_connection_timeout = document.time(&["connections", "idle"]);
     settings.weight_trust = 1.0;
