--- a/crates/scale/src/fleet/simulated_fleet.rs
+++ b/crates/scale/src/fleet/simulated_fleet.rs
@@ -2,7 +2,7 @@
 
 use super::counters::{Mark, Report};
 use super::discovery::Discovery;
-use super::simulated_senders::{Order, Response, SimulationConfig};
+use super::simulated_senders::{Request, Response, SimulationConfig};
 use crate::Error;
 use crate::cost::Cost;
 use std::io::{BufRead, BufReader, Write};
@@ -15,7 +15,7 @@
 #[derive(Debug)]
 struct HostProcess {
     child: Child,
-    orders: ChildStdin,
+    requests: ChildStdin,
     responses: BufReader<ChildStdout>,
     numbers: std::ops::Range<u64>,
 }
@@ -56,14 +56,15 @@
                 .stderr(Stdio::null())
                 .spawn();
             let mut child = child.map_err(Error::io(program.display().to_string()))?;
-            let (Some(orders), Some(responses)) = (child.stdin.take(), child.stdout.take()) else {
+            let (Some(requests), Some(responses)) = (child.stdin.take(), child.stdout.take())
+            else {
                 return Err(Error::Unexpected(
                     "a child process has no standard input or output".into(),
                 ));
             };
             let mut host = HostProcess {
                 child,
-                orders,
+                requests,
                 responses: BufReader::new(responses),
                 numbers: from..to,
             };
@@ -88,9 +89,13 @@
         Cost::of_all(self.ids())
     }
 
-    /// Sends each process an order for those of the chosen senders that it hosts; processes that host none of them get
-    /// no order.
-    fn send_to(&mut self, numbers: &[u64], order: impl Fn(Vec<u64>) -> Order) -> Result<(), Error> {
+    /// Sends each process a request for those of the chosen senders that it hosts; processes that host none of them get
+    /// no request.
+    fn send_to(
+        &mut self,
+        numbers: &[u64],
+        request: impl Fn(Vec<u64>) -> Request,
+    ) -> Result<(), Error> {
         let mut contacted = Vec::new();
         for (index, host) in self.hosts.iter_mut().enumerate() {
             let own: Vec<u64> = numbers
@@ -99,7 +104,7 @@
                 .filter(|number| host.numbers.contains(number))
                 .collect();
             if !own.is_empty() {
-                host.send(&order(own))?;
+                host.send(&request(own))?;
                 contacted.push(index);
             }
         }
@@ -108,10 +113,10 @@
             .try_for_each(|index| self.hosts[index].receive().map(drop))
     }
 
-    fn broadcast(&mut self, order: &Order) -> Result<Vec<Response>, Error> {
+    fn broadcast(&mut self, request: &Request) -> Result<Vec<Response>, Error> {
         self.hosts
             .iter_mut()
-            .try_for_each(|host| host.send(order))?;
+            .try_for_each(|host| host.send(request))?;
         self.hosts.iter_mut().map(HostProcess::receive).collect()
     }
 
@@ -120,7 +125,7 @@
     /// # Errors
     /// A process has ended, or the settings can't be read.
     pub fn start_senders(&mut self, numbers: &[u64]) -> Result<(), Error> {
-        self.send_to(numbers, Order::Start)
+        self.send_to(numbers, Request::Start)
     }
 
     /// Stops these senders as a crash would.
@@ -128,7 +133,7 @@
     /// # Errors
     /// A process has ended.
     pub fn kill_senders(&mut self, numbers: &[u64]) -> Result<(), Error> {
-        self.send_to(numbers, Order::Kill)
+        self.send_to(numbers, Request::Kill)
     }
 
     /// Stops these senders as SIGTERM would.
@@ -136,7 +141,7 @@
     /// # Errors
     /// A process has ended.
     pub fn stop_senders(&mut self, numbers: &[u64]) -> Result<(), Error> {
-        self.send_to(numbers, Order::Stop)
+        self.send_to(numbers, Request::Stop)
     }
 
     /// Measures from now on when each sender receives the version.
@@ -144,7 +149,7 @@
     /// # Errors
     /// A process has ended.
     pub fn set_mark(&mut self, mark: Mark) -> Result<(), Error> {
-        self.broadcast(&Order::Mark(mark)).map(drop)
+        self.broadcast(&Request::Mark(mark)).map(drop)
     }
 
     /// Checks each sender's permission to act at this interval in milliseconds; 0 stops the checks.
@@ -152,7 +157,7 @@
     /// # Errors
     /// A process has ended.
     pub fn sample_permissions(&mut self, interval_ms: u64) -> Result<(), Error> {
-        self.broadcast(&Order::SamplePermissions(interval_ms))
+        self.broadcast(&Request::SamplePermissions(interval_ms))
             .map(drop)
     }
 
@@ -161,7 +166,7 @@
     /// # Errors
     /// A process has ended, or the settings can't be read.
     pub fn reload_settings(&mut self) -> Result<u64, Error> {
-        let responses = self.broadcast(&Order::Reload)?;
+        let responses = self.broadcast(&Request::Reload)?;
         Ok(responses
             .iter()
             .filter_map(|response| {
@@ -180,12 +185,12 @@
     /// # Errors
     /// A process has ended.
     pub fn take_report(&mut self, discovery: &Discovery) -> Result<Report, Error> {
-        let order = Order::Report {
+        let request = Request::Report {
             version: discovery.version(),
             destinations: discovery.destinations(),
         };
         let mut sum = Report::default();
-        for response in self.broadcast(&order)? {
+        for response in self.broadcast(&request)? {
             if let Response::Report(report) = response {
                 sum.add(*report);
             }
@@ -212,7 +217,7 @@
 
     fn counts(&mut self, version: u64) -> Result<(u64, u64, u64), Error> {
         let mut sum = (0, 0, 0);
-        for response in self.broadcast(&Order::CountReady(version))? {
+        for response in self.broadcast(&Request::CountReady(version))? {
             if let Response::Counts {
                 informed,
                 permitted,
@@ -230,8 +235,8 @@
     fn send(&mut self, message: &impl serde::Serialize) -> Result<(), Error> {
         let text =
             serde_json::to_string(message).map_err(|error| Error::Unexpected(error.to_string()))?;
-        let sent = writeln!(self.orders, "{text}").and_then(|()| self.orders.flush());
-        sent.map_err(Error::io("sending an order to simulated senders"))
+        let sent = writeln!(self.requests, "{text}").and_then(|()| self.requests.flush());
+        sent.map_err(Error::io("sending a request to simulated senders"))
     }
 
     fn receive(&mut self) -> Result<Response, Error> {
--- a/crates/scale/src/fleet/simulated_senders.rs
+++ b/crates/scale/src/fleet/simulated_senders.rs
@@ -1,5 +1,5 @@
 //! Simulated senders: the real member, endpoint list and settings code on real sockets, thousands in one process,
-//! without a data path and without a disk. The process reads orders as JSON lines from its standard input and writes
+//! without a data path and without a disk. The process reads requests as JSON lines from its standard input and writes
 //! one response line for each.
 
 use super::counters::{Mark, Report, SenderCounters, hash_sum_of};
@@ -67,9 +67,9 @@
     }
 }
 
-/// An order to the process, written as a JSON line.
+/// A request to the process, written as a JSON line.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub enum Order {
+pub enum Request {
     /// Start these senders.
     #[serde(rename = "Begin")]
     Start(Vec<u64>),
@@ -97,10 +97,10 @@
     CountReady(u64),
 }
 
-/// The response to an order.
+/// The response to a request.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub enum Response {
-    /// The order was carried out; holds the time taken in microseconds.
+    /// The request was carried out; holds the time taken in microseconds.
     Done(u64),
     /// Counters since the last report.
     Report(Box<Report>),
@@ -116,7 +116,7 @@
         #[serde(rename = "hold")]
         with_session: u64,
     },
-    /// The order failed; holds the error message.
+    /// The request failed; holds the error message.
     Failed(String),
 }
 
@@ -140,12 +140,12 @@
 /// Runs the process until its standard input ends.
 ///
 /// # Errors
-/// Standard input can't be read or holds an invalid order, or standard output can't be written.
+/// Standard input can't be read or holds an invalid request, or standard output can't be written.
 pub fn run() -> Result<(), Error> {
-    let (order_sender, mut order_lines) = mpsc::unbounded_channel();
+    let (line_sender, mut request_lines) = mpsc::unbounded_channel();
     std::thread::spawn(move || {
         for line in std::io::stdin().lock().lines().map_while(Result::ok) {
-            if order_sender.send(line).is_err() {
+            if line_sender.send(line).is_err() {
                 return;
             }
         }
@@ -155,7 +155,7 @@
         .build();
     let runtime = runtime.map_err(Error::io("a runtime"))?;
     LocalSet::new().block_on(&runtime, async move {
-        let Some(first_line) = order_lines.recv().await else {
+        let Some(first_line) = request_lines.recv().await else {
             return Ok(());
         };
         let simulation_config: SimulationConfig = parse(&first_line)?;
@@ -165,7 +165,7 @@
             current_mark: Rc::default(),
             sampling_task: None,
         };
-        while let Some(line) = order_lines.recv().await {
+        while let Some(line) = request_lines.recv().await {
             let started = now();
             let response = match host.execute(parse(&line)?).await {
                 Ok(Some(response)) => response,
@@ -184,7 +184,8 @@
 }
 
 fn parse<T: serde::de::DeserializeOwned>(line: &str) -> Result<T, Error> {
-    serde_json::from_str(line).map_err(|error| Error::Unexpected(format!("invalid order: {error}")))
+    serde_json::from_str(line)
+        .map_err(|error| Error::Unexpected(format!("invalid request: {error}")))
 }
 
 struct SenderHost {
@@ -195,9 +196,9 @@
 }
 
 impl SenderHost {
-    async fn execute(&mut self, order: Order) -> Result<Option<Response>, Error> {
-        match order {
-            Order::Start(numbers) => {
+    async fn execute(&mut self, request: Request) -> Result<Option<Response>, Error> {
+        match request {
+            Request::Start(numbers) => {
                 for number in numbers {
                     let sender = self.start(number)?;
                     self.senders.insert(number, sender);
@@ -205,17 +206,17 @@
                     tokio::task::yield_now().await;
                 }
             }
-            Order::Kill(numbers) => numbers
+            Request::Kill(numbers) => numbers
                 .iter()
                 .for_each(|number| drop(self.senders.remove(number))),
-            Order::Stop(numbers) => self.stop(&numbers).await,
-            Order::Mark(mark) => {
+            Request::Stop(numbers) => self.stop(&numbers).await,
+            Request::Mark(mark) => {
                 self.senders
                     .values()
                     .for_each(|sender| sender.counters.borrow_mut().reset_mark());
                 *self.current_mark.borrow_mut() = Some(mark);
             }
-            Order::Reload => {
+            Request::Reload => {
                 for sender in self.senders.values_mut() {
                     let reloaded = reload(&sender.config.path, &sender.config.keys);
                     sender.config.settings = reloaded
@@ -223,8 +224,8 @@
                         .settings;
                 }
             }
-            Order::SamplePermissions(interval_ms) => self.sample_permissions(interval_ms),
-            Order::Report {
+            Request::SamplePermissions(interval_ms) => self.sample_permissions(interval_ms),
+            Request::Report {
                 version,
                 destinations,
             } => {
@@ -237,7 +238,7 @@
                 }
                 return Ok(Some(Response::Report(Box::new(report))));
             }
-            Order::CountReady(version) => {
+            Request::CountReady(version) => {
                 let informed = self
                     .senders
                     .values()
