--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -407,7 +407,8 @@
     }
     let classes = document.table_names("class");
     let mut names_by_id: BTreeMap<u64, String> = BTreeMap::new();
-    let mut owners: BTreeMap<String, (String, std::ops::Range<usize>)> = BTreeMap::new();
+    let mut destinations_by_address: BTreeMap<String, (String, std::ops::Range<usize>)> =
+        BTreeMap::new();
     for name in &names {
         let setting = |field: &'static str| ["destination", name.as_str(), field];
         if document.explicit_value(&setting("id")).is_some() {
@@ -437,7 +438,9 @@
         }
         let list: Vec<_> = document.list(&setting("endpoints")).to_vec();
         for (address, span) in list {
-            if let Some((other, first)) = owners.insert(address, (name.clone(), span.clone())) {
+            if let Some((other, first)) =
+                destinations_by_address.insert(address, (name.clone(), span.clone()))
+            {
                 let locations = vec![
                     document.location(Some(span), "here again"),
                     document.location(Some(first), format!("an endpoint of `{other}`")),
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -15,7 +15,7 @@
 /// Largest file that is read: 100,000 endpoints take about 3 MB, and a parsed file takes several times its size in
 /// memory.
 const MAX_FILE_BYTES: u64 = 16 << 20;
-/// Maximum number of findings up to which [`Document::add`] adds more to a file; a longer list would not help its reader.
+/// [`Document::add`] adds no further findings to a file that has this many; a longer list would not help its reader.
 const MAX_FINDINGS: usize = 200;
 /// Separates the parts of a setting's path. A dot would be ambiguous, since quoted TOML names may contain dots.
 const PATH_SEPARATOR: char = '\u{1f}';
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -42,8 +42,8 @@
 }
 
 impl Error {
-    /// Returns a function that adds what was attempted to a system error.
-    pub fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> Error {
-        move |error| Error::Io(what.into(), error)
+    /// Returns a function that adds the file, socket or process to a system error.
+    pub fn io(subject: impl Into<String>) -> impl FnOnce(std::io::Error) -> Error {
+        move |error| Error::Io(subject.into(), error)
     }
 }
--- a/crates/scale/src/page/limits.rs
+++ b/crates/scale/src/page/limits.rs
@@ -32,10 +32,13 @@
             if share > MAX_SHARE {
                 continue;
             }
-            let (what, full_size) = row.scales_with;
+            let (plan_figure, full_size) = row.scales_with;
             let cells = vec![
                 format!("{} %", digits(share * 100.0)),
-                format!("{} {what}", amount((share * full_size + 1e-6).floor(), "")),
+                format!(
+                    "{} {plan_figure}",
+                    amount((share * full_size + 1e-6).floor(), "")
+                ),
                 role.to_string(),
                 row.name().to_string(),
                 row.budget_text(),
--- a/crates/scale/src/page/roles.rs
+++ b/crates/scale/src/page/roles.rs
@@ -418,10 +418,10 @@
 /// Returns the rows of the session proxies and the other components between coordinators and senders.
 pub(super) fn session_proxies(data: &Data) -> Vec<Row> {
     // these quantities were measured with eight session proxies
-    let session_proxy = |what, quantity, unit| {
+    let session_proxy = |name, quantity, unit| {
         Row::slope(
             data,
-            what,
+            name,
             ("session-proxy", quantity, "sessions"),
             senders,
             unit,
@@ -508,7 +508,7 @@
         .per_unit_only()
         .times(|share| changes_per_s(share) * senders(share)),
     ];
-    for (what, role) in [
+    for (name, role) in [
         (
             "destinations that one line of a watch may have",
             "list.watch",
@@ -525,13 +525,13 @@
                 "`milletturn-sidecar` `endpoints`, measured"
             };
             rows.push(
-                Row::plan(what, destinations, "")
+                Row::plan(name, destinations, "")
                     .budget(max_size.value, source)
                     .grows_with(all.0, all.1),
             );
         }
     }
-    for (what, quantity, unit) in [
+    for (name, quantity, unit) in [
         (
             "processor of a stand-in source, a watch for each sender",
             "cpu",
@@ -541,7 +541,7 @@
     ] {
         rows.push(Row::slope(
             data,
-            what,
+            name,
             ("stand-in.discovery", quantity, "senders"),
             senders,
             unit,
--- a/crates/scale/src/page/rows.rs
+++ b/crates/scale/src/page/rows.rs
@@ -12,13 +12,16 @@
     /// depend on that share.
     Slope {
         slope: Box<Slope>,
-        name: String,
+        quantity_name: String,
         size: fn(f64) -> f64,
         times: fn(f64) -> f64,
         per_unit_only: bool,
     },
     /// The value at the largest measured size, for a quantity that does not grow along the axis.
-    Largest { slope: Box<Slope>, name: String },
+    Largest {
+        slope: Box<Slope>,
+        quantity_name: String,
+    },
     /// A value computed from the plan alone, given a share of the plan.
     Plan(fn(f64) -> f64),
     /// The system has no mechanism that the row could measure.
@@ -28,7 +31,7 @@
 }
 
 pub(super) struct Row {
-    what: &'static str,
+    name: &'static str,
     unit: &'static str,
     source: Source,
     budget: Option<(f64, &'static str)>,
@@ -44,24 +47,24 @@
     /// Creates a row of a measured quantity (role, quantity, axis). `size` gives the size at a share of the plan.
     pub(super) fn slope(
         data: &Data,
-        what: &'static str,
+        name: &'static str,
         (role, quantity, axis): (&str, &str, &str),
         size: fn(f64) -> f64,
         unit: &'static str,
     ) -> Self {
-        let name = format!("`{role} {quantity}` by {axis}");
+        let quantity_name = format!("`{role} {quantity}` by {axis}");
         let source = match data.find(role, quantity, axis) {
             Some(slope) => Source::Slope {
                 slope: Box::new(slope.clone()),
-                name,
+                quantity_name,
                 size,
                 times: unit_factor,
                 per_unit_only: false,
             },
-            None => Source::Unmeasured(name),
+            None => Source::Unmeasured(quantity_name),
         };
         Row {
-            what,
+            name,
             unit,
             source,
             budget: None,
@@ -73,23 +76,23 @@
     /// one at the largest measured number.
     pub(super) fn at_largest_size(
         data: &Data,
-        what: &'static str,
+        name: &'static str,
         (role, quantity, axis): (&str, &str, &str),
         unit: &'static str,
     ) -> Self {
-        let name = format!("`{role} {quantity}` by {axis}");
+        let quantity_name = format!("`{role} {quantity}` by {axis}");
         let source = match data
             .find(role, quantity, axis)
             .filter(|slope| !slope.points.is_empty())
         {
             Some(slope) => Source::Largest {
                 slope: Box::new(slope.clone()),
-                name,
+                quantity_name,
             },
-            None => Source::Unmeasured(name),
+            None => Source::Unmeasured(quantity_name),
         };
         Row {
-            what,
+            name,
             unit,
             source,
             budget: None,
@@ -98,9 +101,9 @@
     }
 
     /// Creates a row whose value is computed from the plan alone.
-    pub(super) fn plan(what: &'static str, value: fn(f64) -> f64, unit: &'static str) -> Self {
+    pub(super) fn plan(name: &'static str, value: fn(f64) -> f64, unit: &'static str) -> Self {
         Row {
-            what,
+            name,
             unit,
             source: Source::Plan(value),
             budget: None,
@@ -109,9 +112,9 @@
     }
 
     /// Creates a row for which the system has no mechanism.
-    pub(super) fn no_mechanism(what: &'static str) -> Self {
+    pub(super) fn no_mechanism(name: &'static str) -> Self {
         Row {
-            what,
+            name,
             unit: "",
             source: Source::NoMechanism,
             budget: None,
@@ -148,7 +151,7 @@
     }
 
     pub(super) fn name(&self) -> &'static str {
-        self.what
+        self.name
     }
 
     /// Returns the row's value at a share of the plan.
@@ -225,7 +228,10 @@
     pub(super) fn source_text(&self) -> String {
         match &self.source {
             Source::Slope {
-                slope, name, size, ..
+                slope,
+                quantity_name,
+                size,
+                ..
             } => {
                 let beyond = size(1.0) / slope.max_size();
                 let extrapolation = if beyond > 1.03 {
@@ -234,21 +240,24 @@
                     String::new()
                 };
                 format!(
-                    "{name} up to {}{extrapolation} ({})",
+                    "{quantity_name} up to {}{extrapolation} ({})",
                     integer(slope.max_size()),
                     slope.file
                 )
             }
-            Source::Largest { slope, name } => {
+            Source::Largest {
+                slope,
+                quantity_name,
+            } => {
                 format!(
-                    "{name}: of one, at {} ({})",
+                    "{quantity_name}: of one, at {} ({})",
                     integer(slope.max_size()),
                     slope.file
                 )
             }
             Source::Plan(_) => "plan".into(),
             Source::NoMechanism => "—".into(),
-            Source::Unmeasured(name) => format!("{name}: not run yet"),
+            Source::Unmeasured(quantity_name) => format!("{quantity_name}: not run yet"),
         }
     }
 
@@ -256,7 +265,7 @@
         if let Source::NoMechanism = self.source {
             let nothing = || "no mechanism today".to_string();
             return vec![
-                self.what.into(),
+                self.name.into(),
                 "".into(),
                 nothing(),
                 nothing(),
@@ -288,7 +297,7 @@
             (Some((budget, _)), Some(value)) => margin(value.amount, budget),
             _ => String::new(),
         };
-        let mut cells = vec![self.what.to_string(), per_unit.unwrap_or_default()];
+        let mut cells = vec![self.name.to_string(), per_unit.unwrap_or_default()];
         cells.extend(SHARES.map(value_text));
         cells.extend([self.source_text(), self.budget_text(), margin_text]);
         cells
--- a/crates/scale/src/page/shard_map.rs
+++ b/crates/scale/src/page/shard_map.rs
@@ -10,28 +10,28 @@
 /// Returns the rows of the shard map, whose state machines were measured without a network between them.
 pub(super) fn rows(data: &Data) -> Vec<Row> {
     let all = ("destinations", PLAN.destinations);
-    let assign = |what, quantity, unit| {
+    let assign = |name, quantity, unit| {
         Row::slope(
             data,
-            what,
+            name,
             ("shard-map.assign", quantity, "senders"),
             senders,
             unit,
         )
     };
-    let missed = |what, role, quantity, unit| {
+    let missed = |name, role, quantity, unit| {
         Row::slope(
             data,
-            what,
+            name,
             (role, quantity, "missed changes"),
             |_| MISSED_CHANGES,
             unit,
         )
     };
-    let replica = |what, quantity, size, unit| {
+    let replica = |name, quantity, size, unit| {
         Row::slope(
             data,
-            what,
+            name,
             ("shard-map.replica", quantity, "destinations"),
             size,
             unit,
--- a/crates/sidecar/src/endpoints/check.rs
+++ b/crates/sidecar/src/endpoints/check.rs
@@ -36,7 +36,7 @@
             let span = sidecar.span(&["destination", &name, "id"]);
             let label = format!("{} has no endpoint of {id}", list_path.display());
             let help = Some(format!(
-                "[destination.{id}] with its endpoints, in that file"
+                "add [destination.{id}] with its endpoints to that file"
             ));
             sidecar.add(Code::NoEndpoint, span, label, help);
         }
--- a/crates/sidecar/src/environment.rs
+++ b/crates/sidecar/src/environment.rs
@@ -45,7 +45,7 @@
         document.add(
             Code::StateFolderTemporary,
             document.span(&["state"]),
-            format!("it lies on {file_system}"),
+            format!("it is on {file_system}"),
             None,
         );
     }
--- a/crates/sidecar/src/environment/state_folder.rs
+++ b/crates/sidecar/src/environment/state_folder.rs
@@ -38,7 +38,7 @@
     #[error("{} can't be written", .0.display())]
     ParentNotWritable(PathBuf),
     /// The folder holds a file, which is named, that isn't a sidecar's.
-    #[error("it holds {0}, which is none of a sidecar's files")]
+    #[error("it contains {0}, which is not a file of a sidecar")]
     ForeignFile(String),
     /// Another process holds the lock.
     #[error("it is locked by a running sender")]
