--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -261,7 +261,7 @@
             document.time(&setting("aim")),
             document.time(&setting("deadline")),
         );
-        let (key_window, effect) = (
+        let (deduplication_window, effect) = (
             document.time(&setting("window")),
             document.text_of(&setting("effect")),
         );
@@ -312,11 +312,11 @@
                     help,
                 );
             }
-            Some("keyed") if deadline > key_window && key_window > 0 => {
-                let label = format!("the window is {}", format_time(key_window));
+            Some("keyed") if deadline > deduplication_window && deduplication_window > 0 => {
+                let label = format!("the window is {}", format_time(deduplication_window));
                 let help = format!(
                     "deadline = \"{}\" at most, or a longer window",
-                    format_time(key_window)
+                    format_time(deduplication_window)
                 );
                 document.add(
                     Code::DeadlineExceedsWindow,
--- a/crates/scale/src/roles/turn.rs
+++ b/crates/scale/src/roles/turn.rs
@@ -1,5 +1,5 @@
-//! Measures a turn of the delivery policy with many calls in flight and with many pending messages, the memory of a
-//! destination that was called, and the size of a metrics scrape by number of classes.
+//! Measures a turn, which is one call of the decision module, with many calls in flight and with many pending messages;
+//! the memory of a destination that was called; and the size of a metrics scrape by number of classes.
 
 use super::{MeasurementContext, point, probe};
 use crate::Error;
@@ -20,7 +20,7 @@
 /// Destinations to which every call succeeds.
 const HEALTHY_DESTINATIONS: u64 = 100;
 
-/// Drives the delivery policy on a simulated clock.
+/// Drives the decision module on a simulated clock.
 struct PolicyHarness {
     sender: Sender,
     now: Micros,
@@ -58,7 +58,7 @@
         Ok(harness)
     }
 
-    /// Passes events to the policy and returns the CPU time of the turn, in seconds.
+    /// Passes events to the decision module and returns the CPU time of the turn, in seconds.
     fn handle(&mut self, events: &[Event]) -> f64 {
         self.actions.clear();
         let (cpu, ()) = probe::cpu_in(|| self.sender.handle(self.now, events, &mut self.actions));
