--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -579,8 +579,8 @@
         }
     }
 
-    /// True if a finding is on a line that begins with the setting's name, in whatever table the line is. Such a setting
-    /// is present but invalid, and must not be reported as missing too.
+    /// True if a finding is on a line that begins with the setting's name, in whatever table the line is. Such a
+    /// setting is present but invalid, and must not be reported as missing too.
     fn is_already_reported(&self, path: &str) -> bool {
         let name = path.rsplit(PATH_SEPARATOR).next().unwrap_or(path);
         self.findings
--- a/crates/sidecar/src/outcome_log.rs
+++ b/crates/sidecar/src/outcome_log.rs
@@ -263,8 +263,8 @@
         self.rewrite_if_mostly_acknowledged()
     }
 
-    /// Replaces the file by one that holds the acknowledged cursor, the remembered numbers and the pending outcomes, if by
-    /// estimate at least half of it is acknowledged. The new file is written beside the old one and then renamed.
+    /// Replaces the file by one that holds the acknowledged cursor, the remembered numbers and the pending outcomes, if
+    /// by estimate at least half of it is acknowledged. The new file is written beside the old one and then renamed.
     fn rewrite_if_mostly_acknowledged(&mut self) -> Result<(), OutcomeLogError> {
         let pending_bytes = self.pending.len() as u64 * TYPICAL_RECORD_BYTES;
         let min_bytes = MIN_REWRITE_BYTES.min(self.max_bytes / 2);
