--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -187,7 +187,7 @@
 
 fn check_redrive_rules(document: &mut Document) {
     let classes = document.table_names("class");
-    let numbers: Vec<u64> = document
+    let ids: Vec<u64> = document
         .table_names("destination")
         .iter()
         .map(|name| document.count(&["destination", name, "id"]))
@@ -208,13 +208,11 @@
         if let Some(class) = document.text_of(&setting("class")) {
             check_class_exists(document, &setting("class"), &class, &classes);
         }
-        let number = document
+        let id = document
             .explicit_value(&setting("destination"))
             .map(|_| document.count(&setting("destination")));
-        if let Some(number) =
-            number.filter(|number| !has_endpoints_file && !numbers.contains(number))
-        {
-            let label = format!("no destination has the number {number}");
+        if let Some(id) = id.filter(|id| !has_endpoints_file && !ids.contains(id)) {
+            let label = format!("no destination has the number {id}");
             document.add(
                 Code::UnknownDestination,
                 document.span(&setting("destination")),
@@ -263,7 +261,7 @@
             document.time(&setting("aim")),
             document.time(&setting("deadline")),
         );
-        let (key_window, effect) = (
+        let (deduplication_window, effect) = (
             document.time(&setting("window")),
             document.text_of(&setting("effect")),
         );
@@ -314,11 +312,11 @@
                     help,
                 );
             }
-            Some("keyed") if deadline > key_window && key_window > 0 => {
-                let label = format!("the window is {}", format_time(key_window));
+            Some("keyed") if deadline > deduplication_window && deduplication_window > 0 => {
+                let label = format!("the window is {}", format_time(deduplication_window));
                 let help = format!(
                     "deadline = \"{}\" at most, or a longer window",
-                    format_time(key_window)
+                    format_time(deduplication_window)
                 );
                 document.add(
                     Code::DeadlineExceedsWindow,
@@ -409,7 +407,8 @@
     }
     let classes = document.table_names("class");
     let mut names_by_id: BTreeMap<u64, String> = BTreeMap::new();
-    let mut owners: BTreeMap<String, (String, std::ops::Range<usize>)> = BTreeMap::new();
+    let mut destinations_by_address: BTreeMap<String, (String, std::ops::Range<usize>)> =
+        BTreeMap::new();
     for name in &names {
         let setting = |field: &'static str| ["destination", name.as_str(), field];
         if document.explicit_value(&setting("id")).is_some() {
@@ -439,7 +438,9 @@
         }
         let list: Vec<_> = document.list(&setting("endpoints")).to_vec();
         for (address, span) in list {
-            if let Some((other, first)) = owners.insert(address, (name.clone(), span.clone())) {
+            if let Some((other, first)) =
+                destinations_by_address.insert(address, (name.clone(), span.clone()))
+            {
                 let locations = vec![
                     document.location(Some(span), "here again"),
                     document.location(Some(first), format!("an endpoint of `{other}`")),
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -15,7 +15,7 @@
 /// Largest file that is read: 100,000 endpoints take about 3 MB, and a parsed file takes several times its size in
 /// memory.
 const MAX_FILE_BYTES: u64 = 16 << 20;
-/// Maximum number of findings that are kept for one file; a longer list would not help its reader.
+/// [`Document::add`] adds no further findings to a file that has this many; a longer list would not help its reader.
 const MAX_FINDINGS: usize = 200;
 /// Separates the parts of a setting's path. A dot would be ambiguous, since quoted TOML names may contain dots.
 const PATH_SEPARATOR: char = '\u{1f}';
@@ -579,8 +579,8 @@
         }
     }
 
-    /// True if some finding is on a line that begins with the setting's name. Such a setting is present but invalid,
-    /// and must not be reported as missing too.
+    /// True if a finding is on a line that begins with the setting's name, in whatever table the line is. Such a
+    /// setting is present but invalid, and must not be reported as missing too.
     fn is_already_reported(&self, path: &str) -> bool {
         let name = path.rsplit(PATH_SEPARATOR).next().unwrap_or(path);
         self.findings
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -10,7 +10,7 @@
 use super::scaling::{CHANGES_PER_S, Plan, default_group};
 use super::scenario::{BaselineCost, Scenario};
 use crate::Error;
-use crate::figures::{Line, write};
+use crate::figures::{Record, write};
 use milletturn_coordination_protocol::clock::now;
 use rustix::process::Signal;
 use std::path::Path;
@@ -87,7 +87,7 @@
         let group = harness
             .coordinators
             .as_ref()
-            .ok_or_else(|| Error::Wrong("the harness has no coordinators".into()))?;
+            .ok_or_else(|| Error::Unexpected("the harness has no coordinators".into()))?;
         let (discovery, addresses) = (harness.discovery.addresses[0], group.addresses(0));
         let numbers = size.senders..size.senders + size.real;
         // with every session slot taken by simulated senders, real senders run without sessions
@@ -124,10 +124,10 @@
             eprintln!("{name} ...");
             scenario.begin_fault(name)?;
             fault(&mut scenario)?;
-            let line = scenario.end_fault()?;
-            eprintln!("{}", serde_json::to_string(&line).unwrap_or_default());
-            results.lines.push(Line::Fault(line));
-            write(out, &results.lines)?;
+            let result = scenario.end_fault()?;
+            eprintln!("{}", serde_json::to_string(&result).unwrap_or_default());
+            results.records.push(Record::Fault(result));
+            write(out, &results.records)?;
         }
         clients.iter().for_each(tokio::task::AbortHandle::abort);
         // a message expires after 20 s, and its notification may have to wait for discovery
@@ -138,7 +138,7 @@
             scenario.harness.endpoint.received(),
         );
         eprintln!(
-            "real senders: {submitted} handed in, {accepted} taken on, {delivered} delivered, {notifications} notices, {repeated_calls} calls beyond"
+            "real senders: {submitted} messages submitted, {accepted} accepted, {delivered} delivered, {notifications} notifications, {repeated_calls} repeated calls"
         );
         let conditions = super::results::Conditions {
             axis: "senders",
@@ -154,12 +154,12 @@
         ] {
             results.add_point("sender.real", quantity, "count", &conditions, value as f64);
         }
-        write(out, &results.lines)?;
+        write(out, &results.records)?;
     }
     let name = "discovery away for 10 s, list on request";
     if is_selected(name) && Instant::now() < plan.deadline {
         measure_polling_recovery(plan, results, name, 250)?;
-        write(out, &results.lines)?;
+        write(out, &results.records)?;
     }
     Ok(())
 }
@@ -414,10 +414,10 @@
     scenario.publish_marked()?;
     let known = scenario.count_informed_within(senders, Duration::from_secs(90))?;
     scenario.add_note(format!(
-        "{known} of {senders} knew it within 90 s; rests grow by 80 ms for each sender (discovery_backoff.rs)"
+        "{known} of {senders} knew it within 90 s; retry delays grow by 80 ms for each sender (discovery_backoff.rs)"
     ));
-    let line = scenario.end_fault()?;
-    eprintln!("{}", serde_json::to_string(&line).unwrap_or_default());
-    results.lines.push(Line::Fault(line));
+    let result = scenario.end_fault()?;
+    eprintln!("{}", serde_json::to_string(&result).unwrap_or_default());
+    results.records.push(Record::Fault(result));
     Ok(())
 }
--- a/crates/scale/src/fleet/proxied_faults.rs
+++ b/crates/scale/src/fleet/proxied_faults.rs
@@ -5,7 +5,7 @@
 use super::proxied_sessions::open_session_count;
 use super::results::Results;
 use crate::Error;
-use crate::figures::{Fault, Line};
+use crate::figures::{Fault, Record};
 use std::collections::BTreeMap;
 use std::thread::sleep;
 use std::time::{Duration, Instant};
@@ -60,7 +60,7 @@
             report.sessions_opened, report.rejections
         );
         eprintln!("{name}: {note}");
-        results.lines.push(Line::Fault(Fault {
+        results.records.push(Record::Fault(Fault {
             name: name.to_string(),
             senders,
             p50_s: 0.0,
@@ -132,7 +132,7 @@
     let (Some(coordinators), Some(session_proxies)) =
         (&mut harness.coordinators, &mut harness.session_proxies)
     else {
-        return Err(Error::Wrong(
+        return Err(Error::Unexpected(
             "the harness has no coordinators or no session proxies".into(),
         ));
     };
@@ -146,7 +146,7 @@
     let (Some(coordinators), Some(session_proxies)) =
         (&mut harness.coordinators, &mut harness.session_proxies)
     else {
-        return Err(Error::Wrong(
+        return Err(Error::Unexpected(
             "the harness has no coordinators or no session proxies".into(),
         ));
     };
--- a/crates/scale/src/fleet/proxied_sessions.rs
+++ b/crates/scale/src/fleet/proxied_sessions.rs
@@ -7,7 +7,7 @@
 use super::scaling::{Plan, default_group};
 use super::session_proxies::SessionProxies;
 use crate::Error;
-use crate::figures::{Fault, Line};
+use crate::figures::{Fault, Record};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -145,28 +145,28 @@
     (
         "steward.leader",
         "cpu",
-        "Throne::renew_all (crates/steward/src/reign.rs): one question to the majority for a batch, a look at each of its \
-         sessions, and a walk over all works",
+        "Leadership::serve_heartbeat_batch (crates/coordinator/src/leadership/heartbeats.rs): one request to a quorum for \
+         a batch, a look-up of each of its sessions, and a pass through all resources",
     ),
     (
         "steward.leader",
         "resident",
-        "a session in the book, in its snapshot and among the leases",
+        "a session in the coordination state, in its snapshot and in the lease table",
     ),
     (
         "steward.leader",
         "descriptors",
-        "a connection for each relay, whatever it carries",
+        "a connection for each session proxy, whatever it carries",
     ),
     (
         "steward.leader",
         "disk",
-        "nothing is written for a renewal (reign.rs)",
+        "nothing is written for a heartbeat (heartbeats.rs)",
     ),
     (
         "steward.leader",
         "asked_by_senders",
-        "Relay::next (crates/fleet/src/relay.rs): a batch in each time of gathering",
+        "HeartbeatBatcher::next_step (crates/coordination/src/heartbeat_batcher.rs): a batch in each batching delay",
     ),
     (
         "steward.leader",
@@ -176,29 +176,29 @@
     (
         "steward.leader",
         "bytes_to_senders",
-        "each session in the answer to its batch",
+        "each session in the response to its batch",
     ),
     (
         "steward.follower",
         "cpu",
-        "answers the leader's question for each batch",
+        "responds to the leader's request for each batch",
     ),
     (
         "steward.follower",
         "resident",
-        "a session in the book and in its snapshot",
+        "a session in the coordination state and in its snapshot",
     ),
     (
         "relay",
         "cpu",
-        "Relay::ask and one HTTP call for each renewal of its members",
+        "HeartbeatForwarder::forward and one HTTP call for each heartbeat of its members",
     ),
     ("relay", "resident", "a connection for each member"),
     ("relay", "descriptors", "a connection for each member"),
     (
         "relay",
         "messages",
-        "Member::keep: four renewals in a lease, asked and told",
+        "Member::maintain_session: four heartbeats in a lease, each with a request and a response",
     ),
 ];
 
@@ -248,7 +248,7 @@
     harness
         .session_proxies
         .as_ref()
-        .ok_or_else(|| Error::Wrong("the harness has no session proxies".into()))
+        .ok_or_else(|| Error::Unexpected("the harness has no session proxies".into()))
 }
 
 fn measure(
@@ -275,7 +275,7 @@
     results.record_span(conditions, &before, &after, senders, 0, leader);
     let span = plan.span.as_secs_f64();
     let mut total_traffic = super::meter::Traffic::default();
-    let bytes = require_session_proxies(harness)?.has_byte_counts();
+    let has_byte_counts = require_session_proxies(harness)?.has_byte_counts();
     for ((cost, traffic), (cost_before, traffic_before)) in
         proxies_after.into_iter().zip(proxies_before)
     {
@@ -289,7 +289,7 @@
         ] {
             results.add_point("relay", quantity, unit, conditions, value);
         }
-        if bytes {
+        if has_byte_counts {
             let (from, to) = (
                 traffic.request_bytes as f64 / span,
                 traffic.response_bytes as f64 / span,
@@ -306,7 +306,7 @@
         conditions,
         total_traffic.messages() as f64 / sender_seconds,
     );
-    if bytes {
+    if has_byte_counts {
         results.add_point(
             "sender",
             "session_bytes_out",
@@ -374,7 +374,7 @@
     }
     let report = harness.fleet.take_report(&harness.discovery)?;
     let open_sessions = open_session_count(harness);
-    results.lines.push(Line::Fault(Fault {
+    results.records.push(Record::Fault(Fault {
         name: "a relay killed".to_string(),
         senders,
         p50_s: 0.0,
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -38,12 +38,12 @@
     Io(String, #[source] std::io::Error),
     /// A process, response or file is not as expected.
     #[error("{0}")]
-    Wrong(String),
+    Unexpected(String),
 }
 
 impl Error {
-    /// Returns a function that adds what was attempted to a system error.
-    pub fn io(what: impl Into<String>) -> impl FnOnce(std::io::Error) -> Error {
-        move |error| Error::Io(what.into(), error)
+    /// Returns a function that adds the file, socket or process to a system error.
+    pub fn io(subject: impl Into<String>) -> impl FnOnce(std::io::Error) -> Error {
+        move |error| Error::Io(subject.into(), error)
     }
 }
--- a/crates/scale/src/roles/turn.rs
+++ b/crates/scale/src/roles/turn.rs
@@ -1,5 +1,5 @@
-//! Measures a turn of the delivery policy with many calls in flight and with many pending messages, the memory of a
-//! destination that was called, and the size of a metrics scrape by number of classes.
+//! Measures a turn, which is one call of the decision module, with many calls in flight and with many pending messages;
+//! the memory of a destination that was called; and the size of a metrics scrape by number of classes.
 
 use super::{MeasurementContext, point, probe};
 use crate::Error;
@@ -20,7 +20,7 @@
 /// Destinations to which every call succeeds.
 const HEALTHY_DESTINATIONS: u64 = 100;
 
-/// Drives the delivery policy on a simulated clock.
+/// Drives the decision module on a simulated clock.
 struct PolicyHarness {
     sender: Sender,
     now: Micros,
@@ -41,7 +41,8 @@
             separate_routes: false,
             max_batch_size: 1,
         });
-        let sender = Sender::new(settings, 3).map_err(|error| Error::Wrong(error.to_string()))?;
+        let sender =
+            Sender::new(settings, 3).map_err(|error| Error::Unexpected(error.to_string()))?;
         let mut harness = PolicyHarness {
             sender,
             now: 100 * SECOND,
@@ -57,7 +58,7 @@
         Ok(harness)
     }
 
-    /// Passes events to the policy and returns the CPU time of the turn, in seconds.
+    /// Passes events to the decision module and returns the CPU time of the turn, in seconds.
     fn handle(&mut self, events: &[Event]) -> f64 {
         self.actions.clear();
         let (cpu, ()) = probe::cpu_in(|| self.sender.handle(self.now, events, &mut self.actions));
@@ -103,7 +104,9 @@
             self.submit(1_000_000_000 + round, first + round % healthy);
             let ends = self.attempt_ends(Outcome::Success);
             if ends.is_empty() {
-                return Err(Error::Wrong(format!("no call was sent in round {round}")));
+                return Err(Error::Unexpected(format!(
+                    "no call was sent in round {round}"
+                )));
             }
             self.now += MILLISECOND;
             times.push(self.handle(&ends));
@@ -123,7 +126,7 @@
         sent += harness.sends().len() as u64;
     }
     if sent < in_flight {
-        return Err(Error::Wrong(format!(
+        return Err(Error::Unexpected(format!(
             "only {sent} of {in_flight} calls were sent"
         )));
     }
