--- a/crates/dead-letter/benches/store.rs
+++ b/crates/dead-letter/benches/store.rs
@@ -5,7 +5,7 @@
 use milletturn_dead_letter::config::Config;
 use milletturn_dead_letter::redrive_service::RedriveService;
 use milletturn_dead_letter::store::{DeadLetterStore, StoreLimits};
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{AttemptRecord, EndReason, Ending, RedriveOutcome, SharedStr};
 use milletturn_policy::{Effect, Micros, Outcome, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/dead-letter/src/archive_handle.rs
+++ b/crates/dead-letter/src/archive_handle.rs
@@ -3,7 +3,7 @@
 //! Both send to the store's thread through bounded channels, and never block the engine.
 
 use crate::job::Job;
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{DeadLetterSink, Ending, EngineEvent, Observer};
 use milletturn_policy::Outcome;
 use std::sync::mpsc::{SyncSender, TrySendError};
--- a/crates/dead-letter/src/redrive_service.rs
+++ b/crates/dead-letter/src/redrive_service.rs
@@ -13,7 +13,7 @@
 use crate::redrive_schedule::{Candidate, RedriveSchedule};
 use crate::row::Row;
 use crate::store::{DeadLetterStore, Page, SaveOutcome, StoreLimits};
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{EndReason, Ending, RedriveOrder, RedriveOutcome};
 use milletturn_policy::{Effect, Micros};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/dead-letter/src/row.rs
+++ b/crates/dead-letter/src/row.rs
@@ -7,7 +7,7 @@
 };
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{EndReason, Ending};
 use milletturn_policy::Micros;
 use rusqlite::types::ValueRef;
--- a/crates/dead-letter/src/store/save.rs
+++ b/crates/dead-letter/src/store/save.rs
@@ -6,7 +6,7 @@
 use crate::record::{Attempt, Round, State, ending_text, outcome_text, reason_text};
 use crate::row::Row;
 use milletturn_engine::Ending;
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_policy::{Micros, Outcome};
 use rusqlite::{ErrorCode, Transaction};
 
--- a/crates/dead-letter/src/store_worker.rs
+++ b/crates/dead-letter/src/store_worker.rs
@@ -8,7 +8,7 @@
 use crate::redrive_decision::RedriveDecision;
 use crate::redrive_service::RedriveService;
 use crate::store::{DeadLetterStore, set_aside};
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{Clock, Input, RedriveOrder, RedriveOutcome, RedriveRequest};
 use milletturn_logging::log;
 use milletturn_policy::{Effect, Micros};
--- a/crates/dead-letter/tests/golden/store_script.rs
+++ b/crates/dead-letter/tests/golden/store_script.rs
@@ -4,7 +4,7 @@
 use bytes::Bytes;
 use milletturn_dead_letter::redrive_service::{RedriveService, Resolution, SaveReport};
 use milletturn_dead_letter::store::StoreLimits;
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{AttemptRecord, EndReason, Ending, RedriveOutcome, SharedStr};
 use milletturn_policy::{MILLISECOND, Micros, Outcome, SECOND};
 use std::collections::BTreeSet;
--- a/crates/dead-letter/tests/simulation/ports.rs
+++ b/crates/dead-letter/tests/simulation/ports.rs
@@ -1,6 +1,6 @@
 //! The engine's ports: the journal, whose writes stop at the crash, the archive, and the observer of attempts.
 
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{
     Accepted, AttemptStarted, DeadLetterSink, Ending, EngineEvent, Journal, JournalError,
     MessageEnd, Observer, Unfinished,
--- a/crates/dead-letter/tests/simulation/process.rs
+++ b/crates/dead-letter/tests/simulation/process.rs
@@ -6,7 +6,7 @@
 use super::{Simulation, rows};
 use milletturn_dead_letter::record::Summary;
 use milletturn_dead_letter::redrive_service::RedriveService;
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{
     ArrivalOutcome, Clock, EndpointListUpdate, Engine, Input, ListedEndpoint, Notification, Ports,
     RedriveOrder, RedriveRequest,
--- a/crates/dead-letter/tests/store.rs
+++ b/crates/dead-letter/tests/store.rs
@@ -6,7 +6,7 @@
 use milletturn_dead_letter::record::{BodyMode, Filter, Record, State};
 use milletturn_dead_letter::redrive_service::{RedriveService, Resolution, SaveReport};
 use milletturn_dead_letter::store::{DeadLetterStore, StoreLimits};
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{AttemptRecord, EndReason, Ending, RedriveOutcome, SharedStr};
 use milletturn_policy::{Effect, Micros, Outcome, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/engine/src/endings.rs
+++ b/crates/engine/src/endings.rs
@@ -1,7 +1,7 @@
 //! Ends of attempts and messages: what is recorded in the journal, reported to the observer and notified to clients.
 
-use crate::archive::EndReason;
 use crate::calls::AttemptRef;
+use crate::dead_letter_sink::EndReason;
 use crate::engine::Engine;
 use crate::ingress::Notification;
 use crate::journal::{Ending, MessageEnd};
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,11 +1,11 @@
 //! The engine's state and its turns. In each turn the decision module handles all pending events in one call, and its
 //! actions become calls, replies and notifications.
 
-use crate::archive::DeadLetterSink;
 use crate::arrivals::{DuplicateArrival, PendingArrival};
 use crate::calls::{Batch, OutstandingCall, StartRequest};
 use crate::classes::ClassTable;
 use crate::clock::Clock;
+use crate::dead_letter_sink::DeadLetterSink;
 use crate::delivered::DeliveredIds;
 use crate::endpoints::EndpointTable;
 use crate::ingress::Notification;
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -1,7 +1,7 @@
 //! The inputs that reach the engine from its ports, and how the engine handles each.
 
-use crate::archive::RedriveRequest;
 use crate::calls::StartRequest;
+use crate::dead_letter_sink::RedriveRequest;
 use crate::endpoint_list::EndpointListUpdate;
 use crate::engine::Engine;
 use crate::ingress::{Arrival, ArrivalOutcome};
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -12,7 +12,7 @@
 //! | transport | makes calls to endpoints ([`Transport`], [`Call`], [`AttemptEnd`]) | [`transport`] |
 //! | endpoint list | reports which endpoints exist ([`EndpointListUpdate`]) | [`endpoint_list`] |
 //! | journal | records what must survive the process ([`Journal`]) | [`journal`] |
-//! | dead letters | stores undelivered messages and requests redrives ([`DeadLetterSink`], [`RedriveRequest`]) | [`archive`] |
+//! | dead letters | stores undelivered messages and requests redrives ([`DeadLetterSink`], [`RedriveRequest`]) | [`dead_letter_sink`] |
 //! | observer | receives engine events for logs and metrics ([`Observer`], [`EngineEvent`]) | [`observer`] |
 //!
 //! Behind the ports, each module holds one part of the [`Engine`]'s work:
@@ -34,11 +34,11 @@
 //! Every input reaches the engine as an [`Input`] on one channel. Under tokio's paused clock, with test doubles for
 //! the ports, the engine runs in virtual time and each run is the same.
 
-pub mod archive;
 mod arrivals;
 mod calls;
 mod classes;
 mod clock;
+pub mod dead_letter_sink;
 mod delivered;
 mod endings;
 pub mod endpoint_list;
@@ -59,11 +59,11 @@
 mod snapshot;
 pub mod transport;
 
-pub use archive::{
+pub use clock::Clock;
+pub use dead_letter_sink::{
     AttemptRecord, DeadLetterSink, EndReason, RedriveOrder, RedriveOutcome, RedriveRequest,
     UncertainAttempt,
 };
-pub use clock::Clock;
 pub use endpoint_list::{EndpointListUpdate, ListedEndpoint};
 pub use engine::Engine;
 pub use ingress::{Arrival, ArrivalOutcome, MAX_BODY_BYTES, Notification};
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -1,6 +1,6 @@
 //! The engine's state of one message and its attempts.
 
-use crate::archive::EndReason;
+use crate::dead_letter_sink::EndReason;
 use crate::journal::{Ending, MessageEnd};
 use crate::transport::CallItem;
 use milletturn_policy::{EndpointId, MILLISECOND, Micros, Outcome};
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -1,7 +1,7 @@
 //! The settings and port implementations that an engine is built from.
 
-use crate::archive::DeadLetterSink;
 use crate::clock::Clock;
+use crate::dead_letter_sink::DeadLetterSink;
 use crate::endpoint_list::EndpointListUpdate;
 use crate::ingress::Notification;
 use crate::journal::Journal;
--- a/crates/engine/src/redrive.rs
+++ b/crates/engine/src/redrive.rs
@@ -1,6 +1,6 @@
 //! Redrives: messages in the dead-letter store whose delivery is attempted again.
 
-use crate::archive::{RedriveOrder, RedriveOutcome, RedriveRequest, UncertainAttempt};
+use crate::dead_letter_sink::{RedriveOrder, RedriveOutcome, RedriveRequest, UncertainAttempt};
 use crate::engine::Engine;
 use crate::journal::{Accepted, AttemptStarted};
 use crate::message::{Attempt, Message};
--- a/crates/engine/src/retention.rs
+++ b/crates/engine/src/retention.rs
@@ -1,7 +1,7 @@
 //! Retention of messages that have ended: the journal holds each one until its notification is acknowledged and the
 //! dead-letter store has stored it.
 
-use crate::archive::{AttemptRecord, EndedMessage};
+use crate::dead_letter_sink::{AttemptRecord, EndedMessage};
 use crate::engine::Engine;
 use crate::ingress::is_internal_class;
 use crate::journal::{Ending, MessageEnd};
--- a/crates/engine/src/snapshot.rs
+++ b/crates/engine/src/snapshot.rs
@@ -7,10 +7,10 @@
 //! that order is the snapshot's format. A snapshot carries no version of its format; whoever transfers a snapshot
 //! transfers the version too.
 
-use crate::archive::EndReason;
 use crate::calls::{AttemptRef, OutstandingCall};
 use crate::classes::ClassTable;
 use crate::clock::Clock;
+use crate::dead_letter_sink::EndReason;
 use crate::endpoints::{EndpointTable, Route};
 use crate::engine::Engine;
 use crate::journal::{Ending, MessageEnd};
--- a/crates/engine/tests/redrives.rs
+++ b/crates/engine/tests/redrives.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::*;
 use milletturn_policy::{Class, Effect, MILLISECOND, Micros, Outcome, SECOND};
 use milletturn_test_support::{
--- a/crates/scale/src/roles/store.rs
+++ b/crates/scale/src/roles/store.rs
@@ -8,7 +8,7 @@
 use milletturn_dead_letter::config::Config;
 use milletturn_dead_letter::redrive_service::RedriveService;
 use milletturn_dead_letter::store::DeadLetterStore;
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{AttemptRecord, EndReason, Ending, SharedStr};
 use milletturn_policy::{Effect, Micros, Outcome, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
