--- a/crates/dead-letter/src/archive_handle.rs
+++ b/crates/dead-letter/src/engine_ports.rs
@@ -1,4 +1,4 @@
-//! The engine's interface to the dead-letter store: the archive that accepts messages, and the observer of attempts.
+//! The engine's interface to the dead-letter store: the sink that accepts messages, and the observer of attempts.
 //!
 //! Both send to the store's thread through bounded channels, and never block the engine.
 
@@ -8,15 +8,15 @@
 use milletturn_policy::Outcome;
 use std::sync::mpsc::{SyncSender, TrySendError};
 
-/// The engine's archive, which sends messages to the store's thread.
+/// Sends messages that ended undelivered to the store's thread.
 #[derive(Debug)]
-pub struct ArchiveHandle {
+pub struct StoreWorkerSink {
     pub(crate) messages: SyncSender<Box<EndedMessage>>,
     pub(crate) jobs: SyncSender<Job>,
     pub(crate) store_returned: bool,
 }
 
-impl DeadLetterSink for ArchiveHandle {
+impl DeadLetterSink for StoreWorkerSink {
     fn should_store(&self, ending: Ending) -> bool {
         match ending {
             Ending::Failed => true,
--- a/crates/dead-letter/src/lib.rs
+++ b/crates/dead-letter/src/lib.rs
@@ -7,13 +7,13 @@
 //! - [`store`]: the SQLite file.
 //! - [`redrive_service`]: combines the store with the redrive rules.
 //! - [`store_worker`]: runs the service on a thread of its own, which receives [`job`]s.
-//! - [`archive_handle`]: the engine's interface to the store.
+//! - [`engine_ports`]: the engine's interface to the store.
 //! - [`control`]: the Unix socket for operators' commands.
 //! - [`config`]: the settings, a TOML file.
 
-pub mod archive_handle;
 pub mod config;
 pub mod control;
+pub mod engine_ports;
 pub mod error;
 pub mod job;
 pub mod record;
--- a/crates/dead-letter/src/store_worker.rs
+++ b/crates/dead-letter/src/store_worker.rs
@@ -1,7 +1,7 @@
 //! Runs the redrive service on a thread of its own, so that a slow disk does not delay the engine.
 
-use crate::archive_handle::{ArchiveHandle, AttemptObserver};
 use crate::config::Config;
+use crate::engine_ports::{AttemptObserver, StoreWorkerSink};
 use crate::error::{RedriveError, Rejection, StoreError};
 use crate::job::{Job, RedriveJob, Redriven};
 use crate::record::BodyMode;
@@ -97,10 +97,10 @@
         })
     }
 
-    /// The archive to give to the engine.
+    /// The sink through which the engine stores messages.
     #[must_use]
-    pub fn archive_handle(&self) -> ArchiveHandle {
-        ArchiveHandle {
+    pub fn sink(&self) -> StoreWorkerSink {
+        StoreWorkerSink {
             messages: self.messages.clone(),
             jobs: self.jobs.clone(),
             store_returned: self.store_returned,
--- a/crates/dead-letter/tests/simulation/ports.rs
+++ b/crates/dead-letter/tests/simulation/ports.rs
@@ -1,4 +1,4 @@
-//! The engine's ports: the journal, whose writes stop at the crash, the archive, and the observer of attempts.
+//! The engine's ports: the journal, whose writes stop at the crash, the dead-letter sink, and the observer of attempts.
 
 use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{
@@ -85,11 +85,11 @@
     }
 }
 
-/// An archive that queues messages until the service saves them.
+/// A sink that queues messages until the service saves them.
 #[derive(Clone, Default)]
-pub(super) struct ArchiveQueue(pub(super) Rc<RefCell<VecDeque<EndedMessage>>>);
+pub(super) struct DeadLetterQueue(pub(super) Rc<RefCell<VecDeque<EndedMessage>>>);
 
-impl DeadLetterSink for ArchiveQueue {
+impl DeadLetterSink for DeadLetterQueue {
     fn should_store(&self, ending: Ending) -> bool {
         ending != Ending::Delivered
     }
--- a/crates/dead-letter/tests/simulation/process.rs
+++ b/crates/dead-letter/tests/simulation/process.rs
@@ -2,7 +2,7 @@
 
 use super::clients::Answers;
 use super::plan::settings;
-use super::ports::{ArchiveQueue, AttemptEnds, CrashingJournal};
+use super::ports::{AttemptEnds, CrashingJournal, DeadLetterQueue};
 use super::{Simulation, rows};
 use milletturn_dead_letter::record::Summary;
 use milletturn_dead_letter::redrive_service::RedriveService;
@@ -40,7 +40,7 @@
     pub(super) crash_point: &'a CrashPoint,
     pub(super) service: RedriveService,
     pub(super) engine: mpsc::UnboundedSender<Input>,
-    archive: ArchiveQueue,
+    dead_letters: DeadLetterQueue,
     attempt_ends: AttemptEnds,
     notifications: mpsc::UnboundedReceiver<Notification>,
     ready: watch::Sender<bool>,
@@ -93,7 +93,7 @@
             crash_point,
             service,
             engine: inputs,
-            archive: ArchiveQueue::default(),
+            dead_letters: DeadLetterQueue::default(),
             attempt_ends: AttemptEnds::default(),
             notifications,
             ready: watch::Sender::new(false),
@@ -134,7 +134,7 @@
                 endpoints: endpoints.collect(),
             }),
             journal: Box::new(journal),
-            dead_letters: Some(Box::new(self.archive.clone())),
+            dead_letters: Some(Box::new(self.dead_letters.clone())),
             first_message_number,
             transport: Box::new(VirtualTransport::new(
                 simulation.environment.clone(),
@@ -202,7 +202,7 @@
             && self.open_replies.get() == 0
             && self.answers.borrow().is_empty()
             && self.unfinished.borrow().is_empty()
-            && self.archive.0.borrow().is_empty()
+            && self.dead_letters.0.borrow().is_empty()
     }
 
     fn panic_unfinished(&self) -> ! {
@@ -240,13 +240,13 @@
     /// The service saves the queued messages. The process may crash before the save, or between the save and the
     /// confirmation to the engine.
     fn save(&mut self) {
-        let batch: Vec<EndedMessage> = self.archive.0.borrow().iter().cloned().collect();
+        let batch: Vec<EndedMessage> = self.dead_letters.0.borrow().iter().cloned().collect();
         if batch.is_empty() || !self.crash_point.try_step() {
             return;
         }
         let report = self.service.save(&batch, self.simulation.unix());
         let saved = report.expect("the store").saved;
-        self.archive
+        self.dead_letters
             .0
             .borrow_mut()
             .retain(|message| !saved.contains(&message.number));
--- a/src/assemble/engine.rs
+++ b/src/assemble/engine.rs
@@ -40,7 +40,7 @@
             cached_endpoints: options.cached_endpoints.take(),
             journal: Box::new(self.journal),
             dead_letters: store_worker
-                .map(|worker| Box::new(worker.archive_handle()) as Box<dyn DeadLetterSink>),
+                .map(|worker| Box::new(worker.sink()) as Box<dyn DeadLetterSink>),
             first_message_number: store_worker
                 .map_or(0, |worker| worker.first_number)
                 .max(options.first_message_number),
