--- a/crates/dead-letter/src/control/commands.rs
+++ b/crates/dead-letter/src/control/commands.rs
@@ -3,7 +3,7 @@
 use super::messages::{Request, Response};
 use super::server::ResponseWriter;
 use crate::error::{RedriveError, Rejection, StoreError};
-use crate::job::{Call, GetRequest, Job, ListRequest, RedriveJob, Redriven, ResolveJob};
+use crate::job::{GetRequest, Job, ListRequest, RedriveJob, Redriven, ResolveJob, WithReply};
 use crate::record::{BodyMode, Filter, Summary};
 use crate::redrive_service::Resolution;
 use std::collections::BTreeSet;
@@ -15,10 +15,10 @@
 use tokio::time::sleep;
 
 /// Maximum number of messages that one job reads from the store.
-const PAGE: usize = 200;
-/// How often a command retries to add a job to the full queue of the store's thread, before it fails.
-const MAX_QUEUE_ATTEMPTS: usize = 1000;
-/// Wait between two attempts to add a job to the full queue.
+const PAGE_SIZE: usize = 200;
+/// How many times a command retries to add a job to the full queue of the store's thread before it fails.
+const MAX_QUEUE_RETRIES: usize = 1000;
+/// Backoff before each of these retries.
 const QUEUE_BACKOFF: Duration = Duration::from_millis(5);
 
 /// Why the answer to a command ended early.
@@ -39,13 +39,13 @@
     responses: &mut ResponseWriter,
 ) -> Result<(), CommandError> {
     match request {
-        Request::Stats => stats(jobs, responses).await,
+        Request::Stats => write_stats(jobs, responses).await,
         Request::List { filter, limit } => {
             let limit = limit.unwrap_or(usize::MAX);
-            list(filter, limit, jobs, responses).await
+            write_summaries(filter, limit, jobs, responses).await
         }
         Request::Records { filter, bodies } => {
-            records(filter, BodyMode::from_requested(bodies), jobs, responses).await
+            write_records(filter, BodyMode::from_requested(bodies), jobs, responses).await
         }
         Request::Redrive {
             filter,
@@ -60,7 +60,7 @@
                 dry_run,
             };
             for_each_number(filter, jobs, responses, async |number| {
-                call(jobs, redrive(number), Job::Redrive).await
+                submit_job(jobs, redrive(number), Job::Redrive).await
             })
             .await
         }
@@ -70,7 +70,7 @@
             actor,
             reason,
         } => {
-            let resolution = resolution(did_not_run);
+            let resolution = resolution_for(did_not_run);
             let resolve = |number| ResolveJob {
                 number,
                 resolution,
@@ -78,7 +78,7 @@
                 reason: reason.clone(),
             };
             for_each_number(filter, jobs, responses, async |number| {
-                call(jobs, resolve(number), Job::Resolve).await?;
+                submit_job(jobs, resolve(number), Job::Resolve).await?;
                 Ok(Redriven { until: None })
             })
             .await
@@ -86,12 +86,15 @@
     }
 }
 
-async fn stats(jobs: &SyncSender<Job>, responses: &mut ResponseWriter) -> Result<(), CommandError> {
-    let stats = call(jobs, (), Job::Stats).await?;
+async fn write_stats(
+    jobs: &SyncSender<Job>,
+    responses: &mut ResponseWriter,
+) -> Result<(), CommandError> {
+    let stats = submit_job(jobs, (), Job::Stats).await?;
     Ok(responses.write(&Response::Stats(stats)).await?)
 }
 
-fn resolution(did_not_run: bool) -> Resolution {
+fn resolution_for(did_not_run: bool) -> Resolution {
     if did_not_run {
         Resolution::DidNotRun
     } else {
@@ -99,7 +102,7 @@
     }
 }
 
-async fn list(
+async fn write_summaries(
     filter: Filter,
     limit: usize,
     jobs: &SyncSender<Job>,
@@ -117,7 +120,7 @@
     Ok(())
 }
 
-async fn records(
+async fn write_records(
     filter: Filter,
     body: BodyMode,
     jobs: &SyncSender<Job>,
@@ -127,7 +130,7 @@
     while let Some(page) = pages.next(usize::MAX).await? {
         for Summary { number, .. } in page {
             let request = GetRequest { number, body };
-            if let Some(record) = call(jobs, request, Job::Get).await? {
+            if let Some(record) = submit_job(jobs, request, Job::Get).await? {
                 responses.count += 1;
                 responses.write(&Response::Record(Box::new(record))).await?;
             }
@@ -136,8 +139,9 @@
     Ok(())
 }
 
-/// Changes each message that matches, and writes the result for each. Numbers that the filter names and the store does
-/// not hold are rejected.
+/// Changes each message that matches the filter, and writes the result for each. A number that the filter lists is
+/// rejected as [`Rejection::NotFound`] if no message matches, even if the store holds a message with this number that
+/// another condition of the filter excludes.
 async fn for_each_number(
     filter: Filter,
     jobs: &SyncSender<Job>,
@@ -206,9 +210,9 @@
         let request = ListRequest {
             filter: self.filter.clone(),
             after,
-            limit: PAGE.min(limit),
+            limit: PAGE_SIZE.min(limit),
         };
-        let page = call(self.jobs, request, Job::List).await?;
+        let page = submit_job(self.jobs, request, Job::List).await?;
         self.next_after = page.next_after;
         Ok(Some(page.messages))
     }
@@ -216,17 +220,17 @@
 
 /// Sends a job to the store's thread and waits for its reply. Unlike the engine, a command may wait while the thread's
 /// queue is full.
-async fn call<Q, A, E: From<StoreError>>(
+async fn submit_job<Q, R, E: From<StoreError>>(
     jobs: &SyncSender<Job>,
     request: Q,
-    job: impl FnOnce(Call<Q, A, E>) -> Job,
-) -> Result<A, E> {
+    job: impl FnOnce(WithReply<Q, R, E>) -> Job,
+) -> Result<R, E> {
     let (reply, reply_receiver) = oneshot::channel();
-    let mut job = job(Call { request, reply });
+    let mut job = job(WithReply { request, reply });
     for attempt in 0.. {
         match jobs.try_send(job) {
             Ok(()) => break,
-            Err(TrySendError::Full(returned)) if attempt < MAX_QUEUE_ATTEMPTS => job = returned,
+            Err(TrySendError::Full(returned)) if attempt < MAX_QUEUE_RETRIES => job = returned,
             Err(_) => return Err(StoreError::Unavailable.into()),
         }
         sleep(QUEUE_BACKOFF).await;
--- a/crates/dead-letter/src/control/messages.rs
+++ b/crates/dead-letter/src/control/messages.rs
@@ -69,8 +69,8 @@
     Done {
         /// Number of the message.
         number: u64,
-        /// Latest time at which the redrive may start (Unix time in microseconds), if the window of the message's
-        /// idempotency key limits it.
+        /// The redrive must start before this Unix time in microseconds, because the deduplication window of the
+        /// message's idempotency key ends soon after; `None` without a limit.
         until: Option<Micros>,
         /// Why the message was not redriven or resolved; `None` if it was.
         #[serde(rename = "declined")]
--- a/crates/dead-letter/src/error.rs
+++ b/crates/dead-letter/src/error.rs
@@ -9,20 +9,20 @@
 #[derive(Debug, Error)]
 pub enum StoreError {
     /// The file is damaged.
-    #[error("the store {path} is damaged: {what}", path = path.display())]
+    #[error("the store {path} is damaged: {problem}", path = path.display())]
     Damaged {
         /// The store's file.
         path: PathBuf,
         /// What is damaged, and how.
-        what: String,
+        problem: String,
     },
     /// The file belongs to a newer version of this program, or to another program.
-    #[error("the store {path} is not one that this version can read: {what}", path = path.display())]
+    #[error("the store {path} is not one that this version can read: {found}", path = path.display())]
     Unsupported {
         /// The store's file.
         path: PathBuf,
         /// The application id and version that were found in the file.
-        what: String,
+        found: String,
     },
     /// The file can't be created.
     #[error("the store {path} can't be created: {source}", path = path.display())]
@@ -36,12 +36,12 @@
     #[error("the store can't be used: {0}")]
     Database(#[from] rusqlite::Error),
     /// A row has values that this program never writes, or a checksum that does not match.
-    #[error("the store's row {number} can't be read: {what}")]
+    #[error("the store's row {number} can't be read: {problem}")]
     InvalidRow {
         /// Number of the row's message; 0 if the number can't be read.
         number: u64,
         /// What is wrong with the row.
-        what: String,
+        problem: String,
     },
     /// The store's thread does not run, or did not reply.
     #[error("the store can't be used; see the log")]
--- a/crates/dead-letter/src/job.rs
+++ b/crates/dead-letter/src/job.rs
@@ -20,29 +20,29 @@
         succeeded: bool,
     },
     /// Reads a page of a list.
-    List(Call<ListRequest, Page>),
+    List(WithReply<ListRequest, Page>),
     /// Reads everything that the store holds about a message.
-    Get(Call<GetRequest, Option<Record>>),
+    Get(WithReply<GetRequest, Option<Record>>),
     /// Reads the store's statistics.
-    Stats(Call<(), Stats>),
+    Stats(WithReply<(), Stats>),
     /// Redrives a message, or only decides whether a redrive is allowed.
-    Redrive(Call<RedriveJob, Redriven, RedriveError>),
+    Redrive(WithReply<RedriveJob, Redriven, RedriveError>),
     /// Resolves a message.
-    Resolve(Call<ResolveJob, (), RedriveError>),
+    Resolve(WithReply<ResolveJob, (), RedriveError>),
 }
 
 /// A request to the store's thread, with the channel for its reply.
 #[derive(Debug)]
-pub struct Call<Q, A, E = StoreError> {
+pub struct WithReply<Q, R, E = StoreError> {
     /// The parameters of the request.
     pub request: Q,
     /// Receives the single reply; the receiver may be gone if the command's connection ended.
-    pub reply: oneshot::Sender<Result<A, E>>,
+    pub reply: oneshot::Sender<Result<R, E>>,
 }
 
-impl<Q, A, E> Call<Q, A, E> {
+impl<Q, R, E> WithReply<Q, R, E> {
     /// Runs `handle` on the request and sends the result as the reply.
-    pub(crate) fn respond(self, handle: impl FnOnce(Q) -> Result<A, E>) {
+    pub(crate) fn respond(self, handle: impl FnOnce(Q) -> Result<R, E>) {
         let _ = self.reply.send(handle(self.request));
     }
 }
@@ -83,8 +83,8 @@
 /// The result of a redrive that was accepted, or of a dry run of one that is allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Redriven {
-    /// Latest time at which the redrive may start (Unix time in microseconds), if the window of the message's
-    /// idempotency key limits it.
+    /// The redrive must start before this Unix time in microseconds, because the deduplication window of the message's
+    /// idempotency key ends soon after; `None` without a limit.
     pub until: Option<Micros>,
 }
 
--- a/crates/dead-letter/src/row.rs
+++ b/crates/dead-letter/src/row.rs
@@ -135,14 +135,14 @@
     ///
     /// # Errors
     /// When a column has a value or type that this program never writes.
-    pub fn read(found: &rusqlite::Row<'_>) -> Result<Self, StoreError> {
-        let number = read_number(found)?;
-        if found.as_ref().column_count() != COLUMNS {
+    pub fn read(sql_row: &rusqlite::Row<'_>) -> Result<Self, StoreError> {
+        let number = read_number(sql_row)?;
+        if sql_row.as_ref().column_count() != COLUMNS {
             return Err(invalid(number, "it does not have the expected columns"));
         }
-        let history: String = column(found, number, 15)?;
-        let summary = read_shared_columns(found, number)?;
-        let body = match found.get_ref(16) {
+        let history: String = column(sql_row, number, 15)?;
+        let summary = read_shared_columns(sql_row, number)?;
+        let body = match sql_row.get_ref(16) {
             Ok(ValueRef::Blob(bytes)) => Some(bytes.to_vec()),
             Ok(ValueRef::Null) => None,
             _ => return Err(invalid(number, "its body is not a BLOB")),
@@ -164,11 +164,11 @@
             redrives: summary.redrives,
             first_uncertain_at: summary.first_uncertain_at,
             confirmed_not_run: summary.confirmed_not_run,
-            redrive_requested_at: column(found, number, 14)?,
+            redrive_requested_at: column(sql_row, number, 14)?,
             history: serde_json::from_str(&history)
                 .map_err(|error| invalid(number, &error.to_string()))?,
             body,
-            checksum: column(found, number, 17)?,
+            checksum: column(sql_row, number, 17)?,
         })
     }
 
@@ -176,12 +176,12 @@
     ///
     /// # Errors
     /// When a column has a value or type that this program never writes.
-    pub fn read_summary(found: &rusqlite::Row<'_>) -> Result<Summary, StoreError> {
-        let number = read_number(found)?;
-        let length: Option<i64> = column(found, number, 15)?;
+    pub fn read_summary(sql_row: &rusqlite::Row<'_>) -> Result<Summary, StoreError> {
+        let number = read_number(sql_row)?;
+        let length: Option<i64> = column(sql_row, number, 15)?;
         Ok(Summary {
             body_bytes: length.map(i64::unsigned_abs),
-            ..read_shared_columns(found, number)?
+            ..read_shared_columns(sql_row, number)?
         })
     }
 
@@ -319,46 +319,46 @@
 }
 
 /// Reads the columns that [`SELECT_AFTER`] and [`SELECT_ONE`] have at the same positions.
-fn read_shared_columns(found: &rusqlite::Row<'_>, number: u64) -> Result<Summary, StoreError> {
-    let state: String = column(found, number, 5)?;
+fn read_shared_columns(sql_row: &rusqlite::Row<'_>, number: u64) -> Result<Summary, StoreError> {
+    let state: String = column(sql_row, number, 5)?;
     Ok(Summary {
         number,
-        id: column(found, number, 1)?,
-        key: column(found, number, 2)?,
-        class: column(found, number, 3)?,
-        destination: column::<i64>(found, number, 4)? as u64,
+        id: column(sql_row, number, 1)?,
+        key: column(sql_row, number, 2)?,
+        class: column(sql_row, number, 3)?,
+        destination: column::<i64>(sql_row, number, 4)? as u64,
         state: State::parse(&state).ok_or_else(|| invalid(number, "unknown state"))?,
-        ending: column(found, number, 6)?,
-        reason: column(found, number, 7)?,
-        accepted_at: column(found, number, 8)?,
-        deadline: column(found, number, 9)?,
-        ended_at: column(found, number, 10)?,
-        redrives: column(found, number, 11)?,
-        first_uncertain_at: column(found, number, 12)?,
-        confirmed_not_run: column(found, number, 13)?,
+        ending: column(sql_row, number, 6)?,
+        reason: column(sql_row, number, 7)?,
+        accepted_at: column(sql_row, number, 8)?,
+        deadline: column(sql_row, number, 9)?,
+        ended_at: column(sql_row, number, 10)?,
+        redrives: column(sql_row, number, 11)?,
+        first_uncertain_at: column(sql_row, number, 12)?,
+        confirmed_not_run: column(sql_row, number, 13)?,
         body_bytes: None,
     })
 }
 
-fn read_number(found: &rusqlite::Row<'_>) -> Result<u64, StoreError> {
-    let number: i64 = found.get(0)?;
+fn read_number(sql_row: &rusqlite::Row<'_>) -> Result<u64, StoreError> {
+    let number: i64 = sql_row.get(0)?;
     u64::try_from(number)
         .map_err(|_| invalid(0, &format!("message number {number} is out of range")))
 }
 
 fn column<T: rusqlite::types::FromSql>(
-    found: &rusqlite::Row<'_>,
+    sql_row: &rusqlite::Row<'_>,
     number: u64,
     index: usize,
 ) -> Result<T, StoreError> {
-    found
+    sql_row
         .get(index)
         .map_err(|error| invalid(number, &error.to_string()))
 }
 
-fn invalid(number: u64, what: &str) -> StoreError {
+fn invalid(number: u64, problem: &str) -> StoreError {
     StoreError::InvalidRow {
         number,
-        what: what.to_string(),
+        problem: problem.to_string(),
     }
 }
--- a/crates/dead-letter/src/store.rs
+++ b/crates/dead-letter/src/store.rs
@@ -6,7 +6,7 @@
 //! lost page is found before any message is sent from the file.
 //!
 //! - this module: opening the file, and reading and changing single rows;
-//! - `schema`: creation, versions and settings of the database; setting a damaged file aside;
+//! - `schema`: creation, versions and settings of the database, and the renaming of a damaged file;
 //! - `integrity`: verification of the whole file;
 //! - `query`: lists of messages, and statistics;
 //! - `save`: new messages and the ends of their redrives;
@@ -62,11 +62,11 @@
         // SQLite treats a file shorter than a page as a new database. This program renames a new database to its
         // final name only when it is complete, so a shorter file has been truncated.
         match std::fs::metadata(path) {
-            Ok(found) if found.len() < PAGE_BYTES => {
-                let what = format!("it was cut to {} bytes", found.len());
+            Ok(metadata) if metadata.len() < PAGE_BYTES => {
+                let problem = format!("it was cut to {} bytes", metadata.len());
                 return Err(StoreError::Damaged {
                     path: path.to_path_buf(),
-                    what,
+                    problem,
                 });
             }
             Ok(_) => {}
@@ -107,25 +107,25 @@
     /// Converts errors that indicate a damaged file to [`StoreError::Damaged`]; returns other errors unchanged.
     fn classify(&self, error: StoreError) -> StoreError {
         match error {
-            StoreError::Database(rusqlite::Error::SqliteFailure(code, what))
+            StoreError::Database(rusqlite::Error::SqliteFailure(code, message))
                 if matches!(
                     code.code,
                     ErrorCode::DatabaseCorrupt | ErrorCode::NotADatabase
                 ) =>
             {
-                self.damaged(what.unwrap_or_else(|| code.to_string()))
+                self.damaged(message.unwrap_or_else(|| code.to_string()))
             }
-            StoreError::InvalidRow { number, what } => {
-                self.damaged(format!("row {number}: {what}"))
+            StoreError::InvalidRow { number, problem } => {
+                self.damaged(format!("row {number}: {problem}"))
             }
             other => other,
         }
     }
 
-    fn damaged(&self, what: String) -> StoreError {
+    fn damaged(&self, problem: String) -> StoreError {
         StoreError::Damaged {
             path: self.path.clone(),
-            what,
+            problem,
         }
     }
 
@@ -145,7 +145,8 @@
         Ok(self.row(number)?.map(|row| row.into_record(body)))
     }
 
-    /// Changes a row in one transaction. `change` gets the row and returns `None` if nothing is to be written.
+    /// Changes a row in one transaction. `change` gets the row and returns `None` if nothing is to be written. Returns
+    /// the result of `change`, or `None` if there is no such row.
     ///
     /// # Errors
     /// When the row can't be read or written; then nothing has changed.
@@ -175,7 +176,7 @@
     };
     let mut statement = connection.prepare_cached(row::SELECT_ONE)?;
     let found = statement
-        .query_row([key], |found| Ok(Row::read(found)))
+        .query_row([key], |sql_row| Ok(Row::read(sql_row)))
         .optional()?;
     let Some(row) = found.transpose()? else {
         return Ok(None);
--- a/crates/dead-letter/src/store/integrity.rs
+++ b/crates/dead-letter/src/store/integrity.rs
@@ -11,7 +11,8 @@
     /// Reads the whole file, and verifies its structure, the checksum of each row, and the number of rows.
     ///
     /// # Errors
-    /// [`StoreError::Damaged`] at the first fault.
+    /// [`StoreError::Damaged`] at the first damage that is found, or [`StoreError::Database`] when the file can't be read
+    /// for another reason, such as a lock.
     pub fn verify(&self) -> Result<(), StoreError> {
         self.verify_contents().map_err(|error| match error {
             StoreError::Database(error @ rusqlite::Error::SqliteFailure(..)) => {
@@ -32,8 +33,8 @@
         let mut statement = self.connection.prepare(row::SELECT_ALL)?;
         let mut rows = statement.query([])?;
         let mut count: i64 = 0;
-        while let Some(found) = rows.next()? {
-            Row::read(found)?.verify()?;
+        while let Some(sql_row) = rows.next()? {
+            Row::read(sql_row)?.verify()?;
             count += 1;
         }
         let expected: i64 = self.connection.query_row(
@@ -59,8 +60,8 @@
         match u64::try_from(last.unwrap_or(0)) {
             Ok(last) if last < MAX_NUMBER as u64 => Ok(last),
             _ => {
-                let what = format!("message number {} is out of range", last.unwrap_or(0));
-                Err(self.damaged(what))
+                let problem = format!("message number {} is out of range", last.unwrap_or(0));
+                Err(self.damaged(problem))
             }
         }
     }
--- a/crates/dead-letter/src/store/schema.rs
+++ b/crates/dead-letter/src/store/schema.rs
@@ -1,4 +1,4 @@
-//! Creates, versions and configures the database, and moves damaged files aside.
+//! Creates and configures the database, checks its version, and sets damaged files aside.
 
 use super::{DeadLetterStore, PAGE_BYTES, StoreLimits};
 use crate::error::StoreError;
@@ -20,13 +20,14 @@
 const BUSY_TIMEOUT: Duration = Duration::from_secs(2);
 /// The smallest size limit of the database, in pages.
 const MIN_PAGES: i64 = 16;
-/// Maximum number of damaged files that lie aside at the same time.
+/// Maximum number of damaged files that are kept beside the store.
 const MAX_SET_ASIDE: u32 = 3;
 
-/// Moves a damaged file out of the way, with its rollback journal, and returns its new path.
+/// Renames a damaged file and its rollback journal, so that a new file can be created; returns the new path. The
+/// damaged file is kept for an operator to inspect.
 ///
 /// # Errors
-/// When the file can't be moved, or three damaged files that no operator has removed lie aside already.
+/// When the file can't be renamed, or three damaged files exist already that no operator has removed.
 pub fn set_aside(path: &Path) -> io::Result<PathBuf> {
     for number in 1..=MAX_SET_ASIDE {
         let aside = path.with_extension(format!("damaged-{number}"));
@@ -127,6 +128,6 @@
     }
     Err(StoreError::Unsupported {
         path: store.path.clone(),
-        what: format!("application {application:#x}, version {version}"),
+        found: format!("application {application:#x}, version {version}"),
     })
 }
--- a/crates/dead-letter/src/store_worker.rs
+++ b/crates/dead-letter/src/store_worker.rs
@@ -143,9 +143,9 @@
     error: &StoreError,
 ) -> Result<DeadLetterStore, StoreError> {
     log(format_args!("undelivered: {error}"));
-    let damaged = |what: String| StoreError::Damaged {
+    let damaged = |problem: String| StoreError::Damaged {
         path: path.to_path_buf(),
-        what,
+        problem,
     };
     let size = std::fs::metadata(path).map_or(0, |file| file.len());
     if size.saturating_add(2 * config.max_bytes) > max_total_bytes {
@@ -156,7 +156,7 @@
     let aside =
         set_aside(path).map_err(|error| damaged(format!("it could not be set aside: {error}")))?;
     log(format_args!(
-        "undelivered: set aside as {}; nothing is sent from it, and a new store begins",
+        "undelivered: set aside as {}; nothing is sent from it, and a new store is created",
         aside.display()
     ));
     DeadLetterStore::open(path, RedriveService::limits(config))
@@ -215,10 +215,10 @@
     loop {
         match jobs.recv_timeout(RULE_INTERVAL) {
             Ok(job) => {
-                worker.do_job(job, now());
+                worker.handle_job(job, now());
                 jobs.try_iter()
                     .take(JOBS_PER_TURN)
-                    .for_each(|job| worker.do_job(job, now()));
+                    .for_each(|job| worker.handle_job(job, now()));
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
@@ -249,7 +249,7 @@
 }
 
 impl Worker {
-    fn do_job(&mut self, job: Job, now: Micros) {
+    fn handle_job(&mut self, job: Job, now: Micros) {
         let service = &mut self.service;
         match job {
             Job::Wake => {}
@@ -257,20 +257,26 @@
                 destination,
                 succeeded,
             } => service.on_attempt_end(destination, succeeded, now),
-            Job::List(call) => {
-                call.respond(|list| service.list(&list.filter, list.after, list.limit));
+            Job::List(request) => {
+                request.respond(|list| service.list(&list.filter, list.after, list.limit));
             }
-            Job::Get(call) => call.respond(|get| service.record(get.number, get.body)),
-            Job::Stats(call) => call.respond(|()| service.stats(now)),
-            Job::Redrive(call) => call.respond(|job| self.redrive(&job, now)),
-            Job::Resolve(call) => call.respond(|job| {
-                service.resolve(job.number, job.resolution, &job.actor, &job.reason, now)
+            Job::Get(request) => request.respond(|get| service.record(get.number, get.body)),
+            Job::Stats(request) => request.respond(|()| service.stats(now)),
+            Job::Redrive(request) => request.respond(|redrive| self.redrive(&redrive, now)),
+            Job::Resolve(request) => request.respond(|resolve| {
+                service.resolve(
+                    resolve.number,
+                    resolve.resolution,
+                    &resolve.actor,
+                    &resolve.reason,
+                    now,
+                )
             }),
         }
     }
 
-    fn redrive(&mut self, job: &RedriveJob, now: Micros) -> Result<Redriven, RedriveError> {
-        let record = self.service.record(job.number, BodyMode::Omit)?;
+    fn redrive(&mut self, request: &RedriveJob, now: Micros) -> Result<Redriven, RedriveError> {
+        let record = self.service.record(request.number, BodyMode::Omit)?;
         let record = record.ok_or(Rejection::NotFound)?;
         let redriven = Redriven {
             until: match self.service.decide(&record.summary, now)? {
@@ -278,12 +284,12 @@
                 _ => None,
             },
         };
-        if job.dry_run {
+        if request.dry_run {
             return Ok(redriven);
         }
-        let order = self
-            .service
-            .request_redrive(job.number, &job.actor, &job.reason, now)?;
+        let order =
+            self.service
+                .request_redrive(request.number, &request.actor, &request.reason, now)?;
         match self.submit_redrive(order, now)? {
             RedriveOutcome::Accepted => Ok(redriven),
             other => Err(Rejection::Engine(other).into()),
