--- a/crates/dead-letter/src/config.rs
+++ b/crates/dead-letter/src/config.rs
@@ -91,16 +91,16 @@
 /// The file's top level, as it is written in TOML.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct FileForm {
+struct RawConfig {
     #[serde(default)]
-    store: StoreForm,
+    store: RawStore,
     #[serde(default, rename = "rule")]
-    rules: Vec<RuleForm>,
+    rules: Vec<RawRule>,
 }
 
 #[derive(Deserialize, Default)]
 #[serde(deny_unknown_fields)]
-struct StoreForm {
+struct RawStore {
     file: Option<String>,
     max_mb: Option<f64>,
     max_messages: Option<u64>,
@@ -112,7 +112,7 @@
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct RuleForm {
+struct RawRule {
     name: String,
     #[serde(default)]
     classes: Vec<String>,
@@ -164,7 +164,7 @@
     /// # Errors
     /// As [`Config::read`].
     pub fn parse(path: &Path, text: &str) -> Result<Self, ConfigError> {
-        let file: FileForm = toml::from_str(text).map_err(|source| ConfigError::Toml {
+        let file: RawConfig = toml::from_str(text).map_err(|source| ConfigError::Toml {
             path: path.to_path_buf(),
             source: Box::new(source),
         })?;
@@ -178,7 +178,7 @@
     }
 }
 
-impl StoreForm {
+impl RawStore {
     fn apply(self, config: &mut Config, checks: &Checks<'_>) -> Result<(), ConfigError> {
         if let Some(name) = self.file {
             let reserved = name == "journal" || name.starts_with('.');
@@ -210,7 +210,7 @@
     }
 }
 
-impl RuleForm {
+impl RawRule {
     fn into_rule(self, checks: &Checks<'_>) -> Result<RedriveRule, ConfigError> {
         let setting = |field: &str| format!("rule {:?}: {field}", self.name);
         let reason = |text: &String| -> Result<EndReason, ConfigError> {
--- a/crates/dead-letter/src/control/server.rs
+++ b/crates/dead-letter/src/control/server.rs
@@ -31,14 +31,14 @@
 /// # Errors
 /// When the socket can't be created.
 pub fn listen(folder: &Path) -> io::Result<UnixListener> {
-    let new = folder.join(format!("{SOCKET_NAME}.new"));
-    match std::fs::remove_file(&new) {
+    let temporary_path = folder.join(format!("{SOCKET_NAME}.new"));
+    match std::fs::remove_file(&temporary_path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(error),
         _ => {}
     }
-    let listener = UnixListener::bind(&new)?;
-    std::fs::set_permissions(&new, std::fs::Permissions::from_mode(0o600))?;
-    std::fs::rename(&new, folder.join(SOCKET_NAME))?;
+    let listener = UnixListener::bind(&temporary_path)?;
+    std::fs::set_permissions(&temporary_path, std::fs::Permissions::from_mode(0o600))?;
+    std::fs::rename(&temporary_path, folder.join(SOCKET_NAME))?;
     Ok(listener)
 }
 
--- a/crates/dead-letter/src/record.rs
+++ b/crates/dead-letter/src/record.rs
@@ -166,8 +166,8 @@
     /// Number of redrives so far.
     #[serde(rename = "resends")]
     pub redrives: u32,
-    /// When the first attempt was sent that the destination may have processed, without attempts that an operator has
-    /// confirmed not to have run; `None` if there is none.
+    /// When the first attempt was sent that the destination may have processed; `None` if there is none. Attempts that
+    /// an operator has confirmed not to have run don't count. 0 if the time was lost with a store that was set aside.
     #[serde(rename = "first_risk")]
     pub first_uncertain_at: Option<Micros>,
     /// True if an operator has confirmed that the message did not run, or that its client does not resubmit it.
@@ -274,7 +274,7 @@
     }
 }
 
-/// The ending with this text; `None` for an unknown text. The Retry-After of a returned message is not stored.
+/// The ending with this text; `None` for an unknown text. The retry-after delay of a returned message is not stored.
 #[must_use]
 pub fn parse_ending(text: &str) -> Option<Ending> {
     match text {
@@ -313,10 +313,11 @@
     /// Maximum number of messages in the store.
     #[serde(rename = "count_most")]
     pub max_messages: u64,
-    /// When the oldest unresolved message was first accepted.
+    /// When the oldest message that is neither delivered nor resolved was first accepted; `None` if there is none.
     #[serde(rename = "oldest_kept")]
     pub oldest_unresolved: Option<Micros>,
-    /// Number of unresolved messages that are older than the maximum age in the settings.
+    /// Number of messages that are neither delivered nor resolved, and were first accepted longer ago than the maximum
+    /// age in the settings.
     #[serde(rename = "over_age")]
     pub past_max_age: u64,
     /// True if newly failed messages wait in the journal because the store is full.
--- a/crates/dead-letter/src/redrive_decision.rs
+++ b/crates/dead-letter/src/redrive_decision.rs
@@ -1,16 +1,16 @@
 //! The decision whether a dead letter may be sent again: a pure function that rules and operators' commands share.
 //!
-//! A destination drops a repeat with the same idempotency key only inside its window, counted from the first attempt
-//! that may have run; after the window a repeat takes effect again. So a message that may have run and whose class
-//! is keyed is redriven only inside that window, and only if it has a key. If its class must never run twice, it is not
-//! redriven; if its class may run any number of times, it is redriven at any time.
+//! A destination drops a repeat with the same idempotency key only inside its deduplication window, counted from the
+//! first attempt that may have run; after the window a repeat takes effect again. So a message that may have run and
+//! whose class is keyed is redriven only inside that window, and only if it has a key. If its class must never run
+//! twice, it is not redriven; if its class may run any number of times, it is redriven at any time.
 
 use milletturn_engine::Ending;
 use milletturn_policy::{Effect, MILLISECOND, Micros};
 use std::fmt;
 
-/// Time reserved at the end of a key's window for transmission to the destination, in microseconds: a redrive that
-/// starts later might arrive after the window has ended. The policy reserves a margin of its own in addition.
+/// Time reserved at the end of a deduplication window for transmission to the destination, in microseconds: a redrive
+/// that starts later might arrive after the window has ended. The policy reserves a margin of its own in addition.
 pub const DELIVERY_MARGIN: Micros = 100 * MILLISECOND;
 
 /// The facts about a message that the decision depends on.
@@ -72,10 +72,11 @@
     Unsafe,
     /// The message may have run, and has no key by which the destination could drop a repeat.
     NoKey,
-    /// The message may have run, and its key's window has ended, or ends within [`DELIVERY_MARGIN`].
+    /// The message may have run, and the deduplication window of its key has ended, or ends within
+    /// [`DELIVERY_MARGIN`].
     WindowExpired,
-    /// The clock shows a time before the first attempt that may have run, so it is unknown how much of the window has
-    /// passed.
+    /// The clock shows a time before the first attempt that may have run, so it is unknown how much of the
+    /// deduplication window has passed.
     ClockSetBack,
     /// The settings no longer name the message's class.
     UnknownClass,
--- a/crates/dead-letter/src/redrive_order.rs
+++ b/crates/dead-letter/src/redrive_order.rs
@@ -5,7 +5,8 @@
 use milletturn_engine::{RedriveOrder, SharedStr, UncertainAttempt};
 use milletturn_policy::{Effect, Micros};
 
-/// Builds the order to redrive a message; `None` if the row has no body, or a text that the engine can't hold.
+/// Builds the order to redrive a message; `None` if the row has no body, or an id or key that is not a valid
+/// [`SharedStr`].
 pub(crate) fn build_order(row: &Row, effect: Option<Effect>) -> Option<RedriveOrder> {
     let shared = |text: &str| SharedStr::new(text.as_bytes()).ok();
     let key = match &row.key {
@@ -22,13 +23,13 @@
         class: row.class.clone(),
         destination: row.destination,
         body: Bytes::from(row.body.clone()?),
-        uncertain_attempt: uncertain.map(|sent_at| uncertain_attempt(row, sent_at)),
+        uncertain_attempt: uncertain.map(|sent_at| find_uncertain_attempt(row, sent_at)),
     })
 }
 
-/// The attempt at which the window of the message's idempotency key begins. Its endpoint only matters if the
+/// The attempt at which the deduplication window of the message's idempotency key begins. Its endpoint only matters if the
 /// destination recognizes keys within one zone only; the endpoint is empty if the history no longer has the attempt.
-fn uncertain_attempt(row: &Row, sent_at: Micros) -> UncertainAttempt {
+fn find_uncertain_attempt(row: &Row, sent_at: Micros) -> UncertainAttempt {
     let endpoint = row
         .history
         .rounds
--- a/crates/dead-letter/src/redrive_schedule.rs
+++ b/crates/dead-letter/src/redrive_schedule.rs
@@ -8,7 +8,7 @@
 /// Maximum number of destinations whose health is remembered. Beyond it, the destination with the oldest last attempt
 /// is evicted, and counts as never attempted.
 const MAX_DESTINATIONS: usize = 10_000;
-/// The longest elapsed time that one refill of a rule's token bucket counts, in microseconds.
+/// Maximum elapsed time that one refill of a rule's token bucket counts, in microseconds.
 const MAX_REFILL: Micros = 3600 * SECOND;
 
 /// A rule by which messages are redriven. Empty lists match all.
@@ -22,7 +22,7 @@
     pub destinations: Vec<u64>,
     /// Reasons of the last round's end that the rule covers.
     pub reasons: Vec<EndReason>,
-    /// Time for which attempts at the destination must not have failed, in microseconds.
+    /// Minimum time since the last failed or rejected attempt at the destination, in microseconds.
     pub min_healthy: Micros,
     /// Maximum number of redrives of one message, by operators and rules together.
     pub max_redrives: u32,
@@ -64,10 +64,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct DestinationHealth {
     last_attempt_at: Micros,
-    /// When the last attempt failed or was rejected; `None` if none did.
+    /// When an attempt last failed or was rejected; `None` if none did.
     failed_at: Option<Micros>,
-    /// True if the last attempt succeeded.
-    recovered: bool,
+    last_succeeded: bool,
     /// True if a redrive was released as a probe, because the last attempt failed or there was none, and the probe has
     /// not ended yet.
     probing: bool,
@@ -108,12 +107,15 @@
     /// Creates a schedule; the rules are tried in the given order.
     #[must_use]
     pub fn new(rules: Vec<RedriveRule>) -> Self {
-        let full = TokenBucket {
+        let initial_bucket = TokenBucket {
             tokens: 1.0,
             refilled_at: Micros::MIN,
         };
         RedriveSchedule {
-            rules: rules.into_iter().map(|rule| (rule, full)).collect(),
+            rules: rules
+                .into_iter()
+                .map(|rule| (rule, initial_bucket))
+                .collect(),
             health: BTreeMap::new(),
         }
     }
@@ -137,7 +139,7 @@
         let health = self.health.entry(destination).or_default();
         health.last_attempt_at = now;
         health.probing = false;
-        health.recovered = succeeded;
+        health.last_succeeded = succeeded;
         if !succeeded {
             health.failed_at = Some(now);
         }
@@ -145,8 +147,9 @@
 
     /// Returns the first rule by which this message may be redriven now, and takes one token of that rule.
     ///
-    /// A destination with no attempt since a failure qualifies after the same time as one whose attempts succeed, but
-    /// gets only one message first, as a probe.
+    /// A destination whose last attempt failed qualifies after [`RedriveRule::min_healthy`] too, and a destination
+    /// without attempts qualifies at once, but until an attempt succeeds each gets only one message at a time, as a
+    /// probe.
     pub fn try_acquire(&mut self, candidate: &Candidate<'_>, now: Micros) -> Option<&RedriveRule> {
         let health = self
             .health
@@ -157,7 +160,8 @@
             let healthy = health
                 .failed_at
                 .is_none_or(|failed_at| now - failed_at >= rule.min_healthy);
-            if !healthy || health.probing && !health.recovered || !rule.covers(candidate, now) {
+            if !healthy || health.probing && !health.last_succeeded || !rule.covers(candidate, now)
+            {
                 continue;
             }
             bucket.refill(rule.per_second, now);
@@ -165,7 +169,7 @@
                 continue;
             }
             let health = self.health.entry(candidate.destination).or_default();
-            health.probing = !health.recovered;
+            health.probing = !health.last_succeeded;
             return Some(rule);
         }
         None
--- a/crates/dead-letter/src/redrive_service.rs
+++ b/crates/dead-letter/src/redrive_service.rs
@@ -41,7 +41,7 @@
     pub unsaved: usize,
 }
 
-/// The store, the redrive rules, and what a repeat of each class does.
+/// The store, the redrive rules, and the effect of a repeat for each class.
 #[derive(Debug)]
 pub struct RedriveService {
     store: DeadLetterStore,
@@ -49,6 +49,7 @@
     schedule: RedriveSchedule,
     candidates: RedriveCandidates,
     clients_retry: bool,
+    /// True if the last save left out messages because the store is full.
     full: bool,
 }
 
@@ -76,9 +77,8 @@
         }
     }
 
-    /// After a start: verifies the whole file, sets the state of each message that was being redriven from what the
-    /// journal says, and finds the messages that rules may redrive. [`DeadLetterStore::reconcile`] describes the
-    /// parameters.
+    /// After a start, verifies the whole file, sets the state of each message that was being redriven according to the
+    /// journal, and finds the messages that rules may redrive. [`DeadLetterStore::reconcile`] describes the parameters.
     ///
     /// # Errors
     /// When the file is damaged or can't be used.
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Records the request to redrive a message, and returns the engine's order for it. From then on the journal
-    /// decides in which state the message is.
+    /// Records the request to redrive a message, and returns the order to pass to the engine. From then on the journal
+    /// determines the message's state.
     ///
     /// # Errors
     /// When the message may not be redriven now, or the file can't be read or written.
--- a/crates/dead-letter/src/row.rs
+++ b/crates/dead-letter/src/row.rs
@@ -68,7 +68,7 @@
     pub destination: u64,
     /// State of the message in the store.
     pub state: State,
-    /// How the last round ended; the Retry-After of a returned message is not stored.
+    /// How the last round ended; the retry-after delay of a returned message is not stored.
     pub ending: Ending,
     /// Why the last round ended.
     pub reason: EndReason,
@@ -80,8 +80,8 @@
     pub ended_at: Micros,
     /// Number of redrives so far.
     pub redrives: u32,
-    /// When the first attempt was sent that the destination may have processed, without attempts that an operator has
-    /// confirmed not to have run; `None` if there is none.
+    /// When the first attempt was sent that the destination may have processed; `None` if there is none. Attempts that
+    /// an operator has confirmed not to have run don't count. 0 if the time was lost with a store that was set aside.
     pub first_uncertain_at: Option<Micros>,
     /// True if an operator has confirmed that the message did not run, or that its client does not resubmit it.
     pub confirmed_not_run: bool,
--- a/crates/dead-letter/src/store/reconcile.rs
+++ b/crates/dead-letter/src/store/reconcile.rs
@@ -8,7 +8,8 @@
 use std::collections::BTreeSet;
 
 impl DeadLetterStore {
-    /// After a restart, sets the state of each message that an earlier process redrove from what the journal says.
+    /// After a restart, sets the state of each message whose redrive an earlier process requested, according to the
+    /// journal.
     ///
     /// `redriving` are the numbers of the messages that the journal holds as unfinished redrives; `journal_intact` is
     /// true if the journal lost no entries. A message that the journal should hold and does not is marked as one that
@@ -22,11 +23,11 @@
         journal_intact: bool,
         now: Micros,
     ) -> Result<(), StoreError> {
-        let mut suspects: BTreeSet<u64> = redriving.clone();
+        let mut to_check: BTreeSet<u64> = redriving.clone();
         for state in [State::RedriveRequested, State::Redriving] {
-            suspects.extend(self.numbers_in_state(state)?);
+            to_check.extend(self.numbers_in_state(state)?);
         }
-        for number in suspects {
+        for number in to_check {
             let in_journal = redriving.contains(&number);
             self.change(number, |row| {
                 let before = row.state;
--- a/crates/dead-letter/src/store/save.rs
+++ b/crates/dead-letter/src/store/save.rs
@@ -77,7 +77,8 @@
             }
             let mut row = Row::new(message);
             if message.redriven {
-                // the store that was set aside held the row, and with it the time of the first uncertain attempt
+                // the store that was set aside held the row, and with it the time of the first uncertain attempt; 0
+                // means that any deduplication window has ended
                 row.first_uncertain_at = Some(0);
                 row.audit(
                     now,
@@ -102,7 +103,7 @@
         Ending::Returned { .. } if message.redriven => Ending::Failed,
         other => other,
     };
-    let round = round_of(message, ending);
+    let round = build_round(message, ending);
     match row
         .history
         .rounds
@@ -141,7 +142,7 @@
     };
 }
 
-fn round_of(message: &EndedMessage, ending: Ending) -> Round {
+fn build_round(message: &EndedMessage, ending: Ending) -> Round {
     let attempts = message.attempts.iter().map(|attempt| Attempt {
         endpoint: attempt.uid.clone(),
         sent_at: attempt.sent_at,
--- a/crates/dead-letter/src/store/schema.rs
+++ b/crates/dead-letter/src/store/schema.rs
@@ -59,13 +59,13 @@
         path: path.to_path_buf(),
         source,
     };
-    let new = path.with_extension("new");
-    match std::fs::remove_file(&new) {
+    let temporary_path = path.with_extension("new");
+    match std::fs::remove_file(&temporary_path) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => return Err(failed(error)),
         _ => {}
     }
-    drop(DeadLetterStore::open_existing(&new, limits)?);
-    std::fs::rename(&new, path).map_err(failed)
+    drop(DeadLetterStore::open_existing(&temporary_path, limits)?);
+    std::fs::rename(&temporary_path, path).map_err(failed)
 }
 
 /// Configures the connection, and creates the tables if there are none.
--- a/crates/dead-letter/src/store_worker.rs
+++ b/crates/dead-letter/src/store_worker.rs
@@ -21,7 +21,8 @@
 /// Capacity of the queue of messages that wait for the thread, with their bodies: 64 messages of 64 KiB take at most
 /// 4 MiB. If the queue is full, a message stays in the journal, and the engine offers it again.
 const MAX_QUEUED_MESSAGES: usize = 64;
-/// Capacity of the queue of other jobs. Each command waits for its reply before its next job, so there are few.
+/// Capacity of the queue of jobs. A command waits for each reply before its next job, so most jobs in the queue are
+/// ends of attempts and wake-ups, which are dropped while the queue is full.
 const MAX_QUEUED_JOBS: usize = 256;
 /// Maximum number of jobs in a row, after the first, before the thread checks the queue of messages again.
 const JOBS_PER_TURN: usize = 64;
@@ -53,7 +54,7 @@
     pub clock: Clock,
     /// The engine's input channel, for redrives and for confirmations of saved messages.
     pub engine: mpsc::UnboundedSender<Input>,
-    /// Maximum size, in bytes, of the store and a file that is set aside together.
+    /// Maximum total size, in bytes, of the store, its rollback journal and a damaged file that is set aside.
     pub max_total_bytes: u64,
 }
 
@@ -63,7 +64,7 @@
     /// The sending half of the queue of jobs.
     pub jobs: SyncSender<Job>,
     messages: SyncSender<Box<EndedMessage>>,
-    /// Greater than the number of any message in the store.
+    /// The lowest number for a new message: one more than the greatest number in the store.
     pub first_number: u64,
     store_returned: bool,
 }
@@ -181,7 +182,7 @@
     }
 }
 
-/// The thread's main loop: does jobs, saves messages, evaluates rules and prunes, until all job senders are dropped.
+/// The thread's main loop: handles jobs, saves messages, evaluates rules and prunes, until all job senders are dropped.
 fn run(
     options: StoreWorkerOptions,
     path: &Path,
@@ -208,7 +209,7 @@
     let mut worker = Worker {
         service,
         engine: options.engine,
-        unsaved: Vec::new(),
+        batch: Vec::new(),
         backoff_until: None,
     };
     let (mut last_tick, mut last_prune) = (Instant::now(), Instant::now());
@@ -223,7 +224,7 @@
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        worker.collect(messages);
+        worker.fill_batch(messages);
         worker.save(now());
         if last_tick.elapsed() >= RULE_INTERVAL {
             last_tick = Instant::now();
@@ -243,7 +244,7 @@
     service: RedriveService,
     engine: mpsc::UnboundedSender<Input>,
     /// The batch of messages to save next, at most [`SAVE_BATCH`].
-    unsaved: Vec<EndedMessage>,
+    batch: Vec<EndedMessage>,
     /// No messages are saved before this time; `None` if there is no backoff.
     backoff_until: Option<Instant>,
 }
@@ -321,9 +322,9 @@
     }
 
     /// Moves messages from their queue to the batch, up to [`SAVE_BATCH`].
-    fn collect(&mut self, messages: &Receiver<Box<EndedMessage>>) {
-        let capacity = SAVE_BATCH.saturating_sub(self.unsaved.len());
-        self.unsaved
+    fn fill_batch(&mut self, messages: &Receiver<Box<EndedMessage>>) {
+        let capacity = SAVE_BATCH.saturating_sub(self.batch.len());
+        self.batch
             .extend(messages.try_iter().take(capacity).map(|message| *message));
     }
 
@@ -331,13 +332,13 @@
         let backing_off = self
             .backoff_until
             .is_some_and(|until| Instant::now() < until);
-        if self.unsaved.is_empty() || backing_off {
+        if self.batch.is_empty() || backing_off {
             return;
         }
         self.backoff_until = None;
-        match self.service.save(&self.unsaved, now) {
+        match self.service.save(&self.batch, now) {
             Ok(report) => {
-                self.unsaved
+                self.batch
                     .retain(|message| !report.saved.contains(&message.number));
                 if report.unsaved > 0 {
                     log(format_args!(
@@ -351,7 +352,7 @@
             Err(error) => {
                 log(format_args!(
                     "undelivered: {error}; {} messages wait in the ledger",
-                    self.unsaved.len()
+                    self.batch.len()
                 ));
                 self.backoff_until = Some(Instant::now() + FAULT_BACKOFF);
             }
