--- a/crates/dead-letter/benches/store.rs
+++ b/crates/dead-letter/benches/store.rs
@@ -159,7 +159,7 @@
     let started = Instant::now();
     open_service(path)
         .recover(&BTreeSet::new(), true, NOW)
-        .expect("sound");
+        .expect("an intact store");
     started.elapsed().as_secs_f64() * 1e3
 }
 
--- a/crates/dead-letter/src/config/tests.rs
+++ b/crates/dead-letter/src/config/tests.rs
@@ -11,7 +11,8 @@
 #[test]
 fn an_empty_file_and_a_rule_without_limits_get_the_defaults() {
     assert_eq!(parse(""), Ok(Config::default()));
-    let config = parse("[[rule]]\nname = 'licences'\nreasons = ['time-up']").expect("sound");
+    let config =
+        parse("[[rule]]\nname = 'licences'\nreasons = ['time-up']").expect("valid settings");
     let rule = &config.rules[0];
     assert_eq!(
         (rule.min_healthy, rule.max_redrives, rule.per_second),
--- a/crates/dead-letter/src/redrive_decision/tests.rs
+++ b/crates/dead-letter/src/redrive_decision/tests.rs
@@ -141,7 +141,7 @@
 
 proptest! {
     /// A message that may have run is denied if its class must never run twice, and is allowed with a key only
-    /// while there is time left to arrive inside the key's window.
+    /// while there is time left to arrive inside the deduplication window.
     #[test]
     fn a_message_that_may_have_run_is_redriven_only_inside_its_window(
         effect in effects(),
@@ -159,7 +159,7 @@
         };
         match (effect, decide_redrive(&input, now)) {
             (Effect::Repeatable, decision) => prop_assert_eq!(decision, IDEMPOTENT),
-            (_, RedriveDecision::Allowed(_)) => prop_assert!(false, "allowed"),
+            (_, RedriveDecision::Allowed(_)) => prop_assert!(false, "allowed without a time limit"),
             (Effect::Unsafe, decision) => {
                 prop_assert_eq!(decision, RedriveDecision::Denied(Denial::Unsafe));
             }
@@ -175,7 +175,7 @@
         }
     }
 
-    /// A message whose window has expired is not allowed at any later time.
+    /// A message whose deduplication window has expired is not allowed at any later time.
     #[test]
     fn a_denial_for_an_expired_window_is_final(
         sent_at in 0..100 * SECOND,
--- a/crates/dead-letter/src/redrive_schedule/tests.rs
+++ b/crates/dead-letter/src/redrive_schedule/tests.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_destination_without_attempts_gets_one_message_as_a_probe() {
+fn a_destination_whose_last_attempt_failed_gets_one_message_as_a_probe() {
     let mut schedule = RedriveSchedule::new(vec![rule()]);
     schedule.on_attempt_end(7, false, 100 * SECOND);
     assert!(schedule.try_acquire(&candidate(), 200 * SECOND).is_some());
--- a/crates/dead-letter/tests/golden/control_socket.rs
+++ b/crates/dead-letter/tests/golden/control_socket.rs
@@ -1,6 +1,6 @@
 //! Tests of the control socket: each request, and each line of the answer to it.
 
-use super::{COMMANDS_AT, assert_same, copy_of_store, effects, golden_text};
+use super::{COMMANDS_AT, assert_matches_golden, copy_golden_store, effects, golden_text};
 use milletturn_dead_letter::config::Config;
 use milletturn_dead_letter::control::{self, Request, Response};
 use milletturn_dead_letter::store_worker::{StoreWorker, StoreWorkerOptions};
@@ -14,8 +14,8 @@
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, spawn_local};
 
-fn start(folder: &Path, engine: mpsc::UnboundedSender<Input>) -> StoreWorker {
-    copy_of_store(folder);
+fn start_worker(folder: &Path, engine: mpsc::UnboundedSender<Input>) -> StoreWorker {
+    copy_golden_store(folder);
     StoreWorker::start(StoreWorkerOptions {
         state_dir: folder.to_path_buf(),
         config: Config::default(),
@@ -49,14 +49,14 @@
 /// Serves a copy of the golden store on its control socket while `scenario` runs on another thread.
 fn serve_while(folder: &Path, scenario: impl FnOnce() + Send) {
     let (engine, inputs) = mpsc::unbounded_channel();
-    let worker = start(folder, engine);
+    let worker = start_worker(folder, engine);
     assert_eq!(worker.first_number, 16);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .expect("a runtime");
     let listener = {
-        let _inside = runtime.enter();
+        let _guard = runtime.enter();
         control::listen(folder).expect("a socket")
     };
     std::thread::scope(|threads| {
@@ -100,7 +100,7 @@
                 writeln!(actual, "< {response}").expect("text");
             }
         }
-        assert_same("control.txt", &actual);
+        assert_matches_golden("control.txt", &actual);
     });
 }
 
--- a/crates/dead-letter/tests/golden/main.rs
+++ b/crates/dead-letter/tests/golden/main.rs
@@ -25,18 +25,18 @@
 /// Time of the requests in `control.txt` and of the decisions in `verdicts.txt`.
 const COMMANDS_AT: Micros = NOW + 5 * SECOND;
 
-fn golden(name: &str) -> PathBuf {
+fn golden_path(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .join("tests/golden")
         .join(name)
 }
 
 fn golden_text(name: &str) -> String {
-    std::fs::read_to_string(golden(name)).expect("a golden file")
+    std::fs::read_to_string(golden_path(name)).expect("a golden file")
 }
 
-/// Compares line by line, so that a failure shows only the first line that differs.
-fn assert_same(name: &str, actual: &str) {
+/// Compares the text with a golden file line by line, so that a failure shows only the first line that differs.
+fn assert_matches_golden(name: &str, actual: &str) {
     let wanted = golden_text(name);
     for (number, (wanted, actual)) in wanted.lines().zip(actual.lines()).enumerate() {
         assert_eq!(actual, wanted, "{name}, line {}", number + 1);
@@ -64,8 +64,8 @@
 }
 
 /// Copies the golden store to a folder where tests may write to it; returns the path of the copy.
-fn copy_of_store(folder: &Path) -> PathBuf {
+fn copy_golden_store(folder: &Path) -> PathBuf {
     let path = folder.join("undelivered.db");
-    std::fs::copy(golden("store.db"), &path).expect("copied");
+    std::fs::copy(golden_path("store.db"), &path).expect("copied");
     path
 }
--- a/crates/dead-letter/tests/golden/settings.rs
+++ b/crates/dead-letter/tests/golden/settings.rs
@@ -1,4 +1,4 @@
-//! Tests of the settings file: each key is read under its own name.
+//! Tests of the settings file: the values of the one in `deploy/`, and each key under its own name.
 
 use super::golden_text;
 use milletturn_dead_letter::config::Config;
@@ -7,9 +7,9 @@
 use std::path::Path;
 
 #[test]
-fn the_settings_file_of_the_deployment_has_the_same_values() {
+fn the_settings_file_in_deploy_is_read_with_its_values() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../deploy/undelivered.toml");
-    let config = Config::read(&path).expect("sound");
+    let config = Config::read(&path).expect("valid settings");
     assert_eq!(config.file, "undelivered.db");
     assert_eq!(
         (config.max_bytes, config.max_messages),
@@ -45,7 +45,8 @@
 
 #[test]
 fn every_key_of_the_settings_is_read_under_its_name() {
-    let config = Config::parse(Path::new("u.toml"), &golden_text("settings.toml")).expect("sound");
+    let config =
+        Config::parse(Path::new("u.toml"), &golden_text("settings.toml")).expect("valid settings");
     assert_eq!(
         (config.file.as_str(), config.max_bytes, config.max_messages),
         ("other.db", 1_500_000, 77)
--- a/crates/dead-letter/tests/golden/store_file.rs
+++ b/crates/dead-letter/tests/golden/store_file.rs
@@ -3,8 +3,8 @@
 use super::columns::describe_columns;
 use super::store_script::write_store;
 use super::{
-    COMMANDS_AT, NOW, assert_same, copy_of_store, default_limits, effects, golden_text,
-    open_service,
+    COMMANDS_AT, NOW, assert_matches_golden, copy_golden_store, default_limits, effects,
+    golden_text, open_service,
 };
 use milletturn_dead_letter::config::Config;
 use milletturn_dead_letter::error::StoreError;
@@ -37,10 +37,10 @@
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("u.db");
     write_store(&path);
-    assert_same("columns.txt", &describe_columns(&path));
-    assert_same(
+    assert_matches_golden("columns.txt", &describe_columns(&path));
+    assert_matches_golden(
         "columns.txt",
-        &describe_columns(&copy_of_store(folder.path())),
+        &describe_columns(&copy_golden_store(folder.path())),
     );
 }
 
@@ -48,8 +48,8 @@
 fn a_store_of_an_earlier_build_is_read_value_by_value() {
     let folder = tempfile::tempdir().expect("a folder");
     let store =
-        DeadLetterStore::open(&copy_of_store(folder.path()), default_limits()).expect("opened");
-    store.verify().expect("sound");
+        DeadLetterStore::open(&copy_golden_store(folder.path()), default_limits()).expect("opened");
+    store.verify().expect("an intact store");
     assert_eq!(store.last_number().expect("read"), 15);
     let service = RedriveService::new(store, &Config::default(), effects());
     let records = records(&service);
@@ -57,7 +57,7 @@
         .iter()
         .map(|record| serde_json::to_string(record).expect("text") + "\n")
         .collect();
-    assert_same("records.jsonl", &lines);
+    assert_matches_golden("records.jsonl", &lines);
     let read: Vec<Record> = golden_text("records.jsonl")
         .lines()
         .map(|line| serde_json::from_str(line).expect("a record"))
@@ -82,7 +82,7 @@
 #[test]
 fn each_message_gets_the_same_decision() {
     let folder = tempfile::tempdir().expect("a folder");
-    let service = open_service(&copy_of_store(folder.path()), default_limits());
+    let service = open_service(&copy_golden_store(folder.path()), default_limits());
     let mut lines = String::new();
     for record in records(&service) {
         let decision = match service.decide(&record.summary, COMMANDS_AT) {
@@ -93,13 +93,13 @@
         };
         writeln!(lines, "{}: {decision}", record.summary.number).expect("text");
     }
-    assert_same("verdicts.txt", &lines);
+    assert_matches_golden("verdicts.txt", &lines);
 }
 
 #[test]
 fn errors_of_the_file_have_the_same_text() {
     let folder = tempfile::tempdir().expect("a folder");
-    let path = copy_of_store(folder.path());
+    let path = copy_golden_store(folder.path());
     let open = || DeadLetterStore::open(&path, default_limits());
     let text = |error: StoreError| {
         let folder: &Path = folder.path();
@@ -127,7 +127,7 @@
     connection
         .execute_batch("PRAGMA user_version = 2")
         .expect("written");
-    let error = open().expect_err("newer");
+    let error = open().expect_err("a newer version");
     assert_eq!(
         text(error),
         concat!(
@@ -136,7 +136,7 @@
         )
     );
     std::fs::write(&path, "short").expect("written");
-    let error = open().expect_err("cut");
+    let error = open().expect_err("a truncated file");
     assert_eq!(
         text(error),
         "the store FOLDER/undelivered.db is damaged: it was cut to 5 bytes"
--- a/crates/dead-letter/tests/golden/store_script.rs
+++ b/crates/dead-letter/tests/golden/store_script.rs
@@ -10,6 +10,7 @@
 use std::collections::BTreeSet;
 use std::path::Path;
 
+/// The time this many milliseconds after [`NOW`].
 fn at(millis: Micros) -> Micros {
     NOW + millis * MILLISECOND
 }
@@ -73,11 +74,9 @@
 
 /// Messages 1 to 14, as the engine first offers them to the store.
 fn messages() -> Vec<EndedMessage> {
-    use EndReason::{
-        AttemptsExhausted, DeadlineExceeded, NotRetryable, Rejected as RejectedByEndpoint, Unknown,
-    };
+    use EndReason::{AttemptsExhausted, DeadlineExceeded, NotRetryable, Rejected, Unknown};
     let uncertain = vec![attempt("s-1", at(40), Some(Outcome::Reset))];
-    let answered_late = vec![
+    let succeeded_late = vec![
         attempt("s-1", at(1), None),
         attempt("s-2", at(2), Some(Outcome::Success)),
     ];
@@ -88,7 +87,7 @@
             ending: Ending::Returned {
                 after_ms: Some(250),
             },
-            ..message(2, "order", RejectedByEndpoint, Vec::new())
+            ..message(2, "order", Rejected, Vec::new())
         },
         message(3, "licence", DeadlineExceeded, never_ran("s-1")),
         message(4, "licence", AttemptsExhausted, never_ran("s-2")),
@@ -96,7 +95,7 @@
             body: Bytes::from(vec![0, 255, 10, 13]),
             ..message(5, "licence", DeadlineExceeded, never_ran("s-3"))
         },
-        message(6, "order", NotRetryable, answered_late),
+        message(6, "order", NotRetryable, succeeded_late),
         EndedMessage {
             body: Bytes::from(vec![b'x'; 20_000]),
             ..message(7, "order", NotRetryable, uncertain.clone())
@@ -117,7 +116,7 @@
     ]
 }
 
-fn all_saved(saved: impl IntoIterator<Item = u64>) -> SaveReport {
+fn saved_report(saved: impl IntoIterator<Item = u64>) -> SaveReport {
     SaveReport {
         saved: saved.into_iter().collect(),
         unsaved: 0,
@@ -127,7 +126,7 @@
 fn redrive(service: &mut RedriveService, number: u64, answer: Option<RedriveOutcome>) {
     let order = service
         .request_redrive(number, "rule-1", "by rule", at(2000))
-        .expect("may be sent");
+        .expect("the redrive is allowed");
     assert_eq!(order.number, number);
     if let Some(answer) = answer {
         service
@@ -149,7 +148,7 @@
     };
     assert_eq!(
         service.save(&[delivered], at(2501)).expect("written"),
-        all_saved([5])
+        saved_report([5])
     );
 }
 
@@ -159,7 +158,7 @@
     let messages = messages();
     assert_eq!(
         service.save(&messages, at(1000)).expect("written"),
-        all_saved(1..=14)
+        saved_report(1..=14)
     );
     // messages 13 and 14 lose their redrives in a restart: 13's was accepted, 14's only requested, and the journal has
     // neither
@@ -167,7 +166,7 @@
     redrive(&mut service, 14, None);
     service
         .recover(&BTreeSet::new(), true, at(3000))
-        .expect("sound");
+        .expect("an intact store");
     redrive(&mut service, 3, None);
     redrive(&mut service, 4, Some(RedriveOutcome::Accepted));
     redrive(&mut service, 5, Some(RedriveOutcome::Accepted));
@@ -187,7 +186,7 @@
     let last = message(15, "webhook", EndReason::DeadlineExceeded, Vec::new());
     assert_eq!(
         service.save(&[last], at(4000)).expect("written"),
-        all_saved([15])
+        saved_report([15])
     );
     let resolved = service.resolve(14, Resolution::Done, "ann", "", at(4100));
     assert!(resolved.is_ok());
--- a/crates/dead-letter/tests/simulation/clients.rs
+++ b/crates/dead-letter/tests/simulation/clients.rs
@@ -3,7 +3,7 @@
 use super::Simulation;
 use super::plan::{DEADLINE, class_of};
 use super::process::Process;
-use super::rows;
+use super::summaries;
 use milletturn_engine::{Arrival, ArrivalOutcome, Input, Journal, SharedStr};
 use milletturn_policy::DestinationId;
 use std::cell::RefCell;
@@ -13,20 +13,24 @@
 use tokio::time::Instant;
 
 /// The responses to submitted messages: name, destination, and the response, or `None` if the crash cut it off.
-pub(super) type Answers = Rc<RefCell<Vec<(String, DestinationId, Option<ArrivalOutcome>)>>>;
+pub(super) type Responses = Rc<RefCell<Vec<(String, DestinationId, Option<ArrivalOutcome>)>>>;
 
 impl Simulation {
-    /// Sorts messages by the responses that clients got. A client without a response submits its message again, unless
-    /// the sender had accepted it: then the message must be delivered or resolved like any accepted one.
-    pub(super) fn read_answers(&self, answers: &Answers) {
-        let mut known = None;
-        for (name, destination, answer) in answers.borrow_mut().drain(..) {
-            match answer {
+    /// Records from the responses which messages the sender accepted or rejected. A client without a response submits its
+    /// message again, unless the sender had accepted it: then the message must be delivered or resolved like any accepted
+    /// one.
+    pub(super) fn read_responses(&self, responses: &Responses) {
+        let mut known_ids = None;
+        for (name, destination, response) in responses.borrow_mut().drain(..) {
+            match response {
                 Some(ArrivalOutcome::Accepted | ArrivalOutcome::AlreadyDelivered) => {
                     _ = self.accepted_ids.borrow_mut().insert(name);
                 }
                 Some(_) => _ = self.rejected_ids.borrow_mut().insert(name),
-                None if known.get_or_insert_with(|| self.known()).contains(&name) => {
+                None if known_ids
+                    .get_or_insert_with(|| self.known_ids())
+                    .contains(&name) =>
+                {
                     self.accepted_ids.borrow_mut().insert(name);
                 }
                 None => self
@@ -37,10 +41,10 @@
         }
     }
 
-    /// Names of all messages that took effect, are unfinished in the journal, or are in the store.
-    fn known(&self) -> BTreeSet<String> {
+    /// Ids of all messages that took effect, are unfinished in the journal, or are in the store.
+    fn known_ids(&self) -> BTreeSet<String> {
         let (journal, _) = self.open_journal();
-        let mut known: BTreeSet<String> = rows(&self.open_service())
+        let mut known: BTreeSet<String> = summaries(&self.open_service())
             .into_iter()
             .map(|summary| summary.id)
             .collect();
@@ -65,7 +69,7 @@
     /// Clients submit the messages that are due.
     pub(super) fn submit_arrivals(&self) {
         while let Some((name, destination)) = self.simulation.next_arrival() {
-            let (reply, answer) = oneshot::channel();
+            let (reply, reply_receiver) = oneshot::channel();
             let id = SharedStr::new(name.as_bytes()).expect("a short text");
             let arrival = Arrival {
                 id: id.clone(),
@@ -84,12 +88,12 @@
             let _ = self.engine.send(Input::Arrived(arrival));
             let open = self.open_replies.clone();
             open.set(open.get() + 1);
-            let (crash_point, answers) = (self.crash_point.clone(), self.answers.clone());
+            let (crash_point, responses) = (self.crash_point.clone(), self.responses.clone());
             tokio::task::spawn_local(async move {
                 // a response after the crash does not reach the client
-                let answer = answer.await.ok().filter(|_| crash_point.try_step());
+                let response = reply_receiver.await.ok().filter(|_| crash_point.try_step());
                 open.set(open.get() - 1);
-                answers.borrow_mut().push((name, destination, answer));
+                responses.borrow_mut().push((name, destination, response));
             });
         }
     }
--- a/crates/dead-letter/tests/simulation/invariants.rs
+++ b/crates/dead-letter/tests/simulation/invariants.rs
@@ -2,7 +2,7 @@
 //! active in the journal and the store at the same time.
 
 use super::plan::{REPEATABLE, class_of};
-use super::{Simulation, rows};
+use super::{Simulation, summaries};
 use milletturn_dead_letter::record::{State, Summary};
 use milletturn_engine::{Journal, Unfinished};
 use std::collections::BTreeMap;
@@ -21,7 +21,7 @@
             .push(location);
     }
 
-    fn rows_of(&self, name: &str) -> usize {
+    fn count_rows(&self, name: &str) -> usize {
         let locations = self.by_name.get(name).into_iter().flatten();
         locations
             .filter(|location| location.starts_with("store"))
@@ -33,9 +33,9 @@
 /// not ended in the journal, the row says that it is being redriven.
 fn check_row(summary: &Summary, in_journal: Option<&Unfinished>) {
     if in_journal.is_some_and(|message| message.end.is_none()) {
-        let known = matches!(summary.state, State::RedriveRequested | State::Redriving);
+        let being_redriven = matches!(summary.state, State::RedriveRequested | State::Redriving);
         assert!(
-            known,
+            being_redriven,
             "{summary:?} is in the store and the journal: {in_journal:?}"
         );
     }
@@ -60,7 +60,7 @@
                 format!("journal {number} redriven {redriven} ended {ended}"),
             );
         }
-        for summary in rows(&service) {
+        for summary in summaries(&service) {
             check_row(&summary, unfinished.get(&summary.number));
             locations.add(&summary.id, format!("store {:?}", summary.state));
         }
@@ -72,7 +72,7 @@
                 "{name} is neither in the journal nor in the store"
             );
             assert!(
-                locations.rows_of(name) <= 1,
+                locations.count_rows(name) <= 1,
                 "{name}: {:?}",
                 locations.by_name.get(name)
             );
@@ -82,14 +82,14 @@
 
     fn check_effects(&self) {
         let effects = self.environment.effects.borrow();
-        let doubled: Vec<&str> = effects
+        let duplicated: Vec<&str> = effects
             .duplicated()
             .into_iter()
             .filter(|name| class_of(name) != REPEATABLE)
             .collect();
         assert!(
-            doubled.is_empty(),
-            "took effect twice: {doubled:?}, seed {}",
+            duplicated.is_empty(),
+            "took effect twice: {duplicated:?}, seed {}",
             self.plan.seed
         );
     }
@@ -99,7 +99,7 @@
         self.check_effects();
         let (journal, _) = self.open_journal();
         assert!(journal.unfinished().is_empty());
-        let states: BTreeMap<String, State> = rows(&self.open_service())
+        let states: BTreeMap<String, State> = summaries(&self.open_service())
             .into_iter()
             .map(|summary| (summary.id, summary.state))
             .collect();
@@ -107,11 +107,11 @@
         for name in self.accepted_ids.borrow().iter() {
             let ran = effects.effect_count(name) > 0;
             let notified = self.notifications.borrow().contains_key(name);
-            let seen = format!("{name}: ran {ran}, notified {notified}");
+            let details = format!("{name}: ran {ran}, notified {notified}");
             match states.get(name) {
-                None => assert!(ran && !notified, "not in the store, {seen}"),
-                Some(State::Delivered) => assert!(ran && notified, "{seen}"),
-                Some(State::Resolved) => assert!(notified, "{seen}"),
+                None => assert!(ran && !notified, "not in the store, {details}"),
+                Some(State::Delivered) => assert!(ran && notified, "{details}"),
+                Some(State::Resolved) => assert!(notified, "{details}"),
                 Some(other) => panic!("{name} is still {other:?}"),
             }
         }
--- a/crates/dead-letter/tests/simulation/mod.rs
+++ b/crates/dead-letter/tests/simulation/mod.rs
@@ -69,7 +69,7 @@
 }
 
 /// The summaries of all messages in the store after a number.
-fn rows_after(service: &RedriveService, number: u64) -> Vec<Summary> {
+fn summaries_after(service: &RedriveService, number: u64) -> Vec<Summary> {
     let (mut all, mut next_after) = (Vec::new(), Some(number));
     while let Some(after) = next_after {
         let page = service
@@ -82,8 +82,8 @@
 }
 
 /// The summaries of all messages in the store.
-fn rows(service: &RedriveService) -> Vec<Summary> {
-    rows_after(service, 0)
+fn summaries(service: &RedriveService) -> Vec<Summary> {
+    summaries_after(service, 0)
 }
 
 impl Simulation {
@@ -149,8 +149,8 @@
         }
     }
 
-    /// The current time, Unix time in microseconds.
-    fn unix(&self) -> Micros {
+    /// The current time in the simulation, Unix time in microseconds.
+    fn unix_now(&self) -> Micros {
         START + self.environment.now()
     }
 
@@ -184,7 +184,7 @@
         let network_delay = Duration::from_millis(u64::from(random.next_u32() % 25));
         let repaired = i64::try_from(start.elapsed().as_micros()).expect("short") >= repaired_at;
         let random_percent = random.next_u32() % 100;
-        end_of_call(if repaired { 0 } else { random_percent }, network_delay)
+        scripted_outcome(if repaired { 0 } else { random_percent }, network_delay)
     };
     let window = |name: &str| if class_of(name) == 0 { WINDOW } else { 0 };
     SimulatedEnvironment {
@@ -197,9 +197,9 @@
 
 /// How a call ends, by a random number below 100: whether the destination executes it, and which outcome the sender
 /// sees.
-fn end_of_call(random_percent: u32, network_delay: Duration) -> ScriptedOutcome {
+fn scripted_outcome(random_percent: u32, network_delay: Duration) -> ScriptedOutcome {
     let ends = |millis, outcome| Some((Duration::from_millis(millis) + network_delay, outcome));
-    let rejected = |wait| ends(15, Outcome::Rejected { retry_after: wait });
+    let rejected = |retry_after| ends(15, Outcome::Rejected { retry_after });
     let executed = Some(network_delay);
     let (executes_after, reported) = match random_percent {
         0..20 => (executed, ends(50, Outcome::Success)),
--- a/crates/dead-letter/tests/simulation/operators.rs
+++ b/crates/dead-letter/tests/simulation/operators.rs
@@ -1,7 +1,7 @@
 //! The operators, who redrive messages, and resolve messages that no rule may redrive.
 
 use super::process::Process;
-use super::rows_after;
+use super::summaries_after;
 use milletturn_dead_letter::error::RedriveError;
 use milletturn_dead_letter::record::{Filter, State, Summary};
 use milletturn_dead_letter::redrive_service::Resolution;
@@ -26,7 +26,7 @@
             if !self.crash_point.try_step() {
                 return;
             }
-            let now = self.simulation.unix();
+            let now = self.simulation.unix_now();
             match self
                 .service
                 .request_redrive(number, "operator", "asked for", now)
@@ -42,7 +42,7 @@
     /// Returns true once all messages in the store were found resolved.
     pub(super) fn resolve_and_check_done(&mut self) -> bool {
         // operators no longer redrive messages, so a resolved message stays resolved
-        let found = rows_after(&self.service, self.simulation.resolved_up_to.get());
+        let found = summaries_after(&self.service, self.simulation.resolved_up_to.get());
         let mut has_unresolved = false;
         for summary in &found {
             if summary.state.is_resolved() {
@@ -56,7 +56,7 @@
                 continue;
             };
             if self.crash_point.try_step() {
-                let now = self.simulation.unix();
+                let now = self.simulation.unix_now();
                 let resolved =
                     self.service
                         .resolve(summary.number, resolution, "operator", "asked them", now);
@@ -75,7 +75,7 @@
             .borrow()
             .effect_count(&summary.id)
             > 0;
-        match self.service.decide(summary, self.simulation.unix()) {
+        match self.service.decide(summary, self.simulation.unix_now()) {
             // the rules redrive the message, unless it has been redriven too often
             Ok(_) if summary.redrives < 5 => None,
             Ok(_) => Some(Resolution::Done),
--- a/crates/dead-letter/tests/simulation/process.rs
+++ b/crates/dead-letter/tests/simulation/process.rs
@@ -1,9 +1,9 @@
 //! One simulated process: the engine with its ports, and a loop that does the work of the store's thread.
 
-use super::clients::Answers;
+use super::clients::Responses;
 use super::plan::settings;
 use super::ports::{AttemptEnds, CrashingJournal, DeadLetterQueue};
-use super::{Simulation, rows};
+use super::{Simulation, summaries};
 use milletturn_dead_letter::record::Summary;
 use milletturn_dead_letter::redrive_service::RedriveService;
 use milletturn_engine::dead_letter_sink::EndedMessage;
@@ -47,7 +47,7 @@
     /// Numbers of the unfinished messages in the journal.
     unfinished: Rc<RefCell<BTreeSet<u64>>>,
     pub(super) open_replies: Rc<Cell<usize>>,
-    pub(super) answers: Answers,
+    pub(super) responses: Responses,
 }
 
 impl Simulation {
@@ -60,12 +60,12 @@
         // lets the pending replies end without a response
         sleep(TICK).await;
         let accepted = process
-            .answers
+            .responses
             .borrow()
             .iter()
-            .any(|(_, _, answer)| *answer == Some(ArrivalOutcome::Accepted));
+            .any(|(_, _, response)| *response == Some(ArrivalOutcome::Accepted));
         assert!(!accepted, "a message was accepted after the crash");
-        self.read_answers(&process.answers);
+        self.read_responses(&process.responses);
         finish
     }
 }
@@ -82,10 +82,10 @@
         let unfinished = Rc::new(RefCell::new(in_journal.keys().copied().collect()));
         let first_number = simulation.open_store().last_number().expect("read") + 1;
         let mut service = simulation.open_service();
-        let intact = recovery.damaged_bytes == 0 && !recovery.created;
+        let journal_intact = recovery.damaged_bytes == 0 && !recovery.created;
         service
-            .recover(&redriving, intact, simulation.unix())
-            .expect("sound");
+            .recover(&redriving, journal_intact, simulation.unix_now())
+            .expect("an intact store");
         let (inputs, received) = mpsc::unbounded_channel();
         let (notified, notifications) = mpsc::unbounded_channel();
         let process = Process {
@@ -99,7 +99,7 @@
             ready: watch::Sender::new(false),
             unfinished,
             open_replies: Rc::default(),
-            answers: Rc::default(),
+            responses: Rc::default(),
         };
         let journal = CrashingJournal {
             journal,
@@ -127,7 +127,7 @@
             seed: simulation.plan.seed,
             zones: Vec::new(),
             kinds: vec!["one".into()],
-            clock: Clock::new(simulation.unix()),
+            clock: Clock::new(simulation.unix_now()),
             cached_endpoints: Some(EndpointListUpdate {
                 version: 1,
                 full: true,
@@ -156,24 +156,24 @@
             sleep(TICK).await;
             tick += 1;
             if simulation.environment.now() - started >= MAX_PROCESS_TIME {
-                self.panic_unfinished();
+                self.panic_on_hang();
             }
             // responses that clients have read, and connections that the crash broke
-            simulation.read_answers(&self.answers);
+            simulation.read_responses(&self.responses);
             if self.crash_point.has_crashed() {
                 return Finish::Crashed;
             }
             self.submit_arrivals();
-            self.notify_platform();
+            self.acknowledge_notifications();
             for (destination, succeeded) in self.attempt_ends.0.borrow_mut().drain(..) {
                 self.service
-                    .on_attempt_end(destination, succeeded, simulation.unix());
+                    .on_attempt_end(destination, succeeded, simulation.unix_now());
             }
             if tick.is_multiple_of(3) {
                 self.save();
             }
             if tick.is_multiple_of(25) && self.crash_point.try_step() {
-                for order in self.service.tick(simulation.unix()).expect("the store") {
+                for order in self.service.tick(simulation.unix_now()).expect("the store") {
                     self.redrive(order).await;
                 }
             }
@@ -200,13 +200,13 @@
     fn is_idle(&self) -> bool {
         self.simulation.arrivals.borrow().is_empty()
             && self.open_replies.get() == 0
-            && self.answers.borrow().is_empty()
+            && self.responses.borrow().is_empty()
             && self.unfinished.borrow().is_empty()
             && self.dead_letters.0.borrow().is_empty()
     }
 
-    fn panic_unfinished(&self) -> ! {
-        let unresolved: Vec<Summary> = rows(&self.service)
+    fn panic_on_hang(&self) -> ! {
+        let unresolved: Vec<Summary> = summaries(&self.service)
             .into_iter()
             .filter(|summary| !summary.state.is_resolved())
             .take(3)
@@ -217,9 +217,9 @@
         );
     }
 
-    /// The platform receives notifications, and the engine is told which ones it received.
-    fn notify_platform(&mut self) {
-        let mut taken = Vec::new();
+    /// The platform receives notifications and acknowledges them to the engine.
+    fn acknowledge_notifications(&mut self) {
+        let mut acknowledged = Vec::new();
         while let Ok(notification) = self.notifications.try_recv() {
             if self.crash_point.try_step() {
                 let id = notification.id.to_string();
@@ -229,11 +229,11 @@
                     .borrow_mut()
                     .entry(id)
                     .or_default() += 1;
-                taken.push(notification.number);
+                acknowledged.push(notification.number);
             }
         }
-        if !taken.is_empty() && self.crash_point.try_step() {
-            let _ = self.engine.send(Input::Notified(taken));
+        if !acknowledged.is_empty() && self.crash_point.try_step() {
+            let _ = self.engine.send(Input::Notified(acknowledged));
         }
     }
 
@@ -244,7 +244,7 @@
         if batch.is_empty() || !self.crash_point.try_step() {
             return;
         }
-        let report = self.service.save(&batch, self.simulation.unix());
+        let report = self.service.save(&batch, self.simulation.unix_now());
         let saved = report.expect("the store").saved;
         self.dead_letters
             .0
@@ -276,7 +276,7 @@
             .push(format!("redrive {number}: {answer:?}"));
         if self.crash_point.try_step() {
             self.service
-                .on_engine_answer(number, answer, self.simulation.unix())
+                .on_engine_answer(number, answer, self.simulation.unix_now())
                 .expect("the store");
         }
     }
--- a/crates/dead-letter/tests/store.rs
+++ b/crates/dead-letter/tests/store.rs
@@ -14,14 +14,14 @@
 
 const NOW: Micros = 1_000_000 * SECOND;
 
-fn message(number: u64, body: usize, outcome: Outcome) -> EndedMessage {
+fn message(number: u64, body_bytes: usize, outcome: Outcome) -> EndedMessage {
     EndedMessage {
         number,
         id: SharedStr::new(format!("m{number}").as_bytes()).expect("a short text"),
         key: None,
         class: "order".into(),
         destination: number % 3,
-        body: Bytes::from(vec![b'x'; body]),
+        body: Bytes::from(vec![b'x'; body_bytes]),
         accepted_at: NOW,
         deadline: NOW + 20 * SECOND,
         ended_at: NOW + SECOND,
@@ -38,19 +38,21 @@
     }
 }
 
-fn unrecovered_service(path: &Path, config: &Config) -> RedriveService {
+fn open_without_recovery(path: &Path, config: &Config) -> RedriveService {
     let store = DeadLetterStore::open(path, RedriveService::limits(config)).expect("opened");
     let effects = BTreeMap::from([("order".to_string(), Effect::Unsafe)]);
     RedriveService::new(store, config, effects)
 }
 
 fn open_service(path: &Path, config: &Config) -> RedriveService {
-    let mut service = unrecovered_service(path, config);
-    service.recover(&BTreeSet::new(), true, NOW).expect("sound");
+    let mut service = open_without_recovery(path, config);
+    service
+        .recover(&BTreeSet::new(), true, NOW)
+        .expect("an intact store");
     service
 }
 
-fn all(service: &RedriveService) -> Vec<Record> {
+fn all_records(service: &RedriveService) -> Vec<Record> {
     let page = service
         .list(&Filter::default(), 0, usize::MAX)
         .expect("read");
@@ -90,7 +92,7 @@
     }
 }
 
-fn mark_done(service: &mut RedriveService, number: u64) -> Option<Rejection> {
+fn resolve_as_done(service: &mut RedriveService, number: u64) -> Option<Rejection> {
     rejection(service.resolve(number, Resolution::Done, "me", "", NOW))
 }
 
@@ -107,16 +109,16 @@
     assert!(number > 20, "{number}");
     assert!(service.stats(NOW).expect("read").full);
     assert_eq!(
-        all(&service).len() as u64,
+        all_records(&service).len() as u64,
         number - 1,
         "unresolved messages are not dropped"
     );
     // of resolved messages, the bodies are dropped first, and the rows stay
     for resolved in 1..=5 {
-        assert_eq!(mark_done(&mut service, resolved), None);
+        assert_eq!(resolve_as_done(&mut service, resolved), None);
     }
     assert!(try_save(&mut service, number));
-    let records = all(&service);
+    let records = all_records(&service);
     assert_eq!(records.len() as u64, number);
     assert!(
         records[..5]
@@ -130,14 +132,14 @@
     );
     // when no bodies are left to drop, the resolved rows are dropped
     let number = fill(&mut service, number + 1);
-    let records = all(&service);
+    let records = all_records(&service);
     assert!(
         records
             .iter()
             .all(|record| record.summary.state == State::Unresolved)
     );
     resolve_and_prune_all(&mut service, &records, &path, config.max_age);
-    assert!(all(&service).is_empty());
+    assert!(all_records(&service).is_empty());
     assert!(try_save(&mut service, number));
     assert!(!service.stats(NOW).expect("read").full);
 }
@@ -150,7 +152,7 @@
     max_age: Micros,
 ) {
     for record in records {
-        assert_eq!(mark_done(service, record.summary.number), None);
+        assert_eq!(resolve_as_done(service, record.summary.number), None);
     }
     let expired = NOW + max_age + 10 * SECOND;
     while service.prune(expired).expect("written") > 0 {}
@@ -183,7 +185,7 @@
         report(vec![4], 1)
     );
     assert_eq!(
-        all(&service)
+        all_records(&service)
             .iter()
             .map(|record| record.summary.number)
             .collect::<Vec<_>>(),
@@ -192,7 +194,7 @@
 }
 
 /// Writes six messages, one of them confirmed not to have run; returns their records.
-fn write_six(path: &Path, config: &Config) -> Vec<Record> {
+fn write_six_messages(path: &Path, config: &Config) -> Vec<Record> {
     let mut service = open_service(path, config);
     let batch: Vec<EndedMessage> = (1..=6)
         .map(|number| message(number, 700, Outcome::Error))
@@ -201,7 +203,7 @@
     service
         .resolve(3, Resolution::DidNotRun, "me", "asked", NOW)
         .expect("done");
-    all(&service)
+    all_records(&service)
 }
 
 /// Writes bytes as a store's file, verifies the file and reads all records.
@@ -229,7 +231,7 @@
         max_bytes: 1 << 20,
         ..Config::default()
     };
-    let sound = write_six(&path, &config);
+    let intact_records = write_six_messages(&path, &config);
     let bytes = std::fs::read(&path).expect("read");
     let limits = StoreLimits {
         max_bytes: 1 << 20,
@@ -238,7 +240,7 @@
     };
     let damaged_path = folder.path().join("damaged.db");
     let open = |bytes: &[u8]| read_store(&damaged_path, bytes, limits);
-    assert_eq!(open(&bytes).expect("sound"), sound);
+    assert_eq!(open(&bytes).expect("an intact store"), intact_records);
     let (mut found, mut harmless) = (0, 0);
     for at in (0..bytes.len()).step_by(7) {
         let mut damaged = bytes.clone();
@@ -247,14 +249,14 @@
             Err(_) => found += 1,
             Ok(records) => {
                 assert_eq!(
-                    records, sound,
+                    records, intact_records,
                     "a flipped bit at byte {at} changed a record without an error"
                 );
                 harmless += 1;
             }
         }
     }
-    // the harmless ones are in bytes that SQLite does not use
+    // the flipped bits without an effect are in bytes that SQLite does not use
     assert!(found > 500, "{found} found, {harmless} harmless");
     for length in (0..bytes.len()).step_by(97) {
         assert!(open(&bytes[..length]).is_err(), "cut to {length} bytes");
@@ -262,7 +264,7 @@
 }
 
 /// Redrives message 1, and checks that other requests for the message are rejected meanwhile.
-fn redrive_once(service: &mut RedriveService, now: Micros) {
+fn redrive_first_message(service: &mut RedriveService, now: Micros) {
     let order = service
         .request_redrive(1, "me", "once more", now)
         .expect("it never ran");
@@ -293,7 +295,7 @@
         .expect("written");
     for round in 1..=40 {
         let now = NOW + round * 100 * SECOND;
-        redrive_once(&mut service, now);
+        redrive_first_message(&mut service, now);
         let redriven = EndedMessage {
             accepted_at: now,
             ended_at: now + SECOND,
@@ -307,7 +309,7 @@
         service
             .save(std::slice::from_ref(&redriven), now)
             .expect("written");
-        let records = all(&service);
+        let records = all_records(&service);
         assert_eq!(
             (records.len(), records[0].summary.redrives),
             (1, round as u32)
@@ -318,7 +320,7 @@
         );
     }
     assert_eq!(
-        all(&service)[0].rounds[0].accepted_at,
+        all_records(&service)[0].rounds[0].accepted_at,
         NOW,
         "the first round is never dropped"
     );
@@ -347,11 +349,11 @@
         }
     }
     // the journal only has message 3: it had accepted message 1 and lost it, and never received message 2
-    let mut service = unrecovered_service(&path, &config);
+    let mut service = open_without_recovery(&path, &config);
     service
         .recover(&BTreeSet::from([3]), true, NOW)
-        .expect("sound");
-    let uncertain: Vec<_> = all(&service)
+        .expect("an intact store");
+    let uncertain: Vec<_> = all_records(&service)
         .iter()
         .map(|record| (record.summary.state, record.summary.first_uncertain_at))
         .collect();
@@ -372,7 +374,7 @@
 }
 
 #[test]
-fn a_store_of_another_program_is_left_alone() {
+fn a_short_file_that_is_not_a_database_is_reported_as_damaged() {
     let folder = tempfile::tempdir().expect("a folder");
     let path = folder.path().join("u.db");
     std::fs::write(
