--- a/crates/dead-letter/benches/store.rs
+++ b/crates/dead-letter/benches/store.rs
@@ -105,7 +105,7 @@
             .request_redrive(number, "bench", "", NOW)
             .expect("it never ran");
         service
-            .on_engine_answer(number, RedriveOutcome::Accepted, NOW)
+            .on_redrive_outcome(number, RedriveOutcome::Accepted, NOW)
             .expect("written");
         let delivered = EndedMessage {
             ending: Ending::Delivered,
--- a/crates/dead-letter/src/redrive_service.rs
+++ b/crates/dead-letter/src/redrive_service.rs
@@ -210,19 +210,19 @@
         Ok(order)
     }
 
-    /// Records the engine's answer to a redrive. A redrive that was not accepted is not in the journal.
+    /// Records whether the engine accepted a redrive. A redrive that was not accepted is not in the journal.
     ///
     /// # Errors
     /// When the file can't be written.
-    pub fn on_engine_answer(
+    pub fn on_redrive_outcome(
         &mut self,
         number: u64,
-        answer: RedriveOutcome,
+        outcome: RedriveOutcome,
         now: Micros,
     ) -> Result<(), StoreError> {
-        let accepted = answer == RedriveOutcome::Accepted;
+        let accepted = outcome == RedriveOutcome::Accepted;
         self.store.change(number, |row| {
-            // the redrive may have ended already, and its end been saved
+            // the end of the redrive may have been saved already
             if row.state != State::RedriveRequested {
                 return None;
             }
@@ -230,7 +230,7 @@
                 row.state = State::Redriving;
             } else {
                 row.state = State::Unresolved;
-                let reason = Rejection::Engine(answer).to_string();
+                let reason = Rejection::Engine(outcome).to_string();
                 row.audit(now, "not taken", "sender", &reason);
             }
             Some(())
--- a/crates/dead-letter/src/row.rs
+++ b/crates/dead-letter/src/row.rs
@@ -16,6 +16,10 @@
 
 /// The statements that create the table and its index.
 ///
+/// The columns are in the order of the fields of [`Row`]. Some have another name than their field: `first_taken` is
+/// `accepted_at`, `resends` is `redrives`, `first_risk` is `first_uncertain_at`, `stated` is `confirmed_not_run`,
+/// `ordered_at` is `redrive_requested_at`, `story` is `history` and `sum` is `checksum`.
+///
 /// Times are Unix time in microseconds; `story` is the [`AttemptHistory`] as JSON, so that it can be read in the
 /// sqlite3 shell. SQLite integers are signed, so a destination of 2^63 or more is stored as a negative number.
 pub const TABLE: &str = "CREATE TABLE message (
--- a/crates/dead-letter/src/store/integrity.rs
+++ b/crates/dead-letter/src/store/integrity.rs
@@ -11,8 +11,8 @@
     /// Reads the whole file, and verifies its structure, the checksum of each row, and the number of rows.
     ///
     /// # Errors
-    /// [`StoreError::Damaged`] at the first damage that is found, or [`StoreError::Database`] when the file can't be read
-    /// for another reason, such as a lock.
+    /// [`StoreError::Damaged`] at the first damage that is found, or [`StoreError::Database`] when the file can't be
+    /// read for another reason, such as a lock.
     pub fn verify(&self) -> Result<(), StoreError> {
         self.verify_contents().map_err(|error| match error {
             StoreError::Database(error @ rusqlite::Error::SqliteFailure(..)) => {
--- a/crates/dead-letter/src/store/prune.rs
+++ b/crates/dead-letter/src/store/prune.rs
@@ -1,4 +1,5 @@
-//! Frees space: drops resolved messages when they exceed the maximum age, or when the store is full.
+//! Frees space: drops resolved messages when they exceed the maximum age, or when the store is full. In this module, a
+//! resolved message was delivered or was resolved by an operator.
 
 use super::query::used_bytes;
 use super::{DeadLetterStore, StoreLimits, read_row};
--- a/crates/dead-letter/src/store_worker.rs
+++ b/crates/dead-letter/src/store_worker.rs
@@ -297,8 +297,8 @@
         }
     }
 
-    /// Submits a redrive to the engine and records the engine's answer. The engine answers in its next turn and never
-    /// waits for this thread, so the two can't deadlock.
+    /// Submits a redrive to the engine and records the outcome. The engine replies in its next turn and never waits for
+    /// this thread, so the two can't deadlock.
     fn submit_redrive(
         &mut self,
         order: RedriveOrder,
@@ -308,17 +308,17 @@
         let number = order.number;
         let request = Input::Redrive(RedriveRequest { order, reply });
         let sent = self.engine.send(request).is_ok();
-        // without an answer the process is ending, and the next process takes the message's state from the journal
-        let answer = if sent {
+        // without a reply the process is ending, and the next process takes the message's state from the journal
+        let outcome = if sent {
             engine_reply.blocking_recv().ok()
         } else {
             None
         };
-        let Some(answer) = answer else {
+        let Some(outcome) = outcome else {
             return Ok(RedriveOutcome::Busy);
         };
-        self.service.on_engine_answer(number, answer, now)?;
-        Ok(answer)
+        self.service.on_redrive_outcome(number, outcome, now)?;
+        Ok(outcome)
     }
 
     /// Moves messages from their queue to the batch, up to [`SAVE_BATCH`].
--- a/crates/dead-letter/tests/golden/store_script.rs
+++ b/crates/dead-letter/tests/golden/store_script.rs
@@ -123,14 +123,14 @@
     }
 }
 
-fn redrive(service: &mut RedriveService, number: u64, answer: Option<RedriveOutcome>) {
+fn redrive(service: &mut RedriveService, number: u64, outcome: Option<RedriveOutcome>) {
     let order = service
         .request_redrive(number, "rule-1", "by rule", at(2000))
         .expect("the redrive is allowed");
     assert_eq!(order.number, number);
-    if let Some(answer) = answer {
+    if let Some(outcome) = outcome {
         service
-            .on_engine_answer(number, answer, at(2001))
+            .on_redrive_outcome(number, outcome, at(2001))
             .expect("written");
     }
 }
--- a/crates/dead-letter/tests/simulation/clients.rs
+++ b/crates/dead-letter/tests/simulation/clients.rs
@@ -16,9 +16,9 @@
 pub(super) type Responses = Rc<RefCell<Vec<(String, DestinationId, Option<ArrivalOutcome>)>>>;
 
 impl Simulation {
-    /// Records from the responses which messages the sender accepted or rejected. A client without a response submits its
-    /// message again, unless the sender had accepted it: then the message must be delivered or resolved like any accepted
-    /// one.
+    /// Records from the responses which messages the sender accepted or rejected. A client without a response submits
+    /// its message again, unless the sender had accepted it: then the message must be delivered or resolved like any
+    /// accepted one.
     pub(super) fn read_responses(&self, responses: &Responses) {
         let mut known_ids = None;
         for (name, destination, response) in responses.borrow_mut().drain(..) {
--- a/crates/dead-letter/tests/simulation/process.rs
+++ b/crates/dead-letter/tests/simulation/process.rs
@@ -260,23 +260,23 @@
         let _ = self.engine.send(Input::Stored(saved));
     }
 
-    /// Submits a redrive to the engine, and records the engine's answer.
+    /// Submits a redrive to the engine, and records the outcome.
     pub(super) async fn redrive(&mut self, order: RedriveOrder) {
         if !self.crash_point.try_step() {
             return;
         }
-        let (reply, answer) = oneshot::channel();
+        let (reply, engine_reply) = oneshot::channel();
         let number = order.number;
         let request = Input::Redrive(RedriveRequest { order, reply });
         let _ = self.engine.send(request);
-        let answer = answer.await.expect("the engine answers");
+        let outcome = engine_reply.await.expect("the engine replies");
         self.simulation
             .trace
             .borrow_mut()
-            .push(format!("redrive {number}: {answer:?}"));
+            .push(format!("redrive {number}: {outcome:?}"));
         if self.crash_point.try_step() {
             self.service
-                .on_engine_answer(number, answer, self.simulation.unix_now())
+                .on_redrive_outcome(number, outcome, self.simulation.unix_now())
                 .expect("the store");
         }
     }
--- a/crates/dead-letter/tests/store.rs
+++ b/crates/dead-letter/tests/store.rs
@@ -273,7 +273,7 @@
     let second = service.request_redrive(1, "rule", "", now);
     assert_eq!(rejection(second), Some(Rejection::InProgress));
     service
-        .on_engine_answer(1, RedriveOutcome::Accepted, now)
+        .on_redrive_outcome(1, RedriveOutcome::Accepted, now)
         .expect("written");
     let second = service.request_redrive(1, "me", "", now);
     assert_eq!(rejection(second), Some(Rejection::InProgress));
@@ -344,7 +344,7 @@
         }
         for number in [1, 3] {
             service
-                .on_engine_answer(number, RedriveOutcome::Accepted, NOW + SECOND)
+                .on_redrive_outcome(number, RedriveOutcome::Accepted, NOW + SECOND)
                 .expect("written");
         }
     }
