--- a/crates/dead-letter/src/redrive_order.rs
+++ b/crates/dead-letter/src/redrive_order.rs
@@ -28,7 +28,8 @@
 }
 
 /// The attempt at which the deduplication window of the message's idempotency key begins. Its endpoint only matters if
-/// the destination recognizes keys within one zone only; the endpoint is empty if the history no longer has the attempt.
+/// the destination recognizes keys within one zone only; the endpoint is empty if the history no longer has the
+/// attempt.
 fn find_uncertain_attempt(row: &Row, sent_at: Micros) -> UncertainAttempt {
     let endpoint = row
         .history
