--- a/crates/dead-letter/benches/store.rs
+++ b/crates/dead-letter/benches/store.rs
@@ -5,7 +5,7 @@
 use milletturn_dead_letter::config::Config;
 use milletturn_dead_letter::redrive_service::RedriveService;
 use milletturn_dead_letter::store::{DeadLetterStore, StoreLimits};
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{AttemptRecord, EndReason, Ending, RedriveOutcome, SharedStr};
 use milletturn_policy::{Effect, Micros, Outcome, SECOND};
 use std::collections::{BTreeMap, BTreeSet};
@@ -105,7 +105,7 @@
             .request_redrive(number, "bench", "", NOW)
             .expect("it never ran");
         service
-            .on_engine_answer(number, RedriveOutcome::Accepted, NOW)
+            .on_redrive_outcome(number, RedriveOutcome::Accepted, NOW)
             .expect("written");
         let delivered = EndedMessage {
             ending: Ending::Delivered,
@@ -159,7 +159,7 @@
     let started = Instant::now();
     open_service(path)
         .recover(&BTreeSet::new(), true, NOW)
-        .expect("sound");
+        .expect("an intact store");
     started.elapsed().as_secs_f64() * 1e3
 }
 
--- a/crates/dead-letter/src/redrive_service.rs
+++ b/crates/dead-letter/src/redrive_service.rs
@@ -13,7 +13,7 @@
 use crate::redrive_schedule::{Candidate, RedriveSchedule};
 use crate::row::Row;
 use crate::store::{DeadLetterStore, Page, SaveOutcome, StoreLimits};
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{EndReason, Ending, RedriveOrder, RedriveOutcome};
 use milletturn_policy::{Effect, Micros};
 use std::collections::{BTreeMap, BTreeSet};
@@ -41,7 +41,7 @@
     pub unsaved: usize,
 }
 
-/// The store, the redrive rules, and what a repeat of each class does.
+/// The store, the redrive rules, and the effect of a repeat for each class.
 #[derive(Debug)]
 pub struct RedriveService {
     store: DeadLetterStore,
@@ -49,6 +49,7 @@
     schedule: RedriveSchedule,
     candidates: RedriveCandidates,
     clients_retry: bool,
+    /// True if the last save left out messages because the store is full.
     full: bool,
 }
 
@@ -76,9 +77,8 @@
         }
     }
 
-    /// After a start: verifies the whole file, sets the state of each message that was being redriven from what the
-    /// journal says, and finds the messages that rules may redrive. [`DeadLetterStore::reconcile`] describes the
-    /// parameters.
+    /// After a start, verifies the whole file, sets the state of each message that was being redriven according to the
+    /// journal, and finds the messages that rules may redrive. [`DeadLetterStore::reconcile`] describes the parameters.
     ///
     /// # Errors
     /// When the file is damaged or can't be used.
@@ -183,8 +183,8 @@
         }
     }
 
-    /// Records the request to redrive a message, and returns the engine's order for it. From then on the journal
-    /// decides in which state the message is.
+    /// Records the request to redrive a message, and returns the order to pass to the engine. From then on the journal
+    /// determines the message's state.
     ///
     /// # Errors
     /// When the message may not be redriven now, or the file can't be read or written.
@@ -210,19 +210,19 @@
         Ok(order)
     }
 
-    /// Records the engine's answer to a redrive. A redrive that was not accepted is not in the journal.
+    /// Records whether the engine accepted a redrive. A redrive that was not accepted is not in the journal.
     ///
     /// # Errors
     /// When the file can't be written.
-    pub fn on_engine_answer(
+    pub fn on_redrive_outcome(
         &mut self,
         number: u64,
-        answer: RedriveOutcome,
+        outcome: RedriveOutcome,
         now: Micros,
     ) -> Result<(), StoreError> {
-        let accepted = answer == RedriveOutcome::Accepted;
+        let accepted = outcome == RedriveOutcome::Accepted;
         self.store.change(number, |row| {
-            // the redrive may have ended already, and its end been saved
+            // the end of the redrive may have been saved already
             if row.state != State::RedriveRequested {
                 return None;
             }
@@ -230,7 +230,7 @@
                 row.state = State::Redriving;
             } else {
                 row.state = State::Unresolved;
-                let reason = Rejection::Engine(answer).to_string();
+                let reason = Rejection::Engine(outcome).to_string();
                 row.audit(now, "not taken", "sender", &reason);
             }
             Some(())
--- a/crates/dead-letter/src/row.rs
+++ b/crates/dead-letter/src/row.rs
@@ -7,7 +7,7 @@
 };
 use base64::Engine as _;
 use base64::engine::general_purpose::STANDARD;
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{EndReason, Ending};
 use milletturn_policy::Micros;
 use rusqlite::types::ValueRef;
@@ -16,6 +16,10 @@
 
 /// The statements that create the table and its index.
 ///
+/// The columns are in the order of the fields of [`Row`]. Some have another name than their field: `first_taken` is
+/// `accepted_at`, `resends` is `redrives`, `first_risk` is `first_uncertain_at`, `stated` is `confirmed_not_run`,
+/// `ordered_at` is `redrive_requested_at`, `story` is `history` and `sum` is `checksum`.
+///
 /// Times are Unix time in microseconds; `story` is the [`AttemptHistory`] as JSON, so that it can be read in the
 /// sqlite3 shell. SQLite integers are signed, so a destination of 2^63 or more is stored as a negative number.
 pub const TABLE: &str = "CREATE TABLE message (
@@ -68,7 +72,7 @@
     pub destination: u64,
     /// State of the message in the store.
     pub state: State,
-    /// How the last round ended; the Retry-After of a returned message is not stored.
+    /// How the last round ended; the retry-after delay of a returned message is not stored.
     pub ending: Ending,
     /// Why the last round ended.
     pub reason: EndReason,
@@ -80,8 +84,8 @@
     pub ended_at: Micros,
     /// Number of redrives so far.
     pub redrives: u32,
-    /// When the first attempt was sent that the destination may have processed, without attempts that an operator has
-    /// confirmed not to have run; `None` if there is none.
+    /// When the first attempt was sent that the destination may have processed; `None` if there is none. Attempts that
+    /// an operator has confirmed not to have run don't count. 0 if the time was lost with a store that was set aside.
     pub first_uncertain_at: Option<Micros>,
     /// True if an operator has confirmed that the message did not run, or that its client does not resubmit it.
     pub confirmed_not_run: bool,
@@ -135,14 +139,14 @@
     ///
     /// # Errors
     /// When a column has a value or type that this program never writes.
-    pub fn read(found: &rusqlite::Row<'_>) -> Result<Self, StoreError> {
-        let number = read_number(found)?;
-        if found.as_ref().column_count() != COLUMNS {
+    pub fn read(sql_row: &rusqlite::Row<'_>) -> Result<Self, StoreError> {
+        let number = read_number(sql_row)?;
+        if sql_row.as_ref().column_count() != COLUMNS {
             return Err(invalid(number, "it does not have the expected columns"));
         }
-        let history: String = column(found, number, 15)?;
-        let summary = read_shared_columns(found, number)?;
-        let body = match found.get_ref(16) {
+        let history: String = column(sql_row, number, 15)?;
+        let summary = read_shared_columns(sql_row, number)?;
+        let body = match sql_row.get_ref(16) {
             Ok(ValueRef::Blob(bytes)) => Some(bytes.to_vec()),
             Ok(ValueRef::Null) => None,
             _ => return Err(invalid(number, "its body is not a BLOB")),
@@ -164,11 +168,11 @@
             redrives: summary.redrives,
             first_uncertain_at: summary.first_uncertain_at,
             confirmed_not_run: summary.confirmed_not_run,
-            redrive_requested_at: column(found, number, 14)?,
+            redrive_requested_at: column(sql_row, number, 14)?,
             history: serde_json::from_str(&history)
                 .map_err(|error| invalid(number, &error.to_string()))?,
             body,
-            checksum: column(found, number, 17)?,
+            checksum: column(sql_row, number, 17)?,
         })
     }
 
@@ -176,12 +180,12 @@
     ///
     /// # Errors
     /// When a column has a value or type that this program never writes.
-    pub fn read_summary(found: &rusqlite::Row<'_>) -> Result<Summary, StoreError> {
-        let number = read_number(found)?;
-        let length: Option<i64> = column(found, number, 15)?;
+    pub fn read_summary(sql_row: &rusqlite::Row<'_>) -> Result<Summary, StoreError> {
+        let number = read_number(sql_row)?;
+        let length: Option<i64> = column(sql_row, number, 15)?;
         Ok(Summary {
             body_bytes: length.map(i64::unsigned_abs),
-            ..read_shared_columns(found, number)?
+            ..read_shared_columns(sql_row, number)?
         })
     }
 
@@ -319,46 +323,46 @@
 }
 
 /// Reads the columns that [`SELECT_AFTER`] and [`SELECT_ONE`] have at the same positions.
-fn read_shared_columns(found: &rusqlite::Row<'_>, number: u64) -> Result<Summary, StoreError> {
-    let state: String = column(found, number, 5)?;
+fn read_shared_columns(sql_row: &rusqlite::Row<'_>, number: u64) -> Result<Summary, StoreError> {
+    let state: String = column(sql_row, number, 5)?;
     Ok(Summary {
         number,
-        id: column(found, number, 1)?,
-        key: column(found, number, 2)?,
-        class: column(found, number, 3)?,
-        destination: column::<i64>(found, number, 4)? as u64,
+        id: column(sql_row, number, 1)?,
+        key: column(sql_row, number, 2)?,
+        class: column(sql_row, number, 3)?,
+        destination: column::<i64>(sql_row, number, 4)? as u64,
         state: State::parse(&state).ok_or_else(|| invalid(number, "unknown state"))?,
-        ending: column(found, number, 6)?,
-        reason: column(found, number, 7)?,
-        accepted_at: column(found, number, 8)?,
-        deadline: column(found, number, 9)?,
-        ended_at: column(found, number, 10)?,
-        redrives: column(found, number, 11)?,
-        first_uncertain_at: column(found, number, 12)?,
-        confirmed_not_run: column(found, number, 13)?,
+        ending: column(sql_row, number, 6)?,
+        reason: column(sql_row, number, 7)?,
+        accepted_at: column(sql_row, number, 8)?,
+        deadline: column(sql_row, number, 9)?,
+        ended_at: column(sql_row, number, 10)?,
+        redrives: column(sql_row, number, 11)?,
+        first_uncertain_at: column(sql_row, number, 12)?,
+        confirmed_not_run: column(sql_row, number, 13)?,
         body_bytes: None,
     })
 }
 
-fn read_number(found: &rusqlite::Row<'_>) -> Result<u64, StoreError> {
-    let number: i64 = found.get(0)?;
+fn read_number(sql_row: &rusqlite::Row<'_>) -> Result<u64, StoreError> {
+    let number: i64 = sql_row.get(0)?;
     u64::try_from(number)
         .map_err(|_| invalid(0, &format!("message number {number} is out of range")))
 }
 
 fn column<T: rusqlite::types::FromSql>(
-    found: &rusqlite::Row<'_>,
+    sql_row: &rusqlite::Row<'_>,
     number: u64,
     index: usize,
 ) -> Result<T, StoreError> {
-    found
+    sql_row
         .get(index)
         .map_err(|error| invalid(number, &error.to_string()))
 }
 
-fn invalid(number: u64, what: &str) -> StoreError {
+fn invalid(number: u64, problem: &str) -> StoreError {
     StoreError::InvalidRow {
         number,
-        what: what.to_string(),
+        problem: problem.to_string(),
     }
 }
--- a/crates/dead-letter/src/store/prune.rs
+++ b/crates/dead-letter/src/store/prune.rs
@@ -1,4 +1,5 @@
-//! Frees space: drops resolved messages when they exceed the maximum age, or when the store is full.
+//! Frees space: drops resolved messages when they exceed the maximum age, or when the store is full. In this module, a
+//! resolved message was delivered or was resolved by an operator.
 
 use super::query::used_bytes;
 use super::{DeadLetterStore, StoreLimits, read_row};
@@ -42,8 +43,9 @@
 /// Makes space for one more message of `needed` bytes; returns false if there are not enough resolved messages
 /// to drop.
 ///
-/// Bodies of resolved messages are dropped first, then resolved messages, the oldest first. Unresolved messages are
-/// never dropped.
+/// If the file is too large, bodies of resolved messages are dropped before resolved messages; if there are too many
+/// messages, resolved messages are dropped at once. The messages that ended first go first. Messages that are neither
+/// delivered nor resolved are never dropped.
 pub(super) fn free_space(
     transaction: &Transaction<'_>,
     needed: u64,
--- a/crates/dead-letter/src/store_worker.rs
+++ b/crates/dead-letter/src/store_worker.rs
@@ -1,14 +1,14 @@
 //! Runs the redrive service on a thread of its own, so that a slow disk does not delay the engine.
 
-use crate::archive_handle::{ArchiveHandle, AttemptObserver};
 use crate::config::Config;
+use crate::engine_ports::{AttemptObserver, StoreWorkerSink};
 use crate::error::{RedriveError, Rejection, StoreError};
 use crate::job::{Job, RedriveJob, Redriven};
 use crate::record::BodyMode;
 use crate::redrive_decision::RedriveDecision;
 use crate::redrive_service::RedriveService;
 use crate::store::{DeadLetterStore, set_aside};
-use milletturn_engine::archive::EndedMessage;
+use milletturn_engine::dead_letter_sink::EndedMessage;
 use milletturn_engine::{Clock, Input, RedriveOrder, RedriveOutcome, RedriveRequest};
 use milletturn_logging::log;
 use milletturn_policy::{Effect, Micros};
@@ -21,7 +21,8 @@
 /// Capacity of the queue of messages that wait for the thread, with their bodies: 64 messages of 64 KiB take at most
 /// 4 MiB. If the queue is full, a message stays in the journal, and the engine offers it again.
 const MAX_QUEUED_MESSAGES: usize = 64;
-/// Capacity of the queue of other jobs. Each command waits for its reply before its next job, so there are few.
+/// Capacity of the queue of jobs. A command waits for each reply before its next job, so most jobs in the queue are
+/// ends of attempts and wake-ups, which are dropped while the queue is full.
 const MAX_QUEUED_JOBS: usize = 256;
 /// Maximum number of jobs in a row, after the first, before the thread checks the queue of messages again.
 const JOBS_PER_TURN: usize = 64;
@@ -53,7 +54,7 @@
     pub clock: Clock,
     /// The engine's input channel, for redrives and for confirmations of saved messages.
     pub engine: mpsc::UnboundedSender<Input>,
-    /// Maximum size, in bytes, of the store and a file that is set aside together.
+    /// Maximum total size, in bytes, of the store, its rollback journal and a damaged file that is set aside.
     pub max_total_bytes: u64,
 }
 
@@ -63,7 +64,7 @@
     /// The sending half of the queue of jobs.
     pub jobs: SyncSender<Job>,
     messages: SyncSender<Box<EndedMessage>>,
-    /// Greater than the number of any message in the store.
+    /// The lowest number for a new message: one more than the greatest number in the store.
     pub first_number: u64,
     store_returned: bool,
 }
@@ -97,10 +98,10 @@
         })
     }
 
-    /// The archive to give to the engine.
+    /// The sink through which the engine stores messages.
     #[must_use]
-    pub fn archive_handle(&self) -> ArchiveHandle {
-        ArchiveHandle {
+    pub fn sink(&self) -> StoreWorkerSink {
+        StoreWorkerSink {
             messages: self.messages.clone(),
             jobs: self.jobs.clone(),
             store_returned: self.store_returned,
@@ -143,9 +144,9 @@
     error: &StoreError,
 ) -> Result<DeadLetterStore, StoreError> {
     log(format_args!("undelivered: {error}"));
-    let damaged = |what: String| StoreError::Damaged {
+    let damaged = |problem: String| StoreError::Damaged {
         path: path.to_path_buf(),
-        what,
+        problem,
     };
     let size = std::fs::metadata(path).map_or(0, |file| file.len());
     if size.saturating_add(2 * config.max_bytes) > max_total_bytes {
@@ -156,7 +157,7 @@
     let aside =
         set_aside(path).map_err(|error| damaged(format!("it could not be set aside: {error}")))?;
     log(format_args!(
-        "undelivered: set aside as {}; nothing is sent from it, and a new store begins",
+        "undelivered: set aside as {}; nothing is sent from it, and a new store is created",
         aside.display()
     ));
     DeadLetterStore::open(path, RedriveService::limits(config))
@@ -181,7 +182,7 @@
     }
 }
 
-/// The thread's main loop: does jobs, saves messages, evaluates rules and prunes, until all job senders are dropped.
+/// The thread's main loop: handles jobs, saves messages, evaluates rules and prunes, until all job senders are dropped.
 fn run(
     options: StoreWorkerOptions,
     path: &Path,
@@ -208,22 +209,22 @@
     let mut worker = Worker {
         service,
         engine: options.engine,
-        unsaved: Vec::new(),
+        batch: Vec::new(),
         backoff_until: None,
     };
     let (mut last_tick, mut last_prune) = (Instant::now(), Instant::now());
     loop {
         match jobs.recv_timeout(RULE_INTERVAL) {
             Ok(job) => {
-                worker.do_job(job, now());
+                worker.handle_job(job, now());
                 jobs.try_iter()
                     .take(JOBS_PER_TURN)
-                    .for_each(|job| worker.do_job(job, now()));
+                    .for_each(|job| worker.handle_job(job, now()));
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return,
         }
-        worker.collect(messages);
+        worker.fill_batch(messages);
         worker.save(now());
         if last_tick.elapsed() >= RULE_INTERVAL {
             last_tick = Instant::now();
@@ -243,13 +244,13 @@
     service: RedriveService,
     engine: mpsc::UnboundedSender<Input>,
     /// The batch of messages to save next, at most [`SAVE_BATCH`].
-    unsaved: Vec<EndedMessage>,
+    batch: Vec<EndedMessage>,
     /// No messages are saved before this time; `None` if there is no backoff.
     backoff_until: Option<Instant>,
 }
 
 impl Worker {
-    fn do_job(&mut self, job: Job, now: Micros) {
+    fn handle_job(&mut self, job: Job, now: Micros) {
         let service = &mut self.service;
         match job {
             Job::Wake => {}
@@ -257,20 +258,26 @@
                 destination,
                 succeeded,
             } => service.on_attempt_end(destination, succeeded, now),
-            Job::List(call) => {
-                call.respond(|list| service.list(&list.filter, list.after, list.limit));
+            Job::List(request) => {
+                request.respond(|list| service.list(&list.filter, list.after, list.limit));
             }
-            Job::Get(call) => call.respond(|get| service.record(get.number, get.body)),
-            Job::Stats(call) => call.respond(|()| service.stats(now)),
-            Job::Redrive(call) => call.respond(|job| self.redrive(&job, now)),
-            Job::Resolve(call) => call.respond(|job| {
-                service.resolve(job.number, job.resolution, &job.actor, &job.reason, now)
+            Job::Get(request) => request.respond(|get| service.record(get.number, get.body)),
+            Job::Stats(request) => request.respond(|()| service.stats(now)),
+            Job::Redrive(request) => request.respond(|redrive| self.redrive(&redrive, now)),
+            Job::Resolve(request) => request.respond(|resolve| {
+                service.resolve(
+                    resolve.number,
+                    resolve.resolution,
+                    &resolve.actor,
+                    &resolve.reason,
+                    now,
+                )
             }),
         }
     }
 
-    fn redrive(&mut self, job: &RedriveJob, now: Micros) -> Result<Redriven, RedriveError> {
-        let record = self.service.record(job.number, BodyMode::Omit)?;
+    fn redrive(&mut self, request: &RedriveJob, now: Micros) -> Result<Redriven, RedriveError> {
+        let record = self.service.record(request.number, BodyMode::Omit)?;
         let record = record.ok_or(Rejection::NotFound)?;
         let redriven = Redriven {
             until: match self.service.decide(&record.summary, now)? {
@@ -278,20 +285,20 @@
                 _ => None,
             },
         };
-        if job.dry_run {
+        if request.dry_run {
             return Ok(redriven);
         }
-        let order = self
-            .service
-            .request_redrive(job.number, &job.actor, &job.reason, now)?;
+        let order =
+            self.service
+                .request_redrive(request.number, &request.actor, &request.reason, now)?;
         match self.submit_redrive(order, now)? {
             RedriveOutcome::Accepted => Ok(redriven),
             other => Err(Rejection::Engine(other).into()),
         }
     }
 
-    /// Submits a redrive to the engine and records the engine's answer. The engine answers in its next turn and never
-    /// waits for this thread, so the two can't deadlock.
+    /// Submits a redrive to the engine and records the outcome. The engine replies in its next turn and never waits for
+    /// this thread, so the two can't deadlock.
     fn submit_redrive(
         &mut self,
         order: RedriveOrder,
@@ -301,23 +308,23 @@
         let number = order.number;
         let request = Input::Redrive(RedriveRequest { order, reply });
         let sent = self.engine.send(request).is_ok();
-        // without an answer the process is ending, and the next process takes the message's state from the journal
-        let answer = if sent {
+        // without a reply the process is ending, and the next process takes the message's state from the journal
+        let outcome = if sent {
             engine_reply.blocking_recv().ok()
         } else {
             None
         };
-        let Some(answer) = answer else {
+        let Some(outcome) = outcome else {
             return Ok(RedriveOutcome::Busy);
         };
-        self.service.on_engine_answer(number, answer, now)?;
-        Ok(answer)
+        self.service.on_redrive_outcome(number, outcome, now)?;
+        Ok(outcome)
     }
 
     /// Moves messages from their queue to the batch, up to [`SAVE_BATCH`].
-    fn collect(&mut self, messages: &Receiver<Box<EndedMessage>>) {
-        let capacity = SAVE_BATCH.saturating_sub(self.unsaved.len());
-        self.unsaved
+    fn fill_batch(&mut self, messages: &Receiver<Box<EndedMessage>>) {
+        let capacity = SAVE_BATCH.saturating_sub(self.batch.len());
+        self.batch
             .extend(messages.try_iter().take(capacity).map(|message| *message));
     }
 
@@ -325,13 +332,13 @@
         let backing_off = self
             .backoff_until
             .is_some_and(|until| Instant::now() < until);
-        if self.unsaved.is_empty() || backing_off {
+        if self.batch.is_empty() || backing_off {
             return;
         }
         self.backoff_until = None;
-        match self.service.save(&self.unsaved, now) {
+        match self.service.save(&self.batch, now) {
             Ok(report) => {
-                self.unsaved
+                self.batch
                     .retain(|message| !report.saved.contains(&message.number));
                 if report.unsaved > 0 {
                     log(format_args!(
@@ -345,7 +352,7 @@
             Err(error) => {
                 log(format_args!(
                     "undelivered: {error}; {} messages wait in the ledger",
-                    self.unsaved.len()
+                    self.batch.len()
                 ));
                 self.backoff_until = Some(Instant::now() + FAULT_BACKOFF);
             }
