--- a/crates/policy/src/cleanup.rs
+++ b/crates/policy/src/cleanup.rs
@@ -84,9 +84,10 @@
             .for_each(|key| self.leave_key_queue(key, id));
     }
 
-    /// Ends a message by the sender's own decision. If the host reports such ends by notifications, the client
-    /// learns of the end only from the notification. So that the client sees the messages of a key in order,
-    /// the message keeps its position in the queue of the key until the notification is acknowledged.
+    /// Ends a message that the sender decided to reject or to fail. If the host reports such ends by
+    /// notifications, the client learns of the end only from the notification. So that the client sees the
+    /// messages of a key in order, the message keeps its position in the queue of the key until the
+    /// notification is acknowledged.
     pub(crate) fn end_message(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let key = self
             .messages
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -2,8 +2,7 @@
 //! messages, attempts, calls and endpoints are plain data in `state.rs`.
 //!
 //! Reading order: the constants, `handle` (one turn), the handlers of events, the checks of what the delivery
-//! rules allow (no other code knows these rules), and then the choices within the rules: sends, hedged
-//! requests and the end of messages.
+//! rules allow, and then the choices among what they allow: sends, hedged requests and the end of messages.
 
 use crate::interface::{
     Action, DestinationId, Effect, EndpointId, Event, MILLISECOND, MessageId, Micros, NewMessage,
@@ -21,7 +20,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Delay before a hedged request while no latency is known. Shorter values find slow calls sooner, longer
-/// ones send fewer hedged requests in vain.
+/// ones send fewer unnecessary hedged requests.
 const DEFAULT_HEDGE_DELAY: Micros = SECOND;
 /// Latencies remembered per health scope.
 const LATENCY_SAMPLES: usize = 40;
@@ -35,8 +34,8 @@
 /// Largest concurrency window of an ejected scope, and the slots that all slow and ejected scopes may use
 /// together, as a share of the call slots.
 const MAX_DEGRADED_SHARE: f64 = 0.5;
-/// Share of the call slots that hedged requests may use. Larger values rescue more slow messages, smaller
-/// ones leave more slots to first attempts.
+/// Share of the call slots that hedged requests may use. Larger values hedge more slow messages, smaller ones
+/// leave more slots to first attempts.
 const MAX_HEDGE_SHARE: f64 = 0.5;
 /// Factor by which congestion reduces the concurrency window. Smaller values drain queues sooner but cost
 /// more throughput.
@@ -59,8 +58,8 @@
 /// put less load on a destination that hundreds of senders share.
 const MIN_FLEET_RATE: f64 = 1.5;
 /// Initial rate limit of a single sender, in calls per second, to a destination that may still announce a
-/// limit. Several senders divide this rate by the square of their number: all begin at once, and the more
-/// they are, the fewer responses each receives.
+/// limit. With several senders, this rate is divided by the square of their number, because all start at once
+/// and each receives only its share of the responses.
 const INITIAL_RATE_FACTOR: f64 = 5000.0;
 /// Seconds in which this sender's load is assumed to fill its capacity for pending messages. The initial rate
 /// limit of a destination is never below that load divided by the number of listed destinations.
@@ -68,8 +67,8 @@
 /// Longest delay of the first call after a restart, as a share of the latency objective or of the time left,
 /// whichever is shorter.
 const MAX_RESUME_DELAY_SHARE: f64 = 0.75;
-/// Upper bound of the rate limit while no messages wait, as a multiple of the recent success rate. Such an
-/// application-limited rate tells nothing about the destination's capacity (RFC 7661). Larger values follow
+/// Upper bound of the rate limit while no messages wait, as a multiple of the recent success rate. A success
+/// rate that the demand limits says nothing about the destination's capacity (RFC 7661). Larger values follow
 /// demand sooner, smaller ones let fewer simultaneous bursts of all senders through.
 const APPLICATION_LIMITED_MULTIPLE: f64 = 2.0;
 /// Lowest value of that upper bound, as a multiple of the fair share. The trade-off is the same as for
@@ -81,44 +80,43 @@
 /// Number of standard deviations of random arrivals for which tokens may be saved up. Such bursts of
 /// independent senders largely cancel out in the sum.
 const BURST_DEVIATIONS: f64 = 2.0;
-/// Outage evidence above which a health scope is not trusted.
+/// Outage evidence above which a health scope counts as unreliable, even if it is not ejected.
 const MAX_TRUSTED_EVIDENCE: f64 = 4.5;
 /// Upper bound of the outage evidence when an ejected scope starts to recover.
 const MAX_RECOVERY_EVIDENCE: f64 = 11.0;
-/// Outage evidence from which on an outage counts as confirmed. Below it, an outage that has just been
+/// Outage evidence at or above which an outage counts as confirmed. Below it, an outage that has just been
 /// detected may stay unconfirmed for one overload window.
 const CONFIRMED_OUTAGE_EVIDENCE: f64 = 2.0 * EJECTION_THRESHOLD;
 /// Maximum number of concurrent calls to a scope with an unconfirmed outage; these calls show whether the
-/// scope is down. More calls end a false alarm sooner, fewer waste less on an outage.
+/// scope is down. Larger values end a false alarm sooner, smaller ones waste fewer calls on an outage.
 const MAX_UNCONFIRMED_OUTAGE_CALLS: usize = 2;
-/// Baseline failure rate from which on a newly detected outage is unconfirmed.
+/// Baseline failure rate at or above which a newly detected outage is unconfirmed.
 const NOISY_BASELINE_RATE: f64 = 0.15;
 /// Number of observed calls below which the baseline failure rate of a busy scope counts as unknown: the
 /// scope may be noisy.
 const MIN_KNOWN_CALLS: f64 = 50.0;
-/// Calls per second from which on a scope counts as busy.
+/// Calls per second at or above which a scope counts as busy.
 const BUSY_CALLS_PER_S: f64 = 20.0;
 /// Number of slow-start times after which an unhealthy scope that still has occasional successes counts as
 /// noisy rather than down.
 const MAX_OUTAGE_SLOW_STARTS: i64 = 3;
 /// Weight of one more call in the moving average of a class's failure rate at an endpoint.
 const CLASS_FAILURE_WEIGHT: f64 = 0.05;
-/// Number of hedge delays after which a call without a sign of life counts as unresponsive; this time is the
-/// unresponsive limit.
+/// Number of hedge delays after which a call counts as unresponsive if its scope has sent no response since
+/// the call was sent; this time is the unresponsive limit.
 const UNRESPONSIVE_HEDGE_DELAYS: i64 = 2;
 /// Smallest age at which a call counts as unresponsive or slow.
 const MIN_UNRESPONSIVE_AGE: Micros = SECOND;
 /// Number of unresponsive limits after which a call to an unresponsive scope is cancelled. Smaller values
 /// free slots sooner, larger ones wait longer for a response.
 const CANCEL_AFTER_LIMITS: i64 = 2;
-/// Factor by which the time before cancellation is longer if only one class at one endpoint shows no sign of
-/// life.
+/// Factor by which the time before cancellation is longer if only one class at one endpoint gets no response.
 const CLASS_CANCEL_FACTOR: i64 = 2;
-/// Number of half unresponsive limits, for each attempt so far, after which a call is cancelled if calls that
-/// were sent later have succeeded.
+/// A call is cancelled once its age exceeds this many halves of the unresponsive limit times the number of
+/// its attempt, if calls of its class that were sent to the endpoint later have succeeded.
 const OVERTAKEN_HALF_LIMITS: i64 = 3;
-/// Share of the slots in use from which on unsafe calls are cancelled too. Smaller values abandon
-/// more messages, larger ones free fewer slots.
+/// Share of the slots in use at or above which unsafe calls are cancelled too. Smaller values abandon more
+/// messages, larger ones free fewer slots.
 const SCARCE_SLOTS_SHARE: f64 = 0.7;
 /// Share of the latency objective up to which the oldest message comes first. Beyond it, the messages that
 /// lose most by waiting come first.
@@ -127,15 +125,16 @@
 /// ejected scopes share a bounded part of the slots. Smaller values isolate slow scopes sooner, larger ones
 /// leave room for long but healthy calls.
 const SLOW_CALL_MULTIPLE: i64 = 4;
-/// The typical latency moves towards each new latency by one part in this many of the difference: slowly
-/// enough to outlast a short disturbance.
+/// The typical latency is a moving average, in which each new latency has a weight of one divided by this
+/// number: small enough that a short disturbance hardly changes the average.
 const TYPICAL_LATENCY_DIVISOR: i64 = 50;
 /// Number of latencies needed before the hedge delay may fall below its default. Smaller values find slow
 /// calls sooner, larger ones send fewer hedged requests to destinations with little traffic.
 const MIN_LATENCY_SAMPLES: usize = 8;
-/// Weight of a connection reset relative to other failures. Connections break under calls for reasons of
-/// their own, and a process that has died also rejects the connections that follow. Larger values detect a
-/// dead process sooner, smaller ones avoid ejecting destinations behind unreliable connections.
+/// Weight of a connection reset relative to other failures. A connection may break although the process at
+/// its other end is healthy; if the process has died, it also rejects the connections that follow. Larger
+/// values detect a dead process sooner, smaller ones avoid ejecting destinations behind unreliable
+/// connections.
 const RESET_FAILURE_WEIGHT: f64 = 0.3;
 /// Number of consecutive rejections that mean an open circuit rather than throttling, if they last for
 /// `MIN_CIRCUIT_OPEN_SPAN`.
@@ -145,10 +144,10 @@
 /// Share of the recovery budget that is used. Larger values recover sooner, smaller ones leave room for other
 /// senders.
 const RECOVERY_BUDGET_SHARE: f64 = 0.7;
-/// Number of probes of an ejected scope per overload window by all senders together, however little each of
-/// them knows about the scope. Larger values detect recovery sooner, smaller ones put less load on a small
-/// destination.
-const MAX_FLEET_PROBES: f64 = 3.0;
+/// Lower bound of the probes of an ejected scope per overload window, by all senders together; it applies
+/// where the recovery budget would allow fewer probes. Larger values detect recovery sooner, smaller ones put
+/// less load on a small destination.
+const MIN_FLEET_PROBES: f64 = 3.0;
 /// Weight of one call in the moving average of connection rejections, if the call could not open a connection
 /// or met a full connection table.
 const CONNECTION_REJECTION_WEIGHT: f64 = 0.2;
@@ -350,9 +349,9 @@
     }
 
     /// Delays the first calls to a destination after a restart by a random part of an interval. If all
-    /// senders restart at once, each would otherwise begin with a whole call before any of them knows a
-    /// limit. The cost is some delay where this sender alone was restarted. A later message with less time
-    /// left shortens the delay.
+    /// senders restart at once, each would otherwise send a call immediately, before any of them knows a
+    /// limit. The delay is unnecessary if only this sender was restarted. A later message with less time left
+    /// shortens the delay.
     pub(crate) fn stagger_after_restart(
         &mut self,
         class: usize,
@@ -434,7 +433,7 @@
         ) {
             let backoff = message.retry_backoff;
             message.retry_backoff = (backoff * 2).min(MAX_RETRY_BACKOFF);
-            // With a rate limit or a Retry-After, the health scope already delays the retry.
+            // With a rate limit or a retry-after delay, the health scope already delays the retry.
             let is_rate_limited = scope.is_some_and(|scope| {
                 scope.announced_limit.is_some() || scope.rate_limit.is_finite()
             });
@@ -523,8 +522,8 @@
         );
         let phase = self.random_phase();
         let unresponsive_after = self.scope_mut(scope_id).unresponsive_after();
-        // Failure rate of this class at this endpoint if another class has succeeded there since; otherwise
-        // 0.
+        // Failure rate of this class at this endpoint if another class has succeeded there since the failures
+        // began; otherwise 0.
         let mut class_failure_rate = 0.0;
         if let Some(endpoint) = self.endpoints.get_mut(&endpoint_id) {
             for score in [
@@ -587,8 +586,8 @@
                 scope.record_latency(latency);
                 scope.consecutive_rejections = 0;
                 scope.succeeded_since_reduction = true;
-                // A scope that still has successes long after an outage and its recovery would have ended is
-                // only noisy.
+                // A scope that still has successes so long after its ejection that an outage and the recovery
+                // would be over is only noisy.
                 let baseline_unknown = scope.outage_evidence.observed_calls() < MIN_KNOWN_CALLS
                     && scope.average_send_rate(now, overload_window / 30) >= BUSY_CALLS_PER_S;
                 let is_noise = now - scope.unhealthy_since > MAX_OUTAGE_SLOW_STARTS * slow_start
@@ -625,8 +624,8 @@
                     + 1.0 / scope.concurrency_window)
                     .min(MAX_WINDOW_SHARE * slots);
                 match scope.health {
-                    // A scope that answers the first probe after nothing but rejections or missing responses
-                    // was throttled or slow, not down.
+                    // If the first probe succeeds after an ejection that was caused only by rejections or
+                    // missing responses, the scope was throttled or slow, not down.
                     Health::Ejected {
                         unresponsive,
                         since,
@@ -755,11 +754,11 @@
         self.scheduler.activate_destination(scope_id.0);
     }
 
-    /// Adjusts the rate limit to a load report of the limit that all senders share, the only sign of their
-    /// total load. The rate rises while much of the limit remains and falls while little does. It is at most
-    /// the fair share divided by the square of the used share: the fair share itself while nothing remains,
-    /// more otherwise. This protects limits that count rejected calls too; it can hold back a sender that has
-    /// most of the traffic.
+    /// Adjusts the rate limit to a load report. It describes the limit that all senders share, and is the
+    /// only information about their total load. The rate rises while much of the limit remains and falls
+    /// while little does. It is at most the fair share divided by the square of the used share: the fair
+    /// share itself while nothing remains, more otherwise. This protects limits that count rejected calls
+    /// too; it can hold back a sender that has most of the traffic.
     fn on_load_report(&mut self, scope_id: HealthScopeId, report: &[f64]) {
         let read_field =
             |position: Option<usize>| position.and_then(|index| report.get(index).copied());
@@ -980,7 +979,8 @@
                     (self.now - attempt.sent_at, scope.unresponsive_after());
                 let is_overdue = age > limits * unresponsive_after
                     && (is_ejected || last_success_at < attempt.sent_at);
-                // If calls that were sent much later have succeeded, the connection of this one is dead.
+                // If calls that were sent much later have succeeded, the connection of this one is presumed
+                // broken.
                 let is_overtaken = last_success_sent_at > attempt.sent_at + unresponsive_after / 2
                     && 2 * age > OVERTAKEN_HALF_LIMITS * unresponsive_after * (index as i64 + 1);
                 if is_overdue || is_overtaken {
@@ -1019,9 +1019,9 @@
         is_next_of_key && self.now < self.repeatable_until(message, usize::MAX, Some(target.zone))
     }
 
-    /// Until when a message may be sent to a zone, given its attempts except the one at `excluded_index`: as
-    /// long as the destination remembers its idempotency key. `Micros::MAX` means without limit,
-    /// `Micros::MIN` never.
+    /// The time until which a message may be sent to a zone, given its attempts except the one at
+    /// `excluded_index`: as long as the destination remembers its idempotency key. `Micros::MAX` means
+    /// without limit, `Micros::MIN` never.
     fn repeatable_until(
         &self,
         message: &PendingMessage,
@@ -1044,9 +1044,9 @@
             .unwrap_or(Micros::MAX)
     }
 
-    /// By when the last byte of an attempt that has not begun must be written; `None` if it must not begin.
-    /// This covers what happened while its connection was opened: a Retry-After, a drain, or the end of the
-    /// deduplication window.
+    /// The time by which the last byte of an attempt that has not begun must be written; `None` if it must
+    /// not begin. This takes into account what happened while its connection was opened: a retry-after delay,
+    /// a drain, or the end of the deduplication window.
     #[must_use]
     pub fn write_deadline(&self, now: Micros, id: MessageId, index: usize) -> Option<Micros> {
         let message = self.messages.get(&id).filter(|message| message.open)?;
@@ -1068,9 +1068,9 @@
         (now >= retry_after_until && now < until).then_some(until)
     }
 
-    /// Whether a call may start at a health scope: checks Retry-After, free slots, a pending shutdown, and
-    /// then the window, rate limit and health. `joins_call`: the message would join a call that this turn has
-    /// opened.
+    /// Whether a call may start at a health scope: checks the retry-after delay, free slots, a pending
+    /// shutdown, and then the window, rate limit and health. `joins_call`: the message would join a call that
+    /// this turn has opened.
     fn check_admission(
         &self,
         scope_id: HealthScopeId,
@@ -1120,7 +1120,7 @@
         self.check_scope_limits(scope_id, unsafe_class, is_hedge, joins_call)
     }
 
-    /// Until when no message of a queue can be sent, whichever it is; `None` if some endpoint admits a call.
+    /// The time until which no message of a queue can be sent; `None` if some endpoint admits a call.
     pub(crate) fn blocked_until(&self, queue: &QueueKey) -> Option<BlockedUntil> {
         let unsafe_class = self.effect_of(queue.class) == Effect::Unsafe;
         let mut combined = BlockedUntil {
@@ -1218,7 +1218,7 @@
         }
     }
 
-    /// From when on no attempt of the message can be allowed, because it may have run and must not be
+    /// The time from which no attempt of the message can be allowed, because it may have run and must not be
     /// repeated or no attempt is left. `Micros::MIN` means already now, `Micros::MAX` never.
     pub(crate) fn unsendable_from(&self, message: &PendingMessage) -> Micros {
         if message.rejected_on_arrival
@@ -1238,8 +1238,8 @@
 
     /// Whether a new message would be sent only after its latency objective, or after its deadline if it was
     /// resubmitted or is already past the objective. Rejecting it keeps queues at an announced limit short
-    /// and lets the client use a sender with a shorter queue. A rising rate limit might have served it in
-    /// time.
+    /// and lets the client use a sender with a shorter queue. The estimate ignores that the rate limit may
+    /// rise, so it may reject a message that could have been sent in time.
     fn would_wait_too_long(&self, new: &NewMessage) -> bool {
         let Some(class) = self
             .settings
@@ -1271,7 +1271,7 @@
         scopes.peek().is_some() && scopes.all(|scope| scope.is_some_and(is_late))
     }
 
-    /// Whether every health scope of the destination is ejected, recovering or not trusted because of recent
+    /// Whether every health scope of the destination is ejected, recovering or unreliable because of recent
     /// failures.
     fn has_no_healthy_scope(&self, destination: DestinationId) -> bool {
         let is_reliable = |scope: &HealthScope| {
@@ -1380,8 +1380,9 @@
                 Health::Ejected { .. } => 2,
             };
             let load = self.scheduler.calls_to(endpoint);
-            // Joining a call adds no load. A new call counts against endpoints that share a limit with
-            // others; a separate route has a limit of its own.
+            // Joining an open call adds no load. Where endpoints share a limit, a new call adds one, so that
+            // joining is preferred even to an idle endpoint. A separate route has a limit of its own, so an
+            // idle one is as good as an open call.
             let load = if joined.is_some() {
                 0
             } else {
@@ -1429,8 +1430,9 @@
             return Ok(());
         };
         let tokens_needed = match scope.health {
-            // An unsafe message is sent to an ejected scope only if calls are rejected there, or else with
-            // two tokens saved up, when no other message uses them.
+            // An unsafe message may probe an ejected scope like any other message if the latest calls were
+            // rejected, because a rejected call never ran. Otherwise it needs two tokens, so that other
+            // messages probe the scope first.
             Health::Ejected { .. } if now < scope.outage_unconfirmed_until && !unsafe_class => 0.0,
             Health::Ejected { .. } if unsafe_class && scope.consecutive_rejections == 0 => 2.0,
             Health::Healthy if is_hedge => 2.0,
@@ -1462,8 +1464,8 @@
                     if now < until { until } else { Micros::MAX },
                 )
             }
-            // An unsafe message cannot be sent again, so it is not sent to a scope that may be about to
-            // fail: one where a call has been without a sign of life for longer than the hedge delay.
+            // An unsafe message cannot be sent again, so it is not sent to a scope that may be about to fail:
+            // one without a response since a call that was sent longer than the hedge delay ago.
             Health::Healthy
                 if unsafe_class
                     && scope.unresponsive_age
@@ -1637,8 +1639,9 @@
             .and(scope.announced_limit)
             .is_some()
             && scope.health == Health::Healthy;
-        // The part of the rate above the minimum share is reported as remaining, so it may be saved up for
-        // chance bursts, except for what can wait within the shortest latency objective.
+        // Load reports show the part of the rate above the minimum share as remaining, so its tokens may be
+        // saved up for random bursts, except for those of messages that the rate serves within the shortest
+        // latency objective.
         let spare_rate = if follows_reports {
             (refill.rate - MIN_FAIR_SHARE * scope.fair_share).max(0.0)
         } else {
@@ -1684,8 +1687,8 @@
 }
 
 impl HealthScope {
-    /// Reduces the concurrency window on congestion, only once for all calls that were in flight at that
-    /// time. Returns whether the window was reduced.
+    /// Reduces the concurrency window on congestion, but not because of a call that was sent before the last
+    /// reduction. Returns whether the window was reduced.
     fn reduce_window(&mut self, sent_at: Micros, now: Micros) -> bool {
         let is_new_congestion = sent_at > self.window_reduced_at;
         if is_new_congestion {
@@ -1714,14 +1717,14 @@
         );
     }
 
-    /// The age from which on a call without any sign of life counts as unresponsive.
+    /// The age above which a call counts as unresponsive if its scope has sent no response since it was sent.
     fn unresponsive_after(&self) -> Micros {
         (self.hedge_delay.unwrap_or(DEFAULT_HEDGE_DELAY) * UNRESPONSIVE_HEDGE_DELAYS)
             .max(MIN_UNRESPONSIVE_AGE)
     }
 
-    /// Whether a rejection is attributed to a limit: one is announced, or many senders share a scope that
-    /// each of them calls rarely.
+    /// Whether a rejection is attributed to a limit: one is announced, or several senders share a scope that
+    /// this sender does not keep busy.
     fn rejections_imply_limit(&self, settings: &Settings, now: Micros) -> bool {
         let is_busy =
             self.average_send_rate(now, settings.safety.overload_window / 30) >= BUSY_CALLS_PER_S;
@@ -1730,8 +1733,8 @@
 
     /// Reduces the rate limit after a rejection, or after a failure with no success since the last reduction.
     /// With an announced limit the rate falls to the fair share at once, because the rejected senders have
-    /// used up the limit together. It falls only a little below that share, because a sender with few calls
-    /// would need ten of them to regain more.
+    /// used up the limit together. It falls only a little below that share: after a larger reduction, a
+    /// sender with few calls would need about ten successes to return to it.
     fn reduce_rate(&mut self, success_rate: f64, senders: f64, phase: f64) {
         let rate = if self.rate_limit.is_finite() {
             self.rate_limit
@@ -1754,7 +1757,7 @@
         };
         self.tokens = match self.announced_limit {
             _ if self.tokens == f64::MAX => phase,
-            // Shifted by up to half a call either way: senders that were rejected together would otherwise
+            // Shifted by up to half a token either way: senders that were rejected together would otherwise
             // also retry together.
             Some(_) => self.tokens.min(0.0) + phase - 0.5,
             None => self.tokens.min(phase.max(self.tokens - 1.0)),
@@ -1776,7 +1779,7 @@
 
     /// Raises the rate limit after a success, up to the announced limit if there is one.
     fn increase_rate(&mut self) {
-        // A rate that only failures have reduced has not met a limit and may rise faster.
+        // A rate that only failures have reduced has not reached a limit and may rise faster.
         let base_increase = if self.limited_by_rejection {
             RATE_INCREASE_PER_SUCCESS
         } else {
@@ -1817,7 +1820,7 @@
         let budget = (usual_rate
             + (self.best_rate - usual_rate).clamp(0.0, usual_rate) / peak_divisor)
             .max(self.fair_share);
-        let probe_rate = (MAX_FLEET_PROBES / senders / overload_seconds)
+        let probe_rate = (MIN_FLEET_PROBES / senders / overload_seconds)
             .max(0.5 / seconds(slow_start))
             .min(1.0 / overload_seconds);
         let full_rate = (budget * safety.overload_multiple * RECOVERY_BUDGET_SHARE)
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -11,7 +11,7 @@
 use crate::state::{HealthScope, PendingMessage};
 use std::collections::BTreeMap;
 
-/// Calls that the present turn has opened, by endpoint.
+/// Calls that the current turn has opened, by endpoint.
 type OpenCalls = BTreeMap<EndpointId, u64>;
 
 impl Sender {
@@ -211,7 +211,8 @@
                     actions,
                 );
                 if joined.is_none() {
-                    // The new call may take more messages, also of queues that were passed over.
+                    // The new call may take more messages, including those of queues that were skipped
+                    // before.
                     for other in self.scheduler.queues_of(queue.destination) {
                         self.push_head(&mut pass, other, Some(&head));
                     }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -49,7 +49,7 @@
     pub effect: Effect,
     /// Age up to which a delivery has its full value, in microseconds.
     pub latency_objective: Micros,
-    /// Age from which on a message is no longer delivered, in microseconds.
+    /// Age at which a message expires, in microseconds.
     pub deadline: Micros,
     /// Value of one message relative to messages of other classes; zero or more.
     pub priority_weight: f64,
@@ -96,7 +96,7 @@
 pub struct DestinationKind {
     /// Name of the kind in the host's configuration.
     pub name: String,
-    /// Each endpoint is a health scope of its own, with its own limit, Retry-After and outages.
+    /// Each endpoint is a health scope of its own, with its own limit, retry-after delay and outages.
     pub separate_routes: bool,
     /// Maximum number of messages in one call; at least one.
     pub max_batch_size: usize,
@@ -168,25 +168,26 @@
     pub gossip_enabled: bool,
     /// Time after which idle connections are closed by the host or the endpoint; 0 if unknown.
     pub idle_connection_timeout: Micros,
-    /// Longest Retry-After that clients respect; 0 if rejections carry none.
+    /// Longest retry-after delay that clients respect; 0 if rejections advise none.
     pub max_client_retry_after: Micros,
     /// The endpoint list must be requested by a subscription.
     pub list_requires_subscription: bool,
-    /// How exactly the list states each destination's rate: 0 not at all, 1 exactly, 0.5 up to half off.
+    /// How exactly the list states each destination's rate: 0 not at all, 1 exactly, 0.5 with an error of up
+    /// to half.
     pub weight_trust: f64,
-    /// Index of the remaining share of the limit in a load report.
+    /// Index of the remaining share of the limit in a load report; `None` if reports do not contain it.
     pub report_remaining_index: Option<usize>,
-    /// Index of the limit, in calls per second, in a load report.
+    /// Index of the limit, in calls per second, in a load report; `None` if reports do not contain it.
     pub report_limit_index: Option<usize>,
     /// Price of a call to another zone, relative to a first attempt.
     pub price_cross_zone: f64,
     /// Price of a probe, relative to a first attempt.
     pub price_probe: f64,
-    /// Price of work that destinations do in vain, relative to the work requested.
+    /// Price of work that destinations do without effect, relative to the work requested.
     pub price_waste: f64,
     /// Price of a message that a separate route accepts, by zone.
     pub zone_fees: Vec<f64>,
-    /// Factor of the priority weight of messages beyond their tenant's allowance.
+    /// Factor by which the priority weight of messages beyond their tenant's allowance is multiplied.
     pub over_share_weight: f64,
     /// How the value of messages decays after their latency objective.
     pub value_decay: ValueDecay,
@@ -465,7 +466,7 @@
 pub struct PastAttempt {
     /// The endpoint of the attempt. If the list no longer names the endpoint, its zone is unknown.
     pub endpoint: EndpointId,
-    /// When the attempt was sent, on the clock of the present process.
+    /// When the attempt was sent, on the clock of the current process.
     pub sent_at: Micros,
     /// Nothing proves that the attempt never ran.
     pub may_have_run: bool,
@@ -523,7 +524,7 @@
 pub enum Event {
     /// The endpoint list was read or has changed.
     EndpointList {
-        /// How the entries relate to the list.
+        /// Whether the entries are the whole list or only changes to it.
         list_kind: EndpointListKind,
         /// The entries of the update.
         entries: Vec<EndpointEntry>,
@@ -545,9 +546,9 @@
         /// When the process ends.
         ends_at: Micros,
     },
-    /// A response that rejected no message announced a Retry-After.
+    /// A response that rejected no message demanded a retry-after delay.
     RetryAfter {
-        /// The endpoint that announced the Retry-After.
+        /// The endpoint that demanded the delay.
         endpoint: EndpointId,
         /// How long to wait before the next call.
         retry_after: Micros,
@@ -575,7 +576,7 @@
         outcome: Outcome,
         /// Time since the attempt was sent, in microseconds.
         latency: Micros,
-        /// The message has reached its end: no further attempt is needed.
+        /// The message has ended: no further attempt is needed.
         message_closed: bool,
         /// Load report of the response; empty if there is none.
         report: Vec<f64>,
@@ -636,7 +637,7 @@
     Reject {
         /// The message to reject.
         message: MessageId,
-        /// Retry-After for the client.
+        /// Retry-after delay that the client is advised to observe; `None` if none is advised.
         retry_after: Option<Micros>,
     },
     /// Ends a message as failed.
--- a/crates/policy/src/outage_evidence.rs
+++ b/crates/policy/src/outage_evidence.rs
@@ -9,24 +9,25 @@
 
 /// Failures and calls of the prior of the baseline failure rate. The prior is weak, so that about a dozen
 /// calls outweigh it. A higher prior rate detects the first outage of an unknown scope later, a lower one
-/// takes its first noise for an outage.
+/// mistakes its first random failures for an outage.
 const PRIOR_FAILURES: f64 = 0.1;
 /// See [`PRIOR_FAILURES`].
 const PRIOR_CALLS: f64 = 10.0;
-/// Calls that the baseline remembers. More calls make the baseline steadier, fewer follow a change sooner.
+/// Calls that the baseline remembers. More calls make the baseline more stable, fewer follow a change sooner.
 const DEFAULT_MAX_CALLS: f64 = 200.0;
-/// Lower bound of the baseline failure rate: below it, a single stray failure would count too much.
+/// Lower bound of the baseline failure rate: below it, an isolated failure would add too much evidence.
 const MIN_BASELINE_RATE: f64 = 0.005;
-/// Upper bound of [`OutageEvidence::baseline_rate`]: above it, most calls fail.
+/// Upper bound of [`OutageEvidence::baseline_rate`]: a higher rate would be close to that of an outage, in
+/// which at least half of the calls fail.
 pub const MAX_BASELINE_RATE: f64 = 0.4;
 /// Smallest failure rate during an outage: half of all calls or more fail.
 const MIN_OUTAGE_FAILURE_RATE: f64 = 0.5;
-/// Failure rate of a scope that answers nothing at all.
+/// Failure rate of a scope that answers no calls at all.
 const TOTAL_OUTAGE_FAILURE_RATE: f64 = 0.98;
 
 /// Evidence at which a scope is ejected; the chance of a false alarm is about one in 10^6 per call. Higher
-/// values spare noisy scopes, lower ones detect outages sooner. The threshold is reached by three failures in
-/// a row where failures are rare, and by six where one call in ten fails.
+/// values eject fewer noisy scopes, lower ones detect outages sooner. The threshold is reached by three
+/// failures in a row where failures are rare, and by six where one call in ten fails.
 pub const EJECTION_THRESHOLD: f64 = 13.5;
 
 /// The baseline failure rate of a health scope, and the evidence that calls now fail more often.
@@ -93,15 +94,15 @@
         (outage_failure_rate(baseline_rate) / baseline_rate).ln()
     }
 
-    /// The present evidence: the larger of the CUSUM and the evidence of the present run of failures for a
-    /// total outage, which grows faster if nothing is answered at all.
+    /// The current evidence: the CUSUM or, if larger, the evidence for a total outage from the failures since
+    /// the last success. The latter grows faster if no call is answered.
     #[must_use]
     pub fn evidence(&self) -> f64 {
         self.evidence
             .max(self.pending_failures * (TOTAL_OUTAGE_FAILURE_RATE / self.baseline_rate()).ln())
     }
 
-    /// Sets the CUSUM to evidence that is known from elsewhere.
+    /// Replaces the CUSUM.
     pub fn set_evidence(&mut self, evidence: f64) {
         self.evidence = evidence;
     }
@@ -122,7 +123,7 @@
     /// Records a failed call with the given weight and returns the resulting evidence. `baseline_rate` is the
     /// failure rate of a class that fails while other classes succeed, or 0. If that rate is above the
     /// baseline of the scope, the failure says little about the scope: it adds less evidence and does not
-    /// count in the present run of failures.
+    /// count among the failures since the last success.
     pub fn record_failure(&mut self, weight: f64, baseline_rate: f64) -> f64 {
         self.pending_failures += if baseline_rate > self.baseline_rate() {
             0.0
--- a/crates/policy/src/reconfigure.rs
+++ b/crates/policy/src/reconfigure.rs
@@ -20,10 +20,10 @@
     }
 
     /// Replaces the settings. Classes keep their positions: the class of an open message must be unchanged at
-    /// its position. `reused_positions` lists the positions that now hold another class. An open
-    /// message keeps its class and never gets more attempts than it was allowed before. Kinds, zones, tenants
-    /// and the way to obtain the endpoint list stay as they were at start-up, because entries and messages
-    /// refer to them by position.
+    /// its position. `reused_positions` lists the positions that now hold another class. An open message
+    /// keeps its class and never gets more attempts than it was allowed before. Kinds, tenants, the sender's
+    /// zone and the way to obtain the endpoint list stay as they were at start-up, because entries and
+    /// messages refer to them by position.
     ///
     /// # Errors
     /// When the settings are invalid; nothing has changed then.
--- a/crates/policy/src/rejection_correlation.rs
+++ b/crates/policy/src/rejection_correlation.rs
@@ -1,14 +1,14 @@
 //! Decides whether rejections that announce neither a limit nor a Retry-After follow the load.
 //!
 //! If rejections become more frequent than their baseline, a rate probe measures the rejection rate first at
-//! the present rate limit and then at half of it. If the rejection rate falls with the rate limit, the
+//! the current rate limit and then at half of it. If the rejection rate falls with the rate limit, the
 //! destination has a limit; otherwise the rejections are noise that does not depend on the load.
 
 use crate::interface::{Micros, SECOND};
 use crate::outage_evidence::{MAX_BASELINE_RATE, OutageEvidence};
 
-/// Responses that the baseline remembers. The number is larger than for failures, so that a rate limit which
-/// slowly approaches a limit does not make that limit's rejections part of the baseline.
+/// Responses that the baseline remembers. The number is larger than for failures, so that the rejections of a
+/// destination's limit do not become part of the baseline while the rate limit slowly approaches it.
 const MAX_CALLS: f64 = 1000.0;
 /// Evidence for more rejections than the baseline at which a rate probe starts: two or three close together
 /// where the baseline is zero, six in a row where it is 10%.
@@ -16,20 +16,20 @@
 /// Evidence for more rejections than the baseline that confirms a known limit: about one rejection above the
 /// baseline is enough.
 const EXCESS_THRESHOLD_AT_LIMIT: f64 = 3.5;
-/// Calls that measure the rejection rate at the present rate limit.
+/// Number of calls over which the first phase of a rate probe measures the rejection rate.
 const MEASURED_CALLS: f64 = 80.0;
-/// Smallest rejection rate that is worth a probe of whether it follows the load. At or above this rate, a
-/// baseline is probed too, from time to time.
+/// Smallest rejection rate for which the rate limit is halved to find out whether rejections follow the load.
+/// A baseline at or above this rate is probed too, from time to time.
 const MIN_PROBED_REJECTION_RATE: f64 = 0.03;
-/// Remembered responses from which on a baseline is probed.
+/// Number of remembered responses needed before a baseline is probed.
 const MIN_BASELINE_CALLS: f64 = 200.0;
 /// Shortest time between two probes of a baseline.
 const PROBE_INTERVAL: Micros = 10 * SECOND;
-/// Longest time that each of the two phases of a rate probe takes. A second phase without a decision by then
-/// counts as a limit.
+/// Longest time that each of the two phases of a rate probe takes. If the second phase has not decided by
+/// then, a limit is assumed.
 const MAX_PROBE_PHASE: Micros = 5 * SECOND;
-/// Successful calls per second that a probe at half the rate limit needs: fewer calls show nothing in the
-/// time of a phase.
+/// Successful calls per second below which the rate limit is not halved for a probe: the second phase would
+/// have too few calls to decide.
 const MIN_PROBE_CALL_RATE: f64 = 20.0;
 /// At half the rate limit, a destination with a limit rejects less than this part of its earlier rejection
 /// rate, provided that the earlier rate was not above [`MAX_BASELINE_RATE`].
@@ -38,8 +38,8 @@
 const PROBE_DECISION_THRESHOLD: f64 = 3.0;
 /// How long a limit is remembered after the last rejection that it explains.
 const LIMIT_MEMORY: Micros = 30 * SECOND;
-/// A limit lies above half the rate at which it was found. More rejections than the baseline below this part
-/// of that rate show that there is no limit.
+/// A limit lies above half the rate at which it was found. If rejections exceed the baseline at a success
+/// rate below this part of that rate, there is no limit.
 const MIN_LIMITED_RATE_SHARE: f64 = 0.6;
 /// Part of the rate at the limit below which rejections belong to the baseline.
 const BELOW_LIMIT_SHARE: f64 = 0.85;
@@ -57,7 +57,7 @@
     Restore(f64),
 }
 
-/// Correlation of rejections with load, for rejections that announce neither a limit nor a Retry-After.
+/// Tracks whether rejections that announce neither a limit nor a Retry-After follow the load.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct RejectionCorrelation {
     /// Baseline rejection rate, and the evidence that calls are now rejected more often.
@@ -76,12 +76,12 @@
     evidence_before: OutageEvidence,
 }
 
-/// A measurement of the rejection rate: first at the present rate limit, then at half of it.
+/// A measurement of the rejection rate: first at the current rate limit, then at half of it.
 #[derive(Debug, Clone, Default, serde::Serialize, serde::Deserialize)]
 struct RateProbe {
     /// Whether the second phase, at half the rate limit, has begun.
     is_halved: bool,
-    /// Start and latest end of the present phase.
+    /// Start and latest end of the current phase.
     started_at: Micros,
     ends_at: Micros,
     /// Rejections and all responses to calls sent in this phase.
@@ -131,13 +131,13 @@
         self.evidence.baseline_rate()
     }
 
-    /// Whether the rate limit is halved at present by a rate probe.
+    /// Whether a rate probe is in its second phase, in which the rate limit is halved.
     #[must_use]
     pub fn is_probing_rate(&self) -> bool {
         self.probe.as_ref().is_some_and(|probe| probe.is_halved)
     }
 
-    /// Records a response to a call that was sent at `sent_at`. `rate_limit` is the present one;
+    /// Records a response to a call that was sent at `sent_at`. `rate_limit` is the current one;
     /// `success_rate` is the recent rate of successful calls. Both are in calls per second.
     pub fn on_response(
         &mut self,
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -3,7 +3,7 @@
 //!
 //! A message that may be sent now waits in a *queue* with others like it; one that may be sent later waits
 //! for its time. A queue without an endpoint that admits a call is blocked until something happens at its
-//! destination, or until the time that the check named.
+//! destination, or until the time that the check determined.
 
 use crate::interface::{DestinationId, EndpointId, MILLISECOND, MessageId, Micros};
 use std::cmp::Ordering;
@@ -47,8 +47,7 @@
 pub(crate) struct ScheduleEntry {
     pub readiness: Readiness,
     pub accepted_at: Micros,
-    /// For an open message: its deadline, and the time from which on no attempt of the message can be
-    /// allowed.
+    /// For an open message: its deadline, and the time from which no attempt of the message can be allowed.
     pub expiry: Option<(Micros, Micros)>,
     /// An attempt is in flight.
     pub in_flight: bool,
@@ -74,8 +73,9 @@
     MinimumValue,
 }
 
-/// Until when a queue is blocked at the longest, and whether the queue must be checked sooner if fewer calls
-/// are in flight at slow or ejected scopes.
+/// When a blocked queue must be checked again at the latest (`Micros::MAX` if only a change at its
+/// destination can unblock it), and whether it must be checked as soon as fewer calls are in flight at slow
+/// or ejected scopes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct BlockedUntil {
     pub until: Micros,
@@ -95,7 +95,7 @@
     pub open_count: usize,
     /// Deadlines of open messages.
     deadlines: BTreeSet<(Micros, MessageId)>,
-    /// Times from which on open messages cannot be sent any more.
+    /// Times from which open messages cannot be sent any more.
     unsendable_times: BTreeSet<(Micros, MessageId)>,
     /// Messages that may be sent later, by time.
     delayed: BTreeSet<(Micros, MessageId)>,
@@ -347,7 +347,7 @@
     }
 }
 
-/// The most urgent message of a queue that the present pass has not returned yet.
+/// The most urgent message of a queue that the current pass has not returned yet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct QueueHead {
     pub urgency: f64,
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,4 +1,4 @@
-//! The sender's state: messages, attempts, calls, endpoints and health scopes. The rules and the tuned values
+//! The sender's state: messages, attempts, calls, endpoints and health scopes. The rules and the constants
 //! are in `decide.rs`.
 
 use crate::interface::{DestinationId, EndpointId, MessageId, Micros, SECOND, Settings};
@@ -20,7 +20,7 @@
 pub struct Sender {
     pub(crate) settings: Settings,
     pub(crate) random: Pcg32,
-    /// Time of the present turn.
+    /// Time of the current turn.
     pub(crate) now: Micros,
     /// Time of the alarm that was requested last; `Micros::MAX` if none is pending.
     pub(crate) alarm: Micros,
@@ -35,7 +35,8 @@
     pub(crate) idle_scan_position: Option<HealthScopeId>,
     /// Endpoints that are not serving (draining or no longer listed) and may be removed.
     pub(crate) removable_endpoints: BTreeSet<EndpointId>,
-    /// Destinations without endpoints, and since when; removed after a retention period.
+    /// Destinations without endpoints, with the time at which the last one was removed. They are forgotten
+    /// after a retention period.
     pub(crate) unlisted_destinations: BTreeSet<(Micros, DestinationId)>,
     /// Health scopes that may have lost their last endpoint.
     pub(crate) removable_scopes: BTreeSet<HealthScopeId>,
@@ -46,8 +47,8 @@
     pub(crate) calls: BTreeMap<u64, Call>,
     pub(crate) next_call: u64,
     pub(crate) hedges_in_flight: usize,
-    /// Connection rejection score for each destination kind: a moving average of the calls that found no
-    /// connection.
+    /// Connection rejection score for each destination kind, computed like
+    /// [`Endpoint::connection_rejection_score`].
     pub(crate) connection_rejection_scores: BTreeMap<usize, f64>,
     /// Tokens of each tenant's bucket, and when they were counted.
     pub(crate) tenant_tokens: Vec<(f64, Micros)>,
@@ -68,8 +69,8 @@
     pub(crate) incremental_scheduling: bool,
 }
 
-/// Identifies a health scope, which shares health, Retry-After and limits: a destination, or one endpoint of
-/// a kind with separate routes.
+/// Identifies a health scope, the unit that has its own health, retry-after delay and limits: a destination,
+/// or one endpoint of a kind with separate routes.
 pub(crate) type HealthScopeId = (DestinationId, Option<EndpointId>);
 
 /// State of one endpoint.
@@ -85,7 +86,8 @@
     pub serving: bool,
     /// Health of each class at this endpoint, by the position of the class in the settings.
     pub class_health: BTreeMap<usize, ClassHealth>,
-    /// Moving average of the calls that found no connection.
+    /// From 0 to 1: rises with each call that got no connection or met a full connection table, and falls
+    /// with each success.
     pub connection_rejection_score: f64,
 }
 
@@ -153,7 +155,7 @@
     pub retry_backoff: Micros,
     /// When the next hedged request is due.
     pub hedge_at: Micros,
-    /// Delay of the hedged request after that one.
+    /// Time between the next hedged request and the one after it; doubles with each hedged request.
     pub hedge_delay: Micros,
 }
 
@@ -167,9 +169,9 @@
         self.unattempted_before_restart && self.attempts.is_empty()
     }
 
-    /// Attempts that may run or have run, except the one at `excluded_index`. If there are any, the result
-    /// includes attempts that a later one overlapped: the deduplication window counts from the first of them,
-    /// even if that one turns out never to have run.
+    /// Attempts that are in flight or may have run, except the one at `excluded_index`. If there are any, the
+    /// result also contains attempts that never ran but that a later attempt overlapped, because the
+    /// deduplication window counts from the first attempt of the overlapping ones.
     pub(crate) fn possibly_executed_attempts(
         &self,
         excluded_index: usize,
@@ -224,7 +226,7 @@
     pub concurrency_window: f64,
     /// When congestion last reduced the window.
     pub window_reduced_at: Micros,
-    /// End of the latest Retry-After.
+    /// No call may start before this time: the latest end of any retry-after delay so far.
     pub retry_after_until: Micros,
     /// Latencies of the latest successful calls.
     pub latencies: Samples,
@@ -248,15 +250,15 @@
     pub last_alive_at: Micros,
     /// When the latest call that failed or was rejected was sent.
     pub last_failed_sent_at: Micros,
-    /// Start of the present run of consecutive rejections.
+    /// When the current run of consecutive rejections began.
     pub rejected_since: Micros,
-    /// Length of that run.
+    /// Rejections since the last success.
     pub consecutive_rejections: u32,
     pub in_flight: usize,
-    /// Calls in flight that are older than the unresponsive limit, without a sign of life since they were
-    /// sent. This field and the next two are computed anew in each turn.
+    /// Calls in flight, other than hedged requests, that are older than the unresponsive limit and were sent
+    /// after the scope's last response. This field and the next two are recomputed in each turn.
     pub unresponsive_calls: usize,
-    /// Age of the oldest call without a sign of life since it was sent.
+    /// Age of the oldest call in flight that was sent after the scope's last response.
     pub unresponsive_age: Micros,
     /// A call has been in flight for far longer than the typical latency.
     pub is_slow: bool,
@@ -349,7 +351,8 @@
         }
     }
 
-    /// Resets what is computed anew from the calls in flight in each turn.
+    /// Resets `unresponsive_calls`, `unresponsive_age` and `is_slow`, which each turn recomputes from the
+    /// calls in flight.
     pub(crate) fn reset_responsiveness(&mut self) {
         (self.unresponsive_calls, self.unresponsive_age, self.is_slow) = (0, 0, false);
     }
@@ -367,8 +370,8 @@
         self.success_times.len() as f64 / seconds(elapsed.clamp(span / 60, span))
     }
 
-    /// Tokens of the rate limit at a given time, if nothing happens until then. None are saved up during a
-    /// Retry-After: otherwise all senders that received it would send bursts when it ends.
+    /// Tokens of the rate limit at a given time, if nothing happens until then. None are added during a
+    /// retry-after delay: otherwise all senders that received it would send bursts when it ends.
     pub(crate) fn tokens_available_at(&self, now: Micros) -> f64 {
         let refill_from = self.tokens_updated_at.max(self.retry_after_until);
         if now <= refill_from {
@@ -399,7 +402,7 @@
             - self.tokens;
         let estimate =
             (self.tokens_updated_at + self.refill.time_until(refill_needed)).max(refill_from);
-        // Finds the exact microsecond, however the figures were rounded.
+        // Corrects the rounding errors of the estimate.
         let exact =
             (estimate - 2..=estimate + 2).find(|&at| self.tokens_available_at(at) >= tokens_needed);
         exact.unwrap_or(estimate + 3)
@@ -416,7 +419,7 @@
         (self.tokens_updated_at, self.refill, self.burst) = (now, refill, burst);
     }
 
-    /// When a recovering scope began to recover; long ago for any other.
+    /// When a recovering scope began to recover; a time in the distant past for any other scope.
     pub(crate) fn recovering_since(&self) -> Micros {
         match self.health {
             Health::Recovering { since } => since,
