--- a/crates/engine/src/archive.rs
+++ b/crates/engine/src/archive.rs
@@ -22,7 +22,7 @@
     NotRetryable,
     /// The message used all the attempts that the settings allow.
     AttemptsExhausted,
-    /// The decision module returned the message to its client before the deadline, such as because there was no
+    /// The decision module returned the message to its client before the deadline, for example because there was no
     /// capacity, no such destination or no route; or an endpoint's response ended the message without delivering it.
     Rejected,
     /// The message was delivered. Only a redriven message is stored with this reason.
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -14,7 +14,7 @@
 pub(crate) struct ClassTable {
     /// The class at each position.
     classes: Vec<Class>,
-    /// Whether the class at each position is one of the current settings.
+    /// Whether the current settings contain the class at each position.
     current: Vec<bool>,
     /// The name of the class at each position.
     names: Vec<String>,
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -71,7 +71,7 @@
     pub(crate) start_requests: Vec<StartRequest>,
     /// Events for the decision module's next turn.
     pub(crate) events: Vec<Event>,
-    /// When the decision module wants its next turn, in its own time (microseconds).
+    /// When the alarm that the decision module has set is due, in its own time (microseconds); `None` if none is set.
     pub(crate) alarm: Option<Micros>,
 }
 
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -29,7 +29,7 @@
 /// A message that a client submits.
 #[derive(Debug)]
 pub struct Arrival {
-    /// The id that the client gave the message, unique to it.
+    /// The id that the client gave the message, unique among all messages.
     pub id: SharedStr,
     /// The idempotency key, by which the destination drops duplicates; only messages of a keyed class have one.
     pub key: Option<SharedStr>,
@@ -67,7 +67,7 @@
     AlreadyDelivered,
     /// The message was not accepted; resubmitting it is harmless, preferably after the retry-after delay.
     Rejected {
-        /// The retry-after delay that the client is advised to observe, in microseconds; `None` without advice.
+        /// The retry-after delay that the client is advised to observe, in microseconds; `None` if none is advised.
         retry_after: Option<Micros>,
     },
     /// The message could not be written to the journal; resubmitting it is harmless.
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -31,7 +31,7 @@
     /// the time by which the last byte of the request must be written; a dropped reply means that the call must not
     /// start.
     RequestStart(u64, oneshot::Sender<Instant>),
-    /// An endpoint demanded a retry-after delay, such as by a `Retry-After` header.
+    /// An endpoint demanded a retry-after delay, for example by a `Retry-After` header.
     RetryAfter {
         /// The endpoint that demanded the delay.
         endpoint: EndpointId,
--- a/crates/engine/src/journal.rs
+++ b/crates/engine/src/journal.rs
@@ -28,8 +28,8 @@
     Failed,
     /// Returned to the client undelivered; resubmitting the message is harmless.
     Returned {
-        /// The retry-after delay that the client is advised to observe before it resubmits, in milliseconds; `None`
-        /// without advice.
+        /// The retry-after delay that the client is advised to observe before it resubmits, in milliseconds; `None` if
+        /// none is advised.
         after_ms: Option<u64>,
     },
     /// Delivered. The journal records this end for redriven messages, until the dead-letter store has stored
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -48,7 +48,7 @@
         }
     }
 
-    /// An attempt that ended before this process started, or before the message was redriven.
+    /// An attempt that was made before this process started, or before the message was redriven.
     pub(crate) fn prior(
         endpoint: EndpointId,
         uid: &str,
--- a/crates/engine/src/observer.rs
+++ b/crates/engine/src/observer.rs
@@ -68,7 +68,7 @@
         outcome: Outcome,
         /// Time since the start of the attempt.
         latency: Micros,
-        /// The load report in the endpoint's response; empty without one.
+        /// The load report in the endpoint's response; empty if there is none.
         report: &'a [f64],
         /// The connection that carried the attempt; `None` for an attempt that got no connection.
         connection_use: Option<ConnectionUse>,
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -22,7 +22,7 @@
     pub kinds: Vec<String>,
     /// Source of the time that the decision module and the journal see.
     pub clock: Clock,
-    /// The endpoint list that an earlier process cached, possibly stale; `None` without a cache.
+    /// The endpoint list that an earlier process cached, possibly stale; `None` if there is none.
     pub cached_endpoints: Option<EndpointListUpdate>,
     /// Records what must survive the process.
     pub journal: Box<dyn Journal>,
--- a/crates/engine/src/redrive.rs
+++ b/crates/engine/src/redrive.rs
@@ -50,7 +50,8 @@
             key: order.key.as_ref().map(ToString::to_string),
             class: order.class,
             effect: self.classes.effect(class),
-            // no subject: a redriven message has long lost its place in the order, and must not delay other messages
+            // no subject: messages that followed this one may have been delivered already, so its place in the order is
+            // lost, and it must not delay other messages
             subject: None,
             tenant: None,
             destination: order.destination,
--- a/crates/engine/src/retention.rs
+++ b/crates/engine/src/retention.rs
@@ -79,7 +79,8 @@
         sink.store(message).err()
     }
 
-    /// Offers the messages again that the dead-letter store had no capacity for, oldest first, until it rejects one.
+    /// Again offers the messages that the dead-letter store rejected for lack of capacity, oldest first, until it
+    /// rejects one.
     pub(crate) fn retry_store(&mut self) {
         let unstored_ids: Vec<MessageId> = self
             .pending_release
--- a/crates/engine/src/snapshot.rs
+++ b/crates/engine/src/snapshot.rs
@@ -4,8 +4,8 @@
 //! old process that made them, which reports their ends; to the new process they are [`ForeignCall`]s.
 //!
 //! The encoding is postcard's, which depends only on the order and types of fields and variants, not on their names:
-//! that order is the snapshot's format. A snapshot carries no version of its format; whoever transfers a snapshot
-//! transfers the version too.
+//! that order is the snapshot's format. A snapshot carries no version of its format; the protocol that transfers a
+//! snapshot must transfer the version too.
 
 use crate::archive::EndReason;
 use crate::calls::{AttemptRef, OutstandingCall};
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -69,7 +69,7 @@
     /// Time from the last byte of the request to the first byte received after it; `None` if the request was not
     /// written completely or nothing was received.
     pub response_after: Option<Duration>,
-    /// Why the response is attributed to the call; `None` without a response that is.
+    /// Why the response is attributed to the call; `None` if no response is.
     pub attributed_by: Option<Attribution>,
 }
 
@@ -105,11 +105,13 @@
     pub call: u64,
     /// The message's position in the call.
     pub position: usize,
-    /// How the attempt ended. An attempt that may have run is never reported with an outcome that rules that out.
+    /// How the attempt ended. Unless `ambiguous` is set, an attempt that may have run is never reported with an outcome
+    /// that rules that out.
     pub outcome: Outcome,
-    /// The message has reached its end: no further attempt is needed, such as after its delivery.
+    /// The message has ended, for example because it was delivered, and needs no further attempt.
     pub message_closed: bool,
-    /// The load report in the endpoint's response, with its fields in the order of the settings; empty without one.
+    /// The load report in the endpoint's response, with its fields in the order of the settings; empty if there is
+    /// none.
     pub report: Vec<f64>,
     /// What the transport observed.
     pub cause: EndCause,
--- a/crates/idle-state/src/compact.rs
+++ b/crates/idle-state/src/compact.rs
@@ -54,9 +54,11 @@
     pub typical_latency: Option<Micros>,
     /// Time in microseconds after which a call without a response is hedged; `None` if it is not known.
     pub hedge_delay: Option<Micros>,
-    /// Failed calls and all calls of the baseline failure rate; older calls count less than one each.
+    /// Numerator and denominator of the baseline failure rate: failed calls and all calls. Older calls count less than
+    /// one each.
     pub failures: (f64, f64),
-    /// Rejections and all responses of the baseline rejection rate; older responses count less than one each.
+    /// Numerator and denominator of the baseline rejection rate: rejections and all responses. Older responses count
+    /// less than one each.
     pub rejections: (f64, f64),
     /// Evidence of an outage as a log-likelihood ratio: the larger the value, the more likely the outage.
     pub outage_evidence: f64,
--- a/crates/idle-state/src/initial_limits.rs
+++ b/crates/idle-state/src/initial_limits.rs
@@ -13,7 +13,7 @@
 /// half, so that 200 per second are reached after about ten. A higher value serves a burst sooner; a lower one causes
 /// fewer rejections if the destination has lowered its limit.
 const MAX_STALE_RATE: f64 = 4.0;
-/// Maximum number of calls in flight, at first, where the measurements are stale.
+/// Maximum initial number of calls in flight, where the measurements are stale.
 const MAX_STALE_WINDOW: f64 = 4.0;
 
 /// The limits with which calls to an idle destination start again.
--- a/crates/idle-state/src/lib.rs
+++ b/crates/idle-state/src/lib.rs
@@ -8,7 +8,7 @@
 //! | first seen, last healthy, last call | rounded up to whole seconds |
 //! | limits, rates, windows, counts | rounded down to 24 bits of precision (one part in 16 million), so that no limit is higher than before |
 //! | latencies | whole microseconds, 71 minutes at most |
-//! | the single latencies and times of successes from which latencies and rates are computed | not kept |
+//! | the individual latencies and times of successes from which latencies and rates are computed | not kept |
 
 mod compact;
 mod initial_limits;
--- a/crates/idle-state/tests/compact.rs
+++ b/crates/idle-state/tests/compact.rs
@@ -55,7 +55,7 @@
         }
         prop_assert_eq!(expanded.announced_limit.is_some(), original.announced_limit.is_some());
         prop_assert!(expanded.announced_limit <= original.announced_limit);
-        // a wait that counts from the last call must not become shorter
+        // a delay that is measured from the last call must not become shorter
         prop_assert!(
             expanded.last_sent_at >= original.last_sent_at
                 && expanded.last_sent_at < original.last_sent_at + 1_000_000
--- a/crates/journal/src/file_journal.rs
+++ b/crates/journal/src/file_journal.rs
@@ -38,7 +38,7 @@
     pub(crate) live: LiveMessages,
     /// Numbers of the finished messages whose [`Record::Finished`] could not be written yet.
     pub(crate) unrecorded: Vec<u64>,
-    /// True after a write that failed half-way and could not be truncated away. Appends fail until a compaction has
+    /// True after a failed write whose partial record could not be truncated. Appends fail until a compaction has
     /// replaced the file.
     pub(crate) broken: bool,
 }
--- a/crates/journal/src/live_messages.rs
+++ b/crates/journal/src/live_messages.rs
@@ -1,5 +1,5 @@
-//! The unfinished messages of the journal, as the records so far leave them, and the number of bytes that a compacted
-//! file needs for them.
+//! The unfinished messages of the journal after all records so far, and the number of bytes that a compacted file needs
+//! for them.
 
 use crate::records::{DetailEffect, Details, PriorAttempt, Record, encode_unfinished};
 use milletturn_engine::{
--- a/crates/journal/tests/full.rs
+++ b/crates/journal/tests/full.rs
@@ -69,13 +69,14 @@
     assert!(recovery.damaged_bytes > 0);
     let unfinished = journal.unfinished();
     assert_eq!(unfinished.len() as u64, count - 1);
-    // the lost record may have been that of an attempt of any message
+    // the lost record may have described an attempt of any of the messages
     assert!(
         unfinished
             .values()
             .all(|message| message.attempts.len() == 1 && !message.attempts[0].never_ran)
     );
-    // the next attempt of a message turns out to have never run: that must not be recorded for the presumed attempt
+    // a message is attempted again, and this attempt never runs: the journal must record that for this attempt (index
+    // 1), not for the one that was presumed because of the damage (index 0)
     let next = (2..count).find(|&next| {
         // the record of an attempt fits again once enough messages are finished
         let _ = journal.record_finished(next - 1);
@@ -186,7 +187,7 @@
         (recovery.damaged_bytes, journal.unfinished().len() as u64),
         (0, count)
     );
-    // finished messages free space, also while the records of their end do not fit
+    // finished messages free space, even if their `Finished` records do not fit
     assert!(
         (0..count)
             .filter(|&number| journal.record_finished(number).is_err())
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -154,7 +154,8 @@
             .record_end(number, end(number))
             .expect("the record fits");
     }
-    // messages 15 to 17 are redriven: 15 without, 16 and 17 with an attempt made before; 16 is then attempted once more
+    // messages 15 to 17 are redriven: 15 has no earlier attempt, 16 and 17 have one each, and 16 is attempted again
+    // after its redrive
     journal
         .record_redrive(15, message(15), None)
         .expect("the record fits");
@@ -286,7 +287,7 @@
         }
     );
     assert_eq!(written(&folder), AFTER_DAMAGE);
-    // the lost record may have been that of an attempt of any message
+    // the lost record may have described an attempt of any of the messages
     let presumed = |(number, mut unfinished): (u64, Unfinished)| {
         let attempt = AttemptStarted {
             uid: String::new(),
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -158,7 +158,8 @@
     }
 }
 
-/// Reads the prices, and how the value of a message decays after its latency objective.
+/// Reads the prices, the priority of messages beyond their tenant's allowance, and how the value of a message decays
+/// after its latency objective.
 fn read_prices(raw: &RawSettings, settings: &mut Settings) -> Result<(), SettingsError> {
     settings.price_cross_zone = raw.number_or("prices.crossZone", 0.0)?;
     settings.price_probe = raw.number_or("prices.probe", 0.0)?;
