--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -8,14 +8,14 @@
 /// Why the adapter stopped before the end of its input.
 #[derive(Debug, thiserror::Error)]
 pub enum ProtocolError {
-    /// A line of the input is malformed.
-    #[error("line {number}: expected {expected}, found '{found}'")]
-    MalformedLine {
-        /// The line's number, from 1.
-        number: usize,
+    /// A line of the input is malformed or missing.
+    #[error("line {line}: expected {expected}, found '{found}'")]
+    MalformedInput {
+        /// Number of the line in the input, from 1.
+        line: usize,
         /// What the adapter expected.
         expected: String,
-        /// What the line contains instead.
+        /// What the line contains instead; `end of input` if the input ended too early.
         found: String,
     },
     /// Reading the input or writing the output failed.
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -11,15 +11,15 @@
 };
 use std::collections::BTreeMap;
 
-/// The bit of a `demand` line that marks a message which the client has submitted before.
+/// The bit of a `demand` event that marks a message which the client has submitted before.
 const RESUBMITTED_BIT: u64 = 2;
-/// The bit of a `demand` line that marks a message which was submitted before to a sender that was lost.
+/// The bit of a `demand` event that marks a message which was submitted before to a sender that was lost.
 const FROM_LOST_SENDER_BIT: u64 = 16;
 
 /// Endpoint lists by number; the rows of each list are unparsed text.
 pub(crate) type EndpointLists = BTreeMap<u64, Vec<String>>;
 
-/// The names that occur in the lines of one instance, with their numbers in the decision module.
+/// The names that occur in the events of one instance, with their numbers in the decision module.
 #[derive(Default)]
 pub(crate) struct EventNames {
     /// Zones, kinds of destination, tenants and classes, from the instance's settings.
@@ -41,7 +41,7 @@
         Ok(EndpointId(self.endpoints.number(name) as u32))
     }
 
-    /// Parses the rest of a line whose kind and instance have been read.
+    /// Parses the rest of an event whose kind and instance have been read.
     pub(crate) fn parse_event(
         &mut self,
         kind: &str,
@@ -82,15 +82,15 @@
         let name = fields.outcome_name()?;
         let latency = fields.time("a latency")?;
         let message_closed = fields.flag("1 or 0")?;
-        let remark = fields
-            .optional("a remark")?
-            .map_or(Ok(0.0), |text| parse_number(text, "a remark"))?;
+        let detail = fields
+            .optional("an outcome detail")?
+            .map_or(Ok(0.0), |text| parse_number(text, "an outcome detail"))?;
         let report = fields.report()?;
         Ok(Event::AttemptEnded {
             message,
             attempt,
             endpoint,
-            outcome: outcome_from(name, remark),
+            outcome: outcome_from(name, detail),
             latency,
             message_closed,
             report,
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -104,21 +104,21 @@
     (seconds * 1e6).round() as Micros
 }
 
-/// Converts an outcome's name and the remark that follows the name. For `shed`, the remark is the retry-after delay
-/// in milliseconds (0 for none); for `unused`, the remark is 1 if no call slot was free.
-pub(crate) fn outcome_from(name: &str, remark: f64) -> Outcome {
+/// Converts an outcome's name and the detail that follows the name. For `shed`, the detail is the retry-after delay in
+/// milliseconds (0 for none); for `unused`, it is 1 if no call slot was free.
+pub(crate) fn outcome_from(name: &str, detail: f64) -> Outcome {
     match name {
         "delivered" => Outcome::Success,
         "app_error" => Outcome::Error,
         "shed" => Outcome::Rejected {
-            retry_after: (remark > 0.0).then(|| (remark * 1e3).ceil() as Micros),
+            retry_after: (detail > 0.0).then(|| (detail * 1e3).ceil() as Micros),
         },
         "expired" => Outcome::TimedOut,
         "dial_failed" => Outcome::NoConnection,
         "dropped" => Outcome::Reset,
         "revoked" => Outcome::Cancelled,
         _ => Outcome::Unsent {
-            no_slot: remark == 1.0,
+            no_slot: detail == 1.0,
         },
     }
 }
--- a/crates/simulator-adapter/src/input.rs
+++ b/crates/simulator-adapter/src/input.rs
@@ -40,8 +40,8 @@
 
     /// Builds an error about the current line.
     pub(crate) fn error(&self, expected: &str, found: &str) -> ProtocolError {
-        ProtocolError::MalformedLine {
-            number: self.line_number,
+        ProtocolError::MalformedInput {
+            line: self.line_number,
             expected: expected.to_string(),
             found: found.to_string(),
         }
@@ -49,8 +49,8 @@
 
     /// Builds an error about the line after the current one, which is missing because the input ended.
     pub(crate) fn error_at_end(&self, expected: &str) -> ProtocolError {
-        ProtocolError::MalformedLine {
-            number: self.line_number + 1,
+        ProtocolError::MalformedInput {
+            line: self.line_number + 1,
             expected: expected.to_string(),
             found: "end of input".to_string(),
         }
--- a/crates/simulator-adapter/src/protocol.rs
+++ b/crates/simulator-adapter/src/protocol.rs
@@ -20,8 +20,8 @@
 const END_OF_BATCH: &str = "eof_batch";
 /// The line that ends a reply.
 const END_OF_REPLY: &str = "ready\n";
-/// The kinds of lines that name an instance: the start and the crash of an instance, and its events.
-const INSTANCE_LINE_KINDS: [&str; 10] = [
+/// The kinds of events that concern one instance. `begin` starts the instance and `crash_now` ends it.
+const INSTANCE_EVENT_KINDS: [&str; 10] = [
     "begin",
     "crash_now",
     "announce",
@@ -52,7 +52,7 @@
 }
 
 impl Host {
-    /// Creates a host without instances; `begin` lines start them.
+    /// Creates a host without instances; `begin` events start them.
     #[must_use]
     pub fn new() -> Self {
         Host::default()
@@ -121,9 +121,9 @@
 
     fn read_event(&mut self, line: &str) -> Result<(), Malformed> {
         let mut fields = Fields::new(line);
-        let kind = fields.text("a line kind")?;
-        if !INSTANCE_LINE_KINDS.contains(&kind) {
-            return malformed("a known line kind", kind);
+        let kind = fields.text("an event kind")?;
+        if !INSTANCE_EVENT_KINDS.contains(&kind) {
+            return malformed("a known event kind", kind);
         }
         let id = fields.text("an instance")?;
         if kind == "begin" {
--- a/crates/simulator-adapter/tests/protocol.rs
+++ b/crates/simulator-adapter/tests/protocol.rs
@@ -75,7 +75,7 @@
         ),
         (
             format!("{good}gossip sender/3\n"),
-            "line 7: expected a known line kind, found 'gossip'",
+            "line 7: expected a known event kind, found 'gossip'",
         ),
         (
             format!("{good}tick_due sender/9 wake\n"),
