--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -93,8 +93,8 @@
         self.arrivals.insert(message_id, pending);
     }
 
-    /// A client disconnected before it received the outcome of its message. The message is dropped when no other
-    /// client waits for it.
+    /// Handles the disconnection of a client before it received the outcome of its message. The message is dropped when
+    /// no other client waits for it.
     pub(crate) fn on_client_disconnected(&mut self, id: &SharedStr) {
         let Some(message_id) = self.messages.find(id) else {
             return;
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn a_torn_tail_of_any_length_is_cut_off() {
+fn a_torn_tail_of_any_length_is_truncated() {
     let last = JOURNAL.len() - 14;
     assert!(
         JOURNAL[last..].starts_with(b"MTJ1"),
--- a/crates/policy/src/cleanup.rs
+++ b/crates/policy/src/cleanup.rs
@@ -1,4 +1,4 @@
-//! Removes what is no longer needed of messages and ordering keys, and restores messages after a restart.
+//! Removes messages and ordering keys that are no longer needed, and restores messages after a restart.
 
 use crate::interface::{Action, Effect, MessageId, Micros, NewMessage, PastAttempt};
 use crate::state::Attempt;
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -97,10 +97,10 @@
 const MIN_KNOWN_CALLS: f64 = 50.0;
 /// Calls per second at or above which a scope counts as busy.
 const BUSY_CALLS_PER_S: f64 = 20.0;
-/// Number of slow-start times after which an unhealthy scope that still has occasional successes counts as
-/// noisy rather than down.
+/// Number of slow-start durations after which an unhealthy scope that still has occasional successes counts
+/// as noisy rather than down.
 const MAX_OUTAGE_SLOW_STARTS: i64 = 3;
-/// Weight of one more call in the moving average of a class's failure rate at an endpoint.
+/// Weight of each new call in the moving average of a class's failure rate at an endpoint.
 const CLASS_FAILURE_WEIGHT: f64 = 0.05;
 /// Number of hedge delays after which a call counts as unresponsive if its scope has sent no response since
 /// the call was sent; this time is the unresponsive limit.
@@ -297,7 +297,7 @@
         }
     }
 
-    /// Adds an accepted message. Messages beyond the share of their tenant get a lower priority weight.
+    /// Adds an accepted message. Messages beyond the allowance of their tenant get a lower priority weight.
     pub(crate) fn on_accepted(&mut self, new: &NewMessage) {
         let deadline = self.now + new.time_left;
         let class = self.settings.classes.get(new.class);
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -1,4 +1,5 @@
-//! Applies updates of the endpoint list, and removes the state of what is no longer listed.
+//! Applies updates of the endpoint list, and removes the state of endpoints, destinations and health scopes
+//! that are no longer listed.
 
 use crate::decide::INITIAL_LIST_BACKOFF;
 use crate::interface::{
@@ -8,8 +9,8 @@
 use crate::state::{Endpoint, HealthScope};
 use std::collections::BTreeSet;
 
-/// How long a destination stays known after its last endpoint was removed. Longer values bridge a replacement
-/// of all endpoints at once, shorter ones reject messages for removed destinations sooner.
+/// How long a destination stays known after its last endpoint was removed. Longer values allow more time for
+/// a replacement of all endpoints, shorter ones reject messages for removed destinations sooner.
 const DESTINATION_RETENTION: Micros = 60 * SECOND;
 
 impl Sender {
--- a/crates/policy/src/idle.rs
+++ b/crates/policy/src/idle.rs
@@ -116,7 +116,7 @@
     }
 }
 
-/// What is kept of an idle scope.
+/// The part of a scope's state that is kept while the scope is idle.
 fn to_destination_state(scope: &HealthScope) -> DestinationState {
     DestinationState {
         retry_after_until: scope.retry_after_until,
@@ -138,7 +138,7 @@
     }
 }
 
-/// A scope with what was kept of it.
+/// Rebuilds a scope from the state that was kept while it was idle.
 fn from_destination_state(
     state: &DestinationState,
     now: Micros,
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -40,10 +40,10 @@
     Unsafe,
 }
 
-/// A class of messages, with the same delivery rules and value.
+/// A class of messages that have the same delivery rules and value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Unique among the classes, except after a reload.
+    /// Name of the class, unique in the host's configuration. After a reload, an old and a new class may have the same name.
     pub name: String,
     /// What a repeated delivery does.
     pub effect: Effect,
@@ -91,7 +91,7 @@
     }
 }
 
-/// A kind of destination, with the same rules for routes and batches.
+/// A kind of destination. All destinations of a kind have the same rules for routes and batches.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DestinationKind {
     /// Name of the kind in the host's configuration.
@@ -439,7 +439,8 @@
     pub resubmitted: bool,
     /// The message was submitted to a sender that has died.
     pub from_lost_sender: bool,
-    /// The message is redriven long after its first end; all messages that are not deferred are sent first.
+    /// The message was redriven from the dead-letter store; it is sent after all messages that are not
+    /// deferred.
     pub deferred: bool,
 }
 
--- a/crates/policy/src/rejection_correlation.rs
+++ b/crates/policy/src/rejection_correlation.rs
@@ -10,11 +10,11 @@
 /// Responses that the baseline remembers. The number is larger than for failures, so that the rejections of a
 /// destination's limit do not become part of the baseline while the rate limit slowly approaches it.
 const MAX_CALLS: f64 = 1000.0;
-/// Evidence for more rejections than the baseline at which a rate probe starts: two or three close together
-/// where the baseline is zero, six in a row where it is 10%.
+/// Evidence of rejections above the baseline at which a rate probe starts: two or three rejections close
+/// together where the baseline is zero, six in a row where it is 10%.
 const EXCESS_THRESHOLD: f64 = 9.0;
-/// Evidence for more rejections than the baseline that confirms a known limit: about one rejection above the
-/// baseline is enough.
+/// Evidence of rejections above the baseline at which a known limit is confirmed: about one rejection
+/// above the baseline is enough.
 const EXCESS_THRESHOLD_AT_LIMIT: f64 = 3.5;
 /// Number of calls over which the first phase of a rate probe measures the rejection rate.
 const MEASURED_CALLS: f64 = 80.0;
@@ -301,7 +301,7 @@
         RateAdvice::HalveForProbe
     }
 
-    /// Assumes a limit at the given rate from now on, or prolongs a known one.
+    /// Assumes a limit at the given rate from now on, or assumes a known one for longer.
     fn assume_limit(&mut self, now: Micros, success_rate: f64) -> RateAdvice {
         if now >= self.limited_until {
             (self.rate_at_limit, self.rate_limit_before) = (success_rate, f64::INFINITY);
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -20,7 +20,7 @@
     pub class: usize,
     /// The messages have an attempt in flight, so the next one is a hedged request.
     pub is_hedge: bool,
-    /// All messages that are not deferred come first.
+    /// The messages come after all that are not deferred.
     pub deferred: bool,
     /// The messages were accepted before a restart and never attempted; they come before all others.
     pub awaits_first_attempt: bool,
@@ -130,7 +130,7 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Messages whose time to be sent has come.
+    /// Messages that are due to be sent.
     pub(crate) fn due_messages(&mut self, now: Micros) -> Vec<MessageId> {
         self.delayed
             .iter()
@@ -139,14 +139,14 @@
             .collect()
     }
 
-    /// The next time at which a message is due or, if `with_wakes`, a blocked queue is checked again.
-    pub(crate) fn next_due(&self, with_wakes: bool) -> Micros {
+    /// The next time at which a message is due or, if `include_wake_times`, a blocked queue is checked again.
+    pub(crate) fn next_due(&self, include_wake_times: bool) -> Micros {
         let next_delayed = self.delayed.first().map_or(Micros::MAX, |(at, _)| *at);
         let next_wake = self
             .wake_times
             .first()
             .map_or(Micros::MAX, |(at, _)| *at + QUEUE_WAKE_DELAY);
-        if with_wakes {
+        if include_wake_times {
             next_delayed.min(next_wake)
         } else {
             next_delayed
@@ -296,16 +296,16 @@
             .collect()
     }
 
-    /// Marks the queues to be checked whose time has come and, if `load_relieved`, those blocked by degraded
+    /// Marks the queues that are due to be checked and, if `degraded_slots_free`, those blocked by degraded
     /// load.
-    pub(crate) fn activate_due(&mut self, now: Micros, load_relieved: bool) {
+    pub(crate) fn activate_due(&mut self, now: Micros, degraded_slots_free: bool) {
         let mut due_queues: Vec<QueueKey> = self
             .wake_times
             .iter()
             .take_while(|(at, _)| *at <= now)
             .map(|(_, queue)| *queue)
             .collect();
-        if load_relieved {
+        if degraded_slots_free {
             due_queues.extend(&self.blocked_by_degraded_load);
         }
         due_queues.iter().for_each(|queue| self.activate(queue));
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -137,11 +137,11 @@
     pub deadline: Micros,
     /// Value of a delivery relative to other messages.
     pub priority_weight: f64,
-    /// The message has no final response yet.
+    /// The message has not ended yet.
     pub open: bool,
     /// Maximum number of attempts for the message.
     pub max_attempts: usize,
-    /// All messages that are not deferred are sent first.
+    /// The message is sent after all messages that are not deferred.
     pub deferred: bool,
     /// The message was accepted before a restart and not attempted until then.
     pub unattempted_before_restart: bool,
@@ -468,7 +468,7 @@
         self.0.len()
     }
 
-    /// The value below which `part` of `whole` parts of the values lie; `None` if there are no values.
+    /// The quantile `part / whole` of the values; `None` if there are no values.
     pub(crate) fn quantile(&self, part: usize, whole: usize) -> Option<Micros> {
         let mut sorted: Vec<Micros> = self.0.iter().copied().collect();
         sorted.sort_unstable();
