--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -81,7 +81,7 @@
 /// independent senders largely cancel out in the sum.
 const BURST_DEVIATIONS: f64 = 2.0;
 /// Outage evidence above which a health scope counts as unreliable, even if it is not ejected.
-const MAX_TRUSTED_EVIDENCE: f64 = 4.5;
+const MAX_RELIABLE_EVIDENCE: f64 = 4.5;
 /// Upper bound of the outage evidence when an ejected scope starts to recover.
 const MAX_RECOVERY_EVIDENCE: f64 = 11.0;
 /// Outage evidence at or above which an outage counts as confirmed. Below it, an outage that has just been
@@ -629,7 +629,7 @@
                     Health::Ejected {
                         unresponsive,
                         since,
-                    } if scope.outage_evidence.evidence() < MAX_TRUSTED_EVIDENCE
+                    } if scope.outage_evidence.evidence() < MAX_RELIABLE_EVIDENCE
                         && (unresponsive || now - since < 2 * overload_window) =>
                     {
                         scope.health = Health::Healthy;
@@ -1276,7 +1276,7 @@
     fn has_no_healthy_scope(&self, destination: DestinationId) -> bool {
         let is_reliable = |scope: &HealthScope| {
             scope.health == Health::Healthy
-                && scope.outage_evidence.evidence() < MAX_TRUSTED_EVIDENCE
+                && scope.outage_evidence.evidence() < MAX_RELIABLE_EVIDENCE
         };
         self.scopes_of(destination)
             .all(|scope| scope.is_some_and(|scope| !is_reliable(scope)))
@@ -1456,7 +1456,7 @@
             // After a slow start without any call, one unsafe message is sent: a destination that gets only
             // unsafe messages would otherwise never be tried again.
             Health::Recovering { .. }
-                if unsafe_class && scope.outage_evidence.evidence() > MAX_TRUSTED_EVIDENCE =>
+                if unsafe_class && scope.outage_evidence.evidence() > MAX_RELIABLE_EVIDENCE =>
             {
                 let until = idle_probe_at.max(ready_at);
                 (
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -43,7 +43,8 @@
 /// A class of messages that have the same delivery rules and value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Name of the class, unique in the host's configuration. After a reload, an old and a new class may have the same name.
+    /// Name of the class, unique in the host's configuration. After a reload, an old and a new class may have
+    /// the same name.
     pub name: String,
     /// What a repeated delivery does.
     pub effect: Effect,
@@ -539,7 +540,8 @@
     Resumed {
         /// The message. A negative `time_left` says how long ago the deadline passed.
         message: NewMessage,
-        /// Its attempts in the order of sending. Attempts after the restart are numbered on from these.
+        /// Its attempts in the order of sending. The numbers of attempts after the restart continue from
+        /// these.
         attempts: Vec<PastAttempt>,
     },
     /// The process is to shut down. Calls that are still in flight when it ends are cut off.
--- a/crates/policy/src/rejection_correlation.rs
+++ b/crates/policy/src/rejection_correlation.rs
@@ -66,7 +66,7 @@
     probe: Option<RateProbe>,
     /// When the rate limit was last halved for a probe.
     last_probe_at: Option<Micros>,
-    /// Until when a limit is assumed.
+    /// A limit is assumed until this time.
     limited_until: Micros,
     /// Rate of successful calls, per second, at which the limit was found.
     rate_at_limit: f64,
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -63,7 +63,7 @@
     /// state.
     #[serde(skip)]
     pub(crate) scheduler: SendScheduler,
-    /// Calls in flight at slow or ejected scopes, counted anew in each turn.
+    /// Calls in flight at slow or ejected scopes, counted again in each turn.
     pub(crate) degraded_calls: usize,
     /// False after [`Sender::without_incremental_scheduling`].
     pub(crate) incremental_scheduling: bool,
