--- a/crates/policy/src/idle.rs
+++ b/crates/policy/src/idle.rs
@@ -8,8 +8,8 @@
 use milletturn_idle_state::{CompactState, DestinationState, initial_limits};
 use std::ops::Bound;
 
-/// A scope is compacted this long after its last call: far beyond all spans for which single latencies and
-/// successes matter. Shorter values save memory after a wave of calls, longer ones keep the details.
+/// A scope is compacted this long after its last call: far beyond all spans for which individual latencies
+/// and successes matter. Shorter values save memory after a burst of calls, longer ones keep the details.
 const IDLE_AFTER: Micros = 300 * SECOND;
 /// Scopes checked per turn. Two keep up with a list that grows by one endpoint per turn, and cost little in
 /// each turn.
@@ -116,7 +116,7 @@
     }
 }
 
-/// What is kept of an idle scope.
+/// The part of a scope's state that is kept while the scope is idle.
 fn to_destination_state(scope: &HealthScope) -> DestinationState {
     DestinationState {
         retry_after_until: scope.retry_after_until,
@@ -138,7 +138,7 @@
     }
 }
 
-/// A scope with what was kept of it.
+/// Rebuilds a scope from the state that was kept while it was idle.
 fn from_destination_state(
     state: &DestinationState,
     now: Micros,
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -3,7 +3,7 @@
 //!
 //! A message that may be sent now waits in a *queue* with others like it; one that may be sent later waits
 //! for its time. A queue without an endpoint that admits a call is blocked until something happens at its
-//! destination, or until the time that the check named.
+//! destination, or until the time that the check determined.
 
 use crate::interface::{DestinationId, EndpointId, MILLISECOND, MessageId, Micros};
 use std::cmp::Ordering;
@@ -20,7 +20,7 @@
     pub class: usize,
     /// The messages have an attempt in flight, so the next one is a hedged request.
     pub is_hedge: bool,
-    /// All messages that are not deferred come first.
+    /// The messages come after all that are not deferred.
     pub deferred: bool,
     /// The messages were accepted before a restart and never attempted; they come before all others.
     pub awaits_first_attempt: bool,
@@ -47,8 +47,7 @@
 pub(crate) struct ScheduleEntry {
     pub readiness: Readiness,
     pub accepted_at: Micros,
-    /// For an open message: its deadline, and the time from which on no attempt of the message can be
-    /// allowed.
+    /// For an open message: its deadline, and the time from which no attempt of the message can be allowed.
     pub expiry: Option<(Micros, Micros)>,
     /// An attempt is in flight.
     pub in_flight: bool,
@@ -74,8 +73,9 @@
     MinimumValue,
 }
 
-/// Until when a queue is blocked at the longest, and whether the queue must be checked sooner if fewer calls
-/// are in flight at slow or ejected scopes.
+/// When a blocked queue must be checked again at the latest (`Micros::MAX` if only a change at its
+/// destination can unblock it), and whether it must be checked as soon as fewer calls are in flight at slow
+/// or ejected scopes.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct BlockedUntil {
     pub until: Micros,
@@ -95,7 +95,7 @@
     pub open_count: usize,
     /// Deadlines of open messages.
     deadlines: BTreeSet<(Micros, MessageId)>,
-    /// Times from which on open messages cannot be sent any more.
+    /// Times from which open messages cannot be sent any more.
     unsendable_times: BTreeSet<(Micros, MessageId)>,
     /// Messages that may be sent later, by time.
     delayed: BTreeSet<(Micros, MessageId)>,
@@ -130,7 +130,7 @@
         std::mem::take(&mut self.changed)
     }
 
-    /// Messages whose time to be sent has come.
+    /// Messages that are due to be sent.
     pub(crate) fn due_messages(&mut self, now: Micros) -> Vec<MessageId> {
         self.delayed
             .iter()
@@ -139,14 +139,14 @@
             .collect()
     }
 
-    /// The next time at which a message is due or, if `with_wakes`, a blocked queue is checked again.
-    pub(crate) fn next_due(&self, with_wakes: bool) -> Micros {
+    /// The next time at which a message is due or, if `include_wake_times`, a blocked queue is checked again.
+    pub(crate) fn next_due(&self, include_wake_times: bool) -> Micros {
         let next_delayed = self.delayed.first().map_or(Micros::MAX, |(at, _)| *at);
         let next_wake = self
             .wake_times
             .first()
             .map_or(Micros::MAX, |(at, _)| *at + QUEUE_WAKE_DELAY);
-        if with_wakes {
+        if include_wake_times {
             next_delayed.min(next_wake)
         } else {
             next_delayed
@@ -296,16 +296,16 @@
             .collect()
     }
 
-    /// Marks the queues to be checked whose time has come and, if `load_relieved`, those blocked by degraded
+    /// Marks the queues that are due to be checked and, if `degraded_slots_free`, those blocked by degraded
     /// load.
-    pub(crate) fn activate_due(&mut self, now: Micros, load_relieved: bool) {
+    pub(crate) fn activate_due(&mut self, now: Micros, degraded_slots_free: bool) {
         let mut due_queues: Vec<QueueKey> = self
             .wake_times
             .iter()
             .take_while(|(at, _)| *at <= now)
             .map(|(_, queue)| *queue)
             .collect();
-        if load_relieved {
+        if degraded_slots_free {
             due_queues.extend(&self.blocked_by_degraded_load);
         }
         due_queues.iter().for_each(|queue| self.activate(queue));
@@ -347,7 +347,7 @@
     }
 }
 
-/// The most urgent message of a queue that the present pass has not returned yet.
+/// The most urgent message of a queue that the current pass has not returned yet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct QueueHead {
     pub urgency: f64,
