--- a/crates/test-support/src/duplicating_proxy.rs
+++ b/crates/test-support/src/duplicating_proxy.rs
@@ -149,7 +149,7 @@
 
 /// Encodes a request or response as it is sent on.
 fn encode(message: &Request) -> Vec<u8> {
-    let mut text = format!("{}\r\n", message.line);
+    let mut text = format!("{}\r\n", message.start_line);
     for (name, value) in &message.headers {
         text += &format!("{name}: {value}\r\n");
     }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -59,14 +59,14 @@
     }
 }
 
-/// An HTTP request, or a response whose status line is in `line`.
+/// An HTTP request or response.
 #[derive(Debug, Clone, Default)]
 pub struct Request {
     /// Request line or status line, without the line end.
-    pub line: String,
+    pub start_line: String,
     /// Headers by name, in lower case.
     pub headers: BTreeMap<String, String>,
-    /// Body, as long as `Content-Length` says.
+    /// Body, of the length that `Content-Length` gives; empty without that header.
     pub body: Vec<u8>,
     /// Number of the connection on which the endpoint received the request, counted from 0.
     pub connection: usize,
@@ -81,14 +81,15 @@
     /// IDs of the messages in a request to an endpoint: one message, or a batch of them in the bulk form.
     #[must_use]
     pub fn message_ids(&self) -> Vec<String> {
-        if self.line.starts_with("POST /inbox ") {
+        if self.start_line.starts_with("POST /inbox ") {
             return vec![self.header("x-request-id").to_string()];
         }
         let (mut ids, mut unparsed) = (Vec::new(), &self.body[..]);
         while let Some(line_end) = unparsed.windows(2).position(|pair| pair == b"\r\n") {
-            let line = String::from_utf8(unparsed[..line_end].to_vec()).expect("a line of text");
-            let fields: Vec<&str> = line.split(' ').collect();
-            assert_eq!(fields.len(), 3, "{line}");
+            let item_head =
+                String::from_utf8(unparsed[..line_end].to_vec()).expect("a line of text");
+            let fields: Vec<&str> = item_head.split(' ').collect();
+            assert_eq!(fields.len(), 3, "{item_head}");
             ids.push(fields[0].to_string());
             let length: usize = fields[2].parse().expect("a length");
             assert_eq!(
@@ -110,8 +111,8 @@
             return None;
         }
         let line = line.trim_end().to_string();
-        if request.line.is_empty() {
-            request.line = line;
+        if request.start_line.is_empty() {
+            request.start_line = line;
         } else if line.is_empty() {
             break;
         } else if let Some((name, value)) = line.split_once(':') {
@@ -255,14 +256,15 @@
     }
 }
 
-/// A fake discovery service: sends the same update lines on each watch of the endpoint list, and receives notifications.
+/// A fake discovery service: sends the same events on each watch of the endpoint list, and receives notifications.
 pub struct FakeDiscovery {
     /// Address on which the service listens.
     pub address: SocketAddr,
-    /// Lines of all notification requests that were acknowledged, repeats included.
+    /// All acknowledged notifications as received, one JSON line each, repeats included.
     pub notifications: Arc<Mutex<Vec<String>>>,
-    /// Lines sent on each later watch. With no lines the watch stays open without data, as while discovery is down.
-    pub watch_lines: Arc<Mutex<Vec<String>>>,
+    /// Events sent on each watch that is opened from now on, one JSON line each. If there are none, the watch stays
+    /// open without data, as while discovery is down.
+    pub watch_events: Arc<Mutex<Vec<String>>>,
     /// Number of watches opened so far.
     pub watch_count: Arc<AtomicUsize>,
     /// Number of notification requests that are still to be answered 500.
@@ -270,20 +272,20 @@
 }
 
 impl FakeDiscovery {
-    /// Starts the service on a free loopback port; it sends `lines` on each watch.
+    /// Starts the service on a free loopback port; it sends `events` on each watch.
     #[must_use]
-    pub fn new(lines: Vec<String>) -> Self {
+    pub fn new(events: Vec<String>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let discovery = FakeDiscovery {
             address: listener.local_addr().expect("bound"),
             notifications: Arc::default(),
-            watch_lines: Arc::new(Mutex::new(lines)),
+            watch_events: Arc::new(Mutex::new(events)),
             watch_count: Arc::default(),
             remaining_faults: Arc::default(),
         };
-        let (notifications, lines) = (
+        let (notifications, events) = (
             discovery.notifications.clone(),
-            discovery.watch_lines.clone(),
+            discovery.watch_events.clone(),
         );
         let (watch_count, faults) = (
             discovery.watch_count.clone(),
@@ -291,34 +293,33 @@
         );
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (notifications, lines) = (notifications.clone(), lines.clone());
+                let (notifications, events) = (notifications.clone(), events.clone());
                 let (watch_count, faults) = (watch_count.clone(), faults.clone());
                 thread::spawn(move || {
-                    serve_discovery(stream, &notifications, &lines, &watch_count, &faults);
+                    serve_discovery(stream, &notifications, &events, &watch_count, &faults);
                 });
             }
         });
         discovery
     }
 
-    /// Distinct lines of all notifications received so far. A sender repeats a notification whose acknowledgement is
-    /// slow, so repeats are left out.
+    /// All acknowledged notifications without repeats: a sender sends a notification again if its acknowledgement is slow.
     #[must_use]
     pub fn notifications(&self) -> Vec<String> {
-        let mut lines: Vec<String> = Vec::new();
-        for line in self.notifications.lock().expect("not poisoned").iter() {
-            if !lines.contains(line) {
-                lines.push(line.clone());
+        let mut distinct: Vec<String> = Vec::new();
+        for notification in self.notifications.lock().expect("not poisoned").iter() {
+            if !distinct.contains(notification) {
+                distinct.push(notification.clone());
             }
         }
-        lines
+        distinct
     }
 }
 
 fn serve_discovery(
     mut stream: TcpStream,
     notifications: &Mutex<Vec<String>>,
-    lines: &Mutex<Vec<String>>,
+    events: &Mutex<Vec<String>>,
     watch_count: &AtomicUsize,
     remaining_faults: &AtomicUsize,
 ) {
@@ -326,7 +327,7 @@
     let Some(request) = read_http(&mut reader) else {
         return;
     };
-    if request.line.starts_with("POST /v1/outcomes ") {
+    if request.start_line.starts_with("POST /v1/outcomes ") {
         let faulty = remaining_faults
             .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |remaining| {
                 remaining.checked_sub(1)
@@ -345,34 +346,36 @@
         return;
     }
     assert!(
-        request.line.starts_with("GET /v1/endpoints?watch=1&from="),
+        request
+            .start_line
+            .starts_with("GET /v1/endpoints?watch=1&from="),
         "{}",
-        request.line
+        request.start_line
     );
     watch_count.fetch_add(1, Ordering::SeqCst);
-    let mut unsent = lines.lock().expect("not poisoned").clone();
+    let mut unsent = events.lock().expect("not poisoned").clone();
     if stream
         .write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         .is_err()
     {
         return;
     }
-    let has_no_lines = unsent.is_empty();
+    let has_no_events = unsent.is_empty();
     loop {
-        for line in unsent.drain(..) {
-            let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
+        for event in unsent.drain(..) {
+            let chunk = format!("{:x}\r\n{event}\n\r\n", event.len() + 1);
             if stream.write_all(chunk.as_bytes()).is_err() {
                 return;
             }
         }
         thread::sleep(Duration::from_millis(500));
-        if !has_no_lines {
+        if !has_no_events {
             unsent.push(String::new());
         }
     }
 }
 
-/// A full endpoint list as a line of a discovery watch, from each endpoint's uid, address, kind, destination and state.
+/// A full endpoint list as an event of a discovery watch, from each endpoint's uid, address, kind, destination and state.
 #[must_use]
 pub fn list_json(entries: &[(&str, SocketAddr, &str, u64, &str)]) -> String {
     let targets: Vec<String> = entries
@@ -435,7 +438,7 @@
     pub fn send(&mut self, bytes: &[u8]) -> Option<(u16, Request)> {
         self.0.get_mut().write_all(bytes).ok()?;
         let response = read_http(&mut self.0)?;
-        let status = response.line.split(' ').nth(1)?.parse().ok()?;
+        let status = response.start_line.split(' ').nth(1)?.parse().ok()?;
         Some((status, response))
     }
 }
--- a/crates/test-support/src/unreliable_endpoint.rs
+++ b/crates/test-support/src/unreliable_endpoint.rs
@@ -183,7 +183,7 @@
 
     /// Body of a 200 response: one result line per message for a batch, random digits for a single message.
     fn success_body(&mut self, request: &Request) -> String {
-        match request.line.starts_with("POST /inbox/bulk ") {
+        match request.start_line.starts_with("POST /inbox/bulk ") {
             true => request
                 .message_ids()
                 .iter()
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -31,7 +31,7 @@
     assert_eq!(node.submit("webhook", "m1", 7, 20_000, body), 202);
     wait_until("the message is delivered", || endpoint.request_count() == 1);
     let call = endpoint.request(0);
-    assert_eq!(call.line, "POST /inbox HTTP/1.1");
+    assert_eq!(call.start_line, "POST /inbox HTTP/1.1");
     assert_eq!(
         (call.header("x-request-id"), call.header("idempotency-key")),
         ("m1", "key-m1")
@@ -353,7 +353,7 @@
     let blocked: Arc<Mutex<bool>> = Arc::new(Mutex::new(true));
     let is_blocked = blocked.clone();
     let endpoint = FakeEndpoint::new(move |request, _| {
-        if request.line.starts_with("POST /inbox ") {
+        if request.start_line.starts_with("POST /inbox ") {
             if request.message_ids()[0].starts_with("first") {
                 wait_until("released", || !*is_blocked.lock().expect("not poisoned"));
             }
@@ -393,7 +393,8 @@
     }
     *blocked.lock().expect("not poisoned") = false;
     wait_until("a batch call is sent", || {
-        (0..endpoint.request_count()).any(|n| endpoint.request(n).line.contains("/inbox/bulk"))
+        (0..endpoint.request_count())
+            .any(|n| endpoint.request(n).start_line.contains("/inbox/bulk"))
     });
     wait_until("the notification of the failed message arrives", || {
         discovery.notifications().contains(&failed("b1"))
@@ -445,11 +446,11 @@
     node.kill();
     discovery.remaining_faults.store(0, Ordering::SeqCst);
     let other = FakeEndpoint::new(|_, _| OK);
-    let lines = list_json(&[
+    let full_list = list_json(&[
         ("s-1", endpoint.address, "one", 7, "up"),
         ("s-2", other.address, "one", 8, "up"),
     ]);
-    *discovery.watch_lines.lock().expect("not poisoned") = vec![lines];
+    *discovery.watch_events.lock().expect("not poisoned") = vec![full_list];
     let node = node.restart().ready();
     assert!(node.logged("4 messages owed"));
     wait_until("the unsent message is sent", || {
@@ -515,7 +516,7 @@
     let mut damaged = intact.clone();
     damaged[20] ^= 0xff;
     std::fs::write(node.journal(), &damaged).expect("damaged");
-    *discovery.watch_lines.lock().expect("not poisoned") =
+    *discovery.watch_events.lock().expect("not poisoned") =
         vec![list_json(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.restart().ready();
     assert!(node.logged("1 messages owed") && node.logged("damaged"));
@@ -683,7 +684,7 @@
     let began = Instant::now();
     assert_eq!(node.readiness_status(), 503, "no list is known");
     assert_eq!(node.submit("webhook", "early", 7, 20_000, b"x"), 503);
-    *discovery.watch_lines.lock().expect("not poisoned") =
+    *discovery.watch_events.lock().expect("not poisoned") =
         vec![list_json(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.ready();
     // well before the 6 s within which any change must be known to the sender
