--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -303,7 +303,8 @@
         discovery
     }
 
-    /// All acknowledged notifications without repeats: a sender sends a notification again if its acknowledgement is slow.
+    /// All acknowledged notifications, without repeats: a sender sends a notification again if its acknowledgement is
+    /// slow.
     #[must_use]
     pub fn notifications(&self) -> Vec<String> {
         let mut distinct: Vec<String> = Vec::new();
@@ -375,7 +376,8 @@
     }
 }
 
-/// A full endpoint list as an event of a discovery watch, from each endpoint's uid, address, kind, destination and state.
+/// A full endpoint list as an event of a discovery watch, from each endpoint's uid, address, kind, destination and
+/// state.
 #[must_use]
 pub fn list_json(entries: &[(&str, SocketAddr, &str, u64, &str)]) -> String {
     let targets: Vec<String> = entries
--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -70,7 +70,7 @@
             return stream.write_all(b"HTTP/1.1 204 No Content\r\n\r\n");
         }
         self.watch_count.fetch_add(1, Ordering::SeqCst);
-        let chunk = |line: &str| format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
+        let chunk = |event: &str| format!("{:x}\r\n{event}\n\r\n", event.len() + 1);
         let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         stream.write_all(format!("{head}{}", chunk(list)).as_bytes())?;
         while !self.is_stopped.load(Ordering::SeqCst) {
@@ -112,7 +112,7 @@
     });
 }
 
-/// Submits a message, again and again until the sender accepts it: a new connection may be closed without a response.
+/// Submits a message repeatedly until the sender accepts it, since a new connection may be closed without a response.
 fn submit_until_accepted(node: &Node, id: &str, destination: u64, time_ms: u64) {
     wait_until("the message is accepted", || {
         let Ok(mut stream) = TcpStream::connect(node.address) else {
@@ -152,7 +152,7 @@
     wait_until("the sender has lost discovery", || {
         node.logged("no connection")
     });
-    // the only endpoint drains, so the message expires, and its notification waits for discovery
+    // the only endpoint of destination 9 drains, so m2 expires, and its notification waits for discovery
     submit_until_accepted(&node, "m2", 9, 200);
     submit_until_accepted(&node, "m3", 7, 20_000);
     wait_until("m3 is delivered", || old.attempt_count("m3") == 1);
--- a/tests/duplicate_responses.rs
+++ b/tests/duplicate_responses.rs
@@ -14,8 +14,8 @@
 const SERVICE_TIME: Duration = Duration::from_millis(80);
 /// Time from the submission of a message to its deadline.
 const TIME_TO_LIVE_MS: u64 = 3_000;
-/// A message that has neither been delivered nor ended by a notification this long after its deadline counts as lost,
-/// as the protocol page says.
+/// Time after a message's deadline by which it must have been delivered or ended by a notification, according to the
+/// platform's protocol page. After that time it counts as lost.
 const LOST_AFTER_MS: u64 = 300;
 /// Time between two submissions, long enough that the connection to the endpoint is idle again.
 const SUBMIT_INTERVAL: Duration = Duration::from_millis(160);
@@ -26,8 +26,8 @@
 /// in flight; the number counts the requests.
 type Script = fn(overlaps_duplicate: bool, number: usize) -> Reply;
 
-/// Rejects requests that overlap with a duplicate response. All other responses have different bodies, as responses with a
-/// load report do.
+/// Rejects requests that overlap with a duplicate response. Answers each other request with 200 and its number, so that
+/// no two of these responses are the same bytes; in production the load report has the same effect.
 fn reject_overlapping(overlaps_duplicate: bool, number: usize) -> Reply {
     match overlaps_duplicate {
         true => Reply::Respond(REJECTED, String::new()),
@@ -182,7 +182,7 @@
 
     fn assert_none_lost(&self, ids: &[String]) {
         let lost = self.lost(ids);
-        let first = lost.first().map(|id| self.node.log_lines_of(id));
+        let first = lost.first().map(|id| self.node.log_records_of(id));
         assert!(
             lost.is_empty(),
             "{} of {} lost, {} duplicate responses: {lost:?}\n{}",
@@ -319,8 +319,7 @@
 }
 
 #[test]
-fn a_200_made_for_the_present_call_delivers_nothing_where_the_endpoint_closes_in_place_of_its_own()
-{
+fn a_second_200_with_different_headers_delivers_nothing_when_the_endpoint_closes_the_connection() {
     assert_no_loss_with_different_headers(close_overlapping, Duration::ZERO);
 }
 
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn senders_started_at_once_on_one_disk_all_become_ready() {
+fn senders_started_at_the_same_time_on_one_disk_all_become_ready() {
     const STARTS: usize = 30;
     let hanging = unresponsive_listener();
     let address = hanging.local_addr().expect("bound");
@@ -151,7 +151,8 @@
         0.3,
         EMPTY_ENDPOINT_LIST,
         |state| {
-            // with small messages, the record of what damage may have lost is large in comparison
+            // After damage the journal presumes an attempt for each message. With small messages these attempts take up
+            // much space in comparison.
             let (mut journal, _) = FileJournal::open(state, 300_000, 1).expect("a journal");
             let first_rejected = (0..).find(|&n| {
                 journal
@@ -221,9 +222,9 @@
     lock.lock().expect("the lock is free");
     let mut process = command(&folder).spawn().expect("the process starts");
     let mut log = std::io::BufReader::new(process.stderr.take().expect("piped"));
-    let mut line = String::new();
-    std::io::BufRead::read_line(&mut log, &mut line).expect("a line");
-    assert!(line.contains("another process owns"), "{line}");
+    let mut log_line = String::new();
+    std::io::BufRead::read_line(&mut log, &mut log_line).expect("a line");
+    assert!(log_line.contains("another process owns"), "{log_line}");
     send_signal(&process, "-TERM");
     let mut status = None;
     wait_until("the process ends", || {
@@ -330,10 +331,10 @@
     wait_until("all three notifications arrive", || {
         discovery.notifications().len() == 3
     });
-    wait_until("all three are in the log", || {
+    wait_until("all three are in the access log", || {
         let log = node.log.lock().expect("not poisoned");
         log.iter()
-            .filter(|line| line.contains(r#""what":"given_up""#))
+            .filter(|record| record.contains(r#""what":"given_up""#))
             .count()
             == 3
     });
@@ -349,15 +350,15 @@
     };
     let rows: Vec<serde_json::Value> = account("json")
         .lines()
-        .map(|line| serde_json::from_str(line).expect("JSON"))
+        .map(|row| serde_json::from_str(row).expect("JSON"))
         .collect();
-    let given_up = |to: u64| {
+    let abandoned = |to: u64| {
         let row = rows.iter().find(|row| row["to"] == to).expect("a row");
         (row["given_up"].as_u64(), row["untried"].to_string())
     };
-    assert_eq!(given_up(7), (Some(1), "{}".into()), "{rows:?}");
+    assert_eq!(abandoned(7), (Some(1), "{}".into()), "{rows:?}");
     assert_eq!(
-        given_up(9),
+        abandoned(9),
         (Some(2), r#"{"time_up":2}"#.into()),
         "{rows:?}"
     );
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -136,7 +136,7 @@
             link.cut();
         }
     }
-    a.wait_for_lines(1, |line| line.contains("\"alone\""));
+    a.wait_for_lines(1, |event| event.contains("\"alone\""));
     let (token, joined) = (highest_token(&a), join_count(&a));
     wait_until("the other member writes", || writes_above(&b, token) >= 3);
     links_a
@@ -166,15 +166,15 @@
     let new = cluster.wait_for_leader(&others);
     assert_ne!(old, new);
     // requests to the partitioned leader get an error and none of its state
-    let (code, lines) = cluster.run_fleet_command(&[old], &["work"]);
-    assert_eq!((code, lines), (3, Vec::new()));
-    let (code, lines) = cluster.run_fleet_command(&[old], &["status"]);
+    let (code, objects) = cluster.run_fleet_command(&[old], &["work"]);
+    assert_eq!((code, objects), (3, Vec::new()));
+    let (code, objects) = cluster.run_fleet_command(&[old], &["status"]);
     assert_eq!(
-        (code, lines[0]["status"]["role"].as_str()),
+        (code, objects[0]["status"]["role"].as_str()),
         (3, Some("cut off"))
     );
-    let (code, lines) = cluster.run_fleet_command(&[old], &["release-work", "w"]);
-    assert_eq!((code, lines), (3, Vec::new()));
+    let (code, objects) = cluster.run_fleet_command(&[old], &["release-work", "w"]);
+    assert_eq!((code, objects), (3, Vec::new()));
     let writes_before = writes_of(&a).len();
     wait_until("the owner continues to write", || {
         writes_of(&a).len() >= writes_before + 3
@@ -192,8 +192,13 @@
     let links = cluster.connect_client();
     let a = cluster.start_member(&links, "w", "a");
     a.wait_for_lines(3, is_write);
-    let is_alone_event = |line: &str| line.contains("\"alone\"");
-    let alone_event_count = || a.lines().iter().filter(|line| is_alone_event(line)).count();
+    let is_alone_event = |event: &str| event.contains("\"alone\"");
+    let alone_event_count = || {
+        a.lines()
+            .iter()
+            .filter(|event| is_alone_event(event))
+            .count()
+    };
     for order in [[2, 0, 1], [1, 2, 0]] {
         let before = alone_event_count();
         cluster
--- a/tests/fleet_commands/hold_command.rs
+++ b/tests/fleet_commands/hold_command.rs
@@ -103,18 +103,19 @@
     }
 }
 
-/// True unless the line is about a write other than the first one of its term: the number of writes differs from run to
-/// run.
-fn is_compared(line: &str) -> bool {
+/// Whether a printed event or a recorded request is compared with the golden file. Of the writes, only the first one of
+/// each term is, since the number of writes differs from run to run.
+fn is_compared(record: &str) -> bool {
     let is_about_write = ["\"acting\":", "\"acted\":", "\"act\":"]
         .iter()
-        .any(|mark| line.contains(mark));
+        .any(|mark| record.contains(mark));
     let first_of_initial_term = ["\"acting\":6,", "\"acted\":6,\"term\":3", "\"number\":6,"];
     let first_of_later_term = ["\"acting\":1,", "\"acted\":1,", "\"number\":1,"];
     let is_of_term = |term: u64| {
-        line.contains(&format!("\"under\":{term}}}")) || line.contains(&format!("\"term\":{term}"))
+        record.contains(&format!("\"under\":{term}}}"))
+            || record.contains(&format!("\"term\":{term}"))
     };
-    let contains_any = |marks: &[&str]| marks.iter().any(|mark| line.contains(mark));
+    let contains_any = |marks: &[&str]| marks.iter().any(|mark| record.contains(mark));
     !is_about_write
         || (contains_any(&first_of_initial_term) && is_of_term(3))
         || (contains_any(&first_of_later_term) && !is_of_term(3))
@@ -142,11 +143,13 @@
         &address,
     ];
     let process = Process::start(&PROGRAM.into(), "hold", &arguments.map(String::from));
-    process.wait_for_lines(1, |line| line.contains("{\"acted\":1,\"term\":6}"));
+    process.wait_for_lines(1, |event| event.contains("{\"acted\":1,\"term\":6}"));
     process.terminate();
     let requests = || coordinator.requests.lock().expect("not poisoned").clone();
     wait_until("the member closes its session", || {
-        requests().iter().any(|line| line.contains("\"close\""))
+        requests()
+            .iter()
+            .any(|request| request.contains("\"close\""))
     });
     let mask = |text: &String| {
         masked(
@@ -157,15 +160,15 @@
     let printed: BTreeSet<String> = process
         .lines()
         .iter()
-        .filter(|line| is_compared(line))
+        .filter(|event| is_compared(event))
         .map(mask)
         .collect();
     let requests: BTreeSet<String> = requests()
         .iter()
-        .filter(|line| is_compared(line))
+        .filter(|request| is_compared(request))
         .map(mask)
         .collect();
-    let text = |lines: BTreeSet<String>| lines.into_iter().collect::<Vec<_>>().join("\n");
+    let text = |records: BTreeSet<String>| records.into_iter().collect::<Vec<_>>().join("\n");
     assert_matches_golden(
         "hold.txt",
         &format!("{}\n----\n{}\n", text(printed), text(requests)),
--- a/tests/golden_dead_letter.rs
+++ b/tests/golden_dead_letter.rs
@@ -1,6 +1,7 @@
-//! Compares `milletturn undelivered` with an earlier build, command by command (`tests/golden/dead_letter.txt`): tables, JSON
-//! lines, messages and exit codes, and the requests to a running sender. The commands read the golden store of the
-//! dead-letter package. Ages with five digits of days are written as `#####d`.
+//! Compares the output of `milletturn undelivered` with that of an earlier build in `tests/golden/dead_letter.txt`,
+//! command by command: tables, JSON lines, messages, exit codes and the requests to a running sender. The commands read
+//! the golden store of the dead-letter package. Ages with five digits of days are replaced by `#####d`, and filter
+//! times that are relative to now by `NOW-AGE`.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write as _};
@@ -61,9 +62,9 @@
             BufReader::new(&stream)
                 .read_line(&mut request)
                 .expect("a request");
-            let lines = response_to(&request);
+            let response = response_to(&request);
             received.lock().expect("not poisoned").push(request);
-            stream.write_all(lines.as_bytes()).expect("answered");
+            stream.write_all(response.as_bytes()).expect("answered");
         }
     });
     requests
--- a/tests/golden_reports.rs
+++ b/tests/golden_reports.rs
@@ -159,10 +159,11 @@
         ("account", "access-log"),
     ] {
         let help = |command: &str| run("config", &[command, "--help"]);
-        let without_first_line = |text: String| text.split_once('\n').expect("lines").1.to_string();
+        let without_command_line =
+            |text: String| text.split_once('\n').expect("lines").1.to_string();
         assert_eq!(
-            without_first_line(help(old)),
-            without_first_line(help(new)),
+            without_command_line(help(old)),
+            without_command_line(help(new)),
             "{old}"
         );
     }
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -101,7 +101,7 @@
         Node::start(folder, setup)
     }
 
-    /// Runs `milletturn undelivered` with these arguments; returns its exit code and the JSON lines that it printed.
+    /// Runs `milletturn undelivered` with these arguments; returns its exit code and the JSON objects that it printed.
     pub(crate) fn undelivered(&self, arguments: &[&str]) -> (i32, Vec<serde_json::Value>) {
         let output = Command::new(PROGRAM)
             .args(["undelivered", "--format", "json", "--folder"])
@@ -110,17 +110,17 @@
             .output()
             .expect("the command runs");
         let text = String::from_utf8(output.stdout).expect("text");
-        let lines = text
+        let objects = text
             .lines()
-            .map(|line| serde_json::from_str(line).expect("JSON"))
+            .map(|object| serde_json::from_str(object).expect("JSON"))
             .collect();
         (
             output.status.code().expect("no signal ended the command"),
-            lines,
+            objects,
         )
     }
 
-    /// Starts a sender that writes trace lines, which `milletturn access-log` evaluates.
+    /// Starts a sender that writes access log records, which `milletturn access-log` evaluates.
     pub(crate) fn with_trace(discovery: &FakeDiscovery) -> Self {
         let node = Node::new(discovery);
         std::fs::write(node.folder.join("trace"), "").expect("written");
@@ -235,7 +235,7 @@
         let logged_value = |label: &str| {
             let log = log.lock().expect("not poisoned");
             log.iter()
-                .find_map(|line| line.split_once(label)?.1.parse().ok())
+                .find_map(|record| record.split_once(label)?.1.parse().ok())
         };
         let (mut address, mut admin_address) = (None, None);
         wait_until("the sender listens", || {
@@ -282,8 +282,8 @@
         let (status, response) = self.admin_request("GET", "/-/metrics");
         assert_eq!(status, 200);
         let text = String::from_utf8(response.body).expect("text");
-        let value = |line: &str| {
-            let (found, rest) = line.strip_prefix("relay.")?.split_once(':')?;
+        let value = |sample: &str| {
+            let (found, rest) = sample.strip_prefix("relay.")?.split_once(':')?;
             rest.split_once('|')
                 .filter(|_| found == name)?
                 .0
@@ -311,11 +311,11 @@
         self.raw(&message_request(class, id, dest, time_ms, body)).0
     }
 
-    /// The lines of the sender's log that name a message.
-    pub(crate) fn log_lines_of(&self, id: &str) -> String {
+    /// The records of the sender's log that name a message, as lines of text.
+    pub(crate) fn log_records_of(&self, id: &str) -> String {
         let log = self.log.lock().expect("not poisoned");
         let quoted = format!("\"{id}\"");
-        let of_message = log.iter().filter(|line| line.contains(&quoted));
+        let of_message = log.iter().filter(|record| record.contains(&quoted));
         of_message.cloned().collect::<Vec<_>>().join("\n")
     }
 
@@ -380,18 +380,18 @@
         self.folder.join("state/journal")
     }
 
-    /// Makes the log reader close its pipe after the next line.
+    /// Makes the log reader close its pipe after the next record.
     pub(crate) fn close_log(&mut self) {
         self.reads_log.store(false, Ordering::SeqCst);
     }
 
-    /// True if a line of the sender's log contains the text.
+    /// True if a record of the sender's log contains the text.
     pub(crate) fn logged(&self, text: &str) -> bool {
         self.log
             .lock()
             .expect("not poisoned")
             .iter()
-            .any(|line| line.contains(text))
+            .any(|record| record.contains(text))
     }
 }
 
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_drain_closes_client_connections_and_a_resume_accepts_clients_again() {
+fn a_drained_sender_closes_client_connections_and_accepts_messages_again_after_a_resume() {
     // guards against idle connections that stay open through a drain, and against a drain that never ends
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&discovery_with(&endpoint)).ready();
@@ -142,13 +142,15 @@
     });
 }
 
-/// A class `licence` in front of the class `order`, to replace the start of the latter in a configuration.
+/// The class `licence` and the start of the class `order`. Replaces that start in a configuration, to insert `licence`
+/// before `order`.
 const LICENCE_BEFORE_ORDER: &str =
     r#"{"name":"licence","aim":4.0,"deadline":20.0,"effect":"idempotent"},{"name":"order""#;
 
 #[test]
-fn a_reload_adds_and_removes_classes_and_pending_messages_keep_their_rules() {
-    // guards against rules that change for a message in flight, and against classes mixed up by their changed positions
+fn a_reload_adds_and_removes_classes_and_pending_messages_keep_their_effect() {
+    // guards against a reload that changes the effect of a message in flight, or that mixes up classes because their
+    // positions change
     let endpoint =
         FakeEndpoint::new(
             |request, _| match request.header("x-request-id").split('-').next() {
@@ -160,7 +162,7 @@
     let discovery = discovery_with(&endpoint);
     let node = Node::new(&discovery).ready();
     assert_eq!(node.submit("licence", "m1", 7, 20_000, b"x"), 400);
-    // an at-most-once message that may run must never be sent again, even if its class gets another effect
+    // an at-most-once message that may have run must never be sent again, even if its class gets another effect
     assert_eq!(node.submit("order", "slow-order", 7, 3_000, b"x"), 202);
     wait_until("the message is sent", || {
         endpoint.attempt_count("slow-order") == 1
@@ -179,7 +181,8 @@
     });
     // orders are idempotent now, with at most 2 attempts
     assert_eq!(node.submit("order", "bad-order", 7, 20_000, b"x"), 202);
-    // the new order is returned, since a repeat does no harm now, and counted as shed; the old one may have run, and fails
+    // The order submitted after the reload is idempotent: after its last attempt it is returned, and counted as shed.
+    // The earlier order is still an at-most-once message and may have run, so it fails.
     wait_until("the new order is returned", || {
         node.metric("responses.order.shed") == 1
     });
@@ -198,7 +201,7 @@
             notification.contains("slow-order") && notification.contains("failed")
         })
     });
-    // and the new class is removed again
+    // another reload removes the new class
     node.reload(|text| text.replace(LICENCE_BEFORE_ORDER, r#"{"name":"order""#));
     wait_until("the reload is applied", || {
         node.metric("config_applied") == 2
@@ -254,7 +257,7 @@
 }
 
 #[test]
-fn a_pending_message_keeps_its_effect_through_a_reload_and_a_kill() {
+fn a_pending_message_keeps_its_effect_across_a_reload_and_a_kill() {
     // guards against an at-most-once message that is sent again because a reload gave its class another effect
     let endpoint = FakeEndpoint::new(|request, _| match request.header("x-request-id") {
         "m1" | "m2" => Reply::NoResponse,
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn the_next_message_of_a_subject_waits_until_the_platform_is_notified_of_the_previous_end() {
+fn the_next_message_of_a_subject_waits_until_the_previous_notification_is_acknowledged() {
     let endpoint = FakeEndpoint::new(|request, _| {
         let busy = Reply::Respond("503 Busy", String::new());
         if request.header("x-request-id") == "m1" {
@@ -118,7 +118,7 @@
     assert_eq!(
         endpoint.attempt_count("m2"),
         0,
-        "the platform has not been notified of the previous end"
+        "the previous notification has not been acknowledged"
     );
     // a new process still has the notification to send
     let node = node.restart().ready();
@@ -132,7 +132,7 @@
     assert_eq!(
         endpoint.attempt_count("m2"),
         0,
-        "the platform has still not been notified of the previous end"
+        "the previous notification has still not been acknowledged"
     );
     discovery.remaining_faults.store(0, Ordering::SeqCst);
     wait_until(
--- a/tests/response_faults.rs
+++ b/tests/response_faults.rs
@@ -16,8 +16,8 @@
 const SUBMIT_TIME: Duration = Duration::from_secs(6);
 const SUBMIT_INTERVAL: Duration = Duration::from_millis(15);
 const TIME_TO_LIVE_MS: u64 = 3_000;
-/// A notification may come up to this long after a message's deadline, and up to this long after a restart (the protocol
-/// page).
+/// Time after a message's deadline, or after a restart, within which a notification may still arrive, according to the
+/// platform's protocol page.
 const NOTIFICATION_GRACE: Duration = Duration::from_millis(1_800);
 
 fn seeds() -> Range<u64> {
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Submits repeatable and at-most-once messages to all destinations. Every second seed kills and restarts the sender half
-    /// way.
+    /// Submits repeatable and at-most-once messages to all destinations. Every second seed kills and restarts the
+    /// sender halfway through.
     fn run(mut self) -> Self {
         let begin = Instant::now();
         let mut restart_at = (self.seed.is_multiple_of(2)).then_some(SUBMIT_TIME / 2);
@@ -107,23 +107,23 @@
             thread::sleep(Duration::from_millis(20));
         }
         let (unfinished, seed) = (self.unfinished(), self.seed);
-        let log_lines = unfinished
+        let log_records = unfinished
             .first()
-            .map(|id| self.node.log_lines_of(id))
+            .map(|id| self.node.log_records_of(id))
             .unwrap_or_default();
         assert!(
             unfinished.is_empty(),
-            "seed {seed}: {} of {} lost: {unfinished:?}\n{log_lines}",
+            "seed {seed}: {} of {} lost: {unfinished:?}\n{log_records}",
             unfinished.len(),
             self.accepted.len()
         );
         let executions = self.executions.lock().expect("not poisoned");
         for (id, runs) in &executions.runs {
-            let log_lines = || self.node.log_lines_of(id);
+            let log_records = || self.node.log_records_of(id);
             assert!(
                 *runs <= 1 || !id.starts_with("order"),
                 "seed {seed}: {id} ran {runs} times\n{}",
-                log_lines()
+                log_records()
             );
         }
         println!(
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -22,15 +22,15 @@
     // guards against a SIGHUP that ends the process, and against notifications that still go to the old address
     let (first, second) = (FakeEndpoint::new(|_, _| OK), FakeEndpoint::new(|_, _| OK));
     let dead = FakeEndpoint::new(|_, _| Reply::Close);
-    let lines = |live: &FakeEndpoint, uid: &str| {
+    let watch_events = |live: &FakeEndpoint, uid: &str| {
         vec![list_json(&[
             (uid, live.address, "one", 7, "up"),
             ("s-0", dead.address, "one", 8, "up"),
         ])]
     };
     let (old, new) = (
-        FakeDiscovery::new(lines(&first, "s-1")),
-        FakeDiscovery::new(lines(&second, "s-2")),
+        FakeDiscovery::new(watch_events(&first, "s-1")),
+        FakeDiscovery::new(watch_events(&second, "s-2")),
     );
     old.remaining_faults.store(usize::MAX, Ordering::SeqCst);
     let node = Node::new(&old).ready();
@@ -97,7 +97,7 @@
         .for_each(|client| client.write(&text[..text.len() - 2]));
     let began = Instant::now();
     assert_eq!(node.submit("webhook", "m1", 7, 20_000, b"x"), 202);
-    // far sooner than the idle connections time out
+    // long before the idle connections time out
     assert!(
         began.elapsed() < Duration::from_millis(1500),
         "{:?}",
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -1,6 +1,7 @@
-//! Runs session proxies between members and coordinators as processes with faults. A proxy that is suspended, partitioned in
-//! one direction, late, duplicated or killed may cost a member its lease, but must not prolong a lease, let two members own
-//! a resource at once, or open a second session for the same request.
+//! Runs session proxies between members and coordinators as processes with faults. A proxy that is suspended,
+//! partitioned in one direction, late or killed, or that shares its name with another one, may cost a member its lease.
+//! It must not prolong a lease, let two members own a resource at the same time, or open a second session for the same
+//! request.
 
 #![expect(
     clippy::too_many_lines,
@@ -81,7 +82,7 @@
 }
 
 #[test]
-fn a_member_keeps_its_token_when_its_proxies_are_partitioned_duplicated_or_killed() {
+fn a_member_keeps_its_fencing_token_when_proxies_are_partitioned_or_killed_or_share_a_name() {
     // a lease long enough not to expire on a slow machine
     let mut cluster = Cluster::start_with_lease(PROGRAM, 3, "12s");
     let proxies = [
@@ -315,11 +316,11 @@
     let text = "group = \"g\"\nname = \"r\"\nlisten = \"127.0.0.1:0\"\nstewards = [\"127.0.0.1:1\"]\nplaces = 300\n";
     std::fs::write(&file, text).expect("written");
     let check = |max_descriptors: u32| {
-        let line =
+        let shell_command =
             format!("ulimit -n {max_descriptors} && exec \"$0\" relay --check --config \"$1\"");
         let mut command = std::process::Command::new("sh");
         let output = command
-            .args(["-c", &line, PROGRAM])
+            .args(["-c", &shell_command, PROGRAM])
             .arg(&file)
             .output()
             .expect("the process starts");
@@ -348,7 +349,7 @@
     OpenSession { member, nonce }
 }
 
-/// Requests a session from a session proxy, again and again until the response is not a 503, as a member does.
+/// Requests a session from a session proxy, and repeats the request while the response is a 503, as a member does.
 fn open_until_answered(proxy: SocketAddr, name: &str, nonce: u64) -> String {
     let mut response = String::new();
     wait_until("the session request is answered", || {
@@ -470,7 +471,8 @@
         );
     }
     let log_entries = status.last_applied - before;
-    // the delayed batches may have been sent to each coordinator, and more than once
+    // a batch makes one log entry for all its session opens, but a delayed batch may have been sent to each
+    // coordinator, and more than once
     assert!(
         4 * log_entries <= MEMBERS,
         "{log_entries} log entries for {MEMBERS} session opens"
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -92,10 +92,10 @@
             .spawn()
             .expect("the process starts");
         let log: Arc<Mutex<Vec<String>>> = Arc::default();
-        let (lines, errors) = (log.clone(), process.stderr.take().expect("piped"));
+        let (records, errors) = (log.clone(), process.stderr.take().expect("piped"));
         std::thread::spawn(move || {
             for line in BufReader::new(errors).lines().map_while(Result::ok) {
-                lines.lock().expect("not poisoned").push(line);
+                records.lock().expect("not poisoned").push(line);
             }
         });
         let mut sidecar = Sidecar {
@@ -105,7 +105,7 @@
             process,
             log,
         };
-        // the sidecar logs this line once both listeners are open
+        // the sidecar logs this record once both listeners are open
         wait_until("the sidecar listens for outcome readers", || {
             let ended = sidecar.process.try_wait().expect("a child process");
             assert!(
@@ -144,7 +144,7 @@
             .lock()
             .expect("not poisoned")
             .iter()
-            .any(|line| line.contains(text))
+            .any(|record| record.contains(text))
     }
 
     /// Sends a GET to the outcomes listener; returns status and body.
@@ -176,7 +176,7 @@
             .expect("set");
         OutcomeReader {
             stream: BufReader::new(stream),
-            line: Vec::new(),
+            partial_line: Vec::new(),
         }
     }
 }
@@ -191,7 +191,8 @@
 /// A stream of outcomes.
 struct OutcomeReader {
     stream: BufReader<TcpStream>,
-    line: Vec<u8>,
+    /// Start of a line whose rest has not been received.
+    partial_line: Vec<u8>,
 }
 
 impl OutcomeReader {
@@ -199,10 +200,10 @@
     /// chunk sizes are skipped.
     fn next(&mut self) -> Result<Option<serde_json::Value>, ()> {
         loop {
-            match self.stream.read_until(b'\n', &mut self.line) {
+            match self.stream.read_until(b'\n', &mut self.partial_line) {
                 Ok(0) => return Err(()),
-                Ok(_) if self.line.ends_with(b"\n") => {
-                    let line = std::mem::take(&mut self.line);
+                Ok(_) if self.partial_line.ends_with(b"\n") => {
+                    let line = std::mem::take(&mut self.partial_line);
                     if line.starts_with(b"{") {
                         return Ok(Some(serde_json::from_slice(&line).expect("JSON")));
                     }
@@ -454,7 +455,7 @@
         let metrics = String::from_utf8(response.body).expect("text");
         metrics
             .lines()
-            .find_map(|line| line.strip_prefix("relay.config_rejected:"))
+            .find_map(|sample| sample.strip_prefix("relay.config_rejected:"))
             .map(str::to_string)
     };
     assert_eq!(rejected().as_deref(), Some("0|c"));
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -105,7 +105,7 @@
         lines.collect::<String>()
     };
     let with_extra_header =
-        |line: &str| valid.replace("Host: app.svc", &format!("Host: app.svc\r\n{line}"));
+        |header: &str| valid.replace("Host: app.svc", &format!("Host: app.svc\r\n{header}"));
     let cases = [
         (without_header("X-Request-ID"), 400),
         (without_header("X-Priority-Class"), 400),
@@ -176,7 +176,7 @@
 
 /// Submits one message with an idempotency key and one at-most-once message, and answers the first attempt of each with
 /// `first`. Returns the number of attempts of each, and the notifications. An at-most-once message may be sent again
-/// only if it never ran; a message with a key whenever it is undelivered.
+/// only if it never ran; a message with a key until it is delivered.
 fn attempts_and_notifications_after(first: Reply) -> (usize, usize, Vec<String>) {
     let already_failed: Arc<Mutex<Vec<String>>> = Arc::default();
     let endpoint = FakeEndpoint::new(move |request, _| {
@@ -553,15 +553,15 @@
         assert!(status == 202 || status == 429 || status == 503);
         assert!(size() <= 300_000, "{}", size());
     }
-    // one log line for the fault, not one for each message
-    let lines = node
+    // the fault is logged once or a few times, not for each message
+    let journal_records = node
         .log
         .lock()
         .expect("not poisoned")
         .iter()
-        .filter(|line| line.contains("journal"))
+        .filter(|record| record.contains("journal"))
         .count();
-    assert!((1..=3).contains(&lines), "{lines}");
+    assert!((1..=3).contains(&journal_records), "{journal_records}");
 }
 
 #[test]
@@ -585,7 +585,7 @@
 
 #[test]
 fn a_drain_after_sigterm_responds_to_every_client() {
-    // guards against connections that are closed with a request on them, and against an exit while calls are in flight
+    // guards against closing connections that carry a request, and against an exit while calls are in flight
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let discovery = discovery_with(&endpoint);
     let mut node = Node::new(&discovery).ready();
@@ -632,7 +632,8 @@
     let node = Node::new(&discovery).ready();
     node.terminate();
     wait_until("the sender drains", || node.logged("draining"));
-    // into the last second of the drain: a call of unknown latency is assumed to need 1 s, so the exit would interrupt it
+    // waits until the last second of the drain: a call of unknown latency is assumed to need 1 s, so the exit would
+    // interrupt it
     std::thread::sleep(Duration::from_millis(2450));
     assert_eq!(node.submit("order", "m1", 7, 20_000, b"x"), 202);
     let mut node = node;
@@ -645,7 +646,7 @@
 }
 
 #[test]
-fn a_draining_endpoint_gets_no_new_messages_and_invalid_lines_are_skipped() {
+fn a_draining_endpoint_gets_no_new_messages_and_malformed_events_are_skipped() {
     let (old, new) = (FakeEndpoint::new(|_, _| OK), FakeEndpoint::new(|_, _| OK));
     let discovery = FakeDiscovery::new(vec![
         list_json(&[("s-1", old.address, "one", 7, "up"), ("s-2", new.address, "one", 7, "up")]),
@@ -656,7 +657,7 @@
     ]);
     let node = Node::new(&discovery).ready();
     wait_until(
-        "both the invalid line and the invalid entry are skipped",
+        "both the malformed event and the invalid entry are skipped",
         || node.logged("line skipped") && node.logged("entry skipped"),
     );
     for n in 0..6 {
@@ -701,7 +702,7 @@
 
 #[test]
 fn a_closed_log_pipe_does_not_end_the_sender() {
-    // guards against `eprintln!`, which panics when the pipe is closed
+    // guards against logging by `eprintln!`, which panics when the pipe is closed
     let endpoint = FakeEndpoint::new(|_, _| Reply::Respond("418 Teapot", String::new()));
     let discovery = discovery_with(&endpoint);
     let mut node = Node::new(&discovery).ready();
@@ -710,10 +711,10 @@
     wait_until("the message's notification arrives", || {
         discovery.notifications().contains(&failed("m1"))
     });
-    wait_until("the last line before the pipe is closed", || {
+    wait_until("the last record before the pipe is closed", || {
         node.logged("418")
     });
-    node.terminate(); // the shutdown logs two more lines
+    node.terminate(); // the shutdown logs two more records
     assert!(node.process.wait().expect("the process ends").success());
 }
 
@@ -733,7 +734,7 @@
 }
 
 #[test]
-fn an_invalid_configuration_fails_with_one_line_on_stderr() {
+fn an_invalid_configuration_ends_the_process_with_a_one_line_error() {
     let folder = std::path::PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("bad-config");
     std::fs::create_dir_all(&folder).expect("the folder is created");
     for text in [
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -133,10 +133,9 @@
     for index in cluster.replicas() {
         cluster.start_replica(index);
     }
-    wait_for(
-        "the member owns under a token of the restored group",
-        || highest_token(&member) > 1 << 40,
-    );
+    wait_for("the member has a token of the restored group", || {
+        highest_token(&member) > 1 << 40
+    });
     check_single_owner(&cluster.events_of("w")).expect("one owner at a time");
     check_writes_within_lease(&member).expect("no write after the lease");
 }
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,4 +1,5 @@
-//! The watch of the endpoint list when discovery sends lines that can't be parsed, sends a list in parts, or hangs.
+//! The watch of the endpoint list if discovery sends malformed events or an indented list, trickles single bytes, or
+//! does not respond.
 
 mod node;
 
@@ -15,7 +16,7 @@
 enum Script {
     /// Sends this text, and then nothing more.
     Text(String),
-    /// Sends the first text, and then the second one over and over, a byte every 200 ms.
+    /// Sends the first text, and then repeats the second one, a byte every 200 ms.
     Trickle(String, &'static str),
     /// Does not respond at all.
     Hang,
@@ -44,12 +45,16 @@
             let (watch_count, request_lines, scripts) =
                 (watch_count.clone(), request_lines.clone(), scripts.clone());
             thread::spawn(move || {
-                let mut line = String::new();
-                let read = BufReader::new(stream.try_clone().expect("cloned")).read_line(&mut line);
-                if read.is_err() || !line.starts_with("GET /v1/endpoints?watch=1") {
+                let mut request_line = String::new();
+                let read = BufReader::new(stream.try_clone().expect("cloned"))
+                    .read_line(&mut request_line);
+                if read.is_err() || !request_line.starts_with("GET /v1/endpoints?watch=1") {
                     return;
                 }
-                request_lines.lock().expect("not poisoned").push(line);
+                request_lines
+                    .lock()
+                    .expect("not poisoned")
+                    .push(request_line);
                 let number = watch_count.fetch_add(1, Ordering::SeqCst);
                 serve(stream, &scripts[number.min(scripts.len() - 1)]);
             });
@@ -122,15 +127,15 @@
 }
 
 #[test]
-fn a_line_that_can_not_be_parsed_makes_the_sender_request_the_whole_list() {
+fn a_malformed_watch_event_makes_the_sender_request_the_full_list() {
     let pair = EndpointPair::new();
-    for invalid in [
+    for malformed in [
         "{not json\n",
         "{\"rev\":8,\"all\":false,\"targets\":[{\"uid\":\"s-1\"}]}\n",
     ] {
-        // the change that the invalid line should have carried is only in the whole list of the second watch
+        // the update that the malformed event should have contained is only in the full list of the second watch
         let discovery = start_discovery(vec![
-            Script::Text(format!("{}{invalid}", pair.list("up"))),
+            Script::Text(format!("{}{malformed}", pair.list("up"))),
             Script::Text(pair.list("draining")),
         ]);
         let node = start_sender(&discovery);
@@ -139,7 +144,7 @@
         });
         assert!(
             discovery.request_lines.lock().expect("not poisoned")[1].contains("from=0 "),
-            "the whole list is requested"
+            "the full list is requested"
         );
         pair.wait_until_only_new_is_called(&node);
     }
