--- a/benches/many.rs
+++ b/benches/many.rs
@@ -3,9 +3,9 @@
 //!     cargo bench --bench many [-- --destinations 50000 --against OTHER/milletturn --seconds 6]
 //!
 //! For each number of destinations, measures the time from start to ready, resident memory, and the messages a second
-//! that one core delivers to 50 destinations that respond at once, from 16 clients back to back. Then measures the same
-//! while ten more destinations accept calls but never respond, with 500 messages a second for them. `--against` also
-//! measures another program, such as an earlier build, in the same run.
+//! that one core delivers to 50 destinations that respond immediately, from 16 clients back to back. Then measures the
+//! same while ten more destinations accept calls but never respond, with 500 messages a second for them. `--against`
+//! also measures another program, such as an earlier build, in the same run.
 
 mod common;
 
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 const CLIENTS: u64 = 16;
-/// Number of destinations that get calls and respond at once.
+/// Number of destinations that get calls and respond immediately.
 const BUSY_DESTINATIONS: u64 = 50;
 /// Number of destinations that accept calls and never respond.
 const UNRESPONSIVE_DESTINATIONS: u64 = 10;
@@ -178,7 +178,7 @@
                 median(&mixed) / median(&healthy_only),
                 sidecar.memory_mb(),
             );
-            // the figures are void if the sidecar has exited
+            // the figures are invalid if the sidecar has exited
             assert!(
                 TcpStream::connect(sidecar.http).is_ok(),
                 "the sidecar runs to the end"
--- a/benches/noise.rs
+++ b/benches/noise.rs
@@ -106,8 +106,8 @@
     rejected: AtomicU64,
 }
 
-/// Submits messages from four clients for the given time, at the given rate for all together. Returns the ids of the
-/// accepted messages.
+/// Submits messages from four clients for the given time, at the given total rate. Returns the ids of the accepted
+/// messages.
 fn submit_load(
     http: SocketAddr,
     seconds: f64,
@@ -128,7 +128,7 @@
                 let id = format!("c{client}-{number}");
                 let bytes =
                     message_request("notice", &id, 7, DEADLINE.as_millis() as u64, &[b'x'; 256]);
-                // a message that could not be submitted does not count: the sidecar never accepted it
+                // a message without a response is not counted, whether or not the sidecar accepted it
                 if connection.is_none() {
                     connection = TcpStream::connect(http).is_ok().then(|| Client::new(http));
                 }
--- a/benches/owners.rs
+++ b/benches/owners.rs
@@ -1,9 +1,9 @@
 //! Costs of exclusive ownership of a resource: `cargo bench --bench owners [-- renewals]`.
 //!
-//! Three coordinators run as processes on this machine, with a lease of 2 s. Measured are the time without writes after
-//! the owner of a resource was terminated, killed, suspended or disconnected and after the leader was killed, the rate of
-//! fenced writes, and what the heartbeats of 300 members cost the coordinators. All traffic uses loopback and one disk; a
-//! real network adds its round trips.
+//! Runs three coordinators as processes on this machine, with a lease of 2 s. Measures the time without writes after
+//! the owner of a resource was terminated, killed, suspended or disconnected and after the leader was killed, the rate
+//! of fenced writes, and what the heartbeats of 300 members cost the coordinators. All traffic uses loopback and one
+//! disk; a real network adds its round trips.
 
 use milletturn_cluster_harness::cluster::{DEFAULT_LEASE, GROUP_NAME};
 use milletturn_cluster_harness::history::writes_of;
@@ -70,9 +70,9 @@
     let mut group = Cluster::start(PROGRAM, 3);
     let (owner_connection, successor_connection) = (group.connect_client(), group.connect_client());
     let mut owner = group.start_member(&owner_connection, "w", "a");
-    owner.wait_for_lines(3, |line| line.contains("\"acted\""));
+    owner.wait_for_lines(3, |event| event.contains("\"acted\""));
     let successor = group.start_member(&successor_connection, "w", "b");
-    successor.wait_for_lines(1, |line| line.contains("\"joined\""));
+    successor.wait_for_lines(1, |event| event.contains("\"joined\""));
     let leader = group.wait_for_leader(&group.replicas());
     let started_at = Instant::now();
     let before = writes_of(&owner).len();
@@ -91,7 +91,7 @@
         Fault::KillLeader => wait_until("the owner writes again", || {
             writes_of(&owner).len() > before + 1
         }),
-        _ => successor.wait_for_lines(1, |line| line.contains("\"acted\"")),
+        _ => successor.wait_for_lines(1, |event| event.contains("\"acted\"")),
     }
     started_at.elapsed()
 }
--- a/benches/starts.rs
+++ b/benches/starts.rs
@@ -1,4 +1,5 @@
-//! Time to ready of many senders that start at once: `cargo bench --bench starts -- [SENDERS] [PENDING MESSAGES OF EACH]`.
+//! Time to ready of many senders that start together:
+//! `cargo bench --bench starts -- [SENDERS] [PENDING MESSAGES OF EACH]`.
 //!
 //! All senders share one disk; each has a journal of its own with pending messages. Discovery and every endpoint are
 //! unresponsive. The time runs from the common start until each sender reports ready, and is compared with the start of
@@ -46,8 +47,8 @@
     }
 }
 
-/// Starts the senders at once, and returns the sorted seconds until each is ready. `unresponsive` is the address of
-/// discovery and of the only endpoint.
+/// Starts all senders at the same time, and returns the sorted seconds until each is ready. `unresponsive` is the
+/// address of discovery and of the only endpoint.
 fn measure_starts(senders: usize, pending: u64, unresponsive: SocketAddr) -> Vec<f64> {
     let start_barrier = Barrier::new(senders);
     let cached_list = list_json(&[("s-1", unresponsive, "one", 7, "up")]);
--- a/crates/policy/benches/detection.rs
+++ b/crates/policy/benches/detection.rs
@@ -1,7 +1,7 @@
 //! How soon an outage is detected, and what random failures cost: `cargo bench -p milletturn-policy --bench detection`.
 //!
-//! Runs in virtual time with ten seeds a row, and prints medians with minimum and maximum. To compare with an earlier
-//! version of the decision module, run this file and `tests/common` in that version's source tree.
+//! Runs in virtual time with ten seeds for each row, and prints medians with minimum and maximum. To compare with an
+//! earlier version of the decision module, run this file and `tests/common` in that version's source tree.
 
 #![expect(
     clippy::too_many_lines,
--- a/crates/policy/benches/limits.rs
+++ b/crates/policy/benches/limits.rs
@@ -92,7 +92,7 @@
             ..sixty
         },
     );
-    let resubmitting_at_once = MessageProfile {
+    let resubmitting_immediately = MessageProfile {
         resubmit_delay: 20 * MILLISECOND,
         max_resubmits: 3,
         ..MessageProfile::patient()
@@ -100,7 +100,7 @@
     case(
         "60, 1.1, clients resubmit at once",
         Scenario {
-            profile: resubmitting_at_once,
+            profile: resubmitting_immediately,
             ..sixty
         },
     );
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -54,7 +54,7 @@
 
 #[test]
 fn rates_learned_over_a_long_time_do_not_exceed_what_was_served() {
-    // the longer a sender calls, the further its best 2 s exceed by chance the rate at which it is usually served
+    // the longer a sender runs, the more its best 2 s exceed, by chance, the rate at which it is usually served
     for senders in [10, 30, 100] {
         for (skew, seed) in (0..3).flat_map(|seed| [(1.0, seed), (2.0, seed)]) {
             assert_no_collapse(RecoveryScenario {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -169,7 +169,7 @@
         actions
     }
 
-    /// Advances the time to `until` and fires the alarms that come due on the way.
+    /// Advances the time to `until` and fires each alarm when it is due.
     pub(crate) fn run_until(&mut self, until: Micros) {
         loop {
             self.alarms.sort_unstable();
--- a/crates/policy/tests/common/traffic.rs
+++ b/crates/policy/tests/common/traffic.rs
@@ -1,4 +1,5 @@
-//! Sends random messages from a seed to scripted endpoints of one destination, in virtual time.
+//! Simulates, in virtual time and from a seed, messages that arrive at random times for one destination with scripted
+//! endpoints.
 
 use super::{
     Action, Harness, MILLISECOND, Micros, Outcome, REPEATABLE, SECOND, START, ended, entry,
@@ -8,8 +9,8 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Decides how a call ends, from the time of its start, counted from the start of the simulation, its endpoint and a
-/// source of random numbers between 0 and 1. Returns the outcome and the time until it is known, or `None` if the
+/// Decides how a call ends. Its arguments are the call's start, counted from the start of the simulation, the endpoint,
+/// and a source of random numbers between 0 and 1. Returns the outcome and the time until it is known, or `None` if the
 /// endpoint never responds.
 pub(crate) type Script =
     dyn FnMut(Micros, u32, &mut dyn FnMut() -> f64) -> Option<(Outcome, Micros)>;
@@ -21,7 +22,7 @@
     pub messages_per_s: f64,
     /// Time during which messages arrive.
     pub duration: Micros,
-    /// Time after the start from which on wasted calls and ejections are counted.
+    /// Time after the start at which the counts of wasted calls and ejections begin.
     pub measured_from: Micros,
     pub seed: u64,
     /// Number of endpoints of the destination; their numbers count from 1.
@@ -48,11 +49,11 @@
     pub accepted: usize,
     pub delivered: usize,
     pub calls: usize,
-    /// How often the destination was ejected, from `Traffic::measured_from` on.
+    /// How often the destination was ejected since `Traffic::measured_from`.
     pub ejections: usize,
     /// Time of the first of those ejections, counted from the start.
     pub first_ejected_at: Option<Micros>,
-    /// Calls between `Traffic::measured_from` and the first ejection that failed.
+    /// Calls that failed between `Traffic::measured_from` and the first ejection.
     pub wasted_calls: usize,
 }
 
@@ -128,7 +129,7 @@
                     );
                 }
                 Action::Cancel { message, attempt } => {
-                    // a call with a scripted response still ends by that one; one without ends by its cancellation
+                    // a call with a scripted response still ends with it; a call without one ends as cancelled
                     let Some(end) = unresponsive.remove(&(message.0, attempt)) else {
                         continue;
                     };
--- a/crates/policy/tests/dormancy.rs
+++ b/crates/policy/tests/dormancy.rs
@@ -1,4 +1,4 @@
-//! Destinations without traffic for long: their state is packed, retry-after delays still apply, and old
+//! Destinations that have been idle for long: their state is packed, retry-after delays still apply, and old
 //! measurements count less.
 
 #![expect(
@@ -179,7 +179,7 @@
         list_kind: EndpointListKind::Full,
         entries,
     }]);
-    // calls without a response end with their deadline, and the next list update removes the state that they kept
+    // calls without a response end at their deadline, and the next list update removes the state that they kept
     for _ in 0..3 {
         harness.run_until(harness.now + 61 * SECOND);
         harness.handle(vec![Event::EndpointList {
--- a/crates/policy/tests/evidence.rs
+++ b/crates/policy/tests/evidence.rs
@@ -1,4 +1,4 @@
-//! Tests the outage evidence and the rejection correlation by themselves.
+//! Tests the outage evidence and the rejection correlation in isolation.
 
 use milletturn_policy::outage_evidence::OutageEvidence;
 use milletturn_policy::rejection_correlation::{RateAdvice, RejectionCorrelation};
@@ -37,8 +37,8 @@
     assert!(evidence.baseline_rate() <= baseline);
 }
 
-/// Simulates calls that are rejected at random with the share `noise` and whenever they exceed `limit` calls per
-/// second, at an offered rate. Returns the calls sent per second and the share of them that was rejected.
+/// Simulates calls at an offered rate. A share `noise` of them is rejected at random, and all above `limit` calls per
+/// second are rejected too. Returns the calls sent per second and the share of them that was rejected.
 fn simulate(offered_rate: f64, noise: f64, limit: f64, duration_s: i64) -> (f64, f64) {
     let mut correlation = RejectionCorrelation::default();
     let (mut allowed_rate, mut tokens, mut now, mut state) = (f64::INFINITY, 0.0, 0, 7u64);
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -33,7 +33,7 @@
             ..Scenario::new(48.0, 40.0)
         });
         assert!(share(above.delivered, above.submitted) > 0.68, "{above:?}");
-        // up to five messages per call; sent singly they would be far above the limit
+        // up to five messages per call; with one call each they would be far above the limit
         let batches = simulate(Scenario {
             seed,
             max_batch_size: 5,
@@ -46,9 +46,10 @@
     }
 }
 #[test]
-fn a_burst_over_all_senders_does_not_use_up_the_limit_in_advance() {
-    // Rejected calls use up the limit too, even in advance. Guards against each sender retrying at the rate that it had
-    // reached while much of the limit was left: a burst of 1 s was followed by 10 s in which nothing was served.
+fn a_burst_over_all_senders_does_not_put_the_limit_into_debt() {
+    // Rejected calls use up the limit too, and can put it into debt. Guards against each sender retrying at the rate
+    // that it had reached while much of the limit was left: a burst of 1 s was followed by 10 s in which nothing was
+    // served.
     for seed in 1..=3 {
         let burst = simulate(Scenario {
             seed,
@@ -67,7 +68,7 @@
 #[test]
 fn messages_that_would_wait_too_long_at_one_sender_are_served_by_another() {
     // Each of 300 senders has an even share of a reported limit, and some receive several times the mean number of
-    // messages. Guards against pending messages of those that wait until they expire, while other senders leave their
+    // messages. Guards against messages that wait at such a sender until they expire, while other senders leave their
     // shares unused.
     for seed in 1..=2 {
         let uneven = Scenario {
@@ -87,9 +88,9 @@
 
 #[test]
 fn the_unused_part_of_a_limit_is_available_to_urgent_messages() {
-    // Guards against returning half of the messages although each report says that 0.7 of the limit is left: an even
-    // share of 1.4 calls per second lets no second message be sent within a latency objective of 0.3 s unless unused
-    // share accumulates.
+    // Guards against a fleet that returned half of the messages while each report said that 0.7 of the limit was left.
+    // An even share is 1.4 calls per second. If a sender can't save up its unused share, a second message does not fit
+    // into a latency objective of 0.3 s.
     for (load, min_in_time) in [(0.5, 0.92), (0.8, 0.85)] {
         for seed in 1..=3 {
             let urgent = Scenario {
@@ -113,9 +114,10 @@
 
 #[test]
 fn rejections_by_a_full_connection_table_do_not_reduce_the_rate_and_close_idle_connections() {
-    // Guards against treating these rejections as a used-up rate limit, which cut the rate each time, and against
-    // keeping idle connections meanwhile. In one run 598 of 599 rejections came on new connections, all without the
-    // load report that other responses carry, while six or more senders had a connection open.
+    // Guards against treating rejections by a full connection table as a used-up rate limit, which reduced the rate
+    // each time, and against keeping idle connections meanwhile. In one run 598 of 599 rejections came on new
+    // connections, all without the load report that other responses carry, while six or more senders had a connection
+    // open.
     let (mut settings, entries) = one_of_three_hundred();
     (settings.senders, settings.idle_connection_timeout) = (60, 3 * SECOND);
     let mut harness = Harness::new(settings, entries);
@@ -208,9 +210,9 @@
 
 #[test]
 fn a_sender_that_probes_seldom_dates_the_recovery_before_its_own_first_success() {
-    // One of 100 senders probes an ejected destination every 10 s. Guards against each sender beginning slow start at
-    // its own first success: the fleet was still as slow as at the recovery when the destination had long been warmed
-    // up.
+    // This sender is one of 100 and probes an ejected destination every 10 s. Guards against a slow start that begins
+    // at each sender's own first success: the fleet then sent as slowly as at the recovery, long after the destination
+    // had warmed up.
     let mut sent = 0;
     for run in 0..20 {
         let recovery = START + 20 * SECOND + run * 500 * MILLISECOND;
@@ -262,9 +264,9 @@
 }
 
 #[test]
-fn a_starting_fleet_without_a_reported_limit_does_not_use_up_the_limit_in_advance() {
+fn a_starting_fleet_without_a_reported_limit_does_not_put_the_limit_into_debt() {
     // Guards against each sender calling as fast as messages arrive until its first load report, at the start and again
-    // after most senders restarted: that used up the limit in advance, and nothing was served for 3 s.
+    // after most senders restarted: that put the limit into debt, and nothing was served for 3 s.
     for seed in 1..=3 {
         let start = simulate(Scenario {
             seed,
@@ -300,9 +302,9 @@
 
 #[test]
 fn an_unused_rate_permits_no_burst() {
-    // Guards against reports that raise the rate of senders with one call in 10 s, up to 100 times the even share, as
-    // long as much of the limit is left: a burst worth 2 s of the limit was then sent in 0.4 s and used it up in
-    // advance.
+    // Guards against raising an unused rate: while reports said that much of the limit was left, the rate of senders
+    // with one call in 10 s grew up to 100 times the even share. A burst worth 2 s of the limit was then sent in 0.4 s
+    // and put the limit into debt.
     let (settings, entries) = one_of_three_hundred();
     let mut harness = Harness::new(settings, entries);
     let mut completed = 0;
@@ -326,7 +328,7 @@
         "{} in 2 s",
         harness.sends.len() - 8
     );
-    // a rate that is used grows while reports say that much of the limit is left
+    // a sender that uses its whole rate may raise it while reports say that much of the limit is left
     let before = harness.sends.len();
     for id in 20..320 {
         let new = NewMessage::new(MessageId(id), KEYED, 7, 30 * SECOND);
@@ -346,8 +348,8 @@
 
 #[test]
 fn senders_that_restart_together_do_not_start_sending_together() {
-    // Guards against a burst after a common restart: 193 senders restarted within a second and each made a call at once,
-    // 200 calls at a limit of 85 per second, after which nothing was served for 2 s.
+    // Guards against a burst after a common restart: 193 senders restarted within a second and each made a call
+    // immediately, 200 calls at a limit of 85 per second, after which nothing was served for 2 s.
     let (settings, entries) = one_of_three_hundred();
     let mut first_sends: Vec<Micros> = Vec::new();
     for seed in 0..300 {
--- a/crates/policy/tests/guards.rs
+++ b/crates/policy/tests/guards.rs
@@ -46,7 +46,7 @@
 
 #[test]
 fn unsafe_calls_are_cancelled_only_when_call_slots_are_scarce() {
-    // Guards against unsafe calls to an unresponsive destination that occupy their call slots until long deadlines.
+    // Guards against unsafe calls to an unresponsive destination that occupy call slots until their distant deadlines.
     for (slots, scarce) in [(4, true), (40, false)] {
         let mut harness = Harness::new(
             settings(slots),
@@ -277,7 +277,7 @@
 
 #[test]
 fn a_run_of_rejections_opens_the_circuit_once_and_the_rate_recovers_within_seconds() {
-    // Guards against holding a throttled destination to a slow start after it has rejected all calls for 2 s.
+    // Guards against a slow start for a throttled destination that has rejected all calls for 2 s.
     let mut harness = Harness::new(settings(40), two_destinations());
     for id in 1000..1080 {
         harness.handle(vec![message(id, REPEATABLE, 7)]);
@@ -343,8 +343,8 @@
 
 #[test]
 fn a_class_that_fails_at_one_endpoint_is_sent_to_the_other() {
-    // Guards against sending a class on to an endpoint that fails only that class: since calls of the other class
-    // succeed there, neither the endpoint nor the destination counts as unhealthy.
+    // Guards against continuing to send a class to an endpoint that fails only that class: since calls of the other
+    // class succeed there, neither the endpoint nor the destination counts as unhealthy.
     let mut harness = Harness::new(settings(8), vec![entry(1, 7), entry(2, 7)]);
     for id in 1000..1012 {
         harness.handle(vec![message(id, REPEATABLE, 7)]);
@@ -409,7 +409,7 @@
             .count_actions(|action| matches!(action, Action::Log(text) if text.contains("sick"))),
         0
     );
-    // without any success the destination is down
+    // without any success the destination counts as down
     for id in 100..130 {
         harness.handle(vec![message(id, REPEATABLE, 7)]);
         harness.now += 100 * MILLISECOND;
@@ -467,8 +467,8 @@
 
 #[test]
 fn a_call_overtaken_by_later_ones_is_cancelled_and_a_slow_one_is_not() {
-    // Guards against calls on dead connections that occupy call slots (a sixth of all slots in one run) until they
-    // expire, because other calls to the same endpoint succeed.
+    // Guards against calls on dead connections that occupy call slots until they expire: since other calls to the same
+    // endpoint succeeded, they were not cancelled. In one run they occupied a sixth of all slots.
     for overtaken in [true, false] {
         let mut harness = Harness::new(settings(8), two_destinations());
         warm_up(&mut harness);
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -11,7 +11,8 @@
 /// Seconds that each scenario lasts.
 const DURATION_S: usize = 40;
 
-/// Senders at a limit in calls per second that rejected calls use up too, with a demand of `load` times the limit.
+/// Senders with a demand of `load` times the limit, which is in calls per second. The limit shows only in rejections,
+/// and rejected calls use it up too.
 fn scenario(senders: usize, load: f64, limit: f64) -> Scenario {
     let duration = DURATION_S as i64 * SECOND;
     Scenario {
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -353,7 +353,7 @@
 fn random_legal_events_break_no_rule() {
     for seed in 0..6 {
         let (_, sends) = run_random_events(seed, true);
-        // with 300 senders and reported limits of 0 to 29 calls per second, each sender's share is few calls
+        // with 300 senders and reported limits of 0 to 29 calls per second, each sender may make only a few calls
         assert!(
             sends > [300, 150, 20][seed as usize % 3],
             "seed {seed}: {sends} sends"
--- a/crates/policy/tests/resumed.rs
+++ b/crates/policy/tests/resumed.rs
@@ -30,7 +30,7 @@
 
 #[test]
 fn resumed_messages_without_attempts_are_sent_before_newer_messages() {
-    // Guards against starvation: past their latency objective resumed messages have a lower priority than any new
+    // Guards against starvation: past their latency objective, resumed messages have a lower priority than any new
     // message, and new messages keep arriving.
     const RESUMED: u64 = 12;
     for seed in 0..20 {
@@ -87,8 +87,8 @@
 
 #[test]
 fn resumed_messages_beyond_the_pending_limit_are_not_shed_before_an_attempt() {
-    // The new process may have fewer messages pending than the earlier one accepted, and the destination is down at
-    // first, which is when excess messages are shed.
+    // The limit on pending messages is lower in the new process than the number that the earlier one accepted, and the
+    // destination is down at first, which is when excess messages are shed.
     for seed in 0..20 {
         let mut settings = settings(4);
         settings.max_pending = 5;
@@ -143,7 +143,7 @@
 
 #[test]
 fn an_expired_first_message_does_not_make_senders_start_together() {
-    // Guards against 300 senders that all send at once because their first message has already expired.
+    // Guards against 300 senders that all send at the same time because their first message has already expired.
     let mut settings = settings(4);
     (
         settings.report_remaining_index,
@@ -162,7 +162,7 @@
     assert!(immediate < 20, "{immediate} of 100 start within 50 ms");
 }
 
-/// The event that a keyed message is resumed which was sent `age` before the restart, with this time left until its
+/// The event that a keyed message, which was sent `age` before the restart, is resumed with this time left until its
 /// deadline.
 fn resumed_after_send(id: u64, age: Micros, time_left: Micros) -> Event {
     let past = PastAttempt {
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,4 +1,5 @@
-//! The rules that every attempt must keep to, and the schedule of hedged requests, by scripted events.
+//! Checks with scripted events that attempts follow the rules for retries, deadlines, endpoints and deduplication
+//! windows, and that hedged requests are sent on schedule.
 
 #![expect(
     clippy::too_many_lines,
@@ -523,8 +524,8 @@
 
 #[test]
 fn the_deduplication_window_starts_at_a_never_executed_first_attempt_if_a_hedge_overlaps() {
-    // Guards against a window that starts at the hedged request when the first attempt fails to connect after the
-    // hedged request was sent.
+    // Guards against counting the deduplication window from the hedged request if the first attempt fails to connect,
+    // but only after the hedged request was sent.
     let mut harness = Harness::new(settings(40), pool(2));
     harness.handle(vec![message(1, KEYED, 7)]);
     harness.run_until(START + 1_100 * MILLISECOND);
@@ -608,7 +609,8 @@
 
 #[test]
 fn a_retry_must_begin_before_its_deduplication_window_ends() {
-    // Guards against a retry that is sent within the window and executed after it, because connecting takes a second.
+    // Guards against a retry that is sent within the deduplication window and executed after its end, since connecting
+    // takes a second.
     let mut harness = Harness::new(settings(40), pool(1));
     harness.handle(vec![message(1, KEYED, 7)]);
     harness.now = START + 5_500 * MILLISECOND;
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -11,7 +11,7 @@
 use common::*;
 use milletturn_policy::*;
 
-/// Senders with the same settings and a seed each, that share 60 messages.
+/// Senders with the same settings and different seeds, to which 60 messages are submitted in turn.
 struct Fleet {
     /// Each sender and the times of its alarms.
     senders: Vec<(Sender, Vec<Micros>)>,
@@ -23,7 +23,7 @@
     sends: Vec<Micros>,
 }
 
-/// Number of messages that the senders share.
+/// Number of messages that are submitted to all senders together.
 const MESSAGE_COUNT: u64 = 60;
 const STEP: Micros = 20 * MILLISECOND;
 
@@ -125,7 +125,8 @@
 
 #[test]
 fn a_throttled_destination_is_probed_at_a_bounded_rate_by_any_number_of_senders() {
-    // Guards against a probe rate per sender: half a call per second of each of 60 senders is 30 per second.
+    // Guards against a probe rate that applies to each sender by itself: half a call per second from each of 60 senders
+    // is 30 per second.
     for count in FLEET_SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.submit_messages();
@@ -143,8 +144,8 @@
 
 #[test]
 fn a_first_rejection_is_not_retried_immediately() {
-    // Guards against a token left in the bucket of a sender without a rate limit, with which each rejected call was
-    // retried within 50 ms.
+    // Guards against an unused token in the bucket of a sender without a rate limit: it allowed a retry of each
+    // rejected call within 50 ms.
     for count in FLEET_SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.submit_messages();
@@ -309,8 +310,8 @@
 
 #[test]
 fn a_used_up_reported_limit_restricts_a_sender_to_its_even_share() {
-    // Guards against 50 senders that each probe a little: rejected calls use up the limit, and together they were more
-    // than what was left of it.
+    // Guards against probes by each of 50 senders: rejected calls use up the limit too, and all probes together
+    // exceeded what was left of it.
     let sends_with = |remaining_share: f64| {
         let mut settings = settings(3);
         settings.senders = 50;
@@ -335,7 +336,7 @@
         "{} at an even share of 0.1 per second",
         sends_with(0.0)
     );
-    // growth is slow, since all 50 senders grow at the same time
+    // each sender raises its rate slowly, since all 50 do so at the same time
     assert!(
         sends_with(0.9) > sends_with(0.0),
         "{} while other senders leave capacity unused",
@@ -456,9 +457,9 @@
     }
 }
 
-/// Median number of inspections per turn, with this many pending messages for ten failing destinations, among this many
-/// destinations.
-fn median_steps(pending: u64, destinations: u32) -> u64 {
+/// Median of [`Sender::work_steps`] per turn, with this many pending messages for ten failing destinations and this
+/// many listed destinations.
+fn median_work_steps(pending: u64, destinations: u32) -> u64 {
     let mut settings = settings(200);
     settings.max_pending = 20_000;
     let failing = 10;
@@ -499,12 +500,12 @@
 
 #[test]
 fn the_cost_of_a_turn_does_not_grow_with_pending_messages_or_destinations() {
-    let baseline = median_steps(10, 100);
+    let baseline = median_work_steps(10, 100);
     for (pending, destinations) in [(100, 100), (1_000, 1_000), (10_000, 100), (10, 5_000)] {
-        let steps = median_steps(pending, destinations);
+        let steps = median_work_steps(pending, destinations);
         assert!(
             steps <= 2 * baseline.max(4),
-            "{pending} pending, {destinations} listed: {steps} inspections, baseline {baseline}"
+            "{pending} pending, {destinations} listed: {steps} work steps, baseline {baseline}"
         );
     }
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -267,7 +267,7 @@
     pub watch_events: Arc<Mutex<Vec<String>>>,
     /// Number of watches opened so far.
     pub watch_count: Arc<AtomicUsize>,
-    /// Number of notification requests that are still to be answered 500.
+    /// Number of further notification requests that are answered with 500.
     pub remaining_faults: Arc<AtomicUsize>,
 }
 
--- a/crates/test-support/src/limited_fleet/mod.rs
+++ b/crates/test-support/src/limited_fleet/mod.rs
@@ -47,15 +47,15 @@
 /// The class of the messages, the behavior of the clients and the time that calls take.
 #[derive(Debug, Clone, Copy)]
 pub struct MessageProfile {
-    /// What a repeated execution of a message does.
+    /// Whether, and within which window, a message may be executed again.
     pub effect: Effect,
     /// Time within which a message should be delivered.
     pub latency_objective: Micros,
     /// Time within which a message may still be delivered.
     pub time_to_live: Micros,
-    /// Time after which a client submits a returned message again.
+    /// Time after which a client again submits a message that its sender has returned without delivering it.
     pub resubmit_delay: Micros,
-    /// How often a client submits a returned message again at most.
+    /// Maximum number of times that a client submits a returned message again.
     pub max_resubmits: usize,
     /// How long a call takes.
     pub call_duration: Micros,
@@ -164,8 +164,7 @@
 }
 
 impl ScenarioResult {
-    /// Calls served as a fraction of the possible, which is the smaller of limit and demand, in the seconds from
-    /// `from` until before `until`.
+    /// Calls served as a fraction of the smaller of limit and demand, in the seconds from `from` until before `until`.
     #[must_use]
     pub fn goodput(&self, from: usize, until: usize) -> f64 {
         let (mut served, mut demand, mut allowed_calls) = (0, 0, 0.0);
--- a/crates/test-support/src/limited_fleet/simulation.rs
+++ b/crates/test-support/src/limited_fleet/simulation.rs
@@ -16,7 +16,7 @@
 const CLASS: usize = 0;
 const STEP: Micros = 10 * MILLISECOND;
 pub(super) const DESTINATION: u64 = 7;
-/// Time after the start from which on responses carry load reports.
+/// Responses begin to carry load reports this long after the start.
 const FIRST_REPORT_AFTER: Micros = 600 * MILLISECOND;
 /// Time between updates of what load reports contain.
 const REPORT_INTERVAL: Micros = 300 * MILLISECOND;
@@ -37,7 +37,7 @@
     is_connected: bool,
 }
 
-/// A message that has not been delivered.
+/// A message that was submitted and has not been delivered, whether it is pending, was returned or has failed.
 struct UndeliveredMessage {
     accepted_at: Micros,
     destination: usize,
