--- a/benches/many.rs
+++ b/benches/many.rs
@@ -40,7 +40,7 @@
          [limits]\ndisk = '60MB'\n[endpoints]\nfile = 'list.toml'\n\
          [class.notice]\neffect = 'keyed'\nwindow = '30s'\ndeadline = '20s'\n"
     );
-    let line = |id: u64| {
+    let entry = |id: u64| {
         let address = if (BUSY_DESTINATIONS + 1..=BUSY_DESTINATIONS + UNRESPONSIVE_DESTINATIONS)
             .contains(&id)
         {
@@ -50,7 +50,7 @@
         };
         format!("[destination.{id}]\nendpoints = ['{address}']\n")
     };
-    let list: String = (1..=count).map(line).collect();
+    let list: String = (1..=count).map(entry).collect();
     let started_at = Instant::now();
     let sidecar = Sidecar::new(
         program,
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -42,9 +42,10 @@
 
 #[test]
 fn a_fleet_without_a_reported_limit_does_not_overload_a_destination_in_slow_start() {
-    // Guards against two faults. Each sender dated the recovery by its own probes, and some ended slow start 1 s too
-    // early and sent all pending messages: with 10 to 30 senders the destination collapsed in most runs. And the sum of
-    // the best rates of senders that call seldom exceeded what all of them together had ever been served.
+    // Guards against two faults. First, each sender estimated the time of the recovery from its own probes, and some
+    // ended slow start 1 s too early and sent all pending messages: with 10 to 30 senders the destination collapsed in
+    // most runs. Second, the best rates of senders that call rarely added up to more than all of them together had
+    // ever been served.
     for senders in [1, 3, 10, 20, 30, 100] {
         for (skew, seed) in (0..8).flat_map(|seed| [(1.0, seed), (2.0, seed)]) {
             assert_no_collapse(scenario(senders, skew, seed));
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -115,7 +115,7 @@
 #[test]
 fn rejections_by_a_full_connection_table_do_not_reduce_the_rate_and_close_idle_connections() {
     // Guards against treating rejections by a full connection table as a used-up rate limit, which reduced the rate
-    // each time, and against keeping idle connections meanwhile. In one run 598 of 599 rejections came on new
+    // each time, and against keeping idle connections open in that case. In one run 598 of 599 rejections came on new
     // connections, all without the load report that other responses carry, while six or more senders had a connection
     // open.
     let (mut settings, entries) = one_of_three_hundred();
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -1,5 +1,5 @@
-//! Feeds random legal events from a seed to the decision module and checks its actions against the rules. Outcomes are
-//! drawn at random; no endpoint is simulated.
+//! Passes random valid events, generated from a seed, to the decision module and checks that its actions follow the
+//! rules. Outcomes are drawn at random; no endpoint is simulated.
 
 #![expect(
     clippy::too_many_lines,
@@ -22,7 +22,7 @@
     expires: Micros,
 }
 
-/// Expected state of a message, from the events and actions so far.
+/// Expected state of a message after the events and actions so far.
 #[derive(Default)]
 struct MessageState {
     class: usize,
@@ -50,7 +50,7 @@
     }
 }
 
-/// The destination, and the endpoint if that is a separate route, to which a retry-after delay applies.
+/// The scope of a retry-after delay: the destination, and the endpoint too if each endpoint is a separate route.
 fn retry_after_scope(endpoint: u32) -> (u64, Option<u32>) {
     let is_separate_route = listed_entry(endpoint).kind == 1;
     (
--- a/crates/policy/tests/resumed.rs
+++ b/crates/policy/tests/resumed.rs
@@ -200,7 +200,8 @@
             let mut ended_calls = 0;
             for _ in 0..200 {
                 harness.run_until(harness.now + 50 * MILLISECOND);
-                // checks that each call may be written only within the window, and ends it with the outcome, if any
+                // checks that each call may be written only within the deduplication window, and ends it with
+                // `outcome`, if any
                 while let Some(send) = harness.sends.get(ended_calls).copied() {
                     ended_calls += 1;
                     let until = harness
@@ -236,7 +237,7 @@
 
 #[test]
 fn the_stagger_delay_after_a_restart_leaves_time_within_the_deduplication_window() {
-    // With a latency objective of 2 s the first call may be delayed by 1.5 s, and the window has 0.7 s left.
+    // With a latency objective of 2 s the first call may be delayed by 1.5 s. The deduplication window ends in 0.7 s.
     let mut settings = one_second_window();
     (
         settings.report_remaining_index,
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -382,10 +382,8 @@
     )])]);
     let node = Node::new(&discovery).ready();
     for n in 0..2 {
-        assert_eq!(
-            node.submit("order", &format!("first{n}"), 7, 20_000, b"x"),
-            202
-        );
+        let id = format!("first{n}");
+        assert_eq!(node.submit("order", &id, 7, 20_000, b"x"), 202);
     }
     wait_until("the window is full", || endpoint.request_count() == 2);
     for n in 0..5 {
