--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -34,12 +34,12 @@
 /// and one damaged file that was set aside.
 const RESERVED_STORE_SIZES: u64 = 3;
 
-/// A resource limit with the amounts that are planned against it, for `config show` and for findings.
+/// A resource limit and the estimated use of the resource, for `config show` and for findings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Budget {
     /// Path of the setting that limits the resource, such as `limits.memory`.
     pub setting: &'static str,
-    /// Names and sizes of the planned amounts.
+    /// Names and sizes of the parts of the estimate.
     pub parts: Vec<(&'static str, u64)>,
     /// Value of the setting.
     pub limit: u64,
@@ -160,7 +160,7 @@
     ]
 }
 
-/// Checks a document whose single settings are all valid, and adds findings for contradictions between settings.
+/// Checks a document whose settings are each valid by themselves, and adds findings for contradictions between them.
 pub fn check(document: &mut Document) {
     let labels = [
         (0, "messages are handed in at this port"),
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -33,7 +33,7 @@
     Size(u64),
     /// A whole number.
     Count(u64),
-    /// A number that need not be whole.
+    /// A floating-point number.
     Number(f64),
     /// A boolean.
     Flag(bool),
@@ -220,7 +220,7 @@
         }
     }
 
-    /// True if the path is that of a table, which means that some setting's path continues it.
+    /// True if the path names a table, that is, if some setting's path begins with it and goes on.
     fn is_table(&self, path: &[&str]) -> bool {
         self.settings.0.iter().any(|field| {
             let mut pattern = field.path.split('.');
@@ -603,8 +603,8 @@
         self.values.get(&join_path(path))
     }
 
-    /// Position of a value, or else of the name of the innermost table that contains the path; none if the file has
-    /// neither.
+    /// Position of a value or, if the file does not set it, of the name of the innermost table around it; none if the
+    /// file has neither.
     #[must_use]
     pub fn span(&self, path: &[&str]) -> Option<Range<usize>> {
         let given = self.explicit_value(path).map(|found| found.span.clone());
@@ -628,7 +628,7 @@
         self.tables.keys().filter_map(below).collect()
     }
 
-    /// The value in force: the one that the file sets, or else the default; none if there is neither.
+    /// The effective value: the one that the file sets, or else the default; none if there is neither.
     #[must_use]
     pub fn value(&self, path: &[&str]) -> Option<Value> {
         if let Some(found) = self.explicit_value(path) {
@@ -649,7 +649,7 @@
         })
     }
 
-    /// The time in force, in microseconds; 0 if there is none.
+    /// The effective time, in microseconds; 0 if there is none.
     #[must_use]
     pub fn time(&self, path: &[&str]) -> i64 {
         if let Some(Value::Time(micros)) = self.value(path) {
@@ -659,7 +659,7 @@
         }
     }
 
-    /// The size in force, in bytes; 0 if there is none.
+    /// The effective size, in bytes; 0 if there is none.
     #[must_use]
     pub fn size(&self, path: &[&str]) -> u64 {
         if let Some(Value::Size(bytes)) = self.value(path) {
@@ -669,7 +669,7 @@
         }
     }
 
-    /// The whole number in force; 0 if there is none.
+    /// The effective whole number; 0 if there is none.
     #[must_use]
     pub fn count(&self, path: &[&str]) -> u64 {
         if let Some(Value::Count(count)) = self.value(path) {
@@ -679,7 +679,7 @@
         }
     }
 
-    /// The number in force; 0 if there is none.
+    /// The effective number; 0 if there is none.
     #[must_use]
     pub fn number_of(&self, path: &[&str]) -> f64 {
         if let Some(Value::Number(number)) = self.value(path) {
@@ -689,13 +689,13 @@
         }
     }
 
-    /// The boolean in force; false if there is none.
+    /// The effective boolean; false if there is none.
     #[must_use]
     pub fn flag(&self, path: &[&str]) -> bool {
         matches!(self.value(path), Some(Value::Flag(true)))
     }
 
-    /// The text in force, if there is one.
+    /// The effective text, if there is one.
     #[must_use]
     pub fn text_of(&self, path: &[&str]) -> Option<String> {
         if let Some(Value::Text(text)) = self.value(path) {
@@ -705,7 +705,7 @@
         }
     }
 
-    /// The path in force, if there is one. A relative path is resolved against the folder of the configuration file.
+    /// The effective path, if there is one. A relative path is resolved against the folder of the configuration file.
     #[must_use]
     pub fn path_of(&self, path: &[&str]) -> Option<PathBuf> {
         let folder = self.path.parent().unwrap_or(Path::new(""));
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -10,7 +10,7 @@
     Name,
     /// A path; a relative one is resolved against the folder of the configuration file.
     Path,
-    /// A host or an address with a port.
+    /// A host name or IP address, with a port.
     Address,
     /// A list of addresses.
     Addresses,
@@ -20,7 +20,7 @@
     Size(u64, u64),
     /// A whole number, with its minimum and maximum.
     Count(u64, u64),
-    /// A number that need not be whole, with its minimum and maximum.
+    /// A floating-point number, with its minimum and maximum.
     Number(f64, f64),
     /// `true` or `false`.
     Flag,
--- a/crates/config/src/neighbours.rs
+++ b/crates/config/src/neighbours.rs
@@ -48,7 +48,8 @@
         .unwrap_or_default()
 }
 
-/// True if two hosts are equal or share an IP address. A wildcard address contains all addresses of its family.
+/// True if two hosts are equal or share an IP address. A wildcard address overlaps with all addresses of its family,
+/// and `::` also with all IPv4 addresses.
 fn hosts_overlap(left: &str, right: &str) -> bool {
     let (left_addresses, right_addresses) = (resolve_host(left), resolve_host(right));
     let unmapped = |address: &IpAddr| match address {
@@ -70,7 +71,7 @@
         })
 }
 
-/// Resolves a path to its canonical form, following symbolic links. Of a path that doesn't exist, the existing part is
+/// Resolves a path to its canonical form, following symbolic links. If the path doesn't exist, its existing part is
 /// resolved, and `.` and `..` are removed from the rest.
 #[must_use]
 pub fn resolve_links(path: &Path) -> PathBuf {
--- a/crates/config/tests/golden.rs
+++ b/crates/config/tests/golden.rs
@@ -67,7 +67,7 @@
         }
     }
     assert_golden("all.values.txt", &lines);
-    // all.toml sets each setting at least once; a renamed key would otherwise go unnoticed behind its default
+    // all.toml must set each setting, so that this test covers how each value is read, and not only its default
     for field in FIELDS {
         let (table, name) = field.path.rsplit_once('.').unwrap_or(("", field.path));
         let table = table.trim_end_matches(".*");
@@ -99,7 +99,7 @@
         parse_golden("plain/second.toml"),
     ]);
     assert_golden("plain/neighbours.jsonl", &lines(&together));
-    // the recorded lines have the expected values under the expected keys
+    // the recorded finding with code MT005 has the expected values under the expected keys
     let recorded = golden("plain/broken.jsonl");
     let line = recorded
         .lines()
--- a/crates/scale/src/cost.rs
+++ b/crates/scale/src/cost.rs
@@ -89,7 +89,7 @@
 impl Sub for Cost {
     type Output = Cost;
 
-    /// The cost of a span; memory and descriptors are those at its end.
+    /// The cost between two readings; memory and descriptors are those of the later one.
     fn sub(self, before: Cost) -> Cost {
         Cost {
             cpu_s: self.cpu_s - before.cpu_s,
@@ -105,7 +105,7 @@
     line.split_whitespace().next()?.parse().ok()
 }
 
-/// Largest number of file descriptors that this process, and each that it starts, may open.
+/// Largest number of file descriptors that this process, and each process that it starts, may open.
 #[must_use]
 pub fn max_descriptors() -> u64 {
     let limits = fs::read_to_string("/proc/self/limits").unwrap_or_default();
--- a/crates/scale/src/figures.rs
+++ b/crates/scale/src/figures.rs
@@ -1,4 +1,4 @@
-//! The records of a results file (`docs/capacity/NAME.jsonl`), one a line: the head first, then points, fits and
+//! The records of a results file (`docs/capacity/NAME.jsonl`), one per line: the head first, then points, fits and
 //! faults.
 
 use crate::Error;
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -105,7 +105,7 @@
 }
 
 /// A more complex form replaces a simpler one only if its residuals are below this fraction of the simpler one's,
-/// because other load on the machine bends any straight line.
+/// because other load on the machine makes even a quantity that grows linearly deviate from a line.
 const MAX_RESIDUAL_RATIO: f64 = 0.5;
 
 /// Fits all forms and returns the one that the points support; none for fewer than two different sizes.
--- a/crates/scale/src/fleet/coordinators.rs
+++ b/crates/scale/src/fleet/coordinators.rs
@@ -207,7 +207,7 @@
             .collect()
     }
 
-    /// Sets how a region's connections to the coordinators behave, such as cut off or passing.
+    /// Sets how a region's connections to the coordinators are treated from now on, including those already open.
     pub fn set_link_state(&self, region: usize, state: LinkState) {
         self.regions[region]
             .iter()
@@ -248,7 +248,7 @@
         proxies.fold((0, 0), |sum, next| (sum.0 + next.0, sum.1 + next.1))
     }
 
-    /// Index of the leader that a majority of coordinators names at present, if there is one.
+    /// Index of the coordinator that a majority of coordinators currently reports as leader, if there is one.
     #[must_use]
     pub fn leader(&self) -> Option<usize> {
         let running = self
--- a/crates/scale/src/fleet/counters.rs
+++ b/crates/scale/src/fleet/counters.rs
@@ -95,7 +95,7 @@
     first_list_size: u64,
     has_first_list: bool,
     reached_mark: bool,
-    /// Start of the present period without permission to act, if there is one.
+    /// Start of the current period without permission to act, if there is one.
     unpermitted_since: Option<u64>,
     unreported: Report,
 }
--- a/crates/scale/src/fleet/discovery.rs
+++ b/crates/scale/src/fleet/discovery.rs
@@ -172,7 +172,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        // no change of the state can panic halfway, so that a poisoned lock holds usable data
+        // no change leaves the state half-updated, so the data behind a poisoned lock is usable
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -195,7 +195,7 @@
     scenario.harness.fleet.kill_senders(&victims)?;
     scenario.publish_marked()?;
     scenario.wait_until_informed(scenario.size.senders - victims.len() as u64)?;
-    // the leases of the killed senders expire while the others receive the change
+    // the time until the leases of the killed senders expire is counted from here, not from the kill
     let started = Instant::now();
     let remaining = scenario.size.sessions - owners;
     let group = scenario.group()?;
--- a/crates/scale/src/fleet/meter.rs
+++ b/crates/scale/src/fleet/meter.rs
@@ -67,7 +67,7 @@
 pub struct Meter(Arc<Mutex<BTreeMap<u64, Traffic>>>);
 
 impl Meter {
-    /// Adds traffic to the present second.
+    /// Adds traffic to the current second.
     pub fn count(&self, traffic: Traffic) {
         let mut seconds = self.seconds();
         let second = seconds.entry(now().0 / 1_000_000).or_default();
@@ -95,7 +95,7 @@
     }
 
     fn seconds(&self) -> MutexGuard<'_, BTreeMap<u64, Traffic>> {
-        // a counter is updated with one assignment, so that a poisoned lock holds usable data
+        // a counter is updated with one assignment, so the data behind a poisoned lock is usable
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/scale/src/fleet/network_proxy.rs
+++ b/crates/scale/src/fleet/network_proxy.rs
@@ -22,7 +22,7 @@
     Open,
     /// Forwards nothing and keeps connections open, as in a network partition.
     Partitioned,
-    /// Resets every connection, as where the process has ended.
+    /// Resets every connection, as if the process had ended.
     Resetting,
 }
 
@@ -81,7 +81,7 @@
         self.upstream.send_replace(address);
     }
 
-    /// Sets how connections are treated from now on, those already open included.
+    /// Sets how connections are treated from now on, including those already open.
     pub fn set_link_state(&self, link_state: LinkState) {
         self.link_state.send_replace(link_state);
     }
--- a/crates/scale/src/fleet/percentiles.rs
+++ b/crates/scale/src/fleet/percentiles.rs
@@ -8,11 +8,11 @@
 pub struct Percentiles {
     /// Number of samples.
     pub count: u64,
-    /// Median in seconds; not a number without any sample.
+    /// Median in seconds; NaN if there are no samples.
     pub p50_s: f64,
-    /// 99th percentile in seconds; not a number without any sample.
+    /// 99th percentile in seconds; NaN if there are no samples.
     pub p99_s: f64,
-    /// Maximum in seconds; not a number without any sample.
+    /// Maximum in seconds; NaN if there are no samples.
     pub worst_s: f64,
 }
 
--- a/crates/scale/src/fleet/process.rs
+++ b/crates/scale/src/fleet/process.rs
@@ -19,7 +19,7 @@
 static RUNNING: Mutex<BTreeSet<u32>> = Mutex::new(BTreeSet::new());
 
 fn update_running(change: impl FnOnce(&mut BTreeSet<u32>)) {
-    // an id is in the set or not, so that a poisoned lock holds usable data
+    // no change leaves the set half-updated, so the data behind a poisoned lock is usable
     change(&mut RUNNING.lock().unwrap_or_else(PoisonError::into_inner));
 }
 
--- a/crates/scale/src/fleet/proxied_sessions.rs
+++ b/crates/scale/src/fleet/proxied_sessions.rs
@@ -18,7 +18,7 @@
 const SENDERS_PER_START: u64 = 1_000;
 /// Longest wait until the sessions of one size are open; a loaded machine opens a few hundred sessions a second.
 const MAX_OPENING_TIME: Duration = Duration::from_secs(120);
-/// Pause between the last opened session and the measurement, in which every session renews once.
+/// Pause between the last opened session and the measurement, in which every session renews at least once.
 const SETTLE_TIME: Duration = Duration::from_secs(LEASE_S / 2);
 /// Number of resources that the coordination state holds; with more senders than this, none claims a resource.
 const MAX_RESOURCES: u64 = milletturn_coordination::bounds::MAX_RESOURCES as u64;
--- a/crates/scale/src/fleet/scaling.rs
+++ b/crates/scale/src/fleet/scaling.rs
@@ -459,7 +459,7 @@
         .map_or(f64::NAN, |point| point.1)
 }
 
-/// Longest duration in seconds; not a number without any sample.
+/// Longest duration in seconds; NaN if there are no samples.
 fn longest_s(times: &super::counters::Times) -> f64 {
     times
         .keys()
--- a/crates/scale/src/fleet/scenario.rs
+++ b/crates/scale/src/fleet/scenario.rs
@@ -103,7 +103,7 @@
             .ok_or_else(|| Error::Unexpected("the harness has no coordinators".into()))
     }
 
-    /// Returns the coordinators for changes.
+    /// Returns the coordinators mutably.
     ///
     /// # Errors
     /// The fleet has no coordinators.
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Measures from now on when each sender receives the version.
+    /// From now on, measures when each sender receives the marked version.
     ///
     /// # Errors
     /// A process has ended.
@@ -155,7 +155,7 @@
     /// Publishes the changes due at the usual rate and samples the coordinators' processor time.
     ///
     /// # Errors
-    /// None at present.
+    /// Currently none.
     pub fn publish_and_sample(&mut self) -> Result<(), Error> {
         while self.next_change < Instant::now() {
             self.harness.discovery.publish();
@@ -267,7 +267,8 @@
         }
     }
 
-    /// Waits until the living senders know the current list, then adds their counters to the result.
+    /// Waits until the given number of senders know the current list or the time limit is reached, then adds the
+    /// counters of all senders to the result.
     ///
     /// # Errors
     /// A process has ended.
@@ -290,7 +291,7 @@
     pub fn end_fault(&mut self) -> Result<Fault, Error> {
         self.run_for(Duration::from_secs(1))?;
         self.collect_counters(self.size.senders)?;
-        // senders started during this fault are not sampled yet; begin sampling with the present set
+        // restart the sampling of permissions to include the senders that were started during this fault
         self.harness
             .fleet
             .sample_permissions(if self.size.sessions > 0 { 50 } else { 0 })?;
--- a/crates/scale/src/fleet/simulated_fleet.rs
+++ b/crates/scale/src/fleet/simulated_fleet.rs
@@ -144,7 +144,7 @@
         self.send_to(numbers, Request::Stop)
     }
 
-    /// Measures from now on when each sender receives the version.
+    /// From now on, measures when each sender receives the marked version.
     ///
     /// # Errors
     /// A process has ended.
--- a/crates/scale/src/fleet/simulated_senders.rs
+++ b/crates/scale/src/fleet/simulated_senders.rs
@@ -78,7 +78,7 @@
     /// Stop these senders as SIGTERM would: each closes its session first.
     #[serde(rename = "Leave")]
     Stop(Vec<u64>),
-    /// Measure from now on when each sender receives this version.
+    /// From now on, measure when each sender receives the marked version.
     Mark(Mark),
     /// Reload the settings of all senders, one after the other.
     Reload,
--- a/crates/scale/src/page/data.rs
+++ b/crates/scale/src/page/data.rs
@@ -138,7 +138,7 @@
 ];
 
 /// Returns a label with its older words replaced by the current terms. Record files are not rewritten after a rename,
-/// so that the page has to read old and new labels.
+/// so the page has to read old and new labels.
 fn current_label(label: &str) -> String {
     let is_word_char = |character: char| character.is_alphanumeric();
     let mut out = String::new();
@@ -211,7 +211,7 @@
             match record {
                 Record::Head(_) => {}
                 Record::Point(point) => {
-                    // a value that is not finite stands for a result that never arrived
+                    // a value that is not finite means that the measured event never happened
                     if !point.value.is_finite() {
                         continue;
                     }
--- a/crates/scale/src/page/format.rs
+++ b/crates/scale/src/page/format.rs
@@ -84,7 +84,7 @@
     format!("{}{}", if value < 0.0 { "-" } else { "" }, parts.join(","))
 }
 
-/// Formats the ratio of a budget to a value, or by which factor the value exceeds the budget.
+/// Formats the ratio of a budget to a value, or the factor by which the value exceeds the budget.
 pub(super) fn margin(value: f64, budget: f64) -> String {
     if value <= 0.0 {
         return "free".to_string();
--- a/crates/scale/src/page/limits.rs
+++ b/crates/scale/src/page/limits.rs
@@ -21,7 +21,7 @@
         ("discovery", roles::discovery(data)),
         ("journal", stored::journal(data)),
         ("dead letters", stored::dead_letters(data)),
-        ("figures", stored::figures(data)),
+        ("figures", stored::metrics(data)),
     ];
     let mut found: Vec<(f64, Vec<String>)> = Vec::new();
     for (role, rows) in &roles {
--- a/crates/scale/src/page/mod.rs
+++ b/crates/scale/src/page/mod.rs
@@ -124,7 +124,7 @@
         "discovery" => rows::row_table(&roles::discovery(data)),
         "journal" => rows::row_table(&stored::journal(data)),
         "dead-letter" => rows::row_table(&stored::dead_letters(data)),
-        "figures" => rows::row_table(&stored::figures(data)),
+        "figures" => rows::row_table(&stored::metrics(data)),
         "events" => events::event_table(data),
         "sums" => estimates::estimate_table(data),
         "breaks" => limits::limit_table(data),
--- a/crates/scale/src/page/rows.rs
+++ b/crates/scale/src/page/rows.rs
@@ -24,7 +24,7 @@
     },
     /// A value computed from the plan alone, given a share of the plan.
     Plan(fn(f64) -> f64),
-    /// The system has no mechanism that the row could measure.
+    /// The row names a mechanism that the system does not have, so that there is nothing to measure.
     NoMechanism,
     /// The named quantity was not measured.
     Unmeasured(String),
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Creates a row for which the system has no mechanism.
+    /// Creates a row that names a mechanism that the system does not have.
     pub(super) fn no_mechanism(name: &'static str) -> Self {
         Row {
             name,
--- a/crates/scale/src/page/stored.rs
+++ b/crates/scale/src/page/stored.rs
@@ -157,7 +157,7 @@
 }
 
 /// Returns the rows of the metrics of a sender.
-pub(super) fn figures(data: &Data) -> Vec<Row> {
+pub(super) fn metrics(data: &Data) -> Vec<Row> {
     vec![
         Row::slope(
             data,
--- a/crates/scale/src/roles/catalog.rs
+++ b/crates/scale/src/roles/catalog.rs
@@ -263,7 +263,7 @@
         )
     };
     let shard_count = ShardCount::default();
-    // as many shards of the planned size as hold the given number of destinations
+    // as many shards of the planned size as are needed to hold the given number of destinations
     let count = (context.size * u64::from(shard_count.count()))
         .div_ceil(DESTINATIONS)
         .min(u64::from(shard_count.count()));
--- a/crates/scale/src/roles/journal.rs
+++ b/crates/scale/src/roles/journal.rs
@@ -12,7 +12,7 @@
 use std::path::Path;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Bytes of a message body where the body size is not what is measured.
+/// Size of a message body in bytes, except where the body size is varied.
 const BODY_BYTES: usize = 256;
 /// Destinations that one sender serves at the design size.
 const DESTINATIONS: u64 = 106;
@@ -20,8 +20,8 @@
 const UNREACHABLE_DESTINATIONS: u64 = 5;
 /// Messages per run in which the body size is varied.
 const MESSAGES: u64 = 20_000;
-/// Space above twice the unfinished messages that the folder may take where compaction is measured, as a fraction of
-/// their size.
+/// Where compaction is measured, the journal may take up twice the size of the unfinished messages plus this fraction
+/// of it.
 const EXTRA_SPACE: f64 = 0.1;
 
 fn journal_error(error: JournalError) -> Error {
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -404,8 +404,8 @@
             "a valid configuration was rejected".into(),
         ));
     }
-    // without `--here`, `config check` does not read the endpoints file that a configuration names, so that a sidecar
-    // has to be started
+    // without `--here`, `config check` does not read the endpoints file that a configuration names, so a sidecar has
+    // to be started
     let file = largest_accepted(200_000, 600_000, 100, |count| {
         let dir = tempfile::tempdir_in(folder.path()).map_err(Error::io("a folder"))?;
         let config = SidecarConfig {
@@ -427,7 +427,7 @@
 }
 
 /// Measures the bytes and CPU time of a metrics scrape of a real sender with the given number of destinations.
-pub(super) fn figures(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+pub(super) fn metrics_by_destination(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
             "figures",
--- a/crates/scale/src/roles/mod.rs
+++ b/crates/scale/src/roles/mod.rs
@@ -93,7 +93,7 @@
     Measurement {
         name: "destination.used",
         sizes: &[300, 1_000, 3_000, 10_000, 30_000, 100_000],
-        measure: turn::used,
+        measure: turn::called_destinations,
     },
     Measurement {
         name: "journal.write",
@@ -148,7 +148,7 @@
     Measurement {
         name: "figures.destinations",
         sizes: &[1_000, 3_000, 10_000, 30_000, 100_000, 300_000],
-        measure: list::figures,
+        measure: list::metrics_by_destination,
     },
     Measurement {
         name: "catalog.assign",
@@ -168,7 +168,7 @@
     Measurement {
         name: "figures.classes",
         sizes: &[1, 4, 16, 64, 128, 256],
-        measure: turn::figures,
+        measure: turn::metrics_by_class,
     },
 ];
 
--- a/crates/scale/src/roles/program.rs
+++ b/crates/scale/src/roles/program.rs
@@ -9,7 +9,7 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Maximum time until a sender has to be ready.
+/// Longest wait for a sender to be ready.
 const START_TIMEOUT: Duration = Duration::from_secs(120);
 
 /// Creates a temporary folder beside this executable, so that it is on disk and not on a file system in memory.
--- a/crates/scale/src/roles/store.rs
+++ b/crates/scale/src/roles/store.rs
@@ -1,4 +1,4 @@
-//! Measures the dead-letter store: saving messages, opening the store again and its check after a start.
+//! Measures the dead-letter store: saving messages, opening the store again, and the check after a start.
 
 use super::program::temp_dir;
 use super::{MeasurementContext, point, probe};
@@ -20,7 +20,7 @@
 /// Messages per transaction, as when many messages end together.
 const BATCH: u64 = 64;
 
-fn archived_message(number: u64) -> Result<EndedMessage, Error> {
+fn ended_message(number: u64) -> Result<EndedMessage, Error> {
     let shared_string = |text: String| {
         SharedStr::new(text.as_bytes()).map_err(|error| Error::Unexpected(error.to_string()))
     };
@@ -67,7 +67,7 @@
     ))
 }
 
-/// Measures saving the given number of messages, opening the store with them and checking them.
+/// Measures saving the given number of messages, opening the store that holds them, and the check after a start.
 pub(super) fn store(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
@@ -89,7 +89,7 @@
     for first in (0..context.size).step_by(BATCH as usize) {
         let last = context.size.min(first + BATCH);
         let batch = (first + 1..=last)
-            .map(archived_message)
+            .map(ended_message)
             .collect::<Result<Vec<_>, _>>()?;
         let (cpu, saved) = probe::cpu_in(|| store.save(&batch, NOW));
         saved.map_err(failed)?;
--- a/crates/scale/src/roles/turn.rs
+++ b/crates/scale/src/roles/turn.rs
@@ -13,7 +13,7 @@
 };
 use std::rc::Rc;
 
-/// Turns of which the median cost is taken.
+/// Number of turns over whose cost the median is taken.
 const MEASURED_TURNS: u64 = 200;
 /// Destinations to which every call fails.
 const FAILING_DESTINATIONS: u64 = 10;
@@ -80,7 +80,7 @@
         sends.collect()
     }
 
-    /// Returns an end with the given outcome for each call that the last turn sent.
+    /// Returns an event that ends each call that the last turn sent, with the given outcome.
     fn attempt_ends(&self, outcome: Outcome) -> Vec<Event> {
         let ended = |(message, endpoint)| Event::AttemptEnded {
             message,
@@ -171,7 +171,7 @@
 }
 
 /// Measures the memory that destinations take when each was called once, in addition to that of their list entries.
-pub(super) fn used(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+pub(super) fn called_destinations(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let mut harness = PolicyHarness::new(200, 1_000, context.size)?;
     let resident = probe::resident()?;
     for number in 0..context.size {
@@ -193,7 +193,7 @@
 }
 
 /// Measures the bytes of a metrics scrape with the given number of classes.
-pub(super) fn figures(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
+pub(super) fn metrics_by_class(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let metrics = Rc::new(Metrics::default());
     let names: Vec<String> = (0..context.size).map(|n| format!("class{n:03}")).collect();
     let mut observer = MetricsObserver {
--- a/crates/scale/tests/small.rs
+++ b/crates/scale/tests/small.rs
@@ -25,7 +25,7 @@
         (0, 0, 0),
         "{counts:?}"
     );
-    // a sender receives each change in a separate update, or several in one where the machine is slow
+    // a sender receives each change in a separate update, or several in one update if the machine is slow
     assert!(
         counts.received <= counts.published * SIMULATED_SENDERS,
         "{counts:?}"
--- a/crates/sidecar/src/callback.rs
+++ b/crates/sidecar/src/callback.rs
@@ -122,14 +122,14 @@
     }
 }
 
-/// Outcomes in flight, and the cursor up to which all have been delivered.
+/// Tracks the outcomes in flight, to determine the cursor up to which all outcomes have been delivered.
 #[derive(Debug, Default)]
 struct DeliveryWindow {
     /// Cursor of the last outcome submitted.
     submitted_cursor: u64,
     /// Cursors of the outcomes that were submitted and are not delivered yet.
     in_flight: BTreeSet<u64>,
-    /// The greatest cursor delivered.
+    /// Greatest cursor of a delivered outcome; earlier outcomes may still be in flight.
     last_delivered: u64,
 }
 
--- a/crates/sidecar/src/outcome_log/tests.rs
+++ b/crates/sidecar/src/outcome_log/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the outcome log against its file.
+//! Tests of the outcome log and of its file on disk.
 
 use super::{FILE_NAME, OutcomeLog, OutcomeLogError};
 use milletturn_engine::{Ending, Notification, SharedStr};
--- a/crates/sidecar/src/shared_outcome_log.rs
+++ b/crates/sidecar/src/shared_outcome_log.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-/// Delay before endings that did not fit into the log are retried.
+/// Delay before another attempt to record endings that did not fit into the log or could not be written.
 const FULL_LOG_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// An outcome log that several tasks of one thread use, with a signal for each change.
@@ -34,7 +34,7 @@
         }
     }
 
-    /// A receiver that is notified after each batch of endings has been processed, also if no outcome was appended.
+    /// A receiver that is notified after each batch of endings has been processed, even if no outcome was appended.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
@@ -84,8 +84,8 @@
         self.log.borrow_mut()
     }
 
-    /// Records each message ending of which the engine sends a notification, until the engine stops. Endings that don't
-    /// fit into the log are retried, and their messages stay in the journal until then.
+    /// Records the message endings that the engine reports in notifications, until the engine stops. Endings that can't
+    /// be recorded, such as while the log is full, are tried again, and their messages stay in the journal until then.
     ///
     /// `callback` is the class of the messages that carry outcomes to the application, and the channel to which their
     /// endings are sent. These endings are not recorded as outcomes.
@@ -112,7 +112,8 @@
             }
             if !unrecorded.is_empty() {
                 faults.log(format_args!(
-                    "outcomes: {} wait in the ledger until the reader has read",
+                    "outcomes: {} message endings are not recorded yet and stay in the journal; a full log has space again once \
+                     outcomes are acknowledged",
                     unrecorded.len()
                 ));
             }
@@ -136,7 +137,7 @@
         faults: &RateLimitedLog,
     ) -> Vec<u64> {
         let class = callback.map(|(class, _)| *class);
-        let (carriers, outcomes): (Vec<Notification>, Vec<Notification>) = unrecorded
+        let (callback_endings, outcomes): (Vec<Notification>, Vec<Notification>) = unrecorded
             .values()
             .cloned()
             .partition(|ending| is_callback_message(ending, class));
@@ -145,10 +146,10 @@
             faults.log(format_args!("outcomes: {error}"));
             Vec::new()
         });
-        for carrier in carriers {
-            recorded.push(carrier.number);
-            // sending fails only after the callback task has stopped, which no longer needs the ending
-            let _ = callback.map(|(_, sender)| sender.send(carrier));
+        for ending in callback_endings {
+            recorded.push(ending.number);
+            // sending fails only after the callback task has stopped and no longer needs the ending
+            let _ = callback.map(|(_, sender)| sender.send(ending));
         }
         recorded
     }
--- a/crates/sidecar/tests/golden/outcome_file.rs
+++ b/crates/sidecar/tests/golden/outcome_file.rs
@@ -62,7 +62,7 @@
         (2, 5, 17)
     );
     assert_eq!(log.find_by_id("m-15"), pending_outcomes().get(1));
-    // repeated notifications are recognized, also those of acknowledged outcomes
+    // repeated notifications are recognized, including those of acknowledged outcomes
     assert_eq!(
         log.append(&notifications()).expect("the log is written"),
         [11, 12, 14, 15, 16]
