--- a/crates/config/src/template.rs
+++ b/crates/config/src/template.rs
@@ -2,8 +2,8 @@
 
 use crate::fields::FIELDS;
 
-/// The text of the file. Each setting is preceded by its meaning, and settings that keep their default are commented
-/// out.
+/// The text of the file, in which messages are submitted at `port` and outcomes are read at `port + 100`. Each setting
+/// is preceded by its meaning, and settings that keep their default are commented out.
 #[must_use]
 pub fn new(name: &str, port: u16, effect: &str, endpoint: &str) -> String {
     let mut text = format!(
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -185,16 +185,16 @@
 }
 
 fn zone_killed(scenario: &mut Scenario) -> Result<(), Error> {
-    let victims: Vec<u64> = (0..scenario.size.senders)
+    let killed_senders: Vec<u64> = (0..scenario.size.senders)
         .filter(|number| number % ZONES == 0)
         .collect();
-    let owners = victims
+    let owners = killed_senders
         .iter()
         .filter(|number| **number < scenario.size.sessions)
         .count() as u64;
-    scenario.harness.fleet.kill_senders(&victims)?;
+    scenario.harness.fleet.kill_senders(&killed_senders)?;
     scenario.publish_marked()?;
-    scenario.wait_until_informed(scenario.size.senders - victims.len() as u64)?;
+    scenario.wait_until_informed(scenario.size.senders - killed_senders.len() as u64)?;
     // the time until the leases of the killed senders expire is counted from here, not from the kill
     let started = Instant::now();
     let remaining = scenario.size.sessions - owners;
@@ -220,8 +220,8 @@
         "{owners} leases had run out after {:.1} s",
         started.elapsed().as_secs_f64()
     ));
-    scenario.collect_counters(scenario.size.senders - victims.len() as u64)?;
-    scenario.harness.fleet.start_senders(&victims)?;
+    scenario.collect_counters(scenario.size.senders - killed_senders.len() as u64)?;
+    scenario.harness.fleet.start_senders(&killed_senders)?;
     scenario.wait_until_healthy()
 }
 
--- a/crates/scale/src/fleet/harness.rs
+++ b/crates/scale/src/fleet/harness.rs
@@ -1,4 +1,4 @@
-//! The harness: starts coordinators, discovery and simulated senders together, and reads what each has cost.
+//! The harness: starts coordinators, discovery and simulated senders together, and reads the cost of each.
 
 use super::coordinators::{CoordinatorGroup, GROUP, GroupConfig};
 use super::discovery::{Discovery, ListLayout};
--- a/crates/scale/src/fleet/proxied_faults.rs
+++ b/crates/scale/src/fleet/proxied_faults.rs
@@ -105,14 +105,14 @@
 }
 
 fn kill_zone(harness: &mut Harness, senders: u64) -> Result<String, Error> {
-    let victims: Vec<u64> = (0..senders).filter(|number| number % ZONES == 0).collect();
-    let left = senders - victims.len() as u64;
-    harness.fleet.kill_senders(&victims)?;
+    let killed_senders: Vec<u64> = (0..senders).filter(|number| number % ZONES == 0).collect();
+    let left = senders - killed_senders.len() as u64;
+    harness.fleet.kill_senders(&killed_senders)?;
     let expired = wait_until(|| Ok(open_session_count(harness) <= left))?;
     let others_holding = harness.fleet.count_sessions_held()?;
-    harness.fleet.start_senders(&victims)?;
+    harness.fleet.start_senders(&killed_senders)?;
     let recovered = wait_until_all_hold_sessions(harness, senders)?;
-    let count = victims.len();
+    let count = killed_senders.len();
     Ok(format!(
         "the leases of {count} had run out {expired}, {others_holding} others held theirs; begun again, all hold {recovered}"
     ))
--- a/crates/scale/src/page/data.rs
+++ b/crates/scale/src/page/data.rs
@@ -116,8 +116,9 @@
     }
 }
 
-/// Returns the role of a point, with the kind of sender appended unless the point has none or `hollow`, that of the
-/// simulated senders, which the slopes are based on. Other kinds at the same size are kept apart.
+/// Returns the role of a point with the kind of sender appended, so that different kinds at the same size are kept
+/// apart. Nothing is appended if the point has no kind, or for `hollow` (simulated senders), on which the slopes are
+/// based.
 fn role_of(point: &Point) -> String {
     match point.other.get("kind").and_then(|kind| kind.as_str()) {
         None | Some("hollow") => point.role.clone(),
--- a/crates/scale/src/page/rows.rs
+++ b/crates/scale/src/page/rows.rs
@@ -35,7 +35,7 @@
     unit: &'static str,
     source: Source,
     budget: Option<(f64, &'static str)>,
-    /// Figure of the plan with which the value grows, and that figure at the full plan; zero if the row does not grow.
+    /// The quantity of the plan with which the value grows, and its size at the full plan; 0 if the row does not grow.
     pub scales_with: (&'static str, f64),
 }
 
@@ -144,7 +144,7 @@
         self
     }
 
-    /// Names the figure of the plan with which the value grows, and that figure at the full plan.
+    /// Sets the quantity of the plan with which the value grows, and its size at the full plan.
     pub(super) fn grows_with(mut self, scales_with: &'static str, full_size: f64) -> Self {
         self.scales_with = (scales_with, full_size);
         self
--- a/crates/sidecar/src/shared_outcome_log.rs
+++ b/crates/sidecar/src/shared_outcome_log.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 /// Delay before another attempt to record endings that did not fit into the log or could not be written.
-const FULL_LOG_RETRY_DELAY: Duration = Duration::from_millis(250);
+const RECORD_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// An outcome log that several tasks of one thread use, with a signal for each change.
 #[derive(Clone)]
@@ -112,8 +112,8 @@
             }
             if !unrecorded.is_empty() {
                 faults.log(format_args!(
-                    "outcomes: {} message endings are not recorded yet and stay in the journal; a full log has space again once \
-                     outcomes are acknowledged",
+                    "outcomes: {} message endings are not recorded yet and stay in the journal; a full log has space \
+                     again once outcomes are acknowledged",
                     unrecorded.len()
                 ));
             }
@@ -123,7 +123,7 @@
                 return;
             }
             if !unrecorded.is_empty() {
-                sleep(FULL_LOG_RETRY_DELAY).await;
+                sleep(RECORD_RETRY_DELAY).await;
             }
         }
     }
