--- a/crates/scale/src/page/data.rs
+++ b/crates/scale/src/page/data.rs
@@ -116,8 +116,9 @@
     }
 }
 
-/// Returns the role of a point, with the kind of sender appended unless the point has none or `hollow`, that of the
-/// simulated senders, which the slopes are based on. Other kinds at the same size are kept apart.
+/// Returns the role of a point with the kind of sender appended, so that different kinds at the same size are kept
+/// apart. Nothing is appended if the point has no kind, or for `hollow` (simulated senders), on which the slopes are
+/// based.
 fn role_of(point: &Point) -> String {
     match point.other.get("kind").and_then(|kind| kind.as_str()) {
         None | Some("hollow") => point.role.clone(),
@@ -138,7 +139,7 @@
 ];
 
 /// Returns a label with its older words replaced by the current terms. Record files are not rewritten after a rename,
-/// so that the page has to read old and new labels.
+/// so the page has to read old and new labels.
 fn current_label(label: &str) -> String {
     let is_word_char = |character: char| character.is_alphanumeric();
     let mut out = String::new();
@@ -211,7 +212,7 @@
             match record {
                 Record::Head(_) => {}
                 Record::Point(point) => {
-                    // a value that is not finite stands for a result that never arrived
+                    // a value that is not finite means that the measured event never happened
                     if !point.value.is_finite() {
                         continue;
                     }
