--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -10,7 +10,7 @@
 pub struct Event {
     /// The event's number in the order of all events.
     pub number: u64,
-    /// The fencing token with which the event is associated.
+    /// The fencing token that the member was granted, lost, or sent with its write.
     pub token: u64,
     /// The name of the member that the event concerns.
     pub member: String,
@@ -103,7 +103,8 @@
     Ok(())
 }
 
-/// Checks that the history has each write at most once, and every write that a member reported as that member's.
+/// Checks that the history has each write at most once, and that each write that a member reported is in the history
+/// under the name of that member.
 ///
 /// `reported` has the name of each member with its writes.
 ///
--- a/crates/cluster-harness/src/scripted_link.rs
+++ b/crates/cluster-harness/src/scripted_link.rs
@@ -88,7 +88,8 @@
             thread::park();
         }
     }
-    // closing with unread bytes in the receive buffer makes TCP send a reset
+    // ends both threads of the connection, which closes its sockets; TCP sends a reset when a socket is closed with
+    // unread bytes in its receive buffer
     let _ = from.shutdown(Shutdown::Both);
     let _ = to.shutdown(Shutdown::Both);
 }
--- a/crates/coordination-protocol/src/client.rs
+++ b/crates/coordination-protocol/src/client.rs
@@ -44,7 +44,7 @@
     pub result: Result<A, ErrorResponse>,
 }
 
-/// Why no response arrived.
+/// Why a call got no valid response.
 #[derive(Debug, thiserror::Error)]
 pub enum ClientError {
     /// The call was not sent, so the server can't have executed it.
@@ -65,7 +65,7 @@
     },
 }
 
-/// The step at which a call failed.
+/// The cause of a [`ClientError`].
 #[derive(Debug, thiserror::Error)]
 pub enum CallFailure {
     /// The request can't be serialized as JSON.
--- a/crates/coordination-protocol/src/messages.rs
+++ b/crates/coordination-protocol/src/messages.rs
@@ -57,8 +57,8 @@
 /// Raft's `InstallSnapshot` between coordinators.
 pub const INSTALL_SNAPSHOT_PATH: &str = "/consensus/snapshot";
 
-/// Largest body of a call by a member or an operator. A command whose strings all have their largest size takes about
-/// 2 KB.
+/// Largest body of a call by a member or an operator, of a heartbeat batch and of a vote request. A command whose
+/// strings all have their largest size takes about 2 KB.
 pub const MAX_CALL_BYTES: usize = 16 * 1024;
 /// Largest body of a call to [`COMMAND_BATCH_PATH`]: the requests, and 64 bytes for the JSON around them.
 pub const MAX_COMMAND_BATCH_BYTES: usize = bounds::MAX_BATCH_BYTES + 64;
@@ -241,7 +241,7 @@
 /// The body of every response with a status other than 200: why the call failed.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorResponse {
-    /// A message for people: what failed, and what to do about it.
+    /// The human-readable reason for the error.
     #[serde(rename = "why")]
     pub message: String,
     /// The number of the leading coordinator, if the call went to another one that knows it.
--- a/crates/coordination-protocol/src/shard_map.rs
+++ b/crates/coordination-protocol/src/shard_map.rs
@@ -21,7 +21,8 @@
 /// [`Update`].
 pub const SHARD_MAP_PATH: &str = "/v1/catalog";
 
-/// Largest body of a request: 160 bytes for each shard, which has two numbers of 20 digits, and 512 bytes for the rest.
+/// Largest accepted body of a request: 160 bytes for each shard, whose version takes at most 131 bytes of JSON, and 512
+/// bytes for the rest.
 pub const MAX_SYNC_REQUEST_BYTES: usize = limits::MAX_REQUEST_SHARDS * 160 + 512;
 
 /// Limit on the requests of one round. An empty replica asks for 65,536 shards in 128 requests, in addition to the
@@ -98,9 +99,10 @@
 pub struct SyncRound {
     /// Requests that got a response.
     pub requests: usize,
-    /// Updates that were applied.
+    /// Updates that the replica accepted, including those that only led to further requests.
     pub applied: usize,
-    /// Updates that were not applied, because they are older than the replica's data or inconsistent.
+    /// Updates that the replica ignored, because they were outdated, invalid or too large, or of a shard to which the
+    /// replica is not subscribed.
     pub ignored: usize,
 }
 
--- a/crates/coordination/src/batching.rs
+++ b/crates/coordination/src/batching.rs
@@ -1,4 +1,4 @@
-//! Shared by the two batchers of a session proxy: one batch in flight at a time, and a bound on waiting callers.
+//! Code that the two batchers of a session proxy share: at most one batch in flight, and the error for a full queue.
 
 use crate::bounds;
 
--- a/crates/coordination/src/bounds.rs
+++ b/crates/coordination/src/bounds.rs
@@ -29,9 +29,9 @@
 /// Maximum length of the checkpoint that an owner stores for the next owner, in bytes.
 pub const MAX_CHECKPOINT_BYTES: usize = 512;
 /// Distance between the first fencing tokens, session ids and event numbers of two consecutive generations. It is also
-/// how many of each a state may assign between two restores: at a thousand per second, thirty years' worth.
+/// how many of each a state may assign between two restores, which suffices for more than 30 years at 1,000 per second.
 pub const GENERATION_STRIDE: u64 = 1 << 40;
-/// Exclusive upper bound of a generation, which is the number of a restore.
+/// Exclusive upper bound on generations; a generation is the number of a restore.
 pub const MAX_GENERATIONS: u64 = 1 << 20;
 /// Maximum number of events in the history; the oldest are dropped.
 pub const MAX_HISTORY_EVENTS: usize = 1_024;
--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -142,7 +142,7 @@
         #[serde(rename = "cursor")]
         checkpoint: String,
     },
-    /// The command is done, or an earlier command had already done the same.
+    /// The command was applied, or there was nothing left to change, as when it repeats an earlier command.
     #[serde(rename = "done")]
     Done,
     /// The outcomes of a [`Command::Batch`], in the order of its commands.
--- a/crates/coordination/src/ids.rs
+++ b/crates/coordination/src/ids.rs
@@ -39,8 +39,8 @@
 }
 
 number_types! {
-    /// Identifies a session. The first session has id 1, and an id is never reused within one
-    /// [`CoordinationState`](crate::CoordinationState).
+    /// Identifies a session. The first session has id 1, and an id is never reused in the same group, not even after
+    /// a restore.
     SessionId;
     /// A number that increases with each new owner of a resource and never decreases.
     ///
--- a/crates/coordination/src/state.rs
+++ b/crates/coordination/src/state.rs
@@ -44,13 +44,13 @@
     batching_enabled: bool,
 }
 
-/// A version of [`CoordinationState::leases`], which differs whenever the leases of the same state differ.
+/// The version of the result of [`CoordinationState::leases`], which changes whenever the result does.
 ///
 /// Opening a session raises `last_session`, and between two opens `open_sessions` can only fall, so no combination
 /// occurs twice.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LeasesVersion {
-    /// The highest session id that was ever assigned.
+    /// The highest assigned session id, or the start of the generation if a restored state has assigned none yet.
     pub last_session: SessionId,
     /// The number of open sessions.
     pub open_sessions: usize,
--- a/crates/coordination/src/state/history.rs
+++ b/crates/coordination/src/state/history.rs
@@ -8,7 +8,8 @@
 /// A change of ownership, a write, or a write rejected for its token.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Event {
-    /// The sequence number of the event; the first event of the state has number 1.
+    /// The sequence number of the event, counted from 1. A restore continues above all numbers that the lost state can
+    /// have assigned.
     pub number: u64,
     /// The resource's name.
     #[serde(rename = "work")]
@@ -50,7 +51,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct EventHistory {
     events: VecDeque<Event>,
-    /// The number of the last event; 0 if there was none.
+    /// The number of the last event, or the start of the generation if a restored state has no new event yet; 0
+    /// initially.
     last: u64,
 }
 
@@ -63,7 +65,8 @@
         &self.events
     }
 
-    /// The number of the last event; 0 if there was none.
+    /// The number of the last event, or the start of the generation if a restored state has no new event yet; 0
+    /// initially.
     pub(super) fn last(&self) -> u64 {
         self.last
     }
@@ -89,7 +92,7 @@
         });
     }
 
-    /// Continues the numbers of events after `last`: the next event gets the number `last + 1`.
+    /// Restarts the numbering after a restore: the next event gets the number `last + 1`.
     pub(super) fn restart_numbers(&mut self, last: u64) {
         self.last = last;
     }
--- a/crates/coordination/src/state/restore.rs
+++ b/crates/coordination/src/state/restore.rs
@@ -15,7 +15,7 @@
     pub backup: u64,
     /// The generation given for the restore.
     pub requested: u64,
-    /// The exclusive upper bound of generations.
+    /// The bound that every generation must be below.
     pub limit: u64,
 }
 
--- a/crates/coordination/src/state/sessions.rs
+++ b/crates/coordination/src/state/sessions.rs
@@ -27,7 +27,7 @@
 }
 
 impl SessionTable {
-    /// Creates a table of these sessions; `last` is the highest id that was ever assigned.
+    /// Creates a table of these sessions; the next session gets the id after `last`.
     pub(super) fn new(sessions: BTreeMap<SessionId, Session>, last: SessionId) -> Self {
         let by_name = sessions
             .iter()
@@ -44,7 +44,7 @@
         &self.sessions
     }
 
-    /// The highest id that was ever assigned.
+    /// The highest assigned id, or the start of the generation if a restored state has assigned none yet; 0 initially.
     pub(super) fn last(&self) -> SessionId {
         self.last
     }
--- a/crates/coordination/tests/model/cluster.rs
+++ b/crates/coordination/tests/model/cluster.rs
@@ -33,7 +33,7 @@
     RestoreWithoutTokenJump,
     /// A restored state grants resources before the leases from before the restore have expired.
     RestoreWithoutGracePeriod,
-    /// A proxy gives a response to all heartbeats of a session, also those that arrived after the batch was sent.
+    /// A proxy gives a response to all heartbeats of a session, including those that arrived after the batch was sent.
     ProxyAnswersLaterCallers,
     /// A proxy gives the outcomes of an abandoned batch to the callers of the next one, which is in flight.
     ProxyAcceptsLateResponses,
--- a/crates/coordination/tests/model/main.rs
+++ b/crates/coordination/tests/model/main.rs
@@ -4,8 +4,8 @@
 //! receiver of writes, and a session proxy. Clocks drift apart, a second coordinator is elected while the first still
 //! believes that it leads, the receiver and the proxy restart, and the state is restored from a backup.
 //!
-//! Each test also checks with mutations, which leave out one safeguard each. A mutation must violate the property that
-//! the safeguard ensures, which shows that the model can detect its absence.
+//! Each test also checks mutations, each of which omits one safeguard. A mutation must violate the property that the
+//! safeguard ensures, which shows that the model detects a missing safeguard.
 
 mod cluster;
 mod delivery;
@@ -15,8 +15,8 @@
 use stateright::{Checker, HasDiscoveries, Model};
 use std::collections::BTreeSet;
 
-/// A `sometimes` property: each run must reach a state in which the second member owns the resource, which is not the
-/// case in the initial state.
+/// A `sometimes` property: the checker must find a state in which the second member may write, which it may not do in
+/// the initial state.
 const SECOND_MEMBER_PERMITTED: &str = "the second member has permission to write";
 const MUTUAL_EXCLUSION: &str = "at most one member has permission to write";
 const OWN_SESSION: &str = "each member uses a session opened under its own name";
--- a/crates/coordinator/src/leadership.rs
+++ b/crates/coordinator/src/leadership.rs
@@ -29,7 +29,8 @@
 /// Interval between two checks for expired leases; a lease may end late by up to this interval.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Leadership of this replica: follows the consensus, and serves heartbeats and expires leases while the replica leads.
+/// Leadership of this replica: follows the elections of the consensus, and serves heartbeats and expires leases while
+/// the replica leads.
 pub struct Leadership {
     /// The Raft consensus of this replica.
     pub raft: Raft,
@@ -121,7 +122,8 @@
     /// committed before the call (a linearizable read).
     ///
     /// # Errors
-    /// If a quorum does not confirm the leadership within [`QUORUM_TIMEOUT`].
+    /// [`LeadershipError::NotLeader`] if this replica does not lead, and [`LeadershipError::NoQuorum`] if no quorum
+    /// confirms the leadership within [`QUORUM_TIMEOUT`].
     pub async fn confirm_leadership(&self) -> Result<(), LeadershipError> {
         if self.local_leader_term().is_none() {
             return Err(self.not_leader());
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,4 +1,4 @@
-//! One replica of the coordination service, whose state three or five coordinators replicate by consensus.
+//! One replica of the coordination service, whose state 1, 3, 5 or 7 coordinators replicate by consensus.
 //!
 //! The consensus algorithm is Raft (D. Ongaro, J. Ousterhout: In Search of an Understandable Consensus Algorithm,
 //! 2014), implemented by the crate `openraft`. The coordination state and the rules of leases are in
--- a/crates/coordinator/src/state_machine.rs
+++ b/crates/coordinator/src/state_machine.rs
@@ -55,7 +55,8 @@
     }
 
     fn lock(&self) -> MutexGuard<'_, AppliedState> {
-        // nothing is expected to panic while the lock is held; after a restart the log entries rebuild the same state
+        // a poisoned lock is used anyway: no code is expected to panic while it holds the lock, and a restart would
+        // rebuild the state from the snapshot and the log
         self.applied.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/member/src/coordinator_client.rs
+++ b/crates/member/src/coordinator_client.rs
@@ -48,7 +48,7 @@
     coordinator: Option<u64>,
 }
 
-/// No server answered a request until its deadline.
+/// No server answered a request before its deadline.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("no steward answered: {message}{}", uncertainty_note(*.may_have_happened))]
 pub struct RequestError {
--- a/crates/member/src/events.rs
+++ b/crates/member/src/events.rs
@@ -36,7 +36,8 @@
     Reconnected,
 }
 
-/// A fenced write that is about to be sent. The times show afterwards that no write was sent after its lease was safe.
+/// A fenced write that is about to be sent. The times show afterwards that each write was checked while its lease was
+/// safe.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WriteStarted {
     /// The fencing token that the write carries.
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -80,7 +80,7 @@
     }
 
     /// Keeps a session open and claims the wanted resources until the future is dropped. `seed` determines the
-    /// session's nonces and the jitter of the heartbeats; each process needs another one.
+    /// session's nonces and the jitter of the heartbeats; each process needs a different one.
     pub async fn maintain_session(&self, client: CoordinatorClient, seed: u64) {
         SessionLoop::new(self, client, seed).run().await;
     }
--- a/crates/member/src/writes.rs
+++ b/crates/member/src/writes.rs
@@ -24,7 +24,7 @@
         let Some(number) = self.next_number(client, resource, permission.token).await else {
             return WriteOutcome::NotOwner;
         };
-        // checked again immediately before the write, since a claim in `next_number` may have taken any time
+        // checked again immediately before the write, since the lease may have expired during a claim in `next_number`
         let checked_at = now();
         let checked = self.lease.borrow().permission(resource, checked_at);
         let Some(permission) = checked else {
--- a/crates/shard-map/src/membership.rs
+++ b/crates/shard-map/src/membership.rs
@@ -1,7 +1,7 @@
 //! The versioned set of senders that serve shards.
 //!
-//! The leader of the coordination service creates memberships; all other processes only replace an older one by a newer
-//! one.
+//! The leader of the coordination service creates memberships; all other processes only replace an older one
+//! with a newer one.
 
 use crate::limits;
 use crate::shard::ShardCount;
@@ -72,8 +72,9 @@
     /// The next version of the membership, with these members in place of the previous ones.
     ///
     /// A member may serve up to 1.25 times the mean number of shards for its weight. That capacity per unit of weight is
-    /// kept while the total capacity is between 1.1 and 1.5 times the need, since each change of the capacity moves
-    /// shards of senders that did not change themselves, and with 16,000 senders would occur once an hour.
+    /// kept while the total capacity is between 1.1 and 1.5 times the need: each change of the capacity moves shards of
+    /// senders that did not change themselves, and without this range the capacity of 16,000 senders would change
+    /// once an hour.
     ///
     /// # Errors
     /// [`MembershipError`] for too many members, or a member with an invalid name, zone or weight.
@@ -112,7 +113,7 @@
         self.version > other.version
     }
 
-    /// Replaces this membership by the other one if that is newer, and returns whether it was.
+    /// Replaces this membership with the other one if that is newer, and returns whether it was.
     pub fn replace_if_newer(&mut self, other: Self) -> bool {
         let is_newer = other.is_newer_than(self);
         if is_newer {
--- a/crates/shard-map/src/replica.rs
+++ b/crates/shard-map/src/replica.rs
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Replaces the subscriptions by these shards, and drops the data of all others.
+    /// Replaces the subscriptions with these shards, and drops the data of all others.
     ///
     /// A sender subscribes to the shards that it serves or has messages for; a session proxy subscribes to all shards.
     pub fn subscribe(&mut self, shards: impl IntoIterator<Item = ShardId>) {
@@ -147,8 +147,8 @@
             .collect()
     }
 
-    /// Applies an update. A change that leaves a gap is not applied; the outcome then has a request for the shard, unless
-    /// the shard was requested before.
+    /// Applies an update. A change that leaves a gap is not applied, and marks the shard as stale; the outcome then has
+    /// a request for the shard, unless the shard was stale already.
     ///
     /// # Errors
     /// [`ApplyError`] with the reason for ignoring the update; the endpoints stay unchanged.
--- a/crates/shard-map/src/shard.rs
+++ b/crates/shard-map/src/shard.rs
@@ -34,10 +34,11 @@
 impl ShardCount {
     /// The largest number of shards, and the default.
     ///
-    /// At 1.7 million destinations each shard has 26, which take 3.5 KB in a discovery response. The 12 shards of a sender
-    /// then arrive within 7 s at 6 KB/s, where 17 s are allowed; 31 shards still arrive within the 17 s. A quarter as many
-    /// shards would need fewer digests, but would leave a sender only four shards, and by chance the fullest sender would
-    /// have three times the mean.
+    /// At 1.7 million destinations each shard has 26, which take 3.5 KB in a discovery response. The 12 shards of a
+    /// sender then arrive within 7 s at 6 KB/s, where 17 s are allowed; 29 shards arrive within the 17 s, and 31 take
+    /// 18 s. A quarter as many shards would need fewer digests, but would leave each of 16,000 senders only three shards
+    /// on average. Without the capacity limit of members, the fullest sender would then by chance have 12, four times
+    /// the average.
     pub const MAX: u32 = 1 << 16;
 
     /// Creates a count of 1 to [`ShardCount::MAX`] shards.
--- a/crates/shard-map/src/shard_replica.rs
+++ b/crates/shard-map/src/shard_replica.rs
@@ -173,7 +173,7 @@
         ApplyStatus::Applied
     }
 
-    /// Replaces the content by the result of a change, and adds the change to the history for replicas that catch up.
+    /// Replaces the content with the result of a change, and adds the change to the history for replicas that catch up.
     fn advance(&mut self, content: Content, change: VersionedChange, limits: &Limits) {
         let digest_before = std::mem::replace(&mut self.content, content).digest;
         self.version = change.version;
--- a/crates/shard-map/tests/assignment_load.rs
+++ b/crates/shard-map/tests/assignment_load.rs
@@ -105,8 +105,8 @@
         worst = worst.max(moved.gained as f64 / load.max(1) as f64);
     }
     // a replica that moves to a full sender displaces the one with the lowest score there, which moves in turn; such chains
-    // are short. If the first shards to propose kept their place, there would be 1.36 moves for each lost replica here,
-    // and 1.41 for each one of a lost zone
+    // are short. If full senders kept the shards that proposed first instead of those with the highest scores, there
+    // would be 1.36 moves for each replica of a lost sender, and 1.41 for each replica of a lost zone
     let average_moves = sum / 100.0;
     println!(
         "at most {worst} moves for each lost replica, {average_moves} moves on the loss of a sender with {average} replicas"
--- a/crates/shard-map/tests/model.rs
+++ b/crates/shard-map/tests/model.rs
@@ -327,7 +327,8 @@
     checker.discoveries().into_keys().collect()
 }
 
-/// The `sometimes` properties, each of which a run must reach. A run that violates no property discovers only these.
+/// The `sometimes` properties, for each of which the checker must find an example. If no property is violated, the
+/// checker discovers only these.
 const SOMETIMES_PROPERTIES: [&str; 2] = [
     "the sender reaches the second term",
     "the sender applies an uncommitted change",
