--- a/crates/cluster-harness/src/controlled_link.rs
+++ b/crates/cluster-harness/src/controlled_link.rs
@@ -65,7 +65,8 @@
 
 /// Starts a link on a free port, and returns its address and its control.
 ///
-/// The server is set later by [`LinkControl::forward_to`] and may change, since a restarted process has another port.
+/// The server is set later by [`LinkControl::forward_to`] and may change, since a restarted process has a different
+/// port.
 ///
 /// # Panics
 /// If there is no free port.
@@ -150,7 +151,8 @@
             .expect("no thread panics with the lock")
     }
 
-    /// Connects a new client to the server; closes the client's connection if the link is cut or the connect fails.
+    /// Connects a new client to the server. Closes the client's connection if no server is set, the link is cut, or the
+    /// server can't be reached.
     fn open(&self, number: usize, client_stream: TcpStream) {
         let mut state = self.state();
         let Some(server) = state.server.filter(|_| !state.is_cut) else {
--- a/crates/coordination-protocol/tests/golden.rs
+++ b/crates/coordination-protocol/tests/golden.rs
@@ -666,7 +666,7 @@
     assert_eq!(bounds, [16_384, 65_600, 33_554_432, 82_432]);
 }
 
-/// Handles the paths of the test, each with another response or error.
+/// Handles the paths of the test, each with a different response or error.
 struct Coordinator(Option<u64>);
 
 impl Handler for Coordinator {
--- a/crates/coordination-protocol/tests/shard_map.rs
+++ b/crates/coordination-protocol/tests/shard_map.rs
@@ -210,8 +210,8 @@
         serving.abort();
         let _aborted = serving.await;
         let before = sender.borrow().clone();
-        // the replica runs in the test's own process, so a new client stands for one whose connection has ended with the
-        // replica's process: its next connection is refused
+        // the replica runs in the test's own process; a new client has no open connection to it, like a client of a
+        // replica whose process has ended, and its next connection is refused
         let mut middle_client = Client::new(middle_client.address().to_string(), GROUP);
         let error = catch_up(&mut middle_client, &sender, TIME_LIMIT)
             .await
--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -167,7 +167,7 @@
         /// The session that the command named.
         session: SessionId,
     },
-    /// The expiry of the lease was determined in another leader term than the current one.
+    /// The expiry of the lease was determined in a leader term other than the current one.
     #[error(
         "the lease was counted under reign {leader_term}, this is reign {current}: it is counted anew"
     )]
--- a/crates/coordination/src/heartbeat_batcher.rs
+++ b/crates/coordination/src/heartbeat_batcher.rs
@@ -45,7 +45,7 @@
     Renewed(Vec<(String, FencingToken)>),
     /// The session has ended.
     SessionEnded,
-    /// The coordinators did not answer in time, or their response says nothing about this session.
+    /// The coordinators did not answer in time, or their response does not contain this session.
     Unknown,
 }
 
--- a/crates/coordination/tests/model/main.rs
+++ b/crates/coordination/tests/model/main.rs
@@ -45,8 +45,8 @@
     discoveries(scenario, Mutation::None, HasDiscoveries::AnyFailures)
 }
 
-/// Checks a scenario with a mutation until the property is violated. A mutation may violate several properties, and which
-/// one the checker's threads find first differs from run to run, so the search does not end at another one.
+/// Checks a scenario with a mutation until the property is violated. A mutation may violate several properties, and
+/// which of them the checker's threads find first varies, so a violation of another property does not end the search.
 fn violates(scenario: Scenario, mutation: Mutation, property: &'static str) -> bool {
     let finish_when = HasDiscoveries::AllOf(BTreeSet::from([property]));
     discoveries(scenario, mutation, finish_when).contains(property)
--- a/crates/coordination/tests/time.rs
+++ b/crates/coordination/tests/time.rs
@@ -1,4 +1,4 @@
-//! How long a holder may rely on its lease when the leader's clock runs at another rate.
+//! How long a holder may rely on its lease when the leader's clock runs at a different rate.
 
 use milletturn_coordination::{LeaseTiming, Micros};
 
--- a/crates/coordinator/src/request_handler.rs
+++ b/crates/coordinator/src/request_handler.rs
@@ -34,7 +34,7 @@
 pub struct RequestHandler {
     /// The coordinator's settings, of which requests need the group, the id, the lease and the heartbeat interval.
     pub settings: Settings,
-    /// Identifies the initial state of the group. Raft calls of a replica with another origin are rejected.
+    /// Identifies the initial state of the group. Raft calls of a replica with a different origin are rejected.
     pub origin: String,
     /// The leadership of this replica, through which all reads and writes go.
     pub leadership: Rc<Leadership>,
--- a/crates/member/src/events.rs
+++ b/crates/member/src/events.rs
@@ -18,7 +18,7 @@
         /// The fencing token that the member's writes to the resource carry.
         token: FencingToken,
     },
-    /// The member no longer owns a resource, although its session goes on.
+    /// The member no longer owns a resource, although its session is still open.
     Lost {
         /// The resource's name.
         resource: String,
--- a/crates/member/src/session.rs
+++ b/crates/member/src/session.rs
@@ -67,8 +67,8 @@
         self.member.heartbeat_period().mul_f64(jitter)
     }
 
-    /// Reports a session whose lease has expired by this member's clock. The heartbeats go on, since the coordinators
-    /// may not have ended the session.
+    /// Reports a session whose lease has expired by this member's clock. Heartbeats are still sent, since the
+    /// coordinators may not have ended the session.
     fn report_if_expired(&self, session: SessionId) {
         if self.member.session().is_none() {
             let reason = format!(
--- a/crates/shard-map/src/assignment.rs
+++ b/crates/shard-map/src/assignment.rs
@@ -137,7 +137,8 @@
         reassignment(&before, &self.name_hashes())
     }
 
-    /// Removes the senders that are absent from this membership or have another zone or weight there; returns their indices.
+    /// Removes the senders that are absent from this membership or have a different zone or weight there; returns their
+    /// indices.
     fn remove_departed(&mut self, membership: &Membership) -> BTreeSet<u32> {
         let (members, senders) = (membership.members(), &mut self.senders);
         let mut removed = BTreeSet::new();
--- a/crates/shard-map/src/replica.rs
+++ b/crates/shard-map/src/replica.rs
@@ -268,7 +268,7 @@
         })
     }
 
-    /// The updates with which this replica, such as that of a session proxy, responds to the request of another one.
+    /// The updates with which this replica, such as that of a session proxy, responds to another replica's request.
     ///
     /// Shards that are not yet confirmed under the newest term are left out.
     ///
--- a/crates/shard-map/src/shard_replica.rs
+++ b/crates/shard-map/src/shard_replica.rs
@@ -13,7 +13,7 @@
 pub enum ApplyStatus {
     /// The change was applied.
     Applied,
-    /// The change does not follow the current version, or its result has another digest than the change names.
+    /// The change does not follow the current version, or its result does not have the digest that the change names.
     Gap,
     /// The shard with the change applied would exceed the size limits.
     CapacityExceeded,
--- a/crates/shard-map/src/source.rs
+++ b/crates/shard-map/src/source.rs
@@ -121,7 +121,8 @@
         Ok(versioned)
     }
 
-    /// Checks that no endpoint to put belongs to another destination, and each endpoint to remove to this one.
+    /// Checks that no endpoint to put belongs to another destination, and that each endpoint to remove belongs to this
+    /// one.
     fn check_ownership(&self, change: &Change) -> Result<(), ChangeError> {
         for operation in &change.operations {
             let uid = operation.uid();
--- a/crates/shard-map/src/sync.rs
+++ b/crates/shard-map/src/sync.rs
@@ -16,7 +16,7 @@
 
 /// A request of a replica for the updates that it lacks.
 ///
-/// The request contains the number of shards, since a shard's id has another meaning under another number.
+/// The request contains the number of shards, since the meaning of a shard's id depends on that number.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SyncRequest {
--- a/crates/shard-map/src/version.rs
+++ b/crates/shard-map/src/version.rs
@@ -42,8 +42,8 @@
     /// The shard's version once the change is applied.
     #[serde(rename = "position")]
     pub version: Version,
-    /// The digest of the shard's endpoints once the change is applied. A replica whose endpoints would have another digest
-    /// does not apply the change.
+    /// The digest of the shard's endpoints once the change is applied. A replica whose endpoints would have a different
+    /// digest does not apply the change.
     #[serde(rename = "after")]
     pub digest_after: Digest,
     /// The operations on the endpoints of one destination.
--- a/crates/shard-map/tests/model.rs
+++ b/crates/shard-map/tests/model.rs
@@ -72,8 +72,8 @@
     Restore,
 }
 
-/// The possible changes, all to one destination: one endpoint is changed, and another is added and removed, so that the
-/// same endpoints occur at different versions.
+/// The possible changes, all to one destination: one endpoint is changed, and a second one is added and removed, so
+/// that the same endpoints occur at different versions.
 fn proposals() -> [Change; 3] {
     [put(1, "one", 81), put(1, "two", 80), remove(1, "two")]
 }
--- a/crates/shard-map/tests/network/checks.rs
+++ b/crates/shard-map/tests/network/checks.rs
@@ -1,4 +1,4 @@
-//! The invariants of every node at any time, and the convergence of all nodes in the end.
+//! The invariants of each node, checked after each applied update, and the convergence of all nodes after the faults.
 
 use crate::common::shard_count;
 use crate::world::{PROXIES, SHARDS, SimulatedCluster};
@@ -13,7 +13,8 @@
         }
     }
 
-    /// Checks that each shard of a node has a committed state, without rejected changes, and never an older one at a sender.
+    /// Checks that each shard of a node has a committed state without endpoints of rejected changes, and that no shard
+    /// of a sender went back to an older version.
     pub(crate) fn check_node(&mut self, node: usize) {
         let replica = &self.replicas[node - 2];
         for id in replica.subscribed() {
--- a/crates/shard-map/tests/replica_changes.rs
+++ b/crates/shard-map/tests/replica_changes.rs
@@ -208,7 +208,7 @@
         };
         assert_eq!(outdated.respond(&request).expect("valid"), []);
     }
-    // versions and snapshots of the outdated peer are ignored, also when they were not requested
+    // versions and snapshots of the outdated peer are ignored, even if they were not requested
     for id in replica.shard_count().shards() {
         let shard = outdated.shard(id).expect("subscribed");
         replica
