--- a/crates/coordination-protocol/src/shard_map.rs
+++ b/crates/coordination-protocol/src/shard_map.rs
@@ -1,9 +1,9 @@
 //! Synchronization of the shard map: a replica polls the source or another replica for updates.
 //!
 //! There is one call, [`SHARD_MAP_PATH`], whose body is a [`SyncRequest`] and whose response is a list of [`Update`].
-//! Nothing is pushed, so an unresponsive replica costs the others nothing. Each replica polls four times within the time
-//! in which a change has to arrive. A change that passes through one intermediate replica takes at most two polls, and
-//! so reaches the senders within half of that time.
+//! Nothing is pushed, so an unresponsive replica does not delay the others. Each replica polls four times within the
+//! time in which a change has to arrive. A change that passes through one intermediate replica takes at most two polls,
+//! and so reaches the senders within half of that time.
 //! The digests that replicas compare are those of anti-entropy protocols (Dynamo; `DeCandia` and others, 2007).
 
 use crate::client::{Client, ClientError};
@@ -26,7 +26,7 @@
 pub const MAX_SYNC_REQUEST_BYTES: usize = limits::MAX_REQUEST_SHARDS * 160 + 512;
 
 /// Limit on the requests of one round. An empty replica asks for 65,536 shards in 128 requests, in addition to the
-/// requests for spans and to another request for each update that did not fit into a response.
+/// requests for spans and to one for each shard whose update leaves a gap.
 const MAX_ROUND_REQUESTS: usize = 1_024;
 
 /// A source or a replica of the shard map, from which other replicas get updates.
@@ -125,8 +125,8 @@
     Unfinished(usize),
 }
 
-/// Runs one round of synchronization: requests missing updates from a source or a replica until this replica has
-/// nothing left to request.
+/// Runs one round of synchronization: sends the replica's requests, and those to which the updates lead, until none is
+/// left. Shards that a response left out because of its size are requested in the next round.
 ///
 /// # Errors
 /// If the round ended before that, at the latest after `time_limit`. Updates applied until then are kept.
--- a/crates/coordination/src/heartbeat_batcher.rs
+++ b/crates/coordination/src/heartbeat_batcher.rs
@@ -120,7 +120,7 @@
     }
 
     /// Removes a caller that no longer waits. A queued heartbeat without a waiting caller is dropped, so that it does
-    /// not extend the lease of a member that has gone.
+    /// not extend the lease of a member that may have ended.
     pub fn abandon(&mut self, session: SessionId, waiter: WaiterId) {
         let queued = self.queued.get_mut(&session);
         let queued = queued.map(|queued| &mut queued.waiters);
--- a/crates/coordination/src/state/restore.rs
+++ b/crates/coordination/src/state/restore.rs
@@ -43,7 +43,8 @@
         }
         let longest_lease = self.leases().map(|(_, lease)| lease).max();
         let mut state = self.clone();
-        // Ends each session while its member's name is still known, so that the history records who lost what.
+        // Ends each session while its member's name is still known, so that the history names it with each lost
+        // resource.
         for &session in self.sessions().keys() {
             state.end_session(session, EventKind::Expired);
         }
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -78,7 +78,7 @@
     /// The first entry of a new group could not be written.
     #[error(transparent)]
     Initialize(Box<RaftError<ReplicaId, InitializeError<ReplicaId, BasicNode>>>),
-    /// The task of the consensus is gone, without having reported a fatal error.
+    /// The task of the consensus has ended without reporting a fatal error.
     #[error("the consensus ended without an error")]
     Ended,
 }
--- a/crates/member/src/coordinator_client.rs
+++ b/crates/member/src/coordinator_client.rs
@@ -48,7 +48,7 @@
     coordinator: Option<u64>,
 }
 
-/// No server answered a request before its deadline.
+/// No server answered a request with a result before its deadline.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("no steward answered: {message}{}", uncertainty_note(*.may_have_happened))]
 pub struct RequestError {
@@ -118,11 +118,11 @@
         self.attempt_timeout = attempt_timeout;
     }
 
-    /// Sends a request to one server after the other until one responds or the deadline has passed. The request has to
-    /// be idempotent, since it may be sent several times.
+    /// Sends a request to one server after the other until one responds with a result, not an error, or the deadline
+    /// has passed. The request has to be idempotent, since it may be sent several times.
     ///
     /// # Errors
-    /// If no server responds before the deadline.
+    /// If no server responds with a result before the deadline.
     pub async fn request<A: DeserializeOwned>(
         &mut self,
         path: &str,
@@ -164,7 +164,7 @@
     /// Submits a command to the replicated log, and returns its outcome.
     ///
     /// # Errors
-    /// If no server responds before the deadline; the command may have been executed.
+    /// If no server responds with a result before the deadline; the command may have been executed.
     pub async fn submit(
         &mut self,
         command: &Command,
--- a/crates/shard-map/src/limits.rs
+++ b/crates/shard-map/src/limits.rs
@@ -11,7 +11,7 @@
 ///
 /// A replica that missed more changes gets a snapshot of the shard, whose size is bounded by [`Limits::shard_bytes`]. At
 /// 0.56 changes a second over 65,536 shards, eight changes of one shard cover eleven days. Eight changes of 200 bytes
-/// at most double the size of a shard of 26 endpoints.
+/// take 1.6 KB, less than the 26 endpoints of a shard.
 pub const MAX_HISTORY: usize = 8;
 
 /// Maximum number of shards in one request. Each takes at most 131 bytes of JSON, so a request has at most 68 KB.
@@ -20,12 +20,13 @@
 /// Target size of the endpoints in one response, in bytes by [`Endpoint::size_bytes`](crate::Endpoint::size_bytes). No
 /// shard is added to a response that has reached this size.
 ///
-/// Shards that are left out get no update and are requested again. The response to a request for 512 shards of the
-/// planned size has 3 MB; without this limit, one for 512 shards of the maximum size would have 52 MB.
+/// Shards that are left out get no update, and the replica requests them again when it next synchronizes. The response
+/// to a request for 512 shards of the planned size has 3 MB; without this limit, one for 512 shards of the maximum size
+/// would have 52 MB.
 pub const MAX_RESPONSE_BYTES: usize = 4 << 20;
 
-/// Number of parts into which a span of shards is divided to find those that differ. With 16 parts, four steps of 16
-/// digests each narrow 65,536 shards down to one.
+/// Number of parts into which a span of shards is divided to find those that differ. With 16 parts, three responses of
+/// 16 digests each narrow 65,536 shards down to 16, which one more request then compares shard by shard.
 pub const SPAN_PARTS: u32 = 16;
 
 /// Maximum number of members in a membership, equal to the maximum number of sessions of the coordination service.
--- a/crates/shard-map/src/sync.rs
+++ b/crates/shard-map/src/sync.rs
@@ -1,8 +1,8 @@
 //! The requests of a replica that catches up, and the updates that it gets from the source or another replica.
 //!
 //! A request describes the state of the replica: one sum of digests for a span of shards, or the version and digest of
-//! each shard. For each shard that differs the response has the missed changes or a snapshot. This is the anti-entropy of
-//! Dynamo with sums of digests in place of a Merkle tree.
+//! each shard. For each shard that differs the response has the missed changes, a snapshot, or only the version if
+//! the endpoints are the same. This is the anti-entropy of Dynamo with sums of digests in place of a Merkle tree.
 
 use crate::change::Operation;
 use crate::digest::Digest;
