--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -142,7 +142,7 @@
         #[serde(rename = "cursor")]
         checkpoint: String,
     },
-    /// The command is done, or an earlier command had already done the same.
+    /// The command was applied, or there was nothing left to change, as when it repeats an earlier command.
     #[serde(rename = "done")]
     Done,
     /// The outcomes of a [`Command::Batch`], in the order of its commands.
@@ -167,7 +167,7 @@
         /// The session that the command named.
         session: SessionId,
     },
-    /// The expiry of the lease was determined in another leader term than the current one.
+    /// The expiry of the lease was determined in a leader term other than the current one.
     #[error(
         "the lease was counted under reign {leader_term}, this is reign {current}: it is counted anew"
     )]
--- a/crates/coordination/src/heartbeat_batcher.rs
+++ b/crates/coordination/src/heartbeat_batcher.rs
@@ -45,7 +45,7 @@
     Renewed(Vec<(String, FencingToken)>),
     /// The session has ended.
     SessionEnded,
-    /// The coordinators did not answer in time, or their response says nothing about this session.
+    /// The coordinators did not answer in time, or their response does not contain this session.
     Unknown,
 }
 
@@ -120,7 +120,7 @@
     }
 
     /// Removes a caller that no longer waits. A queued heartbeat without a waiting caller is dropped, so that it does
-    /// not extend the lease of a member that has gone.
+    /// not extend the lease of a member that may have ended.
     pub fn abandon(&mut self, session: SessionId, waiter: WaiterId) {
         let queued = self.queued.get_mut(&session);
         let queued = queued.map(|queued| &mut queued.waiters);
--- a/crates/shard-map/src/shard_replica.rs
+++ b/crates/shard-map/src/shard_replica.rs
@@ -13,7 +13,7 @@
 pub enum ApplyStatus {
     /// The change was applied.
     Applied,
-    /// The change does not follow the current version, or its result has another digest than the change names.
+    /// The change does not follow the current version, or its result does not have the digest that the change names.
     Gap,
     /// The shard with the change applied would exceed the size limits.
     CapacityExceeded,
@@ -173,7 +173,7 @@
         ApplyStatus::Applied
     }
 
-    /// Replaces the content by the result of a change, and adds the change to the history for replicas that catch up.
+    /// Replaces the content with the result of a change, and adds the change to the history for replicas that catch up.
     fn advance(&mut self, content: Content, change: VersionedChange, limits: &Limits) {
         let digest_before = std::mem::replace(&mut self.content, content).digest;
         self.version = change.version;
--- a/crates/shard-map/src/sync.rs
+++ b/crates/shard-map/src/sync.rs
@@ -1,8 +1,8 @@
 //! The requests of a replica that catches up, and the updates that it gets from the source or another replica.
 //!
 //! A request describes the state of the replica: one sum of digests for a span of shards, or the version and digest of
-//! each shard. For each shard that differs the response has the missed changes or a snapshot. This is the anti-entropy of
-//! Dynamo with sums of digests in place of a Merkle tree.
+//! each shard. For each shard that differs the response has the missed changes, a snapshot, or only the version if
+//! the endpoints are the same. This is the anti-entropy of Dynamo with sums of digests in place of a Merkle tree.
 
 use crate::change::Operation;
 use crate::digest::Digest;
@@ -16,7 +16,7 @@
 
 /// A request of a replica for the updates that it lacks.
 ///
-/// The request contains the number of shards, since a shard's id has another meaning under another number.
+/// The request contains the number of shards, since the meaning of a shard's id depends on that number.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum SyncRequest {
