--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -110,10 +110,11 @@
         /// Why the connection was closed, such as `evicted` or `unsolicited data`.
         #[serde(rename = "why")]
         reason: String,
-        /// Status of a response that was received while no call was in flight on the connection.
+        /// Status of a response that no call requested: one received while no call was in flight on the connection, or
+        /// after the end of another response.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         unsolicited_status: Option<u16>,
-        /// Time in microseconds from the last request to the data received while no call was in flight.
+        /// Time in microseconds from the last request to the first data that no call requested.
         #[serde(
             rename = "unsolicited_after",
             default,
@@ -185,7 +186,7 @@
     /// The message failed before its deadline with attempts left, but may not be retried.
     #[serde(rename = "no_repeat")]
     NotRetryable,
-    /// The record does not say, as those of older senders do not.
+    /// The record gives no reason. Records of older senders never do.
     #[default]
     Unknown,
 }
--- a/crates/access-log/tests/golden.rs
+++ b/crates/access-log/tests/golden.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 const STORED_LOG: &str = include_str!("golden/lines.log");
-/// The log that the present code writes for `emit_events`, with ids, connections and close reasons.
+/// The log that the current code writes for `emit_events`, with ids, connections and close reasons.
 const LOG_WITH_IDS: &str = include_str!("golden/lines_with_ids.log");
 
 fn json_objects(text: &str) -> Vec<&str> {
--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -28,7 +28,7 @@
     pub client_connections: usize,
     /// Calls that the old process has in flight, which count against the limit of the new one until they end.
     pub calls_in_flight: usize,
-    /// True while operators have the old process drained.
+    /// True if operators are draining the old process.
     pub is_drained: bool,
 }
 
--- a/crates/hot-restart/src/new_process.rs
+++ b/crates/hot-restart/src/new_process.rs
@@ -51,7 +51,7 @@
     pub client_connections: usize,
     /// Calls that the old process has in flight: they count against this process's limit until the old one exits.
     pub calls_in_flight: usize,
-    /// True if operators have the old process drained.
+    /// True if operators are draining the old process.
     pub is_drained: bool,
     /// Receives the messages from the old process's clients, and the ends of its calls.
     pub bridge: Bridge,
@@ -110,7 +110,7 @@
             | HotRestartError::Decode(_)
             | HotRestartError::FrameTooLong(_)),
         ) => {
-            // unlike the offer, the journal can be read in any version: this process recovers from the journal as
+            // unlike the offer, the journal can be read by any version: this process recovers from the journal as
             // after a restart, and client connections wait in the inherited socket's queue instead of being refused
             write_frame(&mut stream, &Decision::Exit).await?;
             *listener = Some(inherited);
--- a/crates/hot-restart/tests/golden/data.rs
+++ b/crates/hot-restart/tests/golden/data.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep};
 
 pub(crate) const HELLO: &[u8] = b"MTH1\x07\0\0\0";
-/// The offer of an old process with one call in flight and two client connections that operators have drained.
+/// The offer of an old process that operators are draining, with one call in flight and two client connections.
 pub(crate) const OFFER: &[u8] = include_bytes!("offer.bin");
 pub(crate) const COMMIT: &[u8] = b"\x01\0\0\0\0";
 pub(crate) const EXIT: &[u8] = b"\x01\0\0\0\x01";
--- a/crates/hot-restart/tests/golden/new_process.rs
+++ b/crates/hot-restart/tests/golden/new_process.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Accepts a takeover request, replies with this hello, and makes the offer if the hello is that of the present
+    /// Accepts a takeover request, replies with this hello, and makes the offer if the hello is that of the current
     /// version. Returns the connection, and the bytes of the new process's decision.
     async fn offer(&self, hello: &[u8]) -> (UnixStream, Vec<u8>) {
         let (mut peer, _) = self.socket.accept().await.expect("a request");
@@ -92,7 +92,7 @@
                 let outcome = outcomes.next().expect("one for each");
                 found.reply.send(outcome).expect("the receiver is open");
             }
-            // the other inputs hold no channels and no times, so that their debug text can be compared
+            // the other inputs contain no channels and no times, so their `Debug` output can be compared
             (found, expected) => assert_eq!(format!("{found:?}"), format!("{expected:?}")),
         }
     }
--- a/crates/hot-restart/tests/snapshot.rs
+++ b/crates/hot-restart/tests/snapshot.rs
@@ -24,7 +24,7 @@
 /// value and keep the version.
 const FINGERPRINT: (u32, u64) = (7, 6_957_180_694_112_498_467);
 
-/// The engine's ports in one process, and the ends of its channels.
+/// The engine's ports in one process, and the other ends of their channels.
 struct Process {
     ports: Ports,
     inputs: mpsc::UnboundedSender<Input>,
--- a/crates/platform/src/attribution.rs
+++ b/crates/platform/src/attribution.rs
@@ -1,10 +1,11 @@
 //! Attributes a response to the call that it belongs to. Performs no I/O and reads no clock.
 //!
-//! HTTP/1.1 matches responses to requests by order alone: nothing in a response names its request. Any other data that
+//! HTTP/1.1 matches responses to requests by order alone: a response need not name its request. Any other data that
 //! arrives on the connection while a call is in flight, such as a duplicate of an earlier response, looks like the
-//! response to that call. Neither the content nor the timing of a response distinguishes it from such a duplicate.
-//! Three criteria do: the response is the first one on its connection; it names the messages of the call; or the
-//! endpoint was asked to close the connection after the response and did so without sending anything else.
+//! response to that call. The status and the timing of a response do not distinguish it from such a duplicate. A
+//! response is therefore attributed to a call only by one of three criteria: it is the first one on its connection; it
+//! names the messages of the call; or the endpoint was asked to close the connection after the response and did so
+//! without sending anything else.
 
 #[cfg(test)]
 mod tests;
@@ -108,13 +109,13 @@
 pub(crate) struct CloseBehaviours(HashMap<EndpointId, (CloseBehaviour, Instant)>);
 
 impl CloseBehaviours {
-    /// Records the behaviour of an endpoint.
+    /// Records the latest close behaviour of an endpoint, in place of an earlier one.
     pub(crate) fn record(&mut self, endpoint: EndpointId, behaviour: CloseBehaviour, now: Instant) {
         self.0.insert(endpoint, (behaviour, now));
     }
 
-    /// Removes entries of endpoints that did not close as requested and are older than [`MAX_AGE`]: the cause may have been
-    /// a single broken connection.
+    /// Removes entries older than [`MAX_AGE`] of endpoints that did not close as requested: the cause may have been a
+    /// single broken connection.
     pub(crate) fn evict(&mut self, now: Instant) {
         self.0.retain(|_, (behaviour, seen_at)| {
             *behaviour == CloseBehaviour::Orderly || now - *seen_at < MAX_AGE
--- a/crates/platform/src/connection_monitor.rs
+++ b/crates/platform/src/connection_monitor.rs
@@ -26,7 +26,7 @@
 /// The beginning of a status line; each `d` stands for a digit.
 const STATUS_LINE_PATTERN: &[u8] = b"HTTP/1.d ddd";
 
-/// What has been observed on the raw bytes of a connection, mostly about the current call.
+/// What has been observed in the raw bytes of a connection, mostly about the current call.
 pub(crate) struct ConnectionMonitor {
     /// Number of the connection, unique in this process.
     number: u64,
--- a/crates/platform/src/discovery_backoff.rs
+++ b/crates/platform/src/discovery_backoff.rs
@@ -18,8 +18,8 @@
 
 /// A change must be known to the sender within this time after discovery has it and can be reached.
 const MAX_UPDATE_DELAY: Duration = Duration::from_millis(6000);
-/// A watch, or a request that opens one, counts as failed after this time without data. Discovery sends an empty line every
-/// 2 s.
+/// A watch, or a request that opens one, counts as failed after this time without data. Discovery sends an empty line
+/// every 2 s.
 pub(crate) const WATCH_INACTIVITY_TIMEOUT: Duration = Duration::from_millis(3000);
 /// Longest delay after a failure to reach discovery, and after a first rejection.
 pub(crate) const MAX_SHORT_DELAY: Duration = Duration::from_millis(1900);
@@ -42,10 +42,11 @@
 
 /// Shortest delay after any failure.
 pub(crate) const MIN_DELAY: Duration = Duration::from_millis(50);
-/// Longest delay while few senders share one discovery; [`MAX_DELAY_ROUNDS`] raises the limit with more of them.
+/// Longest delay while few senders share one discovery service; with more senders, [`MAX_DELAY_ROUNDS`] raises the
+/// limit.
 pub(crate) const DEFAULT_MAX_DELAY: Duration = Duration::from_millis(1000);
-/// Delay per sender that shares the discovery: all senders together send at most one request in this time. Smaller
-/// values reconnect sooner to a discovery with spare capacity; larger values let an overloaded discovery recover.
+/// Delay per sender that shares the discovery service: all senders together send at most one request in this time.
+/// Smaller values reconnect sooner to a service with spare capacity; larger values let an overloaded one recover.
 const TIME_PER_SENDER: Duration = Duration::from_millis(80);
 /// Longest delay after rejections, as a multiple of the time in which every sender sends one request.
 const MAX_DELAY_ROUNDS: u32 = 4;
--- a/crates/platform/src/drain_gate.rs
+++ b/crates/platform/src/drain_gate.rs
@@ -48,7 +48,8 @@
     /// When idle connections are closed; `None` if this state does not close them.
     fn closes_idle_at(self) -> Option<Instant> {
         match self {
-            // such a connection gets one more response, or is closed by its usual idle time limit
+            // These states do not close idle connections early: each one is closed by its usual idle time limit. A
+            // replaced process also closes a connection after the next response on it.
             Phase::Open | Phase::Replaced => None,
             Phase::Draining(since) => Some(since + DRAIN_IDLE_CLOSE_DELAY),
             Phase::ShuttingDown(since) => Some(since + SHUTDOWN_IDLE_CLOSE_DELAY),
--- a/crates/platform/src/notifications.rs
+++ b/crates/platform/src/notifications.rs
@@ -20,8 +20,8 @@
 /// The platform counts a message as lost when its notification has not been accepted this long after the message's
 /// deadline.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_millis(300);
-/// When a request has had no response for this time, the next one is sent beside it, so that a request that hangs
-/// delays no notification any longer.
+/// If a request has had no response for this time, the next one is sent concurrently, so that a request that hangs does
+/// not delay notifications any further.
 const NEXT_POST_DELAY: Duration = Duration::from_millis(100);
 /// Longest delay between requests that fail.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
@@ -136,7 +136,7 @@
     }
 }
 
-/// Selects the notifications whose last request is the longest ago, and marks them as carried by request `post`.
+/// Selects the notifications whose last request was longest ago, and marks them as carried by request `post`.
 /// Returns their numbers and the body of the request.
 fn next_batch(pending: &mut BTreeMap<u64, PendingNotification>, post: u64) -> (Vec<u64>, String) {
     let mut order: Vec<(u64, u64)> = pending
--- a/crates/platform/src/pools.rs
+++ b/crates/platform/src/pools.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Allows idle connections to the endpoint, and closes those to a previous address.
+    /// Accepts idle connections to the endpoint at this address from now on, and closes those to a previous address.
     pub(crate) fn add_endpoint(&mut self, endpoint: EndpointId, address: SocketAddr) {
         if self
             .pools
@@ -92,7 +92,7 @@
     }
 
     /// Takes the most recently used of the usable connections that have been idle for at least `min_idle_time`. The
-    /// others become older, so that surplus connections expire.
+    /// others stay idle, so that surplus connections expire.
     pub(crate) fn acquire(
         &mut self,
         endpoint: EndpointId,
@@ -140,8 +140,8 @@
         }
     }
 
-    /// Changes the idle connections of an endpoint, and keeps the counters consistent. `None` if the endpoint is
-    /// unknown.
+    /// Applies `update` to the idle connections of an endpoint, and keeps `idle_count` and `oldest_idle` consistent.
+    /// Returns `None` without calling `update` if the endpoint is unknown.
     fn update<T>(
         &mut self,
         endpoint: EndpointId,
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -349,8 +349,8 @@
     Some(stream)
 }
 
-/// Processes all input that the system has received so far. The runtime learns of new bytes only at its next poll of
-/// the system, and a connection must not be closed when the last byte of its request has already arrived. Returns true
+/// Processes all input that the kernel has received so far. The runtime learns of new bytes only the next time it polls
+/// the kernel, and a connection must not be closed when the last byte of its request has already arrived. Returns true
 /// if the connection has ended.
 async fn read_available<C: Future + Unpin>(connection: &mut C, state: &ConnectionState) -> bool {
     loop {
@@ -358,7 +358,7 @@
         tokio::select! {
             biased;
             _ = &mut *connection => return true,
-            // returns after the runtime has polled the system
+            // returns after the runtime has polled the kernel
             () = yield_now() => {}
         }
         if state.has_open_request.get() || state.bytes_read.get() == before {
@@ -367,9 +367,9 @@
     }
 }
 
-/// Closes a connection without a reset, which would discard a response that the client has not read yet: ends the
-/// output, then reads remaining input for a limited time. `slot` is freed at once if a lingering slot is available
-/// instead, and otherwise when the connection is closed.
+/// Closes a connection without a reset, which would discard a response that the client has not read yet: shuts down
+/// the write side, then reads remaining input for a limited time. `slot` is freed at once if a lingering slot is
+/// available instead, and otherwise when the connection is closed.
 async fn close_gracefully(
     mut stream: TcpStream,
     slot: Option<OwnedSemaphorePermit>,
@@ -468,7 +468,8 @@
         Pin::new(&mut self.stream).poll_flush(context)
     }
 
-    /// Ends the output and discards remaining input. `ConnectionState::deadline` limits the time.
+    /// Shuts down the write side, then reads and discards at most [`MAX_LINGER_BYTES`] of input.
+    /// `ConnectionState::deadline` limits the time.
     fn poll_shutdown(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.stream).poll_shutdown(context))?;
         let mut scratch = [0; 8192];
@@ -688,7 +689,7 @@
     Ok(response)
 }
 
-/// Reads the body into memory of its own. A slice would keep the connection's whole read buffer in memory.
+/// Reads the body into a buffer of its own. A slice would keep the connection's whole read buffer in memory.
 async fn read_body(mut body: Incoming) -> Result<Bytes, Rejection> {
     let mut bytes = Vec::new();
     while let Some(frame) = body.frame().await {
@@ -734,7 +735,7 @@
     }
 }
 
-/// Reads an id or key into memory of its own. A slice would keep the connection's whole read buffer in memory.
+/// Copies an id or key into a buffer of its own. A slice would keep the connection's whole read buffer in memory.
 fn read_id(value: Option<&HeaderValue>) -> Result<Option<SharedStr>, Rejection> {
     let read = |value: &HeaderValue| {
         SharedStr::new(value.as_bytes()).map_err(|_| bad_request("an id or key can't be read"))
--- a/crates/platform/tests/batch_calls.rs
+++ b/crates/platform/tests/batch_calls.rs
@@ -1,4 +1,4 @@
-//! Batch calls of which some messages are cancelled.
+//! Batch calls in which some or all messages are cancelled.
 
 mod common;
 
@@ -77,7 +77,8 @@
         let mut call = CallInFlight::new().await;
         call.cancel.send(0).expect("the call is in progress");
         let response = "HTTP/1.1 200 OK\r\nContent-Length: 14\r\n\r\nm0 ok\r\nm1 ok\r\n";
-        // The cancellation is queued before the response. If it ended the message, that end would be the first one.
+        // The cancellation is queued before the response. If it ended the attempt for message 0, the first reported
+        // outcome would be `Cancelled`.
         tokio::task::yield_now().await;
         call.stream
             .write_all(response.as_bytes())
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -21,7 +21,8 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Creates a transport that may call endpoint 1 at this address; returns it with its inputs to the engine.
+/// Creates a transport that may call endpoint 1 at this address; returns it with the receiver of the
+/// inputs that it sends to the engine.
 pub(crate) fn start_transport(
     endpoint: SocketAddr,
 ) -> (HttpTransport, mpsc::UnboundedReceiver<Input>) {
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -224,7 +224,7 @@
     });
 }
 
-/// A running task that posts notifications, and its inputs to the engine.
+/// A running task that posts notifications, and the receiver of the inputs that the task sends to the engine.
 struct NotificationSender {
     notifications: mpsc::UnboundedSender<Notification>,
     inputs: mpsc::UnboundedReceiver<Input>,
--- a/src/access_log.rs
+++ b/src/access_log.rs
@@ -15,24 +15,25 @@
 /// Column titles of the text format.
 const COLUMN_TITLES: &str = "  to     from taken  away  sent again    ok refused failed delivered  mean-s given-up untried  held sick back left limit";
 
-/// What all senders of a fleet did, by destination and second, from their logs.
+/// Summarise the access logs of all senders of a fleet by destination and interval.
 ///
-/// A sender writes these lines if MILLETTURN_TRACE is 1 in its environment: some 100 bytes for each message taken on, attempt
-/// and end. One sender sees few calls; only the sum shows whether a limit is overrun by all, or left unused.
+/// A sender writes access records to its log if MILLETTURN_TRACE is 1 in its environment: about 100 bytes for each
+/// accepted message, each attempt and each end. One sender makes few calls; only the sum shows whether all senders
+/// together exceed a limit, or leave it unused.
 ///
-/// Exit codes: 0 done; 1 no line was found, or a file can't be read.
+/// Exit codes: 0 done; 1 no record was found, or a file can't be read.
 #[derive(Debug, Args)]
 pub(crate) struct Arguments {
-    /// The logs, one or more of each sender.
+    /// The log files, one or more of each sender.
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Only this destination.
+    /// Show only the destination with this number.
     #[arg(long)]
     destination: Option<u64>,
-    /// Length of a row.
+    /// Length of the interval that a row covers.
     #[arg(long, value_name = "SECONDS", default_value_t = 1.0)]
     span: f64,
-    /// For people or for programs.
+    /// The output: text for people, or JSON for programs.
     #[arg(long, value_enum, default_value_t = Format::Text)]
     format: Format,
 }
--- a/src/assemble/takeover.rs
+++ b/src/assemble/takeover.rs
@@ -18,7 +18,7 @@
 /// Receives the requests of processes that want to take over from this one.
 pub(super) type TakeoverRequests = mpsc::Receiver<TakeoverRequest>;
 
-/// What a process got together with its state folder: the lock and, in a hot restart, the predecessor's socket and
+/// What a process acquired together with its state folder: the lock and, in a hot restart, the predecessor's socket and
 /// state.
 #[derive(Default)]
 pub(super) struct InheritedParts {
--- a/src/config.rs
+++ b/src/config.rs
@@ -17,7 +17,7 @@
 
 /// Write, check, show and explain configurations of sidecars.
 ///
-/// Exit codes: 0 sound; 1 something was found wrong; 2 the command's words are off.
+/// Exit codes: 0 no findings; 1 at least one finding; 2 an argument is invalid.
 #[derive(Debug, Args)]
 pub(crate) struct Arguments {
     #[command(subcommand)]
@@ -26,46 +26,47 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Check one file, or several that run on one machine, for all that is wrong with them.
+    /// Check one file, or all files of the sidecars on one machine together, and report all findings.
     Check {
-        /// The files.
+        /// Configurations of sidecars, and endpoints files that they name.
         #[arg(required = true)]
         files: Vec<PathBuf>,
-        /// Also what needs the machine: folders, locks, ports, the file of endpoints.
+        /// Also check what depends on this machine: folders, locks, ports and endpoints files.
         #[arg(long)]
         here: bool,
-        /// For people or for programs.
+        /// The output: text for people, or JSON for programs.
         #[arg(long, value_enum, default_value_t = Format::Text)]
         format: Format,
     },
-    /// What a code means, and what to do; without one, all codes.
+    /// Explain what a code of a finding means and what to do; without a code, list all codes.
     Explain {
-        /// Such as MT031.
+        /// The code, such as MT031.
         code: Option<String>,
     },
-    /// All values in force, with where each comes from, and the budgets worked out.
+    /// Show all effective values with their sources, and the budgets calculated from them.
     Show {
-        /// The file.
+        /// The configuration.
         file: PathBuf,
     },
-    /// Print a commented file for an application. What no flag gives is asked on a terminal.
+    /// Print a commented configuration for an application. Values without a flag are prompted for on a terminal, and
+    /// have defaults otherwise.
     New {
         /// The application's name.
         #[arg(long)]
         name: Option<String>,
-        /// Where messages are handed in; outcomes are read 100 ports above.
+        /// The port on which messages are submitted. The port for outcomes is 100 higher.
         #[arg(long)]
         port: Option<u16>,
-        /// What a repeat of its messages does: repeatable, keyed or unsafe.
+        /// What a repeat of a message does: nothing (repeatable), it is dropped by its key (keyed), harm (unsafe).
         #[arg(long, value_parser = EFFECTS)]
         effect: Option<String>,
-        /// The first endpoint of its first destination.
+        /// The address of the first endpoint of the first destination.
         #[arg(long)]
         endpoint: Option<String>,
     },
-    /// JSON Schema of the files, for editors.
+    /// Print the JSON Schema of configurations, for editors.
     Schema,
-    /// The reference page of all settings and codes, as Markdown.
+    /// Print the reference page of all settings and codes, as Markdown.
     Reference,
 }
 
@@ -82,7 +83,7 @@
     let found = milletturn_config::findings(documents);
     let color = std::io::stderr().is_terminal();
     for finding in &found {
-        // the findings count even if nobody reads them, so errors of writing are ignored
+        // write errors are ignored, because the result depends only on the number of findings
         match format {
             Format::Json => {
                 let plain = finding.to_json_form(text_by_path(documents));
@@ -203,10 +204,10 @@
     endpoint: Option<String>,
 }
 
-/// Prints a commented configuration; values that are found wrong are a usage error.
+/// Prints a commented configuration; invalid values are a usage error.
 fn new(options: NewOptions) -> ExitCode {
     let name = prompt_unless_given(options.name, "The application's name", "application");
-    let port = prompt_unless_given(options.port, "Port where it hands messages in", "7001");
+    let port = prompt_unless_given(options.port, "Port on which it submits messages", "7001");
     let Ok(port) = port.parse::<u16>() else {
         eprintln!("milletturn: {port} is not a port number");
         return ExitCode::from(2);
@@ -218,7 +219,7 @@
     );
     let endpoint = prompt_unless_given(
         options.endpoint,
-        "Where the first destination takes calls",
+        "Address of the first endpoint of the first destination",
         "127.0.0.1:9001",
     );
     let text = template::new(&name, port, &effect, &endpoint);
--- a/src/coordinator.rs
+++ b/src/coordinator.rs
@@ -8,37 +8,39 @@
 use std::path::PathBuf;
 
 const SETTINGS_HELP: &str = r#"The file:
-  group = "harbour"            # the same for all; guards against mixing two groups
-  id = 1                       # each coordinator its own
+  group = "harbour"            # the same for all coordinators; guards against mixing two groups
+  id = 1                       # unique for each coordinator
   listen = "10.0.0.1:7301"
-  state = "coordinator"        # folder of its disk, relative to this file
-  lease = "9s"                 # a member without a heartbeat for so long loses what it owns
-  clock_error = 0.02           # by which share two machines' clocks may run apart
-  heartbeat = "200ms"          # the others elect a new leader after 5 to 10 without one
-  [[steward]]                  # all coordinators of the group, this one too
+  state = "coordinator"        # state folder, relative to this file
+  lease = "9s"                 # a member without a heartbeat for this time loses its resources
+  clock_error = 0.02           # share by which the clock rates of two machines may differ
+  heartbeat = "200ms"          # the others elect a new leader after 5 to 10 intervals without one
+  [[steward]]                  # one table for each coordinator of the group, this one too
   id = 1
   address = "10.0.0.1:7301""#;
 
 /// Run one replica of the coordination service: which members have a session, who owns which resource, under which
 /// fencing token.
 ///
-/// Three coordinators go on without one, five without two. All talk plain HTTP without sign-in: keep them on loopback
-/// or private addresses. A new group: `--found` once on each machine, then start all.
+/// A group of three coordinators tolerates the failure of one, a group of five that of two. They communicate over plain
+/// HTTP without authentication: keep them on loopback or private addresses. To create a new group, run with `--found`
+/// once on each machine, then start all coordinators.
 #[derive(Debug, Args)]
 #[command(after_long_help = SETTINGS_HELP)]
 pub(crate) struct Arguments {
-    /// Its settings (TOML).
+    /// The coordinator's settings file (TOML).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Make the disk of a coordinator of a new group, and end. Never for a coordinator that lost its disk: an empty one
-    /// has forgotten its votes.
+    /// Create the state folder of a coordinator of a new group, and exit. Never use this for a coordinator that has
+    /// lost its disk: an empty state folder lacks the votes that the coordinator has cast.
     #[arg(long)]
     found: bool,
-    /// With --found: the group goes on from this backup, since its majority is gone for good. The same file for each
-    /// coordinator. Every token of the lost group is rejected from then on.
+    /// With --found: restore the group from this backup, after the permanent loss of its majority. Use the same file
+    /// for each coordinator. Every fencing token of the lost group is rejected from then on.
     #[arg(long, value_name = "FILE", requires_all = ["found", "generation"])]
     restore: Option<PathBuf>,
-    /// With --restore: higher than at any restore before, from 1 on; the same for each coordinator.
+    /// With --restore: the generation of the restored group, at least 1 and higher than at any earlier restore. Use the
+    /// same number for each coordinator.
     #[arg(long, value_name = "NUMBER", requires = "restore")]
     generation: Option<u64>,
 }
--- a/src/dead_letter/arguments.rs
+++ b/src/dead_letter/arguments.rs
@@ -6,13 +6,14 @@
 use milletturn_dead_letter::record::{Filter, State, parse_reason};
 use std::path::PathBuf;
 
-/// Look at what could not be delivered (dead letters), resolve it, or send it again (redrive).
+/// List, show, export, resolve and redrive dead letters: messages that could not be delivered.
 ///
-/// Against a running sender the commands go over its socket in the state folder; when none runs, `list`, `show`,
-/// `export` and `stats` read the file.
+/// Commands are sent to the running sender over the socket in its state folder. If no sender runs, `list`, `show`,
+/// `export` and `stats` read the store's file.
 ///
-/// Exit codes: 0 done; 1 the store can't be asked or read; 2 the command's words are off; 3 nothing matched;
-/// 4 something was declined, and the output says why; 5 no sender runs, and the command needs one.
+/// Exit codes: 0 done; 1 the sender can't be reached, or the store can't be read; 2 the command line is invalid; 3 no
+/// message matched; 4 the command was rejected for at least one message, and the output says why; 5 no sender runs, and
+/// the command needs one.
 #[derive(Debug, Args)]
 pub(crate) struct Arguments {
     /// The state folder of the sender.
@@ -21,7 +22,7 @@
     /// The configuration of the sidecar, which names its state folder.
     #[arg(long, value_name = "FILE", global = true, conflicts_with = "folder")]
     pub(super) config: Option<PathBuf>,
-    /// A table for people, or JSON lines for programs.
+    /// The output: a table for people, or JSON lines for programs.
     #[arg(long, value_enum, default_value_t = Format::Table, global = true)]
     format: Format,
     #[command(subcommand)]
@@ -36,53 +37,54 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// One line for each message.
+    /// List messages, one line for each.
     List {
         #[command(flatten)]
         selection: Selection,
-        /// Show so many at most.
+        /// Maximum number of messages to list.
         #[arg(long, default_value_t = 100)]
         limit: usize,
     },
-    /// All that is known of messages: every round, every attempt, what was done to them.
+    /// Show all details of messages: each round of delivery, each attempt, and the audit log.
     Show {
-        /// Their numbers.
+        /// Numbers of the messages.
         #[arg(required = true)]
         numbers: Vec<u64>,
-        /// The bodies too, in base64 (JSON only).
+        /// Include the bodies, in base64 (JSON only).
         #[arg(long)]
         bodies: bool,
     },
-    /// Send messages again. Only what does no harm goes: what may have run goes out again only inside its key's
-    /// window, and never for a class that must not run twice.
+    /// Redrive messages: send them again if that is safe. A message that may have run can be redriven at any time if its
+    /// class is repeatable, only within the deduplication window of its key if its class is keyed, and never if its
+    /// class is unsafe.
     #[command(alias = "resend")]
     Redrive {
         #[command(flatten)]
         selection: Selection,
-        /// Only tell for each what would happen, and why not.
+        /// Only print for each message whether it would be redriven, and if not, why.
         #[arg(long)]
         dry_run: bool,
         #[command(flatten)]
         audit: AuditArguments,
     },
-    /// Resolve messages: dealt with, or confirmed not to have run.
+    /// Resolve messages: as done, or as confirmed not to have run.
     #[command(alias = "settle")]
     Resolve {
         #[command(flatten)]
         selection: Selection,
-        /// `done`: nothing more is to be done. `did-not-run`: you have asked the destination, and it did not take
-        /// effect; it may be sent again then.
+        /// `done`: no further action is needed. `did-not-run`: the destination has confirmed that the message did not
+        /// take effect, so it may be redriven.
         #[arg(long = "as", value_enum)]
         how: How,
         #[command(flatten)]
         audit: AuditArguments,
     },
-    /// All that is known of messages with their bodies, as JSON lines.
+    /// Export all details of messages, with their bodies, as JSON lines.
     Export {
         #[command(flatten)]
         selection: Selection,
     },
-    /// What the store holds, and what it may hold.
+    /// Show how many messages and bytes the store holds, and its limits.
     Stats,
 }
 
@@ -92,44 +94,44 @@
     DidNotRun,
 }
 
-/// Who does it and why, for the audit log of the message.
+/// Who runs the command and why, for the audit log of each message.
 #[derive(Debug, Args)]
 struct AuditArguments {
-    /// Who does it.
+    /// Name of the operator, for the audit log.
     #[arg(id = "who", long = "who", env = "USER", default_value = "operator")]
     actor: String,
-    /// Why.
+    /// Reason for the command, for the audit log. Required with `--as did-not-run`.
     #[arg(id = "why", long = "why", default_value = "")]
     reason: String,
 }
 
-/// Which messages. All conditions must be met.
+/// Selects the messages that meet all given conditions.
 #[derive(Debug, Args)]
 struct Selection {
-    /// Their numbers.
+    /// Select the messages with these numbers.
     numbers: Vec<u64>,
-    /// All messages, where nothing else narrows a command that changes them.
+    /// Allow a command that changes messages to apply to all of them, without any other condition.
     #[arg(long)]
     all: bool,
-    /// Their destination.
+    /// Select messages to this destination.
     #[arg(long, value_name = "NUMBER")]
     destination: Option<u64>,
-    /// Their class.
+    /// Select messages of this class.
     #[arg(long)]
     class: Option<String>,
-    /// Why they ended: time-up, no-repeat, attempts-used, turned-away or delivered.
+    /// Select messages that ended for this reason: time-up, no-repeat, attempts-used, turned-away or delivered.
     #[arg(long, value_parser = parse_reason_name)]
     reason: Option<String>,
-    /// Their state: kept, ordered, out, delivered or settled.
+    /// Select messages in this state: kept, ordered, out, delivered or settled.
     #[arg(long, value_parser = parse_state)]
     state: Option<State>,
-    /// First taken longer ago than this, such as 90s, 15m, 6h or 3d.
+    /// Select messages that were first accepted longer ago than this, such as 90s, 15m, 6h or 3d.
     #[arg(long, value_name = "AGE", value_parser = parse_age)]
     older_than: Option<i64>,
-    /// First taken no longer ago than this.
+    /// Select messages that were first accepted no longer ago than this.
     #[arg(long, value_name = "AGE", value_parser = parse_age)]
     newer_than: Option<i64>,
-    /// Whether an attempt may have run.
+    /// Select messages of which an attempt may have run (`yes`), or of which no attempt has run (`no`).
     #[arg(long, value_name = "YES/NO", value_parser = parse_yes_or_no)]
     may_have_run: Option<bool>,
 }
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -27,17 +27,17 @@
 
 /// Show the coordinators, members and leased resources of a group, and change who owns a resource.
 ///
-/// Exit codes: 0 done; 1 rejected, or there is no such thing; 2 an argument or a file is wrong; 3 no majority of the
-/// coordinators answers.
+/// Exit codes: 0 done; 1 the command was rejected, or the resource does not exist or has no owner; 2 an argument or a
+/// file is invalid; 3 no majority of the coordinators responds.
 #[derive(Debug, Args)]
 pub(crate) struct Arguments {
-    /// A coordinator's file: the group's name and its coordinators' addresses are taken from it.
+    /// A coordinator's settings file, from which the group's name and the coordinators' addresses are taken.
     #[arg(long, value_name = "FILE", global = true, conflicts_with_all = ["group", "coordinator"])]
     config: Option<PathBuf>,
     /// The group's name, if no file is given.
     #[arg(long, value_name = "NAME", global = true, requires = "coordinator")]
     group: Option<String>,
-    /// The address of a coordinator, if no file is given; once for each.
+    /// The address of a coordinator, if no file is given. Repeat the option for each coordinator.
     #[arg(
         long,
         alias = "steward",
@@ -58,7 +58,7 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Show what each coordinator says of itself: role, leader, last applied log entry. Needs no majority.
+    /// Show the status that each coordinator reports: role, leader, last applied log entry. Needs no majority.
     Status,
     /// Show the members with an open session: zone, version and role.
     Members,
@@ -68,7 +68,7 @@
         /// Only this resource.
         name: Option<String>,
     },
-    /// Revoke a resource from its owner. Its writes are rejected from then on; another member may own it next.
+    /// Revoke a resource from its owner, whose writes are rejected from then on. Another member may then acquire it.
     #[command(alias = "release-work")]
     Revoke {
         /// The resource's name.
@@ -79,7 +79,7 @@
         /// The file to write.
         file: PathBuf,
     },
-    /// Own a resource while this command runs, so that nobody else does.
+    /// Own a resource while this command runs, so that no other member owns it.
     Hold(hold::Arguments),
 }
 
--- a/src/fleet/hold.rs
+++ b/src/fleet/hold.rs
@@ -14,23 +14,25 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{MissedTickBehavior, interval};
 
-/// Own a resource while this command runs, so that nobody else does: to look at it in peace, or to do by hand what its
-/// owner would do. Every so often it makes sure by a fenced write that the resource is still its own, and leaves the
-/// checkpoint that it found for the next owner. Ends at SIGTERM, and releases the resource.
+/// Own a resource while this command runs, so that no other member owns it: to inspect the resource, or to do its
+/// owner's work by hand. At intervals, a fenced write verifies that the command still owns the resource; it rewrites
+/// the previous owner's checkpoint unchanged for the next owner. On SIGTERM the command releases the resource and
+/// exits.
 #[derive(Debug, Args)]
 pub(super) struct Arguments {
     /// The resource's name.
     resource: String,
-    /// The name of this command as a member of the group; no other member has the same.
+    /// The name of this command as a member of the group. It must differ from the names of all other members.
     #[arg(long, value_name = "NAME")]
     name: String,
-    /// Reach the coordinators through session proxies at these addresses; once for each.
+    /// The address of a session proxy through which the coordinators are reached. Repeat the option for each proxy.
     #[arg(long, alias = "relay", value_name = "ADDRESS")]
     session_proxy: Vec<String>,
-    /// Pause between two writes, in milliseconds.
+    /// Interval between two fenced writes, in milliseconds.
     #[arg(long, value_name = "MS", default_value_t = 1_000, value_parser = clap::value_parser!(u64).range(10..))]
     every: u64,
-    /// The share by which the clock rates of this machine and a coordinator may differ; as in the coordinators' files.
+    /// The share by which the clock rates of this machine and a coordinator may differ, from 0 to 0.5. Must be
+    /// the value in the coordinators' settings.
     #[arg(long, default_value_t = 0.02)]
     clock_error: f64,
 }
@@ -92,7 +94,7 @@
     Member::new(info, clock_error_ppm, [arguments.resource.clone()])
 }
 
-/// A random seed that differs between processes: the Unix time in nanoseconds and the process id.
+/// A seed for random numbers that differs between processes: the Unix time in nanoseconds and the process id.
 fn seed() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     let nanos = since_epoch.unwrap_or_default().as_nanos() as u64;
--- a/src/main.rs
+++ b/src/main.rs
@@ -21,17 +21,18 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// Delivers webhooks: takes messages from clients over HTTP, calls their destinations' endpoints with staggered
-/// copies until the first success, and tells the platform what can't be delivered.
+/// Delivers webhooks: accepts messages from clients over HTTP, calls the endpoints of their destinations with retries
+/// and hedged requests until the first success, and notifies the platform of messages that can't be delivered.
 ///
-/// With no command it runs as the platform's sender, configured by RELAY_CONFIG (a JSON file), RELAY_STATE (the
-/// folder that outlasts its processes) and, before what stands in the file, RELAY_NAME, RELAY_LISTEN and
-/// RELAY_DISCOVERY.
+/// Without a command it runs as the platform's sender, configured by RELAY_CONFIG (a JSON file) and RELAY_STATE (the
+/// state folder, which must survive restarts). RELAY_NAME, RELAY_LISTEN, RELAY_DISCOVERY and RELAY_MANAGEMENT override
+/// values in the file.
 #[derive(Debug, Parser)]
 #[command(name = "milletturn", version)]
 struct Arguments {
-    /// Keep what could not be delivered, as this TOML file says (see deploy/undelivered.toml). Without it, failed
-    /// messages are told to the platform and forgotten (`--undelivered` until lately).
+    /// Store undelivered messages in a dead-letter store with the settings in this TOML file (see
+    /// deploy/undelivered.toml). Without it, the platform is notified of failed messages, and they are not stored
+    /// (formerly `--undelivered`).
     #[arg(
         long = "dead-letters",
         alias = "undelivered",
@@ -46,22 +47,23 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Dead letters: look at what could not be delivered, resolve it, or send it again (`undelivered` until lately).
+    /// List, show, export, resolve and redrive dead letters: messages that could not be delivered (formerly
+    /// `undelivered`).
     #[command(alias = "undelivered")]
     DeadLetter(dead_letter::Arguments),
-    /// Run beside an application, with no platform.
+    /// Run as a sidecar of an application, without the platform.
     Sidecar {
-        /// Its configuration (TOML); `milletturn config new` writes one.
+        /// The sidecar's configuration (TOML); `milletturn config new` prints a new one.
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Try it: a sidecar with an endpoint of its own, on this machine's loopback address.
+    /// Run a sidecar for trial, with a built-in endpoint, on this machine's loopback address.
     Demo {
-        /// Deliver one message, print its final answer, and end.
+        /// Deliver one message, print its final outcome, and exit.
         #[arg(long)]
         once: bool,
     },
-    /// Sum up what all senders did, by destination and second, from their logs (`account` until lately).
+    /// Summarise the access logs of all senders by destination and interval (formerly `account`).
     #[command(alias = "account")]
     AccessLog(access_log::Arguments),
     /// Run one replica of the coordination service, together with the other coordinators of the group.
--- a/src/persistent_clock.rs
+++ b/src/persistent_clock.rs
@@ -2,14 +2,14 @@
 //!
 //! The deduplication window of an idempotency key, in which destinations drop repeats, is counted from attempts of
 //! earlier processes. If the wall clock was set back between two processes, too little of the window would seem to have
-//! passed, and a redriven message could take effect twice. So each process saves its clock's time together with the machine's uptime,
-//! which can't be set.
+//! passed, and a redriven message could take effect twice. So each process saves its clock's time together with the
+//! machine's uptime, which can't be set.
 
 use std::fs;
 use std::path::Path;
 
-/// Name of the file in the state folder. It holds the kernel's boot id, the uptime in microseconds and the clock's time
-/// in Unix microseconds.
+/// Name of the file in the state folder that saves the clock's time. It holds the kernel's boot id, the uptime in
+/// microseconds and the clock's time in Unix microseconds.
 const CLOCK_FILE: &str = "clock";
 /// A saved time more than a year (in microseconds) ahead of the wall clock is ignored as damaged.
 const MAX_LEAD_US: i64 = 366 * 86_400 * 1_000_000;
@@ -40,8 +40,8 @@
     time_us
 }
 
-/// The saved time plus the uptime that has passed since, which is unknown and taken as zero after a reboot. Never before
-/// `wall_us`.
+/// The saved time plus the uptime that has passed since, which is unknown and taken as zero after a reboot. Never
+/// before `wall_us`.
 fn continued_time_us(text: &str, boot_id: &str, uptime_us: i64, wall_us: i64) -> i64 {
     let mut fields = text.split_whitespace();
     let (Some(saved_boot_id), Some(saved_uptime_us), Some(saved_time_us)) =
--- a/src/run.rs
+++ b/src/run.rs
@@ -83,14 +83,14 @@
         .await
 }
 
-/// Waits until this process may use the state folder; none if SIGTERM came first.
+/// Waits until this process may use the state folder; `None` if SIGTERM is received first.
 async fn acquire_access(
     config: &Config,
     has_store: bool,
     signals: &mut Signals,
 ) -> std::io::Result<Option<FolderAccess>> {
-    // pending writes of a dead-letter store can't be passed to another process, so there is no hot restart with a store:
-    // the next process starts after this one has ended
+    // pending writes of a dead-letter store can't be passed to another process, so there is no hot restart with a
+    // store: the next process starts after this one has ended
     if has_store {
         return Ok(Some(FolderAccess::Configured));
     }
@@ -170,8 +170,8 @@
     })
 }
 
-/// Starts to watch the endpoint list and to post notifications. The returned channel changes the address of
-/// discovery.
+/// Starts to watch the endpoint list and to post notifications. A new address of discovery can be sent on the returned
+/// channel.
 fn start_discovery(
     address: SocketAddr,
     start: WatchStart,
--- a/src/session_proxy.rs
+++ b/src/session_proxy.rs
@@ -11,24 +11,24 @@
 
 const SETTINGS_HELP: &str = r#"The file:
   group = "harbour"                # as in the coordinators' files
-  name = "relay-1"                 # for its log and its status
-  listen = "10.0.0.9:7401"         # where members reach it
-  stewards = ["10.0.0.1:7301", "10.0.0.2:7301", "10.0.0.3:7301"]   # all of the group
-  gather = "100ms"                 # heartbeats are batched for so long at most
-  places = 4096                    # connections of members at once"#;
+  name = "relay-1"                 # shown in its log and its status
+  listen = "10.0.0.9:7401"         # address for members
+  stewards = ["10.0.0.1:7301", "10.0.0.2:7301", "10.0.0.3:7301"]   # all coordinators of the group
+  gather = "100ms"                 # longest time for which heartbeats are batched
+  places = 4096                    # maximum number of connections from members"#;
 
 /// Batch the heartbeats and commands of many members for the coordinators.
 ///
-/// Needed where more than some 1,000 members have one group of coordinators; a smaller group needs none. A session proxy
-/// stores nothing: start, stop and replace it at will. Plain HTTP without authentication: keep it on loopback or private
-/// addresses.
+/// Needed if more than about 1,000 members use one group of coordinators; a smaller group needs none. A session proxy
+/// stores nothing, so it can be started, stopped and replaced at any time. It uses plain HTTP without authentication:
+/// keep it on loopback or private addresses.
 #[derive(Debug, Args)]
 #[command(after_long_help = SETTINGS_HELP)]
 pub(crate) struct Arguments {
-    /// Its settings file (TOML).
+    /// The session proxy's settings file (TOML).
     #[arg(long, value_name = "FILE")]
     config: PathBuf,
-    /// Only check the file, and exit.
+    /// Check the settings file, and exit.
     #[arg(long)]
     check: bool,
 }
--- a/src/sidecar.rs
+++ b/src/sidecar.rs
@@ -1,4 +1,5 @@
-//! `milletturn sidecar`: the sender beside an application, without the platform. `milletturn demo` starts it too.
+//! `milletturn sidecar`: runs a sender as a sidecar of an application, without the platform. `milletturn demo` also
+//! starts one.
 
 use crate::assemble::{
     FolderAccess, Running, SenderOptions, Signals, StoreOptions, assemble, block_on,
@@ -109,7 +110,7 @@
     Ok((name, running))
 }
 
-/// The endpoint list at the start: the fixed ones and those of the file.
+/// The endpoint list at the start: the fixed endpoints of the configuration, and those of the endpoints file, if any.
 fn initial_endpoints(plan: &Plan) -> Result<EndpointListUpdate, Box<dyn Error>> {
     let mut endpoints = plan.fixed_endpoints.clone();
     if let Some(file) = &plan.endpoints_file {
@@ -139,7 +140,7 @@
     }
 }
 
-/// A random seed that differs between processes: the Unix time in nanoseconds.
+/// A seed for random numbers that differs between processes: the Unix time in nanoseconds.
 fn random_seed() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.unwrap_or_default().as_nanos() as u64
