--- a/crates/platform/src/call_codec.rs
+++ b/crates/platform/src/call_codec.rs
@@ -1,5 +1,5 @@
-//! The HTTP format of calls, as the protocol page defines it: requests, batch bodies, the results of a batch,
-//! `Retry-After`, load reports.
+//! The HTTP format of calls, as the platform's protocol specification defines it: requests, batch bodies, the results
+//! of a batch, `Retry-After`, load reports.
 
 use bytes::Bytes;
 use http_body_util::Full;
--- a/crates/platform/src/call_result.rs
+++ b/crates/platform/src/call_result.rs
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Interprets a complete response by the table of the protocol page.
+    /// Interprets a complete response by the table in the platform's protocol specification.
     pub(crate) fn from_response(
         call: &Call,
         head: &Parts,
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -114,8 +114,8 @@
 }
 
 /// How much later than the sender an endpoint may notice that a call has been aborted: 50 ms ("each time limit is 50
-/// ms longer" on sockets, according to the protocol page). The next message with the same key waits for this time,
-/// because it could otherwise reach the endpoint while the aborted call is still in progress there.
+/// ms longer" on sockets, according to the platform's protocol specification). The next message with the same key waits
+/// for this time, because it could otherwise reach the endpoint while the aborted call is still in progress there.
 pub const SOCKET_SLACK: Micros = 50 * MILLISECOND;
 
 /// Memory limit in megabytes if the file has none. The limit determines only the share for request bodies, which is
--- a/crates/platform/src/connection.rs
+++ b/crates/platform/src/connection.rs
@@ -97,7 +97,7 @@
         is_ready
     }
 
-    /// Records as close reason that the connection was closed while idle: after unsolicited data, or by the endpoint.
+    /// Sets the close reason of a connection that was closed while idle: unsolicited data, or a close by the endpoint.
     pub(crate) fn set_closed_while_idle(&mut self) {
         self.close_reason = match self.monitor.unsolicited_data().is_some() {
             true => CloseReason::UnsolicitedData,
--- a/crates/platform/src/http_transport.rs
+++ b/crates/platform/src/http_transport.rs
@@ -379,9 +379,10 @@
     }
 }
 
-/// Decides whether the endpoint is asked to close the connection after the call. That is also the case for the first
-/// call on a connection if the call must run at most once and the close behaviour of the endpoint is unknown: the
-/// response shows the behaviour, which later calls depend on.
+/// Decides whether the endpoint is asked to close the connection after the call. It is asked if the response can be
+/// attributed to the call only by the close. It is also asked for the first call on a connection if that call must run
+/// at most once and the close behaviour of the endpoint is unknown: the response shows the behaviour, on which later
+/// calls depend.
 fn persistence_of(shared: &Shared, call: &Call, attribution: Attribution) -> Persistence {
     let is_unknown = || shared.close_behaviours.borrow().is_unknown(call.endpoint);
     match attribution {
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,6 +1,6 @@
-//! The sender's side of the platform's HTTP/1.1 interfaces, as the protocol and deployment pages define them: the
-//! server for clients, the transport to endpoints, the discovery client (endpoint list and notifications), and the
-//! configuration.
+//! The sender's side of the platform's HTTP/1.1 interfaces, as the platform's protocol and deployment specifications
+//! define them: the server for clients, the transport to endpoints, the discovery client (endpoint list and
+//! notifications), and the configuration.
 
 #![expect(
     clippy::too_many_lines,
--- a/crates/platform/tests/server.rs
+++ b/crates/platform/tests/server.rs
@@ -318,7 +318,7 @@
 
 #[test]
 fn a_request_that_arrives_while_its_idle_connection_is_closed_is_not_reset() {
-    // The request is not accepted either; its client submits the message again.
+    // The message of that request is not accepted; its client submits the message again.
     with_paused_clock(async {
         let fixture = ServerFixture::open(1, 1).await;
         let mut idle = fixture.idle_client("m1").await;
--- a/crates/platform/tests/single_calls.rs
+++ b/crates/platform/tests/single_calls.rs
@@ -481,7 +481,7 @@
 
 #[test]
 fn a_call_whose_last_response_is_followed_by_endless_data_ends_at_once() {
-    // Guards against an endpoint that sends without end and so occupies the connection.
+    // Guards against an endpoint that keeps a call in flight by sending data endlessly.
     run_local(async {
         let mut fixture = EndpointFixture::new().await;
         let first = response("200 OK", "");
--- a/crates/platform/tests/virtual_discovery/mod.rs
+++ b/crates/platform/tests/virtual_discovery/mod.rs
@@ -55,8 +55,8 @@
 }
 
 impl DiscoveryState {
-    /// The version of the list, which is the number of the current state in the schedule, and that state. Of two
-    /// entries with the same time, the later one counts.
+    /// The version of the list, which is the number of the current state in the schedule from 1, and that state. Of two
+    /// entries with the same time, the later one applies.
     fn current_state(&self, address: SocketAddr) -> (u64, State) {
         let schedule = self
             .schedules
@@ -72,13 +72,13 @@
     }
 }
 
-/// The service and the network to it.
+/// A fake discovery service, and the network over which it is reached.
 #[derive(Clone)]
 pub(crate) struct VirtualDiscovery(Rc<RefCell<DiscoveryState>>);
 
 impl VirtualDiscovery {
-    /// Creates a service with these states from these times on, which responds after `response_delay`. The version of
-    /// the list is the number of the state.
+    /// Creates a service that enters each scheduled state at its time, and responds after `response_delay`. The version
+    /// of the list is the number of the current state in the schedule, from 1.
     pub(crate) fn new(schedule: Vec<(Duration, State)>, response_delay: Duration) -> Self {
         VirtualDiscovery(Rc::new(RefCell::new(DiscoveryState {
             started_at: Instant::now(),
@@ -197,7 +197,7 @@
             sleep(Duration::from_secs(2)).await;
             match self.0.borrow().current_state(address) {
                 (current, _) if current == position => {}
-                // a connection from an earlier state is useless, whatever the state is now
+                // a watch that was opened in an earlier state receives no more data: it is closed, or stays open
                 (_, State::ConnectionRefused | State::TruncatedResponse) => return None,
                 _ => return Some(()),
             }
@@ -205,7 +205,7 @@
     }
 }
 
-/// Waits until a time; `None` if the client closes the connection before.
+/// Waits until a time; `None` if the client closes the connection first.
 async fn wait_until(stream: &mut DuplexStream, until: Instant) -> Option<()> {
     tokio::select! {
         _ = stream.read_u8() => None,
@@ -213,7 +213,7 @@
     }
 }
 
-/// Reads a request with its body; `None` if the client closes the connection before.
+/// Reads a request with its body; `None` if the client closes the connection first.
 async fn read_request(stream: &mut DuplexStream) -> Option<String> {
     let mut text = Vec::new();
     loop {
--- a/src/assemble.rs
+++ b/src/assemble.rs
@@ -235,7 +235,9 @@
             tokio::task::spawn_local(old_process::accept_requests(socket, requests));
         }
         // without the socket, a new process waits for the folder's lock until this one has ended
-        Some(Err(error)) => log(format_args!("{name}: no process can take over: {error}")),
+        Some(Err(error)) => log(format_args!(
+            "{name}: hot restart is not available, listening for takeovers failed: {error}"
+        )),
         None => {}
     }
     requested
--- a/src/dead_letter/arguments.rs
+++ b/src/dead_letter/arguments.rs
@@ -54,9 +54,9 @@
         #[arg(long)]
         bodies: bool,
     },
-    /// Redrive messages: send them again if that is safe. A message that may have run can be redriven at any time if its
-    /// class is repeatable, only within the deduplication window of its key if its class is keyed, and never if its
-    /// class is unsafe.
+    /// Redrive messages: send them again if that is safe. A message that may have run can be redriven at any time if
+    /// its class is repeatable, only within the deduplication window of its key if its class is keyed, and never if
+    /// its class is unsafe.
     #[command(alias = "resend")]
     Redrive {
         #[command(flatten)]
@@ -75,7 +75,7 @@
         /// `done`: no further action is needed. `did-not-run`: the destination has confirmed that the message did not
         /// take effect, so it may be redriven.
         #[arg(long = "as", value_enum)]
-        how: How,
+        how: Resolution,
         #[command(flatten)]
         audit: AuditArguments,
     },
@@ -89,7 +89,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
-enum How {
+enum Resolution {
     Done,
     DidNotRun,
 }
@@ -208,7 +208,7 @@
                 how,
                 audit,
             } => {
-                let did_not_run = *how == How::DidNotRun;
+                let did_not_run = *how == Resolution::DidNotRun;
                 if did_not_run && audit.reason.trim().is_empty() {
                     return Err(
                         "--as did-not-run needs --why: who at the destination said so, and how",
