--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -52,12 +52,14 @@
         (0..self.classes.len()).find(is_match).unwrap_or(usize::MAX)
     }
 
-    /// The longest time that delivery of a message of the class may take, in microseconds.
+    /// The longest time that delivery of a message of the class may take, in microseconds; `None` for a position that
+    /// does not exist.
     pub(crate) fn deadline(&self, position: usize) -> Option<Micros> {
         self.classes.get(position).map(|class| class.deadline)
     }
 
-    /// What a duplicate delivery of a message of the class does.
+    /// The class's rule for duplicate deliveries: harmless, dropped by the destination, or never allowed. `None` for a
+    /// position that does not exist.
     pub(crate) fn effect(&self, position: usize) -> Option<Effect> {
         self.classes.get(position).map(|class| class.effect)
     }
@@ -75,7 +77,7 @@
     }
 
     /// The deduplication window of the class in microseconds: zero if a duplicate is never allowed, `None` if
-    /// duplicates are always allowed.
+    /// duplicates are always allowed or the position does not exist.
     pub(crate) fn deduplication_window(&self, position: usize) -> Option<Micros> {
         match self.classes.get(position)?.effect {
             Effect::Repeatable => None,
--- a/crates/engine/src/dead_letter_sink.rs
+++ b/crates/engine/src/dead_letter_sink.rs
@@ -40,7 +40,7 @@
     pub outcome: Option<Outcome>,
     /// Time from the start of the attempt to its end, in microseconds.
     pub latency: Option<Micros>,
-    /// The destination may have processed the attempt: nothing proves that it did not.
+    /// The destination may have processed the attempt; false only if it certainly did not.
     pub may_have_run: bool,
 }
 
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -47,7 +47,7 @@
     pub submitted_at: Instant,
     /// The client has submitted the message before.
     pub resubmitted: bool,
-    /// The message was submitted before to a sender that was lost.
+    /// The message was submitted before to a sender that is no longer running.
     pub from_lost_sender: bool,
     /// The message's body, at most [`MAX_BODY_BYTES`] bytes.
     pub body: Bytes,
--- a/crates/engine/src/journal.rs
+++ b/crates/engine/src/journal.rs
@@ -57,8 +57,8 @@
     pub key: Option<String>,
     /// The name of the message's class. The journal holds the name because positions may differ in the next process.
     pub class: String,
-    /// What a duplicate delivery does, according to the class when the message was accepted. The message keeps this
-    /// effect even if the class has another one in the next process. `None` in a journal that did not record it.
+    /// The class's rule for duplicate deliveries when the message was accepted. The message keeps this effect even if
+    /// the class has another one in the next process. `None` in a journal that did not record it.
     pub effect: Option<Effect>,
     /// The message's subject, if its class delivers the messages of a subject in order.
     pub subject: Option<String>,
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -28,7 +28,7 @@
     pub outcome: Option<Outcome>,
     /// Time from the start of the attempt to its end, in microseconds.
     pub latency: Option<Micros>,
-    /// The destination may have processed the attempt: nothing proves that it did not.
+    /// The destination may have processed the attempt; false only if it certainly did not.
     pub may_have_run: bool,
 }
 
@@ -91,7 +91,8 @@
     /// Messages with the same ordering key are delivered one at a time if their class keeps order; `None` for a
     /// message without a subject.
     pub ordering_key: Option<u64>,
-    /// When the client submitted the message, or when its redrive was accepted.
+    /// When the client submitted the message, or when its redrive was accepted, in the decision module's time
+    /// (microseconds).
     pub accepted_at: Micros,
     /// When the message expires, in the decision module's time (microseconds).
     pub deadline: Micros,
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -36,7 +36,8 @@
     /// Also sends a notification for each message that an endpoint's response ended, which includes delivered
     /// messages.
     pub notify_delivered: bool,
-    /// Receives the final outcomes of accepted messages that are not delivered.
+    /// Receives the final outcomes of accepted messages that are not delivered and, if `notify_delivered` is set, of
+    /// those that an endpoint's response ended.
     pub notifications: mpsc::UnboundedSender<Notification>,
     /// Observes the engine's events.
     pub observer: Box<dyn Observer>,
--- a/crates/engine/src/retention.rs
+++ b/crates/engine/src/retention.rs
@@ -8,7 +8,8 @@
 use crate::message::{Attempt, Message};
 use milletturn_policy::{Event, MessageId};
 
-/// What must still happen before the journal may drop an ended message: `notified` and `stored` must both be true.
+/// Progress of an ended message that the journal must still hold. The journal may drop the message once `notified` and
+/// `stored` are both true.
 pub(crate) struct PendingRelease {
     /// The message's notification is acknowledged, or none is needed.
     notified: bool,
--- a/crates/engine/src/snapshot.rs
+++ b/crates/engine/src/snapshot.rs
@@ -166,8 +166,8 @@
         Ok(bytes)
     }
 
-    /// Drops the engine except for its calls in flight: returns, by call number, the channels on which positions in
-    /// each call can be cancelled.
+    /// Drops the engine except for its calls in flight: returns, by call number, the channels that cancel attempts by
+    /// their position in the call.
     #[must_use]
     pub fn into_cancel_senders(self) -> BTreeMap<u64, mpsc::UnboundedSender<usize>> {
         self.calls
@@ -186,7 +186,7 @@
     /// not used, because the snapshot contains them.
     ///
     /// # Errors
-    /// When the settings among the ports are invalid.
+    /// When the settings in `ports` are invalid.
     pub fn restore(
         Snapshot(stored): Snapshot,
         ports: Ports,
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -53,7 +53,7 @@
 pub enum Attribution {
     /// The response is the first one on its connection.
     FirstCall,
-    /// The response names the messages of the call, which the connection had not carried before.
+    /// The response repeats the ids of the call's messages, and none of these had been sent on the connection before.
     NamesMessages,
     /// The endpoint was asked to close the connection after the response, and did so without sending anything else.
     LastCall,
@@ -105,8 +105,8 @@
     pub call: u64,
     /// The message's position in the call.
     pub position: usize,
-    /// How the attempt ended. Unless `ambiguous` is set, an attempt that may have run is never reported with an outcome
-    /// that rules that out.
+    /// How the attempt ended. An outcome that means that the attempt never ran, such as a rejection, is reported only
+    /// if that is certain or `ambiguous` is set.
     pub outcome: Outcome,
     /// The message has ended, for example because it was delivered, and needs no further attempt.
     pub message_closed: bool,
--- a/crates/engine/tests/redrives.rs
+++ b/crates/engine/tests/redrives.rs
@@ -304,7 +304,7 @@
 fn new_messages_precede_redrives_whose_number_is_limited() {
     run_in_virtual_time(async {
         let engine = TestEngine::start(1, 16);
-        // a call without a response for 300 ms occupies the only slot
+        // each call takes 300 ms, and the first one occupies the only slot
         engine.call_script.set(ScriptedOutcome {
             executes_after: None,
             reported: Some((Duration::from_millis(300), Outcome::Success)),
--- a/crates/idle-state/src/lib.rs
+++ b/crates/idle-state/src/lib.rs
@@ -1,4 +1,4 @@
-//! The state that is kept of an idle destination, that is one which currently gets no calls, and the limits with which
+//! The state that is kept of an idle destination, which is one that currently gets no calls, and the limits with which
 //! calls to it start again. The compact form takes up tens of bytes, where a destination in use takes up kilobytes.
 //! A pure library: no clock, no I/O.
 //!
--- a/crates/journal/src/compaction.rs
+++ b/crates/journal/src/compaction.rs
@@ -14,7 +14,8 @@
     /// [`JournalError::Full`] when the old and the new file together would exceed the size limit;
     /// [`JournalError::Write`] when the new file can't be written or renamed. The old file is kept in both cases.
     pub(crate) fn compact(&mut self) -> Result<(), JournalError> {
-        // check before encoding, which costs more: while the journal is full, each finished message calls this
+        // this check comes first because encoding costs more, and a full journal tries to compact whenever a message is
+        // finished
         if self.size + self.live.bytes() > self.max_bytes_of_both() {
             return Err(JournalError::Full);
         }
--- a/crates/journal/src/file_journal.rs
+++ b/crates/journal/src/file_journal.rs
@@ -111,8 +111,8 @@
             Ok(())
         };
         match compacted {
-            // without space for a second file the journal works uncompacted; it is compacted later, when enough of
-            // its messages have finished
+            // without space for a second file, the file stays as it is; it is compacted later, when enough of its
+            // messages have finished
             Ok(()) | Err(JournalError::Full) => Ok(()),
             Err(error) => Err(error),
         }
@@ -137,7 +137,8 @@
         }
         let bytes = encode(&record)?;
         let length = bytes.len() as u64;
-        // after this record, the file and its compacted successor, which contains the record too, must fit together
+        // with this record, the file and a compacted copy of it, which contains the record too, must together stay
+        // within the limit
         let fits =
             |size: u64| size + self.live.bytes() + 2 * length + reserved_bytes <= self.max_bytes;
         if !fits(self.size) {
--- a/crates/journal/src/live_messages.rs
+++ b/crates/journal/src/live_messages.rs
@@ -29,7 +29,7 @@
         self.bytes
     }
 
-    /// True until the message is finished.
+    /// Whether the message is unfinished; false also for a number that is unknown.
     pub(crate) fn contains(&self, number: u64) -> bool {
         self.messages.contains_key(&number)
     }
--- a/crates/journal/src/records.rs
+++ b/crates/journal/src/records.rs
@@ -109,9 +109,10 @@
         attempt: u32,
         never_ran: bool,
     },
-    /// A message has ended, without reason and time. Only older builds write this record.
+    /// A message has ended; the record does not contain the reason and the time. Only older builds write this record.
     EndedWithoutReason(u64, #[serde(with = "StoredEnding")] Ending),
-    /// A message is finished: no attempt, no notification and no storage as a dead letter is due for it any more.
+    /// A message is finished: all its attempts have ended, and neither a notification nor storage as a dead letter is
+    /// due any more.
     Finished(u64),
     /// A message from the dead-letter store is redriven.
     Redriven(
--- a/crates/journal/tests/full.rs
+++ b/crates/journal/tests/full.rs
@@ -103,8 +103,8 @@
 }
 
 /// Leaves a file in which all messages but the last are finished, and then damages the records of type `Finished`. The
-/// finished messages are unfinished again, and take up more space than a compacted file may have next to the old one.
-/// Returns the number of the last message.
+/// next start reads all these messages as unfinished, and they are too large for a compacted file: it would exceed the
+/// limit together with the old file. Returns the number of the last message.
 fn fill_and_lose_finished(folder: &Path) -> u64 {
     let (mut journal, _) = open(folder, LIMIT);
     let mut number = 0;
--- a/crates/journal/tests/golden.rs
+++ b/crates/journal/tests/golden.rs
@@ -16,7 +16,7 @@
 const JOURNAL: &[u8] = include_bytes!("golden/journal.bin");
 /// The file that is left when `JOURNAL` is opened with a damaged first record.
 const AFTER_DAMAGE: &[u8] = include_bytes!("golden/journal-after-damage.bin");
-/// A file with records that only older builds wrote: message ends without reason and time.
+/// A file with records that only older builds wrote: ends of messages that contain neither reason nor time.
 const OLDER: &[u8] = include_bytes!("golden/journal-older.bin");
 
 fn folder(name: &str) -> PathBuf {
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -112,8 +112,9 @@
 const CANCEL_AFTER_LIMITS: i64 = 2;
 /// Factor by which the time before cancellation is longer if only one class at one endpoint gets no response.
 const CLASS_CANCEL_FACTOR: i64 = 2;
-/// A call is cancelled once its age exceeds this many halves of the unresponsive limit times the number of
-/// its attempt, if calls of its class that were sent to the endpoint later have succeeded.
+/// Age at which a call is cancelled if calls of its class that were sent to the endpoint later have
+/// succeeded, in halves of the unresponsive limit. For later attempts of a message, the age is multiplied by
+/// the number of the attempt, counted from 1.
 const OVERTAKEN_HALF_LIMITS: i64 = 3;
 /// Share of the slots in use at or above which unsafe calls are cancelled too. Smaller values abandon more
 /// messages, larger ones free fewer slots.
@@ -144,9 +145,9 @@
 /// Share of the recovery budget that is used. Larger values recover sooner, smaller ones leave room for other
 /// senders.
 const RECOVERY_BUDGET_SHARE: f64 = 0.7;
-/// Lower bound of the probes of an ejected scope per overload window, by all senders together; it applies
-/// where the recovery budget would allow fewer probes. Larger values detect recovery sooner, smaller ones put
-/// less load on a small destination.
+/// Smallest number of probes that all senders together may send to an ejected scope in each overload window,
+/// even if the recovery budget allows fewer. Larger values detect recovery sooner, smaller ones put less load
+/// on a small destination.
 const MIN_FLEET_PROBES: f64 = 3.0;
 /// Weight of one call in the moving average of connection rejections, if the call could not open a connection
 /// or met a full connection table.
@@ -159,8 +160,8 @@
 /// Largest remaining share that raises the rate above the fair share: 0.3 allows two fair shares. With more,
 /// all senders would exceed the limit before they receive the next report.
 const MAX_COUNTED_REMAINING_SHARE: f64 = 0.3;
-/// Relative increase of the rate limit with each report, per remaining share above the target. Larger values
-/// follow the demand sooner but oscillate.
+/// Relative change of the rate limit with each report, per unit by which the remaining share differs from the
+/// target. Larger values follow the demand sooner but oscillate.
 const REMAINING_SHARE_GAIN: f64 = 0.15;
 /// Remaining share of an announced limit at which the rate limit neither rises nor falls.
 const TARGET_REMAINING_SHARE: f64 = 0.5;
@@ -186,8 +187,8 @@
 const TENANT_BURST_SECONDS: f64 = 2.0;
 
 impl Sender {
-    /// Creates a sender that knows no endpoints and holds no messages. The same `seed` gives the same
-    /// decisions.
+    /// Creates a sender that knows no endpoints and holds no messages. The same `seed` and the same events
+    /// always result in the same decisions.
     ///
     /// # Errors
     /// When the settings are invalid.
@@ -262,7 +263,7 @@
             Event::Accepted(message) => {
                 self.on_accepted(message);
                 // No list has named the destination. The message is rejected at once, and the client may
-                // retry, because the list may be late.
+                // retry, because a later list may contain the destination.
                 let destination_unknown = !self.last_listed_at.is_empty()
                     && !self.last_listed_at.contains_key(&message.destination);
                 let is_rejected = destination_unknown || self.would_wait_too_long(message);
@@ -586,8 +587,8 @@
                 scope.record_latency(latency);
                 scope.consecutive_rejections = 0;
                 scope.succeeded_since_reduction = true;
-                // A scope that still has successes so long after its ejection that an outage and the recovery
-                // would be over is only noisy.
+                // An outage and the recovery from it would be over after this time: a scope that was ejected
+                // longer ago and still has successes is noisy rather than down.
                 let baseline_unknown = scope.outage_evidence.observed_calls() < MIN_KNOWN_CALLS
                     && scope.average_send_rate(now, overload_window / 30) >= BUSY_CALLS_PER_S;
                 let is_noise = now - scope.unhealthy_since > MAX_OUTAGE_SLOW_STARTS * slow_start
@@ -810,11 +811,11 @@
         );
     }
 
-    /// Closes the idle connections to an endpoint without calls that has rejected connections lately. A
-    /// scope that is called so rarely that its connections would time out before they are used again closes
-    /// them as soon as other endpoints of the kind reject connections. This protects endpoints that accept
-    /// few connections from hundreds of senders that each keep one idle. Where traffic comes in bursts with
-    /// long pauses, the next call pays for a handshake.
+    /// Closes the idle connections to an endpoint that has no call in flight and has recently rejected
+    /// connections. A scope that is called so rarely that its connections would time out before they are used
+    /// again closes them as soon as other endpoints of the kind reject connections. This protects endpoints
+    /// that accept few connections from hundreds of senders that each keep one idle. Where traffic comes in
+    /// bursts with long pauses, the next call pays for a handshake.
     fn release_idle_connections(
         &mut self,
         scope_id: HealthScopeId,
@@ -899,9 +900,9 @@
     }
 
     /// Ejects scopes that send no response while calls wait far beyond their typical latency, and cancels
-    /// their calls some time later where that is safe. This keeps hung, vanished or very slow destinations
-    /// from filling the slots of healthy ones. A single long call may be the only traffic of a scope, so a
-    /// lone call gets twice the time.
+    /// their calls some time later where that is safe. This keeps hung, unreachable or very slow destinations
+    /// from occupying the slots that calls to healthy ones need. A single long call may be the only traffic
+    /// of a scope, so a lone call gets twice the time.
     fn detect_unresponsive_calls(&mut self, actions: &mut Vec<Action>) {
         for call in self.calls.values() {
             if let Some(scope) = self.scopes.get_mut(&call.scope) {
@@ -1218,8 +1219,9 @@
         }
     }
 
-    /// The time from which no attempt of the message can be allowed, because it may have run and must not be
-    /// repeated or no attempt is left. `Micros::MIN` means already now, `Micros::MAX` never.
+    /// The time from which the message cannot be sent any more: it was rejected on arrival, has used all its
+    /// attempts, or may have been processed and must not be sent again. `Micros::MIN` means that it cannot be
+    /// sent now, `Micros::MAX` that there is no such time.
     pub(crate) fn unsendable_from(&self, message: &PendingMessage) -> Micros {
         if message.rejected_on_arrival
             || message.attempts.len() >= message.max_attempts && !message.has_attempt_in_flight()
@@ -1640,8 +1642,8 @@
             .is_some()
             && scope.health == Health::Healthy;
         // Load reports show the part of the rate above the minimum share as remaining, so its tokens may be
-        // saved up for random bursts, except for those of messages that the rate serves within the shortest
-        // latency objective.
+        // saved up for random bursts. The allowance is smaller by the calls that the rate allows within the
+        // shortest latency objective: messages that wait for these calls are still in time.
         let spare_rate = if follows_reports {
             (refill.rate - MIN_FAIR_SHARE * scope.fair_share).max(0.0)
         } else {
@@ -1662,7 +1664,7 @@
         );
     }
 
-    /// A random number from 0 to 1, used as a part of one token so that senders do not all start at once.
+    /// A random number from 0 to 1, used as a fraction of a token so that senders do not all start at once.
     fn random_phase(&mut self) -> f64 {
         f64::from(self.random.next_u32()) / f64::from(u32::MAX)
     }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -46,7 +46,7 @@
     /// Name of the class, unique in the host's configuration. After a reload, an old and a new class may have
     /// the same name.
     pub name: String,
-    /// What a repeated delivery does.
+    /// What happens if a message of the class is delivered more than once.
     pub effect: Effect,
     /// Age up to which a delivery has its full value, in microseconds.
     pub latency_objective: Micros,
@@ -249,7 +249,7 @@
     /// Checks all settings.
     ///
     /// # Errors
-    /// Names the first invalid setting.
+    /// When a setting is invalid; the error names the first such setting.
     pub fn validate(&self) -> Result<(), SettingsError> {
         let mut names = BTreeSet::new();
         for class in &self.classes {
@@ -438,7 +438,7 @@
     pub tenant: Option<usize>,
     /// The client has submitted the message before.
     pub resubmitted: bool,
-    /// The message was submitted to a sender that has died.
+    /// The message was submitted before to a sender that is no longer running.
     pub from_lost_sender: bool,
     /// The message was redriven from the dead-letter store; it is sent after all messages that are not
     /// deferred.
@@ -470,7 +470,7 @@
     pub endpoint: EndpointId,
     /// When the attempt was sent, on the clock of the current process.
     pub sent_at: Micros,
-    /// Nothing proves that the attempt never ran.
+    /// The destination may have processed the attempt; true unless the recorded outcome rules that out.
     pub may_have_run: bool,
 }
 
@@ -502,7 +502,7 @@
 }
 
 impl Outcome {
-    /// Whether the destination, or the network on the way to it, failed the attempt.
+    /// Whether the attempt failed at the destination or in the network.
     #[must_use]
     pub fn is_failure(self) -> bool {
         matches!(
--- a/crates/policy/src/outage_evidence.rs
+++ b/crates/policy/src/outage_evidence.rs
@@ -7,11 +7,11 @@
 //! zero. False alarms then occur less often than once in exp(threshold) calls, whatever the baseline failure
 //! rate is.
 
-/// Failures and calls of the prior of the baseline failure rate. The prior is weak, so that about a dozen
-/// calls outweigh it. A higher prior rate detects the first outage of an unknown scope later, a lower one
-/// mistakes its first random failures for an outage.
+/// Failures in the prior of the baseline failure rate, out of [`PRIOR_CALLS`] calls. The prior is weak, so
+/// that about a dozen calls outweigh it. A higher prior rate detects the first outage of an unknown scope
+/// later, a lower one mistakes its first random failures for an outage.
 const PRIOR_FAILURES: f64 = 0.1;
-/// See [`PRIOR_FAILURES`].
+/// Calls in the prior of the baseline failure rate; see [`PRIOR_FAILURES`].
 const PRIOR_CALLS: f64 = 10.0;
 /// Calls that the baseline remembers. More calls make the baseline more stable, fewer follow a change sooner.
 const DEFAULT_MAX_CALLS: f64 = 200.0;
@@ -22,7 +22,7 @@
 pub const MAX_BASELINE_RATE: f64 = 0.4;
 /// Smallest failure rate during an outage: half of all calls or more fail.
 const MIN_OUTAGE_FAILURE_RATE: f64 = 0.5;
-/// Failure rate of a scope that answers no calls at all.
+/// Assumed failure rate of a scope in a total outage, in which it answers no call.
 const TOTAL_OUTAGE_FAILURE_RATE: f64 = 0.98;
 
 /// Evidence at which a scope is ejected; the chance of a false alarm is about one in 10^6 per call. Higher
@@ -40,7 +40,7 @@
     calls: f64,
     /// Failures since the last success. They are noise, and join the baseline, only if a success follows.
     pending_failures: f64,
-    /// The CUSUM: a natural logarithm of the likelihood ratio, zero or more.
+    /// The CUSUM: the natural logarithm of a likelihood ratio, zero or more.
     evidence: f64,
 }
 
@@ -70,7 +70,7 @@
         rate.clamp(MIN_BASELINE_RATE, MAX_BASELINE_RATE)
     }
 
-    /// The remembered failures and calls of the baseline.
+    /// The numbers of failures and of all calls that the baseline remembers.
     #[must_use]
     pub fn observed_counts(&self) -> (f64, f64) {
         (self.failures, self.calls)
--- a/crates/policy/src/rejection_correlation.rs
+++ b/crates/policy/src/rejection_correlation.rs
@@ -7,8 +7,9 @@
 use crate::interface::{Micros, SECOND};
 use crate::outage_evidence::{MAX_BASELINE_RATE, OutageEvidence};
 
-/// Responses that the baseline remembers. The number is larger than for failures, so that the rejections of a
-/// destination's limit do not become part of the baseline while the rate limit slowly approaches it.
+/// Responses that the baseline remembers. The number is larger than for failures, so that rejections caused
+/// by a destination's limit do not become part of the baseline while the rate limit slowly approaches that
+/// limit.
 const MAX_CALLS: f64 = 1000.0;
 /// Evidence of rejections above the baseline at which a rate probe starts: two or three rejections close
 /// together where the baseline is zero, six in a row where it is 10%.
@@ -36,12 +37,13 @@
 const MAX_REJECTION_RATIO_AT_LIMIT: f64 = 0.35;
 /// Log-likelihood ratio at which the second phase of a rate probe decides between noise and a limit.
 const PROBE_DECISION_THRESHOLD: f64 = 3.0;
-/// How long a limit is remembered after the last rejection that it explains.
+/// How long a limit is assumed after the last rejection that was attributed to it.
 const LIMIT_MEMORY: Micros = 30 * SECOND;
-/// A limit lies above half the rate at which it was found. If rejections exceed the baseline at a success
-/// rate below this part of that rate, there is no limit.
+/// Share of the rate at which a limit was found, below which the limit cannot be the cause of rejections. A
+/// limit lies above half of that rate. If rejections exceed the baseline at a success rate below this share,
+/// there is no limit.
 const MIN_LIMITED_RATE_SHARE: f64 = 0.6;
-/// Part of the rate at the limit below which rejections belong to the baseline.
+/// Share of the rate at which a limit was found, below which rejections belong to the baseline.
 const BELOW_LIMIT_SHARE: f64 = 0.85;
 
 /// What the rejections mean for the rate limit.
@@ -114,7 +116,7 @@
 }
 
 impl RejectionCorrelation {
-    /// The remembered rejections and responses of the baseline.
+    /// The numbers of rejections and of all responses that the baseline remembers.
     #[must_use]
     pub fn observed_counts(&self) -> (f64, f64) {
         self.evidence.observed_counts()
@@ -301,7 +303,7 @@
         RateAdvice::HalveForProbe
     }
 
-    /// Assumes a limit at the given rate from now on, or assumes a known one for longer.
+    /// Assumes a limit at the given rate, or extends the time for which a known limit is assumed.
     fn assume_limit(&mut self, now: Micros, success_rate: f64) -> RateAdvice {
         if now >= self.limited_until {
             (self.rate_at_limit, self.rate_limit_before) = (success_rate, f64::INFINITY);
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -1,16 +1,16 @@
 //! Schedule of the pending messages, so that a turn handles only messages that have an event or are due. What
 //! may be sent, and in which order, is decided in `decide.rs`.
 //!
-//! A message that may be sent now waits in a *queue* with others like it; one that may be sent later waits
-//! for its time. A queue without an endpoint that admits a call is blocked until something happens at its
-//! destination, or until the time that the check determined.
+//! A message that may be sent now waits in a *queue* with other messages that pass the same checks; one that
+//! may be sent later joins its queue at that time. A queue is blocked while no endpoint admits a call for it:
+//! until something changes at its destination, or until the time that the check determined.
 
 use crate::interface::{DestinationId, EndpointId, MILLISECOND, MessageId, Micros};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-/// Delay between the time at which a blocked queue may be sent again and the check of the queue: one turn
-/// then uses several tokens that become available close together.
+/// Delay between the time at which a blocked queue may be unblocked and the check of the queue, so that one
+/// turn uses several tokens that become available close together.
 pub(crate) const QUEUE_WAKE_DELAY: Micros = MILLISECOND;
 
 /// Identifies a queue: its messages pass the same checks, and only their age sets the order among them.
@@ -47,7 +47,7 @@
 pub(crate) struct ScheduleEntry {
     pub readiness: Readiness,
     pub accepted_at: Micros,
-    /// For an open message: its deadline, and the time from which no attempt of the message can be allowed.
+    /// For an open message: its deadline, and the time from which it cannot be sent any more.
     pub expiry: Option<(Micros, Micros)>,
     /// An attempt is in flight.
     pub in_flight: bool,
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -12,10 +12,10 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// All decisions of one sender. The host passes events to [`Sender::handle`] and carries out the resulting
-/// actions.
+/// Makes all decisions of one sender. The host passes events to [`Sender::handle`] and carries out the
+/// resulting actions.
 ///
-/// A hot restart writes the state by position: the order and types of fields are part of the stored form.
+/// A hot restart serializes the state by position: the order and types of fields are part of the stored form.
 #[derive(Debug, serde::Serialize, serde::Deserialize)]
 pub struct Sender {
     pub(crate) settings: Settings,
@@ -35,8 +35,8 @@
     pub(crate) idle_scan_position: Option<HealthScopeId>,
     /// Endpoints that are not serving (draining or no longer listed) and may be removed.
     pub(crate) removable_endpoints: BTreeSet<EndpointId>,
-    /// Destinations without endpoints, with the time at which the last one was removed. They are forgotten
-    /// after a retention period.
+    /// Destinations without endpoints, with the time at which the last endpoint was removed. A destination is
+    /// removed after a retention period.
     pub(crate) unlisted_destinations: BTreeSet<(Micros, DestinationId)>,
     /// Health scopes that may have lost their last endpoint.
     pub(crate) removable_scopes: BTreeSet<HealthScopeId>,
@@ -59,8 +59,8 @@
     pub(crate) shutdown_at: Option<Micros>,
     /// The next time at which something may be due. The alarm is set to this time.
     pub(crate) next_due_at: Micros,
-    /// Schedule of the messages. It is not stored, but rebuilt from the messages after reading a stored
-    /// state.
+    /// Schedule of the messages. It is not stored; after a stored state is read, it is rebuilt from the
+    /// messages.
     #[serde(skip)]
     pub(crate) scheduler: SendScheduler,
     /// Calls in flight at slow or ejected scopes, counted again in each turn.
@@ -115,7 +115,7 @@
     pub call_id: u64,
     /// The outcome is not known yet.
     pub in_flight: bool,
-    /// The outcome does not prove that the attempt never ran.
+    /// The attempt has ended, and the destination may have processed it; false while it is in flight.
     pub may_have_run: bool,
     /// A later attempt started while this attempt was in flight.
     pub overlapped: bool,
@@ -238,7 +238,7 @@
     pub outage_evidence: OutageEvidence,
     /// Whether rejections that announce no limit follow the load.
     pub rejections: RejectionCorrelation,
-    /// Until this time, a scope that was ejected because of failures may only have been noisy.
+    /// Until this time, the failures for which the scope was ejected may be noise rather than an outage.
     pub outage_unconfirmed_until: Micros,
     /// When a recovering scope becomes healthy at the earliest: one slow start after its first success.
     pub slow_start_ends_at: Micros,
@@ -370,8 +370,8 @@
         self.success_times.len() as f64 / seconds(elapsed.clamp(span / 60, span))
     }
 
-    /// Tokens of the rate limit at a given time, if nothing happens until then. None are added during a
-    /// retry-after delay: otherwise all senders that received it would send bursts when it ends.
+    /// Tokens of the rate limit at a given time, if the scope does not change until then. None are added
+    /// during a retry-after delay: otherwise all senders that received it would send bursts when it ends.
     pub(crate) fn tokens_available_at(&self, now: Micros) -> f64 {
         let refill_from = self.tokens_updated_at.max(self.retry_after_until);
         if now <= refill_from {
--- a/crates/simulator-adapter/src/actions.rs
+++ b/crates/simulator-adapter/src/actions.rs
@@ -14,7 +14,7 @@
     }
 }
 
-/// Names of one instance, its messages and its endpoints, which actions are written with.
+/// The names of one instance, its messages and its endpoints, as they appear in the lines of its actions.
 pub(crate) struct ActionNames<'a> {
     /// The name of the instance whose actions are written.
     pub(crate) instance: &'a str,
--- a/crates/simulator-adapter/src/base64.rs
+++ b/crates/simulator-adapter/src/base64.rs
@@ -34,7 +34,7 @@
     }
     let body = text.trim_end_matches('=');
     let mut bytes = Vec::new();
-    // the bits that have been read and are not in `bytes` yet, and how many they are
+    // the bits that have been read but are not in `bytes` yet, and the number of these bits
     let (mut bits, mut bit_count) = (0u32, 0);
     for letter in body.bytes() {
         let Some(sextet) = ALPHABET.iter().position(|&known| known == letter) else {
--- a/crates/simulator-adapter/src/events.rs
+++ b/crates/simulator-adapter/src/events.rs
@@ -13,7 +13,7 @@
 
 /// The bit of a `demand` event that marks a message which the client has submitted before.
 const RESUBMITTED_BIT: u64 = 2;
-/// The bit of a `demand` event that marks a message which was submitted before to a sender that was lost.
+/// The bit of a `demand` event that marks a message which was submitted before to a sender that is no longer running.
 const FROM_LOST_SENDER_BIT: u64 = 16;
 
 /// Endpoint lists by number; the rows of each list are unparsed text.
--- a/crates/simulator-adapter/src/fields.rs
+++ b/crates/simulator-adapter/src/fields.rs
@@ -11,7 +11,7 @@
 pub(crate) struct Fields<'a>(std::str::Split<'a, char>);
 
 impl<'a> Fields<'a> {
-    /// Starts at the first field of a line.
+    /// Splits a line into its fields; the next field is the first one of the line.
     pub(crate) fn new(line: &'a str) -> Self {
         Fields(line.split(' '))
     }
