--- a/crates/idle-state/src/initial_limits.rs
+++ b/crates/idle-state/src/initial_limits.rs
@@ -7,7 +7,7 @@
 /// Time after the last call, in microseconds, from which the measurements of a destination are stale. An hour is far
 /// longer than any outage that may still be in progress, and short compared to the weeks between two messages of a
 /// small destination. A shorter time would discard the measurements after one evening without messages; a longer one
-/// would rely on limits that a deployment has changed meanwhile.
+/// would rely on limits that a deployment has changed since.
 pub const STALE_AFTER: Micros = 3_600 * SECOND;
 /// Maximum initial rate, in calls per second, where the measurements are stale. Each success may raise the rate by
 /// half, so that 200 per second are reached after about ten. A higher value serves a burst sooner; a lower one causes
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -67,9 +67,9 @@
 /// Longest delay of the first call after a restart, as a share of the latency objective or of the time left,
 /// whichever is shorter.
 const MAX_RESUME_DELAY_SHARE: f64 = 0.75;
-/// Upper bound of the rate limit while no messages wait, as a multiple of the recent success rate. A success
-/// rate that the demand limits says nothing about the destination's capacity (RFC 7661). Larger values follow
-/// demand sooner, smaller ones let fewer simultaneous bursts of all senders through.
+/// Upper bound of the rate limit while no messages wait, as a multiple of the recent success rate. If only
+/// the demand limits the success rate, that rate says nothing about the destination's capacity (RFC 7661).
+/// Larger values follow demand sooner, smaller ones let fewer simultaneous bursts of all senders through.
 const APPLICATION_LIMITED_MULTIPLE: f64 = 2.0;
 /// Lowest value of that upper bound, as a multiple of the fair share. The trade-off is the same as for
 /// `APPLICATION_LIMITED_MULTIPLE`.
@@ -1163,8 +1163,8 @@
         Some(combined)
     }
 
-    /// Whether the message may be rejected, which invites the client to retry: a retry must be certain to do
-    /// no harm.
+    /// Whether the message may be rejected. A rejection invites the client to retry, so it is allowed only if
+    /// a repeat cannot do harm.
     fn may_reject(&self, message: &PendingMessage) -> bool {
         self.now < self.repeatable_until(message, usize::MAX, None)
     }
--- a/crates/policy/src/idle.rs
+++ b/crates/policy/src/idle.rs
@@ -63,7 +63,7 @@
                 from_destination_state(&compact.expand(), self.now, self.settings.safety.slow_start)
             }
             None => {
-                // A response may come from an endpoint that the list has removed meanwhile.
+                // A response may come from an endpoint that the list no longer names.
                 self.removable_scopes.insert(id);
                 HealthScope {
                     first_seen_at: self.first_listed_at(id),
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -159,8 +159,8 @@
     pub hedging_enabled: bool,
     /// Attempts may be cancelled.
     pub cancellation_enabled: bool,
-    /// The host reports the end of messages by notifications, which may arrive later than the decision. If
-    /// false, ends are known at once.
+    /// The host reports the end of messages to clients by notifications, which may arrive later than the
+    /// decision. If false, clients are assumed to learn of an end immediately.
     pub notifications_enabled: bool,
     /// The host may be asked for an [`Action::Probe`]. No decision asks for one at present: the probes of
     /// ejected destinations are ordinary attempts.
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -158,8 +158,7 @@
         self.deadlines.first().map(|(at, _)| *at)
     }
 
-    /// Open messages with a deadline up to `deadline`, or that cannot be sent any more from a time up to
-    /// `now` on.
+    /// Open messages whose deadline is not after `deadline`, and those that cannot be sent any more at `now`.
     pub(crate) fn undeliverable(
         &self,
         deadline: Micros,
