--- a/crates/policy/benches/turn.rs
+++ b/crates/policy/benches/turn.rs
@@ -19,9 +19,9 @@
 const PENDING: [usize; 4] = [10, 100, 1_000, 10_000];
 /// Numbers of destinations.
 const DESTINATIONS: [u64; 4] = [100, 1_000, 10_000, 50_000];
-/// Measured turns for each pair of those numbers.
+/// Measured turns for each combination of [`PENDING`] and [`DESTINATIONS`].
 const ROUNDS: usize = 60;
-/// Number of failing destinations, which have the lowest numbers.
+/// Number of failing destinations, which are those with the lowest ids.
 const FAILING: u64 = 10;
 
 /// A decision module with a virtual clock and the actions of its last turn.
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -44,8 +44,8 @@
 fn a_fleet_without_a_reported_limit_does_not_overload_a_destination_in_slow_start() {
     // Guards against two faults. First, each sender estimated the time of the recovery from its own probes, and some
     // ended slow start 1 s too early and sent all pending messages: with 10 to 30 senders the destination collapsed in
-    // most runs. Second, the best rates of senders that call rarely added up to more than all of them together had
-    // ever been served.
+    // most runs. Second, the highest rates of senders that call rarely added up to more than the destination had ever
+    // served to all of them together.
     for senders in [1, 3, 10, 20, 30, 100] {
         for (skew, seed) in (0..8).flat_map(|seed| [(1.0, seed), (2.0, seed)]) {
             assert_no_collapse(scenario(senders, skew, seed));
@@ -55,7 +55,8 @@
 
 #[test]
 fn rates_learned_over_a_long_time_do_not_exceed_what_was_served() {
-    // the longer a sender runs, the more its best 2 s exceed, by chance, the rate at which it is usually served
+    // A sender remembers the highest rate at which its calls succeeded over 2 s. The longer it runs, the further this
+    // maximum exceeds its usual rate, by chance.
     for senders in [10, 30, 100] {
         for (skew, seed) in (0..3).flat_map(|seed| [(1.0, seed), (2.0, seed)]) {
             assert_no_collapse(RecoveryScenario {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -112,7 +112,7 @@
     }
 }
 
-/// The same end of an attempt, with a load report in the response.
+/// Adds a load report with these values to an [`Event::AttemptEnded`].
 pub(crate) fn with_report(mut end: Event, values: &[f64]) -> Event {
     if let Event::AttemptEnded { report, .. } = &mut end {
         *report = values.to_vec();
@@ -120,7 +120,7 @@
     end
 }
 
-/// The same end of an attempt, by a response that may be a duplicate of an earlier one.
+/// Marks the response of an [`Event::AttemptEnded`] as one that may be a duplicate of an earlier response.
 pub(crate) fn with_ambiguous_response(mut end: Event) -> Event {
     if let Event::AttemptEnded { ambiguous, .. } = &mut end {
         *ambiguous = true;
--- a/crates/policy/tests/common/traffic.rs
+++ b/crates/policy/tests/common/traffic.rs
@@ -53,7 +53,7 @@
     pub ejections: usize,
     /// Time of the first of those ejections, counted from the start.
     pub first_ejected_at: Option<Micros>,
-    /// Calls that failed between `Traffic::measured_from` and the first ejection.
+    /// Failing calls that were sent between `Traffic::measured_from` and the first ejection.
     pub wasted_calls: usize,
 }
 
--- a/crates/policy/tests/guards.rs
+++ b/crates/policy/tests/guards.rs
@@ -71,7 +71,7 @@
     assert_eq!(
         harness.send_times(2).len(),
         0,
-        "destination 7 has not responded for long"
+        "destination 7 has not responded for 500 ms"
     );
     assert_eq!(harness.send_times(3).len(), 1);
     harness.end_attempt(1, Outcome::Success, 500 * MILLISECOND);
@@ -472,7 +472,8 @@
     for overtaken in [true, false] {
         let mut harness = Harness::new(settings(8), two_destinations());
         warm_up(&mut harness);
-        // the responses are late but in the order of the calls, so the endpoint is only slow
+        // If the call is overtaken, later calls succeed while it has no response. Otherwise only the two calls before it
+        // succeed, late but in the order of the calls, so the endpoint is only slow.
         harness.handle(vec![message(50, KEYED, 7), message(51, KEYED, 7)]);
         harness.run_until(harness.now + 10 * MILLISECOND);
         harness.handle(vec![message(1, KEYED, 7)]);
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -1,11 +1,11 @@
 //! Bounds the size of the decision module.
 
-/// Tokens of the two files: each name, number and punctuation mark outside comments and string literals counts as one,
-/// except braces and commas, which the formatter adds and removes with the length of names. The files may not grow beyond
-/// this until the module is divided.
+/// Maximum number of tokens in `decide.rs` and `rejection_correlation.rs` together, until the module is divided. Each
+/// name, number and punctuation mark outside comments counts as one token, and so does each string literal. Braces and
+/// commas do not count, since the formatter adds and removes them with the length of names.
 const MAX_TOKENS: usize = 12037;
 
-/// Counts names, numbers and punctuation marks other than braces and commas, outside comments and string literals.
+/// Counts the tokens of a source text as [`MAX_TOKENS`] defines them.
 fn count_tokens(text: &str) -> usize {
     let mut tokens = 0;
     let mut characters = text.chars().peekable();
--- a/crates/policy/tests/noise.rs
+++ b/crates/policy/tests/noise.rs
@@ -1,5 +1,5 @@
-//! The decision module with endpoints that fail at random, in virtual time and from a seed: random failures cost
-//! neither messages nor rate, and a real outage is still found quickly.
+//! The decision module with endpoints that fail at random, in virtual time and from a seed: random failures neither
+//! cause messages to be lost nor reduce the rate, and a real outage is still found quickly.
 
 #![expect(
     clippy::too_many_lines,
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -524,8 +524,8 @@
 
 #[test]
 fn the_deduplication_window_starts_at_a_never_executed_first_attempt_if_a_hedge_overlaps() {
-    // Guards against counting the deduplication window from the hedged request if the first attempt fails to connect,
-    // but only after the hedged request was sent.
+    // Guards against counting the deduplication window from the hedged request when the first attempt fails to connect
+    // after the hedged request was sent.
     let mut harness = Harness::new(settings(40), pool(2));
     harness.handle(vec![message(1, KEYED, 7)]);
     harness.run_until(START + 1_100 * MILLISECOND);
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -144,8 +144,8 @@
 
 #[test]
 fn a_first_rejection_is_not_retried_immediately() {
-    // Guards against an unused token in the bucket of a sender without a rate limit: it allowed a retry of each
-    // rejected call within 50 ms.
+    // Guards against a token that is left in the bucket when the first rejection limits a sender's rate: it allowed a
+    // retry of each rejected call within 50 ms.
     for count in FLEET_SIZES {
         let mut fleet = Fleet::new(count, 3, |_| {});
         fleet.submit_messages();
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -256,7 +256,7 @@
     }
 }
 
-/// A fake discovery service: sends the same events on each watch of the endpoint list, and receives notifications.
+/// A fake discovery service: sends `watch_events` on each watch of the endpoint list, and receives notifications.
 pub struct FakeDiscovery {
     /// Address on which the service listens.
     pub address: SocketAddr,
--- a/crates/test-support/src/limited_fleet/simulation.rs
+++ b/crates/test-support/src/limited_fleet/simulation.rs
@@ -18,7 +18,7 @@
 pub(super) const DESTINATION: u64 = 7;
 /// Responses begin to carry load reports this long after the start.
 const FIRST_REPORT_AFTER: Micros = 600 * MILLISECOND;
-/// Time between updates of what load reports contain.
+/// Interval at which the remaining share in load reports is updated.
 const REPORT_INTERVAL: Micros = 300 * MILLISECOND;
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Micros = 5 * SECOND;
--- a/crates/test-support/src/virtual_transport.rs
+++ b/crates/test-support/src/virtual_transport.rs
@@ -112,7 +112,7 @@
         let mut unfinished: Vec<usize> = (0..call.items.len()).collect();
         let task = tokio::task::spawn_local(async move {
             let end = |item: usize, outcome: Outcome| {
-                // receiving the response's last byte is an externally visible step as well
+                // each end of an attempt counts as a step: a response, a timeout or a cancellation
                 if crash_point.try_step() {
                     let message_closed = outcome == Outcome::Success;
                     let ended = AttemptEnd {
--- a/tests/dead_letter.rs
+++ b/tests/dead_letter.rs
@@ -220,7 +220,7 @@
 
 #[test]
 fn kills_at_any_time_leave_each_failed_message_stored_once() {
-    // the engine's test stops at every step in virtual time; here processes are killed after real pauses
+    // the engine's tests simulate a crash at every step in virtual time; here processes are killed after real pauses
     let (endpoint, _) = broken_endpoint();
     let mut node = Node::with_store(
         &discovery_with(&endpoint),
@@ -271,7 +271,8 @@
         "[store]\nmax_mb = 2\nkeep_returned = true",
     )
     .ready();
-    // the store's worker starts concurrently; a lock taken before it opens the store would disable the store in this process
+    // the store's thread verifies the rows first; if the lock made that fail, the thread would end and this process would
+    // store no messages
     wait_until("the store reports that it is empty", || {
         node.undelivered(&["list"]).0 == 3
     });
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -47,7 +47,7 @@
     }
 }
 
-/// Writes a journal with this number of messages that have not been attempted and may be attempted only once.
+/// Writes a journal with this number of at-most-once messages that have not been attempted.
 fn write_unfinished(state: &Path, count: u64) {
     let (mut journal, _) = FileJournal::open(state, MAX_JOURNAL_BYTES, 1000).expect("a journal");
     for number in 0..count {
@@ -75,7 +75,7 @@
 
 #[test]
 fn hung_peers_do_not_delay_readiness() {
-    // discovery, for lists and notifications, and every endpoint accept connections and never respond
+    // one listener stands for discovery and for both endpoints: clients can connect to it, and it never responds
     let hanging = unresponsive_listener();
     let address = hanging.local_addr().expect("bound");
     let known = list_json(&[
@@ -151,8 +151,8 @@
         0.3,
         EMPTY_ENDPOINT_LIST,
         |state| {
-            // After damage the journal presumes an attempt for each message. With small messages these attempts take up
-            // much space in comparison.
+            // After damage the journal presumes an attempt for each message. With small messages, the records of these
+            // attempts take up much of the space.
             let (mut journal, _) = FileJournal::open(state, 300_000, 1).expect("a journal");
             let first_rejected = (0..).find(|&n| {
                 journal
@@ -292,8 +292,9 @@
 
 #[test]
 fn a_kill_between_any_two_steps_of_a_message_resumes_from_the_journal() {
-    // A process killed after a record has done nothing of what follows that record: the 202 follows the first record, the
-    // first byte of the call follows the second, the end of the call comes before the third.
+    // The journal of a delivered message has three records. The sender answers 202 only after it has written the first,
+    // sends the first byte of the call only after the second, and writes the third once the call has ended. So a kill
+    // between two steps is simulated by a journal that ends after one of the records or within the next one.
     for class in ["order", "webhook"] {
         let endpoint = FakeEndpoint::new(|_, _| OK);
         let discovery = discovery_with(&endpoint);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -94,7 +94,7 @@
 }
 
 /// Delays a write until another member owns the resource, and checks that it is rejected. Returns `false` if another leader
-/// was elected in the meantime, so that the write would arrive at a replica that does no writes.
+/// was elected in the meantime: the write would arrive at the former leader, which no longer performs writes.
 fn check_late_write() -> bool {
     let (cluster, links_a, a, b) = start_owner_and_second_member();
     // the write has passed the member's own lease check and has been sent; the link buffers it and a heartbeat
--- a/tests/golden_dead_letter.rs
+++ b/tests/golden_dead_letter.rs
@@ -1,7 +1,7 @@
 //! Compares the output of `milletturn undelivered` with that of an earlier build in `tests/golden/dead_letter.txt`,
 //! command by command: tables, JSON lines, messages, exit codes and the requests to a running sender. The commands read
-//! the golden store of the dead-letter package. Ages with five digits of days are replaced by `#####d`, and filter
-//! times that are relative to now by `NOW-AGE`.
+//! the golden store of the dead-letter package. Ages of 10000 to 99999 days are replaced by `#####d`, and filter times
+//! that are relative to now by `NOW-AGE`.
 
 use std::fmt::Write as _;
 use std::io::{BufRead, BufReader, Write as _};
@@ -70,7 +70,7 @@
     requests
 }
 
-/// Replaces ages with five digits of days, and filter times that are relative to now.
+/// Replaces ages of 10000 to 99999 days, and filter times that are relative to now.
 fn without_clock(text: &str) -> String {
     let mut out = String::new();
     let mut remaining = text;
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -340,7 +340,7 @@
         );
     }
 
-    /// Replaces the configuration by what `change` makes of it, and sends SIGHUP.
+    /// Replaces the configuration with what `change` returns for it, and sends SIGHUP.
     pub(crate) fn reload(&self, change: impl FnOnce(String) -> String) {
         let (file, new) = (
             self.folder.join("config.json"),
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -26,7 +26,7 @@
     for id in ["a", "b"] {
         assert_eq!(node.submit("webhook", id, 7, 20_000, b"x"), 202);
     }
-    // an at-most-once message that may have run fails
+    // an at-most-once message fails after a 500, since it may have run
     assert_eq!(node.submit("order", "fails", 7, 20_000, b"x"), 202);
     wait_until("all three have ended", || {
         node.metric("responses.order.errors") == 1 && node.metric("responses.webhook.ok") == 2
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -1,6 +1,6 @@
 //! Messages of one subject in a class with `oneAtATime` are sent one at a time, also across restarts: the next one waits
-//! until the message before has ended, however it ended, and, if that end is notified, until the platform has acknowledged
-//! the notification.
+//! until the one before it has ended, whether delivered or not. If the platform is notified of that end, the next one
+//! also waits until the platform has acknowledged the notification.
 
 mod node;
 
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -514,7 +514,7 @@
         [("m".to_string(), retried)],
         "no second session is opened"
     );
-    // the same holds for a session proxy that is killed while a session open is in flight
+    // a session open in flight when its proxy is killed has an unknown outcome too, and its retry leaves one session
     first
         .coordinator_links
         .links
@@ -595,7 +595,7 @@
             assert_eq!(
                 sessions_named(&leader_status_and_state(&cluster).1, &disconnected),
                 [],
-                "no session that nobody renews is opened"
+                "no session is opened for the disconnected caller"
             );
             break;
         }
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -349,7 +349,7 @@
 
 #[test]
 fn a_batch_response_decides_the_outcome_of_each_message() {
-    // the first calls stay unanswered and fill the destination's window, so that the rest is sent as a batch
+    // the first calls stay unanswered and fill the destination's concurrency window, so the rest is sent as a batch
     let blocked: Arc<Mutex<bool>> = Arc::new(Mutex::new(true));
     let is_blocked = blocked.clone();
     let endpoint = FakeEndpoint::new(move |request, _| {
@@ -545,7 +545,7 @@
         statuses.contains(&202) && statuses.last() == Some(&503),
         "{statuses:?}"
     );
-    // ended small messages are compacted away, so they never use up the space
+    // together these messages exceed the limit, so the sender must remove ended ones by compaction or reject new ones
     for n in 0..400 {
         let status = node.submit("webhook", &format!("s{n}"), 7, 20_000, &[b'x'; 1_000]);
         assert!(status == 202 || status == 429 || status == 503);
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -184,7 +184,7 @@
         new.logged("calls cut off")
     });
     release.store(true, Ordering::SeqCst);
-    // the at-most-once message has failed for good, the keyed one is sent again
+    // the at-most-once message fails, since it may have run, and the keyed one is sent again
     wait_until("the at-most-once message has failed", || {
         discovery.notifications().iter().any(|notification| {
             notification.contains("blocked-order") && notification.contains("failed")
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -1,5 +1,5 @@
-//! The watch of the endpoint list if discovery sends malformed events or an indented list, trickles single bytes, or
-//! does not respond.
+//! Tests the watch of the endpoint list when discovery sends malformed events or an indented list, trickles single
+//! bytes, or does not respond.
 
 mod node;
 
