--- a/crates/policy/benches/cold.rs
+++ b/crates/policy/benches/cold.rs
@@ -42,10 +42,10 @@
                 let worst = results
                     .iter()
                     .copied()
-                    .max_by(|a, b| a.max_excess_in_roots.total_cmp(&b.max_excess_in_roots))
+                    .max_by(|a, b| a.max_normalized_excess.total_cmp(&b.max_normalized_excess))
                     .unwrap_or_default();
                 let (max_excess, at) = (
-                    worst.max_excess_in_roots,
+                    worst.max_normalized_excess,
                     worst.max_excess_at as f64 / SECOND as f64,
                 );
                 let collapses = results.iter().filter(|result| result.collapsed).count();
--- a/crates/test-support/src/cold_fleet.rs
+++ b/crates/test-support/src/cold_fleet.rs
@@ -45,7 +45,7 @@
 pub struct RecoveryResult {
     /// Largest excess of the calls in one overload window over the number N that the settings allow in it, in units of
     /// the square root of N.
-    pub max_excess_in_roots: f64,
+    pub max_normalized_excess: f64,
     /// When that excess occurred, counted from the recovery.
     pub max_excess_at: Micros,
     /// Whether an overload window had more than N + 2 x sqrt(N) + 2 calls, at which the destination collapses.
@@ -118,7 +118,7 @@
     let mut recent_calls: VecDeque<Micros> = VecDeque::new();
     let (mut result, mut calls, mut allowed_calls) = (
         RecoveryResult {
-            max_excess_in_roots: f64::MIN,
+            max_normalized_excess: f64::MIN,
             ..RecoveryResult::default()
         },
         0.0,
@@ -255,10 +255,10 @@
                 recent_calls.pop_front();
             }
             let (allowed, call_count) = (calls_allowed(now), recent_calls.len() as f64);
-            let excess_in_roots = (call_count - allowed) / allowed.sqrt();
-            if excess_in_roots > result.max_excess_in_roots {
-                (result.max_excess_in_roots, result.max_excess_at) =
-                    (excess_in_roots, now - recovery);
+            let normalized_excess = (call_count - allowed) / allowed.sqrt();
+            if normalized_excess > result.max_normalized_excess {
+                (result.max_normalized_excess, result.max_excess_at) =
+                    (normalized_excess, now - recovery);
             }
             result.collapsed |= call_count > allowed + 2.0 * allowed.sqrt() + 2.0;
             allowed_calls += scenario.capacity_per_s
