--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn many_senders_use_up_a_reported_limit_despite_few_rejections() {
+fn many_senders_use_up_a_reported_limit_although_some_calls_are_rejected() {
     // Guards against halving a sender's rate at each rejection: at one call in 4 s the rate took 10 s to recover, so
     // that the fleet used half of the limit while messages waited until they expired.
     for seed in 1..=3 {
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_starting_fleet_without_a_reported_limit_does_not_put_the_limit_into_debt() {
+fn a_starting_fleet_does_not_put_the_limit_into_debt_before_its_first_load_reports() {
     // Guards against each sender calling as fast as messages arrive until its first load report, at the start and again
     // after most senders restarted: that put the limit into debt, and nothing was served for 3 s.
     for seed in 1..=3 {
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -350,7 +350,7 @@
 }
 
 #[test]
-fn random_legal_events_break_no_rule() {
+fn actions_after_random_valid_events_follow_the_rules() {
     for seed in 0..6 {
         let (_, sends) = run_random_events(seed, true);
         // with 300 senders and reported limits of 0 to 29 calls per second, each sender may make only a few calls
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn no_hedged_request_without_an_untried_endpoint_an_attempt_permission_or_time() {
+fn hedging_requires_an_untried_endpoint_a_remaining_attempt_the_setting_and_time() {
     let mut harness = Harness::new(settings(40), pool(1));
     harness.handle(vec![message(1, REPEATABLE, 7)]);
     harness.run_until(START + 3 * SECOND);
