--- a/benches/owners.rs
+++ b/benches/owners.rs
@@ -127,7 +127,7 @@
         )
     });
     println!(
-        "\nacts of one owner, one after the other: {:.0} a second, p50 {:.1} ms, p99 {:.1} ms",
+        "\nfenced writes of one owner, one after the other: {:.0} a second, p50 {:.1} ms, p99 {:.1} ms",
         results.0, results.1, results.2
     );
 }
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -135,7 +135,7 @@
 /// What a [`FakeEndpoint`] does with a request.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// Responds with this status and these headers, separated by CRLF and without a final one, and this body.
+    /// Responds with this status and these headers (separated by CRLF, without a trailing CRLF) and this body.
     Respond(&'static str, String),
     /// Sends nothing and keeps the connection open.
     NoResponse,
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -383,7 +383,7 @@
     let file = folder.join("app.toml");
     let (http, outcomes) = (unused_address(), unused_address());
     let extra_settings = "[destination.a]\nid = 1\nendpoints = ['127.0.0.1:9']\n";
-    // a configuration that is invalid in itself
+    // a deadline that is longer than the deduplication window
     std::fs::write(
         &file,
         config(http, outcomes, extra_settings)
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -61,7 +61,7 @@
         });
     }
 
-    /// The messages that were accepted.
+    /// Stops the clients; returns the ids of the messages that the sender accepted.
     fn stop(self) -> Vec<String> {
         self.stop.store(true, Ordering::SeqCst);
         self.clients
