--- a/crates/cluster-harness/src/cluster.rs
+++ b/crates/cluster-harness/src/cluster.rs
@@ -39,7 +39,7 @@
 struct Replica {
     program: Program,
     process: Option<Process>,
-    /// The address on which the current process listens, or the last one did.
+    /// The address on which the current or most recent process listened; `None` before the first start.
     address: Option<SocketAddr>,
     /// The links from members and session proxies to the replica.
     client_links: Vec<LinkControl>,
--- a/crates/cluster-harness/src/controlled_link.rs
+++ b/crates/cluster-harness/src/controlled_link.rs
@@ -199,7 +199,7 @@
             let count = from.read(&mut buffer).unwrap_or(0);
             let is_cut = self.wait_while_buffering(number, direction, &buffer[..count]);
             if count == 0 || is_cut || to.write_all(&buffer[..count]).is_err() {
-                // forwards the end of one direction; a cut closes both directions
+                // the end of one direction is forwarded as a half-close; a cut closes both directions
                 let _ = to.shutdown(if is_cut {
                     Shutdown::Both
                 } else {
--- a/crates/cluster-harness/src/scripted_link.rs
+++ b/crates/cluster-harness/src/scripted_link.rs
@@ -1,4 +1,4 @@
-//! A TCP link that cuts, stalls or delays each connection as a test has set in advance.
+//! A TCP link that cuts, stalls or delays each connection as the test chose when it started the link.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,7 +10,8 @@
 pub enum ConnectionFault {
     /// Forwards all bytes without delay.
     None,
-    /// Forwards this number of bytes to the server, then resets the connection to the client.
+    /// Forwards this number of bytes to the server, then closes both connections. The client gets a reset if the link
+    /// has not read all that the client sent.
     CutAfter(usize),
     /// Forwards this number of bytes to the server and none to the client, then stalls with both connections open.
     StallAfter(usize),
--- a/crates/coordination-protocol/src/client.rs
+++ b/crates/coordination-protocol/src/client.rs
@@ -27,7 +27,7 @@
     connection: Option<Connection>,
 }
 
-/// An open connection.
+/// An open connection, which is dropped after a failed call.
 #[derive(Debug)]
 struct Connection {
     sender: SendRequest<Full<Bytes>>,
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Adds [`ORIGIN_HEADER`] to all calls, as calls between coordinators need it: the identifier of the group's
-    /// initial state.
+    /// Sets the value of [`ORIGIN_HEADER`], the identifier of the group's initial state. Coordinators reject each
+    /// other's calls without it; other clients send an empty value.
     #[must_use]
     pub fn with_origin(self, origin: impl Into<String>) -> Self {
         Self {
--- a/crates/coordination-protocol/src/messages.rs
+++ b/crates/coordination-protocol/src/messages.rs
@@ -45,7 +45,7 @@
 pub const COMMAND_PATH: &str = "/v1/order";
 /// Returns a view of the replicated state, confirmed by a quorum: `GET`, answered with a [`StateView`].
 pub const STATE_PATH: &str = "/v1/book";
-/// Returns the status of one coordinator by its own knowledge, without asking a quorum: `GET`, answered with a
+/// Returns the status of one coordinator from its local state, without asking a quorum: `GET`, answered with a
 /// [`CoordinatorStatus`].
 pub const STATUS_PATH: &str = "/v1/status";
 /// Returns the whole replicated state, confirmed by a quorum: `GET`, answered with a [`Backup`].
@@ -211,7 +211,7 @@
 /// The version of the backup format that this program writes.
 pub const BACKUP_FORMAT: u32 = 1;
 
-/// The status of one coordinator by its own knowledge, which may be out of date.
+/// The status of one coordinator from its local state, which may be out of date.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CoordinatorStatus {
     /// The group's name.
--- a/crates/coordination-protocol/src/server.rs
+++ b/crates/coordination-protocol/src/server.rs
@@ -48,7 +48,8 @@
 }
 
 impl CallError {
-    /// Creates the error for a call that was not executed, for a reason that is the same on every server.
+    /// Creates the error for a call that was rejected and not executed. It names no leader, so the caller is not
+    /// referred to another coordinator.
     pub fn rejected(status: StatusCode, message: impl Into<String>) -> Self {
         Self {
             status,
--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -275,7 +275,7 @@
     /// Checks that the length of each field is within its bounds.
     ///
     /// # Errors
-    /// [`Rejection::InvalidLength`] for the first field that is not.
+    /// [`Rejection::InvalidLength`] for the first field whose length is out of bounds.
     pub(crate) fn check(&self) -> Result<(), Rejection> {
         check_name("the member's name", &self.name)?;
         for (what, text) in [
--- a/crates/coordination/src/heartbeat_batcher.rs
+++ b/crates/coordination/src/heartbeat_batcher.rs
@@ -2,8 +2,8 @@
 //!
 //! A proxy holds no sessions or leases of its own, stores nothing and grants no permission. It collects the heartbeats
 //! of a short interval, sends them to the leading coordinator in one call, and returns to each member its own outcome
-//! (as etcd's proxy does for leases). To the coordinators a proxied heartbeat is one that was delayed, as on any
-//! network. A proxy that is paused and resumed, cut off in one direction, running twice under one name, or restarted
+//! (as etcd's proxy does for leases). To the coordinators, a proxied heartbeat is the same as one that the network has
+//! delayed. A proxy that is paused and resumed, cut off in one direction, running twice under one name, or restarted
 //! can therefore delay or lose heartbeats, but can do no other harm.
 //!
 //! The proxy must guarantee one thing itself: a response is only given to heartbeats that arrived *before* their batch
@@ -33,8 +33,8 @@
     pub shortest_lease: Option<Micros>,
     /// Sessions whose lease was extended, with the resources that each owns.
     pub renewed: BTreeMap<SessionId, Vec<(String, FencingToken)>>,
-    /// Sessions that have ended. The outcome of a session that is neither here nor in `renewed` is unknown; its next
-    /// heartbeat will show.
+    /// Sessions that have ended. A session that is neither here nor in `renewed` was not renewed, and may or may not
+    /// have ended; the response to its next heartbeat tells which.
     pub ended: Vec<SessionId>,
 }
 
@@ -45,7 +45,7 @@
     Renewed(Vec<(String, FencingToken)>),
     /// The session has ended.
     SessionEnded,
-    /// The coordinators did not answer in time, or their response does not contain this session.
+    /// The coordinators did not answer in time, or their response does not list this session.
     Unknown,
 }
 
--- a/crates/coordination/src/ids.rs
+++ b/crates/coordination/src/ids.rs
@@ -54,6 +54,6 @@
     WaiterId;
 }
 
-/// Stands for all sessions that existed before the state was restored from a backup: the leader waits for all of their
-/// leases as for the lease of this one session.
+/// Stands for all sessions that existed before the state was restored from a backup. The leader tracks a single lease
+/// under this id, the longest that any of them may still hold.
 pub const PRE_RESTORE_SESSION: SessionId = SessionId(0);
--- a/crates/coordination/src/lease_holder.rs
+++ b/crates/coordination/src/lease_holder.rs
@@ -1,10 +1,10 @@
-//! The member's own view of its lease: until when it may write, checked right before each write.
+//! The member's own view of its lease and of the time until which it may write, checked right before each write.
 
 use crate::ids::{FencingToken, SessionId};
 use crate::time::{LeaseTiming, Micros, Timestamp};
 use std::collections::BTreeMap;
 
-/// A member's session and owned resources, and until when its lease is safe by its own clock.
+/// A member's session and owned resources, and the time until which its lease is safe by its own clock.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct LeaseHolder {
     clock_error_ppm: u32,
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -4,7 +4,7 @@
 //!   and never reads a clock.
 //! - [`command`]: the commands of the replicated log, their outcomes, and the reasons for a rejection.
 //! - [`lease_table`]: the leader's record of when each session's lease expires. Only the leading coordinator keeps one.
-//! - [`lease_holder`]: the member's own view of its lease: until when it may write, checked before each write.
+//! - [`lease_holder`]: the member's own view of its lease and of the time until which it may write.
 //! - [`fencing`]: the check at the receiver of a write, which rejects tokens lower than the highest one seen.
 //! - [`heartbeat_batcher`]: how a session proxy batches heartbeats and returns each response to the right caller.
 //! - [`command_batcher`]: how a session proxy batches session opens and all other commands into one entry of the log.
--- a/crates/coordination/src/state/history.rs
+++ b/crates/coordination/src/state/history.rs
@@ -8,8 +8,8 @@
 /// A change of ownership, a write, or a write rejected for its token.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Event {
-    /// The sequence number of the event, counted from 1. A restore continues above all numbers that the lost state can
-    /// have assigned.
+    /// The sequence number of the event, counted from 1. After a restore, numbering continues above all numbers that
+    /// the lost state may have assigned.
     pub number: u64,
     /// The resource's name.
     #[serde(rename = "work")]
--- a/crates/coordination/src/state/restore.rs
+++ b/crates/coordination/src/state/restore.rs
@@ -25,7 +25,7 @@
     /// What happened since the backup is unknown. Therefore:
     ///
     /// - All sessions and ownerships end.
-    /// - All tokens jump above any that the lost state can have granted.
+    /// - All tokens increase beyond any that the lost state may have granted.
     /// - No resource is granted until all leases of the lost state have expired. The longest of them is `lease`, or one
     ///   in the backup if that is longer.
     ///
--- a/crates/coordination/tests/golden/commands.rs
+++ b/crates/coordination/tests/golden/commands.rs
@@ -156,7 +156,7 @@
     assert_serialized(OUTCOMES, &outcomes());
 }
 
-/// Error texts are sent over the wire and printed by commands.
+/// Error texts are sent in responses and printed by commands, so they must not change.
 #[test]
 fn error_texts_are_unchanged() {
     let restore = CoordinationState::default().restored(0, LEASE);
@@ -173,7 +173,8 @@
     assert_eq!(texts, ERROR_TEXTS.lines().collect::<Vec<_>>());
 }
 
-/// The state's own rejections of invalid commands. Their texts are shown to operators by other processes.
+/// Checks the texts with which the state machine rejects invalid commands. Operators' commands and members print them,
+/// so they must not change.
 #[test]
 fn rejections_of_invalid_commands_have_unchanged_texts() {
     let long = "x".repeat(513);
--- a/crates/coordination/tests/model/cluster.rs
+++ b/crates/coordination/tests/model/cluster.rs
@@ -17,7 +17,8 @@
 /// Two ticks of an accurate clock.
 pub(crate) const LEASE: Micros = Micros(4);
 
-/// A safeguard that is left out. The checker must then find a violated property.
+/// A safeguard that a run of the checker leaves out; `None` leaves out nothing. Without a safeguard, the checker must
+/// find a violated property.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Mutation {
     None,
@@ -212,7 +213,8 @@
     pub(crate) first_sent: [Option<Timestamp>; 2],
 }
 
-/// Leaves out the event history, which does not affect what can happen next.
+/// Hashes every field except parts of the coordination state. The event history, the last session id, the minimum token
+/// and whether batches are enabled are left out.
 impl Hash for ClusterState {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         let hash_state = |state: &CoordinationState, hasher: &mut H| {
--- a/crates/coordination/tests/model/steps.rs
+++ b/crates/coordination/tests/model/steps.rs
@@ -11,13 +11,13 @@
 };
 use stateright::{Model, Property};
 
-/// Ticks of the clock in one run.
+/// Maximum number of clock ticks in one run.
 const MAX_TICKS: u64 = 3;
-/// Batches that one proxy process may send.
+/// Maximum number of batches that one proxy process sends.
 const MAX_BATCHES: u64 = 2;
-/// Heartbeat calls that the member behind the proxy may make.
+/// Maximum number of heartbeat calls by the member that uses the proxy.
 const MAX_HEARTBEAT_CALLS: WaiterId = WaiterId(2);
-/// Session opens that both members together may send to the proxy.
+/// Maximum number of session opens that both members together send to the proxy.
 const MAX_OPEN_CALLS: WaiterId = WaiterId(3);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
--- a/crates/coordination/tests/state/batches.rs
+++ b/crates/coordination/tests/state/batches.rs
@@ -117,7 +117,7 @@
 }
 
 /// A coordinator that lost and regained the leadership doesn't know which heartbeats another leader confirmed in
-/// between. An expiry that it determined in its earlier term is therefore rejected in a batch, as it is alone.
+/// between. An expiry that it determined in its earlier term is therefore rejected, in a batch as well as alone.
 #[test]
 fn an_expiry_determined_in_an_earlier_leader_term_is_rejected_in_a_batch() {
     let mut state = CoordinationState::default();
--- a/crates/coordinator/src/leadership.rs
+++ b/crates/coordinator/src/leadership.rs
@@ -29,10 +29,10 @@
 /// Interval between two checks for expired leases; a lease may end late by up to this interval.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Leadership of this replica: follows the elections of the consensus, and serves heartbeats and expires leases while
-/// the replica leads.
+/// The leader's work on this replica: tracks Raft elections, and while the replica leads, serves heartbeats and expires
+/// leases.
 pub struct Leadership {
-    /// The Raft consensus of this replica.
+    /// The Raft instance of this replica.
     pub raft: Raft,
     /// The coordination state as applied on this replica.
     pub state_machine: StateMachine,
@@ -57,7 +57,7 @@
 }
 
 impl LeadershipError {
-    /// Converts the consensus' error: `None` means that no quorum answered.
+    /// Converts the `ForwardToLeader` part of an `openraft` error; `None` means that no quorum answered.
     fn from_forward(forward: Option<&ForwardToLeader<ReplicaId, BasicNode>>) -> Self {
         forward.map_or(Self::NoQuorum, |forward| Self::NotLeader {
             leader: forward.leader_id,
@@ -83,8 +83,8 @@
         })
     }
 
-    /// Follows the consensus for as long as it runs: assumes the leadership when this replica is elected, steps down
-    /// when another leads, and expires leases while it leads.
+    /// Tracks Raft elections until Raft stops: assumes the leadership when this replica is elected, steps down when it
+    /// no longer leads, and expires leases while it leads.
     pub async fn run(self: Rc<Self>) {
         let mut ticks = interval(LEASE_CHECK_INTERVAL);
         ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/coordinator/src/leadership/heartbeats.rs
+++ b/crates/coordinator/src/leadership/heartbeats.rs
@@ -33,7 +33,7 @@
             Some((_, owned)) => Ok(Ok(HeartbeatAccepted { owned })),
             None if ended.contains(&session) => Ok(Err(Rejection::SessionNotFound { session })),
             // the session is ending, its lease is not tracked, or it was opened after `track_sessions` ran; the
-            // caller learns which by a later heartbeat
+            // response to a later heartbeat tells the caller whether the session is open
             None => Err(LeadershipError::NotLeader { leader: None }),
         }
     }
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -25,7 +25,7 @@
 /// Opens clients to the other replicas of the group.
 #[derive(Debug, Clone)]
 pub struct PeerNetwork {
-    /// The name of the group, which each call names; a replica of another group rejects the call.
+    /// The name of the group, which each call carries; a replica of another group rejects the call.
     pub group: String,
     /// Identifies the initial state of the group, empty or restored from a backup. Replicas reject each other's calls
     /// if their origins differ.
--- a/crates/coordinator/src/raft_log.rs
+++ b/crates/coordinator/src/raft_log.rs
@@ -24,7 +24,8 @@
     StorageIOError::write(error).into()
 }
 
-/// Runs a job that waits for the disk on a blocking thread, so that it does not delay the other tasks of the runtime.
+/// Runs a job in tokio's pool of blocking threads, so that its waits for the disk do not delay the other tasks of the
+/// runtime.
 pub(crate) async fn run_blocking<T: Send + 'static>(
     storage: &RaftStorage,
     job: impl FnOnce(&RaftStorage) -> Result<T, RaftStorageError> + Send + 'static,
--- a/crates/coordinator/src/request_handler.rs
+++ b/crates/coordinator/src/request_handler.rs
@@ -85,7 +85,7 @@
 
 /// Read-only requests of operators.
 impl RequestHandler {
-    /// The status of this replica by its own knowledge, without asking a quorum.
+    /// The status of this replica from its local state, without asking a quorum.
     fn status(&self) -> CoordinatorStatus {
         let metrics = self.leadership.raft.metrics().borrow().clone();
         // a leader that was cut off keeps the state `Leader` until it learns of a later term, so the age of the last
@@ -140,7 +140,7 @@
     }
 }
 
-/// Requests of members and session proxies, and operators' requests that write.
+/// Requests of members and session proxies, and write requests of operators.
 impl RequestHandler {
     async fn open_session(&self, request: Request<Incoming>) -> HandlerResult {
         let request: OpenSession = read_json(request, MAX_CALL_BYTES).await?;
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -59,27 +59,27 @@
         /// The operating system's error.
         source: std::io::Error,
     },
-    /// The consensus has stopped, usually because the disk failed.
+    /// Raft can't start or has stopped, usually because the disk failed.
     #[error(
         "the consensus has stopped: {0}. What this coordinator had acknowledged is on its disk; start it again"
     )]
     Stopped(#[source] ConsensusError),
 }
 
-/// Why the consensus has stopped or can't start.
+/// Why Raft has stopped or can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum ConsensusError {
     /// The timeouts in the Raft configuration contradict each other.
     #[error(transparent)]
     Config(#[from] Box<ConfigError>),
-    /// A fatal error of the consensus, usually because the disk failed.
+    /// A fatal error of Raft, usually because the disk failed.
     #[error(transparent)]
     Fatal(#[from] Box<Fatal<ReplicaId>>),
     /// The first entry of a new group could not be written.
     #[error(transparent)]
     Initialize(Box<RaftError<ReplicaId, InitializeError<ReplicaId, BasicNode>>>),
-    /// The task of the consensus has ended without reporting a fatal error.
-    #[error("the consensus ended without an error")]
+    /// The Raft task ended without reporting a fatal error.
+    #[error("the Raft task ended without an error")]
     Ended,
 }
 
@@ -172,7 +172,7 @@
     Err(CoordinatorError::Stopped(wait_until_stopped(&raft).await))
 }
 
-/// Starts the consensus. A founding replica also writes the first log entry, with the group's membership.
+/// Starts Raft. A founding replica also writes the first log entry, with the group's membership.
 async fn start_raft(
     settings: &Settings,
     identity: &ReplicaIdentity,
--- a/crates/coordinator/src/state_machine.rs
+++ b/crates/coordinator/src/state_machine.rs
@@ -26,8 +26,8 @@
 }
 
 impl StateMachine {
-    /// Loads the stored snapshot, or the group's initial state if there is none. The consensus then applies the later
-    /// log entries.
+    /// Loads the stored snapshot, or the group's initial state if there is none. Raft then applies the later log
+    /// entries.
     ///
     /// # Errors
     /// If the snapshot can't be read.
--- a/crates/coordinator/tests/golden/support.rs
+++ b/crates/coordinator/tests/golden/support.rs
@@ -1,4 +1,4 @@
-//! The values that were written as the golden data.
+//! The values whose serialized forms the golden files contain, and functions that read those files.
 
 use milletturn_coordination::{
     Command, CoordinationState, FencingToken, LeaderTerm, MemberInfo, Micros, SessionId,
@@ -98,7 +98,7 @@
     }
 }
 
-/// Each kind of command, first alone and then in a batch, in an order in which most of them are not rejected.
+/// Each kind of command, as an entry of its own and in a batch. The order lets the state accept most of them.
 pub(crate) fn commands() -> Vec<Command> {
     vec![
         open("sender-1", 0x1234_5678_9abc_def0),
--- a/crates/coordinator/tests/golden/wire.rs
+++ b/crates/coordinator/tests/golden/wire.rs
@@ -224,7 +224,7 @@
     };
     let raft = Raft::new(3, config, peers, log, state_machine.clone())
         .await
-        .expect("the consensus starts");
+        .expect("Raft starts");
     let text = golden_text("steward.toml").replacen("id = 2", "id = 3", 1);
     let settings = Settings::parse(&folder.join("steward.toml"), &text).expect("valid settings");
     let leadership = Leadership::new(raft, state_machine.clone());
@@ -248,8 +248,7 @@
     format!("milletturn-group: harbour\r\nmilletturn-wire: 1\r\nmilletturn-origin: {origin}\r\n")
 }
 
-/// The bodies of an append, a vote and a snapshot request, after a check that the golden file of outgoing calls has
-/// them.
+/// The bodies of an append, a vote and a snapshot request. Checks that the golden file of outgoing calls contains them.
 fn golden_bodies() -> (String, String, String) {
     let bodies = [
         body(&append_request()),
@@ -296,7 +295,7 @@
         ] {
             replies.push_str(&call(&address, method, path, headers, body).await);
         }
-        // the appended entries are committed, and the consensus applies them asynchronously
+        // the appended entries are committed, and Raft applies them asynchronously
         while state_machine.read(|current| current != &state()) {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
--- a/crates/member/src/coordinator_client.rs
+++ b/crates/member/src/coordinator_client.rs
@@ -151,8 +151,8 @@
             error.may_have_happened |= failed.may_have_happened;
             attempts += 1;
             self.switch_server(failed.leader);
-            // the first server's hint at the leader is followed without a backoff; later hints are not, so that two
-            // coordinators that name each other cause no busy loop
+            // if the first server that is called names the leader, the leader is called without a backoff. Each later
+            // attempt is preceded by a backoff, so that two coordinators that name each other cause no busy loop
             if failed.leader.is_none() || attempts > 1 {
                 let left = deadline.saturating_duration_since(Instant::now());
                 sleep(self.backoff(left)).await;
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Reports a disconnection with its reason, unless one was reported and no reconnection since.
+    /// Reports a disconnection with its reason, unless the member was already reported as disconnected.
     pub(crate) fn report_unanswered(&self, reason: &impl ToString) {
         if !self.disconnected.replace(true) {
             self.report(MemberEvent::Disconnected(reason.to_string()));
--- a/crates/member/src/session.rs
+++ b/crates/member/src/session.rs
@@ -24,8 +24,8 @@
 /// Wait before a rejected request to open a session is sent again. The usual reason for the rejection is that another
 /// session has the member's name.
 const REJECTED_OPEN_BACKOFF: Duration = Duration::from_millis(200);
-/// Longest wait for the response to a release or a close. Without one a later heartbeat repeats the release, and the
-/// lease of a session that was to be closed expires.
+/// Longest wait for the response to a release or a close. If a release gets no response, it is repeated after the next
+/// heartbeat; if a close gets none, the session ends when its lease expires.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Keeps a member's session open and claims the resources that it wants.
--- a/crates/member/tests/session_open.rs
+++ b/crates/member/tests/session_open.rs
@@ -135,7 +135,8 @@
         .expect("no holder panics")
         .expect("the member has sent a session open");
     let permission = member.permission("w").expect("the member may write");
-    // the coordinator may have started the lease at the first request; the member's lease must not end after that one
+    // the coordinator may have started the lease at the first request, so the member's lease must not end later than
+    // one that started then
     let safe_for = LeaseTiming {
         lease: LEASE,
         clock_error_ppm: CLOCK_ERROR_PPM,
--- a/crates/session-proxy/src/service.rs
+++ b/crates/session-proxy/src/service.rs
@@ -66,8 +66,8 @@
     Ok(())
 }
 
-/// The error for a request that no coordinator answered or that found the queue full. The member then tries another
-/// session proxy.
+/// The error for a request that no coordinator answered, or that was rejected because the queue was full. The member
+/// then tries another session proxy.
 pub(crate) fn unavailable(message: impl Into<String>, may_have_happened: bool) -> CallError {
     CallError {
         status: StatusCode::SERVICE_UNAVAILABLE,
--- a/crates/session-proxy/src/settings.rs
+++ b/crates/session-proxy/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings file of a session proxy, read and checked like a sidecar's file: each finding has a code, a position in
-//! the file and, where possible, a hint at the correction.
+//! The settings file of a session proxy, read and checked like a sidecar's file: each error is reported with a code, a
+//! position in the file and, where possible, a suggested correction.
 
 use milletturn_config::codes::Code;
 use milletturn_config::document::{Document, host_and_port};
@@ -84,7 +84,7 @@
     }
 }
 
-/// Reads and checks a settings file. The settings are `None` if the document has findings.
+/// Reads and checks a settings file. The settings are `None` if any error was found; the document lists the errors.
 #[must_use]
 pub fn read(path: &Path) -> (Document, Option<Settings>) {
     checked(Document::read_with(path, SettingsTable(FIELDS)))
@@ -157,7 +157,7 @@
     }
 }
 
-/// Raises the process's soft limit on file descriptors to what the connections need. Adds a finding to the document if
+/// Raises the process's soft limit on file descriptors to what the connections need. Adds an error to the document if
 /// the hard limit is too low.
 pub fn reserve_descriptors(document: &mut Document, settings: &Settings) {
     let needed = settings.max_connections as u64 + OTHER_DESCRIPTORS;
--- a/crates/shard-map/src/assignment.rs
+++ b/crates/shard-map/src/assignment.rs
@@ -5,7 +5,8 @@
 //! weight). A shard prefers the senders with which it has the highest scores, in different zones. A sender that exceeds
 //! its capacity rejects the shards with which it has the lowest scores, and they continue with their next best senders.
 //! Since both sides rank by the same score, there is only one stable matching (Gale and Shapley), whatever the order of
-//! the steps, and a change of the membership leaves shards and senders that it does not affect as they were.
+//! the steps. A membership change that keeps the capacity per unit of weight therefore moves only the shards of the
+//! senders that changed, and the shards that are displaced or find a better sender as a result.
 //!
 //! The assignment only advises clients where to submit a message; it is not a permission to deliver. A client with an
 //! older membership submits to another sender, which accepts the message as well.
@@ -167,7 +168,7 @@
         count_before: usize,
     ) {
         let mut scores = std::mem::take(&mut self.top_scores[usize::from(shard.0)]);
-        // only scores above the lowest cached one are sure to be among the highest; if all scores were cached, all are
+        // if not all scores were cached, only new scores above the lowest cached one are sure to be among the highest
         let lowest = scores
             .last()
             .filter(|_| scores.len() < count_before)
@@ -223,7 +224,7 @@
         loads
     }
 
-    /// The number of replicas of shards that have no sender, since no further zone has capacity left.
+    /// The number of shard replicas to which no sender is assigned, because the limits on senders and zones allow none.
     #[must_use]
     pub fn unassigned_replicas(&self) -> usize {
         let wanted = self
--- a/crates/shard-map/src/endpoint.rs
+++ b/crates/shard-map/src/endpoint.rs
@@ -17,7 +17,7 @@
     pub address: SocketAddr,
     /// The name of the zone in which the endpoint runs.
     pub zone: Box<str>,
-    /// The name of the destination's kind.
+    /// The name of the destination's kind; all destinations of a kind have the same rules for routes and batches.
     pub kind: Box<str>,
     /// Whether the endpoint is draining and must get no new messages.
     #[serde(default)]
--- a/crates/shard-map/src/limits.rs
+++ b/crates/shard-map/src/limits.rs
@@ -52,7 +52,7 @@
 impl Limits {
     /// Limits with which the snapshot of a shard can be sent within `seconds` over a link of `bytes_per_second`.
     ///
-    /// A `history` above [`MAX_HISTORY`] is reduced to that.
+    /// `history` is capped at [`MAX_HISTORY`].
     #[must_use]
     pub fn new(
         bytes_per_second: usize,
--- a/crates/shard-map/src/replica.rs
+++ b/crates/shard-map/src/replica.rs
@@ -7,8 +7,8 @@
 //! - **Digest**: a change applies only if the resulting endpoints have the digest that it names, and a snapshot only if
 //!   its endpoints have its digest.
 //!
-//! A peer that lags behind, repeats updates or was restored from an old backup therefore sends only older updates, which
-//! replicas ignore.
+//! A replica therefore ignores the outdated updates of a peer that lags behind, repeats updates or was restored from an
+//! old backup.
 //!
 //! Changes that arrive out of order are not stored. A change that leaves a gap marks the shard as stale, and the replica
 //! requests the missing changes.
@@ -210,8 +210,8 @@
         })
     }
 
-    /// Marks a shard as having missed an update. The shard is requested unless it was stale already; further requests come
-    /// with [`ShardMapReplica::sync_requests`].
+    /// Marks a shard as having missed an update. The outcome requests the shard unless it was stale already. As long as
+    /// it is stale, [`ShardMapReplica::sync_requests`] detect the missed update.
     fn mark_stale(&mut self, id: ShardId) -> ApplyOutcome {
         let requests = if self.stale.insert(id) {
             self.shard_requests([id].into_iter())
--- a/crates/shard-map/src/shard.rs
+++ b/crates/shard-map/src/shard.rs
@@ -97,7 +97,7 @@
 
 impl Default for ShardCount {
     fn default() -> Self {
-        // 1 plus `MAX - 1`, written so that no case for zero is needed
+        // equals `MAX`; unlike `NonZeroU32::new`, the addition returns no `Option`
         ShardCount(NonZeroU32::MIN.saturating_add(Self::MAX - 1))
     }
 }
--- a/crates/shard-map/src/shard_replica.rs
+++ b/crates/shard-map/src/shard_replica.rs
@@ -66,7 +66,7 @@
         })
     }
 
-    /// The version that the last applied change or confirmation gave the shard.
+    /// The version that was assigned with the last applied change, or confirmed by a later leader.
     #[must_use]
     pub fn version(&self) -> Version {
         self.version
--- a/crates/shard-map/src/source.rs
+++ b/crates/shard-map/src/source.rs
@@ -114,7 +114,7 @@
             check_limits(&limits, shard_bytes, others_bytes + shard_bytes)
         };
         let versioned = shard.assign_version(id, self.term, change, &limits, check_size)?;
-        // cannot be `None`: each endpoint to remove was found in `destination_by_uid`, and so is in its shard
+        // never `None`: `check_ownership` found each endpoint to remove in `destination_by_uid`, so the shard has it
         let versioned = versioned.ok_or(ChangeError::UnknownEndpoint("".into()))?;
         self.size_bytes = others_bytes + shard.size_bytes();
         self.record_ownership(&versioned.change);
--- a/crates/shard-map/src/sync.rs
+++ b/crates/shard-map/src/sync.rs
@@ -117,7 +117,7 @@
 /// The reason for rejecting a request. The messages are part of the protocol's error responses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum SyncError {
-    /// The two sides hash destinations into different numbers of shards, so that their shard ids have different meanings.
+    /// The two sides have different shard counts, so a shard id does not stand for the same destinations on both.
     #[error("there are {local} ranges here and {remote} there")]
     ShardCountMismatch {
         /// The number of shards on this side.
--- a/crates/shard-map/src/version.rs
+++ b/crates/shard-map/src/version.rs
@@ -56,7 +56,7 @@
     /// The shard whose version this is.
     #[serde(rename = "range")]
     pub shard: ShardId,
-    /// The version that the last change or confirmation gave the shard.
+    /// The version that was assigned with the last change, or confirmed by a later leader.
     #[serde(rename = "position")]
     pub version: Version,
     /// The digest of the shard's endpoints at this version.
