--- a/crates/coordination-protocol/src/client.rs
+++ b/crates/coordination-protocol/src/client.rs
@@ -84,7 +84,7 @@
     #[error(transparent)]
     Body(Box<dyn std::error::Error + Send + Sync>),
     /// The response's body is not the JSON expected for this call.
-    #[error("status {status}, its body can't be read: {source}")]
+    #[error("the body of the response with status {status} can't be parsed: {source}")]
     Decode {
         /// The response's status.
         status: StatusCode,
--- a/crates/coordinator/src/storage/error.rs
+++ b/crates/coordinator/src/storage/error.rs
@@ -17,7 +17,7 @@
     },
     /// The folder already has a store.
     #[error(
-        "{path}: already holds the disk of coordinator {id} of group {group:?}; a new one would lose its votes and acknowledged entries"
+        "{path}: already holds the data of coordinator {id} of group {group:?}; a new store would lose its votes and acknowledged entries"
     )]
     AlreadyExists {
         /// The store's file.
@@ -29,7 +29,7 @@
     },
     /// The store belongs to another replica.
     #[error(
-        "{path}: the disk of coordinator {id} of group {group:?}, which is not the one in the settings"
+        "{path}: belongs to coordinator {id} of group {group:?}, which is not the one in the settings"
     )]
     OtherReplica {
         /// The store's file.
@@ -48,10 +48,10 @@
         source: std::io::Error,
     },
     /// The embedded database reported an error.
-    #[error("the coordinator's disk: {0}")]
+    #[error("the coordinator's store: {0}")]
     Store(#[from] redb::Error),
     /// A stored value can't be parsed, or a value can't be serialized.
-    #[error("the coordinator's disk holds a value that can't be parsed: {0}")]
+    #[error("the coordinator's store holds a value that can't be parsed: {0}")]
     Format(#[from] serde_json::Error),
 }
 
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -100,15 +100,15 @@
         let _ = self.events.send(event);
     }
 
-    /// Reports the reconnection, if a disconnection was reported before.
-    pub(crate) fn report_answered(&self) {
+    /// Reports the reconnection, if the member was reported as disconnected.
+    pub(crate) fn report_reconnected(&self) {
         if self.disconnected.replace(false) {
             self.report(MemberEvent::Reconnected);
         }
     }
 
     /// Reports a disconnection with its reason, unless the member was already reported as disconnected.
-    pub(crate) fn report_unanswered(&self, reason: &impl ToString) {
+    pub(crate) fn report_disconnected(&self, reason: &impl ToString) {
         if !self.disconnected.replace(true) {
             self.report(MemberEvent::Disconnected(reason.to_string()));
         }
--- a/crates/member/src/session.rs
+++ b/crates/member/src/session.rs
@@ -74,7 +74,7 @@
             let reason = format!(
                 "the lease of session {session} expired on this member's clock without a renewal"
             );
-            self.member.report_unanswered(&reason);
+            self.member.report_disconnected(&reason);
         }
     }
 
@@ -99,7 +99,7 @@
                     return self.member.session_opened(first_sent, session, lease);
                 }
                 Ok(CommandOutcome::Rejected(rejection)) => {
-                    self.member.report_answered();
+                    self.member.report_reconnected();
                     self.member.report(MemberEvent::Rejected(rejection));
                     sleep(REJECTED_OPEN_BACKOFF).await;
                 }
@@ -112,7 +112,7 @@
                     if error.may_have_happened {
                         first_sent.get_or_insert(sent);
                     }
-                    self.member.report_unanswered(&error);
+                    self.member.report_disconnected(&error);
                 }
             }
         }
@@ -135,14 +135,14 @@
                     .lease
                     .borrow_mut()
                     .heartbeat_confirmed(sent, session);
-                self.member.report_answered();
+                self.member.report_reconnected();
                 self.reconcile(session, owned).await;
             }
             Ok(Err(rejection)) => {
-                self.member.report_answered();
+                self.member.report_reconnected();
                 self.member.session_ended(session, rejection);
             }
-            Err(error) => self.member.report_unanswered(&error),
+            Err(error) => self.member.report_disconnected(&error),
         }
     }
 
@@ -192,7 +192,7 @@
         self.progress.borrow_mut().clear();
         self.lease_duration
             .set(safe_until.map_or(Micros::ZERO, |until| until.since(sent)));
-        self.report_answered();
+        self.report_reconnected();
         self.report(MemberEvent::SessionOpened(session));
     }
 
--- a/crates/shard-map/tests/membership.rs
+++ b/crates/shard-map/tests/membership.rs
@@ -27,7 +27,7 @@
     assert_eq!(
         resized(&fewest, 846).shards_per_weight(),
         19,
-        "no return to 16 at once"
+        "the capacity of 19 is kept while it is within the range"
     );
     assert_eq!(resized(&fewest, 970).shards_per_weight(), 19);
     assert_eq!(
