--- a/crates/coordination/tests/command_batcher.rs
+++ b/crates/coordination/tests/command_batcher.rs
@@ -175,8 +175,8 @@
 }
 
 proptest! {
-    /// In any order of steps, each request is sent at most once, each caller that still waits gets exactly one answer,
-    /// which is that to its own request, and the queue ends empty.
+    /// In any order of steps, each request is sent at most once, each caller that still waits gets exactly one answer
+    /// and only the one to its own request, and the queue is empty at the end.
     #[test]
     fn each_request_has_one_outcome(steps in steps()) {
         let mut batcher: CommandBatcher<u64> = CommandBatcher::default();
--- a/crates/coordination/tests/heartbeat_batcher.rs
+++ b/crates/coordination/tests/heartbeat_batcher.rs
@@ -250,8 +250,8 @@
 }
 
 proptest! {
-    /// In any order of steps, each call is answered once or abandoned by its caller, never answered by a batch that was
-    /// sent before the call arrived, and no caller is left waiting.
+    /// In any order of steps, each call is answered once or abandoned by its caller, no call is answered with the
+    /// outcome of a batch that was sent before the call arrived, and no caller is left waiting.
     #[test]
     fn each_heartbeat_has_one_outcome(steps in steps()) {
         let mut batcher = HeartbeatBatcher::new(MAX_DELAY);
--- a/crates/coordination/tests/leases/simulation.rs
+++ b/crates/coordination/tests/leases/simulation.rs
@@ -115,7 +115,7 @@
     }
 
     /// Brings a coordinator's lease table up to date with the state. In reality, a deposed leader would see no state
-    /// newer than when it lost the leadership. Seeing the leader's state here makes it propose more ends, not fewer.
+    /// newer than when it lost the leadership. Here it sees the leader's state, so it proposes to end more sessions.
     fn track(&mut self, coordinator: usize) {
         let now = self.coordinator_clock(coordinator);
         self.tables[coordinator].track(now, self.state.leases());
--- a/crates/coordinator/src/settings.rs
+++ b/crates/coordinator/src/settings.rs
@@ -12,7 +12,7 @@
 /// The settings of a coordinator.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// The name of the group; calls from other groups are rejected.
+    /// The name of the group; calls for other groups are rejected.
     pub group: String,
     /// The number of this replica, which has to be one of `replicas`.
     pub id: ReplicaId,
--- a/crates/coordinator/src/storage/snapshot.rs
+++ b/crates/coordinator/src/storage/snapshot.rs
@@ -6,7 +6,7 @@
 use openraft::{BasicNode, SnapshotMeta};
 use serde::{Deserialize, Serialize};
 
-/// A snapshot of the coordination state as it is stored; the same parts are sent to another replica that needs one.
+/// A snapshot of the coordination state as it is stored. Both parts are also sent to replicas that need a snapshot.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct StoredSnapshot {
     /// The last entry that the snapshot covers, and the membership of the group at that entry.
--- a/crates/session-proxy/src/settings.rs
+++ b/crates/session-proxy/src/settings.rs
@@ -62,7 +62,7 @@
 /// The checked settings of a session proxy.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
-    /// The group's name; calls from other groups are rejected.
+    /// The group's name; calls for other groups are rejected.
     pub group: String,
     /// The session proxy's name in its log lines and its status.
     pub name: String,
