--- a/crates/coordination/tests/heartbeat_batcher.rs
+++ b/crates/coordination/tests/heartbeat_batcher.rs
@@ -59,7 +59,7 @@
         .enqueue(heartbeat(7), WaiterId(1))
         .expect("capacity");
     let first = next_batch(&mut batcher, at(0));
-    // The member's first call hung, so it sends another heartbeat, from which it counts its lease.
+    // The member's first call got no response, so it sends another heartbeat, from which it counts its lease.
     batcher
         .enqueue(heartbeat(7), WaiterId(2))
         .expect("capacity");
@@ -250,8 +250,8 @@
 }
 
 proptest! {
-    /// In any order of steps, each call is answered once or abandoned by its caller, never answered by a batch that was
-    /// sent before the call arrived, and no caller is left waiting.
+    /// In any order of steps, each call is answered once or abandoned by its caller, no call is answered with the
+    /// outcome of a batch that was sent before the call arrived, and no caller is left waiting.
     #[test]
     fn each_heartbeat_has_one_outcome(steps in steps()) {
         let mut batcher = HeartbeatBatcher::new(MAX_DELAY);
