--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -16,7 +16,7 @@
     pub event: AccessEvent,
 }
 
-/// An event that is logged: most are a step of one message.
+/// A logged event, in most cases a step in the processing of one message.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "snake_case")]
 pub enum AccessEvent {
@@ -67,7 +67,7 @@
         /// Number of the call, unique within the process; the attempts of a batch share one call.
         #[serde(default)]
         call: u64,
-        /// The observation from which the outcome follows, such as `answer 503` or `no head`.
+        /// What ended the attempt, such as `answer 503` or `no head`.
         #[serde(default)]
         cause: String,
         /// The Retry-After of a rejection, in microseconds.
--- a/crates/hot-restart/src/forwarding.rs
+++ b/crates/hot-restart/src/forwarding.rs
@@ -24,7 +24,7 @@
 /// responses that have been sent.
 const LINGER: Duration = Duration::from_millis(300);
 
-/// The state of a process that has been taken over, with all that it needs to forward.
+/// What a process that has been taken over needs to forward inputs to the new process.
 pub struct ForwardingState {
     /// For each call in flight, by number, the channel that takes the positions of the messages to be cancelled in it.
     pub cancels: BTreeMap<u64, mpsc::UnboundedSender<usize>>,
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -86,7 +86,8 @@
     pub cached_endpoints: Option<EndpointListUpdate>,
     /// Settings of the decision module.
     pub settings: Settings,
-    /// Names and time limits for the other parts of the sender.
+    /// Names of zones, classes, kinds of destination, tenants and load report fields, and the time limit for opening a
+    /// connection.
     pub names: SettingNames,
 }
 
--- a/crates/platform/src/connection_monitor.rs
+++ b/crates/platform/src/connection_monitor.rs
@@ -175,8 +175,9 @@
         self.is_close_requested.set(true);
     }
 
-    /// Whether the end of the connection must still be awaited: the endpoint was asked to close it, has not done so,
-    /// and the head of a second response, which may contain a `Retry-After`, is not complete.
+    /// Whether to keep reading until the endpoint closes the connection: it was asked to close and has not done so yet.
+    /// Data of a second response ends the wait, but not before a response head that is being received is complete,
+    /// because that head may contain a `Retry-After`.
     fn awaits_end(&self) -> bool {
         let has_second_head = self.has_extra_data() && self.header_field_buffer.borrow().is_none();
         self.is_close_requested.get() && !self.has_end_of_stream.get() && !has_second_head
--- a/crates/platform/src/connection_monitor/stream.rs
+++ b/crates/platform/src/connection_monitor/stream.rs
@@ -12,7 +12,8 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// How many bytes of a response are still read when its call has been aborted: more than a response head has.
+/// Maximum number of bytes that are still read from the socket when a call has been aborted; response heads are usually
+/// much smaller. Also the buffer size for reads while the sender waits for the endpoint to close.
 const MAX_FINAL_READ_BYTES: usize = 4096;
 
 /// The stream of a connection to an endpoint. The monitor observes all bytes that are read and written.
--- a/crates/platform/src/discovery_backoff.rs
+++ b/crates/platform/src/discovery_backoff.rs
@@ -1,10 +1,10 @@
 //! How long a sender waits before it contacts discovery again. Performs no I/O and reads no clock.
 //!
-//! All senders lose their watches at the same time, and with short delays all would retry together. Requests that queue
-//! for longer than their caller waits are served after the caller has gone, so discovery would work at its limit
-//! without serving anyone (metastable failure: Bronson and others, Metastable Failures in Distributed Systems, HotOS
-//! 2021). Delays after a rejection therefore grow with the number of senders, and each is random (M. Brooker,
-//! Exponential Backoff and Jitter, 2015).
+//! When discovery fails, all senders lose their watches at the same time, and with short delays all would retry
+//! together. Requests that queue for longer than their caller waits are served after the caller has disconnected, so
+//! discovery would be fully loaded without serving anyone (metastable failure: Bronson and others, Metastable Failures
+//! in Distributed Systems, HotOS 2021). Delays after a rejection therefore grow with the number of senders, and each is
+//! random (M. Brooker, Exponential Backoff and Jitter, 2015).
 //!
 //! An unreachable discovery service has no queue that a request could lengthen. Delays after such a failure stay
 //! short, so that changes are received in time once discovery is back.
@@ -16,14 +16,14 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::time::Duration;
 
-/// A change must be known to the sender within this time after discovery has it and can be reached.
+/// Maximum time until a sender receives a change, from the time when discovery has the change and can be reached.
 const MAX_UPDATE_DELAY: Duration = Duration::from_millis(6000);
-/// A watch, or a request that opens one, counts as failed after this time without data. Discovery sends an empty line
-/// every 2 s.
+/// A watch counts as failed after this time without a list update or keep-alive, and a request that opens one counts as
+/// failed after this time without a response. Discovery sends an empty line as a keep-alive every 2 s.
 pub(crate) const WATCH_INACTIVITY_TIMEOUT: Duration = Duration::from_millis(3000);
 /// Longest delay after a failure to reach discovery, and after a first rejection.
 pub(crate) const MAX_SHORT_DELAY: Duration = Duration::from_millis(1900);
-/// Time within which a healthy discovery service on the same machine has responded.
+/// Time within which a healthy discovery service on the same machine responds.
 pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Reserve for socket delays of 50 ms and for a busy machine.
 const TIMING_SLACK: Duration = Duration::from_millis(100);
@@ -75,8 +75,8 @@
 impl DiscoveryBackoff {
     /// Creates the backoff of one sender. `senders` is the number of senders that share one discovery, and `seed` must
     /// differ between them. With `is_pushed`, the list comes from a local process that serves this sender alone;
-    /// `senders` is then ignored, because a change that this process has must be known in time however many senders
-    /// there are.
+    /// `senders` is then ignored, because the other senders put no load on that process, and a change must be received
+    /// in time whatever their number.
     #[must_use]
     pub fn new(senders: u32, is_pushed: bool, seed: u64) -> Self {
         let senders = if is_pushed { 1 } else { senders };
--- a/crates/platform/src/http_transport.rs
+++ b/crates/platform/src/http_transport.rs
@@ -107,7 +107,7 @@
         tokio::task::spawn_local(async move { run_call(shared, call, cancels).await });
     }
 
-    /// Accepts idle connections to the endpoint at this address from now on, and closes those to a previous address.
+    /// Keeps idle connections to the endpoint at this address from now on, and closes those to a previous address.
     fn add_endpoint(&self, endpoint: EndpointId, address: SocketAddr) {
         self.0.pools.borrow_mut().add_endpoint(endpoint, address);
     }
@@ -122,7 +122,8 @@
         self.0.pools.borrow_mut().close_idle(endpoint);
     }
 
-    /// Closes idle connections that the endpoint has closed or would soon close, and removes outdated close behaviours.
+    /// Closes idle connections that the endpoint has closed or would soon close. Also removes expired records of
+    /// endpoints that did not close a connection as requested.
     fn evict_idle(&self) {
         let is_closed = |connection: &Connection| connection.sender.is_closed();
         self.0
--- a/crates/platform/src/http_transport/response.rs
+++ b/crates/platform/src/http_transport/response.rs
@@ -34,8 +34,8 @@
 }
 
 impl ResponseReader<'_> {
-    /// Reads as much of the response as its evaluation needs. The rest is read in a task of its own, which then returns
-    /// the connection to the pool.
+    /// Reads as much of the response as its evaluation needs. A separate task reads the rest, and then returns the
+    /// connection to the pool or, if it may not carry another call, closes it.
     pub(super) async fn read(
         self,
         connection: Connection,
--- a/crates/platform/src/pools.rs
+++ b/crates/platform/src/pools.rs
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Accepts idle connections to the endpoint at this address from now on, and closes those to a previous address.
+    /// Keeps idle connections to the endpoint at this address from now on, and closes those to a previous address.
     pub(crate) fn add_endpoint(&mut self, endpoint: EndpointId, address: SocketAddr) {
         if self
             .pools
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Closes the idle connections to the endpoint, and accepts none from now on.
+    /// Closes the idle connections to the endpoint, and keeps none from now on.
     pub(crate) fn remove_endpoint(&mut self, endpoint: EndpointId) {
         self.close_idle(endpoint);
         self.pools.remove(&endpoint);
--- a/crates/platform/src/resource_budget.rs
+++ b/crates/platform/src/resource_budget.rs
@@ -25,10 +25,10 @@
 }
 
 impl ResourceBudget {
-    /// Descriptors for everything else: standard streams, the poll and its waker, signals, listener, journal (two files
-    /// while it is compacted), configuration, the watch and a request that waits beside it, the requests with
-    /// notifications, and one connection that is being closed. They are reserved from the start, so that a server with
-    /// all its slots in use still leaves descriptors for discovery.
+    /// Descriptors for everything else: standard streams, the I/O poller and its waker, signals, listener, journal (two
+    /// files while it is compacted), configuration, the watch and an earlier watch request that is still queued, the
+    /// requests with notifications, and one connection that is being closed. They are reserved from the start, so that
+    /// a server with all its slots in use still leaves descriptors for discovery.
     const RESERVED_DESCRIPTORS: usize = 18 + MAX_POSTS + 1;
 
     /// Divides the given limits, for a sender that makes at most `call_slots` calls at once.
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -368,8 +368,9 @@
 }
 
 /// Closes a connection without a reset, which would discard a response that the client has not read yet: shuts down
-/// the write side, then reads remaining input for a limited time. `slot` is freed at once if a lingering slot is
-/// available instead, and otherwise when the connection is closed.
+/// the write side, then reads remaining input for a limited time. If a lingering slot is available, `slot` is released
+/// before that input is read. Otherwise only input that has already arrived is read, and `slot` is released when the
+/// connection is closed.
 async fn close_gracefully(
     mut stream: TcpStream,
     slot: Option<OwnedSemaphorePermit>,
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -12,7 +12,7 @@
 /// Much longer than any call in these tests takes.
 pub(crate) const GENEROUS_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Runs a test on a single-threaded runtime, like the one of the transport.
+/// Runs a test on a single-threaded runtime, like that of the sender.
 pub(crate) fn run_local(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use virtual_discovery::{State, VirtualDiscovery, virtual_time};
 
-/// A change must be known to the sender within this time after discovery has it and can be reached.
+/// Maximum time until a sender receives a change, from the time when discovery has the change and can be reached.
 const MAX_UPDATE_DELAY: Duration = Duration::from_millis(6000);
 /// The platform counts a message as lost when its notification has not been accepted this long after the message's
 /// deadline.
@@ -102,7 +102,7 @@
             State::StalledResponse,
         ] {
             for (senders, is_pushed) in [(300, false), (25, false), (3, false), (300, true)] {
-                // zero: discovery is faulty from the start of the sender on
+                // zero: discovery is faulty from the start of the sender
                 for fault_start in [0, 5000, 5700, 6400] {
                     for step in 0..60 {
                         let (fault_start, recovery) =
@@ -262,7 +262,8 @@
             .expect("the task runs");
     }
 
-    /// Waits until this many notifications have been accepted; returns their numbers in the order of the reports.
+    /// Waits until this many notifications have been reported to the engine as accepted; returns their numbers in that
+    /// order.
     async fn wait_for_accepted(&mut self, count: usize) -> Vec<u64> {
         let mut accepted = Vec::new();
         while accepted.len() < count {
--- a/src/access_log.rs
+++ b/src/access_log.rs
@@ -99,7 +99,8 @@
 
 /// Prints the rows of the selected destination, or of all, and returns their number.
 ///
-/// Returns at least 1 if standard output can't be written, since the logs may well hold records then.
+/// Returns at least 1 if standard output can't be written: printing stops before all rows are counted, so a count of 0
+/// would not mean that the logs contain no records.
 fn print(arguments: &Arguments, summary: &AccessLogSummary) -> usize {
     let mut count = 0;
     let rows = summary
--- a/src/assemble.rs
+++ b/src/assemble.rs
@@ -65,7 +65,7 @@
     pub connect_timeout: Duration,
     /// The endpoint list as cached by an earlier process; it may be stale.
     pub cached_endpoints: Option<EndpointListUpdate>,
-    /// Whether delivered messages are notified too, not only failed ones.
+    /// Whether delivered messages cause a notification too, not only those that were not delivered.
     pub notify_delivered: bool,
     /// Lower bound for the numbers of new messages: greater than any message number recorded outside the journal and
     /// the dead-letter store, such as in the sidecar's outcome log.
--- a/src/assemble/running.rs
+++ b/src/assemble/running.rs
@@ -52,7 +52,8 @@
 pub(crate) struct Running {
     /// Sends inputs to the engine.
     pub inputs: mpsc::UnboundedSender<Input>,
-    /// Final outcomes of messages, to be notified; taken by the task that handles them.
+    /// Receives the final outcomes of messages. Taken by the task that posts them to discovery or, in the sidecar,
+    /// records them in the outcome log.
     pub final_outcomes: Option<mpsc::UnboundedReceiver<Notification>>,
     /// Counters for the admin listener.
     pub metrics: Rc<Metrics>,
--- a/src/assemble/takeover.rs
+++ b/src/assemble/takeover.rs
@@ -117,8 +117,8 @@
     }
 }
 
-/// Runs the engine until its inputs end, and returns none then, or until the new process has decided on an offered
-/// takeover, and returns the outcome. After a failed takeover the engine continues.
+/// Runs the engine until a new process has decided on an offered takeover, and returns the decision; `None` if the
+/// inputs end before. After a failed takeover the engine continues.
 async fn run_until_takeover(
     engine: &mut Engine,
     inputs: &mut mpsc::UnboundedReceiver<Input>,
--- a/src/config.rs
+++ b/src/config.rs
@@ -57,7 +57,8 @@
         /// The port on which messages are submitted. The port for outcomes is 100 higher.
         #[arg(long)]
         port: Option<u16>,
-        /// What a repeat of a message does: nothing (repeatable), it is dropped by its key (keyed), harm (unsafe).
+        /// What happens at the destination if a message is repeated: no harm is done (repeatable), the repeat is dropped
+        /// by its key (keyed), or harm may be done (unsafe).
         #[arg(long, value_parser = EFFECTS)]
         effect: Option<String>,
         /// The address of the first endpoint of the first destination.
@@ -80,9 +81,9 @@
 
 /// Prints all findings of the documents and returns their number. Text goes to standard error, JSON to standard output.
 pub(crate) fn report(documents: &[Document], format: Format) -> usize {
-    let found = milletturn_config::findings(documents);
+    let findings = milletturn_config::findings(documents);
     let color = std::io::stderr().is_terminal();
-    for finding in &found {
+    for finding in &findings {
         // write errors are ignored, because the result depends only on the number of findings
         match format {
             Format::Json => {
@@ -95,7 +96,7 @@
             }
         }
     }
-    found.len()
+    findings.len()
 }
 
 /// Runs a command and returns its exit code.
@@ -110,9 +111,9 @@
         Command::Explain { code: Some(code) } => explain(code),
         Command::Show { file } => {
             let documents = check_files(std::slice::from_ref(file));
-            let found = report(&documents, Format::Text);
+            let finding_count = report(&documents, Format::Text);
             documents.iter().for_each(show);
-            exit_code(found)
+            exit_code(finding_count)
         }
         Command::New {
             name,
@@ -137,12 +138,12 @@
 }
 
 /// Returns exit code 1 if there are findings, else 0.
-fn exit_code(found: usize) -> ExitCode {
-    ExitCode::from(u8::from(found > 0))
+fn exit_code(finding_count: usize) -> ExitCode {
+    ExitCode::from(u8::from(finding_count > 0))
 }
 
-/// Checks files together: configurations as sidecars on one machine, and endpoints files against the configurations
-/// that name them.
+/// Checks files together: configurations as those of sidecars that run on the same machine, and endpoints files against
+/// the configurations that name them.
 fn check(files: &[PathBuf], here: bool, format: Format) -> ExitCode {
     let read = files.iter().map(|file| Document::read(file));
     let (mut lists, sidecars): (Vec<_>, Vec<_>) =
@@ -160,18 +161,18 @@
         }
     }
     documents.append(&mut lists);
-    let found = report(&documents, format);
-    if format == Format::Text && found == 0 {
+    let finding_count = report(&documents, format);
+    if format == Format::Text && finding_count == 0 {
         return print(format_args!("{} sound\n", files.len()));
     }
     if format == Format::Text {
         let _ = writeln!(
             std::io::stderr(),
             "{}; `milletturn config explain CODE` says more",
-            findings_count_text(found)
+            findings_count_text(finding_count)
         );
     }
-    exit_code(found)
+    exit_code(finding_count)
 }
 
 /// Prints all codes of findings with their titles.
--- a/src/dead_letter/arguments.rs
+++ b/src/dead_letter/arguments.rs
@@ -67,7 +67,7 @@
         #[command(flatten)]
         audit: AuditArguments,
     },
-    /// Resolve messages: as done, or as confirmed not to have run.
+    /// Mark messages as resolved: either as done, or as confirmed not to have run.
     #[command(alias = "settle")]
     Resolve {
         #[command(flatten)]
--- a/src/fleet/hold.rs
+++ b/src/fleet/hold.rs
@@ -47,7 +47,7 @@
     format: Format,
 ) -> Result<(), CommandError> {
     if !(0.0..=0.5).contains(&arguments.clock_error) {
-        let why = "--clock-error: a share from 0 to 0.5";
+        let why = "--clock-error must be a share from 0 to 0.5";
         return Err(CommandError::Usage(why.to_string()));
     }
     let mut signals = Signals::new().map_err(CommandError::Signals)?;
--- a/src/fleet/table.rs
+++ b/src/fleet/table.rs
@@ -75,7 +75,7 @@
     columns(&rows) + &events(state, is_selected)
 }
 
-/// The latest events without single writes, which are frequent and say nothing about changes of owner.
+/// The latest events except writes, which are frequent and do not change the owner.
 fn events(state: &StateView, is_selected: impl Fn(&str) -> bool) -> String {
     let mut rows = vec![row(["EVENT", "WORK", "TERM", "MEMBER", "WHAT"])];
     let events: Vec<_> = state
--- a/src/main.rs
+++ b/src/main.rs
@@ -57,7 +57,7 @@
         #[arg(long, value_name = "FILE")]
         config: PathBuf,
     },
-    /// Run a sidecar for trial, with a built-in endpoint, on this machine's loopback address.
+    /// Run a sidecar to try it out, with a built-in endpoint, on this machine's loopback address.
     Demo {
         /// Deliver one message, print its final outcome, and exit.
         #[arg(long)]
--- a/src/persistent_clock.rs
+++ b/src/persistent_clock.rs
@@ -59,7 +59,7 @@
     } else {
         0
     };
-    // a damaged time far in the future must not hold the clock there
+    // a damaged saved time must not set the clock far into the future
     let continued_us = saved_time_us.saturating_add(elapsed_us);
     if continued_us > wall_us.saturating_add(MAX_LEAD_US) {
         wall_us
--- a/src/persistent_clock/tests.rs
+++ b/src/persistent_clock/tests.rs
@@ -14,7 +14,7 @@
         continued_time_us(saved, "boot-a", 8_000_000, 2_000_000_000),
         2_000_000_000
     );
-    // after a reboot the time since the save is unknown, but the clock does not go back behind the saved time
+    // after a reboot the time since the save is unknown, but the clock does not start before the saved time
     assert_eq!(
         continued_time_us(saved, "boot-b", 8_000_000, 900_000_000),
         1_000_000_000
