--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -15,7 +15,7 @@
 
 /// Maximum length of any frame other than an offer: a message body, plus 16 KiB for the other fields.
 pub(crate) const MAX_FRAME_BYTES: usize = MAX_BODY_BYTES + 16 * 1024;
-/// Maximum length of an offer. A message without its body takes some hundred bytes, so far more messages fit than are
+/// Maximum length of an offer. A message without its body takes a few hundred bytes, so far more messages fit than are
 /// ever in flight.
 pub(crate) const MAX_OFFER_BYTES: usize = 16 << 20;
 
--- a/crates/platform/src/drain_gate.rs
+++ b/crates/platform/src/drain_gate.rs
@@ -109,7 +109,7 @@
         *self.phase.borrow() != Phase::Open
     }
 
-    /// Whether new messages are accepted.
+    /// Whether new messages are accepted: always, except from 1.8 s after the start of a drain until the drain ends.
     pub fn accepts_messages(&self) -> bool {
         self.phase.borrow().accepts_messages(Instant::now())
     }
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -245,8 +245,8 @@
                 Some(slot) => Some(slot),
                 None => connections.acquire_slot(&server.connection_slots).await,
             };
-            // From accept to close, each connection holds a permit for its file descriptor: a connection slot or a
-            // waiting slot.
+            // From here until its close, each connection holds a permit for its file descriptor: a connection slot, a
+            // waiting slot or a lingering slot.
             let (closing, slot) = match slot {
                 Some(slot) => {
                     drop(waiting_slot);
--- a/crates/platform/tests/virtual_discovery/mod.rs
+++ b/crates/platform/tests/virtual_discovery/mod.rs
@@ -37,7 +37,7 @@
     StalledResponse,
     /// Responds to this many requests with 503, and to later ones like a healthy service.
     Rejecting(u32),
-    /// Serves requests one after the other, each taking this time, even if the caller has gone.
+    /// Serves requests one after the other, each taking this time, even if the caller has disconnected.
     Queue(Duration),
 }
 
--- a/src/access_log.rs
+++ b/src/access_log.rs
@@ -1,4 +1,4 @@
-//! `milletturn access-log`: summarises the access logs of several senders by destination and time span.
+//! `milletturn access-log`: summarises the access logs of several senders by destination and interval.
 
 use crate::format::Format;
 use crate::output::{self, Reader};
--- a/src/assemble.rs
+++ b/src/assemble.rs
@@ -205,8 +205,7 @@
     )
 }
 
-/// Creates the clock of the decision module. With a dead-letter store, its time does not go back from one process to
-/// the next.
+/// Creates the engine's clock. With a dead-letter store, its time does not go back from one process to the next.
 fn create_clock(options: &SenderOptions) -> Result<Clock, Box<dyn Error>> {
     let since_epoch = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -206,13 +206,13 @@
         .await?)
 }
 
-/// Prints each item as a line. A reader that closes standard output early is no error.
+/// Prints each item as a line. It is not an error if the reader closes standard output early.
 fn print_lines(lines: impl IntoIterator<Item: Display>) -> Result<(), CommandError> {
     output::print_lines(lines).map_err(CommandError::Output)?;
     Ok(())
 }
 
-/// Prints a formatted table. A reader that closes standard output early is no error.
+/// Prints a formatted table. It is not an error if the reader closes standard output early.
 fn print_table(text: &str) -> Result<(), CommandError> {
     output::print(text).map_err(CommandError::Output)?;
     Ok(())
--- a/src/run.rs
+++ b/src/run.rs
@@ -196,7 +196,7 @@
     discovery
 }
 
-/// The bytes of the state folder that remain for the journal beside the dead-letter store.
+/// The bytes of the state folder that remain for the journal after the reservation for the dead-letter store.
 ///
 /// # Errors
 /// If the store's reservation leaves the journal less than its minimum share.
@@ -217,7 +217,8 @@
     .into())
 }
 
-/// Reload on SIGHUP: applies the whole configuration file or, if any of it is rejected, nothing.
+/// Reload on SIGHUP: applies everything in the configuration file that a reload can change or, if any of the file is
+/// rejected, nothing.
 struct Reload {
     name: String,
     path: PathBuf,
