--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -203,7 +203,8 @@
 #[test]
 fn requests_that_queue_longer_than_the_inactivity_timeout_are_answered() {
     virtual_time(async {
-        // serves 12.5 requests per second in the order of their arrival, including those whose callers have disconnected
+        // serves 12.5 requests per second in the order of their arrival, including those whose callers have
+        // disconnected
         let service = VirtualDiscovery::new(vec![(ms(0), State::Queue(ms(80)))], ms(0));
         let (_address_sender, addresses) = watch::channel(address(1));
         let mut watches: Vec<_> = (0..100)
--- a/src/config.rs
+++ b/src/config.rs
@@ -57,8 +57,8 @@
         /// The port on which messages are submitted. The port for outcomes is 100 higher.
         #[arg(long)]
         port: Option<u16>,
-        /// What happens at the destination if a message is repeated: no harm is done (repeatable), the repeat is dropped
-        /// by its key (keyed), or harm may be done (unsafe).
+        /// What happens at the destination if a message is repeated: no harm is done (repeatable), the repeat is
+        /// dropped by its key (keyed), or harm may be done (unsafe).
         #[arg(long, value_parser = EFFECTS)]
         effect: Option<String>,
         /// The address of the first endpoint of the first destination.
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -227,8 +227,8 @@
     let mut replies = Vec::new();
     for address in &group.addresses {
         let mut client = Client::new(address, &group.name);
-        // each coordinator gets a request and a timeout of its own, so that one that doesn't respond does not use up the
-        // time for the others
+        // each coordinator gets a request and a timeout of its own, so that one that doesn't respond does not use up
+        // the time for the others
         let timeout = timeout.min(STATUS_TIMEOUT);
         let status = match client
             .call::<CoordinatorStatus>(STATUS_PATH, None::<&()>, timeout)
