--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -245,8 +245,8 @@
                 Some(slot) => Some(slot),
                 None => connections.acquire_slot(&server.connection_slots).await,
             };
-            // From accept to close, each connection holds a permit for its file descriptor: a connection slot or a
-            // waiting slot.
+            // From here until its close, each connection holds a permit for its file descriptor: a connection slot, a
+            // waiting slot or a lingering slot.
             let (closing, slot) = match slot {
                 Some(slot) => {
                     drop(waiting_slot);
@@ -368,8 +368,9 @@
 }
 
 /// Closes a connection without a reset, which would discard a response that the client has not read yet: shuts down
-/// the write side, then reads remaining input for a limited time. `slot` is freed at once if a lingering slot is
-/// available instead, and otherwise when the connection is closed.
+/// the write side, then reads remaining input for a limited time. If a lingering slot is available, `slot` is released
+/// before that input is read. Otherwise only input that has already arrived is read, and `slot` is released when the
+/// connection is closed.
 async fn close_gracefully(
     mut stream: TcpStream,
     slot: Option<OwnedSemaphorePermit>,
--- a/src/fleet.rs
+++ b/src/fleet.rs
@@ -206,13 +206,13 @@
         .await?)
 }
 
-/// Prints each item as a line. A reader that closes standard output early is no error.
+/// Prints each item as a line. It is not an error if the reader closes standard output early.
 fn print_lines(lines: impl IntoIterator<Item: Display>) -> Result<(), CommandError> {
     output::print_lines(lines).map_err(CommandError::Output)?;
     Ok(())
 }
 
-/// Prints a formatted table. A reader that closes standard output early is no error.
+/// Prints a formatted table. It is not an error if the reader closes standard output early.
 fn print_table(text: &str) -> Result<(), CommandError> {
     output::print(text).map_err(CommandError::Output)?;
     Ok(())
@@ -227,7 +227,8 @@
     let mut replies = Vec::new();
     for address in &group.addresses {
         let mut client = Client::new(address, &group.name);
-        // each coordinator gets a request and a timeout of its own, so that a stopped one doesn't hide the others
+        // each coordinator gets a request and a timeout of its own, so that one that doesn't respond does not use up
+        // the time for the others
         let timeout = timeout.min(STATUS_TIMEOUT);
         let status = match client
             .call::<CoordinatorStatus>(STATUS_PATH, None::<&()>, timeout)
