--- a/crates/dead-letter/src/control/commands.rs
+++ b/crates/dead-letter/src/control/commands.rs
@@ -18,7 +18,7 @@
 const PAGE_SIZE: usize = 200;
 /// How many times a command retries to add a job to the full queue of the store's thread before it fails.
 const MAX_QUEUE_RETRIES: usize = 1000;
-/// Backoff before each of these retries.
+/// Backoff before each retry to add a job to the full queue.
 const QUEUE_BACKOFF: Duration = Duration::from_millis(5);
 
 /// Why the answer to a command ended early.
--- a/crates/dead-letter/src/control/messages.rs
+++ b/crates/dead-letter/src/control/messages.rs
@@ -82,7 +82,7 @@
     End {
         /// Number of messages in the answer.
         count: usize,
-        /// Number of those that were not redriven or resolved.
+        /// Number of messages in the answer that were not redriven or resolved.
         #[serde(rename = "declined")]
         rejected: usize,
     },
--- a/crates/dead-letter/src/control/server.rs
+++ b/crates/dead-letter/src/control/server.rs
@@ -103,7 +103,7 @@
     write: OwnedWriteHalf,
     /// Number of messages in the answer so far.
     pub(super) count: usize,
-    /// Number of those that were rejected.
+    /// Number of messages in the answer that were not redriven or resolved.
     pub(super) rejected: usize,
 }
 
--- a/crates/dead-letter/src/error.rs
+++ b/crates/dead-letter/src/error.rs
@@ -60,7 +60,7 @@
     /// An operator has resolved the message.
     #[error("it has been settled")]
     Resolved,
-    /// The message may not be redriven: the destination could process it twice, or something needed is missing.
+    /// The redrive decision does not allow a redrive; the [`Denial`] says why.
     #[error("{0}")]
     Denied(Denial),
     /// The engine did not accept the redrive.
--- a/crates/dead-letter/src/job.rs
+++ b/crates/dead-letter/src/job.rs
@@ -10,7 +10,7 @@
 /// A unit of work for the store's thread.
 #[derive(Debug)]
 pub enum Job {
-    /// Wakes the thread, because messages to save are in their own queue.
+    /// Wakes the thread to save messages, which wait in a queue of their own.
     Wake,
     /// Records that an attempt at a destination ended.
     AttemptEnded {
--- a/crates/dead-letter/src/redrive_decision.rs
+++ b/crates/dead-letter/src/redrive_decision.rs
@@ -2,8 +2,8 @@
 //!
 //! A destination drops a repeat with the same idempotency key only inside its deduplication window, counted from the
 //! first attempt that may have run; after the window a repeat takes effect again. So a message that may have run and
-//! whose class is keyed is redriven only inside that window, and only if it has a key. If its class must never run
-//! twice, it is not redriven; if its class may run any number of times, it is redriven at any time.
+//! whose class is keyed is redriven only inside that window, and only if it has a key. If messages of its class must
+//! never run twice, it is not redriven; if they may run any number of times, it is redriven at any time.
 
 use milletturn_engine::Ending;
 use milletturn_policy::{Effect, MILLISECOND, Micros};
@@ -20,7 +20,7 @@
 )]
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DecisionInput {
-    /// What a repeat of a message of this class does; `None` if the settings no longer name the class.
+    /// Whether messages of this class may be processed more than once; `None` if the settings no longer name the class.
     pub effect: Option<Effect>,
     /// The message has an idempotency key.
     pub has_key: bool,
--- a/crates/dead-letter/src/redrive_schedule.rs
+++ b/crates/dead-letter/src/redrive_schedule.rs
@@ -147,9 +147,9 @@
 
     /// Returns the first rule by which this message may be redriven now, and takes one token of that rule.
     ///
-    /// A destination whose last attempt failed qualifies after [`RedriveRule::min_healthy`] too, and a destination
-    /// without attempts qualifies at once, but until an attempt succeeds each gets only one message at a time, as a
-    /// probe.
+    /// A message may be redriven once [`RedriveRule::min_healthy`] has passed since the last failed attempt at its
+    /// destination, or at once if no attempt has failed. While the destination's last attempt failed, or it has had no
+    /// attempt, only one message at a time is redriven to it, as a probe.
     pub fn try_acquire(&mut self, candidate: &Candidate<'_>, now: Micros) -> Option<&RedriveRule> {
         let health = self
             .health
--- a/crates/dead-letter/src/redrive_service.rs
+++ b/crates/dead-letter/src/redrive_service.rs
@@ -41,7 +41,7 @@
     pub unsaved: usize,
 }
 
-/// The store, the redrive rules, and the effect of a repeat for each class.
+/// The store, the redrive rules, and for each class whether its messages may be processed more than once.
 #[derive(Debug)]
 pub struct RedriveService {
     store: DeadLetterStore,
@@ -54,7 +54,8 @@
 }
 
 impl RedriveService {
-    /// Creates a service on an open store; `effects` says by class name what a repeat of a message does.
+    /// Creates a service on an open store; `effects` says by class name whether a message may be processed more than
+    /// once.
     #[must_use]
     pub fn new(store: DeadLetterStore, config: &Config, effects: BTreeMap<String, Effect>) -> Self {
         RedriveService {
--- a/crates/dead-letter/src/store/save.rs
+++ b/crates/dead-letter/src/store/save.rs
@@ -18,7 +18,8 @@
 pub enum SaveOutcome {
     /// The store holds the message.
     Saved,
-    /// The store is full, and holds no resolved messages that could be dropped.
+    /// The store is full: there were not enough resolved messages to drop, or SQLite reported that the file has reached
+    /// its maximum size.
     Full,
 }
 
--- a/crates/dead-letter/src/store_worker.rs
+++ b/crates/dead-letter/src/store_worker.rs
@@ -44,7 +44,7 @@
     pub state_dir: PathBuf,
     /// The store's settings.
     pub config: Config,
-    /// What a repeat of a message does, by the name of its class.
+    /// Whether a message may be processed more than once, by the name of its class.
     pub effects: BTreeMap<String, Effect>,
     /// Numbers of the messages that the journal holds as unfinished redrives.
     pub redriving: BTreeSet<u64>,
@@ -201,7 +201,7 @@
         Ok(service) => service,
         Err(error) => {
             log(format_args!(
-                "undelivered: {error}; messages that fail from now on stay in the ledger"
+                "undelivered: {error}; messages that fail from now on stay in the journal"
             ));
             return;
         }
--- a/crates/dead-letter/tests/golden/settings.rs
+++ b/crates/dead-letter/tests/golden/settings.rs
@@ -1,4 +1,4 @@
-//! Tests of the settings file: the values of the one in `deploy/`, and each key under its own name.
+//! Tests of the settings file: `deploy/undelivered.toml` is read with its values, and each key under its own name.
 
 use super::golden_text;
 use milletturn_dead_letter::config::Config;
--- a/crates/dead-letter/tests/simulation/mod.rs
+++ b/crates/dead-letter/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
 //! A simulation of a sender in virtual time, reproducible from a seed. The engine, the journal's file and the store's
-//! file are the real ones. Simulated are the destinations, which record each effect, the clients and the operators. A
-//! [`CrashPoint`] cuts the process off between any two externally visible steps, as SIGKILL does.
+//! file are the real ones. The destinations, which record each effect, the clients and the operators are simulated. A
+//! [`CrashPoint`] ends the process between any two externally visible steps, as SIGKILL does.
 //!
 //! - `plan`: the parameters of a run; `process`: one simulated process; `ports`: the ports of its engine;
 //! - `clients`, `operators`: the users of the process; `invariants`: what must be true between processes and at the
@@ -42,10 +42,10 @@
     plan: Plan,
     folder: PathBuf,
     environment: SimulatedEnvironment,
-    /// Messages that clients have yet to submit, with the time, name and destination of each. A message without a
-    /// response before a crash is added again.
+    /// Time, name and destination of each message that clients have yet to submit. A message that got no response before
+    /// a crash is added again, unless the sender had accepted it.
     arrivals: RefCell<VecDeque<(Micros, String, DestinationId)>>,
-    /// Ids of the messages that the sender accepted, and those that it had delivered before.
+    /// Ids of the messages that the sender accepted or reported as already delivered.
     accepted_ids: RefCell<BTreeSet<String>>,
     /// Ids of the messages that got another response; clients don't submit them again.
     rejected_ids: RefCell<BTreeSet<String>>,
@@ -89,7 +89,8 @@
 impl Simulation {
     /// Runs a complete plan with one process after the other. Each process crashes after the number of steps in
     /// `process_steps`; one more process runs to the end of the plan. Checks the invariants between processes and at
-    /// the end. Returns the number of steps that the last process took, or its bound if that was not reached.
+    /// the end. Returns the number of steps that the last process took; if a process in `process_steps` completed the
+    /// plan before its crash, returns the number of steps after which it would have crashed.
     pub(crate) fn run(plan: Plan, process_steps: &[u64]) -> u64 {
         let folder = tempfile::tempdir().expect("a folder");
         in_virtual_time(async {
--- a/crates/dead-letter/tests/simulation/process.rs
+++ b/crates/dead-letter/tests/simulation/process.rs
@@ -158,7 +158,7 @@
             if simulation.environment.now() - started >= MAX_PROCESS_TIME {
                 self.panic_on_hang();
             }
-            // responses that clients have read, and connections that the crash broke
+            // also handles the requests that got no response because of the crash
             simulation.read_responses(&self.responses);
             if self.crash_point.has_crashed() {
                 return Finish::Crashed;
@@ -177,7 +177,7 @@
                     self.redrive(order).await;
                 }
             }
-            // operators stop redriving messages 10 s after the repair, as people do who see the same failure repeat
+            // operators stop redriving messages 10 s after the repair, as real ones would when the same failure repeats
             let operators_redrive =
                 simulation.environment.now() < simulation.plan.repaired_at + 10 * SECOND;
             let interval = simulation.plan.redrive_interval;
--- a/crates/dead-letter/tests/store.rs
+++ b/crates/dead-letter/tests/store.rs
@@ -113,7 +113,7 @@
         number - 1,
         "unresolved messages are not dropped"
     );
-    // of resolved messages, the bodies are dropped first, and the rows stay
+    // the bodies of resolved messages are dropped first; their rows stay
     for resolved in 1..=5 {
         assert_eq!(resolve_as_done(&mut service, resolved), None);
     }
