--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -220,7 +220,7 @@
         }
     }
 
-    /// True if the path names a table, that is, if some setting's path begins with it and goes on.
+    /// True if the path names a table, that is, if some setting's path begins with it and has further parts.
     fn is_table(&self, path: &[&str]) -> bool {
         self.settings.0.iter().any(|field| {
             let mut pattern = field.path.split('.');
@@ -579,8 +579,8 @@
         }
     }
 
-    /// True if a finding is on a line that begins with the setting's name, in whatever table the line is. Such a
-    /// setting is present but invalid, and must not be reported as missing too.
+    /// True if a finding is on a line of any table that begins with the setting's name. Such a setting is present but
+    /// invalid, and must not be reported as missing too.
     fn is_already_reported(&self, path: &str) -> bool {
         let name = path.rsplit(PATH_SEPARATOR).next().unwrap_or(path);
         self.findings
--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -103,7 +103,7 @@
 const KILOBYTE: u64 = 1_000;
 const MEGABYTE: u64 = 1_000_000;
 
-/// All settings of a sidecar's configuration, in the order of generated files.
+/// All settings of a sidecar's configuration, in the order in which generated files list them.
 pub const FIELDS: &[Field] = &[
     required(
         "name",
--- a/crates/config/src/finding.rs
+++ b/crates/config/src/finding.rs
@@ -12,7 +12,7 @@
     pub path: PathBuf,
     /// Range of the text that the label is about, in bytes; none if the label is about the file as a whole.
     pub span: Option<Range<usize>>,
-    /// The label for users.
+    /// What is wrong at this location, for users; reports print it beside the marked text.
     pub label: String,
 }
 
@@ -23,7 +23,7 @@
     pub code: Code,
     /// The locations, the main one first.
     pub locations: Vec<Location>,
-    /// Text to write instead, or another hint.
+    /// How to correct the error, such as a text to write instead; `None` if there is no suggestion.
     pub help: Option<String>,
 }
 
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -7,7 +7,8 @@
 //! - [`check`](mod@check): checks one file as a whole.
 //! - [`neighbours`]: checks the files of one machine against each other.
 //! - [`codes`], [`finding`], [`render`]: the kinds of errors, the findings, and their text for users.
-//! - [`schema`], [`template`]: JSON Schema and reference page of the settings, and a file for a new application.
+//! - [`schema`], [`template`]: generate the JSON Schema and the reference page of the settings, and the configuration
+//!   file of a new application.
 //! - [`units`]: times and sizes with their units.
 
 #![expect(
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -8,8 +8,8 @@
 use std::fmt;
 use std::path::PathBuf;
 
-/// The locations of a finding in one file, as a miette diagnostic. The report of the main file holds those of the other
-/// files in `related`.
+/// A miette diagnostic for a finding's locations in one file. The report of the main file holds the reports of the
+/// other files in `related`.
 #[derive(Debug)]
 struct FileReport {
     code: String,
--- a/crates/dead-letter/src/error.rs
+++ b/crates/dead-letter/src/error.rs
@@ -60,7 +60,8 @@
     /// An operator has resolved the message.
     #[error("it has been settled")]
     Resolved,
-    /// The redrive decision does not allow a redrive; the [`Denial`] says why.
+    /// The message may not be redriven, or may not be marked as not run because it was delivered; the [`Denial`] is the
+    /// reason.
     #[error("{0}")]
     Denied(Denial),
     /// The engine did not accept the redrive.
--- a/crates/dead-letter/src/record.rs
+++ b/crates/dead-letter/src/record.rs
@@ -129,7 +129,7 @@
     /// The action, as a short text.
     #[serde(rename = "what")]
     pub action: String,
-    /// Who did it: the name of a rule or an operator; `restart` if the state was corrected at a start of the sender;
+    /// Who did it: the name of a rule or an operator; `restart` for a correction after a restart of the sender;
     /// `sender` if the engine did not accept a redrive.
     #[serde(rename = "who")]
     pub actor: String,
--- a/crates/dead-letter/tests/simulation/mod.rs
+++ b/crates/dead-letter/tests/simulation/mod.rs
@@ -42,8 +42,8 @@
     plan: Plan,
     folder: PathBuf,
     environment: SimulatedEnvironment,
-    /// Time, name and destination of each message that clients have yet to submit. A message that got no response before
-    /// a crash is added again, unless the sender had accepted it.
+    /// Time, name and destination of each message that clients have yet to submit. A message that got no response
+    /// before a crash is added again, unless the sender had accepted it.
     arrivals: RefCell<VecDeque<(Micros, String, DestinationId)>>,
     /// Ids of the messages that the sender accepted or reported as already delivered.
     accepted_ids: RefCell<BTreeSet<String>>,
--- a/crates/scale/src/figures.rs
+++ b/crates/scale/src/figures.rs
@@ -98,7 +98,8 @@
     pub p99_s: f64,
     /// Seconds until the change is in force at the last sender.
     pub worst_s: f64,
-    /// Highest second relative to the mean before the fault, for messages, bytes and processor time.
+    /// Highest rate in one second as a multiple of the mean before the fault; by name, for messages, bytes and
+    /// processor time.
     pub peak_over_mean: BTreeMap<String, f64>,
     /// Destinations missing at a sender at the end; where no change is published, sessions that senders lost.
     pub lost: u64,
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -108,7 +108,8 @@
 /// because other load on the machine makes even a quantity that grows linearly deviate from a line.
 const MAX_RESIDUAL_RATIO: f64 = 0.5;
 
-/// Fits all forms and returns the one that the points support; none for fewer than two different sizes.
+/// Fits all forms and returns the simplest one, or a more complex one if it fits clearly better (see
+/// `MAX_RESIDUAL_RATIO`); none for fewer than two different sizes.
 #[must_use]
 pub fn best(points: &[(f64, f64)]) -> Option<Fitted> {
     let fitted = Form::ALL.into_iter().filter_map(|form| fit(form, points));
--- a/crates/scale/src/fleet/compare.rs
+++ b/crates/scale/src/fleet/compare.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use std::time::Duration;
 
-/// How the senders of a comparison run.
+/// What kind of senders a comparison measures.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// Processes of the product.
--- a/crates/scale/src/fleet/coordinators.rs
+++ b/crates/scale/src/fleet/coordinators.rs
@@ -1,4 +1,5 @@
-//! A group of real coordinator processes, with a metered network proxy between each two and from each region to each.
+//! A group of real coordinator processes. A metered network proxy stands between each two coordinators, and between
+//! each region and each coordinator.
 
 use super::meter::{Meter, Traffic};
 use super::network_proxy::{LinkState, NetworkProxy};
@@ -236,8 +237,9 @@
         (sum(&|ends| ends.0 == index), sum(&|ends| ends.1 == index))
     }
 
-    /// Highest traffic within one second after `from`, as messages and bytes. The peaks of separate proxies are added,
-    /// which can overstate but never understate the true peak.
+    /// Highest traffic between regions and coordinators in any second since `from` (microseconds since the machine's
+    /// start), as messages and bytes. The peaks of separate proxies are added, which can overstate but never understate
+    /// the true peak.
     #[must_use]
     pub fn peak(&self, from: u64) -> (u64, u64) {
         let proxies = self
--- a/crates/scale/src/fleet/counters.rs
+++ b/crates/scale/src/fleet/counters.rs
@@ -25,7 +25,8 @@
     /// Time from the publishing of a change until it was in force. Counts only changes that arrived in a line of their
     /// own, not several that a busy machine merged into one line.
     pub in_force: Times,
-    /// Time from the start of the mark until its version was in force.
+    /// Time from [`Mark::from`], or from the sender's start if that was later, until the marked version or a later one
+    /// was in force.
     pub marked: Times,
     /// Time from a sender's start until its first list was complete.
     #[serde(rename = "begun")]
@@ -34,7 +35,7 @@
     pub lost: u64,
     /// Changes or lines received twice.
     pub doubled: u64,
-    /// Lines received after a newer one.
+    /// Lines received after a line with a newer version.
     pub wrong_order: u64,
     /// Lines with a list.
     pub lines: u64,
@@ -100,7 +101,7 @@
     unreported: Report,
 }
 
-/// Mixes a number so that sums of hashes distinguish sets.
+/// Hashes a number, so that different sets of numbers have different sums of hashes, except for rare collisions.
 fn mix(number: u64) -> u64 {
     let mixed = (number ^ (number >> 30))
         .wrapping_add(1)
@@ -194,7 +195,7 @@
         }
     }
 
-    /// Forgets that the marked version has arrived, before a new mark is set.
+    /// Forgets whether the marked version has arrived; called before a new mark is set.
     pub fn reset_mark(&mut self) {
         self.reached_mark = false;
     }
--- a/crates/scale/src/fleet/discovery.rs
+++ b/crates/scale/src/fleet/discovery.rs
@@ -28,9 +28,9 @@
 /// How the first list is sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListLayout {
-    /// Destinations in the first list.
+    /// Number of destinations in the first list.
     pub destinations: u64,
-    /// Entries in one line of the first list; each takes about 150 bytes.
+    /// Number of entries in one line of the first list; each takes about 150 bytes.
     pub entries_per_line: u64,
 }
 
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -20,13 +20,13 @@
 /// Numbers of senders in a fault scenario.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetSize {
-    /// Simulated senders.
+    /// Number of simulated senders.
     pub senders: u64,
-    /// Simulated senders that open sessions.
+    /// Number of simulated senders that open sessions.
     pub sessions: u64,
-    /// Real senders, which deliver messages.
+    /// Number of real senders, which deliver messages.
     pub real: u64,
-    /// Simulated senders in one process.
+    /// Number of simulated senders in each process.
     pub senders_per_process: u64,
 }
 
--- a/crates/scale/src/fleet/harness.rs
+++ b/crates/scale/src/fleet/harness.rs
@@ -29,15 +29,15 @@
 pub struct HarnessOptions {
     /// Number of simulated senders; none starts by itself.
     pub senders: u64,
-    /// Simulated senders in one process.
+    /// Number of simulated senders in each process.
     pub senders_per_process: u64,
-    /// Simulated senders that open sessions; without coordinators, none does.
+    /// Number of simulated senders that open sessions; has no effect without coordinators.
     pub sessions: u64,
     /// The coordinators, if there are any.
     pub coordinators: Option<GroupConfig>,
     /// Number of the product's session proxies between senders and coordinators; with 0, senders connect directly.
     pub session_proxies: usize,
-    /// Whether each session claims a resource of its own; the coordination state holds 4,096.
+    /// Whether each session claims a resource of its own; the coordination state holds at most 4,096 resources.
     pub claim_resources: bool,
     /// Number of sender groups whose network can be cut off separately.
     pub regions: usize,
--- a/crates/scale/src/fleet/proxied_faults.rs
+++ b/crates/scale/src/fleet/proxied_faults.rs
@@ -1,5 +1,5 @@
-//! Fault scenarios for sessions that go through session proxies, at the largest size that opened. The endpoint list is
-//! not tested here.
+//! Fault scenarios for sessions that go through session proxies, at the largest size whose sessions all opened. The
+//! endpoint list is not tested here.
 
 use super::harness::Harness;
 use super::proxied_sessions::open_session_count;
--- a/crates/scale/src/fleet/proxied_sessions.rs
+++ b/crates/scale/src/fleet/proxied_sessions.rs
@@ -16,7 +16,7 @@
 const LEASE_S: u64 = 9;
 /// Number of senders started together.
 const SENDERS_PER_START: u64 = 1_000;
-/// Longest wait until the sessions of one size are open; a loaded machine opens a few hundred sessions a second.
+/// Longest wait until all sessions of a measured size are open; a loaded machine opens a few hundred a second.
 const MAX_OPENING_TIME: Duration = Duration::from_secs(120);
 /// Pause between the last opened session and the measurement, in which every session renews at least once.
 const SETTLE_TIME: Duration = Duration::from_secs(LEASE_S / 2);
@@ -28,13 +28,13 @@
 pub struct ProxiedOptions {
     /// Number of session proxies.
     pub session_proxies: usize,
-    /// Simulated senders in one process.
+    /// Number of simulated senders in each process.
     pub senders_per_process: u64,
-    /// Destinations of the list. The list is not part of what is measured; a full list of 1,000 takes 17 ms of
-    /// processor time.
+    /// Number of destinations in the list. The list is not part of what is measured; a full list of 1,000 takes 17 ms
+    /// of processor time.
     pub destinations: u64,
-    /// Whether the largest size goes through three fault scenarios (a zone, all coordination, a release) instead of
-    /// losing one session proxy.
+    /// Whether to run three fault scenarios at the largest size (a zone of senders killed; all coordinators and session
+    /// proxies killed and restarted; all senders restarted for a release) instead of killing one session proxy.
     pub run_faults: bool,
 }
 
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -1,4 +1,4 @@
-//! Fits and plots of the results, and the counters of the small run.
+//! Fits and plots of the results, and the run of a small fleet whose counters a test checks.
 
 use super::discovery::ListLayout;
 use super::harness::{Harness, HarnessOptions};
@@ -249,7 +249,7 @@
     )
 }
 
-/// Counters of the small run.
+/// Counters of a small fleet, which [`run_small`] returns.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SmallRun {
     /// Simulated senders still running at the end.
@@ -262,7 +262,7 @@
     pub lost: u64,
     /// Changes or lines received twice.
     pub doubled: u64,
-    /// Lines received after a newer one.
+    /// Lines received after a line with a newer version.
     pub wrong_order: u64,
     /// Sessions that simulated senders opened.
     pub sessions_opened: u64,
@@ -280,7 +280,8 @@
     pub requests: u64,
 }
 
-/// Runs the small fleet and returns its counters.
+/// Runs `simulated` simulated senders with sessions, `real` real senders and three coordinators, publishes `rate`
+/// changes per second over the plan's span, and returns the counters.
 ///
 /// # Errors
 /// A process does not start or ends early.
--- a/crates/scale/src/fleet/results.rs
+++ b/crates/scale/src/fleet/results.rs
@@ -1,4 +1,4 @@
-//! Results of a run as JSON lines, and the fits through them.
+//! Results of a run as JSON lines, and the curves fitted to them.
 
 use super::harness::Reading;
 use crate::Error;
--- a/crates/scale/src/fleet/scaling.rs
+++ b/crates/scale/src/fleet/scaling.rs
@@ -16,7 +16,7 @@
 const REGIONS: usize = 5;
 /// Entries in one line of the first list, which keeps the line far below the 1 MiB that a sender reads.
 const ENTRIES_PER_LINE: u64 = 4_000;
-/// Number of destinations where something else is varied.
+/// Number of destinations in measurements that vary another quantity.
 pub const DESTINATIONS: u64 = 1_000;
 /// Pause after senders start, before a measurement begins.
 const SETTLE_TIME: Duration = Duration::from_millis(2_500);
@@ -26,17 +26,17 @@
 pub struct Plan {
     /// Paths of the programs.
     pub programs: Programs,
-    /// Numbers of senders with a session to measure.
+    /// Numbers of senders with a session; each is measured.
     pub sessions: Vec<u64>,
-    /// Numbers of senders that watch the list to measure.
+    /// Numbers of senders that watch the list; each is measured.
     pub senders: Vec<u64>,
-    /// Rates of changes to measure, as multiples of [`CHANGES_PER_S`].
+    /// Rates of changes, as multiples of [`CHANGES_PER_S`]; each is measured.
     pub rates: Vec<f64>,
-    /// Numbers of destinations to measure.
+    /// Numbers of destinations in the list; each is measured.
     pub destinations: Vec<u64>,
     /// Length of one measurement.
     pub span: Duration,
-    /// No measurement starts after this moment; the ones left out are printed.
+    /// No measurement starts after this moment; the skipped ones are named on standard error.
     pub deadline: Instant,
     /// Seed of all random numbers.
     pub seed: u64,
@@ -137,7 +137,7 @@
         for &senders in [&0].into_iter().chain(&self.sessions) {
             if senders > started {
                 if let Err(error) = harness.start_senders(started..senders) {
-                    // that the senders never got their sessions is a result too
+                    // a fleet whose senders never all got their sessions is a result too, and is recorded
                     let (informed, permitted) =
                         harness.fleet.count_ready(harness.discovery.version())?;
                     let report = harness.fleet.take_report(&harness.discovery)?;
--- a/crates/scale/src/fleet/scenario.rs
+++ b/crates/scale/src/fleet/scenario.rs
@@ -142,7 +142,8 @@
     /// # Errors
     /// A process has ended.
     pub fn publish_marked(&mut self) -> Result<(), Error> {
-        // versions are publishing times, so that every later change counts as this one and no earlier one does
+        // a version is the time of its publishing, so the mark is reached by this change or a later one, and by none
+        // that was published before
         let from = now().0;
         self.set_mark(Mark {
             version: from,
@@ -164,7 +165,7 @@
         let Some(group) = &self.harness.coordinators else {
             return Ok(());
         };
-        // a coordinator may be stopped at this moment
+        // the cost of a coordinator whose process has ended can't be read, and is left out
         let cpu: f64 = group
             .ids()
             .into_iter()
--- a/crates/scale/src/page/rows.rs
+++ b/crates/scale/src/page/rows.rs
@@ -1,4 +1,7 @@
 //! A row of a table: its quantity, the size at which it is taken, the source of its value and its budget.
+//!
+//! A share of the plan is a fraction of the planned size: at a share of 0.1, a row that grows with the number of
+//! senders is taken at a tenth of the planned senders.
 
 use super::data::{Data, Slope, Value};
 use super::format::{amount, integer, margin, table};
@@ -154,7 +157,7 @@
         self.name
     }
 
-    /// Returns the row's value at a share of the plan.
+    /// Returns the row's value at the fraction `share` of the planned size; `None` if there is no value.
     pub(super) fn at(&self, share: f64) -> Option<Value> {
         match &self.source {
             Source::Slope {
--- a/crates/scale/src/roles/journal.rs
+++ b/crates/scale/src/roles/journal.rs
@@ -16,12 +16,12 @@
 const BODY_BYTES: usize = 256;
 /// Destinations that one sender serves at the design size.
 const DESTINATIONS: u64 = 106;
-/// Number of those destinations that are down; all messages go to them.
+/// Number of the sender's destinations that are down; all messages go to them.
 const UNREACHABLE_DESTINATIONS: u64 = 5;
-/// Messages per run in which the body size is varied.
+/// Number of messages in each measurement that varies the body size.
 const MESSAGES: u64 = 20_000;
-/// Where compaction is measured, the journal may take up twice the size of the unfinished messages plus this fraction
-/// of it.
+/// In the measurement of compaction, the journal's size limit is the size of its unfinished messages times 2 plus this
+/// number.
 const EXTRA_SPACE: f64 = 0.1;
 
 fn journal_error(error: JournalError) -> Error {
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -23,14 +23,14 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::task::LocalSet;
 
-/// Endpoints per update in which the first list is sent. Small updates keep the memory of the updates themselves out of
+/// Number of endpoints in each update of the first list. Small updates keep the memory of the updates themselves out of
 /// the measured memory.
 const ENDPOINTS_PER_UPDATE: u64 = 1_000;
 /// Number of changes over which the cost of a change is averaged.
 const MEASURED_CHANGES: u64 = 200;
-/// Sockets that the measured engine may open.
+/// Maximum number of sockets that the measured engine may open.
 const MAX_SOCKETS: usize = 4_096;
-/// Concurrent calls of the measured engine.
+/// Maximum number of concurrent calls of the measured engine.
 const CALL_SLOTS: usize = 200;
 /// Number of status requests or scrapes over which the cost is averaged.
 const MEASURED_SCRAPES: u64 = 50;
--- a/crates/sidecar/src/outcome_log.rs
+++ b/crates/sidecar/src/outcome_log.rs
@@ -23,7 +23,7 @@
 /// Maximum count of acknowledged messages whose numbers are kept to recognize repeated notifications. A notification
 /// can be repeated only until the journal has removed the message.
 const MAX_REMEMBERED_NUMBERS: usize = 4096;
-/// Minimum size of a file that is rewritten; half of the log's size limit takes its place if that is less.
+/// Smaller files are not rewritten. If half of the log's size limit is less than this, that is the minimum instead.
 const MIN_REWRITE_BYTES: u64 = 64 * 1024;
 /// Upper bound of one outcome's line: an id of up to 256 bytes and the other fields.
 const MAX_RECORD_BYTES: u64 = 400;
@@ -263,8 +263,9 @@
         self.rewrite_if_mostly_acknowledged()
     }
 
-    /// Replaces the file by one that holds the acknowledged cursor, the remembered numbers and the pending outcomes, if
-    /// an estimated half or more of it is acknowledged. The new file is written beside the old one and then renamed.
+    /// Replaces the file by one that holds the acknowledged cursor, the remembered numbers and the pending outcomes.
+    /// Does nothing if the file is small (see [`MIN_REWRITE_BYTES`]), or if the pending outcomes take up more than half
+    /// of it, by an estimate. The new file is written beside the old one and then renamed.
     fn rewrite_if_mostly_acknowledged(&mut self) -> Result<(), OutcomeLogError> {
         let pending_bytes = self.pending.len() as u64 * TYPICAL_RECORD_BYTES;
         let min_bytes = MIN_REWRITE_BYTES.min(self.max_bytes / 2);
--- a/crates/sidecar/src/shared_outcome_log.rs
+++ b/crates/sidecar/src/shared_outcome_log.rs
@@ -11,7 +11,7 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-/// Delay before another attempt to record endings that did not fit into the log or could not be written.
+/// Delay before endings that did not fit into the log or could not be written are retried.
 const RECORD_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// An outcome log that several tasks of one thread use, with a signal for each change.
@@ -85,7 +85,7 @@
     }
 
     /// Records the message endings that the engine reports in notifications, until the engine stops. Endings that can't
-    /// be recorded, such as while the log is full, are tried again, and their messages stay in the journal until then.
+    /// be recorded, for example because the log is full, are retried; until then their messages stay in the journal.
     ///
     /// `callback` is the class of the messages that carry outcomes to the application, and the channel to which their
     /// endings are sent. These endings are not recorded as outcomes.
