--- a/crates/scale/src/fleet/counters.rs
+++ b/crates/scale/src/fleet/counters.rs
@@ -182,7 +182,7 @@
         }
         if let Some(mark) = mark
             && !self.reached_mark
-            // a sender that knew the version before the mark was set is not measured
+            // a sender that had received the version before the mark was set is not measured
             && before < mark.version
             && self.version >= mark.version
         {
@@ -234,9 +234,9 @@
         }
     }
 
-    /// Returns whether the sender knows this version or a later one.
+    /// Returns whether the sender has received this version or a later one.
     #[must_use]
-    pub fn knows(&self, version: u64) -> bool {
+    pub fn has_version(&self, version: u64) -> bool {
         self.version >= version
     }
 
--- a/crates/scale/src/fleet/harness.rs
+++ b/crates/scale/src/fleet/harness.rs
@@ -179,7 +179,7 @@
         &self.options
     }
 
-    /// Starts these senders and waits until each knows the list and, if it has a session, holds its resource.
+    /// Starts these senders and waits until each has the current list and, if it has a session, holds its resource.
     ///
     /// # Errors
     /// They do not within the time limit.
@@ -194,17 +194,20 @@
         self.wait_until_ready(numbers.end, sessions)
     }
 
-    /// Waits until `informed` senders know the current list and `permitted` senders may act on their resource.
+    /// Waits until `informed` senders have the current list and `permitted` senders may act on their resource.
     ///
     /// # Errors
     /// They do not within the time limit.
     pub fn wait_until_ready(&mut self, informed: u64, permitted: u64) -> Result<(), Error> {
         let mut last = (0, 0);
-        let reached = wait_until("all senders know the list and hold their resources", || {
-            std::thread::sleep(Duration::from_millis(100));
-            last = self.fleet.count_ready(self.discovery.version())?;
-            Ok(last.0 >= informed && last.1 >= permitted)
-        });
+        let reached = wait_until(
+            "all senders have the current list and hold their resources",
+            || {
+                std::thread::sleep(Duration::from_millis(100));
+                last = self.fleet.count_ready(self.discovery.version())?;
+                Ok(last.0 >= informed && last.1 >= permitted)
+            },
+        );
         reached.map_err(|error| {
             Error::Unexpected(format!("{error}: {last:?} of {informed} and {permitted}"))
         })
--- a/crates/scale/src/fleet/proxied_sessions.rs
+++ b/crates/scale/src/fleet/proxied_sessions.rs
@@ -225,7 +225,7 @@
     Ok(false)
 }
 
-/// Waits until the given number of senders know the list, at most as long as sessions may take to open.
+/// Waits until the given number of senders have the current list, at most as long as sessions may take to open.
 fn wait_until_listed(harness: &mut Harness, expected: u64, since: Instant) -> Result<(), Error> {
     while since.elapsed() < MAX_OPENING_TIME
         && harness.fleet.count_ready(harness.discovery.version())?.0 < expected
--- a/crates/scale/src/fleet/scenario.rs
+++ b/crates/scale/src/fleet/scenario.rs
@@ -214,7 +214,7 @@
         Err(Error::Unexpected("no coordinator leads".into()))
     }
 
-    /// Waits until the given number of senders know the current list.
+    /// Waits until the given number of senders have the current list.
     ///
     /// # Errors
     /// They do not within the time limit.
@@ -222,14 +222,14 @@
         let informed = self.count_informed_within(senders, WAIT_TIMEOUT)?;
         if informed < senders {
             Err(Error::Unexpected(format!(
-                "{informed} of {senders} know the list"
+                "{informed} of {senders} senders have the current list"
             )))
         } else {
             Ok(())
         }
     }
 
-    /// Waits until the given number of senders know the current list or the time is over; returns how many do.
+    /// Waits until the given number of senders have the current list or the time is over; returns how many have it.
     ///
     /// # Errors
     /// A process has ended.
@@ -244,7 +244,8 @@
         }
     }
 
-    /// Waits until all senders know the list and hold their resources; on timeout, a note is added to the result.
+    /// Waits until all senders have the current list and hold their resources; on timeout, a note is added to the
+    /// result.
     ///
     /// # Errors
     /// A process has ended.
@@ -268,7 +269,7 @@
         }
     }
 
-    /// Waits until the given number of senders know the current list or the time limit is reached, then adds the
+    /// Waits until the given number of senders have the current list or the time limit is reached, then adds the
     /// counters of all senders to the result.
     ///
     /// # Errors
--- a/crates/scale/src/fleet/simulated_fleet.rs
+++ b/crates/scale/src/fleet/simulated_fleet.rs
@@ -198,7 +198,7 @@
         Ok(sum)
     }
 
-    /// Returns how many senders know this version, and how many may act on their resource now.
+    /// Returns how many senders have received this version, and how many may act on their resource now.
     ///
     /// # Errors
     /// A process has ended.
--- a/crates/scale/src/fleet/simulated_senders.rs
+++ b/crates/scale/src/fleet/simulated_senders.rs
@@ -92,7 +92,7 @@
         /// Number of destinations in the newest version.
         destinations: u64,
     },
-    /// Count the senders that know this version and those that may act on their resource now.
+    /// Count the senders that have received this version and those that may act on their resource now.
     #[serde(rename = "Ask")]
     CountReady(u64),
 }
@@ -106,7 +106,7 @@
     Report(Box<Report>),
     /// Numbers of senders by state.
     Counts {
-        /// Senders that know this version or a later one.
+        /// Senders that have received this version or a later one.
         #[serde(rename = "know")]
         informed: u64,
         /// Senders that may act on their resource.
@@ -242,7 +242,7 @@
                 let informed = self
                     .senders
                     .values()
-                    .filter(|sender| sender.counters.borrow().knows(version))
+                    .filter(|sender| sender.counters.borrow().has_version(version))
                     .count();
                 let permitted = self
                     .senders
--- a/crates/sidecar/tests/environment.rs
+++ b/crates/sidecar/tests/environment.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
 /// Minimum number of port checks, and of connection attempts during them. A check that listens on the port would accept
-/// a connection within the first few hundred.
+/// a connection within the first few hundred attempts.
 const CHECKS: usize = 2_000;
 
 fn document(folder: &Path, http: SocketAddr) -> Document {
@@ -38,7 +38,8 @@
     std::thread::scope(|scope| {
         let client = scope.spawn(|| {
             while !is_over.load(Ordering::SeqCst) {
-                // any result but a refusal, a reset too, means that the check's socket has accepted the connection
+                // any result other than a refused connection, such as a reset, means that the check's socket has
+                // accepted the connection
                 let result = TcpStream::connect(address).map_err(|error| error.kind());
                 if result.err() != Some(ErrorKind::ConnectionRefused) {
                     return true;
--- a/crates/sidecar/tests/variants.rs
+++ b/crates/sidecar/tests/variants.rs
@@ -1,5 +1,5 @@
 //! Variants of the valid example configurations, in which single settings are removed, emptied, negated, duplicated or
-//! set to absurd values. Each variant must be rejected with a finding, or give a plan with which a sidecar can start.
+//! set to extreme values. Each variant must be rejected with a finding, or give a plan with which a sidecar can start.
 
 use milletturn_config::check_documents;
 use milletturn_config::document::Document;
