--- a/crates/scale/src/fleet/harness.rs
+++ b/crates/scale/src/fleet/harness.rs
@@ -29,15 +29,15 @@
 pub struct HarnessOptions {
     /// Number of simulated senders; none starts by itself.
     pub senders: u64,
-    /// Simulated senders in one process.
+    /// Number of simulated senders in each process.
     pub senders_per_process: u64,
-    /// Simulated senders that open sessions; without coordinators, none does.
+    /// Number of simulated senders that open sessions; has no effect without coordinators.
     pub sessions: u64,
     /// The coordinators, if there are any.
     pub coordinators: Option<GroupConfig>,
     /// Number of the product's session proxies between senders and coordinators; with 0, senders connect directly.
     pub session_proxies: usize,
-    /// Whether each session claims a resource of its own; the coordination state holds 4,096.
+    /// Whether each session claims a resource of its own; the coordination state holds at most 4,096 resources.
     pub claim_resources: bool,
     /// Number of sender groups whose network can be cut off separately.
     pub regions: usize,
@@ -179,7 +179,7 @@
         &self.options
     }
 
-    /// Starts these senders and waits until each knows the list and, if it has a session, holds its resource.
+    /// Starts these senders and waits until each has the current list and, if it has a session, holds its resource.
     ///
     /// # Errors
     /// They do not within the time limit.
@@ -194,17 +194,20 @@
         self.wait_until_ready(numbers.end, sessions)
     }
 
-    /// Waits until `informed` senders know the current list and `permitted` senders may act on their resource.
+    /// Waits until `informed` senders have the current list and `permitted` senders may act on their resource.
     ///
     /// # Errors
     /// They do not within the time limit.
     pub fn wait_until_ready(&mut self, informed: u64, permitted: u64) -> Result<(), Error> {
         let mut last = (0, 0);
-        let reached = wait_until("all senders know the list and hold their resources", || {
-            std::thread::sleep(Duration::from_millis(100));
-            last = self.fleet.count_ready(self.discovery.version())?;
-            Ok(last.0 >= informed && last.1 >= permitted)
-        });
+        let reached = wait_until(
+            "all senders have the current list and hold their resources",
+            || {
+                std::thread::sleep(Duration::from_millis(100));
+                last = self.fleet.count_ready(self.discovery.version())?;
+                Ok(last.0 >= informed && last.1 >= permitted)
+            },
+        );
         reached.map_err(|error| {
             Error::Unexpected(format!("{error}: {last:?} of {informed} and {permitted}"))
         })
--- a/crates/scale/src/fleet/scenario.rs
+++ b/crates/scale/src/fleet/scenario.rs
@@ -142,7 +142,8 @@
     /// # Errors
     /// A process has ended.
     pub fn publish_marked(&mut self) -> Result<(), Error> {
-        // versions are publishing times, so that every later change counts as this one and no earlier one does
+        // a version is the time of its publishing, so the mark is reached by this change or a later one, and by none
+        // that was published before
         let from = now().0;
         self.set_mark(Mark {
             version: from,
@@ -164,7 +165,7 @@
         let Some(group) = &self.harness.coordinators else {
             return Ok(());
         };
-        // a coordinator may be stopped at this moment
+        // the cost of a coordinator whose process has ended can't be read, and is left out
         let cpu: f64 = group
             .ids()
             .into_iter()
@@ -213,7 +214,7 @@
         Err(Error::Unexpected("no coordinator leads".into()))
     }
 
-    /// Waits until the given number of senders know the current list.
+    /// Waits until the given number of senders have the current list.
     ///
     /// # Errors
     /// They do not within the time limit.
@@ -221,14 +222,14 @@
         let informed = self.count_informed_within(senders, WAIT_TIMEOUT)?;
         if informed < senders {
             Err(Error::Unexpected(format!(
-                "{informed} of {senders} know the list"
+                "{informed} of {senders} senders have the current list"
             )))
         } else {
             Ok(())
         }
     }
 
-    /// Waits until the given number of senders know the current list or the time is over; returns how many do.
+    /// Waits until the given number of senders have the current list or the time is over; returns how many have it.
     ///
     /// # Errors
     /// A process has ended.
@@ -243,7 +244,8 @@
         }
     }
 
-    /// Waits until all senders know the list and hold their resources; on timeout, a note is added to the result.
+    /// Waits until all senders have the current list and hold their resources; on timeout, a note is added to the
+    /// result.
     ///
     /// # Errors
     /// A process has ended.
@@ -267,7 +269,7 @@
         }
     }
 
-    /// Waits until the given number of senders know the current list or the time limit is reached, then adds the
+    /// Waits until the given number of senders have the current list or the time limit is reached, then adds the
     /// counters of all senders to the result.
     ///
     /// # Errors
