--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -59,7 +59,7 @@
     }
 }
 
-/// The request of a call that asks whether it may still start.
+/// A call's request for permission to start, sent because its connection took long to open.
 pub(crate) struct StartRequest {
     /// The call's number.
     pub call: u64,
--- a/crates/engine/src/endpoint_list.rs
+++ b/crates/engine/src/endpoint_list.rs
@@ -18,7 +18,7 @@
     pub destination: u64,
     /// Whether the endpoint is serving, draining or removed; unrelated to its health.
     pub status: EndpointStatus,
-    /// Calls per second that the list assigns to the destination.
+    /// Calls per second that the list allows the destination, or the endpoint alone if its kind has separate routes.
     pub weight: f64,
 }
 
--- a/crates/engine/src/journal.rs
+++ b/crates/engine/src/journal.rs
@@ -97,7 +97,8 @@
     pub end: Option<MessageEnd>,
     /// The message was redriven from the dead-letter store.
     pub redriven: bool,
-    /// How many of the first attempts were made before that redrive.
+    /// Number of attempts at the start of `attempts` that were made before the latest redrive; 0 if the message was
+    /// not redriven.
     pub prior_attempts: usize,
 }
 
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -24,7 +24,8 @@
     pub position: usize,
     /// The attempt has no outcome yet.
     pub in_flight: bool,
-    /// `None` while the attempt is in flight, and for an attempt made before this process started.
+    /// `None` while the attempt is in flight, and for an attempt that was read from the journal or made before the
+    /// latest redrive.
     pub outcome: Option<Outcome>,
     /// Time from the start of the attempt to its end, in microseconds.
     pub latency: Option<Micros>,
@@ -48,7 +49,8 @@
         }
     }
 
-    /// An attempt that was made before this process started, or before the message was redriven.
+    /// An attempt that was read from the journal at the start, or made before the latest redrive. Its outcome is not
+    /// known.
     pub(crate) fn prior(
         endpoint: EndpointId,
         uid: &str,
@@ -104,7 +106,8 @@
     pub attempts: Vec<Attempt>,
     /// The message was redriven from the dead-letter store.
     pub redriven: bool,
-    /// How many of the first attempts were made before that redrive.
+    /// Number of attempts at the start of `attempts` that were made before the latest redrive; 0 if the message was
+    /// not redriven.
     pub prior_attempts: usize,
     /// The end of the message, if the journal records it.
     pub end: Option<MessageEnd>,
--- a/crates/engine/src/message_table.rs
+++ b/crates/engine/src/message_table.rs
@@ -75,7 +75,7 @@
         self.messages.get(&message_id)
     }
 
-    /// The message for modification, whether open or not.
+    /// A mutable reference to the message, whether open or not.
     pub(crate) fn get_mut(&mut self, message_id: MessageId) -> Option<&mut Message> {
         self.messages.get_mut(&message_id)
     }
@@ -85,7 +85,7 @@
         self.get(message_id).filter(|message| message.open)
     }
 
-    /// The message for modification, if it is open.
+    /// A mutable reference to the message, if it is open.
     pub(crate) fn get_open_mut(&mut self, message_id: MessageId) -> Option<&mut Message> {
         self.get_mut(message_id).filter(|message| message.open)
     }
--- a/crates/engine/src/recovery.rs
+++ b/crates/engine/src/recovery.rs
@@ -10,7 +10,8 @@
 };
 
 /// Latency objective and deadline, in microseconds, of a class that the settings no longer have. They affect only the
-/// priority of the class's messages among others, because each message has its own deadline from the journal.
+/// priority of the class's messages among others and the random delay of the first calls after a restart, because each
+/// message has its own deadline from the journal.
 const REMOVED_CLASS_TIME: Micros = 20 * SECOND;
 
 impl Engine {
--- a/crates/engine/src/retention.rs
+++ b/crates/engine/src/retention.rs
@@ -80,8 +80,8 @@
         sink.store(message).err()
     }
 
-    /// Again offers the messages that the dead-letter store rejected for lack of capacity, oldest first, until it
-    /// rejects one.
+    /// Retries the messages that the dead-letter store rejected for lack of capacity, oldest first, until it rejects
+    /// one.
     pub(crate) fn retry_store(&mut self) {
         let unstored_ids: Vec<MessageId> = self
             .pending_release
--- a/crates/engine/src/shared_str.rs
+++ b/crates/engine/src/shared_str.rs
@@ -5,7 +5,7 @@
 use thiserror::Error;
 
 /// An id or a key: 1 to [`SharedStr::MAX_BYTES`] visible ASCII characters without spaces, so that the text fits in a
-/// header and in a line of a bulk call. Clones share the same allocation.
+/// header and in one line of a call that carries several messages. Clones share the same allocation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SharedStr(Arc<str>);
 
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -132,7 +132,7 @@
     pub address: SocketAddr,
     /// The messages that the call carries, at least one.
     pub items: Vec<CallItem>,
-    /// At least one of the messages must never run twice, so the response must be attributed to the call with
+    /// At least one of the messages must never be processed twice, so the response must be attributed to the call with
     /// certainty.
     pub at_most_once: bool,
     /// When the call times out.
--- a/crates/engine/tests/ambiguous_responses.rs
+++ b/crates/engine/tests/ambiguous_responses.rs
@@ -10,7 +10,7 @@
 use tokio::sync::mpsc;
 use tokio::task::{LocalSet, yield_now};
 
-/// The position of the class whose messages must never run twice.
+/// The position of the class whose messages must never be processed twice.
 const AT_MOST_ONCE: usize = 1;
 
 /// Submits a message whose attempt is rejected. Returns the attempt as the journal holds it, and whether the call was
--- a/crates/idle-state/src/compact.rs
+++ b/crates/idle-state/src/compact.rs
@@ -224,8 +224,8 @@
     }
 }
 
-/// Unix time in seconds, rounded up, so that no time is earlier than before. Times before 1970 become 0, times after
-/// 2106 become `u32::MAX`.
+/// Unix time in seconds, rounded up, so that the result is not earlier than `at`. Times before 1970 become 0, times
+/// after 2106 become `u32::MAX`.
 fn seconds_rounded_up(at: Micros) -> u32 {
     u32::try_from((at.max(0) + SECOND - 1) / SECOND).unwrap_or(u32::MAX)
 }
--- a/crates/idle-state/src/lib.rs
+++ b/crates/idle-state/src/lib.rs
@@ -6,7 +6,7 @@
 //! | --- | --- |
 //! | end of a `Retry-After`, start of an ejection or a recovery | exact |
 //! | first seen, last healthy, last call | rounded up to whole seconds |
-//! | limits, rates, windows, counts | rounded down to 24 bits of precision (one part in 16 million), so that no limit is higher than before |
+//! | limits, rates, windows, counts | rounded down to 24 bits of precision (one part in 16 million), so that no limit is higher than the original one |
 //! | latencies | whole microseconds, 71 minutes at most |
 //! | the individual latencies and times of successes from which latencies and rates are computed | not kept |
 
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -63,8 +63,8 @@
     }
 }
 
-/// What a program that runs the decision module needs in addition to the settings: the names behind the positions in
-/// them, and the time limit for opening a connection.
+/// What a program that runs the decision module needs in addition to the settings: the names of the items to which the
+/// decision module refers by position, and the time limit for opening a connection.
 #[derive(Debug, Default)]
 pub struct SettingNames {
     /// Names of the zones, in the order of their numbers.
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -22,7 +22,7 @@
 /// Delay before a hedged request while no latency is known. Shorter values find slow calls sooner, longer
 /// ones send fewer unnecessary hedged requests.
 const DEFAULT_HEDGE_DELAY: Micros = SECOND;
-/// Latencies remembered per health scope.
+/// Number of latest latencies that are kept for each health scope.
 const LATENCY_SAMPLES: usize = 40;
 /// Rank, in 20ths, of the remembered latency that sets the hedge delay: 19 is the 95th percentile.
 const HEDGE_DELAY_RANK: usize = 19;
@@ -67,12 +67,12 @@
 /// Longest delay of the first call after a restart, as a share of the latency objective or of the time left,
 /// whichever is shorter.
 const MAX_RESUME_DELAY_SHARE: f64 = 0.75;
-/// Upper bound of the rate limit while no messages wait, as a multiple of the recent success rate. If only
+/// Upper bound of the rate limit while few messages wait, as a multiple of the recent success rate. If only
 /// the demand limits the success rate, that rate says nothing about the destination's capacity (RFC 7661).
 /// Larger values follow demand sooner, smaller ones let fewer simultaneous bursts of all senders through.
 const APPLICATION_LIMITED_MULTIPLE: f64 = 2.0;
-/// Lowest value of that upper bound, as a multiple of the fair share. The trade-off is the same as for
-/// `APPLICATION_LIMITED_MULTIPLE`.
+/// Smallest value of the upper bound that `APPLICATION_LIMITED_MULTIPLE` sets, as a multiple of the fair
+/// share. The trade-off is the same as for that constant.
 const APPLICATION_LIMITED_FAIR_SHARES: f64 = 1.1;
 /// Burst that the rate limit allows, in seconds of the rate. Longer bursts send queued messages faster,
 /// shorter ones cause fewer rejections.
@@ -157,8 +157,9 @@
 const CONNECTION_REJECTION_THRESHOLD: f64 = 0.1;
 /// How far a reported remaining share may lie above 1, because of noise, and still be accepted.
 const REMAINING_SHARE_TOLERANCE: f64 = 0.2;
-/// Largest remaining share that raises the rate above the fair share: 0.3 allows two fair shares. With more,
-/// all senders would exceed the limit before they receive the next report.
+/// A reported remaining share above this value is treated as this value when the upper bound of the rate is
+/// computed. With 0.3, the bound is at most about two fair shares; with a larger value, all senders together
+/// would exceed the limit before they receive the next report.
 const MAX_COUNTED_REMAINING_SHARE: f64 = 0.3;
 /// Relative change of the rate limit with each report, per unit by which the remaining share differs from the
 /// target. Larger values follow the demand sooner but oscillate.
@@ -227,8 +228,9 @@
         })
     }
 
-    /// Runs one turn: applies all events in order, then appends the resulting actions. A `now` earlier than
-    /// that of the previous turn counts as the previous one, so time never goes backwards.
+    /// Runs one turn: applies all events in order, then makes the decisions that are due. The resulting
+    /// actions are appended to `actions`. If `now` is earlier than in the previous turn, the previous time is
+    /// used, so that time never goes backwards.
     pub fn handle(&mut self, now: Micros, events: &[Event], actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         if self.alarm <= self.now {
@@ -349,7 +351,8 @@
         self.expand_scopes_of(new.destination);
     }
 
-    /// Delays the first calls to a destination after a restart by a random part of an interval. If all
+    /// Delays the first calls to a destination after a restart by a random time: at most the interval between
+    /// two calls at the rate limit, and at most `MAX_RESUME_DELAY_SHARE` of the time available. If all
     /// senders restart at once, each would otherwise send a call immediately, before any of them knows a
     /// limit. The delay is unnecessary if only this sender was restarted. A later message with less time left
     /// shortens the delay.
@@ -426,8 +429,8 @@
             .filter(|_| report.is_empty());
         let connections_full =
             announced_limit.is_some() && outcome == Outcome::Rejected { retry_after: None };
-        // An attempt that the host could not send backs off too: otherwise a lasting fault on the host would
-        // use up all attempts at once.
+        // The backoff also applies after an attempt that the host could not send, unless only a free slot was
+        // missing: otherwise a lasting fault on the host would use up all attempts at once.
         if !matches!(
             outcome,
             Outcome::Success | Outcome::Unsent { no_slot: true }
@@ -1163,8 +1166,8 @@
         Some(combined)
     }
 
-    /// Whether the message may be rejected. A rejection invites the client to retry, so it is allowed only if
-    /// a repeat cannot do harm.
+    /// Whether the message may be rejected. The client may retry a rejected message, so a rejection is
+    /// allowed only if a repeated delivery would be harmless.
     fn may_reject(&self, message: &PendingMessage) -> bool {
         self.now < self.repeatable_until(message, usize::MAX, None)
     }
@@ -1292,9 +1295,9 @@
         self.degraded_calls >= slot_share(self.settings.call_slots, MAX_DEGRADED_SHARE)
     }
 
-    /// The value that sending the message now would still gain, as a sort key: messages with a higher urgency
-    /// are sent first. Up to `OLDEST_FIRST_SHARE` of the latency objective, the urgency rises with the age,
-    /// and the oldest message comes first.
+    /// Sort key of a message: messages with a higher urgency are sent first. Up to `OLDEST_FIRST_SHARE` of
+    /// the latency objective, the urgency rises with the age, so that the oldest message comes first. After
+    /// that, it is proportional to the value that a delivery at this age still has.
     pub(crate) fn urgency(&self, message: &PendingMessage) -> f64 {
         let age = self.now - message.accepted_at;
         let Some(class) = self.settings.classes.get(message.class) else {
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -131,7 +131,7 @@
         serving.map(|id| self.scopes.get(&self.scope_of(*id)))
     }
 
-    /// Messages that one call to a destination may carry.
+    /// Maximum number of messages in one call to a destination.
     pub(crate) fn batch_size_for(&self, destination: DestinationId) -> usize {
         let first = self
             .endpoints_by_destination
@@ -148,14 +148,16 @@
         zone.is_some() && zone == self.zone_of(endpoint)
     }
 
-    /// The zone of an endpoint, if it is listed.
+    /// The zone of an endpoint; `None` if the sender has no state of the endpoint. An endpoint that is no
+    /// longer listed keeps its state while a pending message has an attempt at it.
     pub(crate) fn zone_of(&self, endpoint: EndpointId) -> Option<u16> {
         self.endpoints
             .get(&endpoint)
             .map(|endpoint_state| endpoint_state.zone)
     }
 
-    /// Sends what is due, and computes when something is due next.
+    /// Sends the messages that are due, as far as the limits allow, and computes when the next message, check
+    /// of a blocked queue or deadline is due.
     pub(crate) fn dispatch_due(&mut self, actions: &mut Vec<Action>) {
         for id in self.scheduler.due_messages(self.now) {
             self.scheduler.mark_changed(id);
@@ -235,7 +237,7 @@
         }
     }
 
-    /// Sends what `dispatch_from_queues` sends, with exactly the same actions, by checking each message.
+    /// Does the same as `dispatch_from_queues`, with exactly the same actions, by checking every message.
     fn dispatch_by_full_scan(&mut self, actions: &mut Vec<Action>) {
         let mut open_calls = OpenCalls::new();
         let ready = self.messages.iter().filter_map(|(&id, message)| {
@@ -284,7 +286,8 @@
         }
     }
 
-    /// Requests an alarm for the next time at which something may be due.
+    /// Requests an alarm for `next_due_at` or the next subscription to the endpoint list, whichever is
+    /// earlier, unless an alarm for that time or an earlier one is pending.
     pub(crate) fn set_alarm(&mut self, actions: &mut Vec<Action>) {
         let at = self
             .next_due_at
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -36,7 +36,7 @@
         /// Endpoints know only the keys that endpoints of their own zone have received.
         zone_only: bool,
     },
-    /// A repeat does harm: the message must never run twice.
+    /// Harm: the destination must never process the message twice.
     Unsafe,
 }
 
@@ -97,7 +97,8 @@
 pub struct DestinationKind {
     /// Name of the kind in the host's configuration.
     pub name: String,
-    /// Each endpoint is a health scope of its own, with its own limit, retry-after delay and outages.
+    /// Each endpoint is a separate route: a health scope of its own, with its own limit, retry-after delay
+    /// and outages.
     pub separate_routes: bool,
     /// Maximum number of messages in one call; at least one.
     pub max_batch_size: usize,
@@ -401,8 +402,8 @@
     pub kind: usize,
     /// Whether the endpoint accepts new messages.
     pub status: EndpointStatus,
-    /// Calls per second that the list allows the destination (or the separate route); used only if
-    /// `weight_trust` is above 0.
+    /// Calls per second that the list allows the destination, or the endpoint alone if its kind has separate
+    /// routes; used only if `weight_trust` is above 0.
     pub weight: f64,
 }
 
@@ -636,7 +637,7 @@
         /// Index of the attempt, from 0.
         attempt: usize,
     },
-    /// Ends a message undelivered. The client may retry, because a repeat does no harm.
+    /// Ends a message undelivered. The client may retry, because a repeated delivery would be harmless.
     Reject {
         /// The message to reject.
         message: MessageId,
--- a/crates/policy/src/rejection_correlation.rs
+++ b/crates/policy/src/rejection_correlation.rs
@@ -154,7 +154,7 @@
         }
         let is_limited = now < self.limited_until;
         if !is_rejected {
-            // Rejections well below the known limit belong to the baseline.
+            // At a rate well below the known limit, rejections belong to the baseline.
             self.evidence.record_success(
                 !is_limited || success_rate < BELOW_LIMIT_SHARE * self.rate_at_limit,
                 2.0 * EXCESS_THRESHOLD,
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -3,7 +3,7 @@
 //!
 //! A message that may be sent now waits in a *queue* with other messages that pass the same checks; one that
 //! may be sent later joins its queue at that time. A queue is blocked while no endpoint admits a call for it:
-//! until something changes at its destination, or until the time that the check determined.
+//! until the state of its destination changes, or until the time that the check determined.
 
 use crate::interface::{DestinationId, EndpointId, MILLISECOND, MessageId, Micros};
 use std::cmp::Ordering;
@@ -34,7 +34,8 @@
 /// When a message may be sent.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Readiness {
-    /// Not before something changes.
+    /// Not before the entry is updated: the message has ended, waits for an earlier message of its ordering
+    /// key, or has an attempt in flight and may not be hedged.
     Blocked,
     /// From this time on.
     NotBefore(Micros),
@@ -268,7 +269,7 @@
         self.active_queues.insert(*queue);
     }
 
-    /// Marks all queues of a destination to be checked, because something has changed there.
+    /// Marks all queues of a destination to be checked, because the state of the destination has changed.
     pub(crate) fn activate_destination(&mut self, destination: DestinationId) {
         for queue in self.queues_of(destination) {
             self.activate(&queue);
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -57,7 +57,8 @@
     pub(crate) list_retry_backoff: Micros,
     /// When the process will end, once a shutdown was requested.
     pub(crate) shutdown_at: Option<Micros>,
-    /// The next time at which something may be due. The alarm is set to this time.
+    /// The next time at which a message, a deadline, or a check of a queue or of the calls in flight may be
+    /// due. The alarm is set to this time or to `list_retry_at`, whichever is earlier.
     pub(crate) next_due_at: Micros,
     /// Schedule of the messages. It is not stored; after a stored state is read, it is rebuilt from the
     /// messages.
@@ -277,7 +278,7 @@
     /// This sender's equal share of the limit from the list or load reports, in calls per second; 0 if
     /// unknown.
     pub fair_share: f64,
-    /// Calls allowed per second; infinite until something limits the rate.
+    /// Calls allowed per second; infinite if the rate is not limited.
     pub rate_limit: f64,
     /// A rejection or a load report has limited the rate, rather than failures alone.
     pub limited_by_rejection: bool,
