--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -36,7 +36,7 @@
         /// Endpoints know only the keys that endpoints of their own zone have received.
         zone_only: bool,
     },
-    /// Harm: the destination must never process the message twice.
+    /// A repeated delivery is harmful: the destination must never process the message twice.
     Unsafe,
 }
 
