--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -203,7 +203,8 @@
     Rejected,
     /// The endpoint responded with an error or not in time, no connection could be opened, or the connection broke.
     Failed,
-    /// The attempt was cancelled, or never left the sender.
+    /// The attempt was cancelled, or is known not to have run: it never left the sender, or the endpoint responded that
+    /// it did not run it.
     #[serde(rename = "none")]
     NotSent,
 }
--- a/crates/hot-restart/src/forwarding.rs
+++ b/crates/hot-restart/src/forwarding.rs
@@ -157,7 +157,7 @@
                 let _ = reply.send(EngineStatus::default());
                 return None;
             }
-            // the new process has its own endpoint list, notifications and settings, and is stopped separately; a call
+            // the new process has its own endpoint list, notifications and settings, and gets its own SIGTERM; a call
             // that still waits for its connection is not started in this process any more
             Input::RequestStart(..)
             | Input::EndpointsListed(_)
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -2,10 +2,11 @@
 //! rules stay in force during the takeover.
 //!
 //! Only one engine runs at any time. The new process connects to a Unix socket in the state folder. The old process
-//! stops its engine between two turns and offers a snapshot of the engine, the listening socket for clients, and the
-//! lock of the state folder. After the new process has committed, the old one releases its engine. It then forwards
-//! messages from its connected clients and the ends of its calls in flight to the new process, until all have ended or
-//! it is told to end. Envoy's hot restart drains its old process in the same way. See `docs/design/hot-restart.md`.
+//! stops its engine between two iterations of its loop and offers a snapshot of the engine, the listening socket for
+//! clients, and the lock of the state folder. After the new process has committed, the old one releases its engine. It
+//! then forwards messages from its connected clients and the ends of its calls in flight to the new process, until all
+//! have ended or it is told to end. Envoy's hot restart drains its old process in the same way. See
+//! `docs/design/hot-restart.md`.
 //!
 //! ```text
 //! new process                          old process
--- a/crates/hot-restart/src/new_process.rs
+++ b/crates/hot-restart/src/new_process.rs
@@ -19,8 +19,8 @@
 
 /// Name of the file in the state folder that the owner of the folder keeps locked. The file is always empty.
 const LOCK_NAME: &str = "lock";
-/// Maximum time for each step of the old process. A step is short: the old process only has to pause its engine between
-/// two turns.
+/// Maximum time for each step of the old process. A step is short: the old process only has to wait until its engine
+/// has finished the current iteration of its loop.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time between two attempts to acquire the folder.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
--- a/crates/hot-restart/src/old_process.rs
+++ b/crates/hot-restart/src/old_process.rs
@@ -98,7 +98,7 @@
 }
 
 /// Offers the state of this process to the new one, and waits for the decision. The engine must not run until this
-/// function returns; after an error, it is to be resumed in this process.
+/// function returns; after an error, it must be resumed in this process.
 ///
 /// # Errors
 /// When the snapshot can't be encoded, or when no valid decision is received within 2 s.
--- a/crates/hot-restart/tests/golden/data.rs
+++ b/crates/hot-restart/tests/golden/data.rs
@@ -19,7 +19,7 @@
 pub(crate) const COMMIT: &[u8] = b"\x01\0\0\0\0";
 pub(crate) const EXIT: &[u8] = b"\x01\0\0\0\x01";
 pub(crate) const CONFIRMED: &[u8] = b"\0\0\0\0";
-/// Frames of each kind from the old process to the new one: those that encode `inputs`.
+/// Frames of every kind from the old process to the new one. They encode the values that `inputs` returns.
 pub(crate) const TO_NEW: &[u8] = include_bytes!("to-new.bin");
 /// Frames from the new process to the old one: `ARRIVAL_OUTCOMES` for the arrivals in `TO_NEW`, and `CANCELS`.
 pub(crate) const TO_OLD: &[u8] = include_bytes!("to-old.bin");
--- a/crates/hot-restart/tests/snapshot.rs
+++ b/crates/hot-restart/tests/snapshot.rs
@@ -78,7 +78,8 @@
     outcome
 }
 
-/// Runs the engine until it has handled all inputs, and stops it between two turns.
+/// Runs the engine until it has handled all inputs, and then cancels `run`. The clock is paused, so the 5 ms pass only
+/// when every task is idle.
 async fn run_until_idle(engine: &mut Engine, received: &mut mpsc::UnboundedReceiver<Input>) {
     tokio::select! {
         () = engine.run(received) => unreachable!("the inputs are open"),
--- a/crates/platform/src/call_codec.rs
+++ b/crates/platform/src/call_codec.rs
@@ -101,8 +101,8 @@
         .collect()
 }
 
-/// Parses the result of each message from the body of a batch response. A message that the response does not name, or
-/// names with an unknown word, may have run.
+/// Parses the result of each message from the body of a batch response. A message that is missing from the response,
+/// or whose result is not one of the defined words, may have run.
 pub(crate) fn parse_message_results(
     text: &[u8],
     items: &[CallItem],
--- a/crates/platform/src/discovery_backoff.rs
+++ b/crates/platform/src/discovery_backoff.rs
@@ -46,7 +46,8 @@
 /// limit.
 pub(crate) const DEFAULT_MAX_DELAY: Duration = Duration::from_millis(1000);
 /// Delay per sender that shares the discovery service: all senders together send at most one request in this time.
-/// Smaller values reconnect sooner to a service with spare capacity; larger values let an overloaded one recover.
+/// With a smaller value, senders reconnect sooner to a service with spare capacity; with a larger one, an overloaded
+/// service recovers.
 const TIME_PER_SENDER: Duration = Duration::from_millis(80);
 /// Longest delay after rejections, as a multiple of the time in which every sender sends one request.
 const MAX_DELAY_ROUNDS: u32 = 4;
@@ -54,7 +55,8 @@
 /// Why a request to discovery or a watch failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
-    /// There was no response, or the response ended early.
+    /// Discovery could not be reached or did not respond in time, or the response ended early, was silent for too long
+    /// or could not be parsed completely.
     Unreachable,
     /// Discovery responded with an error status.
     Rejected,
--- a/crates/platform/src/drain_gate.rs
+++ b/crates/platform/src/drain_gate.rs
@@ -198,8 +198,8 @@
         ConnectionGuard(self.clone())
     }
 
-    /// Updates [`closing_idle`](Self::closing_idle) and [`closing_all`](Self::closing_all) when they are due, and
-    /// resets them when the gate is opened again.
+    /// Keeps [`closing_idle`](Self::closing_idle) and [`closing_all`](Self::closing_all) up to date: each becomes true
+    /// when it is due in the current state, and false when the gate enters a state in which it is not due.
     pub async fn run(self: Rc<Self>) {
         let mut phases = self.phase.subscribe();
         loop {
--- a/crates/platform/src/http_transport/response.rs
+++ b/crates/platform/src/http_transport/response.rs
@@ -143,8 +143,8 @@
     }
 }
 
-/// The result of a call whose response cannot be attributed to the call. A 200 delivers nothing; a rejection counts as
-/// a rejection, but the call may have run.
+/// The result of a call whose response cannot be attributed to the call. A 200 does not count as a delivery. Any other
+/// status has its usual result, but the call may have run.
 fn unattributed_result(head: &Parts, connection: Connection, result: CallResult) -> CallResult {
     connection.retire();
     let status = head.status.as_u16();
--- a/crates/platform/src/notifications.rs
+++ b/crates/platform/src/notifications.rs
@@ -30,7 +30,8 @@
         && MAX_RETRY_DELAY.as_millis() < NOTIFICATION_DEADLINE.as_millis()
 );
 /// Maximum number of requests in flight, each with a file descriptor. Three let the oldest run up to its time limit and
-/// the newest carry new notifications, while the one between them has at least [`NEXT_POST_DELAY`].
+/// the newest carry new notifications, while the one between them has at least [`NEXT_POST_DELAY`] to get a
+/// response.
 pub(crate) const MAX_POSTS: usize = 3;
 
 type PostResult = Result<StatusCode, RequestError>;
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -570,7 +570,7 @@
         },
     )) = known_class
     else {
-        // unknown class if the header names the same one, otherwise an unknown path
+        // If the header names the same class as the path, the class is unknown; otherwise the path is.
         return Err(if class_header.is_some_and(|name| name == path_class) {
             bad_request("unknown class")
         } else {
--- a/crates/platform/tests/common/mod.rs
+++ b/crates/platform/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! Helpers for tests of the transport alone, on one thread as in the sender.
+//! Helpers for tests of the transport without the rest of the sender, on one thread as in the sender.
 
 use milletturn_engine::{CallItem, Input, SharedStr, Transport};
 use milletturn_platform::{ResourceBudget, http_transport::HttpTransport};
--- a/crates/platform/tests/server.rs
+++ b/crates/platform/tests/server.rs
@@ -1,6 +1,6 @@
-//! The HTTP server for clients alone, on one thread as in the sender, with tokio's paused clock. The tests close
-//! connections at the same instant at which bytes arrive on them. Clients are plain sockets, written and read in the
-//! same thread.
+//! The HTTP server for clients without the rest of the sender, on one thread as in the sender, with tokio's paused
+//! clock. In several tests, bytes arrive on a connection at the same instant at which the server would close it.
+//! Clients are plain sockets, written and read in the same thread.
 
 use milletturn_engine::{ArrivalOutcome, Input};
 use milletturn_platform::DrainGate;
@@ -33,7 +33,7 @@
     accepted_ids: Rc<RefCell<Vec<String>>>,
     /// While true, no message gets a response.
     is_paused: Rc<Cell<bool>>,
-    /// Keeps the channel open on which the server learns that endpoints are known.
+    /// The sending half of the channel [`Server::ready`], held so that the channel stays open.
     _ready: watch::Sender<bool>,
 }
 
--- a/crates/platform/tests/single_calls.rs
+++ b/crates/platform/tests/single_calls.rs
@@ -221,7 +221,7 @@
     }
 }
 
-/// The retry-after delays that must be reported for this beginning of [`HEAD`].
+/// The retry-after delays that must be reported if only this prefix of a response with [`HEAD`] is received.
 fn expected_retry_after_delays(prefix: &str) -> Vec<Micros> {
     let retry_after_end =
         HEAD.find("1.5\r\n").expect("the header is in the text") + "1.5\r\n".len();
@@ -299,7 +299,7 @@
             matches!(first, Some(Input::RetryAfter { retry_after, .. }) if retry_after == 1500 * MILLISECOND),
             "{first:?}"
         );
-        // the response ends only by a time limit
+        // the wait for the body ends only at a time limit
         let report = fixture.calls.next_report(None).await;
         assert_eq!(
             (report.outcome, report.cause),
--- a/crates/platform/tests/virtual_discovery/mod.rs
+++ b/crates/platform/tests/virtual_discovery/mod.rs
@@ -55,8 +55,8 @@
 }
 
 impl DiscoveryState {
-    /// The version of the list, which is the number of the current state in the schedule from 1, and that state. Of two
-    /// entries with the same time, the later one applies.
+    /// The version of the list and the current state. The version is the position of that state in the schedule,
+    /// counted from 1. Of two entries with the same time, the later one applies.
     fn current_state(&self, address: SocketAddr) -> (u64, State) {
         let schedule = self
             .schedules
--- a/src/assemble.rs
+++ b/src/assemble.rs
@@ -39,7 +39,7 @@
 pub(crate) struct SenderOptions {
     /// The sender's name in the log.
     pub name: String,
-    /// The state folder, whose content outlasts the process.
+    /// The state folder, whose content must survive restarts.
     pub state_dir: PathBuf,
     /// The address where clients connect; unused if the listening socket is inherited in a hot restart.
     pub listen_address: SocketAddr,
--- a/src/assemble/running.rs
+++ b/src/assemble/running.rs
@@ -23,7 +23,7 @@
     pub(super) inputs: mpsc::UnboundedSender<Input>,
     /// True once the sender knows its endpoints.
     pub(super) ready: watch::Receiver<bool>,
-    /// Controls whether clients are admitted; closed while draining.
+    /// Controls whether clients are admitted. Drains, hot restarts and the shutdown change it.
     pub(super) gate: Rc<DrainGate>,
     /// Counters for the admin listener.
     pub(super) metrics: Rc<Metrics>,
@@ -57,7 +57,7 @@
     pub final_outcomes: Option<mpsc::UnboundedReceiver<Notification>>,
     /// Counters for the admin listener.
     pub metrics: Rc<Metrics>,
-    /// Controls whether clients are admitted; closed while draining.
+    /// Controls whether clients are admitted. Drains, hot restarts and the shutdown change it.
     pub gate: Rc<DrainGate>,
     /// True once the sender knows its endpoints.
     pub ready: watch::Receiver<bool>,
--- a/src/assemble/signals.rs
+++ b/src/assemble/signals.rs
@@ -5,8 +5,8 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::task::LocalSet;
 
-/// Handlers of SIGTERM and SIGHUP. They are installed before any file is read, because a SIGHUP after that must neither
-/// kill the process nor be missed.
+/// Handlers of SIGTERM and SIGHUP. They are installed before any file is read, so that a SIGHUP sent after a file has
+/// been read neither kills the process nor is missed.
 pub(crate) struct Signals {
     pub(super) terminate: Signal,
     pub(super) hangup: Signal,
--- a/src/dead_letter.rs
+++ b/src/dead_letter.rs
@@ -23,7 +23,7 @@
 
 /// Exit code: the command was carried out.
 const DONE: u8 = 0;
-/// Exit code: the sender could not be reached, or the store not read.
+/// Exit code: the sender could not be reached, or the store could not be read.
 const FAILED: u8 = 1;
 /// Exit code: the command line is wrong.
 const USAGE: u8 = 2;
--- a/src/dead_letter/arguments.rs
+++ b/src/dead_letter/arguments.rs
@@ -225,7 +225,7 @@
         })
     }
 
-    /// Whether the output is JSON lines; an export always is.
+    /// Whether the output is JSON lines. An export is always in this format.
     pub(super) fn wants_json(&self) -> bool {
         self.format == Format::Json || matches!(self.command, Command::Export { .. })
     }
--- a/src/dead_letter/table.rs
+++ b/src/dead_letter/table.rs
@@ -62,7 +62,7 @@
     ]
 }
 
-/// A message with its rounds of delivery and its audit log.
+/// Formats a message with its first delivery, its redrives and its audit log.
 fn record_text(record: &Record, now: i64) -> String {
     let summary = &record.summary;
     let mut text = format!(
@@ -84,7 +84,7 @@
     text
 }
 
-/// One round of delivery with its attempts; round 0 is the first delivery, later ones are redrives.
+/// Formats a round with its attempts: number 0 is the first delivery, and each later number is a redrive.
 fn round_text(number: usize, round: &Round) -> String {
     let name = if number == 0 {
         "first".to_string()
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -107,7 +107,7 @@
     }
 }
 
-/// Sends one request on a new connection and returns the response once its header has arrived.
+/// Sends one request on a new connection and returns the response once its head has been received.
 async fn call(
     address: SocketAddr,
     request: hyper::http::request::Builder,
--- a/src/fleet/hold.rs
+++ b/src/fleet/hold.rs
@@ -82,7 +82,7 @@
     Ok(())
 }
 
-/// Creates the group member that stands for this command, and the receiver of its events.
+/// Creates the group member that represents this command, and the receiver of its events.
 fn create_member(arguments: &Arguments) -> (Rc<Member>, UnboundedReceiver<MemberEvent>) {
     let info = MemberInfo {
         name: arguments.name.clone(),
