--- a/crates/cluster-harness/src/cluster/clients.rs
+++ b/crates/cluster-harness/src/cluster/clients.rs
@@ -214,7 +214,8 @@
     /// If an invariant does not hold.
     #[expect(clippy::must_use_candidate, reason = "also called only to check")]
     pub fn check_history(&self, processes: &[&Process]) -> Vec<Event> {
-        // the reports are read before the history, since a write between the two reads would be missing from the history
+        // the reports are read first: a write between the two reads is then only missing from the reports, which is
+        // allowed. In the reverse order, it would be reported but missing from the history
         let reported: Vec<_> = processes
             .iter()
             .map(|process| (process.name.clone(), writes_of(process)))
--- a/crates/coordination-protocol/src/messages.rs
+++ b/crates/coordination-protocol/src/messages.rs
@@ -35,7 +35,7 @@
 /// [`HeartbeatBatchResponse`].
 pub const HEARTBEAT_BATCH_PATH: &str = "/v1/renew-all";
 /// Writes the commands of a session proxy's members as one entry of the log: `POST` of a [`CommandBatchRequest`],
-/// answered with the outcome of each, in their order.
+/// answered with their outcomes in the same order.
 pub const COMMAND_BATCH_PATH: &str = "/v1/write-all";
 /// Returns the status and the counts of a session proxy: `GET`, answered with a [`SessionProxyStatus`]. Only session
 /// proxies serve this path.
@@ -141,7 +141,7 @@
     pub requests: Vec<BatchedRequest>,
 }
 
-/// The status of a session proxy, with its counts since its start.
+/// The status of a session proxy: its current connections and waiting heartbeats, and counters since its start.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionProxyStatus {
     /// The group's name.
@@ -165,10 +165,10 @@
     /// Heartbeat batches that no coordinator answered in time.
     #[serde(rename = "unanswered")]
     pub unanswered_heartbeat_batches: u64,
-    /// Session opens and commands that members have sent.
+    /// Requests to open a session, and commands, that members have sent.
     #[serde(rename = "writes")]
     pub commands: u64,
-    /// Calls to the coordinators that carried those session opens and commands.
+    /// Calls to the coordinators that carried those requests and commands.
     #[serde(rename = "write_batches")]
     pub command_batches: u64,
     /// Command batches that no coordinator answered in time.
--- a/crates/coordination-protocol/src/shard_map.rs
+++ b/crates/coordination-protocol/src/shard_map.rs
@@ -129,7 +129,8 @@
 /// left. Shards that a response left out because of its size are requested in the next round.
 ///
 /// # Errors
-/// If the round ended before that, at the latest after `time_limit`. Updates applied until then are kept.
+/// If a call failed or was rejected, or requests were left when `time_limit` or the limit on their number was reached.
+/// Updates applied until then are kept.
 pub async fn catch_up(
     client: &mut Client,
     replica: &RefCell<ShardMapReplica>,
--- a/crates/coordination/src/batching.rs
+++ b/crates/coordination/src/batching.rs
@@ -2,7 +2,8 @@
 
 use crate::bounds;
 
-/// This session proxy has reached its limit of waiting callers. Another proxy may still accept the request.
+/// This session proxy has reached its limit of waiting callers, and another proxy may still accept the request; or the
+/// request alone is longer than [`MAX_BATCH_BYTES`](bounds::MAX_BATCH_BYTES).
 #[derive(thiserror::Error)]
 #[error(
     "{} calls wait here and no more can: another relay may have room",
--- a/crates/coordination/src/bounds.rs
+++ b/crates/coordination/src/bounds.rs
@@ -17,9 +17,9 @@
 /// Maximum number of heartbeats or commands in one call of a session proxy. It keeps the body of a heartbeat call, at
 /// about 24 bytes per heartbeat, within the size limit of a call.
 pub const MAX_BATCH_LEN: usize = 512;
-/// Maximum bytes of commands in one call of a session proxy, which become one entry of the log: about 460 session opens
-/// of typical size. The leader sends a follower up to 300 entries at once. 300 entries of this size make 24 MB with
-/// their overhead, below the limit of 32 MB for a request body between coordinators.
+/// Maximum bytes of commands in one call of a session proxy, which become one entry of the log: about 460 `OpenSession`
+/// commands of typical size. The leader sends a follower up to 300 entries at once. 300 entries of this size make 24 MB
+/// with their overhead, below the limit of 32 MB for a request body between coordinators.
 pub const MAX_BATCH_BYTES: usize = 64 * 1024;
 /// Maximum number of resources in the state, owned or not. There is one for each destination that has a limit, and a
 /// few more.
--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -135,7 +135,7 @@
         /// The token under which the session owns the resource.
         #[serde(rename = "term")]
         token: FencingToken,
-        /// The number of writes done under this token. The owner's next write has the number that follows.
+        /// The number of writes applied under this token. The owner's next write has the number that follows.
         #[serde(rename = "acts")]
         writes: u64,
         /// The checkpoint that the last write stored, whether by this owner or an earlier one.
@@ -240,7 +240,7 @@
         token: FencingToken,
         /// The number that the rejected write carried.
         number: u64,
-        /// The number of the last write that was done.
+        /// The number of the last write that was applied under this token; 0 if none was.
         last: u64,
     },
     /// A batch contains a batch.
--- a/crates/coordination/src/command_batcher.rs
+++ b/crates/coordination/src/command_batcher.rs
@@ -1,13 +1,14 @@
-//! Batches the commands that a session proxy forwards: session opens, closes and everything else written to the log.
+//! Batches the commands that a session proxy forwards: those that open or close a session, and all others that are
+//! written to the log.
 //!
 //! A batch goes to the leading coordinator in one call and becomes one entry of its log, while each command has its own
 //! outcome. One batch is in flight at a time, and commands that arrive meanwhile go with the next one. A lone command
 //! is therefore sent at once, and when many members connect at the same time, hundreds of commands cost the
 //! coordinators one log entry. The batcher uses no clock.
 //!
-//! A batch without a response, and each command in it, may have been written or not, so its callers are never answered
-//! with a rejection. Each command is idempotent ([`Command`](crate::Command)), so a caller may retry it at this proxy
-//! or another one.
+//! If a batch gets no response, each of its commands may or may not have been written, so its callers are never
+//! answered with a rejection. Each command is idempotent ([`Command`](crate::Command)), so a caller may retry it at
+//! this proxy or another one.
 
 use crate::batching::{InFlightSlot, QueueFull};
 use crate::bounds;
@@ -27,7 +28,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum OnAbandon {
     /// The request is dropped, since its caller may no longer want the effect. For example, no member would send
-    /// heartbeats for the session of an abandoned session open.
+    /// heartbeats for a session that is opened after its caller stopped waiting.
     Drop,
     /// The request is sent anyway. For example, a member that closes its session is about to exit and may not wait for
     /// the answer.
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -7,7 +7,7 @@
 //! - [`lease_holder`]: the member's own view of its lease and of the time until which it may write.
 //! - [`fencing`]: the check at the receiver of a write, which rejects tokens lower than the highest one seen.
 //! - [`heartbeat_batcher`]: how a session proxy batches heartbeats and returns each response to the right caller.
-//! - [`command_batcher`]: how a session proxy batches session opens and all other commands into one entry of the log.
+//! - [`command_batcher`]: how a session proxy batches commands into one entry of the log.
 //! - [`batching`]: code that the two batchers share.
 //! - [`ids`], [`time`], [`bounds`]: typed identifiers, timestamps and durations, and upper bounds.
 //!
--- a/crates/coordination/src/state/history.rs
+++ b/crates/coordination/src/state/history.rs
@@ -30,7 +30,7 @@
     /// The member became the owner.
     #[serde(rename = "owned")]
     Acquired,
-    /// The member did the write with this number.
+    /// A write of the member was applied, with this number under its token.
     #[serde(rename = "acted")]
     Written(u64),
     /// The member released the resource or closed its session.
--- a/crates/coordination/src/state/resources.rs
+++ b/crates/coordination/src/state/resources.rs
@@ -8,12 +8,13 @@
 /// A resource, which at most one session owns at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Resource {
-    /// The highest token that was granted, kept when the ownership ends.
+    /// The highest token that was granted, kept when the ownership ends. After a restore, it is the start of the
+    /// generation until the resource is claimed again.
     #[serde(rename = "term")]
     pub token: FencingToken,
     /// The session that owns the resource and may write; `None` if the resource is free.
     pub owner: Option<SessionId>,
-    /// The number of writes done under the current token.
+    /// The number of writes applied under the current token.
     #[serde(rename = "acts")]
     pub writes: u64,
     /// The text that the last write stored, under this or an earlier token.
@@ -34,7 +35,7 @@
         self.token == token && self.owner == Some(session)
     }
 
-    /// Whether a write repeats the last one that was done.
+    /// Whether a write repeats the last one that was applied.
     pub(super) fn is_last_write(&self, number: u64, checkpoint: &str) -> bool {
         number == self.writes && number > 0 && checkpoint == self.checkpoint
     }
--- a/crates/coordination/src/state/sessions.rs
+++ b/crates/coordination/src/state/sessions.rs
@@ -11,7 +11,7 @@
     /// The member that opened it.
     #[serde(rename = "about")]
     pub member: MemberInfo,
-    /// The random number that the member sent. A request to open with the same nonce is a repetition.
+    /// The random number that the member sent. A request of the same member with this nonce is a retry.
     pub nonce: u64,
     /// The lease that the leader granted when the session was opened.
     pub lease: Micros,
--- a/crates/coordination/tests/leases/simulation.rs
+++ b/crates/coordination/tests/leases/simulation.rs
@@ -16,7 +16,7 @@
 pub(crate) enum Step {
     /// True time advances by this many microseconds.
     AdvanceClocks(u64),
-    /// A member sends a request to a coordinator: a session open if it has no session, otherwise a heartbeat that also
+    /// A member sends a request to a coordinator: to open a session if it has none, otherwise a heartbeat that also
     /// claims the resource.
     Send { member: usize, coordinator: usize },
     /// One of the messages in transit is delivered.
--- a/crates/coordination/tests/model/cluster.rs
+++ b/crates/coordination/tests/model/cluster.rs
@@ -42,8 +42,8 @@
     ProxyIgnoresBatchPositions,
     /// A member draws a new nonce for each attempt to open the same session.
     NewNoncePerAttempt,
-    /// A member that retries a session open counts its lease from the last attempt. The coordinator may have opened the
-    /// session at the first attempt and counts the lease from then.
+    /// A member that repeats its request to open a session counts its lease from the last attempt. The coordinator may
+    /// have opened the session at the first attempt and counts the lease from then.
     LeaseCountedFromLastOpen,
 }
 
@@ -56,9 +56,10 @@
     Fencing,
     /// A backup, and a restore after everything written since the backup was lost.
     Restore,
-    /// Heartbeats batched by a proxy, with a member that stops waiting and sends another one, or a proxy that restarts.
+    /// Heartbeats batched by a proxy. A member stops waiting for a response and sends another heartbeat, or the proxy
+    /// restarts.
     ProxiedHeartbeats,
-    /// Session opens batched by a proxy, with batches that the proxy abandons and members that retry.
+    /// Requests to open sessions, batched by a proxy. The proxy abandons batches, and members retry.
     ProxiedOpens,
 }
 
@@ -106,15 +107,15 @@
         number: u64,
         response: BatchResponse,
     },
-    /// A session open from a member to the proxy.
+    /// A request to open a session, from a member to the proxy.
     ProxiedOpen {
         member: usize,
         sent: Timestamp,
         nonce: u64,
     },
-    /// A batch of session opens from the proxy to the coordinators.
+    /// A batch of requests to open sessions, from the proxy to the coordinators.
     CommandBatch(CommandBatch<ProxiedOpen>),
-    /// The response to a batch of session opens, by position; `None` for a rejected open.
+    /// The response to a batch of requests to open sessions, by position; `None` for a rejected request.
     CommandOutcomes {
         number: u64,
         sessions: Vec<Option<SessionId>>,
@@ -140,7 +141,7 @@
 }
 
 impl Message {
-    /// Whether this is a session open or heartbeat of the given member, or the response to it.
+    /// Whether this is the given member's request to open a session, its heartbeat, or the response to either.
     pub(crate) fn belongs_to(&self, requester: usize) -> bool {
         match self {
             Message::Open { member, .. }
@@ -161,7 +162,7 @@
     }
 }
 
-/// A session open at the proxy: the member that sent it, and the member's nonce.
+/// A request to open a session, as queued at the proxy: the member that sent it, and its nonce.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct ProxiedOpen {
     pub(crate) member: usize,
@@ -205,11 +206,13 @@
     /// The number of abandoned calls and batches.
     pub(crate) abandoned: u8,
     pub(crate) command_batcher: CommandBatcher<ProxiedOpen>,
-    /// The session opens that wait at the proxy, each with its member and the time from which its lease counts.
+    /// The requests to open a session that wait at the proxy, each with its member and the time from which the member
+    /// counts the lease.
     pub(crate) opens_at_proxy: BTreeMap<WaiterId, (usize, Timestamp)>,
-    /// Whether a session open was rejected, which happens only if the member's own earlier session has its name.
+    /// Whether a request to open a session was rejected, which happens only if an earlier session of the same member
+    /// has its name.
     pub(crate) locked_out: bool,
-    /// When each member first sent the open of its session.
+    /// When each member first sent its request to open a session.
     pub(crate) first_sent: [Option<Timestamp>; 2],
 }
 
--- a/crates/coordination/tests/model/steps.rs
+++ b/crates/coordination/tests/model/steps.rs
@@ -17,13 +17,13 @@
 const MAX_BATCHES: u64 = 2;
 /// Maximum number of heartbeat calls by the member that uses the proxy.
 const MAX_HEARTBEAT_CALLS: WaiterId = WaiterId(2);
-/// Maximum number of session opens that both members together send to the proxy.
+/// Maximum number of requests to open a session that both members together send to the proxy.
 const MAX_OPEN_CALLS: WaiterId = WaiterId(3);
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Step {
     Tick,
-    /// A member sends a heartbeat, or a session open if it has no session.
+    /// A member sends a heartbeat, or a request to open a session if it has none.
     Send(usize),
     Deliver(Message),
     Elect(usize),
@@ -35,12 +35,13 @@
     Restore,
     /// The proxy sends its queued heartbeats as one batch.
     SendHeartbeats,
-    /// A member stops waiting for the response to its call. The proxy notices only in the case of a session open.
+    /// A member stops waiting for the response to its call. The proxy notices only if
+    /// the call was to open a session.
     Abandon(usize),
     RestartProxy,
-    /// The proxy sends its queued session opens as one batch.
+    /// The proxy sends its queued requests to open sessions as one batch.
     SendCommands,
-    /// The proxy abandons the batch of session opens in flight.
+    /// The proxy abandons the batch in flight, of requests to open sessions.
     FailCommands,
 }
 
@@ -50,8 +51,8 @@
         LeaderTerm(u64::from(self.scenario == Scenario::Leases))
     }
 
-    /// Whether a member may send another request in this scenario. `ProxiedHeartbeats` opens no new sessions and
-    /// `ProxiedOpens` sends no heartbeats, since other scenarios check these.
+    /// Whether a member may send another request in this scenario. No new sessions are opened in `ProxiedHeartbeats`,
+    /// and no heartbeats are sent in `ProxiedOpens`, since other scenarios check these.
     fn may_send(&self, state: &ClusterState, member: usize) -> bool {
         let known = state.holders[member].known_session();
         match self.scenario {
--- a/crates/coordination/tests/state/batches.rs
+++ b/crates/coordination/tests/state/batches.rs
@@ -77,7 +77,7 @@
     };
     let first = apply(&mut state, opens(&[("n1", 1), ("n2", 2)]));
     assert_eq!(first, CommandOutcome::Batch(vec![opened(1), opened(2)]));
-    // The response was lost, so both opens are sent again in a batch with a third one, and one of them twice.
+    // The response was lost, so both commands are sent again in a batch with a third one, and one of them twice.
     let repeated = apply(
         &mut state,
         opens(&[("n3", 3), ("n2", 2), ("n1", 1), ("n2", 2)]),
--- a/crates/coordinator/src/leadership.rs
+++ b/crates/coordinator/src/leadership.rs
@@ -29,8 +29,8 @@
 /// Interval between two checks for expired leases; a lease may end late by up to this interval.
 const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The leader's work on this replica: tracks Raft elections, and while the replica leads, serves heartbeats and expires
-/// leases.
+/// Does the leader's work on this replica: tracks Raft elections and, while the replica leads, serves heartbeats and
+/// expires leases.
 pub struct Leadership {
     /// The Raft instance of this replica.
     pub raft: Raft,
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -134,8 +134,8 @@
     Ok((state, format!("{generation}-{digest:08x}")))
 }
 
-/// Runs a coordinator until its disk fails. Has to run on a `LocalSet`. Dropping the future stops the coordinator and
-/// its tasks; no acknowledged write is lost.
+/// Runs a coordinator until Raft stops, usually because the disk failed. Has to run on a `LocalSet`. Dropping the
+/// future stops the coordinator and its tasks; no acknowledged write is lost.
 ///
 /// # Errors
 /// Why the coordinator can't start, or has stopped.
--- a/crates/coordinator/src/settings/file.rs
+++ b/crates/coordinator/src/settings/file.rs
@@ -137,7 +137,8 @@
     }
 }
 
-/// The replicas' addresses by their numbers. Adds each contradiction to `problems`.
+/// Returns the replicas' addresses by their numbers. Adds a problem for a duplicate id or address, for a number of
+/// replicas that is not allowed, and if this replica is not listed.
 fn check_replicas(
     own_id: ReplicaId,
     entries: Vec<ReplicaEntry>,
--- a/crates/coordinator/src/storage.rs
+++ b/crates/coordinator/src/storage.rs
@@ -2,7 +2,7 @@
 //!
 //! The store is an embedded database (`redb`): one file with checksummed pages, and a commit is synced to disk before
 //! the call returns. A failed write ends the coordinator: the contents of the disk after a failed sync are unknown, so
-//! the process must not continue on them.
+//! the process must not continue with them.
 //!
 //! - `error`: why the store can't be used.
 //! - `tables`: the tables and keys of the store, and access to single values.
--- a/crates/coordinator/src/storage/vote.rs
+++ b/crates/coordinator/src/storage/vote.rs
@@ -32,7 +32,7 @@
     }
 
     /// Saves the position of the last entry that is known to be committed, without a sync: the position reaches the
-    /// disk with the next synced write. Losing the position makes a start slower but loses no data.
+    /// disk with the next synced write. Losing the position makes the next start slower but loses no data.
     ///
     /// # Errors
     /// If the store reports an error.
--- a/crates/member/src/events.rs
+++ b/crates/member/src/events.rs
@@ -36,8 +36,8 @@
     Reconnected,
 }
 
-/// A fenced write that is about to be sent. The times show afterwards that each write was checked while its lease was
-/// safe.
+/// A fenced write that is about to be sent. By the two times, a reader of the events can verify that the lease was safe
+/// when it was checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WriteStarted {
     /// The fencing token that the write carries.
--- a/crates/member/src/session.rs
+++ b/crates/member/src/session.rs
@@ -83,8 +83,8 @@
             member: self.member.info.clone(),
             nonce: self.random.next_u64(),
         };
-        // The coordinators start the lease when they first receive this request, whichever of its calls gets the
-        // response. A call that certainly reached no coordinator does not start the lease.
+        // When the first call that may have reached a coordinator was sent. The coordinators may have started the lease
+        // at that call even if a later one gets the response, so the member counts its lease from then.
         let mut first_sent = None;
         loop {
             let sent = now();
--- a/crates/member/tests/session_open.rs
+++ b/crates/member/tests/session_open.rs
@@ -1,4 +1,4 @@
-//! The start of a lease whose session open got no response at first.
+//! The start of a lease if the first request to open the session got no response.
 //!
 //! If a coordinator received an unanswered request to open the session, it may have started the lease then. A member
 //! that counted its lease from a later request would still write after the coordinator has ended the session.
@@ -125,7 +125,7 @@
     let address = listener.local_addr().expect("bound");
     let coordinator = Arc::new(Coordinator::default());
     start_server(&coordinator, listener);
-    // responses begin after the member's first session open has timed out
+    // responses begin after the member's first request to open a session has timed out
     let member = run_until_owner(address, || {
         *coordinator.is_answering.lock().expect("no holder panics") = true;
     });
@@ -158,7 +158,7 @@
     let started = now();
     let mut is_listening = false;
     let member = run_until_owner(unused.address, || {
-        // the member's connections have been refused for the whole time limit of its first session open
+        // the member's connections have been refused until its first request to open a session timed out
         if !std::mem::replace(&mut is_listening, true) {
             start_server(
                 &coordinator,
--- a/crates/session-proxy/src/commands.rs
+++ b/crates/session-proxy/src/commands.rs
@@ -1,5 +1,5 @@
-//! Session opens and commands: batched, sent to the leading coordinator as one entry of the Raft log, with one response
-//! for each waiting member.
+//! Commands and requests to open a session: batched, sent to the leading coordinator as one entry of the Raft log, with
+//! one response for each waiting member.
 
 use crate::heartbeats::ATTEMPTS_PER_BATCH;
 use crate::service::unavailable;
@@ -17,7 +17,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Forwards session opens and commands to the coordinators in batches.
+/// Forwards commands and requests to open a session to the coordinators in batches.
 #[derive(Debug, Default)]
 pub(crate) struct CommandForwarder {
     batcher: RefCell<CommandBatcher<BatchedRequest>>,
--- a/crates/session-proxy/src/heartbeats.rs
+++ b/crates/session-proxy/src/heartbeats.rs
@@ -35,7 +35,8 @@
     unanswered_batches: Cell<u64>,
 }
 
-/// Counts since the start of the forwarder, and the heartbeats that wait now, for the status of the session proxy.
+/// The forwarder's counters since its start, and the current number of waiting heartbeats, for the session proxy's
+/// status.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct HeartbeatCounts {
     pub(crate) received: u64,
--- a/crates/shard-map/src/limits.rs
+++ b/crates/shard-map/src/limits.rs
@@ -17,8 +17,8 @@
 /// Maximum number of shards in one request. Each takes at most 131 bytes of JSON, so a request has at most 68 KB.
 pub const MAX_REQUEST_SHARDS: usize = 512;
 
-/// Target size of the endpoints in one response, in bytes by [`Endpoint::size_bytes`](crate::Endpoint::size_bytes). No
-/// shard is added to a response that has reached this size.
+/// Target size of the endpoints in one response, in bytes as computed by
+/// [`Endpoint::size_bytes`](crate::Endpoint::size_bytes). No shard is added to a response that has reached this size.
 ///
 /// Shards that are left out get no update, and the replica requests them again when it next synchronizes. The response
 /// to a request for 512 shards of the planned size has 3 MB; without this limit, one for 512 shards of the maximum size
@@ -41,7 +41,8 @@
 /// Limits on the data that one replica or source stores.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Maximum size of the endpoints of one shard, in bytes by [`Endpoint::size_bytes`](crate::Endpoint::size_bytes).
+    /// Maximum size of the endpoints of one shard, in bytes as computed by
+    /// [`Endpoint::size_bytes`](crate::Endpoint::size_bytes).
     pub shard_bytes: usize,
     /// Maximum size of all endpoints together, in bytes.
     pub total_bytes: usize,
--- a/crates/shard-map/src/membership.rs
+++ b/crates/shard-map/src/membership.rs
@@ -72,9 +72,9 @@
     /// The next version of the membership, with these members in place of the previous ones.
     ///
     /// A member may serve up to 1.25 times the mean number of shards for its weight. That capacity per unit of weight is
-    /// kept while the total capacity is between 1.1 and 1.5 times the need: each change of the capacity moves shards of
-    /// senders that did not change themselves, and without this range the capacity of 16,000 senders would change
-    /// once an hour.
+    /// kept while the total capacity is between 1.1 and 1.5 times the number of shard replicas: each change of the
+    /// capacity moves shards of senders that did not change themselves, and without this range the capacity of 16,000
+    /// senders would change once an hour.
     ///
     /// # Errors
     /// [`MembershipError`] for too many members, or a member with an invalid name, zone or weight.
--- a/crates/shard-map/src/replica.rs
+++ b/crates/shard-map/src/replica.rs
@@ -4,8 +4,8 @@
 //!
 //! - **Term**: an update with an earlier term than the newest known one is ignored.
 //! - **Version**: the version of a shard only grows, and a change applies only if its number is the next one.
-//! - **Digest**: a change applies only if the resulting endpoints have the digest that it names, and a snapshot only if
-//!   its endpoints have its digest.
+//! - **Digest**: a change applies only if the resulting endpoints have the digest in the change, and a snapshot only if
+//!   its endpoints have the digest in the snapshot.
 //!
 //! A replica therefore ignores the outdated updates of a peer that lags behind, repeats updates or was restored from an
 //! old backup.
@@ -210,8 +210,8 @@
         })
     }
 
-    /// Marks a shard as having missed an update. The outcome requests the shard unless it was stale already. As long as
-    /// it is stale, [`ShardMapReplica::sync_requests`] detect the missed update.
+    /// Marks a shard as having missed an update. The outcome requests the shard unless it was stale already; then the
+    /// periodic requests of [`ShardMapReplica::sync_requests`] detect the missed update.
     fn mark_stale(&mut self, id: ShardId) -> ApplyOutcome {
         let requests = if self.stale.insert(id) {
             self.shard_requests([id].into_iter())
@@ -314,7 +314,7 @@
         self.newest_term
     }
 
-    /// The size of all stored endpoints in bytes, by [`Endpoint::size_bytes`].
+    /// The size of all stored endpoints in bytes, as computed by [`Endpoint::size_bytes`].
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         self.size_bytes
--- a/crates/shard-map/src/shard_replica.rs
+++ b/crates/shard-map/src/shard_replica.rs
@@ -13,7 +13,7 @@
 pub enum ApplyStatus {
     /// The change was applied.
     Applied,
-    /// The change does not follow the current version, or its result does not have the digest that the change names.
+    /// The change does not follow the current version, or the resulting endpoints do not have the change's digest.
     Gap,
     /// The shard with the change applied would exceed the size limits.
     CapacityExceeded,
@@ -105,7 +105,7 @@
         &endpoints[from..to]
     }
 
-    /// The size of all endpoints of the shard in bytes, by [`Endpoint::size_bytes`].
+    /// The size of all endpoints of the shard in bytes, as computed by [`Endpoint::size_bytes`].
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         self.content.size_bytes
@@ -148,7 +148,8 @@
         Ok(Some(change))
     }
 
-    /// Applies a change if its number is the next one and its result has the digest that it names.
+    /// Applies a change if it has the next version number and no earlier term than the shard, and if the resulting
+    /// endpoints have the digest [`VersionedChange::digest_after`].
     ///
     /// `fits` is called with the size in bytes that the shard would have, and returns whether that is allowed. A change that
     /// is not applied leaves the shard unchanged.
--- a/crates/shard-map/src/source.rs
+++ b/crates/shard-map/src/source.rs
@@ -121,8 +121,8 @@
         Ok(versioned)
     }
 
-    /// Checks that no endpoint to put belongs to another destination, and that each endpoint to remove belongs to this
-    /// one.
+    /// Checks that no endpoint to put belongs to another destination, and that each endpoint to remove belongs to the
+    /// change's destination.
     fn check_ownership(&self, change: &Change) -> Result<(), ChangeError> {
         for operation in &change.operations {
             let uid = operation.uid();
@@ -177,7 +177,7 @@
         self.shard_count
     }
 
-    /// The size of all endpoints in bytes, by [`Endpoint::size_bytes`](crate::Endpoint::size_bytes).
+    /// The size of all endpoints in bytes, as computed by [`Endpoint::size_bytes`](crate::Endpoint::size_bytes).
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         self.size_bytes
--- a/crates/shard-map/src/sync.rs
+++ b/crates/shard-map/src/sync.rs
@@ -66,7 +66,7 @@
     /// The shards of a span are the same on both sides.
     #[serde(rename = "same")]
     SpanMatches {
-        /// The term under which the responding side has all shards of the span.
+        /// The newest term known to the responding side. All shards of the span have versions of this term there.
         term: LeaderTerm,
         /// The first shard of the span.
         first: u32,
@@ -78,7 +78,7 @@
     /// The shards of a span differ; the digests of its parts show where.
     #[serde(rename = "parts")]
     SpanDigests {
-        /// The term under which the responding side has all shards of the span.
+        /// The newest term known to the responding side. All shards of the span have versions of this term there.
         term: LeaderTerm,
         /// The first shard of the span.
         first: u32,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The size of the update's endpoints in bytes, by [`Endpoint::size_bytes`].
+    /// An upper bound of the serialized size of the update's endpoints or operations, in bytes; 0 if it has none.
     fn size_bytes(&self) -> usize {
         match self {
             Update::Change(change) => {
--- a/crates/shard-map/tests/model.rs
+++ b/crates/shard-map/tests/model.rs
@@ -16,7 +16,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// An assumption about the process that runs a source, violated in one test to show that the model detects it.
+/// An assumption about the process that runs a source, violated in one test to show that the model detects the
+/// violation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ViolatedAssumption {
     None,
--- a/crates/shard-map/tests/network/faults.rs
+++ b/crates/shard-map/tests/network/faults.rs
@@ -6,7 +6,8 @@
 
 impl SimulatedCluster {
     pub(crate) fn propose_change(&mut self) {
-        // mostly to the leader; 20 % go to the other source, which may be a deposed leader that still accepts changes
+        // most changes go to the leader, and 20 % to the other source, which may be a deposed leader that still accepts
+        // changes
         let source = if self.random_chance(20) {
             1 - self.leader
         } else {
--- a/crates/shard-map/tests/source.rs
+++ b/crates/shard-map/tests/source.rs
@@ -191,7 +191,7 @@
 
 #[test]
 fn destinations_hash_to_fixed_shards() {
-    // processes of different versions run side by side, so that neither the hash nor the arithmetic may change
+    // processes of different versions run side by side, so neither the hash nor the arithmetic may change
     let shard_count = ShardCount::default();
     let shards: Vec<u16> = [0, 1, 2, 1_000_000, u64::MAX]
         .map(|n| shard_count.shard_of(n).0)
