--- a/crates/coordination-protocol/src/shard_map.rs
+++ b/crates/coordination-protocol/src/shard_map.rs
@@ -34,7 +34,7 @@
     /// Returns the updates that a request asks for.
     ///
     /// # Errors
-    /// If the request does not fit this shard map.
+    /// If the request assumes another number of shards, or names too many shards or one that does not exist.
     fn updates(&self, request: &SyncRequest) -> Result<Vec<Update>, SyncError>;
 }
 
--- a/crates/coordination/src/lease_table.rs
+++ b/crates/coordination/src/lease_table.rs
@@ -47,8 +47,8 @@
 pub struct Heartbeat {
     /// The member's session.
     pub session: SessionId,
-    /// Whether the lease had expired by the holder's clock when the holder sent the heartbeat. If so, the
-    /// holder has received no confirmation of a request that it sent within the preceding lease duration.
+    /// Whether the lease had expired by the holder's clock when the holder sent the heartbeat. If so, the holder
+    /// has received no confirmation of a request that it sent within the preceding lease duration.
     pub holder_expired: bool,
 }
 
--- a/crates/coordination/tests/model/delivery.rs
+++ b/crates/coordination/tests/model/delivery.rs
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The proxy returns the outcomes of a batch of requests to open sessions to its callers.
+    /// The proxy returns to its callers the outcomes of a batch of requests to open sessions.
     fn answer_opens(&self, state: &mut ClusterState, number: u64, sessions: &[Option<SessionId>]) {
         let batcher = &mut state.command_batcher;
         let mut outcomes = batcher.complete(number, sessions.to_vec());
--- a/crates/coordination/tests/model/steps.rs
+++ b/crates/coordination/tests/model/steps.rs
@@ -35,8 +35,7 @@
     Restore,
     /// The proxy sends its queued heartbeats as one batch.
     SendHeartbeats,
-    /// A member stops waiting for the response to its call. The proxy notices only if
-    /// the call was to open a session.
+    /// A member stops waiting for the response to its call. The proxy notices only if the call was to open a session.
     Abandon(usize),
     RestartProxy,
     /// The proxy sends its queued requests to open sessions as one batch.
--- a/crates/coordinator/src/leadership/heartbeats.rs
+++ b/crates/coordinator/src/leadership/heartbeats.rs
@@ -32,9 +32,9 @@
         match renewed.pop() {
             Some((_, owned)) => Ok(Ok(HeartbeatAccepted { owned })),
             None if ended.contains(&session) => Ok(Err(Rejection::SessionNotFound { session })),
-            // the session is ending, its lease is not tracked, it was opened after `track_sessions` ran, or the last
-            // confirmed heartbeat also said that the lease had expired by the holder's clock; the response to a later
-            // heartbeat tells the caller whether the session is open
+            // the session is ending, its lease is not tracked, it was opened after `track_sessions` ran, or both this
+            // heartbeat and the last confirmed one say that the lease had expired by the holder's clock; the response
+            // to a later heartbeat tells the caller whether the session is open
             None => Err(LeadershipError::NotLeader { leader: None }),
         }
     }
--- a/crates/coordinator/src/request_handler.rs
+++ b/crates/coordinator/src/request_handler.rs
@@ -32,7 +32,7 @@
 
 /// Handles the requests to one replica.
 pub struct RequestHandler {
-    /// The coordinator's settings, of which requests need the group, the id, the lease and the heartbeat interval.
+    /// The coordinator's settings; requests use the group, the id, the lease and the heartbeat interval.
     pub settings: Settings,
     /// Identifies the initial state of the group. Raft calls of a replica with a different origin are rejected.
     pub origin: String,
--- a/crates/session-proxy/src/heartbeats.rs
+++ b/crates/session-proxy/src/heartbeats.rs
@@ -167,7 +167,7 @@
         self.waiters.complete(outcomes);
     }
 
-    /// Time limit for a batch, derived from the shortest lease that the coordinators have announced.
+    /// Time limit for a batch: a quarter of the shortest lease in the coordinators' responses so far, at most 2.3 s.
     pub(crate) fn call_timeout(&self) -> Duration {
         Duration::from_micros(self.batcher.borrow().call_timeout().0)
     }
--- a/crates/shard-map/tests/replica_sync.rs
+++ b/crates/shard-map/tests/replica_sync.rs
@@ -48,7 +48,7 @@
 
 #[test]
 fn response_has_a_snapshot_in_place_of_changes_of_an_earlier_term() {
-    // a replica that knows the newer term would ignore such changes, and request them again and again
+    // a replica that knows the newer term would ignore changes of the earlier one, and request them again and again
     let mut source = filled_source(shard_count(1), 3);
     let mut replica = synced_replica(&source);
     port_changes(&mut source, 1, 100..102);
