--- a/crates/coordination-protocol/src/shard_map.rs
+++ b/crates/coordination-protocol/src/shard_map.rs
@@ -34,7 +34,7 @@
     /// Returns the updates that a request asks for.
     ///
     /// # Errors
-    /// If the request does not fit this shard map.
+    /// If the request assumes another number of shards, or names too many shards or one that does not exist.
     fn updates(&self, request: &SyncRequest) -> Result<Vec<Update>, SyncError>;
 }
 
@@ -129,7 +129,8 @@
 /// left. Shards that a response left out because of its size are requested in the next round.
 ///
 /// # Errors
-/// If the round ended before that, at the latest after `time_limit`. Updates applied until then are kept.
+/// If a call failed or was rejected, or requests were left when `time_limit` or the limit on their number was reached.
+/// Updates applied until then are kept.
 pub async fn catch_up(
     client: &mut Client,
     replica: &RefCell<ShardMapReplica>,
--- a/crates/session-proxy/src/heartbeats.rs
+++ b/crates/session-proxy/src/heartbeats.rs
@@ -35,7 +35,8 @@
     unanswered_batches: Cell<u64>,
 }
 
-/// Counts since the start of the forwarder, and the heartbeats that wait now, for the status of the session proxy.
+/// The forwarder's counters since its start, and the current number of waiting heartbeats, for the session proxy's
+/// status.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct HeartbeatCounts {
     pub(crate) received: u64,
@@ -166,7 +167,7 @@
         self.waiters.complete(outcomes);
     }
 
-    /// Time limit for a batch, derived from the shortest lease that the coordinators have announced.
+    /// Time limit for a batch: a quarter of the shortest lease in the coordinators' responses so far, at most 2.3 s.
     pub(crate) fn call_timeout(&self) -> Duration {
         Duration::from_micros(self.batcher.borrow().call_timeout().0)
     }
