--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -233,7 +233,7 @@
         })
     }
 
-    /// Adds a finding for a name that is no setting, with the most similar known name if there is a similar one.
+    /// Adds a finding for a name that is not a setting, with the most similar known name if there is one.
     fn add_unknown_setting(&mut self, path: &[&str], name: &Spanned<std::borrow::Cow<'_, str>>) {
         let depth = path.len() - 1;
         let known: BTreeSet<&str> = (self.settings.0.iter())
@@ -579,8 +579,8 @@
         }
     }
 
-    /// True if a finding is on a line of any table that begins with the setting's name. Such a setting is present but
-    /// invalid, and must not be reported as missing too.
+    /// True if a finding is located after the setting's name on a line that begins with this name; the line may be in
+    /// any table. Such a setting is present but invalid, and must not be reported as missing too.
     fn is_already_reported(&self, path: &str) -> bool {
         let name = path.rsplit(PATH_SEPARATOR).next().unwrap_or(path);
         self.findings
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -51,7 +51,7 @@
 /// Parses a time such as `4s` or `1.5h`, and returns it in microseconds.
 ///
 /// # Errors
-/// When the text is no number with a known unit, or the value is too large.
+/// When the text is not a number followed by a known unit, or the value is too large.
 pub fn parse_time(text: &str) -> Result<i64, UnitError> {
     let (number, unit) = split_unit(text)?;
     let (_, size) = TIME_UNITS
@@ -69,7 +69,7 @@
 /// Parses a size such as `64KiB` or `3MB`, and returns it in bytes.
 ///
 /// # Errors
-/// When the text is no number with a known unit, or the value is too large.
+/// When the text is not a number followed by a known unit, or the value is too large.
 pub fn parse_size(text: &str) -> Result<u64, UnitError> {
     let (number, unit) = split_unit(text)?;
     let (_, size) = SIZE_UNITS
--- a/crates/dead-letter/benches/store.rs
+++ b/crates/dead-letter/benches/store.rs
@@ -94,7 +94,7 @@
     started.elapsed().as_secs_f64() * 1e6 / 512.0
 }
 
-/// Rate of redrives per second, one after the other, including the save of each result.
+/// Number of redrives per second if they are requested one after the other, including the save of each result.
 fn redrive(path: &Path) -> f64 {
     let mut service = open_service(path);
     let messages: Vec<EndedMessage> = (1..=256).map(message).collect();
--- a/crates/dead-letter/src/record.rs
+++ b/crates/dead-letter/src/record.rs
@@ -105,7 +105,7 @@
     pub may_have_run: bool,
 }
 
-/// One round of attempts at a message: the first after its submission, or that of a redrive.
+/// One round of attempts to deliver a message: the round after its submission, or that of a redrive.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Round {
     /// When the engine accepted the message for this round.
@@ -167,7 +167,7 @@
     /// Number of redrives so far.
     #[serde(rename = "resends")]
     pub redrives: u32,
-    /// When the first attempt was sent that the destination may have processed; `None` if there is none. Attempts that
+    /// When the first attempt that the destination may have processed was sent; `None` if there is none. Attempts that
     /// an operator has confirmed not to have run don't count. 0 if the time was lost with a store that was set aside.
     #[serde(rename = "first_risk")]
     pub first_uncertain_at: Option<Micros>,
--- a/crates/dead-letter/src/redrive_decision.rs
+++ b/crates/dead-letter/src/redrive_decision.rs
@@ -26,7 +26,7 @@
     pub has_key: bool,
     /// How the last round ended.
     pub ending: Ending,
-    /// When the first attempt was sent that may have run, over all rounds (Unix time in microseconds); `None` if no
+    /// When the first attempt that may have run was sent, in any round (Unix time in microseconds); `None` if no
     /// attempt may have run. Attempts that an operator has confirmed not to have run don't count.
     pub first_uncertain_at: Option<Micros>,
     /// An operator has confirmed that the message did not run, or that its client does not resubmit it.
--- a/crates/dead-letter/src/redrive_schedule.rs
+++ b/crates/dead-letter/src/redrive_schedule.rs
@@ -8,7 +8,7 @@
 /// Maximum number of destinations whose health is remembered. Beyond it, the destination with the oldest last attempt
 /// is evicted, and counts as never attempted.
 const MAX_DESTINATIONS: usize = 10_000;
-/// Maximum elapsed time that one refill of a rule's token bucket counts, in microseconds.
+/// Maximum time for which one refill of a rule's token bucket adds tokens, in microseconds.
 const MAX_REFILL: Micros = 3600 * SECOND;
 
 /// A rule by which messages are redriven. Empty lists match all.
@@ -20,7 +20,7 @@
     pub classes: Vec<String>,
     /// Numbers of the destinations that the rule covers.
     pub destinations: Vec<u64>,
-    /// Reasons of the last round's end that the rule covers.
+    /// The rule covers messages whose last round ended for one of these reasons.
     pub reasons: Vec<EndReason>,
     /// Minimum time since the last failed or rejected attempt at the destination, in microseconds.
     pub min_healthy: Micros,
@@ -148,8 +148,8 @@
     /// Returns the first rule by which this message may be redriven now, and takes one token of that rule.
     ///
     /// A message may be redriven once [`RedriveRule::min_healthy`] has passed since the last failed attempt at its
-    /// destination, or at once if no attempt has failed. While the destination's last attempt failed, or it has had no
-    /// attempt, only one message at a time is redriven to it, as a probe.
+    /// destination, or immediately if no attempt has failed. If the last attempt at the destination failed, or there
+    /// has been none, only one message at a time is redriven to it, as a probe.
     pub fn try_acquire(&mut self, candidate: &Candidate<'_>, now: Micros) -> Option<&RedriveRule> {
         let health = self
             .health
--- a/crates/dead-letter/src/row.rs
+++ b/crates/dead-letter/src/row.rs
@@ -84,7 +84,7 @@
     pub ended_at: Micros,
     /// Number of redrives so far.
     pub redrives: u32,
-    /// When the first attempt was sent that the destination may have processed; `None` if there is none. Attempts that
+    /// When the first attempt that the destination may have processed was sent; `None` if there is none. Attempts that
     /// an operator has confirmed not to have run don't count. 0 if the time was lost with a store that was set aside.
     pub first_uncertain_at: Option<Micros>,
     /// True if an operator has confirmed that the message did not run, or that its client does not resubmit it.
--- a/crates/dead-letter/src/store/prune.rs
+++ b/crates/dead-letter/src/store/prune.rs
@@ -43,9 +43,9 @@
 /// Makes space for one more message of `needed` bytes; returns false if there are not enough resolved messages
 /// to drop.
 ///
-/// If the file is too large, bodies of resolved messages are dropped before resolved messages; if there are too many
-/// messages, resolved messages are dropped at once. The messages that ended first go first. Messages that are neither
-/// delivered nor resolved are never dropped.
+/// If the file is too large, first the bodies of resolved messages are dropped, and then whole resolved messages; if
+/// there are too many messages, whole resolved messages are dropped. In each step the messages that ended first are
+/// dropped first. Messages that are neither delivered nor resolved are never dropped.
 pub(super) fn free_space(
     transaction: &Transaction<'_>,
     needed: u64,
--- a/crates/dead-letter/src/store/query.rs
+++ b/crates/dead-letter/src/store/query.rs
@@ -85,7 +85,7 @@
         rows.map(|number| Ok(number?.unsigned_abs())).collect()
     }
 
-    /// What the store holds at `now` (Unix time in microseconds). [`Stats::full`] is set by the redrive service and
+    /// Statistics of the store at `now` (Unix time in microseconds). [`Stats::full`] is set by the redrive service and
     /// is always false here.
     ///
     /// # Errors
--- a/crates/dead-letter/src/store/schema.rs
+++ b/crates/dead-letter/src/store/schema.rs
@@ -16,7 +16,8 @@
 /// SQLite's page cache, in KiB: enough for the interior B-tree pages of 100,000 rows, and small compared with the
 /// sender's memory.
 const CACHE_KIB: i64 = 1024;
-/// How long a command waits while the sender writes to the file, and the sender while a command reads it.
+/// How long SQLite waits for a lock on the file: in a command while the sender writes, and in the sender while a
+/// command reads.
 const BUSY_TIMEOUT: Duration = Duration::from_secs(2);
 /// The smallest size limit of the database, in pages.
 const MIN_PAGES: i64 = 16;
@@ -68,7 +69,7 @@
     std::fs::rename(&temporary_path, path).map_err(failed)
 }
 
-/// Configures the connection, and creates the tables if there are none.
+/// Configures the connection, creates the tables if there are none, and checks the file's version.
 pub(super) fn prepare(store: &DeadLetterStore) -> Result<(), StoreError> {
     let connection = &store.connection;
     connection.busy_timeout(BUSY_TIMEOUT)?;
--- a/crates/dead-letter/tests/golden/columns.rs
+++ b/crates/dead-letter/tests/golden/columns.rs
@@ -5,7 +5,7 @@
 use std::fmt::Write as _;
 use std::path::Path;
 
-/// The format pragmas, the schema, and every column of every row.
+/// The pragmas that identify the file's format, the schema, and every column of every row.
 pub(super) fn describe_columns(path: &Path) -> String {
     let connection = Connection::open(path).expect("opened");
     let mut text = String::new();
--- a/crates/dead-letter/tests/kills.rs
+++ b/crates/dead-letter/tests/kills.rs
@@ -1,6 +1,7 @@
-//! Tests that crash the process at every step of a message's way: its failure, its save in the store, the redrive, the
-//! journal's entry, the first byte sent and the outcome; and runs with many messages and crashes. They guard against
-//! messages that take effect twice, are lost, or are active in the journal and the store at the same time.
+//! Tests that crash the process at every step in the handling of a message: its failure, its save in the store, the
+//! redrive, the journal's entry, the first byte sent and the outcome; and runs with many messages and crashes. They
+//! guard against messages that take effect twice, are lost, or are active in the journal and the store at the same
+//! time.
 
 mod simulation;
 
--- a/crates/dead-letter/tests/simulation/invariants.rs
+++ b/crates/dead-letter/tests/simulation/invariants.rs
@@ -1,5 +1,5 @@
-//! What must be true between two processes and at the end: no message takes effect twice, none is lost, and none is
-//! active in the journal and the store at the same time.
+//! The invariants that are checked after the crash of each simulated process and at the end of a run: no message takes
+//! effect twice, none is lost, and none is active in the journal and the store at the same time.
 
 use super::plan::{REPEATABLE, class_of};
 use super::{Simulation, summaries};
@@ -46,8 +46,8 @@
 }
 
 impl Simulation {
-    /// Between two processes: each accepted message was delivered, or is in the journal or the store, and the store has
-    /// at most one row for it.
+    /// Checks the invariants after the crash of one process, before the next one starts: each accepted message was
+    /// delivered, or is in the journal or the store, and the store has at most one row for it.
     pub(super) fn check_between_processes(&self) {
         let (journal, _) = self.open_journal();
         let service = self.open_service();
@@ -94,7 +94,8 @@
         );
     }
 
-    /// At the end: each accepted message was delivered, or is resolved in the store and its client was notified.
+    /// Checks the invariants at the end of a run: each accepted message was delivered, or is resolved in the store and
+    /// its client was notified.
     pub(super) fn check_end(&self) {
         self.check_effects();
         let (journal, _) = self.open_journal();
--- a/crates/dead-letter/tests/simulation/mod.rs
+++ b/crates/dead-letter/tests/simulation/mod.rs
@@ -3,8 +3,8 @@
 //! [`CrashPoint`] ends the process between any two externally visible steps, as SIGKILL does.
 //!
 //! - `plan`: the parameters of a run; `process`: one simulated process; `ports`: the ports of its engine;
-//! - `clients`, `operators`: the users of the process; `invariants`: what must be true between processes and at the
-//!   end of a run.
+//! - `clients`, `operators`: the users of the process; `invariants`: the checks after each crash and at the end of
+//!   a run.
 
 mod clients;
 mod invariants;
@@ -88,7 +88,7 @@
 
 impl Simulation {
     /// Runs a complete plan with one process after the other. Each process crashes after the number of steps in
-    /// `process_steps`; one more process runs to the end of the plan. Checks the invariants between processes and at
+    /// `process_steps`; one more process runs to the end of the plan. Checks the invariants after each crash and at
     /// the end. Returns the number of steps that the last process took; if a process in `process_steps` completed the
     /// plan before its crash, returns the number of steps after which it would have crashed.
     pub(crate) fn run(plan: Plan, process_steps: &[u64]) -> u64 {
@@ -175,7 +175,8 @@
     }
 }
 
-/// The destinations: how each call ends, and which effects it has.
+/// Builds the simulated destinations and the recorder of their effects. How a call ends is random, from the plan's
+/// seed, until [`Plan::repaired_at`]; from then on all calls succeed.
 fn environment(plan: &Plan) -> SimulatedEnvironment {
     let start = Instant::now();
     let random = Rc::new(RefCell::new(Pcg32::seed_from_u64(plan.seed ^ 0x5eed)));
--- a/crates/dead-letter/tests/simulation/plan.rs
+++ b/crates/dead-letter/tests/simulation/plan.rs
@@ -19,7 +19,7 @@
     pub(crate) destinations: u64,
     /// Time between the submissions of two messages.
     pub(crate) arrival_interval: Micros,
-    /// Time in the run from which on all calls succeed.
+    /// Time from the start of the run until destinations are repaired; all later calls succeed.
     pub(crate) repaired_at: Micros,
     /// Number of ticks between the operators' requests for redrives; zero for none.
     pub(crate) redrive_interval: u64,
--- a/crates/sidecar/src/environment.rs
+++ b/crates/sidecar/src/environment.rs
@@ -16,7 +16,7 @@
 /// Whether a check may create the state folder and its lock file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CheckMode {
-    /// Create nothing; a state folder that is absent but could be created is no finding.
+    /// Create nothing; a state folder that is absent but could be created is not reported.
     ReadOnly,
     /// Create the state folder and its lock file, for a process that is about to run.
     Start,
--- a/crates/sidecar/src/environment/state_folder.rs
+++ b/crates/sidecar/src/environment/state_folder.rs
@@ -34,10 +34,10 @@
     /// The folder or its lock file can't be created, read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The folder is absent, and its nearest existing ancestor, which is named, is read-only.
+    /// The folder is absent, and its nearest existing ancestor, which the error names, is read-only.
     #[error("{} can't be written", .0.display())]
     ParentNotWritable(PathBuf),
-    /// The folder holds a file, which is named, that isn't a sidecar's.
+    /// The folder contains a file that isn't a sidecar's; the error names the file.
     #[error("it contains {0}, which is not a file of a sidecar")]
     ForeignFile(String),
     /// Another process holds the lock.
@@ -59,7 +59,7 @@
 }
 
 /// Checks a state folder and locks it. In [`CheckMode::ReadOnly`] a folder without a lock file isn't locked, and one
-/// that is absent but could be created is no error.
+/// that is absent but could be created is not an error.
 pub(super) fn lock(
     folder: &Path,
     mode: CheckMode,
--- a/crates/sidecar/src/outcome_log.rs
+++ b/crates/sidecar/src/outcome_log.rs
@@ -23,7 +23,7 @@
 /// Maximum count of acknowledged messages whose numbers are kept to recognize repeated notifications. A notification
 /// can be repeated only until the journal has removed the message.
 const MAX_REMEMBERED_NUMBERS: usize = 4096;
-/// Smaller files are not rewritten. If half of the log's size limit is less than this, that is the minimum instead.
+/// Files smaller than this, or smaller than half of the log's size limit if that is less, are not rewritten.
 const MIN_REWRITE_BYTES: u64 = 64 * 1024;
 /// Upper bound of one outcome's line: an id of up to 256 bytes and the other fields.
 const MAX_RECORD_BYTES: u64 = 400;
--- a/crates/sidecar/src/plan.rs
+++ b/crates/sidecar/src/plan.rs
@@ -94,7 +94,7 @@
 /// Resolves a `host:port` to its first address; host names are looked up with the system's resolver.
 ///
 /// # Errors
-/// When the text has another form, or there is no address.
+/// When the text is not of the form `host:port`, the resolver fails, or it returns no address.
 pub fn resolve(name: &str) -> Result<SocketAddr, PlanError> {
     let Some((host, port)) = host_and_port(name) else {
         return Err(PlanError::Malformed {
--- a/crates/sidecar/src/plan/decision_settings.rs
+++ b/crates/sidecar/src/plan/decision_settings.rs
@@ -4,8 +4,8 @@
 use milletturn_config::document::Document;
 use milletturn_policy::{Class, Effect, Safety, Settings, ValueDecay};
 
-/// The settings with the configuration's classes. [`super::Plan::from_document`] adds the kinds of destination and the
-/// callback's class.
+/// The decision module's settings, with the classes of the configuration. [`super::Plan::from_document`] adds the kinds
+/// of destination and the callback's class.
 pub(super) fn from_document(document: &Document) -> Settings {
     let mut settings = Settings::new(
         count_as_usize(document, &["limits", "calls"]),
--- a/crates/sidecar/src/shared_outcome_log.rs
+++ b/crates/sidecar/src/shared_outcome_log.rs
@@ -1,5 +1,5 @@
-//! Shares the outcome log between its users in one process: the task that records endings, the HTTP readers and the
-//! callback.
+//! Shares the outcome log between its users in one process: the task that records message endings, the HTTP readers and
+//! the callback.
 
 use crate::outcome_log::{Outcome, OutcomeLog};
 use milletturn_engine::{Input, Notification};
@@ -11,7 +11,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::sleep;
 
-/// Delay before endings that did not fit into the log or could not be written are retried.
+/// Delay before the sidecar tries again to record message endings that did not fit into the log or could not be
+/// written.
 const RECORD_RETRY_DELAY: Duration = Duration::from_millis(250);
 
 /// An outcome log that several tasks of one thread use, with a signal for each change.
@@ -34,7 +35,8 @@
         }
     }
 
-    /// A receiver that is notified after each batch of endings has been processed, even if no outcome was appended.
+    /// A receiver that is notified after each batch of message endings has been processed, even if no outcome was
+    /// appended.
     #[must_use]
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changes.subscribe()
@@ -128,8 +130,8 @@
         }
     }
 
-    /// Appends outcomes to the log, forwards the endings of callback messages to the callback, and returns the numbers
-    /// of all messages that the journal may remove.
+    /// Appends outcomes to the log, forwards the endings of callback messages to the callback's task, and returns the
+    /// numbers of all messages that the journal may remove.
     fn record_batch(
         &self,
         unrecorded: &BTreeMap<u64, Notification>,
