--- a/crates/scale/src/figures.rs
+++ b/crates/scale/src/figures.rs
@@ -27,7 +27,7 @@
 pub struct Head {
     /// Command line of the run.
     pub command: String,
-    /// Commit of the repository; ends in `with changes` if tracked files were modified.
+    /// Commit of the repository; ends in `with changes` (`+changes` in the results of `roles`) if files were modified.
     pub commit: String,
     /// Start of the run, UTC.
     pub date: String,
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -30,7 +30,7 @@
     pub senders_per_process: u64,
 }
 
-/// One sender in this many belongs to the zone that fails, 3.2% of all senders.
+/// Number of zones, one of which fails; the failing zone has 1/31 of all senders, or 3.2%.
 const ZONES: u64 = 31;
 /// Number of senders that restart one after the other.
 const RESTARTS: u64 = 1_000;
--- a/crates/scale/src/fleet/harness.rs
+++ b/crates/scale/src/fleet/harness.rs
@@ -41,7 +41,7 @@
     pub claim_resources: bool,
     /// Number of sender groups whose network can be cut off separately.
     pub regions: usize,
-    /// Form of the first list.
+    /// How the first list is sent.
     pub list_layout: ListLayout,
     /// Whether each sender polls for the list (the setting `on_request`) instead of having it pushed.
     pub on_request: bool,
--- a/crates/scale/src/fleet/mod.rs
+++ b/crates/scale/src/fleet/mod.rs
@@ -1,7 +1,7 @@
 //! Load and fault experiments that run the coordination service and discovery against thousands of simulated senders.
 //!
 //! A change is a numbered version of the endpoint list, published by a test double of the platform's discovery service.
-//! The product has no other way to bring a change to a running sender except files and SIGHUP. A change counts as in
+//! Apart from files and SIGHUP, this is the only way in which a change reaches a running sender. A change counts as in
 //! force at a sender when the sender's real watch passes the version on as `Input::EndpointsListed`.
 //!
 //! - [`harness`]: starts and connects all parts, which are [`coordinators`], [`discovery`], [`simulated_fleet`] and
@@ -297,7 +297,7 @@
 }
 
 /// Runs a small fleet whose counters a test checks: the given number of simulated senders with sessions, three
-/// coordinators and some real senders that deliver, with changes at 100 times the usual rate over 3 s.
+/// coordinators and some real senders that deliver, with changes at 100 times [`CHANGES_PER_S`] over 3 s.
 ///
 /// # Errors
 /// A process does not start or ends early.
--- a/crates/scale/src/fleet/proxied_faults.rs
+++ b/crates/scale/src/fleet/proxied_faults.rs
@@ -10,7 +10,7 @@
 use std::thread::sleep;
 use std::time::{Duration, Instant};
 
-/// One sender in this many belongs to the zone that fails, 3.2% of all senders.
+/// Number of zones, one of which fails; the failing zone has 1/31 of all senders, or 3.2%.
 const ZONES: u64 = 31;
 /// How long the outage lasts; longer than the lease of 9 s, so that no sender may still rely on its session.
 const OUTAGE: Duration = Duration::from_secs(12);
--- a/crates/scale/src/fleet/proxied_sessions.rs
+++ b/crates/scale/src/fleet/proxied_sessions.rs
@@ -1,5 +1,5 @@
-//! Measures a fleet whose sessions go through session proxies: the cost of each role by the number of sessions, and
-//! what happens when a session proxy is killed at the largest size.
+//! Measures a fleet whose sessions go through session proxies: how the cost of each role grows with the number of
+//! sessions, and what happens when a session proxy is killed at the largest size.
 
 use super::discovery::ListLayout;
 use super::harness::{Harness, HarnessOptions};
@@ -202,7 +202,7 @@
     ),
 ];
 
-/// Fits all quantities by the number of sessions.
+/// Fits a curve to each quantity as a function of the number of sessions.
 pub fn add_fits(results: &mut Results, session_proxies: usize) {
     let parameters = parameters_from([
         ("lease_s", json!(LEASE_S)),
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -102,7 +102,7 @@
     ),
 ];
 
-/// Fits all quantities along their axes.
+/// Fits a curve to each quantity as a function of the size that was varied.
 pub fn add_fits(results: &mut Results) {
     let group_configs = [
         default_group(3, 9),
--- a/crates/scale/src/fleet/results.rs
+++ b/crates/scale/src/fleet/results.rs
@@ -229,8 +229,8 @@
             .collect()
     }
 
-    /// Fits a curve to one quantity along an axis; `term` names the code that causes the growth. None with fewer than
-    /// three distinct sizes.
+    /// Fits a curve to one quantity along an axis; `term` names the code that causes the growth. Adds no fit and
+    /// returns `None` if the points have fewer than three distinct sizes.
     pub fn add_fit(
         &mut self,
         role: &str,
--- a/crates/scale/src/fleet/scaling.rs
+++ b/crates/scale/src/fleet/scaling.rs
@@ -1,5 +1,5 @@
-//! Measures what coordination and the endpoint list cost by the number of senders, the rate of changes and the number
-//! of destinations.
+//! Measures how the cost of coordination and of the endpoint list grows with the number of senders, the rate of changes
+//! and the number of destinations.
 
 use super::coordinators::GroupConfig;
 use super::discovery::ListLayout;
@@ -10,7 +10,7 @@
 use serde_json::json;
 use std::time::{Duration, Instant};
 
-/// Usual rate of configuration changes per second, 48,000 a day.
+/// Planned rate of configuration changes per second, 48,000 a day.
 pub const CHANGES_PER_S: f64 = 48_000.0 / 86_400.0;
 /// Number of sender groups whose network can be cut off separately.
 const REGIONS: usize = 5;
@@ -42,7 +42,7 @@
     pub seed: u64,
 }
 
-/// Usual configuration of a coordinator group, with a heartbeat of 200 ms, or 60 ms for a lease below 3 s.
+/// Configuration of a coordinator group with five regions and a heartbeat of 200 ms, or 60 ms for a lease below 3 s.
 #[must_use]
 pub fn default_group(count: usize, lease_s: u64) -> GroupConfig {
     // the lease must be at least 15 times the heartbeat
@@ -56,10 +56,11 @@
 
 /// Kind of fleet without sessions whose list does not change.
 pub const LIST_UNCHANGED: &str = "list alone, no change";
-/// Kind of fleet without sessions whose list changes at ten times the usual rate.
+/// Kind of fleet without sessions whose list changes at ten times [`CHANGES_PER_S`].
 pub const LIST_CHANGING: &str = "list alone, 10 times the changes";
 
-/// Parameters recorded with measurements of this group; a group other than the usual one also gets a `kind`.
+/// Parameters recorded with measurements of this group. They include a `kind` unless the group has three coordinators
+/// and a lease of 9 s.
 #[must_use]
 pub fn group_parameters(group_config: GroupConfig) -> Parameters {
     let mut parameters = parameters_from([
@@ -78,7 +79,7 @@
 }
 
 impl Plan {
-    /// Configuration of a harness with the given number of senders and the usual list.
+    /// Configuration of a harness with the given number of senders and a list of [`DESTINATIONS`] destinations.
     #[must_use]
     pub fn options(
         &self,
@@ -258,7 +259,7 @@
         Ok(())
     }
 
-    /// Measures the watch of the list by the number of senders, without sessions.
+    /// Measures how the cost of the list's watches grows with the number of senders, without sessions.
     ///
     /// # Errors
     /// A process does not start or ends early.
@@ -309,7 +310,7 @@
         Ok(())
     }
 
-    /// Measures the watch of the list by the rate of changes.
+    /// Measures how the cost of the list's watches grows with the rate of changes.
     ///
     /// # Errors
     /// A process does not start or ends early.
@@ -344,8 +345,8 @@
         Ok(())
     }
 
-    /// Measures a sender's first list by the number of destinations, both in pieces and in one line as the protocol
-    /// page describes it.
+    /// Measures how the cost of a sender's first list grows with the number of destinations, both in pieces and in one
+    /// line as the protocol page describes it.
     ///
     /// # Errors
     /// A process does not start or ends early.
--- a/crates/scale/src/fleet/scenario.rs
+++ b/crates/scale/src/fleet/scenario.rs
@@ -22,9 +22,9 @@
 /// Cost per second while nothing fails.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct BaselineCost {
-    /// Endpoint list messages.
+    /// Messages of the endpoint list's watches, in both directions.
     pub list_messages: f64,
-    /// Endpoint list bytes.
+    /// Bytes of the endpoint list's watches, in both directions.
     pub list_bytes: f64,
     /// Messages between senders and coordinators.
     pub coordinator_messages: f64,
@@ -51,12 +51,12 @@
     peak_cores: f64,
     /// Time and processor seconds of the simulated senders when the fault began.
     fleet_cpu_at_start: (Instant, f64),
-    /// When the next change at the usual rate is due.
+    /// When the next change is due, at [`CHANGES_PER_S`].
     next_change: Instant,
 }
 
 impl Scenario {
-    /// Wraps a healthy fleet.
+    /// Takes over a running fleet in which nothing has failed; [`Scenario::begin_fault`] starts a fault scenario.
     #[must_use]
     pub fn new(harness: Harness, size: FleetSize, baseline: BaselineCost) -> Self {
         Scenario {
@@ -153,7 +153,7 @@
         Ok(())
     }
 
-    /// Publishes the changes due at the usual rate and samples the coordinators' processor time.
+    /// Publishes the changes that are due at [`CHANGES_PER_S`], and samples the coordinators' processor time.
     ///
     /// # Errors
     /// Currently none.
--- a/crates/scale/src/page/data.rs
+++ b/crates/scale/src/page/data.rs
@@ -160,11 +160,11 @@
 /// The records of all files.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Data {
-    /// The head of each file, with the file name.
+    /// The head record of each file, with the file name.
     pub heads: Vec<(String, Head)>,
     /// Results of the fault runs, with the file name.
     pub faults: Vec<(String, Fault)>,
-    /// Slopes by role, quantity and axis, with current labels.
+    /// Slopes by role, quantity and axis. In roles and quantities the current terms replace those of older records.
     pub slopes: BTreeMap<(String, String, String), Slope>,
 }
 
@@ -173,7 +173,7 @@
     /// file replaces the earlier one.
     ///
     /// # Errors
-    /// A file cannot be read, or does not begin with a head.
+    /// A file cannot be read, or does not begin with a head record.
     pub(super) fn read(folder: &Path) -> Result<Self, Error> {
         let mut files = Vec::new();
         for entry in std::fs::read_dir(folder).map_err(Error::io(folder.display().to_string()))? {
@@ -249,7 +249,8 @@
         slope
     }
 
-    /// Returns a quantity by its current labels, if it was measured.
+    /// Returns the slope of a quantity; `None` if it was not measured. `role` and `quantity` are in the current terms,
+    /// not in those of older records.
     pub(super) fn find(&self, role: &str, quantity: &str, axis: &str) -> Option<&Slope> {
         self.slopes
             .get(&(role.to_string(), quantity.to_string(), axis.to_string()))
--- a/crates/scale/src/page/estimates.rs
+++ b/crates/scale/src/page/estimates.rs
@@ -1,4 +1,5 @@
-//! Renders the table that compares the estimates of the issue with the figures computed from plan and records.
+//! Renders the table that compares the capacity estimates in the original issue with the figures computed from the plan
+//! and the records.
 
 use super::data::Data;
 use super::format::{amount, integer, table};
--- a/crates/scale/src/page/plan.rs
+++ b/crates/scale/src/page/plan.rs
@@ -22,15 +22,15 @@
     pub changes_per_day: f64,
     /// Maximum time until a change is in force everywhere, in seconds.
     pub max_propagation_s: f64,
-    /// Fraction of a core that a sender may spend on control.
+    /// Fraction of a core that a sender may spend on its control plane.
     pub control_cores: f64,
-    /// Bytes of memory that a sender may spend on control.
+    /// Bytes of memory that a sender may spend on its control plane.
     pub control_memory_bytes: f64,
-    /// Network bytes per second that a sender may spend on control.
+    /// Network bytes per second that a sender may spend on its control plane.
     pub control_bytes_per_s: f64,
-    /// Number of machines reserved for control.
+    /// Number of machines reserved for the control plane.
     pub control_machines: f64,
-    /// Maximum number of the control machines that are down or being replaced at any time.
+    /// Maximum number of the control plane's machines that are down or being replaced at any time.
     pub max_machines_down: f64,
     /// Number of machines that fail on an ordinary day.
     pub machine_failures_per_day: f64,
--- a/crates/scale/src/page/roles.rs
+++ b/crates/scale/src/page/roles.rs
@@ -1,4 +1,4 @@
-//! Rows of the tables of a sender's data path and control part, the coordinators, the session proxies and discovery.
+//! Rows of the tables of a sender's data path and control plane, the coordinators, the session proxies and discovery.
 
 use super::data::Data;
 use super::plan::{
@@ -158,7 +158,7 @@
     ]
 }
 
-/// Returns the rows of a sender's control part.
+/// Returns the rows of a sender's control plane: its endpoint list, the changes to it, and its session.
 pub(super) fn control(data: &Data) -> Vec<Row> {
     let all = ("destinations", PLAN.destinations);
     let rate = ("changes a day", PLAN.changes_per_day);
--- a/crates/scale/src/page/stored.rs
+++ b/crates/scale/src/page/stored.rs
@@ -5,7 +5,8 @@
 use super::roles::{START_BUDGET, destinations, pending, senders};
 use super::rows::Row;
 
-/// Returns the rows of the journal. In these a share of the plan is a fraction of the messages pending in one sender.
+/// Returns the rows of the journal. In these rows, a share of the plan is a fraction of the messages pending in one
+/// sender.
 pub(super) fn journal(data: &Data) -> Vec<Row> {
     let one = ("messages held by one sender", PLAN.pending_per_sender());
     let axis = "messages held";
--- a/crates/scale/src/roles/catalog.rs
+++ b/crates/scale/src/roles/catalog.rs
@@ -250,7 +250,8 @@
     Ok((request_count, bytes))
 }
 
-/// Measures the memory, CPU time and bytes of a replica of the given number of destinations.
+/// Measures a replica of the given number of destinations: its memory, and the CPU time and bytes of its first sync, of
+/// one change, and of the requests that check whether it is current.
 pub(super) fn replica(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
@@ -373,8 +374,8 @@
     Ok(points)
 }
 
-/// Measures catching up after the given number of missed changes, for a session proxy that holds the whole plan and for
-/// senders that hold their shards.
+/// Measures catching up after the given number of missed changes, for a session proxy that holds all destinations of
+/// the plan and for senders that hold their shards.
 pub(super) fn missed(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let mut random = Pcg64::seed_from_u64(0);
     let new_point = |role: &str, quantity: &str, unit: &str, value: f64| {
--- a/crates/scale/src/roles/mod.rs
+++ b/crates/scale/src/roles/mod.rs
@@ -196,8 +196,9 @@
 /// Runs the selected measurements and writes their points and fitted lines to the output file.
 ///
 /// # Errors
-/// The head of the records cannot be determined, or the output file cannot be written; with `--one`, the measurement
-/// fails. Without `--one`, a size that fails is reported on standard error and left out.
+/// The head record cannot be built, because `git` or `date` cannot be run or `/proc` cannot be read, or the output file
+/// cannot be written; with `--one`, the measurement fails. Without `--one`, a size that fails is reported on standard
+/// error and left out.
 pub fn run(arguments: &RolesArgs) -> Result<(), Error> {
     let program = match &arguments.program {
         Some(program) => program.clone(),
--- a/crates/scale/src/roles/store.rs
+++ b/crates/scale/src/roles/store.rs
@@ -1,4 +1,4 @@
-//! Measures the dead-letter store: saving messages, opening the store again, and the check after a start.
+//! Measures the dead-letter store: saving messages, opening the store again, and the recovery after a start.
 
 use super::program::temp_dir;
 use super::{MeasurementContext, point, probe};
@@ -67,7 +67,8 @@
     ))
 }
 
-/// Measures saving the given number of messages, opening the store that holds them, and the check after a start.
+/// Measures saving the given number of messages, opening the store that holds them, and the recovery after a start,
+/// which verifies the file.
 pub(super) fn store(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
--- a/crates/scale/src/roles/turn.rs
+++ b/crates/scale/src/roles/turn.rs
@@ -1,5 +1,5 @@
 //! Measures a turn, which is one call of the decision module, with many calls in flight and with many pending messages;
-//! the memory of a destination that was called; and the size of a metrics scrape by number of classes.
+//! the memory of a destination that was called; and the size of a metrics scrape with a given number of classes.
 
 use super::{MeasurementContext, point, probe};
 use crate::Error;
--- a/crates/scale/tests/counts.rs
+++ b/crates/scale/tests/counts.rs
@@ -1,4 +1,4 @@
-//! Tests the counting of the scale run: missing, duplicate and reordered endpoint updates are counted, and a fit
+//! Tests the counters of the scale run, which count missing, duplicate and reordered endpoint updates, and that a fit
 //! through points on a line recovers that line.
 
 use milletturn_engine::{EndpointListUpdate, ListedEndpoint};
--- a/crates/scale/tests/small.rs
+++ b/crates/scale/tests/small.rs
@@ -1,5 +1,5 @@
-//! Runs the scale run with few senders and checks what it counts. Durations are not checked, so that a slow machine
-//! does not fail the test.
+//! Runs the scale run with few senders and checks its counters. Durations are not checked, so that the test does not
+//! fail on a slow machine.
 
 use milletturn_scale::fleet::small;
 use std::path::Path;
