--- a/crates/config/src/neighbours.rs
+++ b/crates/config/src/neighbours.rs
@@ -319,7 +319,8 @@
         .collect()
 }
 
-/// Adds a finding for each destination whose shares in several files sum to more than 1.
+/// Adds a finding for each destination whose shares in several files sum to more than 1. A share counts only in a file
+/// that sets the destination's `limit`.
 fn check_shares(documents: &mut [Document]) {
     let mut sums: BTreeMap<u64, (f64, Vec<(usize, String)>)> = BTreeMap::new();
     for (index, document) in documents.iter().enumerate() {
--- a/crates/dead-letter/src/redrive_service.rs
+++ b/crates/dead-letter/src/redrive_service.rs
@@ -112,7 +112,8 @@
     /// Saves messages that ended undelivered, and the results of redrives.
     ///
     /// # Errors
-    /// When the file can't be written; then no message is saved.
+    /// When the file can't be written; then no message is saved. When a saved row can't be read back; then the messages
+    /// are saved all the same.
     pub fn save(
         &mut self,
         messages: &[EndedMessage],
--- a/crates/scale/src/fleet/counters.rs
+++ b/crates/scale/src/fleet/counters.rs
@@ -247,7 +247,7 @@
         counted.senders = 1;
         counted.lost = destinations.saturating_sub(self.destinations);
         counted.doubled += self.destinations.saturating_sub(destinations);
-        // the number of destinations is right, but they differ or the version is old
+        // if the number of destinations is right, but they differ or the version is old, one destination counts as lost
         if self.destinations == destinations
             && (self.hash_sum != hash_sum || self.version < version)
         {
--- a/crates/scale/src/fleet/session_proxies.rs
+++ b/crates/scale/src/fleet/session_proxies.rs
@@ -35,7 +35,7 @@
     folder: TempDir,
 }
 
-/// Returns whether this process has the descriptors to meter the traffic between the given number of senders and the
+/// Returns whether this process has enough descriptors to meter the traffic between the given number of senders and the
 /// session proxies. A network proxy takes two descriptors for each sender, and the sender's watch of the list takes
 /// one.
 #[must_use]
