--- a/crates/dead-letter/tests/simulation/clients.rs
+++ b/crates/dead-letter/tests/simulation/clients.rs
@@ -54,7 +54,7 @@
         known
     }
 
-    /// The next message that clients submit by now, if any.
+    /// Removes and returns the next message whose submission is due, if there is one.
     fn next_arrival(&self) -> Option<(String, DestinationId)> {
         let mut arrivals = self.arrivals.borrow_mut();
         let due = arrivals
@@ -66,7 +66,7 @@
 }
 
 impl Process<'_> {
-    /// Clients submit the messages that are due.
+    /// Submits the clients' messages that are due.
     pub(super) fn submit_arrivals(&self) {
         while let Some((name, destination)) = self.simulation.next_arrival() {
             let (reply, reply_receiver) = oneshot::channel();
--- a/crates/dead-letter/tests/simulation/mod.rs
+++ b/crates/dead-letter/tests/simulation/mod.rs
@@ -68,7 +68,7 @@
     LocalSet::new().block_on(&runtime, scenario)
 }
 
-/// The summaries of all messages in the store after a number.
+/// The summaries of all messages in the store whose numbers are greater than `number`.
 fn summaries_after(service: &RedriveService, number: u64) -> Vec<Summary> {
     let (mut all, mut next_after) = (Vec::new(), Some(number));
     while let Some(after) = next_after {
--- a/crates/scale/src/fleet/counters.rs
+++ b/crates/scale/src/fleet/counters.rs
@@ -37,7 +37,7 @@
     pub doubled: u64,
     /// Lines received after a line with a newer version.
     pub wrong_order: u64,
-    /// Lines with a list.
+    /// Lines received that carry endpoints, either a list or a change.
     pub lines: u64,
     /// Sessions that were opened.
     #[serde(rename = "joined")]
--- a/crates/scale/src/fleet/scaling.rs
+++ b/crates/scale/src/fleet/scaling.rs
@@ -54,9 +54,9 @@
     }
 }
 
-/// Kind of fleet without sessions whose list does not change.
+/// The `kind` recorded with measurements of a fleet without sessions whose list does not change.
 pub const LIST_UNCHANGED: &str = "list alone, no change";
-/// Kind of fleet without sessions whose list changes at ten times [`CHANGES_PER_S`].
+/// The `kind` recorded with measurements of a fleet without sessions whose list changes at ten times [`CHANGES_PER_S`].
 pub const LIST_CHANGING: &str = "list alone, 10 times the changes";
 
 /// Parameters recorded with measurements of this group. They include a `kind` unless the group has three coordinators
--- a/crates/scale/src/page/limits.rs
+++ b/crates/scale/src/page/limits.rs
@@ -10,7 +10,8 @@
 /// Budgets that hold beyond this multiple of the plan are left out of the table.
 const MAX_SHARE: f64 = 10.0;
 
-/// Renders a table of the figures that have a budget, with the size up to which each stays within its budget.
+/// Renders a table of the figures that exceed their budget before the plan has grown to [`MAX_SHARE`] times its size,
+/// with the size up to which each stays within its budget.
 pub(super) fn limit_table(data: &Data) -> String {
     let roles: [(&str, Vec<Row>); 9] = [
         ("data path", roles::path(data)),
--- a/crates/scale/src/roles/catalog.rs
+++ b/crates/scale/src/roles/catalog.rs
@@ -204,8 +204,8 @@
         assignment.unassigned_replicas() as f64,
     ));
 
-    // a fifth of the senders leaves at once, so that the number of shards per weight may grow: this also moves shards
-    // between senders that stay
+    // a fifth of the senders leaves at once, so that the number of shards per unit of weight may grow, which also moves
+    // shards between the senders that stay
     let remaining = (context.size * 4 / 5) as usize;
     let mut fewer = all.clone();
     while fewer.len() > remaining {
--- a/crates/scale/src/roles/turn.rs
+++ b/crates/scale/src/roles/turn.rs
@@ -13,7 +13,7 @@
 };
 use std::rc::Rc;
 
-/// Number of turns over whose cost the median is taken.
+/// Number of turns whose median cost is reported.
 const MEASURED_TURNS: u64 = 200;
 /// Destinations to which every call fails.
 const FAILING_DESTINATIONS: u64 = 10;
@@ -80,7 +80,7 @@
         sends.collect()
     }
 
-    /// Returns an event that ends each call that the last turn sent, with the given outcome.
+    /// Returns the events that end all calls that the last turn sent, with the given outcome.
     fn attempt_ends(&self, outcome: Outcome) -> Vec<Event> {
         let ended = |(message, endpoint)| Event::AttemptEnded {
             message,
--- a/crates/scale/tests/page.rs
+++ b/crates/scale/tests/page.rs
@@ -25,7 +25,7 @@
 
 #[test]
 fn a_changed_record_or_a_hand_edited_table_fails_the_check() {
-    // a check that compared nothing would pass on every page
+    // guards against a check that compares nothing and so accepts every page
     let folder = tempfile::tempdir().expect("create a temporary folder");
     copy_records(folder.path());
     let page = docs().join("CAPACITY.md");
