--- a/crates/scale/src/fleet/counters.rs
+++ b/crates/scale/src/fleet/counters.rs
@@ -37,7 +37,7 @@
     pub doubled: u64,
     /// Lines received after a line with a newer version.
     pub wrong_order: u64,
-    /// Lines with a list.
+    /// Lines received that carry endpoints, either a list or a change.
     pub lines: u64,
     /// Sessions that were opened.
     #[serde(rename = "joined")]
@@ -247,7 +247,7 @@
         counted.senders = 1;
         counted.lost = destinations.saturating_sub(self.destinations);
         counted.doubled += self.destinations.saturating_sub(destinations);
-        // the number of destinations is right, but they differ or the version is old
+        // if the number of destinations is right, but they differ or the version is old, one destination counts as lost
         if self.destinations == destinations
             && (self.hash_sum != hash_sum || self.version < version)
         {
--- a/crates/scale/src/roles/turn.rs
+++ b/crates/scale/src/roles/turn.rs
@@ -1,5 +1,5 @@
 //! Measures a turn, which is one call of the decision module, with many calls in flight and with many pending messages;
-//! the memory of a destination that was called; and the size of a metrics scrape by number of classes.
+//! the memory of a destination that was called; and the size of a metrics scrape with a given number of classes.
 
 use super::{MeasurementContext, point, probe};
 use crate::Error;
@@ -13,7 +13,7 @@
 };
 use std::rc::Rc;
 
-/// Number of turns over whose cost the median is taken.
+/// Number of turns whose median cost is reported.
 const MEASURED_TURNS: u64 = 200;
 /// Destinations to which every call fails.
 const FAILING_DESTINATIONS: u64 = 10;
@@ -80,7 +80,7 @@
         sends.collect()
     }
 
-    /// Returns an event that ends each call that the last turn sent, with the given outcome.
+    /// Returns the events that end all calls that the last turn sent, with the given outcome.
     fn attempt_ends(&self, outcome: Outcome) -> Vec<Event> {
         let ended = |(message, endpoint)| Event::AttemptEnded {
             message,
