--- a/benches/failing.rs
+++ b/benches/failing.rs
@@ -1,4 +1,4 @@
-//! Response times of a sender that fails 500 messages a second, with and without a dead-letter store in alternating
+//! Response times of a sender that fails 500 messages per second, with and without a dead-letter store in alternating
 //! rounds: `cargo bench --bench failing`.
 //!
 //! The times are those of responses to clients. The endpoint fails every call, so the destination is soon unhealthy, and
--- a/benches/many.rs
+++ b/benches/many.rs
@@ -2,10 +2,10 @@
 //!
 //!     cargo bench --bench many [-- --destinations 50000 --against OTHER/milletturn --seconds 6]
 //!
-//! For each number of destinations, measures the time from start to ready, resident memory, and the messages a second
-//! that one core delivers to 50 destinations that respond immediately, from 16 clients back to back. Then measures the
-//! same while ten more destinations accept calls but never respond, with 500 messages a second for them. `--against`
-//! also measures another program, such as an earlier build, in the same run.
+//! For each number of destinations, measures the time from start to ready, resident memory, and the number of messages
+//! per second that one core delivers to 50 destinations that respond immediately, while 16 clients submit messages
+//! without pauses. Then measures the same while ten more destinations accept calls but never respond, with 500 messages
+//! per second for them. `--against` also measures another program, such as an earlier build, in the same run.
 
 mod common;
 
--- a/benches/noise.rs
+++ b/benches/noise.rs
@@ -203,8 +203,8 @@
     }
 }
 
-/// Calls the endpoint directly, with three attempts for each message, exponential backoff and full jitter. 32 clients,
-/// enough for the rate, work back to back.
+/// Calls the endpoint directly, with three attempts for each message, exponential backoff and full jitter. 32
+/// clients, enough to reach the rate, each send one message after the other, with no pause between messages.
 fn measure_plain_client(noise: Noise, share: f64, options: &Options) -> RowResult {
     let endpoint = endpoint(noise, share, options.seed);
     let messages = (options.rate * options.seconds) as u64;
--- a/benches/sidecar.rs
+++ b/benches/sidecar.rs
@@ -199,7 +199,7 @@
             percentile(times, 99)
         );
     }
-    // eight clients send back to back: each waits only for the 202 that accepts its message, not for its delivery
+    // eight clients send without pauses: each waits only for the 202 that accepts its message, not for its delivery
     let before = endpoint.request_count();
     let started_at = Instant::now();
     let clients: Vec<_> = (0..8)
--- a/crates/policy/tests/common/traffic.rs
+++ b/crates/policy/tests/common/traffic.rs
@@ -129,7 +129,7 @@
                     );
                 }
                 Action::Cancel { message, attempt } => {
-                    // a call with a scripted response still ends with it; a call without one ends as cancelled
+                    // a cancelled call ends with its scripted response, if it has one, and otherwise as cancelled
                     let Some(end) = unresponsive.remove(&(message.0, attempt)) else {
                         continue;
                     };
--- a/crates/policy/tests/guards.rs
+++ b/crates/policy/tests/guards.rs
@@ -388,8 +388,8 @@
 
 #[test]
 fn connection_resets_alone_do_not_eject_a_destination() {
-    // Guards against ejecting healthy destinations because of resets: with a third of the calls reset, 15 healthy
-    // destinations received only probes.
+    // Guards against ejecting healthy destinations because of connection resets. In one run a third of the calls was
+    // reset, and 15 healthy destinations received only probes.
     let mut harness = Harness::new(settings(8), two_destinations());
     warm_up(&mut harness);
     for id in 0..60 {
@@ -428,7 +428,7 @@
 #[test]
 fn an_unsafe_message_without_other_traffic_is_sent_after_a_long_delay() {
     // Guards against holding back unsafe messages forever: a destination that had failed and recovered with a poor
-    // success rate was sent no unsafe message again while it had no other traffic. Found by the tests that kill
+    // success rate no longer received unsafe messages unless it had other traffic. Found by the tests that kill
     // processes.
     let mut harness = Harness::new(settings(8), two_destinations());
     warm_up(&mut harness);
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -263,7 +263,7 @@
     /// All acknowledged notifications as received, one JSON line each, repeats included.
     pub notifications: Arc<Mutex<Vec<String>>>,
     /// Events sent on each watch that is opened from now on, one JSON line each. If there are none, the watch stays
-    /// open without data, as while discovery is down.
+    /// open without data, which simulates an outage of discovery.
     pub watch_events: Arc<Mutex<Vec<String>>>,
     /// Number of watches opened so far.
     pub watch_count: Arc<AtomicUsize>,
--- a/crates/test-support/src/limited_fleet/rate_limit.rs
+++ b/crates/test-support/src/limited_fleet/rate_limit.rs
@@ -12,7 +12,8 @@
     pub reports_limit: bool,
     /// Length of the fixed windows in which calls are counted; `None` means a token bucket.
     pub window: Option<Micros>,
-    /// Whether rejected calls use up the limit too, into a debt of at most the bucket's depth.
+    /// Whether rejected calls consume the limit too. They can then put it into debt, by at most the number of calls that
+    /// a full bucket or an unused window lets through.
     pub rejections_consume: bool,
     /// Fraction of the rejections that carry a `Retry-After`.
     pub retry_after_share: f64,
@@ -106,7 +107,8 @@
         (self.rate_at(elapsed) * seconds(self.policy.window.unwrap_or(self.fill_time))).max(1.0)
     }
 
-    /// Advances the time by `step`, to `now`.
+    /// Refills the token bucket for the `step` that ends at `now`, or begins a new fixed window if the current one is
+    /// over. `elapsed` is the time since the start.
     pub fn advance(&mut self, now: Micros, elapsed: Micros, step: Micros) {
         let depth = self.depth(elapsed);
         match self.policy.window {
--- a/tests/dead_letter.rs
+++ b/tests/dead_letter.rs
@@ -174,7 +174,7 @@
     assert!(records[0]["notes"].to_string().contains("by rule"));
 }
 
-/// True if a process that started now would find no unfinished message; read from a copy of the journal.
+/// True if a copy of the journal has no unfinished message, which a process that started now would resume.
 fn has_no_unfinished(node: &Node) -> bool {
     let copy = node.folder.join("copy");
     std::fs::create_dir_all(&copy).expect("the folder is created");
--- a/tests/duplicate_responses.rs
+++ b/tests/duplicate_responses.rs
@@ -26,8 +26,8 @@
 /// in flight; the number counts the requests.
 type Script = fn(overlaps_duplicate: bool, number: usize) -> Reply;
 
-/// Rejects requests that overlap with a duplicate response. Answers each other request with 200 and its number, so that
-/// no two of these responses are the same bytes; in production the load report has the same effect.
+/// Rejects requests that overlap with a duplicate response. Answers all other requests with 200 and their numbers, so
+/// that no two of these responses are identical; in production, responses differ because of their load reports.
 fn reject_overlapping(overlaps_duplicate: bool, number: usize) -> Reply {
     match overlaps_duplicate {
         true => Reply::Respond(REJECTED, String::new()),
@@ -35,7 +35,7 @@
     }
 }
 
-/// Rejects requests that overlap with a duplicate response. All other responses are the same bytes.
+/// Rejects requests that overlap with a duplicate response. All other responses are identical.
 fn reject_overlapping_with_identical_responses(overlaps_duplicate: bool, _: usize) -> Reply {
     match overlaps_duplicate {
         true => Reply::Respond(REJECTED, String::new()),
@@ -80,7 +80,7 @@
 }
 
 impl Fixture {
-    /// Starts a fixture whose proxy sends every second response of each connection twice, with the same bytes.
+    /// Starts a fixture whose proxy sends every second response of each connection twice, byte for byte.
     fn new(script: Script, timing: DuplicateTiming) -> Self {
         Self::with(script, SERVICE_TIME, timing, DuplicateContent::Identical)
     }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -236,7 +236,8 @@
         &["backup", backup.to_str().expect("text")],
     );
     assert_eq!(code, 0);
-    // tokens granted after the backup are lost with the disks
+    // each release makes the member claim the resource again and get a new token, which the backup does not contain and
+    // which is lost with the disks
     for _ in 0..3 {
         let token = highest_token(&a);
         assert_eq!(
@@ -247,7 +248,7 @@
         );
         wait_until("the member owns again", || writes_above(&a, token) >= 3);
     }
-    // buffer a write of the lost group's owner
+    // buffer a write of the owner that is still undelivered when the coordinators lose their disks
     buffer_outgoing(&cluster, &links_a);
     a.suspend();
     let (lost_token, joined) = (highest_token(&a), join_count(&a));
--- a/tests/fleet_commands/protocol_responses.rs
+++ b/tests/fleet_commands/protocol_responses.rs
@@ -71,7 +71,7 @@
     format!("{}{}", open_body("long", 1), " ".repeat(17_000))
 }
 
-/// Valid calls to a coordinator, in an order in which each one has an effect or a defined rejection.
+/// Valid calls to a coordinator. In this order each one either succeeds or is rejected for a known reason.
 fn valid_calls() -> Vec<(&'static str, String)> {
     let batch = format!(
         "{{\"wishes\":[{{\"open\":{}}},{{\"order\":{}}}]}}",
--- a/tests/node/mod.rs
+++ b/tests/node/mod.rs
@@ -319,7 +319,7 @@
         of_message.cloned().collect::<Vec<_>>().join("\n")
     }
 
-    /// Ends the process by SIGKILL.
+    /// Kills the process with SIGKILL and waits until it has ended.
     pub(crate) fn kill(&mut self) {
         let _ = self.process.kill();
         self.process.wait().expect("ended");
--- a/tests/operators.rs
+++ b/tests/operators.rs
@@ -142,8 +142,8 @@
     });
 }
 
-/// The class `licence` and the start of the class `order`. Replaces that start in a configuration, to insert `licence`
-/// before `order`.
+/// Replacement for the text `{"name":"order"` in a configuration. It inserts the class `licence` before the class
+/// `order`.
 const LICENCE_BEFORE_ORDER: &str =
     r#"{"name":"licence","aim":4.0,"deadline":20.0,"effect":"idempotent"},{"name":"order""#;
 
--- a/tests/order.rs
+++ b/tests/order.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Submits a message of a subject; returns the status.
+/// Submits a message with this subject; returns the status of the response.
 fn submit_for_subject(node: &Node, subject: &str, id: &str, time_ms: u64) -> u16 {
     let text = String::from_utf8(message_request("posting", id, 7, time_ms, b"x")).expect("text");
     node.raw(
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -69,7 +69,7 @@
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&discovery_with(&endpoint)).ready();
     let text = message_request("webhook", "m1", 7, 20_000, b"12345");
-    // nothing at all, part of a head, part of a body
+    // the client sends nothing, part of the head, or the head and part of the body
     for part in [0, 30, text.len() - 2] {
         let began = Instant::now();
         let mut client = Client::new(node.address);
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -1,5 +1,5 @@
 //! Runs session proxies between members and coordinators as processes with faults. A proxy that is suspended,
-//! partitioned in one direction, late or killed, or that shares its name with another one, may cost a member its lease.
+//! partitioned in one direction, slow or killed, or that shares its name with another one, may cost a member its lease.
 //! It must not prolong a lease, let two members own a resource at the same time, or open a second session for the same
 //! request.
 
@@ -23,8 +23,9 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_milletturn");
 
-/// Starts an owner and a second member, each behind a session proxy of its own. Returns the cluster, the proxies of the
-/// owner and of the second member, the owner's links, the owner and the second member.
+/// Starts a cluster and two members, each connected through a session proxy of its own: first the owner of a resource,
+/// then a second member that waits for it. Returns the cluster, the owner's proxy, the second member's proxy, the
+/// owner's links, the owner's process and the second member's process.
 fn start_owner_and_second_member() -> (
     Cluster,
     SessionProxyProcess,
@@ -576,7 +577,7 @@
             proxy_status(address).commands >= before.commands + 3
         });
         drop(disconnecting);
-        // once the proxy has seen the disconnects, only the call in flight and the status request are connected
+        // once the proxy has noticed the disconnects, only the call in flight and the status request have a connection
         wait_until("both callers are disconnected", || {
             proxy_status(address).connections <= 2
         });
