--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -48,8 +48,8 @@
 #[test]
 fn a_burst_over_all_senders_does_not_put_the_limit_into_debt() {
     // Rejected calls use up the limit too, and can put it into debt. Guards against each sender retrying at the rate
-    // that it had reached while a large share of the limit was left: a burst of 1 s was followed by 10 s in which nothing
-    // was served.
+    // that it had reached while a large share of the limit was left: a burst of 1 s was followed by 10 s in which
+    // nothing was served.
     for seed in 1..=3 {
         let burst = simulate(Scenario {
             seed,
@@ -303,8 +303,8 @@
 #[test]
 fn an_unused_rate_permits_no_burst() {
     // Guards against raising an unused rate: while reports said that a large share of the limit was left, the rate of
-    // senders with one call in 10 s grew up to 100 times the even share. A burst worth 2 s of the limit was then sent in
-    // 0.4 s and put the limit into debt.
+    // senders with one call in 10 s grew up to 100 times the even share. A burst worth 2 s of the limit was then sent
+    // in 0.4 s and put the limit into debt.
     let (settings, entries) = one_of_three_hundred();
     let mut harness = Harness::new(settings, entries);
     let mut completed = 0;
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -96,8 +96,8 @@
 
 #[test]
 fn random_rejections_without_a_limit_cost_no_goodput() {
-    // Demand is half the limit, and a tenth of all calls is rejected at random. Every rule that was tried to prevent the
-    // collapse of goodput at a limit reduced the goodput in this scenario; see docs/design/limits.md.
+    // Demand is half the limit, and a tenth of all calls is rejected at random. Every rule that was tried to prevent
+    // the collapse of goodput at a limit reduced the goodput in this scenario; see docs/design/limits.md.
     for seed in 1..=3 {
         let limit_policy = LimitPolicy {
             rejections_consume: false,
--- a/crates/policy/tests/noise.rs
+++ b/crates/policy/tests/noise.rs
@@ -236,8 +236,8 @@
 
 #[test]
 fn a_first_call_that_fails_at_random_costs_no_message() {
-    // Guards against reducing the rate to one call in 3 s when the first call to a destination fails: the rate recovered
-    // so slowly that a tenth of the messages expired. Found by `cargo bench --bench detection`.
+    // Guards against reducing the rate to one call in 3 s when the first call to a destination fails: the rate
+    // recovered so slowly that a tenth of the messages expired. Found by `cargo bench --bench detection`.
     for share in [0.1, 0.2] {
         for seed in 0..10 {
             let result = simulate_traffic(
