--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -76,7 +76,7 @@
     settings.idle_connection_timeout = 5 * SECOND;
     settings.over_share_weight = 0.5;
     if seed % 4 > 1 {
-        // few pending messages are allowed, and the value of late messages decays to a floor that many reach
+        // few messages may be pending, and the value of late messages decreases to a minimum that many of them reach
         (settings.max_pending, settings.value_decay) = (40, ValueDecay::Halving);
         for class in &mut settings.classes {
             (class.latency_objective, class.late_value_share) =
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,5 +1,6 @@
-//! Ends the sender process at each step of its start and of a message's delivery, and checks that it becomes ready, ends
-//! cleanly, and neither loses nor repeats a message.
+//! Ends the sender process at each step of its start and of a message's delivery. Checks that it becomes ready and ends
+//! cleanly, and that it neither loses a message nor sends it again where the first attempt may have run and the message
+//! must run at most once.
 
 mod node;
 
