--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -413,8 +413,8 @@
 
 #[test]
 fn a_restarted_sender_resumes_unfinished_messages_after_a_kill() {
-    // one message at each step: accepted and not sent; sent without an outcome (two, one with an idempotency key and one
-    // at-most-once message); ended, with a notification that is not acknowledged
+    // one message at each step: accepted and not sent; sent without an outcome (two: one with an idempotency key and
+    // one at-most-once message); ended, with a notification that is not acknowledged
     let endpoint = FakeEndpoint::new(|request, number| {
         if number < 2 || request.header("x-request-id") == "unsafe" {
             Reply::NoResponse
