--- a/crates/platform/src/attribution.rs
+++ b/crates/platform/src/attribution.rs
@@ -29,8 +29,8 @@
     /// Ids of all messages that were sent on the connection: a response that names one of them again may be a
     /// duplicate.
     carried_ids: HashSet<SharedStr>,
-    /// Whether a response on the connection was a rejection or an error. Such a response names no message, so a
-    /// duplicate of it looks like the next response.
+    /// Whether a response on the connection left a message undelivered. A rejection or an error may name no message, so
+    /// a duplicate of it looks like the next response.
     has_rejected: bool,
     /// Whether the last response to a single message repeated the message id of the request.
     repeats_request_id: bool,
@@ -61,8 +61,8 @@
     }
 }
 
-/// Whether a response names the messages of its call. A 200 must name all of them; any other status may name none, but
-/// no message of another call.
+/// Whether a response names the messages of its call. A 200 must name all of them. Any other status may name none, but
+/// a response to a single message must not name a different one.
 pub(crate) fn names_messages(items: &[CallItem], head: &Parts, body: &[u8]) -> bool {
     match (items, head.status) {
         ([item], StatusCode::OK) => repeats_id(&head.headers, item),
@@ -86,7 +86,8 @@
 }
 
 /// Whether a response announces with `Connection: close` that the connection ends after the response. No earlier
-/// response on the connection did, so a duplicate of one does not either.
+/// response on the connection announced a close, because the connection would have ended, so a duplicate of an earlier
+/// response does not announce one either.
 pub(crate) fn announces_close(head: &Parts) -> bool {
     let options = head.headers.get_all(CONNECTION).iter();
     options
@@ -133,8 +134,9 @@
     }
 
     /// Whether a call whose response would be attributed by this criterion may be made on a connection to the endpoint.
-    /// A call that must run at most once fails if its response cannot be attributed, so such a call is not made as the
-    /// last one of a connection while the close behaviour of the endpoint is unknown.
+    /// An endpoint that is known not to close as requested gets no [`Attribution::LastCall`]. A call that must run at
+    /// most once fails if its response cannot be attributed, so such a call is not made as the last one of a connection
+    /// while the close behaviour of the endpoint is unknown either.
     pub(crate) fn allows(
         &self,
         endpoint: EndpointId,
--- a/crates/platform/src/call_codec.rs
+++ b/crates/platform/src/call_codec.rs
@@ -29,6 +29,7 @@
 }
 
 /// Builds the request for a call. Also returns the minimum number of bytes that the request takes on the connection.
+/// Returns `None` if an id or key is not a valid header value.
 pub(crate) fn build_request(
     address: SocketAddr,
     items: &[CallItem],
@@ -68,7 +69,8 @@
     Some((request, (fixed_bytes + header_bytes) as u64 + body_bytes))
 }
 
-/// Number of bytes that a message takes in the body of a batch call.
+/// Upper bound for the number of bytes that a message takes in the body of a batch call. The 16 bytes cover the
+/// separators and the body length in digits.
 pub(crate) fn batch_item_bytes(item: &CallItem) -> usize {
     item.id.as_str().len()
         + item.key.as_ref().map_or(1, |key| key.as_str().len())
@@ -91,7 +93,8 @@
     body.into()
 }
 
-/// Parses the body of a batch response: the result word of each message, by message id.
+/// Parses the body of a batch response, in which each line contains a message id, a space and a result word. Returns
+/// the result words by message id.
 pub(crate) fn results_by_id(text: &[u8]) -> HashMap<&[u8], &[u8]> {
     text.split(|&byte| byte == b'\n')
         .filter_map(|line| {
@@ -119,7 +122,7 @@
     items.iter().map(parse_result).collect()
 }
 
-/// The longest delay in the `Retry-After` headers of a response.
+/// The longest delay in the `Retry-After` headers of a response, in microseconds; `None` if there is no valid one.
 pub(crate) fn max_retry_after(headers: &HeaderMap) -> Option<Micros> {
     headers
         .get_all(RETRY_AFTER)
@@ -128,8 +131,9 @@
         .max()
 }
 
-/// Parses the value of a `Retry-After` header: seconds, with or without decimals. The result is at most a month; `None`
-/// if the value is malformed or not positive.
+/// Parses the value of a `Retry-After` header: seconds, with or without decimals. The result is in microseconds,
+/// rounded up to a whole millisecond, and at most [`MAX_RETRY_AFTER_S`]; `None` if the value is malformed or not
+/// positive.
 pub(crate) fn parse_retry_after(value: &[u8]) -> Option<Micros> {
     let seconds: f64 = std::str::from_utf8(value).ok()?.trim().parse().ok()?;
     (seconds > 0.0).then(|| (seconds.min(MAX_RETRY_AFTER_S) * 1e3).ceil() as Micros * MILLISECOND)
--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -82,7 +82,8 @@
     pub path: PathBuf,
     /// The keys that the file contains.
     pub keys: ConfigKeys,
-    /// The endpoint list in the file, which may be outdated.
+    /// The endpoint list in the file, which may be outdated; `None` if the file has no valid one. Used until discovery
+    /// has sent a list.
     pub cached_endpoints: Option<EndpointListUpdate>,
     /// Settings of the decision module.
     pub settings: Settings,
@@ -189,7 +190,9 @@
 }
 
 /// Converts the platform's settings to those of the decision module, from seconds to microseconds, and extracts the
-/// platform's names. A numeric setting must be a JSON number; a string that looks like a number is rejected.
+/// names that the platform's settings define. Also enables notifications and adds [`SOCKET_SLACK`] to the backoff of
+/// ordered keys. `caps.mostTries` and the `deadline` of each class must be JSON numbers; a string that looks like a
+/// number is rejected there.
 ///
 /// # Errors
 /// Names the first setting that is missing or invalid.
--- a/crates/platform/src/connection_monitor.rs
+++ b/crates/platform/src/connection_monitor.rs
@@ -58,7 +58,8 @@
     on_retry_after: Box<dyn Fn(Micros)>,
     /// Number of bytes of interim (1xx) responses and of the status line in the current call.
     interim_bytes: Cell<usize>,
-    /// Bytes of the body that are still to be received; `None` if the head does not state the length.
+    /// Bytes of the body that are still to be received; `None` if the head does not state the length, or if the
+    /// response has a transfer coding.
     body_bytes_left: Cell<Option<u64>>,
     /// Whether the response has a transfer coding, which determines the end of the body whatever `Content-Length`
     /// states.
@@ -211,8 +212,8 @@
         self.request_written_at.get().is_some()
     }
 
-    /// Time from the last byte of the request to the first byte of the response; `None` if the response began before
-    /// that last byte.
+    /// Time from the last byte of the request to the first byte of the response; `None` if the response has not begun
+    /// yet, or began before that last byte was written.
     pub(crate) fn response_time(&self) -> Option<Duration> {
         let (written_at, first_byte_at) = self
             .request_written_at
@@ -266,7 +267,7 @@
         }
     }
 
-    /// Time since the last byte of the current request was written.
+    /// Time since the last byte of the current request was written; zero if it has not been written yet.
     fn time_since_request(&self) -> Duration {
         self.request_written_at
             .get()
--- a/crates/platform/src/connection_monitor/stream.rs
+++ b/crates/platform/src/connection_monitor/stream.rs
@@ -12,8 +12,9 @@
 use tokio::sync::OwnedSemaphorePermit;
 use tokio::time::Instant;
 
-/// Maximum number of bytes that are still read from the socket when a call has been aborted; response heads are usually
-/// much smaller. Also the buffer size for reads while the sender waits for the endpoint to close.
+/// Maximum number of bytes that are still read from the socket when the stream is dropped, for example after an aborted
+/// call. Response heads are usually much smaller. Also the buffer size for reads while the sender waits for the
+/// endpoint to close.
 const MAX_FINAL_READ_BYTES: usize = 4096;
 
 /// The stream of a connection to an endpoint. The monitor observes all bytes that are read and written.
@@ -74,7 +75,7 @@
     fn drop(&mut self) {
         let mut bytes = [0; MAX_FINAL_READ_BYTES];
         if let Ok(count) = (&*SockRef::from(&self.stream)).read(&mut bytes) {
-            // an error matters only to a caller that reads on
+            // the error would only stop further reads, and there are none
             let _ = self
                 .monitor
                 .process(bytes.get_mut(..count).unwrap_or_default());
--- a/crates/platform/src/discovery_backoff.rs
+++ b/crates/platform/src/discovery_backoff.rs
@@ -6,8 +6,8 @@
 //! in Distributed Systems, HotOS 2021). Delays after a rejection therefore grow with the number of senders, and each is
 //! random (M. Brooker, Exponential Backoff and Jitter, 2015).
 //!
-//! An unreachable discovery service has no queue that a request could lengthen. Delays after such a failure stay
-//! short, so that changes are received in time once discovery is back.
+//! An unreachable discovery service has no queue that a request could lengthen. Delays after such a failure stay short,
+//! so that once discovery is back, a sender receives changes within [`MAX_UPDATE_DELAY`].
 
 #[cfg(test)]
 mod tests;
@@ -23,11 +23,13 @@
 pub(crate) const WATCH_INACTIVITY_TIMEOUT: Duration = Duration::from_millis(3000);
 /// Longest delay after a failure to reach discovery, and after a first rejection.
 pub(crate) const MAX_SHORT_DELAY: Duration = Duration::from_millis(1900);
-/// Time within which a healthy discovery service on the same machine responds.
+/// Time within which a healthy discovery service on the same machine responds. Also the time limit of a request with
+/// notifications.
 pub(crate) const RESPONSE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Reserve for socket delays of 50 ms and for a busy machine.
 const TIMING_SLACK: Duration = Duration::from_millis(100);
-// Worst case: discovery comes back just after the last keep-alive, or just after a request that it will never answer.
+// Worst case: discovery comes back just after it sent its last keep-alive, or just after it received a request that it
+// will never answer. The sender then waits for each of these times in full, one after the other.
 const _: () = assert!(
     WATCH_INACTIVITY_TIMEOUT.as_millis()
         + MAX_SHORT_DELAY.as_millis()
@@ -46,8 +48,8 @@
 /// limit.
 pub(crate) const DEFAULT_MAX_DELAY: Duration = Duration::from_millis(1000);
 /// Delay per sender that shares the discovery service: all senders together send at most one request in this time.
-/// With a smaller value, senders reconnect sooner to a service with spare capacity; with a larger one, an overloaded
-/// service recovers.
+/// Smaller values let senders reconnect sooner to a service with spare capacity; larger values let an overloaded
+/// service recover.
 const TIME_PER_SENDER: Duration = Duration::from_millis(80);
 /// Longest delay after rejections, as a multiple of the time in which every sender sends one request.
 const MAX_DELAY_ROUNDS: u32 = 4;
@@ -77,8 +79,8 @@
 impl DiscoveryBackoff {
     /// Creates the backoff of one sender. `senders` is the number of senders that share one discovery, and `seed` must
     /// differ between them. With `is_pushed`, the list comes from a local process that serves this sender alone;
-    /// `senders` is then ignored, because the other senders put no load on that process, and a change must be received
-    /// in time whatever their number.
+    /// `senders` is then ignored, because the other senders put no load on that process, and each change must be
+    /// received within 6 s, whatever their number.
     #[must_use]
     pub fn new(senders: u32, is_pushed: bool, seed: u64) -> Self {
         let senders = if is_pushed { 1 } else { senders };
@@ -95,14 +97,16 @@
         (self.unreachable_failures, self.rejections) = (0, 0);
     }
 
-    /// How long an unanswered request is kept waiting in discovery's queue: as long as the longest delay.
+    /// How long an unanswered request is kept waiting in discovery's queue: as long as the longest delay after
+    /// rejections.
     #[must_use]
     pub fn max_queue_wait(&self) -> Duration {
         DEFAULT_MAX_DELAY.max(self.time_per_round * MAX_DELAY_ROUNDS)
     }
 
-    /// The random delay before the retry after a failure: at most 1.9 s, but from the second rejection on at most one
-    /// second or, if that is longer, the time in which every sender sends four requests.
+    /// The random delay before the retry after a failure, at least 50 ms. It is at most 1.9 s after a failure to reach
+    /// discovery or a first rejection. From the second rejection on, it is at most 1 s or the time in which every
+    /// sender sends four requests, whichever is longer.
     pub fn next_delay(&mut self, failure: Failure) -> Duration {
         let (failures, limit) = match failure {
             Failure::Unreachable => (&mut self.unreachable_failures, MAX_SHORT_DELAY),
--- a/crates/platform/src/discovery_backoff/tests.rs
+++ b/crates/platform/src/discovery_backoff/tests.rs
@@ -3,10 +3,10 @@
 
 const CALLER_TIMEOUT_S: f64 = 2.0;
 
-/// How many senders have received a response by `end_s`, after all have lost their watches at once. Discovery
-/// serves `requests_per_s` one after the other. It rejects a request that would be queued for more than 2 s. A caller
-/// disconnects 2 s after its request, and a request whose response would come later is still served, but in vain. The
-/// queue is full at the beginning.
+/// How many senders have received a response by `end_s`, after all have lost their watches at once. Discovery serves
+/// `requests_per_s` one after the other. It rejects a request that would be queued for more than 2 s. A caller
+/// disconnects 2 s after its request, but discovery still spends the service time on a request whose response would
+/// come later. The queue is full at the beginning.
 fn served_senders(
     senders: u32,
     requests_per_s: f64,
--- a/crates/platform/src/drain_gate.rs
+++ b/crates/platform/src/drain_gate.rs
@@ -17,9 +17,9 @@
 use tokio::time::{Instant, sleep_until};
 
 /// Time from the start of a drain until idle client connections are closed. The load balancer polls `GET /ready` every
-/// 100 ms and sends no new connection 200 ms after a negative response; a connection that is used before the close is
-/// closed after its response. Larger values give clients more time to use their connections once more; smaller values
-/// leave more margin before the limit of 4 s, after which no connection may be idle.
+/// 100 ms, and stops sending new connections within 200 ms of a negative response. A connection that is used before its
+/// idle close is closed after its response. Larger values give clients more time to use their connections once more;
+/// smaller values leave more margin before the limit of 4 s, after which no connection may be idle.
 const DRAIN_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1000);
 /// Time from the start of a drain during which messages are still accepted. 4 s after the start, no connection may
 /// exist on which a message was received within the last 2 s.
@@ -65,7 +65,7 @@
     }
 
     /// Whether messages are still accepted. A process that shuts down accepts them until its connections are closed,
-    /// because its clients learn of the shutdown in no other way.
+    /// because an idle client learns of the shutdown only from the close of its connection.
     fn accepts_messages(self, now: Instant) -> bool {
         !matches!(self, Phase::Draining(since) if now >= since + DRAIN_ACCEPT_PERIOD)
     }
--- a/crates/platform/src/http_transport.rs
+++ b/crates/platform/src/http_transport.rs
@@ -27,8 +27,8 @@
 use tokio::sync::{OwnedSemaphorePermit, Semaphore, mpsc, oneshot};
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// Longest wait for the rest of the response head after a status line with 200. The message is delivered by then;
-/// without the rest only the load report is lost.
+/// Longest wait for the rest of the response head after a status line with 200 that shows that the only message of the
+/// call is delivered. Without the rest, only the load report and the connection are lost.
 const HEAD_TIMEOUT_AFTER_200: Duration = Duration::from_millis(200);
 /// Time for which a connection stays unused after a response, so that unsolicited data right after the response is
 /// noticed before the next call.
@@ -202,7 +202,8 @@
             .is_some_and(|monitor| monitor.has_unambiguous_200())
 }
 
-/// The result of a call without a complete response.
+/// The result of a call without a complete response: success if the status line already shows that its only message is
+/// delivered, and otherwise `outcome` and `cause`.
 fn result_without_response(
     monitor: &CurrentMonitor,
     message_count: usize,
--- a/crates/platform/src/http_transport/response.rs
+++ b/crates/platform/src/http_transport/response.rs
@@ -68,7 +68,8 @@
         connection.monitor.set_attribution(self.attribution);
         let is_early = connection.monitor.response_time().is_none();
         if head.status == StatusCode::GONE || is_early {
-            // After an early response, the rest of the request must not be written, because the call counts as not run.
+            // If the response began before the request was complete, the rest of the request must not be written,
+            // because the call counts as not run.
             connection.retire();
         } else {
             let completed = self.completed_call(head, result.is_all_delivered());
@@ -157,8 +158,8 @@
     }
 }
 
-/// Whether the endpoint closes the connection after the response as requested, with no further data. Records the
-/// behaviour of the endpoint.
+/// Whether the endpoint closes the connection after the response as requested, with no further data. Records the close
+/// behaviour of the endpoint, unless further data was received.
 async fn await_orderly_close(
     shared: &Shared,
     endpoint: EndpointId,
--- a/crates/platform/src/notifications.rs
+++ b/crates/platform/src/notifications.rs
@@ -23,7 +23,7 @@
 /// If a request has had no response for this time, the next one is sent concurrently, so that a request that hangs does
 /// not delay notifications any further.
 const NEXT_POST_DELAY: Duration = Duration::from_millis(100);
-/// Longest delay between requests that fail.
+/// Longest delay before the next request after one has failed.
 const MAX_RETRY_DELAY: Duration = Duration::from_millis(200);
 const _: () = assert!(
     2 * NEXT_POST_DELAY.as_millis() < NOTIFICATION_DEADLINE.as_millis()
