--- a/crates/scale/src/fleet/compare.rs
+++ b/crates/scale/src/fleet/compare.rs
@@ -39,7 +39,8 @@
 /// Rounds in which the kinds take turns, so that changes in the machine's other load affect all kinds.
 const ROUNDS: usize = 2;
 
-/// Runs the kinds one after the other, with the same list and the same changes.
+/// Runs the kinds one after the other, with the same list and the same rate of changes. `rate` is a multiple of
+/// [`CHANGES_PER_S`].
 ///
 /// # Errors
 /// A process does not start or ends early.
@@ -57,7 +58,8 @@
     Ok(())
 }
 
-/// Runs one kind in a single region, so that all senders use the same addresses.
+/// Runs one kind in a single region, so that all senders use the same addresses. The measurement lasts twice the plan's
+/// span; `rate` is a multiple of [`CHANGES_PER_S`].
 ///
 /// # Errors
 /// A process does not start or ends early.
--- a/crates/scale/src/fleet/coordinators.rs
+++ b/crates/scale/src/fleet/coordinators.rs
@@ -1,5 +1,5 @@
-//! A group of real coordinator processes. A metered network proxy stands between each two coordinators, and between
-//! each region and each coordinator.
+//! A group of real coordinator processes. A metered network proxy stands in front of each coordinator for each other
+//! coordinator and for each region.
 
 use super::meter::{Meter, Traffic};
 use super::network_proxy::{LinkState, NetworkProxy};
@@ -52,7 +52,7 @@
 }
 
 impl CoordinatorGroup {
-    /// Creates the coordinators' state directories and starts all of them.
+    /// Creates the coordinators' state directories, starts all coordinators and waits until one leads.
     ///
     /// # Errors
     /// A coordinator can't be started, or none leads.
@@ -215,7 +215,7 @@
             .for_each(|proxy| proxy.set_link_state(state));
     }
 
-    /// Traffic between senders and a coordinator.
+    /// Traffic of a coordinator with senders or, where they are used, with session proxies.
     #[must_use]
     pub fn member_traffic(&self, index: usize) -> Traffic {
         let proxies = self
@@ -270,7 +270,7 @@
     /// Waits until a coordinator leads and returns its index.
     ///
     /// # Errors
-    /// None leads within the time limit.
+    /// No coordinator leads within [`WAIT_TIMEOUT`](super::process::WAIT_TIMEOUT).
     pub fn wait_for_leader(&self) -> Result<usize, Error> {
         let mut leader = None;
         wait_until("a coordinator leads", || {
@@ -284,7 +284,8 @@
         self.request(index, STATUS_PATH)
     }
 
-    /// Number of log entries that the leader has applied.
+    /// Number of log entries that the leader has applied; `None` if no coordinator leads or the leader does not
+    /// respond.
     #[must_use]
     pub fn applied_entries(&self) -> Option<u64> {
         Some(self.status(self.leader()?)?.last_applied)
--- a/crates/scale/src/fleet/counters.rs
+++ b/crates/scale/src/fleet/counters.rs
@@ -31,9 +31,10 @@
     /// Time from a sender's start until its first list was complete.
     #[serde(rename = "begun")]
     pub time_to_first_list: Times,
-    /// Destinations missing at a sender when the report was made.
+    /// Destinations missing at a sender when the report was made, summed over the senders. A list of the right length
+    /// with other destinations or an old version counts as one.
     pub lost: u64,
-    /// Changes or lines received twice.
+    /// Changes or lines received twice, and destinations beyond those published.
     pub doubled: u64,
     /// Lines received after a line with a newer version.
     pub wrong_order: u64,
@@ -129,7 +130,8 @@
 }
 
 impl SenderCounters {
-    /// Counters of a sender that starts at `started` and whose first list has `first_list_size` destinations.
+    /// Counters of a sender that starts at `started`, in microseconds since the machine's start, and whose first list
+    /// has `first_list_size` destinations.
     #[must_use]
     pub fn new(region: usize, started: u64, first_list_size: u64) -> Self {
         SenderCounters {
@@ -146,7 +148,7 @@
         }
     }
 
-    /// Records a list update that arrived at `at`.
+    /// Records a list update that arrived at `at`, in microseconds since the machine's start.
     pub fn record_update(&mut self, at: u64, update: &EndpointListUpdate, mark: Option<Mark>) {
         self.unreported.lines += 1;
         match update.version.cmp(&self.version) {
--- a/crates/scale/src/fleet/harness.rs
+++ b/crates/scale/src/fleet/harness.rs
@@ -27,7 +27,7 @@
 /// Configuration of a harness.
 #[derive(Debug, Clone)]
 pub struct HarnessOptions {
-    /// Number of simulated senders; none starts by itself.
+    /// Number of simulated senders; they run only after [`Harness::start_senders`].
     pub senders: u64,
     /// Number of simulated senders in each process.
     pub senders_per_process: u64,
@@ -74,7 +74,7 @@
     _folder: TempDir,
 }
 
-/// Accumulated cost and traffic at one moment.
+/// Cost and traffic accumulated since the start of the processes, up to one moment.
 #[derive(Debug, Clone, Default)]
 pub struct Reading {
     /// When the values were read.
@@ -179,10 +179,11 @@
         &self.options
     }
 
-    /// Starts these senders and waits until each has the current list and, if it has a session, holds its resource.
+    /// Starts these senders and waits until all senders below the end of the range have the current list and, if they
+    /// have a session, hold their resource. Senders below the start of the range must be running already.
     ///
     /// # Errors
-    /// They do not within the time limit.
+    /// The senders are not ready within [`WAIT_TIMEOUT`](super::process::WAIT_TIMEOUT), or a process has ended.
     pub fn start_senders(&mut self, numbers: std::ops::Range<u64>) -> Result<(), Error> {
         let all: Vec<u64> = numbers.clone().collect();
         self.fleet.start_senders(&all)?;
@@ -197,7 +198,7 @@
     /// Waits until `informed` senders have the current list and `permitted` senders may act on their resource.
     ///
     /// # Errors
-    /// They do not within the time limit.
+    /// The senders are not ready within [`WAIT_TIMEOUT`](super::process::WAIT_TIMEOUT), or a process has ended.
     pub fn wait_until_ready(&mut self, informed: u64, permitted: u64) -> Result<(), Error> {
         let mut last = (0, 0);
         let reached = wait_until(
--- a/crates/scale/src/fleet/idle_engine.rs
+++ b/crates/scale/src/fleet/idle_engine.rs
@@ -69,7 +69,8 @@
     }
 }
 
-/// Starts an engine that receives the sender's list updates; the counters are updated before the engine gets an update.
+/// Starts an engine that receives the sender's list updates. Each update is counted in `counters` before the engine
+/// receives it. Returns the abort handles of the two tasks that it spawns.
 ///
 /// # Errors
 /// The engine rejects the settings.
--- a/crates/scale/src/fleet/network_proxy.rs
+++ b/crates/scale/src/fleet/network_proxy.rs
@@ -100,7 +100,8 @@
         let mut link_state = self.link_state.subscribe();
         let to = *self.upstream.borrow();
         let (LinkState::Open, Some(to)) = (*link_state.borrow_and_update(), to) else {
-            // a connection made during the partition gets no response, and is reset when the partition ends
+            // A connection made during a partition gets no response, and is reset when the partition ends. Without an
+            // upstream address, or while the link resets connections, it is reset at once.
             let _ = link_state
                 .wait_for(|link_state| *link_state != LinkState::Partitioned)
                 .await;
--- a/crates/scale/src/fleet/process.rs
+++ b/crates/scale/src/fleet/process.rs
@@ -10,7 +10,7 @@
 use std::sync::{Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Longest wait for a process; far longer than any of the awaited steps takes.
+/// Longest wait until a process or the fleet reaches an expected state; far longer than any of these steps takes.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Pause between two polls.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -61,7 +61,7 @@
 /// Polls until the condition holds.
 ///
 /// # Errors
-/// The condition fails, or does not hold within [`WAIT_TIMEOUT`].
+/// The condition returns an error, or does not hold within [`WAIT_TIMEOUT`].
 pub fn wait_until(
     text: &str,
     mut condition: impl FnMut() -> Result<bool, Error>,
@@ -129,7 +129,7 @@
     /// Waits until the output contains a text, and returns the rest of that line.
     ///
     /// # Errors
-    /// The text does not appear in time, or the process has ended.
+    /// The text does not appear within [`WAIT_TIMEOUT`], or the process has ended.
     pub fn wait_for_output(&mut self, text: &str) -> Result<String, Error> {
         let mut rest_of_line = None;
         wait_until(&format!("a process prints {text:?}"), || {
@@ -165,7 +165,7 @@
     /// Waits until the process has ended by itself.
     ///
     /// # Errors
-    /// The process does not end in time.
+    /// The process does not end within [`WAIT_TIMEOUT`].
     pub fn wait_for_exit(&mut self) -> Result<(), Error> {
         let child = &mut self.child;
         wait_until("a process ends", || {
--- a/crates/scale/src/fleet/proxied_faults.rs
+++ b/crates/scale/src/fleet/proxied_faults.rs
@@ -85,7 +85,8 @@
         .unwrap_or(0)
 }
 
-/// Waits until the condition holds; returns a text with the time taken, or that it did not hold in time.
+/// Waits until the condition holds; returns a text with the time taken, or one that says that the condition did not
+/// hold within [`RECOVERY_TIMEOUT`].
 fn wait_until(mut condition: impl FnMut() -> Result<bool, Error>) -> Result<String, Error> {
     let started = Instant::now();
     while started.elapsed() < RECOVERY_TIMEOUT {
--- a/crates/scale/src/fleet/proxied_sessions.rs
+++ b/crates/scale/src/fleet/proxied_sessions.rs
@@ -30,8 +30,8 @@
     pub session_proxies: usize,
     /// Number of simulated senders in each process.
     pub senders_per_process: u64,
-    /// Number of destinations in the list. The list is not part of what is measured; a full list of 1,000 takes 17 ms
-    /// of processor time.
+    /// Number of destinations in the list. The list is not part of what is measured, so it should be short: a full list
+    /// of 1,000 takes 17 ms of processor time.
     pub destinations: u64,
     /// Whether to run three fault scenarios at the largest size (a zone of senders killed; all coordinators and session
     /// proxies killed and restarted; all senders restarted for a release) instead of killing one session proxy.
@@ -214,7 +214,8 @@
     }
 }
 
-/// Waits until the coordination state has the given number of sessions; false if it does not in time.
+/// Waits until the coordination state has the given number of sessions; false if it does not within
+/// [`MAX_OPENING_TIME`] of `since`.
 fn wait_for_sessions(harness: &mut Harness, expected: u64, since: Instant) -> Result<bool, Error> {
     while since.elapsed() < MAX_OPENING_TIME {
         std::thread::sleep(Duration::from_millis(300));
@@ -225,7 +226,7 @@
     Ok(false)
 }
 
-/// Waits until the given number of senders have the current list, at most as long as sessions may take to open.
+/// Waits until the given number of senders have the current list, at most until [`MAX_OPENING_TIME`] after `since`.
 fn wait_until_listed(harness: &mut Harness, expected: u64, since: Instant) -> Result<(), Error> {
     while since.elapsed() < MAX_OPENING_TIME
         && harness.fleet.count_ready(harness.discovery.version())?.0 < expected
--- a/crates/scale/src/fleet/real_senders.rs
+++ b/crates/scale/src/fleet/real_senders.rs
@@ -104,7 +104,7 @@
 
 type Headers = Vec<(String, String)>;
 
-/// Reads the first line and the headers of a message; none at the end of the connection.
+/// Reads the first line and the headers of a request or response; `None` at the end of the connection.
 async fn read_head(
     stream: &mut BufReader<TcpStream>,
 ) -> std::io::Result<Option<(String, Headers)>> {
@@ -149,7 +149,7 @@
 
 impl RealSenders {
     /// Starts a sender for each number and waits until it listens. Sessions have the names and resources that simulated
-    /// senders of the same numbers would have.
+    /// senders of the same numbers would have. Without `coordinators`, no sender has a session.
     ///
     /// # Errors
     /// A process does not start.
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -256,7 +256,8 @@
     pub senders: u64,
     /// Changes that were published.
     pub published: u64,
-    /// Changes that simulated senders received, all together.
+    /// Changes that simulated senders received in a line of their own, summed over the senders. Changes that a busy
+    /// machine merged into one line are not counted.
     pub received: u64,
     /// Destinations that some sender lacked at the end.
     pub lost: u64,
--- a/crates/scale/src/fleet/scaling.rs
+++ b/crates/scale/src/fleet/scaling.rs
@@ -14,7 +14,8 @@
 pub const CHANGES_PER_S: f64 = 48_000.0 / 86_400.0;
 /// Number of sender groups whose network can be cut off separately.
 const REGIONS: usize = 5;
-/// Entries in one line of the first list, which keeps the line far below the 1 MiB that a sender reads.
+/// Entries in one line of the first list. At about 150 bytes each they make a line of 600 KB, below the 1 MiB that a
+/// sender accepts.
 const ENTRIES_PER_LINE: u64 = 4_000;
 /// Number of destinations in measurements that vary another quantity.
 pub const DESTINATIONS: u64 = 1_000;
@@ -138,7 +139,7 @@
         for &senders in [&0].into_iter().chain(&self.sessions) {
             if senders > started {
                 if let Err(error) = harness.start_senders(started..senders) {
-                    // a fleet whose senders never all got their sessions is a result too, and is recorded
+                    // a fleet in which some senders never got a session is a result too, and is recorded
                     let (informed, permitted) =
                         harness.fleet.count_ready(harness.discovery.version())?;
                     let report = harness.fleet.take_report(&harness.discovery)?;
--- a/crates/scale/src/fleet/scenario.rs
+++ b/crates/scale/src/fleet/scenario.rs
@@ -43,6 +43,7 @@
     pub size: FleetSize,
     baseline: BaselineCost,
     name: String,
+    /// When the scenario began, in microseconds since the machine's start.
     started: u64,
     notes: Vec<String>,
     collected_counters: Report,
@@ -202,7 +203,7 @@
     /// Waits until a coordinator leads and returns its index.
     ///
     /// # Errors
-    /// No coordinator leads within the time limit.
+    /// No coordinator leads within [`WAIT_TIMEOUT`].
     pub fn wait_for_leader(&mut self) -> Result<usize, Error> {
         let started = Instant::now();
         while started.elapsed() < WAIT_TIMEOUT {
@@ -217,7 +218,7 @@
     /// Waits until the given number of senders have the current list.
     ///
     /// # Errors
-    /// They do not within the time limit.
+    /// Fewer senders have the current list after [`WAIT_TIMEOUT`], or a process has ended.
     pub fn wait_until_informed(&mut self, senders: u64) -> Result<(), Error> {
         let informed = self.count_informed_within(senders, WAIT_TIMEOUT)?;
         if informed < senders {
@@ -229,7 +230,8 @@
         }
     }
 
-    /// Waits until the given number of senders have the current list or the time is over; returns how many have it.
+    /// Waits until the given number of senders have the list version that is current at the call, or the time is over;
+    /// returns how many have it.
     ///
     /// # Errors
     /// A process has ended.
--- a/crates/scale/src/page/events.rs
+++ b/crates/scale/src/page/events.rs
@@ -51,7 +51,7 @@
     }
 }
 
-/// Renders the table of events.
+/// Renders the table of operational events, one row each.
 pub(super) fn event_table(data: &Data) -> String {
     let ready = |senders: f64| {
         value_text(
--- a/crates/scale/src/page/format.rs
+++ b/crates/scale/src/page/format.rs
@@ -50,7 +50,8 @@
     }
 }
 
-/// Formats a number with three significant digits and thousands separators.
+/// Formats a number with three significant digits and thousands separators; a value that is not finite gives "no
+/// number".
 pub(super) fn digits(value: f64) -> String {
     let size = value.abs();
     if size == 0.0 || !size.is_finite() {
@@ -84,7 +85,8 @@
     format!("{}{}", if value < 0.0 { "-" } else { "" }, parts.join(","))
 }
 
-/// Formats the ratio of a budget to a value, or the factor by which the value exceeds the budget.
+/// Formats the ratio of a budget to a value, or the factor by which the value exceeds the budget; a value of zero or
+/// less gives "free".
 pub(super) fn margin(value: f64, budget: f64) -> String {
     if value <= 0.0 {
         return "free".to_string();
--- a/crates/scale/src/page/roles.rs
+++ b/crates/scale/src/page/roles.rs
@@ -428,8 +428,9 @@
         )
     };
     vec![
-        // milletturn-shard-map implements these (see the table `shard-map`) and milletturn-coordination-protocol has a
-        // call for them, but no process of the product uses either
+        // milletturn-shard-map implements the next three mechanisms (see the table `shard-map`), and
+        // milletturn-coordination-protocol has a call for them, but no process of the product uses either crate for
+        // this purpose
         Row::no_mechanism("a service that tells who serves which destination"),
         Row::no_mechanism("a wire for numbered changes to a sender"),
         Row::no_mechanism("a wire for digests of shards, to catch up"),
--- a/crates/scale/src/roles/catalog.rs
+++ b/crates/scale/src/roles/catalog.rs
@@ -291,7 +291,8 @@
     let mut cpu = 0.0;
     let before = probe::resident()?;
     for request in replica.sync_requests() {
-        // a session proxy first requests the whole span, a sender each of its shards
+        // A session proxy first requests the whole span, a sender each of its shards. A request for the span is
+        // replaced by requests for all shards, as from a replica that has none of them, 512 shards each.
         let requests = match request {
             SyncRequest::Span { .. } => {
                 let versions: Vec<_> = shard_count
--- a/crates/scale/src/roles/journal.rs
+++ b/crates/scale/src/roles/journal.rs
@@ -20,8 +20,8 @@
 const UNREACHABLE_DESTINATIONS: u64 = 5;
 /// Number of messages in each measurement that varies the body size.
 const MESSAGES: u64 = 20_000;
-/// In the measurement of compaction, the journal's size limit is the size of its unfinished messages times 2 plus this
-/// number.
+/// In the measurement of compaction, the journal's size limit is 2 plus this number, multiplied by the size of its
+/// unfinished messages.
 const EXTRA_SPACE: f64 = 0.1;
 
 fn journal_error(error: JournalError) -> Error {
@@ -93,7 +93,7 @@
     Ok(points)
 }
 
-/// Measures a start of the journal and the engine with the given number of pending messages.
+/// Measures opening the journal and starting the engine with the given number of pending messages.
 pub(super) fn open(context: &MeasurementContext) -> Result<Vec<Point>, Error> {
     let new_point = |quantity: &str, unit: &str, value: f64| {
         point(
--- a/crates/scale/src/roles/list.rs
+++ b/crates/scale/src/roles/list.rs
@@ -342,8 +342,8 @@
     ])
 }
 
-/// Finds the largest accepted size by bisection, to within 1/`part` of that size. The initial `accepted` must be
-/// accepted and the initial `rejected` must be rejected.
+/// Finds the largest accepted size by bisection, to within 1/`part` of that size. The initial `accepted` must be an
+/// accepted size, which is not checked; a `rejected` that turns out to be accepted is an error.
 fn largest_accepted(
     mut accepted: u64,
     mut rejected: u64,
--- a/crates/scale/src/roles/mod.rs
+++ b/crates/scale/src/roles/mod.rs
@@ -3,8 +3,8 @@
 //!
 //! Each size is measured in a separate process, so that memory left over from the previous size does not count. CPU
 //! time is measured rather than wall-clock time, because load on the machine makes a run slower but does not increase
-//! its CPU time. Quantities that need wall-clock time (such as the time until a sender is ready) are named accordingly,
-//! and every point records the load average of the machine.
+//! its CPU time. Quantities that need wall-clock time, such as the time until a sender is ready, have names of their
+//! own (`ready`, `wall`, `stall`). Every point records the load average of the machine.
 
 mod catalog;
 mod journal;
