--- a/crates/platform/src/config.rs
+++ b/crates/platform/src/config.rs
@@ -341,7 +341,7 @@
 
 /// Flattens nested JSON to paths with text values, in the form of the `setup` message of the simulator's protocol. A
 /// list of plain values is joined with commas; a list of objects has its length under `.count` and its items under
-/// their numbers.
+/// their numbers. Null values are left out, and spaces and commas in texts become underscores.
 fn flatten(path: &str, value: &Value, flat: &mut BTreeMap<String, String>) {
     match value {
         Value::Object(fields) => {
--- a/crates/platform/src/connection_monitor.rs
+++ b/crates/platform/src/connection_monitor.rs
@@ -140,8 +140,9 @@
         }
     }
 
-    /// Starts a call: resets the state of the previous one. The request takes at least `min_request_bytes`; once these
-    /// are written, `attempts_written` is increased by `message_count`.
+    /// Starts a call: resets the state of the previous one. `is_reused` says that the connection was idle before; the
+    /// first write of the call then fails if data has arrived or the endpoint has closed the connection. The request
+    /// takes at least `min_request_bytes`; once these are written, `attempts_written` is increased by `message_count`.
     pub(crate) fn begin_call(
         &self,
         is_reused: bool,
@@ -189,7 +190,7 @@
         self.is_close_requested.get()
     }
 
-    /// Records that the call is over and its response has been read.
+    /// Records that no call is in flight: the last one is over and its response has been read, or none was started.
     pub(crate) fn set_idle(&self) {
         self.is_idle.set(true);
     }
--- a/crates/platform/src/drain_gate.rs
+++ b/crates/platform/src/drain_gate.rs
@@ -22,7 +22,7 @@
 /// smaller values leave more margin before the limit of 4 s, after which no connection may be idle.
 const DRAIN_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(1000);
 /// Time from the start of a drain during which messages are still accepted. 4 s after the start, no connection may
-/// exist on which a message was received within the last 2 s.
+/// exist on which a message was received within the last 2 s. The last accepted message is more than 2.2 s old by then.
 const DRAIN_ACCEPT_PERIOD: Duration = Duration::from_millis(1800);
 /// Time from SIGTERM until idle client connections are closed. SIGKILL follows no sooner than 3.7 s after SIGTERM.
 const SHUTDOWN_IDLE_CLOSE_DELAY: Duration = Duration::from_millis(2500);
--- a/crates/platform/src/pools.rs
+++ b/crates/platform/src/pools.rs
@@ -92,7 +92,8 @@
     }
 
     /// Takes the most recently used of the usable connections that have been idle for at least `min_idle_time`. The
-    /// others stay idle, so that surplus connections expire.
+    /// others stay idle, so that surplus connections expire. Returns the connection with the time at which it became
+    /// idle.
     pub(crate) fn acquire(
         &mut self,
         endpoint: EndpointId,
--- a/crates/platform/src/server.rs
+++ b/crates/platform/src/server.rs
@@ -115,8 +115,10 @@
         }
     }
 
-    /// Records that a request head has been read; returns the deadline of the body. Until the body is complete, the
-    /// connection may still be asked to close, so that an incomplete request cannot occupy a slot that others need.
+    /// Records that a request head has been read; returns the deadline of the body. The deadline of the connection is
+    /// [`SLOT_TIMEOUT`] later, which leaves time for the response to a request whose body is late. Until the body is
+    /// complete, the connection may still be asked to close, so that an incomplete request cannot occupy a slot that
+    /// others need.
     fn begin_request(&self) -> Instant {
         let deadline = self
             .first_body_deadline
--- a/crates/platform/src/watch_stream.rs
+++ b/crates/platform/src/watch_stream.rs
@@ -8,7 +8,7 @@
 /// Maximum size of one JSON object in bytes; a longer one is skipped. A parsed object takes several times its size in
 /// memory.
 pub const MAX_OBJECT_BYTES: usize = 1 << 20;
-/// Length of the excerpt of malformed input that is logged, in bytes.
+/// Maximum length of the excerpt of malformed input that is logged, in bytes.
 const MAX_EXCERPT_BYTES: usize = 80;
 
 /// One event of a watch.
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -376,7 +376,7 @@
     scenario.wait_until_healthy()
 }
 
-/// Measures how long 10 s without discovery delay the list when each sender polls for it.
+/// Measures how long senders that poll for the list take to receive a change after 10 s without discovery.
 fn measure_polling_recovery(
     plan: &Plan,
     results: &mut Results,
--- a/crates/scale/src/page/data.rs
+++ b/crates/scale/src/page/data.rs
@@ -31,7 +31,8 @@
 
 impl Slope {
     /// Returns the value at a size: the mean of the points measured there, else an interpolation between the measured
-    /// sizes below and above, else the value of the fitted line.
+    /// sizes below and above, else the value of the fitted line. Returns `None` outside the measured sizes if no line
+    /// was fitted.
     pub(super) fn at(&self, size: f64) -> Option<Value> {
         let measured = self
             .points
@@ -43,7 +44,7 @@
         })
     }
 
-    /// Returns the value at a size as [`Slope::at`] does, without telling whether it was measured.
+    /// Returns the amount of [`Slope::at`] without the flag that tells whether it was measured.
     pub(super) fn amount(&self, size: f64) -> Option<f64> {
         let points = self.means_by_size();
         let near = points
--- a/crates/scale/src/roles/path.rs
+++ b/crates/scale/src/roles/path.rs
@@ -18,7 +18,8 @@
 const MESSAGES_PER_S: u64 = 288;
 /// Time for connections to be opened before the measurement begins.
 const WARM_UP: Duration = Duration::from_secs(1);
-/// Time for which load continues after the warm-up.
+/// Time for which load continues after the warm-up. [`rate`] takes its last readings 0.2 s earlier, while the load
+/// still runs.
 const MEASURED_TIME: Duration = Duration::from_secs(5);
 const BODY: [u8; 256] = [b'x'; 256];
 
