--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -1,8 +1,10 @@
-//! Decides what the sender does. The types, events and actions are in `interface.rs`; the records of
-//! messages, attempts, calls and endpoints are plain data in `state.rs`.
+//! Makes the sender's decisions: which messages to send, to hedge, to cancel or to end, and how many calls
+//! each destination gets. The types, events and actions are in `interface.rs`; the records of messages,
+//! attempts, calls and endpoints are plain data in `state.rs`.
 //!
-//! Reading order: the constants, `handle` (one turn), the handlers of events, the checks of what the delivery
-//! rules allow, and then the choices among what they allow: sends, hedged requests and the end of messages.
+//! Order of this file: the constants; `handle`, which runs one turn (it applies a list of events and makes
+//! the decisions that follow from them); the handlers of events; the checks of the delivery rules; and the
+//! choices that these rules leave open.
 
 use crate::interface::{
     Action, DestinationId, Effect, EndpointId, Event, MILLISECOND, MessageId, Micros, NewMessage,
@@ -19,20 +21,22 @@
 use rand_pcg::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Delay before a hedged request while no latency is known. Shorter values find slow calls sooner, longer
-/// ones send fewer unnecessary hedged requests.
+/// Delay before a hedged request if the health scope has no recorded latency, and lower bound of the delay
+/// while it has fewer than `MIN_LATENCY_SAMPLES`. Shorter values find slow calls sooner, longer ones send
+/// fewer unnecessary hedged requests.
 const DEFAULT_HEDGE_DELAY: Micros = SECOND;
-/// Number of latest latencies that are kept for each health scope.
+/// Number of the most recent latencies that are kept for each health scope.
 const LATENCY_SAMPLES: usize = 40;
-/// Rank, in 20ths, of the remembered latency that sets the hedge delay: 19 is the 95th percentile.
+/// Quantile of the recorded latencies that is used as the hedge delay, in twentieths: 19 is the 95th
+/// percentile.
 const HEDGE_DELAY_RANK: usize = 19;
 /// Initial concurrency window of a health scope, as a share of the call slots.
 const INITIAL_WINDOW_SHARE: f64 = 0.25;
-/// Largest concurrency window of a health scope, and most calls in flight to all scopes of a destination
-/// together, as a share of the call slots.
+/// Upper bound of the concurrency window of a health scope, and of the calls in flight to all scopes of a
+/// destination together, as a share of the call slots.
 const MAX_WINDOW_SHARE: f64 = 0.75;
-/// Largest concurrency window of an ejected scope, and the slots that all slow and ejected scopes may use
-/// together, as a share of the call slots.
+/// Upper bound of the concurrency window of an ejected scope, and of the calls in flight to all slow and
+/// ejected scopes together, as a share of the call slots.
 const MAX_DEGRADED_SHARE: f64 = 0.5;
 /// Share of the call slots that hedged requests may use. Larger values hedge more slow messages, smaller ones
 /// leave more slots to first attempts.
@@ -41,44 +45,53 @@
 /// more throughput.
 const WINDOW_REDUCTION: f64 = 0.7;
 /// Factor by which a rejection reduces the rate limit if calls have succeeded since the last reduction.
-/// Smaller values cause fewer rejections, larger ones keep more of a shared limit.
+/// Smaller values cause fewer rejections. With larger ones, the sender keeps more of a limit that it shares
+/// with other senders.
 const RATE_REDUCTION: f64 = 0.8;
 /// Factor by which a rejection or failure reduces the rate limit if no call has succeeded since the last
-/// reduction. The trade-off is the same as for `RATE_REDUCTION`.
+/// reduction. Smaller values cause fewer rejections. With larger ones, the sender keeps more of a limit that
+/// it shares with other senders.
 const RATE_REDUCTION_WITHOUT_SUCCESS: f64 = 0.5;
-/// Increase of the rate limit with each success, in calls per second. Because the increase follows successes
-/// rather than time, the share of rejected calls does not depend on how many calls a sender makes.
+/// Increase of the rate limit with each success, in calls per second. It is larger while the rate limit is
+/// below the best rate so far, or if only failures have reduced the rate. Because the increase follows
+/// successes rather than time, the share of rejected calls does not depend on how many calls a sender makes.
 const RATE_INCREASE_PER_SUCCESS: f64 = 0.25;
 /// Largest increase of the rate limit with one success, as a share of the rate limit.
 const MAX_RATE_INCREASE_SHARE: f64 = 0.5;
-/// Smallest rate limit that the first rejection leaves, in calls per second. Larger values retry sooner,
-/// smaller ones put less load on a destination that hundreds of senders share.
+/// Smallest rate limit, in calls per second, after the first rejection by a scope that had no rate limit.
+/// Also the smallest rate limit that the first load report sets if it contains a limit but no remaining
+/// share. Larger values retry sooner, smaller ones put less load on a destination that hundreds of senders
+/// share.
 const MIN_RATE_AFTER_FIRST_REJECTION: f64 = 0.35;
-/// Smallest rate limit of all senders together, in calls per second. Larger values retry sooner, smaller ones
-/// put less load on a destination that hundreds of senders share.
+/// Lower bound, in calls per second, of the sum of the rate limits of all senders after a reduction. During a
+/// rate probe, it is the lower bound of this sender's rate limit alone. Larger values retry sooner, smaller
+/// ones put less load on a destination that hundreds of senders share.
 const MIN_FLEET_RATE: f64 = 1.5;
-/// Initial rate limit of a single sender, in calls per second, to a destination that may still announce a
-/// limit. With several senders, this rate is divided by the square of their number, because all start at once
-/// and each receives only its share of the responses.
+/// Initial rate limit of a new health scope, in calls per second, if load reports contain a limit
+/// (`report_limit_index`) and this is the only sender. With several senders, this rate is divided by the
+/// square of their number, because all start at once and each receives only its share of the responses.
 const INITIAL_RATE_FACTOR: f64 = 5000.0;
-/// Seconds in which this sender's load is assumed to fill its capacity for pending messages. The initial rate
-/// limit of a destination is never below that load divided by the number of listed destinations.
+/// Seconds in which the arriving messages are assumed to fill the sender's capacity for pending messages
+/// (`max_pending`), if none are sent. The initial rate limit of a health scope is at least the resulting
+/// arrival rate divided by the number of listed destinations.
 const CAPACITY_FILL_SECONDS: f64 = 6.0;
-/// Longest delay of the first call after a restart, as a share of the latency objective or of the time left,
-/// whichever is shorter.
+/// Longest delay of the first call after a restart, as a share of the latency objective or of the time for
+/// which the message may still be sent, whichever is shorter.
 const MAX_RESUME_DELAY_SHARE: f64 = 0.75;
-/// Upper bound of the rate limit while few messages wait, as a multiple of the recent success rate. If only
-/// the demand limits the success rate, that rate says nothing about the destination's capacity (RFC 7661).
+/// Upper bound of the rate limit while few messages wait, as a multiple of the recent success rate. Successes
+/// at a rate that only the demand limits do not show that the destination can serve a higher rate (RFC 7661).
 /// Larger values follow demand sooner, smaller ones let fewer simultaneous bursts of all senders through.
 const APPLICATION_LIMITED_MULTIPLE: f64 = 2.0;
-/// Smallest value of the upper bound that `APPLICATION_LIMITED_MULTIPLE` sets, as a multiple of the fair
-/// share. The trade-off is the same as for that constant.
+/// The upper bound of the rate limit while few messages wait (see `APPLICATION_LIMITED_MULTIPLE`) is at least
+/// this multiple of the fair share. Larger values follow demand sooner, smaller ones let fewer simultaneous
+/// bursts of all senders through.
 const APPLICATION_LIMITED_FAIR_SHARES: f64 = 1.1;
-/// Burst that the rate limit allows, in seconds of the rate. Longer bursts send queued messages faster,
-/// shorter ones cause fewer rejections.
+/// Capacity of the rate limit's token bucket: the tokens that are added in this many seconds, but at least
+/// one. Longer bursts send queued messages faster, shorter ones cause fewer rejections.
 const BURST_SECONDS: f64 = 0.3;
-/// Number of standard deviations of random arrivals for which tokens may be saved up. Such bursts of
-/// independent senders largely cancel out in the sum.
+/// Additional tokens that may be saved for random bursts of messages, in standard deviations of the number of
+/// messages that arrive in one second. The bursts of independent senders rarely coincide, so that they hardly
+/// raise the total load.
 const BURST_DEVIATIONS: f64 = 2.0;
 /// Outage evidence above which a health scope counts as unreliable, even if it is not ejected.
 const MAX_RELIABLE_EVIDENCE: f64 = 4.5;
@@ -93,7 +106,7 @@
 /// Baseline failure rate at or above which a newly detected outage is unconfirmed.
 const NOISY_BASELINE_RATE: f64 = 0.15;
 /// Number of observed calls below which the baseline failure rate of a busy scope counts as unknown: the
-/// scope may be noisy.
+/// scope may be noisy, which means that many of its calls fail at random although it is not down.
 const MIN_KNOWN_CALLS: f64 = 50.0;
 /// Calls per second at or above which a scope counts as busy.
 const BUSY_CALLS_PER_S: f64 = 20.0;
@@ -103,24 +116,26 @@
 /// Weight of each new call in the moving average of a class's failure rate at an endpoint.
 const CLASS_FAILURE_WEIGHT: f64 = 0.05;
 /// Number of hedge delays after which a call counts as unresponsive if its scope has sent no response since
-/// the call was sent; this time is the unresponsive limit.
+/// the call was sent. This time, but at least `MIN_UNRESPONSIVE_AGE`, is called the unresponsive limit.
 const UNRESPONSIVE_HEDGE_DELAYS: i64 = 2;
 /// Smallest age at which a call counts as unresponsive or slow.
 const MIN_UNRESPONSIVE_AGE: Micros = SECOND;
-/// Number of unresponsive limits after which a call to an unresponsive scope is cancelled. Smaller values
-/// free slots sooner, larger ones wait longer for a response.
+/// Number of unresponsive limits after which a call to an ejected scope that sends no response is cancelled;
+/// one limit if slots are scarce. Smaller values free slots sooner, larger ones wait longer for a response.
 const CANCEL_AFTER_LIMITS: i64 = 2;
-/// Factor by which the time before cancellation is longer if only one class at one endpoint gets no response.
+/// Factor by which the time before cancellation is longer if the scope is not ejected, or has sent a response
+/// since the call was sent, but the class of the call has had no success at the endpoint since then.
 const CLASS_CANCEL_FACTOR: i64 = 2;
-/// Age at which a call is cancelled if calls of its class that were sent to the endpoint later have
-/// succeeded, in halves of the unresponsive limit. For later attempts of a message, the age is multiplied by
-/// the number of the attempt, counted from 1.
+/// Age, in halves of the unresponsive limit, at which a call is cancelled if a call of the same class that
+/// was sent to the same endpoint at least half an unresponsive limit later has succeeded. The age is
+/// multiplied by the number of the message's attempt, counted from 1.
 const OVERTAKEN_HALF_LIMITS: i64 = 3;
-/// Share of the slots in use at or above which unsafe calls are cancelled too. Smaller values abandon more
-/// messages, larger ones free fewer slots.
+/// Share of the call slots in use at or above which slots count as scarce: overdue calls are then cancelled
+/// sooner, and calls that carry unsafe messages are cancelled too. Smaller values abandon more messages,
+/// larger ones free fewer slots.
 const SCARCE_SLOTS_SHARE: f64 = 0.7;
-/// Share of the latency objective up to which the oldest message comes first. Beyond it, the messages that
-/// lose most by waiting come first.
+/// Share of the latency objective up to which the oldest message of equal priority weight is sent first.
+/// Beyond it, the message whose delivery still has the highest value is sent first.
 const OLDEST_FIRST_SHARE: f64 = 0.9;
 /// A call that has been in flight for more than this many typical latencies makes its scope slow. Slow and
 /// ejected scopes share a bounded part of the slots. Smaller values isolate slow scopes sooner, larger ones
@@ -137,37 +152,38 @@
 /// values detect a dead process sooner, smaller ones avoid ejecting destinations behind unreliable
 /// connections.
 const RESET_FAILURE_WEIGHT: f64 = 0.3;
-/// Number of consecutive rejections that mean an open circuit rather than throttling, if they last for
-/// `MIN_CIRCUIT_OPEN_SPAN`.
+/// Smallest number of consecutive rejections after which the destination is assumed to reject all calls (an
+/// open circuit) rather than those above a limit, if the rejections have lasted for `MIN_CIRCUIT_OPEN_SPAN`.
 const MIN_CIRCUIT_OPEN_REJECTIONS: u32 = 4;
-/// Shortest time over which consecutive rejections mean an open circuit.
+/// Shortest duration of consecutive rejections after which an open circuit is assumed.
 const MIN_CIRCUIT_OPEN_SPAN: Micros = SECOND;
-/// Share of the recovery budget that is used. Larger values recover sooner, smaller ones leave room for other
-/// senders.
+/// Share of the recovery budget that this sender uses; `allowed_refill` describes the budget. Larger values
+/// recover sooner, smaller ones leave room for other senders.
 const RECOVERY_BUDGET_SHARE: f64 = 0.7;
 /// Smallest number of probes that all senders together may send to an ejected scope in each overload window,
 /// even if the recovery budget allows fewer. Larger values detect recovery sooner, smaller ones put less load
 /// on a small destination.
 const MIN_FLEET_PROBES: f64 = 3.0;
-/// Weight of one call in the moving average of connection rejections, if the call could not open a connection
-/// or met a full connection table.
+/// Weight of a call in the connection rejection score, which is a moving average, if no connection could be
+/// opened for the call or the endpoint's connection table was full.
 const CONNECTION_REJECTION_WEIGHT: f64 = 0.2;
 /// Connection rejection score above which idle connections are closed. Smaller values relieve busy endpoints
 /// sooner, larger ones save handshakes.
 const CONNECTION_REJECTION_THRESHOLD: f64 = 0.1;
-/// How far a reported remaining share may lie above 1, because of noise, and still be accepted.
+/// A reported remaining share may exceed 1 by up to this amount, because reports may contain noise. Reports
+/// with a larger or a negative share are ignored.
 const REMAINING_SHARE_TOLERANCE: f64 = 0.2;
-/// A reported remaining share above this value is treated as this value when the upper bound of the rate is
-/// computed. With 0.3, the bound is at most about two fair shares; with a larger value, all senders together
-/// would exceed the limit before they receive the next report.
+/// A reported remaining share above this value is treated as this value when the upper bound of the rate
+/// limit is computed. With 0.3, the bound is at most about two fair shares; with a larger value, all senders
+/// together would exceed the limit before they receive the next report.
 const MAX_COUNTED_REMAINING_SHARE: f64 = 0.3;
 /// Relative change of the rate limit with each report, per unit by which the remaining share differs from the
 /// target. Larger values follow the demand sooner but oscillate.
 const REMAINING_SHARE_GAIN: f64 = 0.15;
 /// Remaining share of an announced limit at which the rate limit neither rises nor falls.
 const TARGET_REMAINING_SHARE: f64 = 0.5;
-/// Part of the fair share that a sender always keeps, so that no sender starves. The sum over all senders
-/// stays below the limit.
+/// Lower bound of the rate limit if a limit is announced, as a share of the fair share: no sender starves. As
+/// the value is below 1, the sum of these lower bounds over all senders stays below the limit.
 const MIN_FAIR_SHARE: f64 = 0.7;
 /// Backoff before the first retry of a message. Longer values save attempts, shorter ones save time.
 const INITIAL_RETRY_BACKOFF: Micros = 150 * MILLISECOND;
@@ -182,9 +198,10 @@
 pub(crate) const INITIAL_LIST_BACKOFF: Micros = 300 * MILLISECOND;
 /// Longest backoff of a failed subscription to the endpoint list.
 const MAX_LIST_BACKOFF: Micros = 4 * SECOND;
-/// Largest announced limit, in calls per second, that is accepted from a load report.
+/// Largest announced limit, in calls per second, that is accepted from a load report; reports with a larger
+/// one are ignored.
 const MAX_ANNOUNCED_LIMIT: f64 = 1e5;
-/// Seconds of a tenant's rate that its token bucket holds.
+/// Capacity of a tenant's token bucket: the tokens that are added in this many seconds, but at least one.
 const TENANT_BURST_SECONDS: f64 = 2.0;
 
 impl Sender {
@@ -264,8 +281,9 @@
             }
             Event::Accepted(message) => {
                 self.on_accepted(message);
-                // No list has named the destination. The message is rejected at once, and the client may
-                // retry, because a later list may contain the destination.
+                // A destination counts as unknown if there is an endpoint list that does not contain it. The
+                // message is rejected at once. The client may retry, because a later list may contain the
+                // destination.
                 let destination_unknown = !self.last_listed_at.is_empty()
                     && !self.last_listed_at.contains_key(&message.destination);
                 let is_rejected = destination_unknown || self.would_wait_too_long(message);
@@ -354,8 +372,8 @@
     /// Delays the first calls to a destination after a restart by a random time: at most the interval between
     /// two calls at the rate limit, and at most `MAX_RESUME_DELAY_SHARE` of the time available. If all
     /// senders restart at once, each would otherwise send a call immediately, before any of them knows a
-    /// limit. The delay is unnecessary if only this sender was restarted. A later message with less time left
-    /// shortens the delay.
+    /// limit. If only this sender was restarted, the delay is unnecessary, but the sender cannot detect this
+    /// case. A later message with less time left shortens the delay.
     pub(crate) fn stagger_after_restart(
         &mut self,
         class: usize,
@@ -422,15 +440,15 @@
             .calls
             .get(&call_id)
             .and_then(|call| self.scopes.get(&call.scope));
-        // A destination that announces its limit reports it in every response of its application. A rejection
-        // without a report comes from a full connection table, not from the load limit.
+        // If a destination announces a limit, each response that its application sends contains a load
+        // report. A rejection without a report was caused by a full connection table, not by the limit.
         let announced_limit = scope
             .and_then(|scope| scope.announced_limit)
             .filter(|_| report.is_empty());
         let connections_full =
             announced_limit.is_some() && outcome == Outcome::Rejected { retry_after: None };
-        // The backoff also applies after an attempt that the host could not send, unless only a free slot was
-        // missing: otherwise a lasting fault on the host would use up all attempts at once.
+        // The backoff also applies after an attempt that the host could not send; otherwise a lasting fault
+        // on the host would use up all attempts at once. It does not apply if only a free slot was missing.
         if !matches!(
             outcome,
             Outcome::Success | Outcome::Unsent { no_slot: true }
@@ -590,8 +608,10 @@
                 scope.record_latency(latency);
                 scope.consecutive_rejections = 0;
                 scope.succeeded_since_reduction = true;
-                // An outage and the recovery from it would be over after this time: a scope that was ejected
-                // longer ago and still has successes is noisy rather than down.
+                // An outage, including the recovery from it, is assumed to last for at most
+                // `MAX_OUTAGE_SLOW_STARTS` slow starts. A scope that has been unhealthy for longer and still
+                // has successes is noisy rather than down. So may be a busy scope whose outage is unconfirmed
+                // and whose baseline is unknown.
                 let baseline_unknown = scope.outage_evidence.observed_calls() < MIN_KNOWN_CALLS
                     && scope.average_send_rate(now, overload_window / 30) >= BUSY_CALLS_PER_S;
                 let is_noise = now - scope.unhealthy_since > MAX_OUTAGE_SLOW_STARTS * slow_start
@@ -628,8 +648,9 @@
                     + 1.0 / scope.concurrency_window)
                     .min(MAX_WINDOW_SHARE * slots);
                 match scope.health {
-                    // If the first probe succeeds after an ejection that was caused only by rejections or
-                    // missing responses, the scope was throttled or slow, not down.
+                    // With little outage evidence, rejections or missing responses caused the ejection. If
+                    // the first probe then succeeds, the scope was throttled or slow, not down. After a
+                    // longer ejection by rejections, it still gets a slow start.
                     Health::Ejected {
                         unresponsive,
                         since,
@@ -643,8 +664,8 @@
                         scope.outage_evidence.set_evidence(
                             scope.outage_evidence.evidence().min(MAX_RECOVERY_EVIDENCE),
                         );
-                        // The recovery began between the last failed call and this one; the middle is
-                        // assumed, at most half a slow start before this call was sent.
+                        // The recovery began at some time between the last failed call and this one. The
+                        // midpoint is used, but at most half a slow start before this call was sent.
                         let since = sent_at
                             - (sent_at - scope.last_failed_sent_at).clamp(0, slow_start) / 2;
                         (scope.health, scope.slow_start_ends_at) =
@@ -721,8 +742,8 @@
                 let congested = outcome != Outcome::Error
                     || without_success && evidence > EJECTION_THRESHOLD / 2.0;
                 let window_reduced = !is_reset && congested && scope.reduce_window(sent_at, now);
-                // With at least one call per overload window, the outage evidence soon ejects the scope, so
-                // the rate need not be reduced before.
+                // In an outage of a scope with at least one call per overload window, the outage evidence
+                // soon leads to an ejection. The rate is reduced only for scopes with fewer calls.
                 let is_rarely_called =
                     scope.average_send_rate(now, slow_start) * seconds(overload_window) < 1.0;
                 if window_reduced && without_success && is_rarely_called {
@@ -740,7 +761,8 @@
         }
     }
 
-    /// Blocks a health scope for a retry-after delay, and ejects the scope if the delay is long.
+    /// Blocks a health scope for a retry-after delay, and ejects the scope if the delay is longer than two
+    /// overload windows.
     fn apply_retry_after(
         &mut self,
         scope_id: HealthScopeId,
@@ -758,11 +780,12 @@
         self.scheduler.activate_destination(scope_id.0);
     }
 
-    /// Adjusts the rate limit to a load report. It describes the limit that all senders share, and is the
-    /// only information about their total load. The rate rises while much of the limit remains and falls
-    /// while little does. It is at most the fair share divided by the square of the used share: the fair
-    /// share itself while nothing remains, more otherwise. This protects limits that count rejected calls
-    /// too; it can hold back a sender that has most of the traffic.
+    /// Adjusts the rate limit to a load report. The report describes the limit that all senders share, and is
+    /// the only information about their total load. The rate limit rises while more than
+    /// `TARGET_REMAINING_SHARE` of the limit remains, and falls while less remains. It is at most the fair
+    /// share divided by the square of the used share: exactly the fair share if nothing remains, more
+    /// otherwise. This upper bound protects destinations whose limit also counts rejected calls. Its
+    /// disadvantage is that it can slow down a sender that has most of the traffic.
     fn on_load_report(&mut self, scope_id: HealthScopeId, report: &[f64]) {
         let read_field =
             |position: Option<usize>| position.and_then(|index| report.get(index).copied());
@@ -815,10 +838,11 @@
     }
 
     /// Closes the idle connections to an endpoint that has no call in flight and has recently rejected
-    /// connections. A scope that is called so rarely that its connections would time out before they are used
-    /// again closes them as soon as other endpoints of the kind reject connections. This protects endpoints
-    /// that accept few connections from hundreds of senders that each keep one idle. Where traffic comes in
-    /// bursts with long pauses, the next call pays for a handshake.
+    /// connections. If the scope is called so rarely that its connections would time out before they are used
+    /// again, they are closed as soon as other endpoints of the same kind reject connections. This protects
+    /// endpoints that accept few connections from hundreds of senders that each keep an idle one. Its
+    /// disadvantage is that the next call needs a new handshake, also if traffic comes in bursts with long
+    /// pauses.
     fn release_idle_connections(
         &mut self,
         scope_id: HealthScopeId,
@@ -845,8 +869,10 @@
         }
     }
 
-    /// Ejects a health scope: it gets only probes until one succeeds. A scope that is already ejected keeps
-    /// its start time; only its concurrency window is bounded.
+    /// Ejects a health scope: it gets only probes until one of them succeeds. If the scope is already
+    /// ejected, the time of the ejection stays the same, and only the concurrency window is bounded. `reason`
+    /// is `"shut"` after rejections or a long retry-after delay, `"fails"` after failures, and `"silent"` if
+    /// no responses arrive.
     fn eject(
         &mut self,
         scope_id: HealthScopeId,
@@ -864,8 +890,9 @@
         let scope = self.scope_mut(scope_id);
         if !matches!(scope.health, Health::Ejected { .. }) {
             scope.tokens = phase;
-            // While the scope is ejected or recovering, the recovery budget sets the rate, so reductions of
-            // the rate limit that failures alone have caused are undone.
+            // While the scope is ejected or recovering, the recovery budget bounds its rate. The rate limit
+            // is therefore raised again to at least the best rate, unless the destination rejected calls or
+            // demanded a long delay.
             scope.rate_limit = if reason == "shut" {
                 scope.rate_limit
             } else {
@@ -902,10 +929,12 @@
         self.settle_scope_tokens(scope_id);
     }
 
-    /// Ejects scopes that send no response while calls wait far beyond their typical latency, and cancels
-    /// their calls some time later where that is safe. This keeps hung, unreachable or very slow destinations
-    /// from occupying the slots that calls to healthy ones need. A single long call may be the only traffic
-    /// of a scope, so a lone call gets twice the time.
+    /// Ejects healthy scopes with calls in flight that are older than the unresponsive limit and since which
+    /// the scope has sent no response. A single long call may be the only traffic of a scope, so one such
+    /// call ejects the scope only after twice the limit. Also cancels attempts that have waited too long for
+    /// a response or that later calls have overtaken, if cancellation is enabled; attempts of unsafe messages
+    /// are cancelled only if slots are scarce. All this keeps hung, unreachable or very slow destinations
+    /// from occupying the slots that calls to healthy ones need.
     fn detect_unresponsive_calls(&mut self, actions: &mut Vec<Action>) {
         for call in self.calls.values() {
             if let Some(scope) = self.scopes.get_mut(&call.scope) {
@@ -983,8 +1012,8 @@
                     (self.now - attempt.sent_at, scope.unresponsive_after());
                 let is_overdue = age > limits * unresponsive_after
                     && (is_ejected || last_success_at < attempt.sent_at);
-                // If calls that were sent much later have succeeded, the connection of this one is presumed
-                // broken.
+                // If a call that was sent at least half an unresponsive limit later has succeeded, the
+                // connection of this call is presumed broken.
                 let is_overtaken = last_success_sent_at > attempt.sent_at + unresponsive_after / 2
                     && 2 * age > OVERTAKEN_HALF_LIMITS * unresponsive_after * (index as i64 + 1);
                 if is_overdue || is_overtaken {
@@ -1001,7 +1030,7 @@
     // ---- what the delivery rules allow --------------------------------------------------------
 
     /// Whether the delivery rules allow an attempt of the message at this endpoint now. Load and health are
-    /// checked elsewhere.
+    /// not considered; `check_admission` checks them.
     fn is_send_allowed(&self, id: MessageId, message: &PendingMessage, target: &Endpoint) -> bool {
         let has_attempt_in_flight = message.attempts.iter().any(|attempt| attempt.in_flight);
         if !message.open
@@ -1023,9 +1052,9 @@
         is_next_of_key && self.now < self.repeatable_until(message, usize::MAX, Some(target.zone))
     }
 
-    /// The time until which a message may be sent to a zone, given its attempts except the one at
-    /// `excluded_index`: as long as the destination remembers its idempotency key. `Micros::MAX` means
-    /// without limit, `Micros::MIN` never.
+    /// The time until which the message may be sent to a zone although its earlier attempts may have been
+    /// processed. For a keyed message, this is shortly before the end of the deduplication window. The
+    /// attempt at `excluded_index` is ignored. `Micros::MAX` means without limit, `Micros::MIN` never.
     fn repeatable_until(
         &self,
         message: &PendingMessage,
@@ -1048,9 +1077,10 @@
             .unwrap_or(Micros::MAX)
     }
 
-    /// The time by which the last byte of an attempt that has not begun must be written; `None` if it must
-    /// not begin. This takes into account what happened while its connection was opened: a retry-after delay,
-    /// a drain, or the end of the deduplication window.
+    /// The time by which the last byte of an attempt must be written; `None` if the attempt must not be
+    /// written at all. The host asks for this time before it writes the first byte. The result takes into
+    /// account what has happened since the decision to send, for example while the connection was opened: a
+    /// retry-after delay, a drain, or the end of the deduplication window.
     #[must_use]
     pub fn write_deadline(&self, now: Micros, id: MessageId, index: usize) -> Option<Micros> {
         let message = self.messages.get(&id).filter(|message| message.open)?;
@@ -1224,7 +1254,8 @@
 
     /// The time from which the message cannot be sent any more: it was rejected on arrival, has used all its
     /// attempts, or may have been processed and must not be sent again. `Micros::MIN` means that it cannot be
-    /// sent now, `Micros::MAX` that there is no such time.
+    /// sent now. `Micros::MAX` means that no such time is known, which is also the result while an attempt is
+    /// in flight.
     pub(crate) fn unsendable_from(&self, message: &PendingMessage) -> Micros {
         if message.rejected_on_arrival
             || message.attempts.len() >= message.max_attempts && !message.has_attempt_in_flight()
@@ -1242,9 +1273,10 @@
     }
 
     /// Whether a new message would be sent only after its latency objective, or after its deadline if it was
-    /// resubmitted or is already past the objective. Rejecting it keeps queues at an announced limit short
-    /// and lets the client use a sender with a shorter queue. The estimate ignores that the rate limit may
-    /// rise, so it may reject a message that could have been sent in time.
+    /// resubmitted or is already past the objective. Always false unless all health scopes of the destination
+    /// are healthy and have an announced limit. If such messages are rejected, the queues of the destination
+    /// stay short, and the client can use a sender with a shorter queue. The estimate ignores that the rate
+    /// limit may rise, so a message may be rejected that could have been sent in time.
     fn would_wait_too_long(&self, new: &NewMessage) -> bool {
         let Some(class) = self
             .settings
@@ -1312,7 +1344,9 @@
         message.priority_weight * remaining
     }
 
-    /// The phase of urgency of a message that was accepted at the given time and waits in the given queue.
+    /// The urgency phase of a message that was accepted at the given time and waits in the given queue. In
+    /// queues of messages that wait for their first attempt since a restart, it is always `MinimumValue`, so
+    /// that the oldest message comes first.
     pub(crate) fn urgency_phase(&self, queue: &QueueKey, accepted_at: Micros) -> UrgencyPhase {
         let (age, value_decay) = (self.now - accepted_at, self.settings.value_decay);
         match self.settings.classes.get(queue.class) {
@@ -1458,8 +1492,8 @@
                 joins_call || scope.in_flight < MAX_UNCONFIRMED_OUTAGE_CALLS,
                 scope.outage_unconfirmed_until,
             ),
-            // After a slow start without any call, one unsafe message is sent: a destination that gets only
-            // unsafe messages would otherwise never be tried again.
+            // If no call has been sent for the duration of a slow start, one unsafe message is sent. Without
+            // this, a destination that gets only unsafe messages would never be tried again.
             Health::Recovering { .. }
                 if unsafe_class && scope.outage_evidence.evidence() > MAX_RELIABLE_EVIDENCE =>
             {
@@ -1469,8 +1503,9 @@
                     if now < until { until } else { Micros::MAX },
                 )
             }
-            // An unsafe message cannot be sent again, so it is not sent to a scope that may be about to fail:
-            // one without a response since a call that was sent longer than the hedge delay ago.
+            // An unsafe message cannot be sent again, so it is not sent to a scope that may be about to fail.
+            // These are scopes with a call in flight that is older than the hedge delay and since which no
+            // response has arrived.
             Health::Healthy
                 if unsafe_class
                     && scope.unresponsive_age
@@ -1593,7 +1628,7 @@
         });
     }
 
-    /// Marks a message as ended and cancels its attempts in flight.
+    /// Marks a message as ended and, if cancellation is enabled, cancels its attempts in flight.
     pub(crate) fn close_message(&mut self, id: MessageId, actions: &mut Vec<Action>) {
         let Some(message) = self.messages.get_mut(&id).filter(|message| message.open) else {
             return;
@@ -1644,9 +1679,10 @@
             .and(scope.announced_limit)
             .is_some()
             && scope.health == Health::Healthy;
-        // Load reports show the part of the rate above the minimum share as remaining, so its tokens may be
-        // saved up for random bursts. The allowance is smaller by the calls that the rate allows within the
-        // shortest latency objective: messages that wait for these calls are still in time.
+        // Load reports correct the part of the rate that exceeds the minimum share: it shrinks while little
+        // of the limit remains. The tokens of this part may therefore be saved for random bursts of messages.
+        // The number of calls that the rate allows within the shortest latency objective is subtracted,
+        // because messages that wait for these calls are still delivered in time.
         let spare_rate = if follows_reports {
             (refill.rate - MIN_FAIR_SHARE * scope.fair_share).max(0.0)
         } else {
@@ -1728,8 +1764,8 @@
             .max(MIN_UNRESPONSIVE_AGE)
     }
 
-    /// Whether a rejection is attributed to a limit: one is announced, or several senders share a scope that
-    /// this sender does not keep busy.
+    /// Whether a rejection is attributed to a limit without further evidence. It is if a limit is announced,
+    /// or if there are several senders and this sender calls the scope less often than `BUSY_CALLS_PER_S`.
     fn rejections_imply_limit(&self, settings: &Settings, now: Micros) -> bool {
         let is_busy =
             self.average_send_rate(now, settings.safety.overload_window / 30) >= BUSY_CALLS_PER_S;
@@ -1737,9 +1773,10 @@
     }
 
     /// Reduces the rate limit after a rejection, or after a failure with no success since the last reduction.
-    /// With an announced limit the rate falls to the fair share at once, because the rejected senders have
-    /// used up the limit together. It falls only a little below that share: after a larger reduction, a
-    /// sender with few calls would need about ten successes to return to it.
+    /// With an announced limit, a rate above the fair share falls at once to a little below that share,
+    /// because the rejected senders have used up the limit together. It never falls below `MIN_FAIR_SHARE` of
+    /// the fair share: after a larger reduction, a sender with few calls would need about ten successes to
+    /// return to its fair share.
     fn reduce_rate(&mut self, success_rate: f64, senders: f64, phase: f64) {
         let rate = if self.rate_limit.is_finite() {
             self.rate_limit
@@ -1770,7 +1807,8 @@
         self.succeeded_since_reduction = false;
     }
 
-    /// Applies the rate advice of `rejection_correlation.rs`; a reduction is left to the caller.
+    /// Applies the advice of `RejectionCorrelation`, except `Reduce`: for this one, the caller reduces the
+    /// rate limit. `rate` is the recent success rate, in calls per second.
     fn apply_rate_advice(&mut self, advice: RateAdvice, rate: f64) {
         match advice {
             RateAdvice::HalveForProbe => {
@@ -1797,13 +1835,19 @@
         .min(max_rate);
     }
 
-    /// Calls per second that may start now. A healthy scope gets its rate limit, an ejected one a few probes,
-    /// and a recovering one a slow start towards its recovery budget: this sender's usual rate, which was
-    /// served together with that of all other senders, or its fair share of an announced limit. The peak rate
-    /// above the usual rate counts divided by the square root of the number of senders, because the peaks of
-    /// independent senders rarely coincide; with an announced limit it counts in full, because load reports
-    /// correct the rate. This protects a recovering destination from hundreds of senders. So that rarely
-    /// called scopes are not starved, probes are never more than two slow starts apart.
+    /// Calls per second that may start from now on. A healthy scope gets its rate limit, and an ejected one a
+    /// few probes. A recovering scope gets a rate that rises during the slow start up to a share of its
+    /// recovery budget (`RECOVERY_BUDGET_SHARE`). The budget protects a recovering destination from hundreds
+    /// of senders.
+    ///
+    /// The recovery budget is `overload_multiple` times this sender's usual rate, which the destination has
+    /// served together with the usual rates of all other senders, or times its fair share of an announced
+    /// limit if that is larger. The amount by which the best rate exceeds the usual rate (at most the usual
+    /// rate once more) is added to the usual rate. Without an announced limit, this amount is first divided
+    /// by the square root of the number of senders, because the peaks of independent senders rarely coincide.
+    /// With an announced limit, load reports correct the rate.
+    ///
+    /// So that rarely called scopes are not starved, probes are at most two slow starts apart.
     fn allowed_refill(&self, safety: &Safety, senders: f64, now: Micros) -> RefillRate {
         let overload_seconds = seconds(safety.overload_window.max(1));
         let (since, max_rate) = match self.health {
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -93,8 +93,9 @@
         }
     }
 
-    /// The only zone to which attempts of a message may still go, if there is one: a repeat must go to
-    /// endpoints that know the idempotency key of the earlier attempt.
+    /// The only zone to which attempts of a message may still go; `None` if all zones are allowed. A repeat
+    /// must go to endpoints that know the idempotency key of the earlier attempt. The inner `None` means that
+    /// the zone of the earlier attempt is unknown, so that no endpoint is allowed.
     fn required_zone(&self, message: &PendingMessage) -> Option<Option<u16>> {
         match self
             .settings
@@ -237,7 +238,8 @@
         }
     }
 
-    /// Does the same as `dispatch_from_queues`, with exactly the same actions, by checking every message.
+    /// Produces exactly the same actions as `dispatch_from_queues`, but checks every message. It is used if
+    /// incremental scheduling is off.
     fn dispatch_by_full_scan(&mut self, actions: &mut Vec<Action>) {
         let mut open_calls = OpenCalls::new();
         let ready = self.messages.iter().filter_map(|(&id, message)| {
@@ -299,7 +301,7 @@
         }
     }
 
-    /// Adds the next message of a queue to the pass.
+    /// Adds the next message of a queue to the pass; if `after` is given, only a message that comes after it.
     fn push_head(&self, pass: &mut DispatchPass, queue: QueueKey, after: Option<&QueueHead>) {
         let phase_of = |accepted_at| self.urgency_phase(&queue, accepted_at);
         let urgency = |id| {
@@ -310,8 +312,9 @@
         pass.push(&self.scheduler, queue, after, phase_of, urgency);
     }
 
-    /// Sort key among messages of equal rank, the largest first. Messages that wait for their first attempt
-    /// since a restart are sorted by deadline, all others by urgency.
+    /// Sort key of messages that have the same rank in the order of [`QueueHead`]; the message with the
+    /// largest key is sent first. Messages that wait for their first attempt since a restart are sorted by
+    /// deadline, all others by urgency.
     fn dispatch_order(&self, message: &PendingMessage) -> f64 {
         if message.awaits_first_attempt() {
             -(message.deadline as f64)
--- a/crates/policy/src/endpoint_list.rs
+++ b/crates/policy/src/endpoint_list.rs
@@ -44,7 +44,8 @@
             let moved = (endpoint_state.destination, endpoint_state.kind)
                 != (entry.destination, entry.kind);
             let old_destination = endpoint_state.destination;
-            // The zone to which keyed messages are bound may have changed.
+            // If the zone has changed, the schedule is rebuilt: it contains the zones to which keyed messages
+            // are bound.
             self.scheduler.is_current &= endpoint_state.zone == entry.zone;
             self.scheduler.activate_destination(entry.destination);
             (
--- a/crates/policy/src/idle.rs
+++ b/crates/policy/src/idle.rs
@@ -1,6 +1,6 @@
-//! Compacts health scopes that have had no call for a long time, and expands them before they are used: a
-//! compacted scope has neither a call in flight nor an open message. How long old observations remain valid
-//! is decided in the package `idle-state`.
+//! Compacts health scopes that have had no call for a long time, and expands them again before they are
+//! used. A compacted scope has no call in flight, and its destination has no open message. How long old
+//! observations remain valid is decided in the package `idle-state`.
 
 use crate::interface::{DestinationId, EndpointId, Micros, SECOND};
 use crate::state::Sender;
@@ -9,7 +9,8 @@
 use std::ops::Bound;
 
 /// A scope is compacted this long after its last call: far beyond all spans for which individual latencies
-/// and successes matter. Shorter values save memory after a burst of calls, longer ones keep the details.
+/// and successes matter. Shorter values save memory after a burst of calls, longer ones keep
+/// individual latencies and successes for longer.
 const IDLE_AFTER: Micros = 300 * SECOND;
 /// Scopes checked per turn. Two keep up with a list that grows by one endpoint per turn, and cost little in
 /// each turn.
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -12,8 +12,8 @@
 /// One millisecond in microseconds.
 pub const MILLISECOND: Micros = 1_000;
 
-/// Number that the host gives a message. The host may use the number again after the message has ended only
-/// if the same message is redriven.
+/// Number that the host gives a message. The host may reuse the number of an ended message only to redrive
+/// the same message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MessageId(pub u64);
 
@@ -27,13 +27,14 @@
 /// What happens if the same message is delivered more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
-    /// Nothing: the message may be sent any number of times.
+    /// A repeated delivery is harmless: the message may be sent any number of times.
     Repeatable,
     /// The destination drops repeats within `window`, counted from the first attempt that may have run.
     Keyed {
         /// The deduplication window: how long the destination remembers the idempotency key.
         window: Micros,
-        /// Endpoints know only the keys that endpoints of their own zone have received.
+        /// Whether an endpoint knows only the idempotency keys that endpoints of its own zone have received.
+        /// If false, all endpoints of the destination know all keys.
         zone_only: bool,
     },
     /// A repeated delivery is harmful: the destination must never process the message twice.
@@ -48,13 +49,13 @@
     pub name: String,
     /// What happens if a message of the class is delivered more than once.
     pub effect: Effect,
-    /// Age up to which a delivery has its full value, in microseconds.
+    /// Age of a message up to which its delivery has its full value, in microseconds.
     pub latency_objective: Micros,
     /// Age at which a message expires, in microseconds.
     pub deadline: Micros,
     /// Value of one message relative to messages of other classes; zero or more.
     pub priority_weight: f64,
-    /// Share of the value that is left at the deadline.
+    /// Smallest share of its full value that a late delivery still has; 0 for none.
     pub late_value_share: f64,
     /// Messages with the same ordering key are sent one at a time, in order.
     pub ordered: bool,
@@ -125,17 +126,17 @@
 /// Times and limits of the delivery rules and of the destinations' behaviour.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Safety {
-    /// Attempts at a draining endpoint end within this time.
+    /// Time within which attempts at a draining endpoint end.
     pub drain_grace: Micros,
     /// How long the slow start of a recovering destination takes.
     pub slow_start: Micros,
     /// Share of its capacity with which a recovering destination starts.
     pub initial_capacity: f64,
-    /// A destination collapses if it gets more than this multiple of its capacity for an overload window.
+    /// A destination collapses if its load exceeds this multiple of its capacity for an overload window.
     pub overload_multiple: f64,
     /// How long a destination withstands overload before it collapses.
     pub overload_window: Micros,
-    /// A final response still counts this long after the deadline.
+    /// How long after the deadline of a message a final response still counts.
     pub response_grace: Micros,
     /// How long an ordering key is blocked after an attempt that may still run.
     pub ordered_key_backoff: Micros,
@@ -156,9 +157,9 @@
     pub max_pending: usize,
     /// Maximum number of attempts for one message; at least one.
     pub max_attempts: usize,
-    /// A second attempt of a message may start while the first is in flight.
+    /// Whether another attempt of a message may start while an earlier one is in flight.
     pub hedging_enabled: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancellation_enabled: bool,
     /// The host reports the end of messages to clients by notifications, which may arrive later than the
     /// decision. If false, clients are assumed to learn of an end immediately.
@@ -174,8 +175,8 @@
     pub max_client_retry_after: Micros,
     /// The endpoint list must be requested by a subscription.
     pub list_requires_subscription: bool,
-    /// How exactly the list states each destination's rate: 0 not at all, 1 exactly, 0.5 with an error of up
-    /// to half.
+    /// How accurate the rates in the endpoint list are: 0 if the list contains no rates, 1 if they are exact,
+    /// 0.5 if they may be wrong by half. The sender multiplies each rate of the list by this value.
     pub weight_trust: f64,
     /// Index of the remaining share of the limit in a load report; `None` if reports do not contain it.
     pub report_remaining_index: Option<usize>,
@@ -185,7 +186,8 @@
     pub price_cross_zone: f64,
     /// Price of a probe, relative to a first attempt.
     pub price_probe: f64,
-    /// Price of work that destinations do without effect, relative to the work requested.
+    /// Price of work that a destination does without any effect, relative to the same amount of requested
+    /// work.
     pub price_waste: f64,
     /// Price of a message that a separate route accepts, by zone.
     pub zone_fees: Vec<f64>,
@@ -425,7 +427,7 @@
 /// A message that the host has accepted for delivery.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NewMessage {
-    /// Number of the message.
+    /// Number of the message; no pending message has the same one.
     pub id: MessageId,
     /// Position of its class in the settings; an unknown class is treated as unsafe.
     pub class: usize,
@@ -550,7 +552,7 @@
         /// When the process ends.
         ends_at: Micros,
     },
-    /// A response that rejected no message demanded a retry-after delay.
+    /// A response that was not a rejection demanded a retry-after delay.
     RetryAfter {
         /// The endpoint that demanded the delay.
         endpoint: EndpointId,
@@ -564,7 +566,7 @@
         message: MessageId,
         /// The ordering key of the message.
         key: u64,
-        /// The notification has been acknowledged. If false, the notification is pending since before a
+        /// Whether the notification has been acknowledged. If false, it has been pending since before a
         /// restart.
         acknowledged: bool,
     },
--- a/crates/policy/src/outage_evidence.rs
+++ b/crates/policy/src/outage_evidence.rs
@@ -1,5 +1,5 @@
-//! Evidence that a health scope is down, rather than having its baseline share of failed calls. Uses neither
-//! clock nor I/O.
+//! Evidence that a health scope is down, as opposed to a scope whose calls fail no more often than usual (at
+//! the baseline failure rate). This module uses neither clock nor I/O.
 //!
 //! This is a sequential test (Page's CUSUM of log-likelihood ratios, E. S. Page, Continuous Inspection
 //! Schemes, Biometrika 41, 1954). Each call adds the log-likelihood ratio of its result under an
@@ -135,7 +135,8 @@
         self.evidence()
     }
 
-    /// Excludes the failures since the last success from the baseline, because an outage caused them.
+    /// Excludes the failures since the last success from the baseline, because an outage caused them. The
+    /// evidence stays the same.
     pub fn exclude_outage_from_baseline(&mut self) {
         (self.evidence, self.pending_failures) = (self.evidence(), 0.0);
     }
--- a/crates/policy/src/rejection_correlation.rs
+++ b/crates/policy/src/rejection_correlation.rs
@@ -1,4 +1,5 @@
-//! Decides whether rejections that announce neither a limit nor a Retry-After follow the load.
+//! Decides whether rejections that announce neither a limit nor a Retry-After follow the load, which means
+//! that they become more frequent when the sender makes more calls.
 //!
 //! If rejections become more frequent than their baseline, a rate probe measures the rejection rate first at
 //! the current rate limit and then at half of it. If the rejection rate falls with the rate limit, the
@@ -7,9 +8,9 @@
 use crate::interface::{Micros, SECOND};
 use crate::outage_evidence::{MAX_BASELINE_RATE, OutageEvidence};
 
-/// Responses that the baseline remembers. The number is larger than for failures, so that rejections caused
-/// by a destination's limit do not become part of the baseline while the rate limit slowly approaches that
-/// limit.
+/// Number of responses that the baseline rejection rate is based on. It is larger than the number for the
+/// baseline failure rate, so that rejections caused by a destination's limit do not become part of the
+/// baseline while the rate limit slowly approaches the limit of the destination.
 const MAX_CALLS: f64 = 1000.0;
 /// Evidence of rejections above the baseline at which a rate probe starts: two or three rejections close
 /// together where the baseline is zero, six in a row where it is 10%.
@@ -20,11 +21,12 @@
 /// Number of calls over which the first phase of a rate probe measures the rejection rate.
 const MEASURED_CALLS: f64 = 80.0;
 /// Smallest rejection rate for which the rate limit is halved to find out whether rejections follow the load.
-/// A baseline at or above this rate is probed too, from time to time.
+/// If the baseline rejection rate is at or above this value, the rate limit is also halved without an
+/// increase of rejections, at intervals longer than `PROBE_INTERVAL`.
 const MIN_PROBED_REJECTION_RATE: f64 = 0.03;
-/// Number of remembered responses needed before a baseline is probed.
+/// Number of remembered responses needed before a rate probe is started because of the baseline alone.
 const MIN_BASELINE_CALLS: f64 = 200.0;
-/// Shortest time between two probes of a baseline.
+/// Shortest time between the last halving of the rate limit and a rate probe because of the baseline alone.
 const PROBE_INTERVAL: Micros = 10 * SECOND;
 /// Longest time that each of the two phases of a rate probe takes. If the second phase has not decided by
 /// then, a limit is assumed.
@@ -39,11 +41,12 @@
 const PROBE_DECISION_THRESHOLD: f64 = 3.0;
 /// How long a limit is assumed after the last rejection that was attributed to it.
 const LIMIT_MEMORY: Micros = 30 * SECOND;
-/// Share of the rate at which a limit was found, below which the limit cannot be the cause of rejections. A
-/// limit lies above half of that rate. If rejections exceed the baseline at a success rate below this share,
-/// there is no limit.
+/// Share of the success rate at which a limit was found. A limit that was found lies above half of that rate.
+/// If rejections exceed the baseline although the success rate is below this share, the limit cannot be the
+/// cause and is no longer assumed.
 const MIN_LIMITED_RATE_SHARE: f64 = 0.6;
-/// Share of the rate at which a limit was found, below which rejections belong to the baseline.
+/// Share of the success rate at which a limit was found. While the success rate is below this share,
+/// rejections are attributed to the baseline instead of the limit.
 const BELOW_LIMIT_SHARE: f64 = 0.85;
 
 /// What the rejections mean for the rate limit.
@@ -72,9 +75,10 @@
     limited_until: Micros,
     /// Rate of successful calls, per second, at which the limit was found.
     rate_at_limit: f64,
-    /// Rate limit and baseline evidence before the limit was found; the rate limit is infinite if no probe
-    /// found it.
+    /// Rate limit before the limit of the destination was found; infinite if the limit was assumed without
+    /// halving the rate limit.
     rate_limit_before: f64,
+    /// Baseline and evidence before the limit was found.
     evidence_before: OutageEvidence,
 }
 
@@ -83,11 +87,13 @@
 struct RateProbe {
     /// Whether the second phase, at half the rate limit, has begun.
     is_halved: bool,
-    /// Start and latest end of the current phase.
+    /// Start of the current phase.
     started_at: Micros,
+    /// Latest end of the current phase.
     ends_at: Micros,
-    /// Rejections and all responses to calls sent in this phase.
+    /// Rejections of calls that were sent in the current phase.
     rejections: f64,
+    /// All responses to calls that were sent in the current phase.
     calls: f64,
     /// Rate limit, in calls per second, before it was halved.
     rate_limit_before: f64,
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -26,8 +26,8 @@
     pub awaits_first_attempt: bool,
     /// Bits of the priority weight, which is zero or more: the bits of such numbers sort like the numbers.
     pub priority_weight_bits: u64,
-    /// The only zone to which an attempt may go, if there is one. The inner `None` is the zone of a removed
-    /// endpoint.
+    /// The only zone to which an attempt may go; `None` if all zones are allowed. The inner `None` stands for
+    /// the unknown zone of a removed endpoint.
     pub required_zone: Option<Option<u16>>,
 }
 
@@ -66,7 +66,8 @@
 pub(crate) enum UrgencyPhase {
     /// Up to `OLDEST_FIRST_SHARE` of the latency objective: the oldest message comes first.
     WithinObjective,
-    /// From there to the latency objective, with full value: the oldest message comes first.
+    /// Above `OLDEST_FIRST_SHARE`, but still within the latency objective, so that the delivery has its full
+    /// value: the oldest message comes first.
     FullValue,
     /// The value decays: the youngest message comes first.
     Decaying,
@@ -112,7 +113,7 @@
     blocked_queues: BTreeMap<QueueKey, BlockedUntil>,
     /// Times at which blocked queues must be checked again.
     wake_times: BTreeSet<(Micros, QueueKey)>,
-    /// Blocked queues that must be checked when the degraded load falls.
+    /// Blocked queues that must be checked when fewer calls are in flight at slow and ejected scopes.
     blocked_by_degraded_load: BTreeSet<QueueKey>,
     /// Work done so far, in messages, queues and calls handled: a measure of cost that needs no clock.
     pub work_steps: u64,
@@ -296,8 +297,8 @@
             .collect()
     }
 
-    /// Marks the queues that are due to be checked and, if `degraded_slots_free`, those blocked by degraded
-    /// load.
+    /// Marks to be checked: the blocked queues whose wake time has come and, if `degraded_slots_free`, the
+    /// queues that were blocked because slow and ejected scopes used all the slots that they may use.
     pub(crate) fn activate_due(&mut self, now: Micros, degraded_slots_free: bool) {
         let mut due_queues: Vec<QueueKey> = self
             .wake_times
@@ -347,7 +348,8 @@
     }
 }
 
-/// The most urgent message of a queue that the current pass has not returned yet.
+/// A message that may be sent now, with the values that set its place in the order of sending. A
+/// [`DispatchPass`] holds at most one per queue: the most urgent message that the pass has not returned yet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct QueueHead {
     pub urgency: f64,
@@ -476,8 +478,8 @@
     }
 }
 
-/// The earliest time from `low` on at which `holds` is true, by binary search; `high` if there is none.
-/// `holds` must stay true once it is.
+/// Binary search for the earliest time from `low` on at which `holds` is true; `high` if there is none before
+/// it. If `holds` is true for one time, it must be true for all later times.
 fn first_accepted_where(
     mut low: Micros,
     mut high: Micros,
@@ -511,8 +513,8 @@
         Some(head)
     }
 
-    /// Adds the next message of a queue, unless one of its messages is waiting in the pass already. Skips
-    /// messages that are to be sent before `after`.
+    /// Adds the next message of a queue, unless the pass already contains a message of this queue. If `after`
+    /// is given, messages that come before it in the order of sending are skipped.
     pub(crate) fn push(
         &mut self,
         scheduler: &SendScheduler,
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -20,13 +20,14 @@
 pub struct Sender {
     pub(crate) settings: Settings,
     pub(crate) random: Pcg32,
-    /// Time of the current turn.
+    /// Time of the current turn, which is one call of [`Sender::handle`].
     pub(crate) now: Micros,
     /// Time of the alarm that was requested last; `Micros::MAX` if none is pending.
     pub(crate) alarm: Micros,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
     pub(crate) endpoints_by_destination: BTreeMap<DestinationId, BTreeSet<EndpointId>>,
-    /// When the list last named an endpoint of a destination.
+    /// When the list last named an endpoint of a destination, or when the last endpoint of the destination
+    /// was removed.
     pub(crate) last_listed_at: BTreeMap<DestinationId, Micros>,
     pub(crate) scopes: BTreeMap<HealthScopeId, HealthScope>,
     /// Compact state of scopes that have had no call for a long time.
@@ -50,7 +51,7 @@
     /// Connection rejection score for each destination kind, computed like
     /// [`Endpoint::connection_rejection_score`].
     pub(crate) connection_rejection_scores: BTreeMap<usize, f64>,
-    /// Tokens of each tenant's bucket, and when they were counted.
+    /// Tokens of each tenant's bucket, and the time up to which refilled tokens are included.
     pub(crate) tenant_tokens: Vec<(f64, Micros)>,
     /// When to subscribe to the endpoint list again.
     pub(crate) list_retry_at: Option<Micros>,
@@ -95,8 +96,9 @@
 /// Health of one class at one endpoint.
 #[derive(Debug, Default, Serialize, Deserialize)]
 pub(crate) struct ClassHealth {
-    /// Failures since the last success, and when the first of them was sent.
+    /// Failures since the last success.
     pub consecutive_failures: u32,
+    /// When the first of the `consecutive_failures` was sent.
     pub first_failure_sent_at: Micros,
     /// Moving average of the share of calls that fail.
     pub failure_rate: f64,
@@ -237,7 +239,7 @@
     pub typical_latency: Option<Micros>,
     /// Evidence that the scope is down.
     pub outage_evidence: OutageEvidence,
-    /// Whether rejections that announce no limit follow the load.
+    /// Tracks whether rejections become more frequent with the load, if no limit is announced.
     pub rejections: RejectionCorrelation,
     /// Until this time, the failures for which the scope was ejected may be noise rather than an outage.
     pub outage_unconfirmed_until: Micros,
@@ -287,13 +289,13 @@
     /// Tokens of the rate limit's token bucket.
     pub tokens: f64,
     pub tokens_updated_at: Micros,
-    /// How tokens are refilled since `tokens_updated_at`.
+    /// How tokens are refilled from `tokens_updated_at` on.
     pub refill: RefillRate,
     /// Maximum number of tokens in the bucket.
     pub burst: f64,
 }
 
-/// Refill rate of a token bucket: it rises linearly for a while and then stays constant.
+/// Refill rate of a token bucket: it rises linearly for `ramp_seconds` and then stays constant.
 #[derive(Debug, Clone, Copy, PartialEq, Default, Serialize, Deserialize)]
 pub(crate) struct RefillRate {
     /// Initial rate, in tokens per second.
@@ -314,7 +316,7 @@
         }
     }
 
-    /// Tokens refilled after a span.
+    /// Tokens refilled within a span that starts when this refill rate was set.
     pub(crate) fn tokens_after(&self, span: Micros) -> f64 {
         let span = seconds(span);
         let ramp = span.min(self.ramp_seconds);
@@ -364,8 +366,10 @@
         self.is_slow || matches!(self.health, Health::Ejected { .. })
     }
 
-    /// Successful calls per second since the first success in the window. Unlike
-    /// [`HealthScope::success_rate`], this rate is not too low for a scope that has just begun to succeed.
+    /// Successful calls per second since the oldest recorded success, averaged over at least a 60th of `span`
+    /// and at most `span`. Unlike [`HealthScope::success_rate`], this rate is not too low for a scope whose
+    /// calls have just begun to succeed. Call `success_rate` first: it drops the successes that are older
+    /// than `span`.
     pub(crate) fn recent_success_rate(&self, now: Micros, span: Micros) -> f64 {
         let elapsed = now - self.success_times.oldest().unwrap_or(now);
         self.success_times.len() as f64 / seconds(elapsed.clamp(span / 60, span))
@@ -484,7 +488,7 @@
     span as f64 / SECOND as f64
 }
 
-/// A share of the call slots, at least one slot.
+/// A share of a number of call slots or of pending messages: rounded down, but at least one.
 pub(crate) fn slot_share(slots: usize, share: f64) -> usize {
     ((slots as f64 * share).floor() as usize).max(1)
 }
