--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -103,7 +103,8 @@
 /// Maximum number of concurrent calls to a scope with an unconfirmed outage; these calls show whether the
 /// scope is down. Larger values end a false alarm sooner, smaller ones waste fewer calls on an outage.
 const MAX_UNCONFIRMED_OUTAGE_CALLS: usize = 2;
-/// Baseline failure rate at or above which a newly detected outage is unconfirmed.
+/// Baseline failure rate at or above which a newly detected outage is at first unconfirmed: the failures may
+/// be noise.
 const NOISY_BASELINE_RATE: f64 = 0.15;
 /// Number of observed calls below which the baseline failure rate of a busy scope counts as unknown: the
 /// scope may be noisy, which means that many of its calls fail at random although it is not down.
@@ -281,9 +282,9 @@
             }
             Event::Accepted(message) => {
                 self.on_accepted(message);
-                // A destination counts as unknown if there is an endpoint list that does not contain it. The
-                // message is rejected at once. The client may retry, because a later list may contain the
-                // destination.
+                // A destination is unknown if endpoint lists have been received but none has named it, or if
+                // its last endpoint was removed more than a retention period ago. The message is rejected at
+                // once. The client may retry, because a later list may contain the destination.
                 let destination_unknown = !self.last_listed_at.is_empty()
                     && !self.last_listed_at.contains_key(&message.destination);
                 let is_rejected = destination_unknown || self.would_wait_too_long(message);
@@ -560,8 +561,9 @@
                     *score -= CONNECTION_REJECTION_WEIGHT * CONNECTION_REJECTION_THRESHOLD * *score;
                 }
             }
-            // A single class may fail or get no response where others succeed. A cancelled attempt counts as
-            // a failure if it had run for longer than the unresponsive limit.
+            // Health is also recorded for each class, because one class may fail or get no response at an
+            // endpoint where other classes succeed. A cancelled attempt counts as a failure if it was in
+            // flight for longer than the unresponsive limit.
             let record = endpoint.class_health.entry(class).or_default();
             if outcome == Outcome::Success {
                 (record.consecutive_failures, record.last_success_at) = (0, now);
@@ -715,7 +717,8 @@
                     ),
                 };
                 scope.apply_rate_advice(advice, recent_rate);
-                // With a finite rate limit, calls go on at that rate and show when the circuit closes again.
+                // An open circuit needs a finite rate limit: calls continue at this rate and show when the
+                // circuit closes again.
                 let needs_rate_limit =
                     circuit_open && !limit_known && scope.rate_limit.is_infinite();
                 if (advice == RateAdvice::Reduce && scope.reduce_window(sent_at, now))
@@ -929,12 +932,12 @@
         self.settle_scope_tokens(scope_id);
     }
 
-    /// Ejects healthy scopes with calls in flight that are older than the unresponsive limit and since which
-    /// the scope has sent no response. A single long call may be the only traffic of a scope, so one such
-    /// call ejects the scope only after twice the limit. Also cancels attempts that have waited too long for
-    /// a response or that later calls have overtaken, if cancellation is enabled; attempts of unsafe messages
-    /// are cancelled only if slots are scarce. All this keeps hung, unreachable or very slow destinations
-    /// from occupying the slots that calls to healthy ones need.
+    /// Ejects healthy scopes that have sent no response since a call in flight was sent, if this call is
+    /// older than the unresponsive limit. A single long call may be the only traffic of a scope, so a scope
+    /// with only one such call is ejected only after twice the limit. Also cancels attempts that have waited
+    /// too long for a response or that later calls have overtaken, if cancellation is enabled; attempts of
+    /// unsafe messages are cancelled only if slots are scarce. This keeps hung, unreachable or very slow
+    /// destinations from occupying the slots that calls to healthy ones need.
     fn detect_unresponsive_calls(&mut self, actions: &mut Vec<Action>) {
         for call in self.calls.values() {
             if let Some(scope) = self.scopes.get_mut(&call.scope) {
@@ -1273,10 +1276,11 @@
     }
 
     /// Whether a new message would be sent only after its latency objective, or after its deadline if it was
-    /// resubmitted or is already past the objective. Always false unless all health scopes of the destination
-    /// are healthy and have an announced limit. If such messages are rejected, the queues of the destination
-    /// stay short, and the client can use a sender with a shorter queue. The estimate ignores that the rate
-    /// limit may rise, so a message may be rejected that could have been sent in time.
+    /// resubmitted or is already past the objective. Always false for deferred messages, and unless all
+    /// health scopes of the destination are healthy and have an announced limit. If late messages are
+    /// rejected on arrival, the queues of the destination stay short, and the client can use a sender with a
+    /// shorter queue. The estimate ignores that the rate limit may rise, so a message may be rejected that
+    /// could have been sent in time.
     fn would_wait_too_long(&self, new: &NewMessage) -> bool {
         let Some(class) = self
             .settings
@@ -1503,9 +1507,9 @@
                     if now < until { until } else { Micros::MAX },
                 )
             }
-            // An unsafe message cannot be sent again, so it is not sent to a scope that may be about to fail.
-            // These are scopes with a call in flight that is older than the hedge delay and since which no
-            // response has arrived.
+            // An unsafe message cannot be sent again, so it is not sent to a scope that may be about to fail:
+            // a scope that has sent no response since a call in flight was sent, more than the hedge delay
+            // ago.
             Health::Healthy
                 if unsafe_class
                     && scope.unresponsive_age
@@ -1841,11 +1845,11 @@
     /// of senders.
     ///
     /// The recovery budget is `overload_multiple` times this sender's usual rate, which the destination has
-    /// served together with the usual rates of all other senders, or times its fair share of an announced
-    /// limit if that is larger. The amount by which the best rate exceeds the usual rate (at most the usual
-    /// rate once more) is added to the usual rate. Without an announced limit, this amount is first divided
-    /// by the square root of the number of senders, because the peaks of independent senders rarely coincide.
-    /// With an announced limit, load reports correct the rate.
+    /// served together with the usual rates of all other senders, or times the fair share if that is larger.
+    /// The amount by which the best rate exceeds the usual rate (at most the usual rate once more) is added
+    /// to the usual rate. Without an announced limit, this amount is first divided by the square root of the
+    /// number of senders, because the peaks of independent senders rarely coincide. With an announced limit,
+    /// it is not divided, because load reports correct the rate.
     ///
     /// So that rarely called scopes are not starved, probes are at most two slow starts apart.
     fn allowed_refill(&self, safety: &Safety, senders: f64, now: Micros) -> RefillRate {
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -113,8 +113,8 @@
         }
     }
 
-    /// The health scope of each serving endpoint of a destination; `None` where nothing is known of the scope
-    /// yet.
+    /// The health scope of each serving endpoint of a destination; `None` where the scope has no full state,
+    /// because it has not been used yet or is compacted.
     pub(crate) fn scopes_of(
         &self,
         destination: DestinationId,
@@ -144,7 +144,7 @@
         kind.map_or(1, |kind| kind.max_batch_size.max(1))
     }
 
-    /// Whether an endpoint is known to be in a zone.
+    /// Whether an endpoint is in a zone; false if either zone is unknown.
     pub(crate) fn is_in_zone(&self, endpoint: EndpointId, zone: Option<u16>) -> bool {
         zone.is_some() && zone == self.zone_of(endpoint)
     }
--- a/crates/policy/src/idle.rs
+++ b/crates/policy/src/idle.rs
@@ -9,8 +9,8 @@
 use std::ops::Bound;
 
 /// A scope is compacted this long after its last call: far beyond all spans for which individual latencies
-/// and successes matter. Shorter values save memory after a burst of calls, longer ones keep
-/// individual latencies and successes for longer.
+/// and successes matter. Shorter values save memory after a burst of calls, longer ones keep individual
+/// latencies and successes for longer.
 const IDLE_AFTER: Micros = 300 * SECOND;
 /// Scopes checked per turn. Two keep up with a list that grows by one endpoint per turn, and cost little in
 /// each turn.
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -126,7 +126,7 @@
 /// Times and limits of the delivery rules and of the destinations' behaviour.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Safety {
-    /// Time within which attempts at a draining endpoint end.
+    /// Time within which attempts at a draining endpoint end. No decision uses it at present.
     pub drain_grace: Micros,
     /// How long the slow start of a recovering destination takes.
     pub slow_start: Micros,
@@ -136,11 +136,12 @@
     pub overload_multiple: f64,
     /// How long a destination withstands overload before it collapses.
     pub overload_window: Micros,
-    /// How long after the deadline of a message a final response still counts.
+    /// How long after the deadline of a message a final response still counts. No decision uses it at
+    /// present.
     pub response_grace: Micros,
     /// How long an ordering key is blocked after an attempt that may still run.
     pub ordered_key_backoff: Micros,
-    /// How often a sender without a subscription must poll the endpoint list.
+    /// How often a sender without a subscription must poll the endpoint list. No decision uses it at present.
     pub list_poll_interval: Micros,
 }
 
@@ -171,7 +172,8 @@
     pub gossip_enabled: bool,
     /// Time after which idle connections are closed by the host or the endpoint; 0 if unknown.
     pub idle_connection_timeout: Micros,
-    /// Longest retry-after delay that clients respect; 0 if rejections advise none.
+    /// Longest retry-after delay that clients respect; 0 if rejections advise no delay. The sender advises
+    /// half of this time.
     pub max_client_retry_after: Micros,
     /// The endpoint list must be requested by a subscription.
     pub list_requires_subscription: bool,
@@ -182,14 +184,14 @@
     pub report_remaining_index: Option<usize>,
     /// Index of the limit, in calls per second, in a load report; `None` if reports do not contain it.
     pub report_limit_index: Option<usize>,
-    /// Price of a call to another zone, relative to a first attempt.
+    /// Price of a call to another zone, relative to a first attempt. No decision uses it at present.
     pub price_cross_zone: f64,
-    /// Price of a probe, relative to a first attempt.
+    /// Price of a probe, relative to a first attempt. No decision uses it at present.
     pub price_probe: f64,
     /// Price of work that a destination does without any effect, relative to the same amount of requested
-    /// work.
+    /// work. No decision uses it at present.
     pub price_waste: f64,
-    /// Price of a message that a separate route accepts, by zone.
+    /// Price of a message that a separate route accepts, by zone. No decision uses it at present.
     pub zone_fees: Vec<f64>,
     /// Factor by which the priority weight of messages beyond their tenant's allowance is multiplied.
     pub over_share_weight: f64,
@@ -441,7 +443,8 @@
     pub tenant: Option<usize>,
     /// The client has submitted the message before.
     pub resubmitted: bool,
-    /// The message was submitted before to a sender that is no longer running.
+    /// The message was submitted before to a sender that is no longer running. No decision uses it at
+    /// present.
     pub from_lost_sender: bool,
     /// The message was redriven from the dead-letter store; it is sent after all messages that are not
     /// deferred.
@@ -590,7 +593,8 @@
         /// run.
         ambiguous: bool,
     },
-    /// The response to an attempt has started to arrive, and is passed on to the client.
+    /// The response to an attempt has started to arrive, and is passed on to the client. The sender ignores
+    /// this event at present.
     ResponseStarted {
         /// The message of the attempt.
         message: MessageId,
@@ -599,7 +603,7 @@
     },
     /// The message is no longer wanted; its attempts are cancelled.
     MessageCancelled(MessageId),
-    /// A probe has ended.
+    /// A probe has ended. The sender ignores this event at present.
     Probed {
         /// The probed endpoint.
         endpoint: EndpointId,
@@ -608,7 +612,7 @@
         /// Load report of the response; empty if there is none.
         report: Vec<f64>,
     },
-    /// Gossip from another sender has arrived.
+    /// Gossip from another sender has arrived. The sender ignores this event at present.
     GossipReceived {
         /// Number of the other sender.
         from: u32,
@@ -646,7 +650,8 @@
         /// Retry-after delay that the client is advised to observe; `None` if none is advised.
         retry_after: Option<Micros>,
     },
-    /// Ends a message as failed.
+    /// Ends a message as failed. An attempt may have run, and a repeated delivery could be harmful, so the
+    /// client is not invited to retry.
     Fail(MessageId),
     /// Requests an [`Event::Alarm`] at this time.
     SetAlarm(Micros),
--- a/crates/policy/src/outage_evidence.rs
+++ b/crates/policy/src/outage_evidence.rs
@@ -35,8 +35,9 @@
 pub struct OutageEvidence {
     /// Maximum number of calls that the baseline remembers.
     max_calls: f64,
-    /// Remembered failures and calls of the baseline.
+    /// Failures that the baseline remembers.
     failures: f64,
+    /// Calls that the baseline remembers, including the failures.
     calls: f64,
     /// Failures since the last success. They are noise, and join the baseline, only if a success follows.
     pending_failures: f64,
--- a/crates/policy/src/rejection_correlation.rs
+++ b/crates/policy/src/rejection_correlation.rs
@@ -269,7 +269,9 @@
             return RateAdvice::Restore(probe.rate_limit_before);
         }
         if probe.log_likelihood_ratio <= -PROBE_DECISION_THRESHOLD || now > probe.ends_at {
-            // Rejections at half the rate limit belong to the baseline; the rest came from the limit.
+            // From now on, a limit is assumed, and rejections measured at half the rate limit are the
+            // baseline. If the limit turns out not to exist, `evidence_before` is restored. It therefore
+            // includes the rejection rate before the rate limit was halved.
             (self.evidence_before, self.rate_limit_before) =
                 (self.evidence.clone(), probe.rate_limit_before);
             self.evidence_before
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -2,8 +2,9 @@
 //! may be sent, and in which order, is decided in `decide.rs`.
 //!
 //! A message that may be sent now waits in a *queue* with other messages that pass the same checks; one that
-//! may be sent later joins its queue at that time. A queue is blocked while no endpoint admits a call for it:
-//! until the state of its destination changes, or until the time that the check determined.
+//! may be sent later joins its queue at that time. If a check of a queue finds no endpoint that admits a
+//! call, the queue is blocked. It is checked again when the state of its destination changes, or at the time
+//! that the check has determined.
 
 use crate::interface::{DestinationId, EndpointId, MILLISECOND, MessageId, Micros};
 use std::cmp::Ordering;
@@ -20,11 +21,13 @@
     pub class: usize,
     /// The messages have an attempt in flight, so the next one is a hedged request.
     pub is_hedge: bool,
-    /// The messages come after all that are not deferred.
+    /// The messages are sent after all messages that are not deferred.
     pub deferred: bool,
-    /// The messages were accepted before a restart and never attempted; they come before all others.
+    /// The messages were accepted before a restart and have never been attempted; they are sent before all
+    /// others.
     pub awaits_first_attempt: bool,
-    /// Bits of the priority weight, which is zero or more: the bits of such numbers sort like the numbers.
+    /// Bits of the priority weight. The weight is zero or more, so the bits have the same order as the
+    /// numbers.
     pub priority_weight_bits: u64,
     /// The only zone to which an attempt may go; `None` if all zones are allowed. The inner `None` stands for
     /// the unknown zone of a removed endpoint.
@@ -57,8 +60,8 @@
     pub shedding_order: SheddingOrder,
 }
 
-/// Whether a message is not deferred, the bits of its priority weight, its time of acceptance, and its id.
-/// Messages are shed in ascending order.
+/// Sort key for shedding: whether a message is not deferred, the bits of its priority weight, its time of
+/// acceptance, and its id. The message with the smallest key is shed first.
 pub(crate) type SheddingOrder = (bool, u64, Micros, MessageId);
 
 /// Phase of a message's urgency by its age; sets the order within a queue.
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -67,7 +67,8 @@
     pub(crate) scheduler: SendScheduler,
     /// Calls in flight at slow or ejected scopes, counted again in each turn.
     pub(crate) degraded_calls: usize,
-    /// False after [`Sender::without_incremental_scheduling`].
+    /// Whether turns update only the changed part of the schedule; false after
+    /// [`Sender::without_incremental_scheduling`].
     pub(crate) incremental_scheduling: bool,
 }
 
