--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -86,8 +86,8 @@
 /// this multiple of the fair share. Larger values follow demand sooner, smaller ones let fewer simultaneous
 /// bursts of all senders through.
 const APPLICATION_LIMITED_FAIR_SHARES: f64 = 1.1;
-/// Capacity of the rate limit's token bucket: the tokens that are added in this many seconds, but at least
-/// one. Longer bursts send queued messages faster, shorter ones cause fewer rejections.
+/// Capacity of the token bucket of the rate limit: the tokens that are added in this many seconds, but at
+/// least one. Longer bursts send queued messages faster, shorter ones cause fewer rejections.
 const BURST_SECONDS: f64 = 0.3;
 /// Additional tokens that may be saved for random bursts of messages, in standard deviations of the number of
 /// messages that arrive in one second. The bursts of independent senders rarely coincide, so that they hardly
@@ -193,14 +193,16 @@
 /// Safety margin before a deadline, and before the end of a deduplication window: no attempt starts within
 /// it.
 pub(crate) const DEADLINE_MARGIN: Micros = 30 * MILLISECOND;
-/// Share of the capacity for pending messages above which messages of unavailable destinations are shed.
+/// Share of the capacity for pending messages (`max_pending`) above which messages are shed if their
+/// destination has no healthy scope.
 const SHEDDING_THRESHOLD: f64 = 0.85;
-/// Initial backoff of a failed subscription to the endpoint list.
+/// Average wait between the first failed subscription to the endpoint list and the next attempt. It doubles
+/// with each further failure.
 pub(crate) const INITIAL_LIST_BACKOFF: Micros = 300 * MILLISECOND;
-/// Longest backoff of a failed subscription to the endpoint list.
+/// Upper bound of the average wait after a failed subscription to the endpoint list.
 const MAX_LIST_BACKOFF: Micros = 4 * SECOND;
-/// Largest announced limit, in calls per second, that is accepted from a load report; reports with a larger
-/// one are ignored.
+/// Largest announced limit, in calls per second, that is accepted. Load reports with a larger limit are
+/// ignored.
 const MAX_ANNOUNCED_LIMIT: f64 = 1e5;
 /// Capacity of a tenant's token bucket: the tokens that are added in this many seconds, but at least one.
 const TENANT_BURST_SECONDS: f64 = 2.0;
--- a/crates/policy/src/outage_evidence.rs
+++ b/crates/policy/src/outage_evidence.rs
@@ -2,10 +2,10 @@
 //! the baseline failure rate). This module uses neither clock nor I/O.
 //!
 //! This is a sequential test (Page's CUSUM of log-likelihood ratios, E. S. Page, Continuous Inspection
-//! Schemes, Biometrika 41, 1954). Each call adds the log-likelihood ratio of its result under an
-//! outage against the baseline: positive for a failure, negative for a success. The sum does not fall below
-//! zero. False alarms then occur less often than once in exp(threshold) calls, whatever the baseline failure
-//! rate is.
+//! Schemes, Biometrika 41, 1954). Each call adds the log-likelihood ratio of its result under an outage
+//! against the baseline: positive for a failure, negative for a success. The sum does not fall below zero.
+//! False alarms then occur less often than once in exp(threshold) calls, whatever the baseline failure rate
+//! is.
 
 /// Failures in the prior of the baseline failure rate, out of [`PRIOR_CALLS`] calls. The prior is weak, so
 /// that about a dozen calls outweigh it. A higher prior rate detects the first outage of an unknown scope
@@ -20,7 +20,7 @@
 /// Upper bound of [`OutageEvidence::baseline_rate`]: a higher rate would be close to that of an outage, in
 /// which at least half of the calls fail.
 pub const MAX_BASELINE_RATE: f64 = 0.4;
-/// Smallest failure rate during an outage: half of all calls or more fail.
+/// Smallest failure rate that counts as an outage: at least half of all calls fail.
 const MIN_OUTAGE_FAILURE_RATE: f64 = 0.5;
 /// Assumed failure rate of a scope in a total outage, in which it answers no call.
 const TOTAL_OUTAGE_FAILURE_RATE: f64 = 0.98;
--- a/crates/policy/src/rejection_correlation.rs
+++ b/crates/policy/src/rejection_correlation.rs
@@ -58,7 +58,8 @@
     Reduce,
     /// Halve the rate limit for a while, to measure whether rejections follow the load.
     HalveForProbe,
-    /// Rejections did not follow the load: set the rate limit to this value, which it had before.
+    /// Rejections did not follow the load: set the rate limit back to this value, in calls per second;
+    /// infinite removes the rate limit.
     Restore(f64),
 }
 
