--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -35,8 +35,8 @@
 /// Upper bound of the concurrency window of a health scope, and of the calls in flight to all scopes of a
 /// destination together, as a share of the call slots.
 const MAX_WINDOW_SHARE: f64 = 0.75;
-/// Upper bound of the concurrency window of an ejected scope, and of the calls in flight to all slow and
-/// ejected scopes together, as a share of the call slots.
+/// Upper bound to which an ejection reduces the concurrency window of the scope, and upper bound of the calls
+/// in flight to all slow and ejected scopes together, as a share of the call slots.
 const MAX_DEGRADED_SHARE: f64 = 0.5;
 /// Share of the call slots that hedged requests may use. Larger values hedge more slow messages, smaller ones
 /// leave more slots to first attempts.
@@ -63,9 +63,9 @@
 /// share. Larger values retry sooner, smaller ones put less load on a destination that hundreds of senders
 /// share.
 const MIN_RATE_AFTER_FIRST_REJECTION: f64 = 0.35;
-/// Lower bound, in calls per second, of the sum of the rate limits of all senders after a reduction. During a
-/// rate probe, it is the lower bound of this sender's rate limit alone. Larger values retry sooner, smaller
-/// ones put less load on a destination that hundreds of senders share.
+/// Lower bound, in calls per second, of the sum of the rate limits of all senders after a reduction, if no
+/// limit is announced. During a rate probe, it is the lower bound of this sender's rate limit alone. Larger
+/// values retry sooner, smaller ones put less load on a destination that hundreds of senders share.
 const MIN_FLEET_RATE: f64 = 1.5;
 /// Initial rate limit of a new health scope, in calls per second, if load reports contain a limit
 /// (`report_limit_index`) and this is the only sender. With several senders, this rate is divided by the
