--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -12,8 +12,8 @@
 /// One millisecond in microseconds.
 pub const MILLISECOND: Micros = 1_000;
 
-/// Number that the host gives a message. The host may use the number again after the message has ended only
-/// if the same message is redriven.
+/// Number that the host gives a message. The host may reuse the number of an ended message only to redrive
+/// the same message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MessageId(pub u64);
 
@@ -27,13 +27,14 @@
 /// What happens if the same message is delivered more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Effect {
-    /// Nothing: the message may be sent any number of times.
+    /// A repeated delivery is harmless: the message may be sent any number of times.
     Repeatable,
     /// The destination drops repeats within `window`, counted from the first attempt that may have run.
     Keyed {
         /// The deduplication window: how long the destination remembers the idempotency key.
         window: Micros,
-        /// Endpoints know only the keys that endpoints of their own zone have received.
+        /// Whether an endpoint knows only the idempotency keys that endpoints of its own zone have received.
+        /// If false, all endpoints of the destination know all keys.
         zone_only: bool,
     },
     /// A repeated delivery is harmful: the destination must never process the message twice.
@@ -48,13 +49,13 @@
     pub name: String,
     /// What happens if a message of the class is delivered more than once.
     pub effect: Effect,
-    /// Age up to which a delivery has its full value, in microseconds.
+    /// Age of a message up to which its delivery has its full value, in microseconds.
     pub latency_objective: Micros,
     /// Age at which a message expires, in microseconds.
     pub deadline: Micros,
     /// Value of one message relative to messages of other classes; zero or more.
     pub priority_weight: f64,
-    /// Share of the value that is left at the deadline.
+    /// Smallest share of its full value that a late delivery still has; 0 for none.
     pub late_value_share: f64,
     /// Messages with the same ordering key are sent one at a time, in order.
     pub ordered: bool,
@@ -125,21 +126,22 @@
 /// Times and limits of the delivery rules and of the destinations' behaviour.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Safety {
-    /// Attempts at a draining endpoint end within this time.
+    /// Time within which attempts at a draining endpoint end. No decision uses it at present.
     pub drain_grace: Micros,
     /// How long the slow start of a recovering destination takes.
     pub slow_start: Micros,
     /// Share of its capacity with which a recovering destination starts.
     pub initial_capacity: f64,
-    /// A destination collapses if it gets more than this multiple of its capacity for an overload window.
+    /// A destination collapses if its load exceeds this multiple of its capacity for an overload window.
     pub overload_multiple: f64,
     /// How long a destination withstands overload before it collapses.
     pub overload_window: Micros,
-    /// A final response still counts this long after the deadline.
+    /// How long after the deadline of a message a final response still counts. No decision uses it at
+    /// present.
     pub response_grace: Micros,
     /// How long an ordering key is blocked after an attempt that may still run.
     pub ordered_key_backoff: Micros,
-    /// How often a sender without a subscription must poll the endpoint list.
+    /// How often a sender without a subscription must poll the endpoint list. No decision uses it at present.
     pub list_poll_interval: Micros,
 }
 
@@ -156,9 +158,9 @@
     pub max_pending: usize,
     /// Maximum number of attempts for one message; at least one.
     pub max_attempts: usize,
-    /// A second attempt of a message may start while the first is in flight.
+    /// Whether another attempt of a message may start while an earlier one is in flight.
     pub hedging_enabled: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts in flight may be cancelled.
     pub cancellation_enabled: bool,
     /// The host reports the end of messages to clients by notifications, which may arrive later than the
     /// decision. If false, clients are assumed to learn of an end immediately.
@@ -170,24 +172,26 @@
     pub gossip_enabled: bool,
     /// Time after which idle connections are closed by the host or the endpoint; 0 if unknown.
     pub idle_connection_timeout: Micros,
-    /// Longest retry-after delay that clients respect; 0 if rejections advise none.
+    /// Longest retry-after delay that clients respect; 0 if rejections advise no delay. The sender advises
+    /// half of this time.
     pub max_client_retry_after: Micros,
     /// The endpoint list must be requested by a subscription.
     pub list_requires_subscription: bool,
-    /// How exactly the list states each destination's rate: 0 not at all, 1 exactly, 0.5 with an error of up
-    /// to half.
+    /// How accurate the rates in the endpoint list are: 0 if the list contains no rates, 1 if they are exact,
+    /// 0.5 if they may be wrong by half. The sender multiplies each rate of the list by this value.
     pub weight_trust: f64,
     /// Index of the remaining share of the limit in a load report; `None` if reports do not contain it.
     pub report_remaining_index: Option<usize>,
     /// Index of the limit, in calls per second, in a load report; `None` if reports do not contain it.
     pub report_limit_index: Option<usize>,
-    /// Price of a call to another zone, relative to a first attempt.
+    /// Price of a call to another zone, relative to a first attempt. No decision uses it at present.
     pub price_cross_zone: f64,
-    /// Price of a probe, relative to a first attempt.
+    /// Price of a probe, relative to a first attempt. No decision uses it at present.
     pub price_probe: f64,
-    /// Price of work that destinations do without effect, relative to the work requested.
+    /// Price of work that a destination does without any effect, relative to the same amount of requested
+    /// work. No decision uses it at present.
     pub price_waste: f64,
-    /// Price of a message that a separate route accepts, by zone.
+    /// Price of a message that a separate route accepts, by zone. No decision uses it at present.
     pub zone_fees: Vec<f64>,
     /// Factor by which the priority weight of messages beyond their tenant's allowance is multiplied.
     pub over_share_weight: f64,
@@ -425,7 +429,7 @@
 /// A message that the host has accepted for delivery.
 #[derive(Debug, Clone, PartialEq)]
 pub struct NewMessage {
-    /// Number of the message.
+    /// Number of the message; no pending message has the same one.
     pub id: MessageId,
     /// Position of its class in the settings; an unknown class is treated as unsafe.
     pub class: usize,
@@ -439,7 +443,8 @@
     pub tenant: Option<usize>,
     /// The client has submitted the message before.
     pub resubmitted: bool,
-    /// The message was submitted before to a sender that is no longer running.
+    /// The message was submitted before to a sender that is no longer running. No decision uses it at
+    /// present.
     pub from_lost_sender: bool,
     /// The message was redriven from the dead-letter store; it is sent after all messages that are not
     /// deferred.
@@ -550,7 +555,7 @@
         /// When the process ends.
         ends_at: Micros,
     },
-    /// A response that rejected no message demanded a retry-after delay.
+    /// A response that was not a rejection demanded a retry-after delay.
     RetryAfter {
         /// The endpoint that demanded the delay.
         endpoint: EndpointId,
@@ -564,7 +569,7 @@
         message: MessageId,
         /// The ordering key of the message.
         key: u64,
-        /// The notification has been acknowledged. If false, the notification is pending since before a
+        /// Whether the notification has been acknowledged. If false, it has been pending since before a
         /// restart.
         acknowledged: bool,
     },
@@ -588,7 +593,8 @@
         /// run.
         ambiguous: bool,
     },
-    /// The response to an attempt has started to arrive, and is passed on to the client.
+    /// The response to an attempt has started to arrive, and is passed on to the client. The sender ignores
+    /// this event at present.
     ResponseStarted {
         /// The message of the attempt.
         message: MessageId,
@@ -597,7 +603,7 @@
     },
     /// The message is no longer wanted; its attempts are cancelled.
     MessageCancelled(MessageId),
-    /// A probe has ended.
+    /// A probe has ended. The sender ignores this event at present.
     Probed {
         /// The probed endpoint.
         endpoint: EndpointId,
@@ -606,7 +612,7 @@
         /// Load report of the response; empty if there is none.
         report: Vec<f64>,
     },
-    /// Gossip from another sender has arrived.
+    /// Gossip from another sender has arrived. The sender ignores this event at present.
     GossipReceived {
         /// Number of the other sender.
         from: u32,
@@ -644,7 +650,8 @@
         /// Retry-after delay that the client is advised to observe; `None` if none is advised.
         retry_after: Option<Micros>,
     },
-    /// Ends a message as failed.
+    /// Ends a message as failed. An attempt may have run, and a repeated delivery could be harmful, so the
+    /// client is not invited to retry.
     Fail(MessageId),
     /// Requests an [`Event::Alarm`] at this time.
     SetAlarm(Micros),
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -2,8 +2,9 @@
 //! may be sent, and in which order, is decided in `decide.rs`.
 //!
 //! A message that may be sent now waits in a *queue* with other messages that pass the same checks; one that
-//! may be sent later joins its queue at that time. A queue is blocked while no endpoint admits a call for it:
-//! until the state of its destination changes, or until the time that the check determined.
+//! may be sent later joins its queue at that time. If a check of a queue finds no endpoint that admits a
+//! call, the queue is blocked. It is checked again when the state of its destination changes, or at the time
+//! that the check has determined.
 
 use crate::interface::{DestinationId, EndpointId, MILLISECOND, MessageId, Micros};
 use std::cmp::Ordering;
@@ -20,14 +21,16 @@
     pub class: usize,
     /// The messages have an attempt in flight, so the next one is a hedged request.
     pub is_hedge: bool,
-    /// The messages come after all that are not deferred.
+    /// The messages are sent after all messages that are not deferred.
     pub deferred: bool,
-    /// The messages were accepted before a restart and never attempted; they come before all others.
+    /// The messages were accepted before a restart and have never been attempted; they are sent before all
+    /// others.
     pub awaits_first_attempt: bool,
-    /// Bits of the priority weight, which is zero or more: the bits of such numbers sort like the numbers.
+    /// Bits of the priority weight. The weight is zero or more, so the bits have the same order as the
+    /// numbers.
     pub priority_weight_bits: u64,
-    /// The only zone to which an attempt may go, if there is one. The inner `None` is the zone of a removed
-    /// endpoint.
+    /// The only zone to which an attempt may go; `None` if all zones are allowed. The inner `None` stands for
+    /// the unknown zone of a removed endpoint.
     pub required_zone: Option<Option<u16>>,
 }
 
@@ -57,8 +60,8 @@
     pub shedding_order: SheddingOrder,
 }
 
-/// Whether a message is not deferred, the bits of its priority weight, its time of acceptance, and its id.
-/// Messages are shed in ascending order.
+/// Sort key for shedding: whether a message is not deferred, the bits of its priority weight, its time of
+/// acceptance, and its id. The message with the smallest key is shed first.
 pub(crate) type SheddingOrder = (bool, u64, Micros, MessageId);
 
 /// Phase of a message's urgency by its age; sets the order within a queue.
@@ -66,7 +69,8 @@
 pub(crate) enum UrgencyPhase {
     /// Up to `OLDEST_FIRST_SHARE` of the latency objective: the oldest message comes first.
     WithinObjective,
-    /// From there to the latency objective, with full value: the oldest message comes first.
+    /// Above `OLDEST_FIRST_SHARE`, but still within the latency objective, so that the delivery has its full
+    /// value: the oldest message comes first.
     FullValue,
     /// The value decays: the youngest message comes first.
     Decaying,
@@ -112,7 +116,7 @@
     blocked_queues: BTreeMap<QueueKey, BlockedUntil>,
     /// Times at which blocked queues must be checked again.
     wake_times: BTreeSet<(Micros, QueueKey)>,
-    /// Blocked queues that must be checked when the degraded load falls.
+    /// Blocked queues that must be checked when fewer calls are in flight at slow and ejected scopes.
     blocked_by_degraded_load: BTreeSet<QueueKey>,
     /// Work done so far, in messages, queues and calls handled: a measure of cost that needs no clock.
     pub work_steps: u64,
@@ -296,8 +300,8 @@
             .collect()
     }
 
-    /// Marks the queues that are due to be checked and, if `degraded_slots_free`, those blocked by degraded
-    /// load.
+    /// Marks to be checked: the blocked queues whose wake time has come and, if `degraded_slots_free`, the
+    /// queues that were blocked because slow and ejected scopes used all the slots that they may use.
     pub(crate) fn activate_due(&mut self, now: Micros, degraded_slots_free: bool) {
         let mut due_queues: Vec<QueueKey> = self
             .wake_times
@@ -347,7 +351,8 @@
     }
 }
 
-/// The most urgent message of a queue that the current pass has not returned yet.
+/// A message that may be sent now, with the values that set its place in the order of sending. A
+/// [`DispatchPass`] holds at most one per queue: the most urgent message that the pass has not returned yet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct QueueHead {
     pub urgency: f64,
@@ -476,8 +481,8 @@
     }
 }
 
-/// The earliest time from `low` on at which `holds` is true, by binary search; `high` if there is none.
-/// `holds` must stay true once it is.
+/// Binary search for the earliest time from `low` on at which `holds` is true; `high` if there is none before
+/// it. If `holds` is true for one time, it must be true for all later times.
 fn first_accepted_where(
     mut low: Micros,
     mut high: Micros,
@@ -511,8 +516,8 @@
         Some(head)
     }
 
-    /// Adds the next message of a queue, unless one of its messages is waiting in the pass already. Skips
-    /// messages that are to be sent before `after`.
+    /// Adds the next message of a queue, unless the pass already contains a message of this queue. If `after`
+    /// is given, messages that come before it in the order of sending are skipped.
     pub(crate) fn push(
         &mut self,
         scheduler: &SendScheduler,
