--- a/crates/coordination-protocol/src/client.rs
+++ b/crates/coordination-protocol/src/client.rs
@@ -91,7 +91,8 @@
         /// The parser's error.
         source: serde_json::Error,
     },
-    /// The response has the number of another call of the connection, or none on a reused connection.
+    /// The response has the number of another call of the connection, or has no number although the connection was
+    /// reused.
     #[error(
         "expected the response to call {expected} of the connection, got call number {found:?}"
     )]
@@ -117,8 +118,8 @@
         }
     }
 
-    /// Sets the value of [`ORIGIN_HEADER`], the identifier of the group's initial state. Coordinators reject each
-    /// other's calls without it; other clients send an empty value.
+    /// Sets the value of [`ORIGIN_HEADER`], the identifier of the group's initial state. Coordinators reject
+    /// consensus calls without it. Clients that make no consensus calls need no origin and send an empty value.
     #[must_use]
     pub fn with_origin(self, origin: impl Into<String>) -> Self {
         Self {
--- a/crates/coordination-protocol/src/lib.rs
+++ b/crates/coordination-protocol/src/lib.rs
@@ -1,8 +1,8 @@
 //! The protocol of the coordination service: JSON over HTTP/1.1, one call at a time on a connection.
 //!
 //! Members, session proxies, coordinators and operators use the protocol. Each call names its group and the version of
-//! the protocol, and a server rejects a call for another group or of another version. That protects only against
-//! mixing up two groups by mistake: there is no authentication, so the addresses have to be private.
+//! the protocol, and a server rejects a call for another group or of another version. The check protects
+//! only against mixing up two groups by mistake: there is no authentication, so the addresses have to be private.
 //!
 //! - [`messages`]: requests, responses, paths, headers and bounds.
 //! - [`client`]: the client, with one connection to one server.
--- a/crates/coordination-protocol/src/messages.rs
+++ b/crates/coordination-protocol/src/messages.rs
@@ -17,7 +17,8 @@
 /// Request header with the name of the group that the call is meant for.
 pub const GROUP_HEADER: &str = "milletturn-group";
 /// Request header between coordinators with the identifier of the initial state of the caller's group. Coordinators
-/// that started from different states would get different results from the same commands, so such calls are rejected.
+/// that started from different states would get different results from the same commands, so a coordinator rejects
+/// consensus calls with an identifier other than its own.
 pub const ORIGIN_HEADER: &str = "milletturn-origin";
 /// Header with the number of a call on its connection, from 1 on, which the response repeats. HTTP/1.1 matches
 /// responses to requests by order alone, so without the number a duplicate of an earlier response would be taken for
@@ -82,7 +83,7 @@
 pub struct HeartbeatRequest {
     /// The session whose lease is to be renewed.
     pub session: SessionId,
-    /// Whether the lease has already expired by the holder's own clock, because no response reached the holder in time.
+    /// Whether the lease has already expired by the holder's own clock, because no response reached the holder before.
     #[serde(rename = "run_out")]
     pub holder_expired: bool,
 }
@@ -101,7 +102,7 @@
 /// A session proxy's batch of at most [`MAX_BATCH_LEN`](bounds::MAX_BATCH_LEN) heartbeats.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HeartbeatBatchRequest {
-    /// Each session once, and whether its lease had expired by the holder's own clock at the last heartbeat.
+    /// Each session once, and whether its lease had expired by the holder's own clock when the heartbeat was sent.
     #[serde(rename = "renewals")]
     pub heartbeats: Vec<(SessionId, bool)>,
 }
@@ -156,22 +157,22 @@
     /// Connections rejected because `max_connections` were open.
     #[serde(rename = "turned_away")]
     pub rejected_connections: u64,
-    /// Heartbeats that members have sent.
+    /// Heartbeats received from members, without those rejected because the queue was full.
     #[serde(rename = "renewals")]
     pub heartbeats: u64,
-    /// Calls to the coordinators that carried those heartbeats.
+    /// Batches of heartbeats that were sent to the coordinators.
     #[serde(rename = "batches")]
     pub heartbeat_batches: u64,
-    /// Heartbeat batches that no coordinator answered in time.
+    /// Heartbeat batches that no coordinator answered within the time limit of the call.
     #[serde(rename = "unanswered")]
     pub unanswered_heartbeat_batches: u64,
-    /// Requests to open a session, and commands, that members have sent.
+    /// Commands and requests to open a session that were received from members, without those that could not be queued.
     #[serde(rename = "writes")]
     pub commands: u64,
-    /// Calls to the coordinators that carried those requests and commands.
+    /// Batches of commands and requests to open a session that were sent to the coordinators.
     #[serde(rename = "write_batches")]
     pub command_batches: u64,
-    /// Command batches that no coordinator answered in time.
+    /// Command batches that no coordinator answered within the time limit of the call.
     #[serde(rename = "writes_unanswered")]
     pub unanswered_command_batches: u64,
     /// Heartbeats whose members wait for a response now.
@@ -244,7 +245,7 @@
     /// The human-readable reason for the error.
     #[serde(rename = "why")]
     pub message: String,
-    /// The number of the leading coordinator, if the call went to another one that knows it.
+    /// The number of the leading coordinator, if the responding coordinator does not lead and knows which one does.
     pub leader: Option<u64>,
     /// Whether the call may have been executed despite the error.
     pub may_have_happened: bool,
--- a/crates/coordination-protocol/src/server.rs
+++ b/crates/coordination-protocol/src/server.rs
@@ -28,7 +28,7 @@
 const IDLE_TIMEOUT: Duration = Duration::from_secs(300);
 /// Time limit for receiving the body of a call.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Wait after a failure to accept a connection, as when file descriptors run out.
+/// Wait after a failure to accept a connection, for example because file descriptors have run out.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 /// The bytes beyond a body's size limit are read and discarded, up to this multiple of the limit. Closing a connection
 /// with unread bytes would reset it, and the client might not receive the error response.
@@ -153,7 +153,7 @@
     }
 
     /// Serves connections until the future is dropped, which closes them. A connection beyond the limit is closed on
-    /// arrival, so that the member tries another server. Has to run on a `LocalSet`.
+    /// arrival, so that the client can try another server. Has to run on a `LocalSet`.
     pub async fn serve(self, listener: TcpListener) {
         let Self {
             name,
--- a/crates/coordination-protocol/src/shard_map.rs
+++ b/crates/coordination-protocol/src/shard_map.rs
@@ -3,8 +3,9 @@
 //! There is one call, [`SHARD_MAP_PATH`], whose body is a [`SyncRequest`] and whose response is a list of [`Update`].
 //! Nothing is pushed, so an unresponsive replica does not delay the others. Each replica polls four times within the
 //! time in which a change has to arrive. A change that passes through one intermediate replica takes at most two polls,
-//! and so reaches the senders within half of that time.
-//! The digests that replicas compare are those of anti-entropy protocols (Dynamo; `DeCandia` and others, 2007).
+//! and so reaches the senders within half of this time.
+//!
+//! Replicas find differences by comparing digests, as anti-entropy protocols do (Dynamo; `DeCandia` and others, 2007).
 
 use crate::client::{Client, ClientError};
 use crate::server::{CallError, Handler, HandlerResult, read_json, to_json};
@@ -22,11 +23,11 @@
 pub const SHARD_MAP_PATH: &str = "/v1/catalog";
 
 /// Largest accepted body of a request: 160 bytes for each shard, whose version takes at most 131 bytes of JSON, and 512
-/// bytes for the rest.
+/// bytes for the JSON around them.
 pub const MAX_SYNC_REQUEST_BYTES: usize = limits::MAX_REQUEST_SHARDS * 160 + 512;
 
-/// Limit on the requests of one round. An empty replica asks for 65,536 shards in 128 requests, in addition to the
-/// requests for spans and to one for each shard whose update leaves a gap.
+/// Limit on the requests of one round. An empty replica asks for 65,536 shards in 128 requests. Further requests
+/// compare the digests of spans of shards, and one is sent for each shard whose update leaves a gap.
 const MAX_ROUND_REQUESTS: usize = 1_024;
 
 /// A source or a replica of the shard map, from which other replicas get updates.
@@ -125,8 +126,9 @@
     Unfinished(usize),
 }
 
-/// Runs one round of synchronization: sends the replica's requests, and those to which the updates lead, until none is
-/// left. Shards that a response left out because of its size are requested in the next round.
+/// Runs one round of synchronization: sends the replica's requests, and the further requests to which the updates in
+/// the responses lead, until none is left. Shards that a response left out because of its size are requested in the
+/// next round.
 ///
 /// # Errors
 /// If a call failed or was rejected, or requests were left when `time_limit` or the limit on their number was reached.
--- a/crates/coordination/src/batching.rs
+++ b/crates/coordination/src/batching.rs
@@ -1,9 +1,13 @@
-//! Code that the two batchers of a session proxy share: at most one batch in flight, and the error for a full queue.
+//! Code that the two batchers of a session proxy share: the slot for the single batch in flight, and the error for a
+//! request that can't be queued.
 
 use crate::bounds;
 
-/// This session proxy has reached its limit of waiting callers, and another proxy may still accept the request; or the
-/// request alone is longer than [`MAX_BATCH_BYTES`](bounds::MAX_BATCH_BYTES).
+/// The request was not queued.
+///
+/// Either [`MAX_PROXY_WAITERS`](bounds::MAX_PROXY_WAITERS) requests already wait at this session proxy, and another one
+/// may still accept the request. Or the request alone is longer than [`MAX_BATCH_BYTES`](bounds::MAX_BATCH_BYTES), and
+/// every proxy rejects it.
 #[derive(thiserror::Error)]
 #[error(
     "{} calls wait here and no more can: another relay may have room",
@@ -58,7 +62,8 @@
         self.batch.as_mut().map(|batch| &mut batch.waiters)
     }
 
-    /// Frees the slot and returns the waiting callers, if the batch with this number is in flight.
+    /// Frees the slot and returns the waiting callers, if the batch with this number is in flight. Otherwise changes
+    /// nothing and returns `None`.
     pub(crate) fn finish(&mut self, number: u64) -> Option<W> {
         let batch = self.batch.take_if(|batch| batch.number == number)?;
         Some(batch.waiters)
--- a/crates/coordination/src/bounds.rs
+++ b/crates/coordination/src/bounds.rs
@@ -8,18 +8,20 @@
 /// the number.
 pub const MAX_SESSIONS: usize = 32_768;
 /// Maximum number of members that send heartbeats to a coordinator directly; larger fleets use session proxies. Each
-/// member costs a connection, and each heartbeat a round trip to a quorum: 600 per second take a third of a core.
+/// member takes up a connection, and each heartbeat needs a round trip to a quorum. 600 heartbeats per second take a
+/// third of a core.
 pub const MAX_DIRECT_MEMBERS: usize = 1_024;
 /// Maximum number of heartbeats that wait at one session proxy, and of commands in its queue. Each waiting heartbeat
 /// holds a connection. With 16,000 members and 19 proxies, each proxy serves 842 members while all proxies are up. The
-/// bound is more than four times that, so that the service continues when three of four proxies have failed.
+/// bound is more than four times 842, so that the service continues when three of four proxies have failed.
 pub const MAX_PROXY_WAITERS: usize = 4_096;
-/// Maximum number of heartbeats or commands in one call of a session proxy. It keeps the body of a heartbeat call, at
-/// about 24 bytes per heartbeat, within the size limit of a call.
+/// Maximum number of heartbeats or commands in one call of a session proxy to the coordinators. At about 24 bytes per
+/// heartbeat, the body of a full heartbeat call stays below the limit of 16 KiB (`MAX_CALL_BYTES`).
 pub const MAX_BATCH_LEN: usize = 512;
-/// Maximum bytes of commands in one call of a session proxy, which become one entry of the log: about 460 `OpenSession`
-/// commands of typical size. The leader sends a follower up to 300 entries at once. 300 entries of this size make 24 MB
-/// with their overhead, below the limit of 32 MB for a request body between coordinators.
+/// Maximum bytes of commands in one call of a session proxy to the coordinators. The commands of a call become one
+/// entry of the log; about 460 `OpenSession` commands of typical size fit. The leader sends a follower up to 300
+/// entries at once. 300 entries of this size make 24 MB with their overhead, below the limit of 32 MB for a request
+/// body between coordinators.
 pub const MAX_BATCH_BYTES: usize = 64 * 1024;
 /// Maximum number of resources in the state, owned or not. There is one for each destination that has a limit, and a
 /// few more.
--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -77,7 +77,7 @@
         #[serde(rename = "work")]
         resource: String,
     },
-    /// Ends a session's ownership of a resource at its own request.
+    /// Ends a session's ownership of a resource at the request of the session's member.
     #[serde(rename = "release")]
     Release {
         /// The session that owns the resource.
@@ -222,7 +222,10 @@
         /// The token of the command.
         #[serde(rename = "term")]
         token: FencingToken,
-        /// The highest token granted for the resource.
+        /// The highest token granted for the resource, or the highest one that a [`FencingGuard`] has seen. For a
+        /// resource that the state does not have, the token from which new resources start.
+        ///
+        /// [`FencingGuard`]: crate::FencingGuard
         #[serde(rename = "now")]
         current: FencingToken,
     },
--- a/crates/coordination/src/command_batcher.rs
+++ b/crates/coordination/src/command_batcher.rs
@@ -48,7 +48,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct CommandBatcher<R> {
     queued: VecDeque<QueuedRequest<R>>,
-    /// The callers by position in the batch; `None` where the caller no longer waits.
+    /// The callers by position in the batch; `None` if the caller no longer waits.
     in_flight: InFlightSlot<Vec<Option<WaiterId>>>,
 }
 
@@ -124,11 +124,11 @@
         Some(CommandBatch { number, requests })
     }
 
-    /// Matches the coordinators' answers to a batch with the waiting callers. The answer is `None` where the outcome of
-    /// the command is unknown.
+    /// Matches the coordinators' answers to a batch with the waiting callers. The answer is `None` if the outcome
+    /// of the command is unknown.
     ///
-    /// The answers to an abandoned batch are discarded. If their number is not that of the requests, no answer can be
-    /// assigned and all outcomes are unknown.
+    /// The answers to an abandoned batch are discarded. If there are more or fewer answers than requests, none can be
+    /// assigned to its request, and all outcomes are unknown.
     pub fn complete<A>(&mut self, number: u64, answers: Vec<A>) -> Vec<(WaiterId, Option<A>)> {
         let waiters = self.in_flight.finish(number).unwrap_or_default();
         let is_complete = answers.len() == waiters.len();
@@ -139,8 +139,8 @@
             .collect()
     }
 
-    /// Abandons a batch that no coordinator has answered in time. Returns its callers that still wait, whose outcomes
-    /// are unknown.
+    /// Abandons a batch that no coordinator has answered within the call's time limit. Returns the callers that still
+    /// wait for it. The outcomes of their commands are unknown.
     pub fn fail(&mut self, number: u64) -> Vec<WaiterId> {
         let waiters = self.in_flight.finish(number).unwrap_or_default();
         waiters.into_iter().flatten().collect()
--- a/crates/coordination/src/fencing.rs
+++ b/crates/coordination/src/fencing.rs
@@ -1,4 +1,5 @@
-//! Fencing at the receiver of a write, which keeps the highest token seen for each resource and rejects lower ones.
+//! Fencing at the receiver of a write. The receiver keeps the highest token seen for each resource and rejects lower
+//! ones.
 //!
 //! A lease alone does not protect a resource, since any amount of time may pass between the holder's check of its lease
 //! and the arrival of its write. A receiver therefore calls [`FencingGuard::admit`] before it executes a write. A
@@ -17,7 +18,7 @@
     highest: BTreeMap<String, FencingToken>,
 }
 
-/// How the guard admitted a write, which decides whether the guard must be stored first.
+/// The result of admitting a write, which tells the receiver whether it must store the guard before the write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
     /// The token equals the highest one seen; the guard is unchanged.
@@ -31,8 +32,8 @@
     ///
     /// # Errors
     /// [`Rejection::Fenced`] if a higher token has been seen for the resource. [`Rejection::LimitReached`] if the guard
-    /// already holds [`MAX_RESOURCES`](bounds::MAX_RESOURCES) others: without a record of this token it could not
-    /// reject a lower one later.
+    /// already holds the tokens of [`MAX_RESOURCES`](bounds::MAX_RESOURCES) other resources: without a record of
+    /// this token it could not reject a lower one later.
     pub fn admit(&mut self, resource: &str, token: FencingToken) -> Result<Admission, Rejection> {
         let is_full = self.highest.len() >= bounds::MAX_RESOURCES;
         match self.highest.get_mut(resource) {
--- a/crates/coordination/src/heartbeat_batcher.rs
+++ b/crates/coordination/src/heartbeat_batcher.rs
@@ -2,7 +2,7 @@
 //!
 //! A proxy holds no sessions or leases of its own, stores nothing and grants no permission. It collects the heartbeats
 //! of a short interval, sends them to the leading coordinator in one call, and returns to each member its own outcome
-//! (as etcd's proxy does for leases). To the coordinators, a proxied heartbeat is the same as one that the network has
+//! (as etcd's proxy does for leases). To the coordinators, a proxied heartbeat looks like one that the network has
 //! delayed. A proxy that is paused and resumed, cut off in one direction, running twice under one name, or restarted
 //! can therefore delay or lose heartbeats, but can do no other harm.
 //!
@@ -22,7 +22,7 @@
 pub struct HeartbeatBatch {
     /// The number of the batch within this process; the first one has number 1.
     pub number: u64,
-    /// At most one heartbeat per session, the one that its member sent last.
+    /// At most one heartbeat per session, the one that arrived last.
     pub heartbeats: Vec<Heartbeat>,
 }
 
@@ -45,7 +45,7 @@
     Renewed(Vec<(String, FencingToken)>),
     /// The session has ended.
     SessionEnded,
-    /// The coordinators did not answer in time, or their response does not list this session.
+    /// The coordinators did not answer within the call timeout, or their response does not list this session.
     Unknown,
 }
 
@@ -54,10 +54,10 @@
 pub enum NextStep {
     /// Send this batch now.
     Send(HeartbeatBatch),
-    /// Call [`next_step`](HeartbeatBatcher::next_step) again at this timestamp, or earlier if a heartbeat arrives or a
-    /// batch ends.
+    /// Call [`next_step`](HeartbeatBatcher::next_step) again at this timestamp, or earlier if a heartbeat arrives.
     WaitUntil(Timestamp),
-    /// Call [`next_step`](HeartbeatBatcher::next_step) again when a heartbeat arrives or a batch ends.
+    /// Call [`next_step`](HeartbeatBatcher::next_step) again when a heartbeat arrives, or when the batch in flight has
+    /// completed or failed.
     Idle,
 }
 
@@ -82,7 +82,8 @@
 }
 
 impl HeartbeatBatcher {
-    /// Creates an empty batcher that delays heartbeats by at most `max_delay`, and by less if leases are short.
+    /// Creates an empty batcher. It sends batches at least `max_delay` apart, or 1/64 of the shortest lease if that is
+    /// less. A full batch is sent without this delay.
     #[must_use]
     pub fn new(max_delay: Micros) -> Self {
         Self {
@@ -120,7 +121,7 @@
     }
 
     /// Removes a caller that no longer waits. A queued heartbeat without a waiting caller is dropped, so that it does
-    /// not extend the lease of a member that may have ended.
+    /// not extend the lease of a member that may have stopped.
     pub fn abandon(&mut self, session: SessionId, waiter: WaiterId) {
         let queued = self.queued.get_mut(&session);
         let queued = queued.map(|queued| &mut queued.waiters);
@@ -204,8 +205,8 @@
         })
     }
 
-    /// Abandons a batch that no coordinator has answered in time, and returns [`HeartbeatOutcome::Unknown`] for each of
-    /// its callers.
+    /// Abandons a batch that no coordinator has answered within the call timeout, and returns
+    /// [`HeartbeatOutcome::Unknown`] for each of its callers.
     pub fn fail(&mut self, number: u64) -> Vec<(WaiterId, HeartbeatOutcome)> {
         self.finish(number, |_| HeartbeatOutcome::Unknown)
     }
--- a/crates/coordination/src/ids.rs
+++ b/crates/coordination/src/ids.rs
@@ -50,10 +50,11 @@
     /// The term of the consensus protocol, which increases with each election of a leader. It is unrelated to any
     /// [`FencingToken`].
     LeaderTerm;
-    /// Identifies a caller that waits for a response at a batcher. The service that owns the batcher assigns the ids.
+    /// Identifies a caller whose request is queued or in flight at a batcher. The service that owns the batcher assigns
+    /// the ids.
     WaiterId;
 }
 
 /// Stands for all sessions that existed before the state was restored from a backup. The leader tracks a single lease
-/// under this id, the longest that any of them may still hold.
+/// under this id, with the duration of the longest lease that any of these sessions may still hold.
 pub const PRE_RESTORE_SESSION: SessionId = SessionId(0);
--- a/crates/coordination/src/lease_holder.rs
+++ b/crates/coordination/src/lease_holder.rs
@@ -1,4 +1,8 @@
 //! The member's own view of its lease and of the time until which it may write, checked right before each write.
+//!
+//! A lease is called *safe* until [`LeaseTiming::holder_duration`] has passed since the member sent the last confirmed
+//! request. Within this time the lease does not expire at the leader, even if the clock rates differ by the full clock
+//! error.
 
 use crate::ids::{FencingToken, SessionId};
 use crate::time::{LeaseTiming, Micros, Timestamp};
@@ -31,7 +35,8 @@
 }
 
 impl LeaseHolder {
-    /// Creates a holder without a session. `clock_error_ppm` is described at [`LeaseTiming::clock_error_ppm`].
+    /// Creates a holder without a session. `clock_error_ppm` says by how many parts per million one machine's clock may
+    /// run faster than another's.
     #[must_use]
     pub fn new(clock_error_ppm: u32) -> Self {
         Self {
--- a/crates/coordination/src/lease_table.rs
+++ b/crates/coordination/src/lease_table.rs
@@ -10,8 +10,8 @@
 //!
 //! A holder whose requests arrive but whose responses are all lost cannot write, and must not keep its resources
 //! forever. A heartbeat therefore says whether the lease has expired by the holder's clock. The leader confirms one
-//! such heartbeat and rejects further ones, until the holder has received a response and its heartbeats no longer say
-//! so.
+//! heartbeat that says so and rejects further ones, until the holder has received a response and its heartbeats
+//! report that the lease has not expired.
 
 use crate::ids::{LeaderTerm, PRE_RESTORE_SESSION, SessionId};
 use crate::time::{Micros, Timestamp};
@@ -61,7 +61,7 @@
 
 impl LeaseTable {
     /// Starts to track the leases of these sessions, each with its duration, because this coordinator has become the
-    /// leader. The sessions must come from a state that has applied everything that earlier leaders wrote.
+    /// leader. The sessions must come from a state that has applied every entry that earlier leaders committed.
     pub fn become_leader(
         &mut self,
         leader_term: LeaderTerm,
@@ -125,8 +125,8 @@
         })
     }
 
-    /// Extends the lease. To be called after a quorum has confirmed that this coordinator leads, in a round that
-    /// began after [`begin_heartbeat`](Self::begin_heartbeat).
+    /// Extends the lease. Call this after a quorum has confirmed that this coordinator leads, in a round that began
+    /// after [`begin_heartbeat`](Self::begin_heartbeat).
     ///
     /// Returns whether the lease is extended; only then may the response to the member confirm the heartbeat.
     pub fn confirm_heartbeat(&mut self, pending: PendingHeartbeat, now: Timestamp) -> bool {
--- a/crates/coordination/src/state.rs
+++ b/crates/coordination/src/state.rs
@@ -46,15 +46,15 @@
 
 /// The version of the result of [`CoordinationState::leases`], which changes whenever the result does.
 ///
-/// Opening a session raises `last_session`, and between two opens `open_sessions` can only fall, so no combination
-/// occurs twice.
+/// Each new session raises `last_session`. Until the next session is opened, `open_sessions` can only fall, and
+/// `in_restore_grace` can only change to `false`. Therefore no combination occurs twice.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LeasesVersion {
     /// The highest assigned session id, or the start of the generation if a restored state has assigned none yet.
     pub last_session: SessionId,
     /// The number of open sessions.
     pub open_sessions: usize,
-    /// Whether leases from before a restore may not have expired yet.
+    /// Whether members may still hold leases from before a restore.
     pub in_restore_grace: bool,
 }
 
@@ -149,8 +149,9 @@
 
     /// Whether a majority of the coordinators is known to read batches.
     ///
-    /// A leader must not propose a batch before that: if the other coordinators run a version that cannot read batches,
-    /// nothing more could be committed.
+    /// While this is `false`, a leader must not batch its own commands. If the other coordinators ran a version that
+    /// cannot read batches, no further entry could be committed. Batches of session proxies are proposed in any case,
+    /// since all coordinators have to be upgraded before the proxies.
     #[must_use]
     pub fn batching_enabled(&self) -> bool {
         self.batching_enabled
--- a/crates/coordination/src/state/resources.rs
+++ b/crates/coordination/src/state/resources.rs
@@ -46,7 +46,7 @@
 pub(super) struct ResourceTable {
     resources: BTreeMap<String, Resource>,
     /// Resources that are not in the table start from this token. It is at least the token of every evicted resource,
-    /// so that the tokens of a resource that returns still increase.
+    /// so that the tokens of an evicted resource still increase when it is claimed again.
     minimum_token: FencingToken,
 }
 
@@ -107,7 +107,7 @@
     }
 
     /// Evicts the unowned resource with the lowest token if the table is full. Raises `minimum_token` to its token, so
-    /// that the resource gets a higher one if it returns.
+    /// that the resource gets a higher one if it is claimed again.
     fn evict_if_full(&mut self) -> Result<(), Rejection> {
         if self.resources.len() < bounds::MAX_RESOURCES {
             return Ok(());
--- a/crates/coordination/src/state/restore.rs
+++ b/crates/coordination/src/state/restore.rs
@@ -4,7 +4,7 @@
 use crate::bounds;
 use std::collections::BTreeMap;
 
-/// The generation given for a restore is not higher than the backup's, or not below the limit.
+/// The generation given for a restore is not higher than the backup's, or has reached the limit.
 #[derive(thiserror::Error)]
 #[error(
     "the backup is of generation {backup}: a restore needs a higher one than any before, below {limit}, not {requested}"
@@ -15,19 +15,20 @@
     pub backup: u64,
     /// The generation given for the restore.
     pub requested: u64,
-    /// The bound that every generation must be below.
+    /// The exclusive upper bound on generations.
     pub limit: u64,
 }
 
 impl CoordinationState {
-    /// Returns the state with which a new group of coordinators continues from this backup.
+    /// Returns the initial state of a new group of coordinators that continues from this state, which was read from a
+    /// backup.
     ///
-    /// What happened since the backup is unknown. Therefore:
+    /// The changes made after the backup are unknown. Therefore:
     ///
     /// - All sessions and ownerships end.
     /// - All tokens increase beyond any that the lost state may have granted.
-    /// - No resource is granted until all leases of the lost state have expired. The longest of them is `lease`, or one
-    ///   in the backup if that is longer.
+    /// - No resource is granted until all leases of the lost state have expired. The longest of them is taken to be
+    ///   `lease`, or the longest one in the backup if that is longer.
     ///
     /// `generation` must be higher than that of any earlier restore, from this backup or another.
     ///
--- a/crates/coordination/src/time.rs
+++ b/crates/coordination/src/time.rs
@@ -1,6 +1,6 @@
 //! Timestamps and durations on one machine's clock, and the clock drift between machines that leases allow for.
 //!
-//! A [`Timestamp`] may only be compared with others of the same machine.
+//! A [`Timestamp`] may only be compared with others of the same machine and the same boot.
 
 use serde::{Deserialize, Serialize};
 
@@ -51,7 +51,8 @@
 }
 
 impl LeaseTiming {
-    /// How long the holder may rely on the lease, counted from before it sent the request.
+    /// How long the holder may rely on the lease, counted from a time before it sent the request that granted or
+    /// renewed the lease.
     ///
     /// This duration is shorter than the lease by the clock error, so that it ends before the leader's lease even if
     /// the holder's clock is slow by the full error (C. Gray, D. Cheriton: Leases, SOSP 1989).
--- a/crates/coordinator/src/leadership.rs
+++ b/crates/coordinator/src/leadership.rs
@@ -1,7 +1,7 @@
 //! The work of the group's leader: serving heartbeats and expiring leases.
 //!
-//! A replica can be sure that it leads only after a quorum has confirmed it, as in Raft's linearizable reads. Every
-//! operation that depends on the leadership waits for that confirmation before it responds.
+//! A replica knows for certain that it leads only after a quorum has confirmed its leadership, as in Raft's
+//! linearizable reads. Every operation that depends on the leadership waits for this confirmation before it responds.
 //!
 //! - `heartbeats`: serves one heartbeat or a batch with a single request to a quorum.
 //! - `lease_expiry`: ends sessions whose lease has expired.
@@ -37,7 +37,7 @@
     /// The coordination state as applied on this replica.
     pub state_machine: StateMachine,
     lease_table: RefCell<LeaseTable>,
-    /// Version of the set of leases that the lease table was last synchronized with.
+    /// Version of the set of leases with which the lease table was last synchronized.
     tracked_version: Cell<LeasesVersion>,
 }
 
@@ -105,7 +105,8 @@
         }
     }
 
-    /// The term in which this replica believes that it leads, or `None`. The belief may be out of date.
+    /// The term in which this replica leads according to its own Raft state, which may be out of date. `None` if it
+    /// does not lead.
     fn local_leader_term(&self) -> Option<LeaderTerm> {
         let metrics = self.raft.metrics().borrow().clone();
         (metrics.state == ServerState::Leader).then_some(LeaderTerm(metrics.current_term))
@@ -138,8 +139,8 @@
     /// Writes a command to the log, and waits until the command is committed and applied.
     ///
     /// # Errors
-    /// If the command was not committed, or if that is unknown: after [`LeadershipError::NoQuorum`] the command may
-    /// still be committed later.
+    /// If the command was not committed, or if it is unknown whether it was: after [`LeadershipError::NoQuorum`] the
+    /// command may still be committed later.
     pub async fn write(&self, command: Command) -> Result<CommandOutcome, LeadershipError> {
         match timeout(QUORUM_TIMEOUT, self.raft.client_write(command)).await {
             Ok(Ok(response)) => Ok(response.data),
--- a/crates/coordinator/src/leadership/heartbeats.rs
+++ b/crates/coordinator/src/leadership/heartbeats.rs
@@ -32,9 +32,10 @@
         match renewed.pop() {
             Some((_, owned)) => Ok(Ok(HeartbeatAccepted { owned })),
             None if ended.contains(&session) => Ok(Err(Rejection::SessionNotFound { session })),
-            // the session is ending, its lease is not tracked, it was opened after `track_sessions` ran, or both this
-            // heartbeat and the last confirmed one say that the lease had expired by the holder's clock; the response
-            // to a later heartbeat tells the caller whether the session is open
+            // the lease was not renewed, although the session is still in the state: the session is ending, its lease
+            // is not tracked, it was opened after `track_sessions` ran, or both this heartbeat and the last confirmed
+            // one say that the lease had expired by the holder's clock. The response to a later heartbeat tells the
+            // caller whether the session is open
             None => Err(LeadershipError::NotLeader { leader: None }),
         }
     }
--- a/crates/coordinator/src/lib.rs
+++ b/crates/coordinator/src/lib.rs
@@ -1,4 +1,4 @@
-//! One replica of the coordination service, whose state 1, 3, 5 or 7 coordinators replicate by consensus.
+//! One replica of the coordination service. A group of 1, 3, 5 or 7 coordinators replicates the state by consensus.
 //!
 //! The consensus algorithm is Raft (D. Ongaro, J. Ousterhout: In Search of an Understandable Consensus Algorithm,
 //! 2014), implemented by the crate `openraft`. The coordination state and the rules of leases are in
@@ -25,8 +25,8 @@
 use std::io::Cursor;
 
 openraft::declare_raft_types!(
-    /// The types for `openraft`: log entries are commands to the coordination state, responses are their outcomes, and
-    /// replicas are identified by number.
+    /// The types for `openraft`: log entries are commands for the coordination state, responses are the outcomes of the
+    /// commands, and replicas are identified by number.
     pub RaftTypes:
         D = Command,
         R = CommandOutcome,
--- a/crates/coordinator/src/peers.rs
+++ b/crates/coordinator/src/peers.rs
@@ -22,7 +22,7 @@
 /// Wait before an unreachable replica is called again.
 const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Opens clients to the other replicas of the group.
+/// Creates the clients with which this replica calls the other replicas of the group.
 #[derive(Debug, Clone)]
 pub struct PeerNetwork {
     /// The name of the group, which each call carries; a replica of another group rejects the call.
@@ -35,7 +35,7 @@
     pub addresses: BTreeMap<ReplicaId, String>,
 }
 
-/// A client of one other replica.
+/// Makes the Raft calls to one other replica.
 #[derive(Debug)]
 pub struct PeerClient {
     id: ReplicaId,
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -195,7 +195,8 @@
     .await
     .map_err(Box::new)?;
     if !identity.founding_replicas.is_empty() {
-        // each founding replica writes the same first entry; `NotAllowed` means that this was done before
+        // each founding replica writes the same first entry; `NotAllowed` means that this replica already has a log
+        // entry or a vote, as after a restart
         let nodes: BTreeMap<_, _> = identity
             .founding_replicas
             .iter()
--- a/crates/coordinator/src/settings.rs
+++ b/crates/coordinator/src/settings.rs
@@ -20,7 +20,7 @@
     pub listen_address: String,
     /// The folder of the coordinator's persistent store.
     pub state_folder: PathBuf,
-    /// The length of a member's lease, and the clock error that lease checks allow for.
+    /// The duration of a member's lease, and the difference of clock rates for which the lease allows.
     pub lease_timing: LeaseTiming,
     /// Interval of the leader's calls to the other replicas. A replica that gets no call for five to ten intervals
     /// starts an election.
--- a/crates/coordinator/src/settings/file.rs
+++ b/crates/coordinator/src/settings/file.rs
@@ -12,8 +12,8 @@
 
 const LEASE_RANGE_US: RangeInclusive<i64> = 500_000..=600_000_000;
 const HEARTBEAT_RANGE_US: RangeInclusive<i64> = 20_000..=10_000_000;
-/// Smallest ratio of the lease to the heartbeat interval. When the leader fails, an election and a heartbeat have to
-/// fit into the lease of a member.
+/// Smallest ratio of the lease to the heartbeat interval. When the leader fails, an election and a member's
+/// heartbeat to the new leader have to fit into the lease.
 const MIN_HEARTBEATS_PER_LEASE: u64 = 15;
 
 /// The keys of the settings file.
@@ -109,7 +109,8 @@
     }
 }
 
-/// Parses a duration to microseconds. If the text is no duration or is out of range, adds a problem and returns 0.
+/// Parses a duration to microseconds. If the text is not a duration or is out of range, adds a problem and
+/// returns 0.
 fn parse_duration(
     key: &str,
     text: &str,
--- a/crates/coordinator/src/storage.rs
+++ b/crates/coordinator/src/storage.rs
@@ -1,8 +1,10 @@
 //! The persistent store of a coordinator: its identity, its vote, the Raft log and the last snapshot.
 //!
-//! The store is an embedded database (`redb`): one file with checksummed pages, and a commit is synced to disk before
-//! the call returns. A failed write ends the coordinator: the contents of the disk after a failed sync are unknown, so
-//! the process must not continue with them.
+//! The store is an embedded database (`redb`) in one file with checksummed pages. A commit is synced to disk before the
+//! call returns, except that of the committed position, which may be lost.
+//!
+//! A failed write ends the coordinator: the contents of the disk after a failed sync are unknown, so the process must
+//! not continue with them.
 //!
 //! - `error`: why the store can't be used.
 //! - `tables`: the tables and keys of the store, and access to single values.
--- a/crates/coordinator/src/storage/log.rs
+++ b/crates/coordinator/src/storage/log.rs
@@ -8,7 +8,7 @@
 use std::ops::{Bound, RangeBounds};
 
 impl RaftStorage {
-    /// The last purged entry, or `None` if none was purged. The log begins with the entry after that.
+    /// The last purged entry, or `None` if none was purged. The log begins with the entry after it.
     ///
     /// # Errors
     /// If the store can't be read.
@@ -76,7 +76,7 @@
         Ok(transaction.commit()?)
     }
 
-    /// Removes the entries up to and including `up_to`, all of which a snapshot covers.
+    /// Removes the entries up to and including `up_to`. The caller must have saved a snapshot that covers all of them.
     ///
     /// # Errors
     /// If the write failed; the entries may or may not be removed.
--- a/crates/member/src/coordinator_client.rs
+++ b/crates/member/src/coordinator_client.rs
@@ -26,7 +26,8 @@
 /// spread over a minute.
 const PREFERRED_RETRY_INTERVAL: Duration = Duration::from_secs(60);
 
-/// A client of a whole group. Sends each request to the leading coordinator, or to a session proxy that responds.
+/// A client of all coordinators or session proxies of a group. It sends each request to the leading coordinator, or to
+/// a session proxy that responds.
 #[derive(Debug)]
 pub struct CoordinatorClient {
     servers: Vec<Server>,
@@ -70,7 +71,7 @@
 struct FailedAttempt {
     message: String,
     may_have_happened: bool,
-    /// The number of the leader, if the server named one.
+    /// The number of the leading coordinator, if the server's error response names one.
     leader: Option<u64>,
 }
 
@@ -122,7 +123,7 @@
     /// has passed. The request has to be idempotent, since it may be sent several times.
     ///
     /// # Errors
-    /// If no server responds with a result before the deadline.
+    /// If no server responds with a result before the deadline, or if the client has no servers.
     pub async fn request<A: DeserializeOwned>(
         &mut self,
         path: &str,
@@ -234,7 +235,8 @@
         }
     }
 
-    /// Switches to the leader's server if that is known, and otherwise to the next server in the list.
+    /// Switches to the server that has responded as coordinator `leader`. If there is none, or if it is the current
+    /// server, switches to the next one in the list.
     fn switch_server(&mut self, leader: Option<u64>) {
         let known = leader.and_then(|leader| {
             self.servers
--- a/crates/member/src/events.rs
+++ b/crates/member/src/events.rs
@@ -29,15 +29,15 @@
     WriteStarted(WriteStarted),
     /// The coordinators rejected a request to open or to renew a session, or a claim for an ended session.
     Rejected(Rejection),
-    /// No coordinator responds, or the lease has expired by this member's clock; with the reason. Reported once until
-    /// [`MemberEvent::Reconnected`].
+    /// No coordinator responds, or the lease has expired by this member's clock. The text is the reason. Not reported
+    /// again before [`MemberEvent::Reconnected`] has been reported.
     Disconnected(String),
     /// A coordinator responds again.
     Reconnected,
 }
 
-/// A fenced write that is about to be sent. By the two times, a reader of the events can verify that the lease was safe
-/// when it was checked.
+/// A fenced write that is about to be sent. The lease was safe when it was checked if `checked_at` is before
+/// `safe_until`, which a reader of the events can verify.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WriteStarted {
     /// The fencing token that the write carries.
@@ -65,6 +65,6 @@
     /// The coordinators rejected the write, and it was not executed.
     Rejected(Rejection),
     /// No response arrived, so the write may or may not have been executed. The next write first claims the resource
-    /// again, and the response to the claim tells which.
+    /// again, and the response to the claim tells whether the write was executed.
     Unknown(RequestError),
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -4,8 +4,8 @@
 //! - [`member`]: the member, its current permissions, and the task that keeps its session open.
 //! - [`events`]: the events that a member reports to its program, and the outcomes of its fenced writes.
 //!
-//! Which writes the member's lease permits, and until when, is decided by
-//! [`LeaseHolder`](milletturn_coordination::LeaseHolder) in `milletturn-coordination`.
+//! [`LeaseHolder`](milletturn_coordination::LeaseHolder) in `milletturn-coordination` decides which writes the member's
+//! lease permits, and until when.
 
 pub mod coordinator_client;
 pub mod events;
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -20,7 +20,7 @@
 pub struct Member {
     pub(crate) info: MemberInfo,
     pub(crate) lease: RefCell<LeaseHolder>,
-    /// How long a lease is safe after a renewal, by this member's clock.
+    /// How long a lease is safe after a renewal, by this member's clock. Zero until a session has been opened.
     pub(crate) lease_duration: Cell<Micros>,
     pub(crate) wanted: BTreeSet<String>,
     pub(crate) progress: RefCell<BTreeMap<String, Progress>>,
@@ -40,8 +40,10 @@
 }
 
 impl Member {
-    /// Creates a member that wants to own these resources, and the receiver of its events. The events have to be
-    /// received, since the channel is unbounded; events are sent on changes, rejections and fenced writes.
+    /// Creates a member that wants to own these resources, and the receiver of its events. The channel is
+    /// unbounded, so a program that keeps the receiver has to read from it. Events are sent on changes, rejections and
+    /// fenced writes.
+    ///
     /// `clock_error_ppm` is the largest difference of clock rates between this machine and the coordinators', in parts
     /// per million.
     pub fn new(
--- a/crates/member/src/session.rs
+++ b/crates/member/src/session.rs
@@ -17,15 +17,17 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Heartbeats within the time for which a renewed lease is safe, so that two in a row may be lost.
+/// Number of heartbeats sent within the time for which a renewed lease is safe, so that two in a row may be lost.
 const HEARTBEATS_PER_LEASE: u32 = 4;
-/// Longest wait for a session to open before the failure is reported and the same request is sent again.
+/// Longest wait for the response to a request to open a session. After it, the failure is reported and the same request
+/// is sent again.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Wait before a rejected request to open a session is sent again. The usual reason for the rejection is that another
 /// session has the member's name.
 const REJECTED_OPEN_BACKOFF: Duration = Duration::from_millis(200);
-/// Longest wait for the response to a release or a close. If a release gets no response, it is repeated after the next
-/// heartbeat; if a close gets none, the session ends when its lease expires.
+/// Longest wait for the response to a command that releases a resource or closes the session. A release without a
+/// response is repeated after the next heartbeat. If the close gets no response, the session ends when its lease
+/// expires at the latest.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Keeps a member's session open and claims the resources that it wants.
@@ -247,7 +249,8 @@
                 self.session_ended(session, rejection);
                 None
             }
-            // that another member owns the resource is normal and not reported
+            // not reported: it is normal that another member owns the resource, and a claim of a wanted resource
+            // without a response is repeated after the next heartbeat
             Ok(_) | Err(_) => None,
         }
     }
--- a/crates/session-proxy/src/commands.rs
+++ b/crates/session-proxy/src/commands.rs
@@ -55,8 +55,8 @@
         // plus one byte for the separator between the requests of a batch
         let bytes = to_json(&request)?.len() + 1;
         let id = self.waiters.next_id();
-        // a member that closes its session stops and may not wait for the response; the caller of any other abandoned
-        // command may no longer want it to be executed
+        // a member that closes its session is about to exit and may not wait for the response, so its command is sent
+        // anyway; the caller of any other abandoned request may no longer want it to be executed
         let on_abandon = match request {
             BatchedRequest::Command(Command::CloseSession { .. }) => OnAbandon::Send,
             _ => OnAbandon::Drop,
--- a/crates/session-proxy/src/heartbeats.rs
+++ b/crates/session-proxy/src/heartbeats.rs
@@ -21,8 +21,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout};
 
-/// Number of coordinators that can be called one after the other within the time limit of a batch, so that the next
-/// coordinator is called while members still wait if the leader is unresponsive.
+/// Number of coordinators that can be called one after the other within the time limit of a batch. If the leader is
+/// unresponsive, the next coordinator is therefore called while the members still wait.
 pub(crate) const ATTEMPTS_PER_BATCH: u32 = 3;
 
 /// Forwards heartbeats to the coordinators in batches.
@@ -61,7 +61,8 @@
 }
 
 impl HeartbeatForwarder {
-    /// Creates a forwarder that delays a heartbeat by at most `max_delay` to batch it with others.
+    /// Creates a forwarder that delays a heartbeat by at most `max_delay` to batch it with others, not counting the
+    /// wait for the response to an earlier batch.
     pub(crate) fn new(max_delay: Micros) -> Self {
         Self {
             batcher: RefCell::new(HeartbeatBatcher::new(max_delay)),
--- a/crates/session-proxy/src/service.rs
+++ b/crates/session-proxy/src/service.rs
@@ -66,8 +66,8 @@
     Ok(())
 }
 
-/// The error for a request that no coordinator answered, or that was rejected because the queue was full. The member
-/// then tries another session proxy.
+/// The error for a request that no coordinator answered, or that could not be queued. The member then tries another
+/// session proxy.
 pub(crate) fn unavailable(message: impl Into<String>, may_have_happened: bool) -> CallError {
     CallError {
         status: StatusCode::SERVICE_UNAVAILABLE,
@@ -145,7 +145,7 @@
     }
 }
 
-/// Rejects commands that only the leading coordinator may write.
+/// Rejects commands that only the leading coordinator may create.
 fn check_allowed(command: &Command) -> Result<(), CallError> {
     match command {
         Command::OpenSession { .. } | Command::ExpireSession { .. } | Command::Batch { .. } => {
--- a/crates/session-proxy/src/settings.rs
+++ b/crates/session-proxy/src/settings.rs
@@ -1,5 +1,5 @@
-//! The settings file of a session proxy, read and checked like a sidecar's file: each error is reported with a code, a
-//! position in the file and, where possible, a suggested correction.
+//! The settings file of a session proxy. It is read and checked in the same way as the settings file of a sidecar: each
+//! error is reported with a code, a position in the file and, where possible, a suggested correction.
 
 use milletturn_config::codes::Code;
 use milletturn_config::document::{Document, host_and_port};
