--- a/crates/coordination-protocol/src/client.rs
+++ b/crates/coordination-protocol/src/client.rs
@@ -119,7 +119,7 @@
     }
 
     /// Sets the value of [`ORIGIN_HEADER`], the identifier of the group's initial state. Coordinators reject
-    /// consensus calls without it. Clients that make no consensus calls need no origin and send an empty value.
+    /// Raft calls without it. Clients that make no Raft calls need no origin and send an empty value.
     #[must_use]
     pub fn with_origin(self, origin: impl Into<String>) -> Self {
         Self {
--- a/crates/coordination-protocol/src/messages.rs
+++ b/crates/coordination-protocol/src/messages.rs
@@ -18,7 +18,7 @@
 pub const GROUP_HEADER: &str = "milletturn-group";
 /// Request header between coordinators with the identifier of the initial state of the caller's group. Coordinators
 /// that started from different states would get different results from the same commands, so a coordinator rejects
-/// consensus calls with an identifier other than its own.
+/// Raft calls with an identifier other than its own.
 pub const ORIGIN_HEADER: &str = "milletturn-origin";
 /// Header with the number of a call on its connection, from 1 on, which the response repeats. HTTP/1.1 matches
 /// responses to requests by order alone, so without the number a duplicate of an earlier response would be taken for
@@ -83,7 +83,7 @@
 pub struct HeartbeatRequest {
     /// The session whose lease is to be renewed.
     pub session: SessionId,
-    /// Whether the lease has already expired by the holder's own clock, because no response reached the holder before.
+    /// Whether the lease has already expired by the holder's own clock, because the holder received no response before.
     #[serde(rename = "run_out")]
     pub holder_expired: bool,
 }
@@ -234,7 +234,8 @@
     pub last_applied: u64,
     /// The numbers of the coordinators that vote.
     pub voters: Vec<u64>,
-    /// Milliseconds since a quorum last acknowledged this coordinator; `None` unless it leads.
+    /// Milliseconds since a quorum last acknowledged this coordinator as the leader. `None` if it does not lead, or if
+    /// no quorum has acknowledged it yet.
     #[serde(rename = "majority_heard")]
     pub quorum_age_ms: Option<u64>,
 }
--- a/crates/coordination-protocol/src/server.rs
+++ b/crates/coordination-protocol/src/server.rs
@@ -266,8 +266,8 @@
 /// Reads and parses the JSON body of a call, of at most `max_bytes` bytes, within 10 s.
 ///
 /// # Errors
-/// With status 413 if the body is too long, 408 if it does not arrive in time, and 400 if it is incomplete or not the
-/// expected JSON.
+/// With status 413 if the body is too long, 408 if it does not arrive within 10 s, and 400 if it is incomplete or not
+/// the expected JSON.
 pub async fn read_json<T: DeserializeOwned>(
     request: Request<Incoming>,
     max_bytes: usize,
--- a/crates/coordination/src/command.rs
+++ b/crates/coordination/src/command.rs
@@ -1,7 +1,7 @@
 //! The commands of the replicated log, their outcomes, and the reasons for which a command is rejected.
 //!
-//! Commands are idempotent: a caller whose response was lost sends the same command again. The repeated command changes
-//! nothing and has the same outcome.
+//! Commands are idempotent: a caller whose response was lost sends the same command again. The repeated command has no
+//! second effect. Its outcome is the same, unless another command has changed the session or the resource in between.
 
 use crate::bounds;
 use crate::ids::{FencingToken, LeaderTerm, SessionId};
--- a/crates/coordination/src/command_batcher.rs
+++ b/crates/coordination/src/command_batcher.rs
@@ -6,9 +6,9 @@
 //! is therefore sent at once, and when many members connect at the same time, hundreds of commands cost the
 //! coordinators one log entry. The batcher uses no clock.
 //!
-//! If a batch gets no response, each of its commands may or may not have been written, so its callers are never
-//! answered with a rejection. Each command is idempotent ([`Command`](crate::Command)), so a caller may retry it at
-//! this proxy or another one.
+//! If a batch gets no response, each of its commands may or may not have been written, so its callers
+//! are never told that their commands were rejected. Each command is idempotent ([`Command`](crate::Command)), so a
+//! caller may retry it at this proxy or another one.
 
 use crate::batching::{InFlightSlot, QueueFull};
 use crate::bounds;
@@ -44,7 +44,8 @@
     on_abandon: OnAbandon,
 }
 
-/// Batches the commands that members send to a session proxy. `R` is a command in its serialized form.
+/// Batches the commands that members send to a session proxy. `R` is the type of a request, which the batcher does not
+/// inspect.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct CommandBatcher<R> {
     queued: VecDeque<QueuedRequest<R>>,
--- a/crates/coordination/src/heartbeat_batcher.rs
+++ b/crates/coordination/src/heartbeat_batcher.rs
@@ -6,9 +6,9 @@
 //! delayed. A proxy that is paused and resumed, cut off in one direction, running twice under one name, or restarted
 //! can therefore delay or lose heartbeats, but can do no other harm.
 //!
-//! The proxy must guarantee one thing itself: a response is only given to heartbeats that arrived *before* their batch
-//! was sent. A member counts its lease from when it sent its heartbeat. With the response to a batch sent earlier, the
-//! member would count its lease from a later time than the coordinator does.
+//! The proxy must guarantee one thing itself: the response to a batch is only given to heartbeats that arrived *before*
+//! the batch was sent. A member counts its lease from when it sent its heartbeat. If its heartbeat got the response to
+//! a batch that was sent earlier, the member could count its lease from a later time than the coordinator does.
 
 use crate::batching::{InFlightSlot, QueueFull};
 use crate::bounds;
--- a/crates/coordination/src/state.rs
+++ b/crates/coordination/src/state.rs
@@ -61,7 +61,8 @@
 impl CoordinationState {
     /// Applies a command that was proposed in the given leader term.
     ///
-    /// A repeated command has the same outcome as the first time, as long as no other command has undone its effect.
+    /// A repeated command has the same outcome as the first time, as long as no other command has changed the session
+    /// or the resource in between.
     pub fn apply(&mut self, command: Command, leader_term: LeaderTerm) -> CommandOutcome {
         match command {
             Command::Batch { commands } if commands.len() > bounds::MAX_BATCH_LEN => {
--- a/crates/coordinator/src/leadership/lease_expiry.rs
+++ b/crates/coordinator/src/leadership/lease_expiry.rs
@@ -8,8 +8,8 @@
 use milletturn_logging::log;
 
 impl Leadership {
-    /// Writes the end of each session whose lease has expired to the log. If batches are enabled, up to
-    /// [`bounds::MAX_BATCH_LEN`] sessions share one entry, so that the failure of a zone does not need hundreds of
+    /// Ends each session whose lease has expired by writing a command to the log. If batches are enabled, one log entry
+    /// ends up to [`bounds::MAX_BATCH_LEN`] sessions, so that the failure of a zone does not need hundreds of
     /// consecutive writes.
     pub(super) async fn expire_leases(&self) {
         self.track_sessions();
--- a/crates/coordinator/src/service.rs
+++ b/crates/coordinator/src/service.rs
@@ -28,7 +28,7 @@
 const LOG_RETENTION: u64 = 500;
 /// Time limit for sending and installing one chunk of a snapshot.
 const SNAPSHOT_TIMEOUT_MS: u64 = 5_000;
-/// Size of a snapshot chunk. On the wire each byte is a JSON number of up to four characters.
+/// Size of a snapshot chunk. On the wire each byte is a JSON number, which takes up to four characters with its comma.
 const SNAPSHOT_CHUNK_BYTES: u64 = 1 << 20;
 
 /// Why a coordinator can't run.
--- a/crates/member/src/events.rs
+++ b/crates/member/src/events.rs
@@ -53,7 +53,7 @@
 /// The outcome of a fenced write.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum WriteOutcome {
-    /// The write was executed once.
+    /// The write was executed exactly once.
     Done {
         /// The fencing token that the write carried.
         token: FencingToken,
