--- a/crates/coordinator/src/settings/file.rs
+++ b/crates/coordinator/src/settings/file.rs
@@ -12,8 +12,8 @@
 
 const LEASE_RANGE_US: RangeInclusive<i64> = 500_000..=600_000_000;
 const HEARTBEAT_RANGE_US: RangeInclusive<i64> = 20_000..=10_000_000;
-/// Smallest ratio of the lease to the heartbeat interval. When the leader fails, an election and a member's
-/// heartbeat to the new leader have to fit into the lease.
+/// Smallest ratio of the lease to the interval of the leader's calls to the other replicas. When the leader fails, an
+/// election and a member's heartbeat to the new leader have to fit into the lease.
 const MIN_HEARTBEATS_PER_LEASE: u64 = 15;
 
 /// The keys of the settings file.
--- a/crates/member/src/coordinator_client.rs
+++ b/crates/member/src/coordinator_client.rs
@@ -23,7 +23,7 @@
 const MAX_BACKOFF_DIVISOR: u32 = 4;
 /// Time until a member tries its preferred session proxy again after it had to use another one, randomized by plus or
 /// minus 50 %. Each member thus tries a failed proxy about once a minute, and the members return to a recovered proxy
-/// spread over a minute.
+/// at times that are spread over a minute.
 const PREFERRED_RETRY_INTERVAL: Duration = Duration::from_secs(60);
 
 /// A client of all coordinators or session proxies of a group. It sends each request to the leading coordinator, or to
@@ -165,7 +165,8 @@
     /// Submits a command to the replicated log, and returns its outcome.
     ///
     /// # Errors
-    /// If no server responds with a result before the deadline; the command may have been executed.
+    /// If no server responds with a result before the deadline. [`RequestError::may_have_happened`] tells whether the
+    /// command may have been executed.
     pub async fn submit(
         &mut self,
         command: &Command,
--- a/crates/member/src/member.rs
+++ b/crates/member/src/member.rs
@@ -41,8 +41,8 @@
 
 impl Member {
     /// Creates a member that wants to own these resources, and the receiver of its events. The channel is
-    /// unbounded, so a program that keeps the receiver has to read from it. Events are sent on changes, rejections and
-    /// fenced writes.
+    /// unbounded, so a program that keeps the receiver must read the events, or they accumulate. Events are sent on
+    /// changes, rejections and fenced writes.
     ///
     /// `clock_error_ppm` is the largest difference of clock rates between this machine and the coordinators', in parts
     /// per million.
--- a/crates/member/src/session.rs
+++ b/crates/member/src/session.rs
@@ -27,7 +27,7 @@
 const REJECTED_OPEN_BACKOFF: Duration = Duration::from_millis(200);
 /// Longest wait for the response to a command that releases a resource or closes the session. A release without a
 /// response is repeated after the next heartbeat. If the close gets no response, the session ends when its lease
-/// expires at the latest.
+/// expires.
 const RELEASE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Keeps a member's session open and claims the resources that it wants.
@@ -148,9 +148,9 @@
         }
     }
 
-    /// Brings the member's resources in line with the replicated state: removes those that the session no longer owns,
-    /// since an operator may have revoked one, and releases those that the member does not want, since a claim whose
-    /// response was lost may have been executed.
+    /// Brings the member's resources in line with `owned`, the session's resources in the replicated state. Removes
+    /// those that the session no longer owns, since an operator may have revoked one. Releases those that the member
+    /// does not want, since a claim whose response was lost may have been executed.
     async fn reconcile(&mut self, session: SessionId, owned: Vec<(String, FencingToken)>) {
         let owned: BTreeMap<String, FencingToken> = owned.into_iter().collect();
         for (resource, token) in self.member.owned_resources() {
