--- a/crates/dead-letter/src/config.rs
+++ b/crates/dead-letter/src/config.rs
@@ -8,8 +8,8 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The largest value of a setting, in the setting's own unit: about a century if in seconds, 3.2 petabytes if in
-/// megabytes.
+/// The largest value of a setting that may be a fraction: about a century in seconds, 3.2 petabytes in megabytes. A
+/// setting in days is converted to seconds before the check.
 const MAX_VALUE: f64 = 3.2e9;
 /// The smallest size limit of the store, in megabytes: in a smaller file SQLite's own pages leave almost no space for
 /// messages.
@@ -32,7 +32,7 @@
         /// The file system's error.
         source: std::io::Error,
     },
-    /// The file is not valid TOML, or has unknown keys.
+    /// The file is not valid TOML, has unknown or missing keys, or has a value of the wrong type.
     #[error("{path}: {source}", path = path.display())]
     Toml {
         /// The settings file.
@@ -63,14 +63,15 @@
     pub max_bytes: u64,
     /// Maximum number of messages.
     pub max_messages: u64,
-    /// Age in microseconds, counted from their end, at which resolved messages are pruned.
+    /// Resolved messages are pruned this many microseconds after their last round of attempts ended.
     pub max_age: Micros,
     /// Whether messages that were returned to their clients are stored too.
     pub store_returned: bool,
     /// Whether clients may resubmit messages that were returned to them. If so, a returned message is redriven only
     /// after an operator has confirmed that its client does not resubmit it.
     pub clients_retry: bool,
-    /// The redrive rules; the first one that matches a message and has a token left is used.
+    /// The redrive rules, in the order in which they are tried. A message is redriven by the first rule that covers it,
+    /// whose minimum time without failures has passed at the destination, and whose rate limit allows it.
     pub rules: Vec<RedriveRule>,
 }
 
@@ -150,7 +151,7 @@
     /// Reads the file.
     ///
     /// # Errors
-    /// When the file can't be read, is not valid TOML, has unknown keys, or a value is not allowed.
+    /// When the file can't be read, is not valid TOML or has unknown keys, or when a value is not allowed.
     pub fn read(path: &Path) -> Result<Self, ConfigError> {
         let text = std::fs::read_to_string(path).map_err(|source| ConfigError::Read {
             path: path.to_path_buf(),
@@ -162,7 +163,7 @@
     /// Parses the text of a settings file; `path` is only used in errors.
     ///
     /// # Errors
-    /// As [`Config::read`].
+    /// When the text is not valid TOML or has unknown keys, or when a value is not allowed.
     pub fn parse(path: &Path, text: &str) -> Result<Self, ConfigError> {
         let file: RawConfig = toml::from_str(text).map_err(|source| ConfigError::Toml {
             path: path.to_path_buf(),
--- a/crates/dead-letter/src/control/messages.rs
+++ b/crates/dead-letter/src/control/messages.rs
@@ -35,7 +35,7 @@
         /// Why the messages are redriven, for the audit log.
         #[serde(rename = "why")]
         reason: String,
-        /// Only decide for each message whether a redrive is allowed.
+        /// If true, nothing is sent or changed: the answer only tells for each message whether a redrive is allowed.
         dry_run: bool,
     },
     /// Resolves messages.
@@ -65,12 +65,13 @@
     Summary(Summary),
     /// The complete record of one message, in answer to [`Request::Records`].
     Record(Box<Record>),
-    /// The result for one message that the request wanted to redrive or resolve.
+    /// The result for one message, in answer to [`Request::Redrive`] or [`Request::Resolve`].
     Done {
         /// Number of the message.
         number: u64,
         /// The redrive must start before this Unix time in microseconds, because the deduplication window of the
-        /// message's idempotency key ends soon after; `None` without a limit.
+        /// message's idempotency key ends 100 ms after it; `None` if there is no time limit, and for a message that was
+        /// resolved or rejected.
         until: Option<Micros>,
         /// Why the message was not redriven or resolved; `None` if it was.
         #[serde(rename = "declined")]
--- a/crates/dead-letter/src/control/server.rs
+++ b/crates/dead-letter/src/control/server.rs
@@ -42,7 +42,7 @@
     Ok(listener)
 }
 
-/// Serves commands until the future is dropped; their connections end with it.
+/// Serves commands until the future is dropped, which also closes their connections.
 pub async fn serve(listener: UnixListener, jobs: SyncSender<Job>) {
     let limit = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut connections = JoinSet::new();
--- a/crates/dead-letter/src/error.rs
+++ b/crates/dead-letter/src/error.rs
@@ -43,7 +43,7 @@
         /// What is wrong with the row.
         problem: String,
     },
-    /// The store's thread does not run, or did not reply.
+    /// The store's thread does not run or did not reply, or its job queue stayed full.
     #[error("the store can't be used; see the log")]
     Unavailable,
 }
@@ -60,8 +60,8 @@
     /// An operator has resolved the message.
     #[error("it has been settled")]
     Resolved,
-    /// The message may not be redriven, or may not be marked as not run because it was delivered; the [`Denial`] is the
-    /// reason.
+    /// The redrive is not allowed, or the message can't be marked as not run because it was delivered. The [`Denial`]
+    /// gives the reason.
     #[error("{0}")]
     Denied(Denial),
     /// The engine did not accept the redrive.
@@ -75,7 +75,7 @@
     /// The message may not be redriven or resolved now.
     #[error(transparent)]
     Rejected(#[from] Rejection),
-    /// The store's file could not be read or written.
+    /// The store's file could not be read or written, or the store's thread did not reply.
     #[error(transparent)]
     Store(#[from] StoreError),
 }
--- a/crates/dead-letter/src/job.rs
+++ b/crates/dead-letter/src/job.rs
@@ -36,7 +36,8 @@
 pub struct WithReply<Q, R, E = StoreError> {
     /// The parameters of the request.
     pub request: Q,
-    /// Receives the single reply; the receiver may be gone if the command's connection ended.
+    /// The channel for the only reply. Sending fails if the command's connection ended and dropped the receiver, which
+    /// is ignored.
     pub reply: oneshot::Sender<Result<R, E>>,
 }
 
@@ -76,15 +77,15 @@
     pub actor: String,
     /// Why the redrive is requested, for the audit log.
     pub reason: String,
-    /// Only decide whether the redrive is allowed.
+    /// If true, nothing is sent or changed: the reply only tells whether the redrive is allowed.
     pub dry_run: bool,
 }
 
-/// The result of a redrive that was accepted, or of a dry run of one that is allowed.
+/// The result of a redrive that the engine accepted, or of a dry run that found the redrive allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Redriven {
     /// The redrive must start before this Unix time in microseconds, because the deduplication window of the message's
-    /// idempotency key ends soon after; `None` without a limit.
+    /// idempotency key ends 100 ms after it; `None` if there is no time limit.
     pub until: Option<Micros>,
 }
 
--- a/crates/dead-letter/src/record.rs
+++ b/crates/dead-letter/src/record.rs
@@ -105,7 +105,8 @@
     pub may_have_run: bool,
 }
 
-/// One round of attempts to deliver a message: the round after its submission, or that of a redrive.
+/// One round of attempts to deliver a message: the first round, which follows the client's submission, or the round of
+/// a redrive.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Round {
     /// When the engine accepted the message for this round.
@@ -145,7 +146,7 @@
     pub number: u64,
     /// The id that the client gave to the message.
     pub id: String,
-    /// Idempotency key by which the destination recognizes duplicates.
+    /// Idempotency key by which the destination recognizes repeated requests; `None` if the message has no key.
     pub key: Option<String>,
     /// Name of the message's class.
     pub class: String,
@@ -168,7 +169,8 @@
     #[serde(rename = "resends")]
     pub redrives: u32,
     /// When the first attempt that the destination may have processed was sent; `None` if there is none. Attempts that
-    /// an operator has confirmed not to have run don't count. 0 if the time was lost with a store that was set aside.
+    /// an operator has confirmed not to have run don't count. 0 if the time is unknown because it was recorded in a
+    /// damaged file that was set aside.
     #[serde(rename = "first_risk")]
     pub first_uncertain_at: Option<Micros>,
     /// True if an operator has confirmed that the message did not run, or that its client does not resubmit it.
--- a/crates/dead-letter/src/redrive_candidates.rs
+++ b/crates/dead-letter/src/redrive_candidates.rs
@@ -11,7 +11,7 @@
 pub(crate) struct RedriveCandidates {
     by_destination: BTreeMap<u64, BTreeSet<u64>>,
     count: usize,
-    /// The destination that was served last; the next round begins with the destination after it.
+    /// The destination that was served last; the next pass over the destinations begins with the one after it.
     last_served: u64,
 }
 
@@ -56,7 +56,7 @@
             .collect()
     }
 
-    /// Records that a message of the destination is redriven, so that other destinations come first next time.
+    /// Records that a message to the destination is redriven, so that the next pass begins with other destinations.
     pub(crate) fn mark_served(&mut self, destination: u64) {
         self.last_served = destination;
     }
--- a/crates/dead-letter/src/redrive_decision.rs
+++ b/crates/dead-letter/src/redrive_decision.rs
@@ -1,9 +1,12 @@
 //! The decision whether a dead letter may be sent again: a pure function that rules and operators' commands share.
 //!
-//! A destination drops a repeat with the same idempotency key only inside its deduplication window, counted from the
-//! first attempt that may have run; after the window a repeat takes effect again. So a message that may have run and
-//! whose class is keyed is redriven only inside that window, and only if it has a key. If messages of its class must
-//! never run twice, it is not redriven; if they may run any number of times, it is redriven at any time.
+//! A destination drops a repeated request with the same idempotency key only inside its deduplication window, counted
+//! from the first attempt that may have run. After the window a repeated request takes effect again. Whether a message
+//! that may have run is redriven therefore depends on the effect of its class:
+//!
+//! - keyed: only inside the deduplication window, and only if the message has a key;
+//! - must never run twice: never;
+//! - may run any number of times: at any time.
 
 use milletturn_engine::Ending;
 use milletturn_policy::{Effect, MILLISECOND, Micros};
@@ -22,18 +25,18 @@
 pub struct DecisionInput {
     /// Whether messages of this class may be processed more than once; `None` if the settings no longer name the class.
     pub effect: Option<Effect>,
-    /// The message has an idempotency key.
+    /// True if the message has an idempotency key.
     pub has_key: bool,
     /// How the last round ended.
     pub ending: Ending,
     /// When the first attempt that may have run was sent, in any round (Unix time in microseconds); `None` if no
     /// attempt may have run. Attempts that an operator has confirmed not to have run don't count.
     pub first_uncertain_at: Option<Micros>,
-    /// An operator has confirmed that the message did not run, or that its client does not resubmit it.
+    /// True if an operator has confirmed that the message did not run, or that its client does not resubmit it.
     pub confirmed_not_run: bool,
-    /// Clients may resubmit messages that were returned to them.
+    /// True if clients may resubmit messages that were returned to them (the setting `clients_retry`).
     pub clients_retry: bool,
-    /// The store still has the message's body.
+    /// True if the store still has the message's body.
     pub has_body: bool,
 }
 
@@ -56,7 +59,7 @@
     NeverRan,
     /// Messages of the class may run any number of times.
     Idempotent,
-    /// An operator has confirmed that the message did not run.
+    /// An operator has confirmed that the message did not run, or that its client does not resubmit it.
     ConfirmedNotRun,
 }
 
@@ -65,8 +68,8 @@
 pub enum Denial {
     /// The message was delivered.
     Delivered,
-    /// The message was returned with a response that permits its client to resubmit it: the redrive and the
-    /// resubmitted message could both take effect.
+    /// The message was returned to its client, and the settings say that clients may resubmit returned messages: the
+    /// redrive and the resubmitted message could both take effect.
     Returned,
     /// The message may have run, and messages of its class must never run twice.
     Unsafe,
--- a/crates/dead-letter/src/redrive_order.rs
+++ b/crates/dead-letter/src/redrive_order.rs
@@ -27,9 +27,9 @@
     })
 }
 
-/// The attempt at which the deduplication window of the message's idempotency key begins. Its endpoint only matters if
-/// the destination recognizes keys within one zone only; the endpoint is empty if the history no longer has the
-/// attempt.
+/// The attempt at which the deduplication window of the message's idempotency key begins. The engine needs the
+/// attempt's endpoint only for destinations that recognize a key in a single zone. The endpoint is empty if the history
+/// no longer has the attempt.
 fn find_uncertain_attempt(row: &Row, sent_at: Micros) -> UncertainAttempt {
     let endpoint = row
         .history
--- a/crates/dead-letter/src/redrive_schedule.rs
+++ b/crates/dead-letter/src/redrive_schedule.rs
@@ -5,13 +5,13 @@
 use milletturn_policy::{Micros, SECOND};
 use std::collections::BTreeMap;
 
-/// Maximum number of destinations whose health is remembered. Beyond it, the destination with the oldest last attempt
-/// is evicted, and counts as never attempted.
+/// Maximum number of destinations whose health is remembered when attempts end. Beyond it, an attempt at a new
+/// destination evicts the one whose last attempt is the oldest, which then counts as never attempted.
 const MAX_DESTINATIONS: usize = 10_000;
 /// Maximum time for which one refill of a rule's token bucket adds tokens, in microseconds.
 const MAX_REFILL: Micros = 3600 * SECOND;
 
-/// A rule by which messages are redriven. Empty lists match all.
+/// A rule by which messages are redriven. An empty list matches every message.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RedriveRule {
     /// The rule's name, for the audit log of the messages that it redrives.
@@ -24,7 +24,7 @@
     pub reasons: Vec<EndReason>,
     /// Minimum time since the last failed or rejected attempt at the destination, in microseconds.
     pub min_healthy: Micros,
-    /// Maximum number of redrives of one message, by operators and rules together.
+    /// The rule does not cover messages that have been redriven this many times, by operators or by rules.
     pub max_redrives: u32,
     /// Messages first accepted longer ago than this, in microseconds, are not redriven.
     pub max_age: Micros,
@@ -126,7 +126,7 @@
         self.rules.is_empty()
     }
 
-    /// Records that an attempt at a destination ended; attempts of all messages count, not only redrives.
+    /// Records that an attempt at a destination ended; the attempts at all messages count, not only those of redrives.
     pub fn on_attempt_end(&mut self, destination: u64, succeeded: bool, now: Micros) {
         if !self.health.contains_key(&destination) && self.health.len() >= MAX_DESTINATIONS {
             let oldest = self
--- a/crates/dead-letter/src/redrive_service.rs
+++ b/crates/dead-letter/src/redrive_service.rs
@@ -79,7 +79,10 @@
     }
 
     /// After a start, verifies the whole file, sets the state of each message that was being redriven according to the
-    /// journal, and finds the messages that rules may redrive. [`DeadLetterStore::reconcile`] describes the parameters.
+    /// journal, and finds the messages that rules may redrive.
+    ///
+    /// `redriving` holds the numbers of the messages that the journal lists as unfinished redrives; `journal_intact` is
+    /// true if the journal lost no entries.
     ///
     /// # Errors
     /// When the file is damaged or can't be used.
@@ -112,8 +115,8 @@
     /// Saves messages that ended undelivered, and the results of redrives.
     ///
     /// # Errors
-    /// When the file can't be written; then no message is saved. When a saved row can't be read back; then the messages
-    /// are saved all the same.
+    /// When the file can't be written, in which case no message is saved; or when a saved row can't be read back, in
+    /// which case the messages are saved nevertheless.
     pub fn save(
         &mut self,
         messages: &[EndedMessage],
@@ -139,7 +142,7 @@
         Ok(report)
     }
 
-    /// Records that an attempt at a destination ended; attempts of all messages count, not only redrives.
+    /// Records that an attempt at a destination ended; the attempts at all messages count, not only those of redrives.
     pub fn on_attempt_end(&mut self, destination: u64, succeeded: bool, now: Micros) {
         if !self.schedule.is_empty() {
             self.schedule.on_attempt_end(destination, succeeded, now);
@@ -172,7 +175,7 @@
     /// Decides whether an operator may redrive the message now.
     ///
     /// # Errors
-    /// Why the message may not be redriven.
+    /// When the message may not be redriven now; the [`Rejection`] says why.
     pub fn decide(&self, summary: &Summary, now: Micros) -> Result<RedriveDecision, Rejection> {
         match summary.state {
             State::RedriveRequested | State::Redriving => return Err(Rejection::InProgress),
@@ -185,8 +188,8 @@
         }
     }
 
-    /// Records the request to redrive a message, and returns the order to pass to the engine. From then on the journal
-    /// determines the message's state.
+    /// Records the request to redrive a message, and returns the order to pass to the engine. If the process ends
+    /// before the redrive does, the next start sets the message's state according to the journal.
     ///
     /// # Errors
     /// When the message may not be redriven now, or the file can't be read or written.
@@ -307,7 +310,7 @@
         Ok(())
     }
 
-    /// Drops resolved messages that exceed the maximum age; returns how many.
+    /// Drops resolved messages that exceed the maximum age, a bounded number in one call; returns how many.
     ///
     /// # Errors
     /// When the file can't be written.
@@ -315,7 +318,8 @@
         self.store.prune(now)
     }
 
-    /// A page of the messages that match a filter: see [`DeadLetterStore::list`].
+    /// The messages after the number `after` that match a filter, at most `limit`, in the order of their numbers. The
+    /// page may be short or empty although more matching messages follow.
     ///
     /// # Errors
     /// When the file can't be read.
--- a/crates/dead-letter/src/row.rs
+++ b/crates/dead-letter/src/row.rs
@@ -16,7 +16,7 @@
 
 /// The statements that create the table and its index.
 ///
-/// The columns are in the order of the fields of [`Row`]. Some have another name than their field: `first_taken` is
+/// The columns are in the order of the fields of [`Row`]. Some columns are not named like their field: `first_taken` is
 /// `accepted_at`, `resends` is `redrives`, `first_risk` is `first_uncertain_at`, `stated` is `confirmed_not_run`,
 /// `ordered_at` is `redrive_requested_at`, `story` is `history` and `sum` is `checksum`.
 ///
@@ -37,7 +37,8 @@
 pub const SELECT_ALL: &str = "SELECT * FROM message";
 /// Selects one row by its number, with the columns that [`Row::read`] expects.
 pub const SELECT_ONE: &str = "SELECT * FROM message WHERE number = ?";
-/// Selects the rows after a number, with the columns that [`Row::read_summary`] expects: without history and body.
+/// Selects the rows with numbers above the first parameter, at most as many as the second, with the columns that
+/// [`Row::read_summary`] expects: without the history, and with the body's length in place of the body.
 pub const SELECT_AFTER: &str =
     "SELECT number, id, key, class, destination, state, ending, reason, first_taken,
     deadline, ended_at, resends, first_risk, stated, ordered_at, length(body) FROM message
@@ -64,7 +65,7 @@
     pub number: u64,
     /// The id that the client gave to the message.
     pub id: String,
-    /// Idempotency key by which the destination recognizes duplicates.
+    /// Idempotency key by which the destination recognizes repeated requests; `None` if the message has no key.
     pub key: Option<String>,
     /// Name of the message's class.
     pub class: String,
@@ -85,7 +86,8 @@
     /// Number of redrives so far.
     pub redrives: u32,
     /// When the first attempt that the destination may have processed was sent; `None` if there is none. Attempts that
-    /// an operator has confirmed not to have run don't count. 0 if the time was lost with a store that was set aside.
+    /// an operator has confirmed not to have run don't count. 0 if the time is unknown because it was recorded in a
+    /// damaged file that was set aside.
     pub first_uncertain_at: Option<Micros>,
     /// True if an operator has confirmed that the message did not run, or that its client does not resubmit it.
     pub confirmed_not_run: bool,
@@ -100,7 +102,7 @@
 }
 
 impl Row {
-    /// A row for a message that has just ended, without the message's round in the history.
+    /// A row for a message that has just ended. Its history is empty: the caller adds the round of attempts that ended.
     #[must_use]
     pub fn new(ended: &EndedMessage) -> Self {
         Row {
--- a/crates/dead-letter/src/store.rs
+++ b/crates/dead-letter/src/store.rs
@@ -57,7 +57,7 @@
     /// Opens the file, or creates it. Its rows are not verified: see [`DeadLetterStore::verify`].
     ///
     /// # Errors
-    /// When the file is not a database of this program, or can't be opened or created.
+    /// When the file is damaged, is not a database of this program, or can't be opened or created.
     pub fn open(path: &Path, limits: StoreLimits) -> Result<Self, StoreError> {
         // SQLite treats a file shorter than a page as a new database. This program renames a new database to its
         // final name only when it is complete, so a shorter file has been truncated.
@@ -88,7 +88,7 @@
     /// Opens the file read-only, while no sender runs.
     ///
     /// # Errors
-    /// As [`DeadLetterStore::open`], and when there is no file.
+    /// When there is no file, or it is damaged, is not a database of this program, or can't be opened.
     pub fn open_read_only(path: &Path) -> Result<Self, StoreError> {
         let store = DeadLetterStore {
             connection: schema::connect_read_only(path)?,
@@ -145,8 +145,8 @@
         Ok(self.row(number)?.map(|row| row.into_record(body)))
     }
 
-    /// Changes a row in one transaction. `change` gets the row and returns `None` if nothing is to be written. Returns
-    /// the result of `change`, or `None` if there is no such row.
+    /// Reads a row, passes it to the function `change`, and writes the changed row, all in one transaction. If the
+    /// function returns `None`, nothing is written. Returns the function's result, or `None` if there is no such row.
     ///
     /// # Errors
     /// When the row can't be read or written; then nothing has changed.
--- a/crates/dead-letter/src/store/integrity.rs
+++ b/crates/dead-letter/src/store/integrity.rs
@@ -4,7 +4,7 @@
 use crate::error::StoreError;
 use crate::row::{self, Row};
 
-/// Message numbers are assigned one by one from 1, so they never reach this bound.
+/// All valid message numbers are below this bound: they are assigned one by one from 1, and never get that high.
 const MAX_NUMBER: i64 = 1 << 62;
 
 impl DeadLetterStore {
--- a/crates/dead-letter/src/store/prune.rs
+++ b/crates/dead-letter/src/store/prune.rs
@@ -1,5 +1,5 @@
 //! Frees space: drops resolved messages when they exceed the maximum age, or when the store is full. In this module, a
-//! resolved message was delivered or was resolved by an operator.
+//! resolved message is one that was delivered or that an operator resolved.
 
 use super::query::used_bytes;
 use super::{DeadLetterStore, StoreLimits, read_row};
@@ -15,10 +15,10 @@
 /// The resolved messages whose bodies are dropped next.
 const SELECT_BODIES_TO_DROP: &str = "SELECT number FROM message
     WHERE state IN ('delivered', 'settled') AND body IS NOT NULL ORDER BY ended_at LIMIT ?";
-/// Drops the resolved messages that ended first.
+/// Drops the resolved messages that ended first, at most as many as the parameter says.
 const DELETE_OLDEST_RESOLVED: &str = "DELETE FROM message WHERE number IN
     (SELECT number FROM message WHERE state IN ('delivered', 'settled') ORDER BY ended_at LIMIT ?)";
-/// Drops resolved messages that ended before a time.
+/// Drops resolved messages that ended before the time in the first parameter, at most as many as the second says.
 const DELETE_EXPIRED: &str = "DELETE FROM message WHERE number IN (SELECT number FROM message
     WHERE state IN ('delivered', 'settled') AND ended_at < ? ORDER BY ended_at LIMIT ?)";
 
--- a/crates/dead-letter/src/store/query.rs
+++ b/crates/dead-letter/src/store/query.rs
@@ -8,7 +8,8 @@
 use rusqlite::{Connection, params};
 use std::collections::BTreeSet;
 
-/// Maximum number of rows that one call of [`DeadLetterStore::list`] reads, which bounds the time of a call.
+/// Maximum number of rows that one call of [`DeadLetterStore::list`] reads if the filter has no message numbers, which
+/// bounds the time of a call.
 const MAX_ROWS_READ: usize = 2000;
 
 /// A page of a list.
@@ -22,7 +23,8 @@
 
 impl DeadLetterStore {
     /// The messages after the number `after` that match a filter, at most `limit`, in the order of their numbers. A
-    /// call reads a bounded number of rows, so a page may be short or empty although more matching messages follow.
+    /// call without numbers in the filter reads a bounded number of rows, so its page may be short or empty although
+    /// more matching messages follow.
     ///
     /// # Errors
     /// When the file can't be read.
--- a/crates/dead-letter/src/store/reconcile.rs
+++ b/crates/dead-letter/src/store/reconcile.rs
@@ -12,8 +12,10 @@
     /// journal.
     ///
     /// `redriving` are the numbers of the messages that the journal holds as unfinished redrives; `journal_intact` is
-    /// true if the journal lost no entries. A message that the journal should hold and does not is marked as one that
-    /// may have run.
+    /// true if the journal lost no entries. If the journal does not hold the redrive of a message:
+    ///
+    /// - a message whose redrive was only requested becomes unresolved again, if the journal is intact;
+    /// - any other message becomes unresolved and is marked as one that may have run.
     ///
     /// # Errors
     /// When the file can't be written.
--- a/crates/dead-letter/src/store_worker.rs
+++ b/crates/dead-letter/src/store_worker.rs
@@ -58,7 +58,8 @@
     pub max_total_bytes: u64,
 }
 
-/// A handle of the store's thread. The thread ends when all senders of its job queue are dropped.
+/// A handle to the store's thread. The thread ends when all senders of its job queue are dropped, or at its start if
+/// the store can't be recovered.
 #[derive(Debug)]
 pub struct StoreWorker {
     /// The sending half of the queue of jobs.
@@ -74,7 +75,8 @@
     /// verifies the rows first; until then messages that fail stay in the journal.
     ///
     /// # Errors
-    /// When the store can't be opened, and can't be replaced by a new one; then messages that fail can't be saved.
+    /// When the store can't be opened and can't be replaced by a new one. If the thread can't be started, the error is
+    /// only logged.
     pub fn start(options: StoreWorkerOptions) -> Result<Self, StoreError> {
         let path = options.state_dir.join(&options.config.file);
         let (store, last_number) =
@@ -243,7 +245,7 @@
 struct Worker {
     service: RedriveService,
     engine: mpsc::UnboundedSender<Input>,
-    /// The batch of messages to save next, at most [`SAVE_BATCH`].
+    /// The messages to save next, at most [`SAVE_BATCH`].
     batch: Vec<EndedMessage>,
     /// No messages are saved before this time; `None` if there is no backoff.
     backoff_until: Option<Instant>,
