--- a/crates/sidecar/src/callback.rs
+++ b/crates/sidecar/src/callback.rs
@@ -16,7 +16,8 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep};
 
-/// Name of the class of callback messages; see [`milletturn_engine::ingress::is_internal_class`].
+/// Name of the class of callback messages. The colon makes the class internal to the sender
+/// ([`milletturn_engine::ingress::is_internal_class`]), so clients can't use it.
 pub const CLASS: &str = "outcome:callback";
 /// Maximum number of outcomes in flight. Several are sent in parallel so that a slow one does not delay the others; the
 /// limit keeps them a small share of the messages that the sender may have pending.
@@ -31,8 +32,8 @@
     pub class: usize,
     /// The destination whose endpoint is the callback's address.
     pub destination: u64,
-    /// How long a single message may be attempted, in microseconds. The outcome itself is kept until the callback has
-    /// accepted it.
+    /// How long a single callback message may be attempted, in microseconds. The outcome itself stays in the log until
+    /// it is acknowledged, and is resubmitted in a new message.
     pub time_to_live: Micros,
 }
 
@@ -79,7 +80,7 @@
 }
 
 impl CallbackSender {
-    /// Submits further outcomes while the window has capacity.
+    /// Submits further outcomes, up to [`MAX_IN_FLIGHT`] in flight.
     fn fill(&self, window: &mut DeliveryWindow) {
         let capacity = MAX_IN_FLIGHT.saturating_sub(window.in_flight.len());
         for outcome in self.shared.after(window.submitted_cursor, capacity) {
@@ -150,12 +151,13 @@
 }
 
 /// The id of the message that carries an outcome. The id differs for each incarnation of the process, so that no client
-/// can have submitted a message with the same id. The callback recognizes repeats by the cursor in the body.
+/// can have submitted a message with the same id. The callback recognizes an outcome that it has received before by the
+/// cursor in the body.
 fn message_id(incarnation: u64, cursor: u64) -> String {
     format!("outcome:{incarnation:016x}:{cursor}")
 }
 
-/// The cursor in the id of a callback message.
+/// The cursor in the id of a callback message; `None` if the id does not end with a colon and a number.
 fn cursor_of(id: &SharedStr) -> Option<u64> {
     id.to_string().rsplit(':').next()?.parse().ok()
 }
--- a/crates/sidecar/src/endpoints/watcher.rs
+++ b/crates/sidecar/src/endpoints/watcher.rs
@@ -22,7 +22,7 @@
 }
 
 impl FileFingerprint {
-    /// The fingerprint of a file; none if its metadata can't be read.
+    /// The fingerprint of a file; `None` if its metadata can't be read.
     fn of(path: &Path) -> Option<Self> {
         let metadata = std::fs::metadata(path).ok()?;
         Some(FileFingerprint {
@@ -35,8 +35,8 @@
 }
 
 /// Polls an endpoints file until the engine stops. Sends the engine each new list that can be read, preceded by the
-/// `fixed` endpoints. A file that can't be read or is invalid is logged once, and the last good list stays in force. A
-/// file that changes while it is read is read again.
+/// `fixed` endpoints. A file that can't be read or is invalid is logged once, and the engine keeps the last valid list.
+/// A file that changes while it is read is read again.
 pub async fn watch(
     path: PathBuf,
     fixed: Vec<ListedEndpoint>,
--- a/crates/sidecar/src/environment.rs
+++ b/crates/sidecar/src/environment.rs
@@ -1,5 +1,6 @@
 //! Checks of a configuration against the machine: the state folder and its lock, free ports, and the endpoints file. A
-//! read-only check creates nothing; if the lock file exists, the check takes its lock and releases it.
+//! read-only check creates nothing. If the lock file exists, a read-only check locks it too, until the returned lock is
+//! dropped.
 
 mod state_folder;
 
@@ -23,7 +24,7 @@
 }
 
 /// Checks the parts of a configuration that depend on the machine, and adds findings to the document. Returns the lock
-/// on the state folder; none if the folder could not be locked, or has no lock file in a read-only check.
+/// on the state folder; `None` if the folder could not be locked, or has no lock file in a read-only check.
 pub fn check(document: &mut Document, mode: CheckMode) -> Option<StateFolderLock> {
     let lock = check_state_folder(document, mode);
     check_endpoints_file(document);
--- a/crates/sidecar/src/environment/state_folder.rs
+++ b/crates/sidecar/src/environment/state_folder.rs
@@ -1,4 +1,4 @@
-//! Checks that a state folder is a sidecar's and can be written, and locks it.
+//! Checks that a state folder belongs to a sidecar and can be written, and locks it.
 
 use super::CheckMode;
 use milletturn_config::codes::Code;
@@ -37,7 +37,7 @@
     /// The folder is absent, and its nearest existing ancestor, which the error names, is read-only.
     #[error("{} can't be written", .0.display())]
     ParentNotWritable(PathBuf),
-    /// The folder contains a file that isn't a sidecar's; the error names the file.
+    /// The folder contains a file that no sidecar writes; the error names the file.
     #[error("it contains {0}, which is not a file of a sidecar")]
     ForeignFile(String),
     /// Another process holds the lock.
@@ -112,8 +112,9 @@
     }
 }
 
-/// The type of a folder's file system if its content is lost at a restart of the machine. The type is read from
-/// `/proc/self/mountinfo`, whose form proc(5) describes.
+/// The type of a folder's file system if its content is lost at a restart of the machine; `None` for any other file
+/// system, and if the type can't be determined. The type is read from `/proc/self/mountinfo`; proc(5) describes the
+/// file's format.
 pub(super) fn temporary_file_system(folder: &Path) -> Option<String> {
     let real_path = milletturn_config::neighbours::resolve_links(folder);
     let mounts = fs::read_to_string("/proc/self/mountinfo").ok()?;
--- a/crates/sidecar/src/http_reader.rs
+++ b/crates/sidecar/src/http_reader.rs
@@ -21,9 +21,10 @@
 use tokio::sync::{Semaphore, mpsc, oneshot};
 use tokio::time::{sleep, timeout};
 
-/// Maximum number of concurrent connections; each takes a descriptor and one page of outcomes.
+/// Maximum number of concurrent connections; each takes a file descriptor, and memory for one page of outcomes.
 const MAX_CONNECTIONS: usize = 8;
-/// An idle stream is sent an empty line at this interval, so that each side notices when the other is gone.
+/// An idle stream is sent an empty line at this interval, so that each side notices when the other
+/// has disconnected.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// A reader that accepts no data for this long is disconnected.
 const SEND_TIMEOUT: Duration = Duration::from_secs(30);
@@ -171,7 +172,7 @@
     }
 }
 
-/// The cursor in a query: 0 without `from`, none if the value isn't a number or `from` is given twice.
+/// The cursor in a query: 0 without `from`, `None` if the value isn't a number or `from` is given twice.
 fn parse_cursor(query: &str) -> Option<u64> {
     let mut values = query
         .split('&')
--- a/crates/sidecar/src/outcome_log.rs
+++ b/crates/sidecar/src/outcome_log.rs
@@ -20,14 +20,14 @@
 
 /// Name of the file in the state folder.
 const FILE_NAME: &str = "outcomes";
-/// Maximum count of acknowledged messages whose numbers are kept to recognize repeated notifications. A notification
+/// Maximum number of acknowledged messages whose numbers are kept to recognize repeated notifications. A notification
 /// can be repeated only until the journal has removed the message.
 const MAX_REMEMBERED_NUMBERS: usize = 4096;
 /// Files smaller than this, or smaller than half of the log's size limit if that is less, are not rewritten.
 const MIN_REWRITE_BYTES: u64 = 64 * 1024;
-/// Upper bound of one outcome's line: an id of up to 256 bytes and the other fields.
+/// Upper bound of the size of one outcome's line, in bytes: an id of up to 256 bytes and the other fields.
 const MAX_RECORD_BYTES: u64 = 400;
-/// Typical size of an outcome's line, used to estimate how much of the file is acknowledged.
+/// Typical size of an outcome's line, in bytes, used to estimate how much of the file is acknowledged.
 const TYPICAL_RECORD_BYTES: u64 = 128;
 
 /// Why the outcome log can't be used.
@@ -41,7 +41,8 @@
         /// The operating system's error.
         source: io::Error,
     },
-    /// A line before the last is damaged, so outcomes would be missing.
+    /// A complete line, that is, one with its line feed, can't be parsed, so an outcome or an acknowledgement would be
+    /// missing.
     #[error("{path}: line {line_number} is damaged; set the file aside to start without it", path = path.display())]
     Damaged {
         /// The log's file.
@@ -72,7 +73,7 @@
     /// Opens the log in a state folder. Its file may grow to `max_bytes`.
     ///
     /// # Errors
-    /// When the file can't be read or opened, or a line before the last is damaged.
+    /// When the file can't be read or opened, or a complete line in it can't be parsed.
     pub fn open(folder: &Path, max_bytes: u64) -> Result<Self, OutcomeLogError> {
         let path = folder.join(FILE_NAME);
         let io_error = |source| OutcomeLogError::Io {
@@ -132,7 +133,7 @@
         Ok(())
     }
 
-    /// A number greater than any message's number in the log.
+    /// A number greater than that of any pending or recently acknowledged message; 0 if there are none.
     #[must_use]
     pub fn first_free_number(&self) -> u64 {
         self.pending_numbers
@@ -264,8 +265,8 @@
     }
 
     /// Replaces the file by one that holds the acknowledged cursor, the remembered numbers and the pending outcomes.
-    /// Does nothing if the file is small (see [`MIN_REWRITE_BYTES`]), or if the pending outcomes take up more than half
-    /// of it, by an estimate. The new file is written beside the old one and then renamed.
+    /// Does nothing if the file is small (see [`MIN_REWRITE_BYTES`]), or if the pending outcomes are estimated to take
+    /// up more than half of it. The new file is written beside the old one and then renamed.
     fn rewrite_if_mostly_acknowledged(&mut self) -> Result<(), OutcomeLogError> {
         let pending_bytes = self.pending.len() as u64 * TYPICAL_RECORD_BYTES;
         let min_bytes = MIN_REWRITE_BYTES.min(self.max_bytes / 2);
--- a/crates/sidecar/src/plan/destinations.rs
+++ b/crates/sidecar/src/plan/destinations.rs
@@ -57,8 +57,8 @@
         Ok(())
     }
 
-    /// Adds the callback's address as the only endpoint of a new destination, and the class of callback messages to the
-    /// settings.
+    /// Adds the callback's address as the only endpoint of a new destination, whose number is the greatest one that is
+    /// not used yet. Also adds the class of callback messages to the settings.
     pub(super) fn add_callback(
         &mut self,
         address: &str,
