--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -1,5 +1,5 @@
-//! Checks one file as a whole for contradictions between settings and for budgets that are exceeded. These checks look
-//! only at the document, not at folders or ports.
+//! Checks one file as a whole for contradictions between settings and for budgets that are exceeded. These checks don't
+//! access the state folder and don't bind ports, but they resolve host names to compare the addresses of listeners.
 
 use crate::codes::Code;
 use crate::document::Document;
--- a/crates/config/src/document.rs
+++ b/crates/config/src/document.rs
@@ -233,7 +233,8 @@
         })
     }
 
-    /// Adds a finding for a name that is not a setting, with the most similar known name if there is one.
+    /// Adds a finding for a name that is not a setting. The finding suggests the most similar known name, or lists the
+    /// known names if none is similar.
     fn add_unknown_setting(&mut self, path: &[&str], name: &Spanned<std::borrow::Cow<'_, str>>) {
         let depth = path.len() - 1;
         let known: BTreeSet<&str> = (self.settings.0.iter())
@@ -579,8 +580,9 @@
         }
     }
 
-    /// True if a finding is located after the setting's name on a line that begins with this name; the line may be in
-    /// any table. Such a setting is present but invalid, and must not be reported as missing too.
+    /// True if a finding is located on a line of the file that begins with the setting's name, after that name. Such a
+    /// setting is present but invalid, and must not be reported as missing too. Lines are compared by the last part of
+    /// the path only, so a line of another table counts as well.
     fn is_already_reported(&self, path: &str) -> bool {
         let name = path.rsplit(PATH_SEPARATOR).next().unwrap_or(path);
         self.findings
@@ -597,14 +599,14 @@
             })
     }
 
-    /// The value that the file itself sets; none if the default applies.
+    /// The value that the file itself sets; `None` if it sets none, so that the default applies.
     #[must_use]
     pub fn explicit_value(&self, path: &[&str]) -> Option<&SpannedValue> {
         self.values.get(&join_path(path))
     }
 
-    /// Position of a value or, if the file does not set it, of the name of the innermost table around it; none if the
-    /// file has neither.
+    /// Position of a value or, if the file does not set it, of the name of the innermost table around it; `None` if
+    /// the file has neither.
     #[must_use]
     pub fn span(&self, path: &[&str]) -> Option<Range<usize>> {
         let given = self.explicit_value(path).map(|found| found.span.clone());
@@ -628,7 +630,7 @@
         self.tables.keys().filter_map(below).collect()
     }
 
-    /// The effective value: the one that the file sets, or else the default; none if there is neither.
+    /// The effective value: the one that the file sets, or else the default; `None` if there is neither.
     #[must_use]
     pub fn value(&self, path: &[&str]) -> Option<Value> {
         if let Some(found) = self.explicit_value(path) {
@@ -741,7 +743,7 @@
     (1..=64).contains(&text.len()) && text.chars().all(allowed) && !text.starts_with('.')
 }
 
-/// Splits an address into its host and port; none if the host is invalid or the port isn't from 1 to 65535. Brackets
+/// Splits an address into its host and port; `None` if the host is invalid or the port isn't from 1 to 65535. Brackets
 /// around an IPv6 address are removed.
 #[must_use]
 pub fn host_and_port(text: &str) -> Option<(&str, u16)> {
--- a/crates/config/src/finding.rs
+++ b/crates/config/src/finding.rs
@@ -10,7 +10,7 @@
 pub struct Location {
     /// The file's path.
     pub path: PathBuf,
-    /// Range of the text that the label is about, in bytes; none if the label is about the file as a whole.
+    /// Range of the text that the label is about, in bytes; `None` if the label is about the file as a whole.
     pub span: Option<Range<usize>>,
     /// What is wrong at this location, for users; reports print it beside the marked text.
     pub label: String,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -38,7 +38,8 @@
     check_documents(paths.iter().map(|path| Document::read(path)).collect())
 }
 
-/// Checks documents that have been read; see [`check_files`].
+/// Checks documents that have been read: each one as a whole if all its values are valid by themselves, and several
+/// documents against each other, as sidecars on one machine.
 #[must_use]
 pub fn check_documents(mut documents: Vec<Document>) -> Vec<Document> {
     let has_findings = |document: &Document| !document.findings.is_empty();
@@ -63,7 +64,8 @@
         .collect()
 }
 
-/// Returns a function that looks up the text of a file by its path among the documents.
+/// Returns a function that looks up the text of a file among the documents by the file's path. The function returns
+/// `None` if no document has the path.
 pub fn text_by_path(documents: &[Document]) -> impl Fn(&PathBuf) -> Option<String> + '_ {
     |path| {
         documents
--- a/crates/config/src/render.rs
+++ b/crates/config/src/render.rs
@@ -8,8 +8,8 @@
 use std::fmt;
 use std::path::PathBuf;
 
-/// A miette diagnostic for a finding's locations in one file. The report of the main file holds the reports of the
-/// other files in `related`.
+/// A miette diagnostic for a finding's locations in one file. The main report is the one for the file of the finding's
+/// first location; it holds the reports for the other files in `related`.
 #[derive(Debug)]
 struct FileReport {
     code: String,
--- a/crates/config/src/schema.rs
+++ b/crates/config/src/schema.rs
@@ -1,5 +1,5 @@
-//! Generates the JSON Schema of configuration files, which editors use, and the reference page, from the table of
-//! settings.
+//! Generates two texts from the table of settings: the JSON Schema by which editors check configuration files, and the
+//! reference page.
 
 use crate::codes::Code;
 use crate::fields::{FIELDS, Field, Kind};
@@ -26,7 +26,7 @@
     };
     schema["description"] = format!("{} ({})", field.doc, field.kind.description()).into();
     if !field.default.is_empty() {
-        // defaults are in TOML notation; those of numbers and booleans are valid JSON as well
+        // defaults are in TOML notation; one that is not valid JSON as well becomes a string
         schema["default"] = serde_json::from_str(field.default)
             .unwrap_or_else(|_| field.default.trim_matches('"').into());
     }
--- a/crates/config/src/template.rs
+++ b/crates/config/src/template.rs
@@ -2,8 +2,9 @@
 
 use crate::fields::FIELDS;
 
-/// The text of the file, in which messages are submitted at `port` and outcomes are read at `port + 100`. Each setting
-/// is preceded by its meaning, and settings that keep their default are commented out.
+/// The text of the file. It has one class with the given effect, and one destination with the given endpoint. Messages
+/// are submitted at `port` and outcomes are read at `port + 100`. Each setting is preceded by its meaning; a setting
+/// that the file does not set is commented out, with its default, or with `...` if it has none.
 #[must_use]
 pub fn new(name: &str, port: u16, effect: &str, endpoint: &str) -> String {
     let mut text = format!(
--- a/crates/config/src/units.rs
+++ b/crates/config/src/units.rs
@@ -9,7 +9,7 @@
     ("h", 3_600_000_000),
     ("d", 86_400_000_000),
 ];
-/// Units of size with their length in bytes.
+/// Units of size with their number of bytes.
 const SIZE_UNITS: [(&str, u64); 7] = [
     ("KiB", 1 << 10),
     ("MiB", 1 << 20),
@@ -84,7 +84,8 @@
     }
 }
 
-/// Formats a time in the notation of configuration files, with the largest unit that gives a whole number.
+/// Formats a time in microseconds in the notation of configuration files, with the largest unit that gives a whole
+/// number; a time of 0 becomes `0s`.
 #[must_use]
 pub fn format_time(micros: i64) -> String {
     let (name, size) = TIME_UNITS
