--- a/crates/dead-letter/tests/golden/control_socket.rs
+++ b/crates/dead-letter/tests/golden/control_socket.rs
@@ -29,7 +29,7 @@
     .expect("a store")
 }
 
-/// A fake engine, which answers redrives with each outcome in turn.
+/// A fake engine, which answers requests for redrives with each [`RedriveOutcome`] in turn.
 async fn answer_redrives(mut inputs: mpsc::UnboundedReceiver<Input>) {
     use RedriveOutcome::{Accepted, Busy, InFlight, NoCapacity, TooLate};
     let mut answers = [Accepted, InFlight, Busy, NoCapacity, TooLate]
--- a/crates/dead-letter/tests/golden/settings.rs
+++ b/crates/dead-letter/tests/golden/settings.rs
@@ -1,4 +1,5 @@
-//! Tests of the settings file: `deploy/undelivered.toml` is read with its values, and each key under its own name.
+//! Tests of the settings file: `deploy/undelivered.toml` has the expected values, and each key of `settings.toml` sets
+//! the field that belongs to it.
 
 use super::golden_text;
 use milletturn_dead_letter::config::Config;
--- a/crates/dead-letter/tests/golden/store_script.rs
+++ b/crates/dead-letter/tests/golden/store_script.rs
@@ -49,12 +49,12 @@
     }
 }
 
-/// A list of one attempt that never ran.
+/// A list of one attempt that failed to connect, so the destination can't have processed it.
 fn never_ran(uid: &str) -> Vec<AttemptRecord> {
     vec![attempt(uid, at(1), Some(Outcome::NoConnection))]
 }
 
-/// One attempt of each outcome that does not deliver.
+/// One attempt for each outcome other than `Success` and `Unsent`, and one without an outcome.
 fn every_outcome() -> Vec<AttemptRecord> {
     let outcomes = [
         Some(Outcome::Error),
--- a/crates/dead-letter/tests/kills.rs
+++ b/crates/dead-letter/tests/kills.rs
@@ -1,7 +1,7 @@
-//! Tests that crash the process at every step in the handling of a message: its failure, its save in the store, the
-//! redrive, the journal's entry, the first byte sent and the outcome; and runs with many messages and crashes. They
-//! guard against messages that take effect twice, are lost, or are active in the journal and the store at the same
-//! time.
+//! Tests that crash the process at every step in the handling of a message: when it fails, is saved in the store, is
+//! redriven, is recorded in the journal, when its first byte is sent, and when it has an outcome. Longer runs have many
+//! messages and crashes. The tests guard against messages that take effect twice, are lost, or are active in the
+//! journal and the store at the same time.
 
 mod simulation;
 
--- a/crates/dead-letter/tests/simulation/operators.rs
+++ b/crates/dead-letter/tests/simulation/operators.rs
@@ -66,7 +66,7 @@
         !has_unresolved
     }
 
-    /// How an operator resolves a message; `None` if no operator has to act on it, or none can now.
+    /// How an operator resolves a message; `None` if a rule will redrive the message, or a redrive is in progress.
     fn choose_resolution(&self, summary: &Summary) -> Option<Resolution> {
         let ran = self
             .simulation
@@ -76,7 +76,7 @@
             .effect_count(&summary.id)
             > 0;
         match self.service.decide(summary, self.simulation.unix_now()) {
-            // the rules redrive the message, unless it has been redriven too often
+            // the rules redrive the message until it has been redriven five times, the maximum of the plan's rule
             Ok(_) if summary.redrives < 5 => None,
             Ok(_) => Some(Resolution::Done),
             Err(_) if summary.state != State::Unresolved => None,
--- a/crates/dead-letter/tests/simulation/process.rs
+++ b/crates/dead-letter/tests/simulation/process.rs
@@ -177,7 +177,8 @@
                     self.redrive(order).await;
                 }
             }
-            // operators stop redriving messages 10 s after the repair, as real ones would when the same failure repeats
+            // operators stop redriving messages 10 s after the repair, as real operators would when the same failure
+            // repeats
             let operators_redrive =
                 simulation.environment.now() < simulation.plan.repaired_at + 10 * SECOND;
             let interval = simulation.plan.redrive_interval;
--- a/crates/dead-letter/tests/store.rs
+++ b/crates/dead-letter/tests/store.rs
@@ -1,4 +1,5 @@
-//! Tests of the store's file: limits and pruning, damage at every seventh byte, and the rounds of a redriven message.
+//! Tests of the store's file: limits and pruning, a flipped bit at every seventh byte, truncated files, the rounds of a
+//! redriven message, and messages whose redrive the journal lost.
 
 use bytes::Bytes;
 use milletturn_dead_letter::config::Config;
