--- a/crates/config/src/fields.rs
+++ b/crates/config/src/fields.rs
@@ -6,7 +6,7 @@
 pub enum Kind {
     /// Any text that is not empty.
     Text,
-    /// A short name: letters, digits, `-`, `_` and `.`.
+    /// A name of 1 to 64 letters, digits, `-`, `_` and `.` that does not start with a dot.
     Name,
     /// A path; a relative one is resolved against the folder of the configuration file.
     Path,
--- a/crates/dead-letter/src/config.rs
+++ b/crates/dead-letter/src/config.rs
@@ -8,8 +8,8 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// The largest value of a setting that may be a fraction: about a century in seconds, 3.2 petabytes in megabytes. A
-/// setting in days is converted to seconds before the check.
+/// The largest value of a setting that may be a fraction: about a century for a time in seconds, 3.2 petabytes for a
+/// size in megabytes. A time in days is converted to seconds before the check.
 const MAX_VALUE: f64 = 3.2e9;
 /// The smallest size limit of the store, in megabytes: in a smaller file SQLite's own pages leave almost no space for
 /// messages.
@@ -63,7 +63,8 @@
     pub max_bytes: u64,
     /// Maximum number of messages.
     pub max_messages: u64,
-    /// Resolved messages are pruned this many microseconds after their last round of attempts ended.
+    /// Resolved messages are pruned this many microseconds after their last round of attempts ended, or earlier if the
+    /// store is full.
     pub max_age: Micros,
     /// Whether messages that were returned to their clients are stored too.
     pub store_returned: bool,
--- a/crates/dead-letter/src/record.rs
+++ b/crates/dead-letter/src/record.rs
@@ -93,13 +93,14 @@
 /// One attempt to deliver a message.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Attempt {
-    /// Name of the endpoint that the attempt was sent to.
+    /// Name of the endpoint that the attempt was sent to; empty for an attempt that is presumed because the journal was
+    /// damaged.
     pub endpoint: String,
     /// When the attempt was sent.
     pub sent_at: Micros,
     /// How the attempt ended, as [`outcome_text`] writes it; `None` if the sender's process ended first.
     pub outcome: Option<String>,
-    /// Time from the attempt's start to its end, in microseconds.
+    /// Time from the attempt's start to its end, in microseconds; `None` if it was not recorded.
     pub latency: Option<Micros>,
     /// True unless it is certain that the destination did not process the attempt.
     pub may_have_run: bool,
--- a/crates/dead-letter/src/redrive_schedule.rs
+++ b/crates/dead-letter/src/redrive_schedule.rs
@@ -126,7 +126,7 @@
         self.rules.is_empty()
     }
 
-    /// Records that an attempt at a destination ended; the attempts at all messages count, not only those of redrives.
+    /// Records that an attempt at a destination ended; the attempts of all messages count, not only those of redrives.
     pub fn on_attempt_end(&mut self, destination: u64, succeeded: bool, now: Micros) {
         if !self.health.contains_key(&destination) && self.health.len() >= MAX_DESTINATIONS {
             let oldest = self
--- a/crates/dead-letter/src/redrive_service.rs
+++ b/crates/dead-letter/src/redrive_service.rs
@@ -142,7 +142,7 @@
         Ok(report)
     }
 
-    /// Records that an attempt at a destination ended; the attempts at all messages count, not only those of redrives.
+    /// Records that an attempt at a destination ended; the attempts of all messages count, not only those of redrives.
     pub fn on_attempt_end(&mut self, destination: u64, succeeded: bool, now: Micros) {
         if !self.schedule.is_empty() {
             self.schedule.on_attempt_end(destination, succeeded, now);
--- a/crates/dead-letter/src/store.rs
+++ b/crates/dead-letter/src/store.rs
@@ -41,7 +41,8 @@
     pub max_bytes: u64,
     /// Maximum number of messages.
     pub max_messages: u64,
-    /// Age in microseconds at which resolved messages are pruned.
+    /// Resolved messages are pruned this many microseconds after their last round of attempts ended, or earlier if the
+    /// store is full.
     pub max_age: Micros,
 }
 
--- a/crates/dead-letter/src/store_worker.rs
+++ b/crates/dead-letter/src/store_worker.rs
@@ -192,8 +192,8 @@
     jobs: &Receiver<Job>,
     messages: &Receiver<Box<EndedMessage>>,
 ) {
-    // the engine's clock needs the tokio runtime, which this thread does not have, so it reads the clock once and
-    // adds the time elapsed since then
+    // the engine's clock follows the time of the tokio runtime, and this thread runs outside the runtime; so the thread
+    // reads the clock once and adds the time elapsed since then
     let (started_at, started) = (options.clock.now(), Instant::now());
     let now = || {
         let elapsed = Micros::try_from(started.elapsed().as_micros());
--- a/crates/sidecar/src/callback.rs
+++ b/crates/sidecar/src/callback.rs
@@ -157,7 +157,7 @@
     format!("outcome:{incarnation:016x}:{cursor}")
 }
 
-/// The cursor in the id of a callback message; `None` if the id does not end with a colon and a number.
+/// The cursor in the id of a callback message; `None` if the text after the last colon is not a number.
 fn cursor_of(id: &SharedStr) -> Option<u64> {
     id.to_string().rsplit(':').next()?.parse().ok()
 }
--- a/crates/sidecar/src/endpoints/check.rs
+++ b/crates/sidecar/src/endpoints/check.rs
@@ -8,8 +8,8 @@
 use std::path::Path;
 
 /// Checks an endpoints file and the sidecar configurations that name it: a destination without endpoints in its
-/// configuration must have some in the file. Findings are added to the documents; earlier
-/// findings of `list` are dropped.
+/// configuration must have some in the file. Findings are added to the documents; earlier findings of `list` are
+/// dropped.
 pub fn check_list(list: &mut Document, sidecars: &mut [Document]) {
     list.findings.clear();
     let listed = match read(&list.path) {
--- a/crates/sidecar/src/http_reader.rs
+++ b/crates/sidecar/src/http_reader.rs
@@ -23,8 +23,8 @@
 
 /// Maximum number of concurrent connections; each takes a file descriptor, and memory for one page of outcomes.
 const MAX_CONNECTIONS: usize = 8;
-/// An idle stream is sent an empty line at this interval, so that each side notices when the other
-/// has disconnected.
+/// An idle stream is sent an empty line at this interval, so that each side notices when the other has
+/// disconnected.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// A reader that accepts no data for this long is disconnected.
 const SEND_TIMEOUT: Duration = Duration::from_secs(30);
