--- a/crates/cluster-harness/src/cluster.rs
+++ b/crates/cluster-harness/src/cluster.rs
@@ -143,7 +143,7 @@
             self.lease
         );
         for to in self.replicas() {
-            // a replica never connects to itself
+            // a replica never connects to itself, so its own entry needs no link
             let address = self
                 .peer_links
                 .get(&(index, to))
--- a/crates/cluster-harness/src/cluster/clients.rs
+++ b/crates/cluster-harness/src/cluster/clients.rs
@@ -144,7 +144,7 @@
     /// output.
     ///
     /// # Panics
-    /// If the command cannot be started or prints anything but JSON.
+    /// If the command cannot be started, prints anything but JSON lines, or is killed by a signal.
     #[must_use]
     pub fn run_fleet_command(&self, replicas: &[usize], arguments: &[&str]) -> (i32, Vec<Value>) {
         let mut command = Command::new(self.client_program.path());
--- a/crates/cluster-harness/src/controlled_link.rs
+++ b/crates/cluster-harness/src/controlled_link.rs
@@ -117,7 +117,8 @@
         });
     }
 
-    /// Closes all connections, discards their buffered bytes, and closes new connections at once.
+    /// Closes all connections and discards their buffered bytes. New connections are closed at once, until a mode is
+    /// set.
     pub fn cut(&self) {
         self.change(|state| {
             state.is_cut = true;
--- a/crates/cluster-harness/src/history.rs
+++ b/crates/cluster-harness/src/history.rs
@@ -53,7 +53,10 @@
 ///
 /// - The numbers of events increase.
 /// - The token of each acquisition is above all earlier tokens, and no member owns the resource when it is acquired.
-/// - Each write is made by the current owner with its token, and numbered consecutively from 1.
+/// - Each write is made by the current owner with its token. The writes with one token are numbered consecutively
+///   from 1.
+///
+/// For a write that the service rejected ([`EventKind::Fenced`]), only the event's number is checked.
 ///
 /// # Errors
 /// A message with the first event that violates a rule.
--- a/crates/shard-map/src/assignment.rs
+++ b/crates/shard-map/src/assignment.rs
@@ -9,7 +9,7 @@
 //! senders that changed, and the shards that are displaced or find a better sender as a result.
 //!
 //! The assignment only advises clients where to submit a message; it is not a permission to deliver. A client with an
-//! older membership submits to another sender, which accepts the message as well.
+//! older membership may submit to a sender that no longer serves the shard; that sender accepts the message as well.
 
 mod matching;
 mod score;
@@ -225,6 +225,8 @@
     }
 
     /// The number of shard replicas to which no sender is assigned, because the limits on senders and zones allow none.
+    ///
+    /// With fewer senders than the replication factor, each shard is expected to have one replica for each sender.
     #[must_use]
     pub fn unassigned_replicas(&self) -> usize {
         let wanted = self
--- a/crates/shard-map/src/assignment/matching.rs
+++ b/crates/shard-map/src/assignment/matching.rs
@@ -21,7 +21,7 @@
     senders_of_shard: Vec<Vec<Score>>,
     /// The scores with all senders, for each shard that used up its cached scores.
     all_scores: BTreeMap<usize, Vec<Score>>,
-    /// Shards that have not proposed yet, or that have lost a sender since.
+    /// Shards still to be matched: at first all of them, later those that a sender displaced for a higher score.
     pending: Vec<usize>,
 }
 
--- a/crates/shard-map/src/change.rs
+++ b/crates/shard-map/src/change.rs
@@ -25,7 +25,8 @@
         }
     }
 
-    /// An upper bound of the operation's serialized size, in bytes; see [`Endpoint::size_bytes`].
+    /// An upper bound on the size of the endpoint to put as JSON text, or of the escaped name to remove, in bytes; see
+    /// [`Endpoint::size_bytes`].
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         match self {
@@ -91,7 +92,8 @@
     /// The change has more than [`limits::MAX_CHANGE_OPERATIONS`] operations.
     #[error("change has {0} operations, more than the maximum of {max}", max = limits::MAX_CHANGE_OPERATIONS)]
     TooManyOperations(usize),
-    /// A name is empty, longer than [`limits::MAX_NAME_BYTES`] or has control characters.
+    /// The name of an endpoint is empty, or a name of an endpoint, a zone or a kind is longer than
+    /// [`limits::MAX_NAME_BYTES`] or has control characters.
     #[error(
         "name is empty, longer than {} bytes, or has control characters",
         limits::MAX_NAME_BYTES
--- a/crates/shard-map/src/digest.rs
+++ b/crates/shard-map/src/digest.rs
@@ -7,8 +7,8 @@
 /// A 128-bit digest: the sum, modulo 2^128, of the XXH3 hashes of the items that it covers.
 ///
 /// Adding or removing an endpoint costs one hash, and the digest of several shards is the sum of their digests. A digest
-/// detects lost or mixed-up data, as Merkle trees do in Dynamo's anti-entropy. It does not protect against endpoints
-/// that are constructed to collide; endpoints come from the trusted source alone.
+/// detects lost or mixed-up data, as Merkle trees do in Dynamo's anti-entropy. It does not detect endpoints that are
+/// constructed to collide. No such protection is needed, since all endpoints come from the trusted source.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/shard-map/src/endpoint.rs
+++ b/crates/shard-map/src/endpoint.rs
@@ -45,16 +45,16 @@
         Digest::of(&bytes)
     }
 
-    /// An upper bound of the endpoint's serialized size, in bytes.
+    /// An upper bound on the size of the endpoint's JSON text, in bytes.
     ///
-    /// Each byte of a string may be escaped to two. The field names, two numbers of 20 digits and an address of 47 bytes
-    /// take at most 192 bytes.
+    /// Names have no control characters, so JSON escapes each byte to at most two. The field names, two numbers of 20
+    /// digits and an address of 47 bytes take at most 192 bytes.
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         192 + 2 * (self.uid.len() + self.zone.len() + self.kind.len())
     }
 
-    /// Checks the names and the address.
+    /// Checks that the names are valid, and that an endpoint can listen on the address.
     pub(crate) fn validate(&self) -> Result<(), ChangeError> {
         validate_uid(&self.uid)?;
         validate_name(&self.zone)?;
--- a/crates/shard-map/src/limits.rs
+++ b/crates/shard-map/src/limits.rs
@@ -3,8 +3,8 @@
 /// Maximum length of the name of an endpoint, a zone or a kind, in bytes; the same as in the coordination service.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// Maximum number of operations in one change. A change concerns one destination, which has a few endpoints and not
-/// hundreds.
+/// Maximum number of operations in one change. A change concerns one destination, which normally has only a few
+/// endpoints.
 pub const MAX_CHANGE_OPERATIONS: usize = 64;
 
 /// Maximum number of changes that a shard keeps for replicas that catch up.
--- a/crates/shard-map/src/membership.rs
+++ b/crates/shard-map/src/membership.rs
@@ -71,10 +71,10 @@
 
     /// The next version of the membership, with these members in place of the previous ones.
     ///
-    /// A member may serve up to 1.25 times the mean number of shards for its weight. That capacity per unit of weight is
-    /// kept while the total capacity is between 1.1 and 1.5 times the number of shard replicas: each change of the
-    /// capacity moves shards of senders that did not change themselves, and without this range the capacity of 16,000
-    /// senders would change once an hour.
+    /// The capacity per unit of weight is computed as 1.25 times the mean number of shard replicas per unit of weight.
+    /// It is then kept while the total capacity of the members is between 1.1 and 1.5 times the number of shard
+    /// replicas. Each change of the capacity per unit of weight moves shards of senders that did not change themselves.
+    /// Without this range, the capacity would change once an hour with 16,000 senders.
     ///
     /// # Errors
     /// [`MembershipError`] for too many members, or a member with an invalid name, zone or weight.
@@ -113,7 +113,7 @@
         self.version > other.version
     }
 
-    /// Replaces this membership with the other one if that is newer, and returns whether it was.
+    /// Replaces this membership with the other one if the other is newer, and returns whether it was replaced.
     pub fn replace_if_newer(&mut self, other: Self) -> bool {
         let is_newer = other.is_newer_than(self);
         if is_newer {
--- a/crates/shard-map/src/replica.rs
+++ b/crates/shard-map/src/replica.rs
@@ -44,8 +44,8 @@
         /// The newest term known to the replica.
         newest: LeaderTerm,
     },
-    /// The shard already has the version of the update or a later one, or a confirmed span has changed since it was
-    /// requested.
+    /// The shard already has the version of the update or a later one, or the update confirms a span whose shards here
+    /// have changed since the request.
     #[error("the shard already has the version of the update or a later one")]
     NotNewer,
     /// The update has the version of the shard but other endpoints: two sources assigned versions under the same term. Only
@@ -111,15 +111,16 @@
     /// The requests that detect missed updates, including a missed update after which no other follows.
     ///
     /// The caller sends them periodically and on each new connection. A replica of all shards compares the sum of all
-    /// digests in one request; other replicas compare each shard.
+    /// digests in one request. A replica compares each shard instead if it has only some shards, if there are at most
+    /// [`limits::SPAN_PARTS`] shards, or if it knows no leader's term yet.
     #[must_use]
     pub fn sync_requests(&self) -> Vec<SyncRequest> {
         let span = self.shard_count.full_span();
         let has_all = self.shards.len() as u32 == span.count;
         let sum = sync::digest_of_span(&self.shards, self.shard_count, self.newest_term, span);
         if has_all && limits::SPAN_PARTS < span.count && self.newest_term > LeaderTerm::default() {
-            // shards of several terms have no common sum; the default digest differs from any sum, so that the response has
-            // the digests of the parts
+            // the sum is `None` if a shard is not confirmed under the newest term. The default digest is then sent: in
+            // practice it differs from every sum, so that the response has the digests of the parts
             return vec![self.span_request(span, sum.unwrap_or_default())];
         }
         self.shard_requests(self.shards.keys().copied())
--- a/crates/shard-map/src/shard.rs
+++ b/crates/shard-map/src/shard.rs
@@ -6,8 +6,8 @@
 
 /// The number of shards, which must be the same in all processes that exchange updates.
 ///
-/// Destinations are hashed by XXH3 with seed 0. Its values are fixed, so that a destination has the same shard on every
-/// machine and in every version of the program.
+/// Destinations are hashed by XXH3 with seed 0. The hash function never changes, so that a destination has the same
+/// shard on every machine and in every version of the program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "u32", into = "u32")]
 pub struct ShardCount(NonZeroU32);
--- a/crates/shard-map/src/shard_replica.rs
+++ b/crates/shard-map/src/shard_replica.rs
@@ -111,7 +111,8 @@
         self.content.size_bytes
     }
 
-    /// Sets the version without a change, as when a later leader confirms the endpoints under its own term.
+    /// Sets the version without changing the endpoints, for example when a later leader confirms them under its own
+    /// term.
     pub fn set_version(&mut self, version: Version) {
         self.version = version;
     }
--- a/crates/shard-map/src/source.rs
+++ b/crates/shard-map/src/source.rs
@@ -1,7 +1,8 @@
 //! The authoritative copy of the endpoint list, which validates changes and assigns versions under a leader's term.
 //!
-//! The source does not itself make changes durable. The process that runs it must have each change committed and on disk
-//! before sending it to any replica, as the coordination service does, and takes the term from that service.
+//! The source does not make changes durable itself. The process that runs it must commit each change and store it on
+//! disk before it sends the change to any replica, as the coordination service does with its own log entries. The
+//! process takes the term from the coordination service.
 
 use crate::change::{Change, ChangeError, Operation};
 use crate::limits::Limits;
--- a/crates/shard-map/src/sync.rs
+++ b/crates/shard-map/src/sync.rs
@@ -1,8 +1,9 @@
 //! The requests of a replica that catches up, and the updates that it gets from the source or another replica.
 //!
-//! A request describes the state of the replica: one sum of digests for a span of shards, or the version and digest of
-//! each shard. For each shard that differs the response has the missed changes, a snapshot, or only the version if
-//! the endpoints are the same. This is the anti-entropy of Dynamo with sums of digests in place of a Merkle tree.
+//! A request describes the state of the replica, either by one sum of digests for a span of shards, or by the version
+//! and digest of each shard. If the sum for a span differs, the response has the digests of the span's parts. For each
+//! single shard that differs, the response has the missed changes, a snapshot, or only the version if the endpoints are
+//! the same. This is the anti-entropy of Dynamo with sums of digests in place of a Merkle tree.
 
 use crate::change::Operation;
 use crate::digest::Digest;
@@ -101,7 +102,8 @@
         }
     }
 
-    /// An upper bound of the serialized size of the update's endpoints or operations, in bytes; 0 if it has none.
+    /// The size of the update's endpoints or operations in bytes, as computed by [`Endpoint::size_bytes`] and
+    /// [`Operation::size_bytes`]; 0 if it has none.
     fn size_bytes(&self) -> usize {
         match self {
             Update::Change(change) => {
@@ -268,8 +270,8 @@
     }
 }
 
-/// Compares a span with the remote sum of its digests, and returns the digests of its parts if they differ; `None` if
-/// not all shards of the span are stored under the newest term.
+/// Compares the local sum of a span's digests with the remote one. Returns that the span matches if the sums are equal,
+/// and the digests of its parts otherwise; `None` if not all shards of the span are stored under the newest term.
 fn span_update(
     shards: &ShardReplicas,
     shard_count: ShardCount,
--- a/crates/shard-map/src/version.rs
+++ b/crates/shard-map/src/version.rs
@@ -21,8 +21,8 @@
 
 /// The version of a shard or of a membership.
 ///
-/// Versions are ordered by term, then by number. A change that an earlier leader numbered and a later leader does not
-/// have was never committed, so the later term takes precedence even with a lower number.
+/// Versions are ordered by term, then by number. A later term takes precedence even with a lower number: if the later
+/// leader lacks a change of an earlier leader, that change was never committed.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
