--- a/crates/coordination-protocol/tests/duplicate_responses.rs
+++ b/crates/coordination-protocol/tests/duplicate_responses.rs
@@ -1,7 +1,8 @@
 //! A duplicate of an earlier response must not be taken for the response to the current call.
 //!
-//! HTTP/1.1 matches responses by order alone, so a duplicate that arrives with the next request looks like its
-//! response. The call numbers in the headers of requests and responses tell the two apart.
+//! HTTP/1.1 matches responses to requests by order alone, so a duplicate that arrives after the next request was sent
+//! looks like the response to that request. The call numbers in the headers of requests and responses tell the two
+//! apart.
 
 mod common;
 
--- a/crates/coordination-protocol/tests/golden.rs
+++ b/crates/coordination-protocol/tests/golden.rs
@@ -36,7 +36,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The lines of a golden file: each has a name and the JSON or message that belongs to it.
+/// The lines of a golden file, each of which has a name, a space, and the JSON or message of that name.
 struct Golden {
     texts: BTreeMap<&'static str, &'static str>,
     seen: BTreeSet<&'static str>,
@@ -666,7 +666,8 @@
     assert_eq!(bounds, [16_384, 65_600, 33_554_432, 82_432]);
 }
 
-/// Handles the paths of the test, each with a different response or error.
+/// Responds to each path that the tests request with a different result or error. The field is the coordinator's id, if
+/// the responses are to have one.
 struct Coordinator(Option<u64>);
 
 impl Handler for Coordinator {
--- a/crates/coordination-protocol/tests/shard_map.rs
+++ b/crates/coordination-protocol/tests/shard_map.rs
@@ -91,7 +91,8 @@
     }
 }
 
-/// Sends the bytes, and returns the response: all bytes until the server closes the connection or sends no more.
+/// Sends the bytes, and returns all bytes that the server sends until it closes the connection. If `close` is set, the
+/// sending side of the connection is closed after the bytes.
 async fn response(address: &str, bytes: &[u8], close: bool) -> String {
     let mut stream = TcpStream::connect(address).await.expect("reached");
     stream.write_all(bytes).await.expect("written");
@@ -210,8 +211,8 @@
         serving.abort();
         let _aborted = serving.await;
         let before = sender.borrow().clone();
-        // the replica runs in the test's own process; a new client has no open connection to it, like a client of a
-        // replica whose process has ended, and its next connection is refused
+        // the replica runs in the test's own process, so stopping it may leave its connections open. A new client has
+        // no open connection, and its next one is refused, as if the replica's process had ended
         let mut middle_client = Client::new(middle_client.address().to_string(), GROUP);
         let error = catch_up(&mut middle_client, &sender, TIME_LIMIT)
             .await
@@ -233,7 +234,8 @@
     });
 }
 
-/// Requests with the status and a part of the body of each response: a valid one, and malformed ones.
+/// A valid request and several malformed ones, each with the expected status and a part of the expected body of its
+/// response.
 fn calls(valid: &str) -> Vec<(Vec<u8>, &'static str, &'static str)> {
     let other_shard_count = valid.replace("1024", "512");
     let beyond_last_shard = valid.replace("\"count\":1024", "\"count\":1025");
--- a/crates/coordination/tests/golden/main.rs
+++ b/crates/coordination/tests/golden/main.rs
@@ -1,6 +1,6 @@
-//! Golden files written by a build that predates the renaming of identifiers: log entries, outcomes, snapshots and a
-//! fencing guard. The current code must read the same values from them and write identical text. A coordinator stores
-//! and sends all of them as compact JSON.
+//! Golden files written by an earlier build, whose types and fields had other names: log entries, outcomes, snapshots
+//! and a fencing guard. The current code must read the same values from them and write identical text. A coordinator
+//! stores and sends all of them as compact JSON.
 
 mod commands;
 mod fencing;
--- a/crates/coordination/tests/heartbeat_batcher.rs
+++ b/crates/coordination/tests/heartbeat_batcher.rs
@@ -59,7 +59,7 @@
         .enqueue(heartbeat(7), WaiterId(1))
         .expect("capacity");
     let first = next_batch(&mut batcher, at(0));
-    // The member's first call got no response, so it sends another heartbeat, from which it counts its lease.
+    // The member has no response to its first call yet, and sends another heartbeat, from which it counts its lease.
     batcher
         .enqueue(heartbeat(7), WaiterId(2))
         .expect("capacity");
--- a/crates/coordination/tests/leases/simulation.rs
+++ b/crates/coordination/tests/leases/simulation.rs
@@ -6,7 +6,7 @@
     LeaseTable, MemberInfo, Micros, SessionId, Timestamp,
 };
 
-/// The rates of any two clocks differ by at most 2 %, the default of the setting.
+/// The rates of any two clocks differ by at most 2 %, the default of the `clock_error` setting.
 const CLOCK_ERROR_PPM: u32 = 20_000;
 const LEASE: Micros = Micros::from_millis(1_000);
 pub(crate) const MEMBERS: usize = 3;
@@ -19,9 +19,9 @@
     /// A member sends a request to a coordinator: to open a session if it has none, otherwise a heartbeat that also
     /// claims the resource.
     Send { member: usize, coordinator: usize },
-    /// One of the messages in transit is delivered.
+    /// One of the messages in transit is delivered, selected by this index modulo their number.
     Deliver(usize),
-    /// One of the messages in transit is lost.
+    /// One of the messages in transit is lost, selected by this index modulo their number.
     Drop(usize),
     /// A coordinator is elected. The previous leader does not notice and still believes that it leads.
     Elect(usize),
--- a/crates/coordination/tests/model/delivery.rs
+++ b/crates/coordination/tests/model/delivery.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Delivers a message to the proxy, or one that the proxy sent to the coordinators, or the response to that.
+    /// Delivers a message between a member and the proxy, or between the proxy and the coordinators.
     fn deliver_via_proxy(&self, state: &mut ClusterState, message: &Message) {
         match *message {
             Message::ProxiedHeartbeat {
--- a/crates/coordination/tests/model/steps.rs
+++ b/crates/coordination/tests/model/steps.rs
@@ -40,7 +40,7 @@
     RestartProxy,
     /// The proxy sends its queued requests to open sessions as one batch.
     SendCommands,
-    /// The proxy abandons the batch in flight, of requests to open sessions.
+    /// The proxy abandons the batch of requests to open sessions that is in flight.
     FailCommands,
 }
 
--- a/crates/coordination/tests/state/restore.rs
+++ b/crates/coordination/tests/state/restore.rs
@@ -9,7 +9,7 @@
     let one = open(&mut state, "n1", 1);
     let first = acquire(&mut state, one, "w");
     let backup = state.clone();
-    // Tokens that the state grants after the backup and before it is lost.
+    // Tokens that are granted after the backup, and before the state is lost.
     for _ in 0..10 {
         let token = acquire(&mut state, one, "w");
         release(&mut state, one, "w", token);
@@ -21,7 +21,7 @@
         "generation 0 is already in use"
     );
     let mut restored = backup.restored(1, LEASE).expect("restored");
-    // The previous owner is fenced, whatever token it sends.
+    // A write of the previous owner is rejected, even with the last token that the lost state granted.
     assert!(matches!(
         write(&mut restored, one, lost, 1, "late"),
         CommandOutcome::Rejected(Rejection::Fenced { .. })
@@ -38,7 +38,7 @@
     assert!(known > lost);
     let unknown = acquire(&mut restored, two, "made after the backup");
     assert!(unknown > lost);
-    // The restored group was lost too, and the same backup is restored once more.
+    // The restored state is lost too. The same backup is restored again, with a generation that is not in use yet.
     assert!(restored.restored(1, LEASE).is_err());
     let mut twice = backup.restored(2, LEASE).expect("restored");
     let three = open(&mut twice, "n1", 10);
--- a/crates/coordinator/tests/golden/disk.rs
+++ b/crates/coordinator/tests/golden/disk.rs
@@ -35,7 +35,7 @@
             std::str::from_utf8(value).expect("text")
         ));
     };
-    // the log table is created when the store is first opened
+    // a store that was bootstrapped but never opened has no log table yet
     if names.iter().any(|name| name == "log") {
         let log = read
             .open_table(TableDefinition::<u64, &[u8]>::new("log"))
--- a/crates/coordinator/tests/golden/wire.rs
+++ b/crates/coordinator/tests/golden/wire.rs
@@ -207,7 +207,7 @@
     let config = Config {
         cluster_name: "harbour".into(),
         enable_tick: false,
-        // so long that a vote for another leader is always rejected while the test runs
+        // the intervals are longer than the test runs, so that a vote for another candidate is rejected throughout
         heartbeat_interval: 30_000,
         election_timeout_min: 60_000,
         election_timeout_max: 120_000,
--- a/crates/member/tests/session_open.rs
+++ b/crates/member/tests/session_open.rs
@@ -158,7 +158,7 @@
     let started = now();
     let mut is_listening = false;
     let member = run_until_owner(unused.address, || {
-        // the member's connections have been refused until its first request to open a session timed out
+        // so far, all connections of the member were refused, and its first request to open a session has timed out
         if !std::mem::replace(&mut is_listening, true) {
             start_server(
                 &coordinator,
--- a/crates/shard-map/tests/golden_map.rs
+++ b/crates/shard-map/tests/golden_map.rs
@@ -17,7 +17,7 @@
 const MAP: &str = include_str!("golden/map.txt");
 const ASSIGNMENT: &str = include_str!("golden/assignment.txt");
 
-/// A map with several endpoints for some destinations, of which some are changed, draining or removed.
+/// A map in which some destinations have several endpoints, and some endpoints were changed, drained or removed.
 fn fixed_map() -> ShardMapSource {
     let mut source = empty_source(shard_count(64), 3);
     for destination in 0..200u64 {
--- a/crates/shard-map/tests/model.rs
+++ b/crates/shard-map/tests/model.rs
@@ -2,7 +2,7 @@
 //! session proxies and a sender.
 //!
 //! The events include changes by a deposed source that does not know of its successor, a session proxy restored from a
-//! backup, and updates that are lost, duplicated, delayed or reordered. In every state, each replica must have a state
+//! backup, and updates that are lost, duplicated, delayed or reordered. At any time, each replica must have a state
 //! that a source had, and all replicas must converge with the leader after one round of requests.
 
 mod common;
@@ -16,8 +16,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// An assumption about the process that runs a source, violated in one test to show that the model detects the
-/// violation.
+/// An assumption about the processes that run the sources. One test violates it, to show that the model detects the
+/// violation; `None` violates no assumption.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ViolatedAssumption {
     None,
@@ -119,13 +119,14 @@
             .ok()?;
         self.proposed[source] += 1;
         self.record(source);
-        // each source sends to its own session proxy, and the second one also to the first proxy
+        // the first source sends to the first session proxy, and the second source to both
         self.send(model, source, Update::Change(change.clone()));
         self.send(model, 0, Update::Change(change));
         Some(())
     }
 
-    /// Makes the second source the leader with all changes of the first, which continues without knowing of the election.
+    /// Makes the second source the leader, with all changes of the first. The first source does not learn of the
+    /// election and still accepts changes.
     fn elect_second_source(&mut self, model: &ReplicationModel) -> Option<()> {
         let mut next = self.sources[0].clone();
         if model.violated == ViolatedAssumption::OneLeaderPerTerm {
--- a/crates/shard-map/tests/network/faults.rs
+++ b/crates/shard-map/tests/network/faults.rs
@@ -34,7 +34,8 @@
         let Ok(change) = self.sources[source].propose(change) else {
             return;
         };
-        // each version has one state: callers prevent two leaders of one term, and a deposed leader has an earlier term
+        // no version gets two different states: each election starts a new term, and a deposed leader keeps its earlier
+        // one
         self.committed
             .insert((change.shard, change.version), change.digest_after);
         self.publish(source, &[Update::Change(change)]);
@@ -53,7 +54,7 @@
             }
             3 => self.cut_one_way(node, self.leader),
             4 => self.cut_links.clear(),
-            // restored from a backup
+            // restores the session proxy from its backup
             5 => self.replicas[node - 2] = self.backups[node - 2].clone(),
             6 => self.backups = self.replicas.clone(),
             _ => self.elect_other_source(),
--- a/crates/shard-map/tests/network/main.rs
+++ b/crates/shard-map/tests/network/main.rs
@@ -33,8 +33,8 @@
             "seed {seed}: nodes have not converged"
         );
         let sent = cluster.packets - before;
-        // maximum in three rounds: requests and responses for the whole span, its parts and each shard, and each
-        // update forwarded to all senders
+        // upper bound for three rounds, in which each node sends a request and gets a response for the whole span, for
+        // each of its 16 parts and for each shard, and each update is forwarded to all senders
         let bound =
             3 * (PROXIES + SENDERS) as u64 * 2 * u64::from(SHARDS + 17 + SHARDS * SENDERS as u32);
         assert!(sent < bound, "seed {seed}: {sent} packets to converge");
--- a/crates/shard-map/tests/network/world.rs
+++ b/crates/shard-map/tests/network/world.rs
@@ -48,7 +48,7 @@
     pub(crate) leader: usize,
     pub(crate) term: u64,
     pub(crate) replicas: Vec<ShardMapReplica>,
-    /// Stopped nodes, with the sender and content of each packet that arrived since they were stopped.
+    /// Stopped nodes, with the packets that arrived since they were stopped, each with the node that sent it.
     pub(crate) stopped: BTreeMap<usize, Vec<(usize, Packet)>>,
     pub(crate) cut_links: BTreeSet<(usize, usize)>,
     /// An earlier state of all replicas, from which a session proxy may be restored.
@@ -168,7 +168,8 @@
 
     /// The node to which a node sends its requests: a session proxy for senders, a source for session proxies.
     ///
-    /// While faults are enabled, 20 % go to another session proxy, or to the source that is not the leader.
+    /// While faults are enabled, it chooses another session proxy, or the source that is not the leader, in 20 % of
+    /// cases.
     fn upstream(&mut self, node: usize) -> usize {
         if node >= 2 + PROXIES {
             let own_proxy = node % PROXIES;
@@ -211,7 +212,7 @@
 
     pub(crate) fn receive(&mut self, from: usize, to: usize, packet: Packet) {
         if let Some(buffer) = self.stopped.get_mut(&to) {
-            // at most 200 packets, like the limited buffers of a socket
+            // further packets are lost, since the buffers of a socket are limited too
             if buffer.len() < 200 {
                 buffer.push((from, packet));
             }
--- a/crates/shard-map/tests/replica_limits.rs
+++ b/crates/shard-map/tests/replica_limits.rs
@@ -85,7 +85,7 @@
     // fills 64 shards to their maximum of about 100 KB each
     let mut source = empty_source(shard_count(64), 1);
     for n in 0..40_000 {
-        // rejected if the shard is full
+        // a full shard rejects the change, which is not a failure here
         let _full = source.propose(put(n, &format!("{n}{}", "u".repeat(100)), 80));
     }
     assert!(source.size_bytes() > 6_000_000);
--- a/crates/shard-map/tests/replica_sync.rs
+++ b/crates/shard-map/tests/replica_sync.rs
@@ -70,8 +70,8 @@
 
 #[test]
 fn replica_with_an_uncommitted_change_gets_a_snapshot() {
-    // the replica's last change comes from another source and was never committed, so that the changes of the history
-    // do not fit the replica's endpoints
+    // the replica's last change comes from another source and was never committed, so the changes in this source's
+    // history cannot be applied to the replica's endpoints
     let mut source = filled_source(shard_count(1), 3);
     let mut other = source.clone();
     let mut replica = synced_replica(&source);
@@ -114,7 +114,8 @@
 
 #[test]
 fn put_and_removal_that_cancel_out_still_count_as_changes() {
-    // the endpoints are the same as before, but the version is not, and the next change must have the next number
+    // the two changes leave the endpoints as they were but raise the version by two, so that a replica applies the next
+    // change only if it has that version
     let mut source = filled_source(shard_count(64), 100);
     let mut replica = synced_replica(&source);
     let _lost = source.propose(put(5, "brief", 80)).expect("valid");
@@ -143,7 +144,7 @@
         "nothing differs"
     );
     port_changes(&mut source, 77, 100..104);
-    // 65,536 shards are divided by 16 in four requests, the last of which names each of 16 shards
+    // three requests narrow 65,536 shards down to 16, each by a factor of 16; the fourth names each of these 16 shards
     assert_eq!(catch_up(&mut proxy, |request| source.respond(request)), 4);
     assert_in_sync(&proxy, &source);
     // after a new term without changes, one request confirms all shards
