--- a/crates/cluster-harness/src/controlled_link.rs
+++ b/crates/cluster-harness/src/controlled_link.rs
@@ -34,7 +34,7 @@
     to_client: LinkMode,
     is_cut: bool,
     connections: BTreeMap<usize, Connection>,
-    /// The bytes buffered on their way to the server, by connection.
+    /// The bytes buffered on their way to the server, by the number of their connection.
     buffered_to_server: BTreeMap<usize, Vec<u8>>,
 }
 
--- a/crates/coordination-protocol/tests/golden.rs
+++ b/crates/coordination-protocol/tests/golden.rs
@@ -608,7 +608,7 @@
     golden.assert_all_seen();
 }
 
-/// `milletturn fleet hold` prints these messages as part of its JSON.
+/// `milletturn fleet hold` prints these messages as part of its JSON, so they must not change.
 #[test]
 fn each_rejection_keeps_its_message() {
     let golden = Golden::read(include_str!("golden/rejections.txt"));
@@ -666,8 +666,8 @@
     assert_eq!(bounds, [16_384, 65_600, 33_554_432, 82_432]);
 }
 
-/// Responds to each path that the tests request with a different result or error. The field is the coordinator's id, if
-/// the responses are to have one.
+/// Responds to each path that the tests request with a different result or error. The field is the coordinator's id;
+/// with `None`, the responses have no id, as those of a session proxy.
 struct Coordinator(Option<u64>);
 
 impl Handler for Coordinator {
--- a/crates/shard-map/src/replica.rs
+++ b/crates/shard-map/src/replica.rs
@@ -73,7 +73,7 @@
     limits: Limits,
     newest_term: LeaderTerm,
     shards: ShardReplicas,
-    /// Subscribed shards that have missed updates.
+    /// Subscribed shards that are known to have missed updates.
     stale: BTreeSet<ShardId>,
     size_bytes: usize,
 }
@@ -269,7 +269,8 @@
         })
     }
 
-    /// The updates with which this replica, such as that of a session proxy, responds to another replica's request.
+    /// The updates with which this replica responds to another replica's request, for example a session proxy's replica
+    /// to that of a sender.
     ///
     /// Shards that are not yet confirmed under the newest term are left out.
     ///
@@ -303,7 +304,7 @@
         self.shards.keys().copied()
     }
 
-    /// The number of subscribed shards that have missed updates.
+    /// The number of subscribed shards that are known to have missed updates.
     #[must_use]
     pub fn stale_count(&self) -> usize {
         self.stale.len()
--- a/crates/shard-map/src/shard.rs
+++ b/crates/shard-map/src/shard.rs
@@ -34,11 +34,13 @@
 impl ShardCount {
     /// The largest number of shards, and the default.
     ///
-    /// At 1.7 million destinations each shard has 26, which take 3.5 KB in a discovery response. The 12 shards of a
-    /// sender then arrive within 7 s at 6 KB/s, where 17 s are allowed; 29 shards arrive within the 17 s, and 31 take
-    /// 18 s. A quarter as many shards would need fewer digests, but would leave each of 16,000 senders only three shards
-    /// on average. Without the capacity limit of members, the fullest sender would then by chance have 12, four times
-    /// the average.
+    /// With 1.7 million destinations, each shard has 26 on average, which take 3.5 KB in a discovery response. A sender
+    /// has 12 shards. At 6 KB/s they arrive within 7 s, and 17 s are allowed: 29 shards would arrive within that time,
+    /// and 31 would take 18 s.
+    ///
+    /// A quarter as many shards would need fewer digests, but would leave each of 16,000 senders only three shards on
+    /// average. Without the capacity limit of members, the fullest sender would then by chance have 12, four times the
+    /// average.
     pub const MAX: u32 = 1 << 16;
 
     /// Creates a count of 1 to [`ShardCount::MAX`] shards.
--- a/crates/shard-map/tests/assignment_load.rs
+++ b/crates/shard-map/tests/assignment_load.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn loss_of_a_sender_moves_only_its_own_shards_if_no_sender_is_full() {
-    // capacity is unlimited here, so that rendezvous hashing alone decides
+    // the capacity is far above any load here, so that rendezvous hashing alone decides
     let count = 2_048;
     let mut unlimited = serde_json::to_value(membership(100, 7, 3, count)).expect("written");
     unlimited["places"] = 100_000.into();
