--- a/crates/cluster-harness/src/controlled_link.rs
+++ b/crates/cluster-harness/src/controlled_link.rs
@@ -34,7 +34,7 @@
     to_client: LinkMode,
     is_cut: bool,
     connections: BTreeMap<usize, Connection>,
-    /// The bytes buffered on their way to the server, by connection.
+    /// The bytes buffered on their way to the server, by the number of their connection.
     buffered_to_server: BTreeMap<usize, Vec<u8>>,
 }
 
@@ -117,7 +117,8 @@
         });
     }
 
-    /// Closes all connections, discards their buffered bytes, and closes new connections at once.
+    /// Closes all connections and discards their buffered bytes. New connections are closed at once, until a mode is
+    /// set.
     pub fn cut(&self) {
         self.change(|state| {
             state.is_cut = true;
--- a/crates/coordination-protocol/tests/golden.rs
+++ b/crates/coordination-protocol/tests/golden.rs
@@ -36,7 +36,7 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// The lines of a golden file: each has a name and the JSON or message that belongs to it.
+/// The lines of a golden file, each of which has a name, a space, and the JSON or message of that name.
 struct Golden {
     texts: BTreeMap<&'static str, &'static str>,
     seen: BTreeSet<&'static str>,
@@ -608,7 +608,7 @@
     golden.assert_all_seen();
 }
 
-/// `milletturn fleet hold` prints these messages as part of its JSON.
+/// `milletturn fleet hold` prints these messages as part of its JSON, so they must not change.
 #[test]
 fn each_rejection_keeps_its_message() {
     let golden = Golden::read(include_str!("golden/rejections.txt"));
@@ -666,7 +666,8 @@
     assert_eq!(bounds, [16_384, 65_600, 33_554_432, 82_432]);
 }
 
-/// Handles the paths of the test, each with a different response or error.
+/// Responds to each path that the tests request with a different result or error. The field is the coordinator's id;
+/// with `None`, the responses have no id, as those of a session proxy.
 struct Coordinator(Option<u64>);
 
 impl Handler for Coordinator {
