--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -56,7 +56,8 @@
 #[test]
 fn rates_learned_over_a_long_time_do_not_exceed_what_was_served() {
     // A sender remembers the highest rate at which its calls succeeded over 2 s. The longer it runs, the further this
-    // maximum exceeds its usual rate, by chance.
+    // maximum exceeds its usual rate, by chance. Guards against senders whose maxima together exceed the rate that the
+    // destination served.
     for senders in [10, 30, 100] {
         for (skew, seed) in (0..3).flat_map(|seed| [(1.0, seed), (2.0, seed)]) {
             assert_no_collapse(RecoveryScenario {
--- a/crates/policy/tests/common/traffic.rs
+++ b/crates/policy/tests/common/traffic.rs
@@ -51,7 +51,7 @@
     pub calls: usize,
     /// How often the destination was ejected since `Traffic::measured_from`.
     pub ejections: usize,
-    /// Time of the first of those ejections, counted from the start.
+    /// Time of the first ejection since `Traffic::measured_from`, counted from the start of the simulation.
     pub first_ejected_at: Option<Micros>,
     /// Failing calls that were sent between `Traffic::measured_from` and the first ejection.
     pub wasted_calls: usize,
@@ -71,7 +71,7 @@
     let mut unresponsive: BTreeMap<(u64, usize), Micros> = BTreeMap::new();
     let mut attempts: BTreeMap<u64, usize> = BTreeMap::new();
     let (mut next_arrival, mut last_id) = (START, 0);
-    // a hedged request may succeed as well, and the message counts once
+    // a message that is delivered by its first call and by a hedged request counts once
     let mut delivered = BTreeSet::new();
     let mut result = TrafficResult::default();
     loop {
--- a/crates/policy/tests/dormancy.rs
+++ b/crates/policy/tests/dormancy.rs
@@ -30,7 +30,8 @@
     }
 }
 
-/// Lets this time pass, and then runs this many turns with only an alarm. Each turn inspects some idle destinations.
+/// Advances the time by `span`, and then runs `turns` turns that have an alarm as their only event. Each turn inspects
+/// some idle destinations.
 fn stay_idle(harness: &mut Harness, span: Micros, turns: usize) {
     harness.run_until(harness.now + span);
     (0..turns).for_each(|_| _ = harness.handle(vec![Event::Alarm]));
@@ -141,8 +142,8 @@
 
 #[test]
 fn removed_endpoints_and_destinations_leave_no_state_behind() {
-    // Each endpoint is removed with a call in flight, half of them together with their destination, and their calls end
-    // after the removal.
+    // Each endpoint is removed while a call to it is in flight, and the call ends after the removal. Half of the
+    // endpoints are removed together with their destination.
     let mut harness = new_harness(4);
     for round in 0..500u64 {
         let (old, new) = (round as u32 + 3, round as u32 + 4);
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Behavior that is harmless in a single sender and harmful when many senders share it.
+//! Guards against behavior that does no harm in a single sender, and overloads a destination or wastes its capacity
+//! when many senders behave in the same way.
 
 #![expect(
     clippy::too_many_lines,
@@ -33,7 +34,7 @@
             ..Scenario::new(48.0, 40.0)
         });
         assert!(share(above.delivered, above.submitted) > 0.68, "{above:?}");
-        // up to five messages per call; with one call each they would be far above the limit
+        // up to five messages per call; with one call per message, the demand would far exceed the limit
         let batches = simulate(Scenario {
             seed,
             max_batch_size: 5,
@@ -47,9 +48,9 @@
 }
 #[test]
 fn a_burst_over_all_senders_does_not_put_the_limit_into_debt() {
-    // Rejected calls use up the limit too, and can put it into debt. Guards against each sender retrying at the rate
-    // that it had reached while a large share of the limit was left: a burst of 1 s was followed by 10 s in which
-    // nothing was served.
+    // Rejected calls use up the limit too, and can put it into debt: what is left becomes negative, and nothing is
+    // served until it is positive again. Guards against each sender retrying at the rate that it had reached while a
+    // large share of the limit was left. A burst of 1 s was then followed by 10 s in which nothing was served.
     for seed in 1..=3 {
         let burst = simulate(Scenario {
             seed,
@@ -211,8 +212,8 @@
 #[test]
 fn a_sender_that_probes_seldom_dates_the_recovery_before_its_own_first_success() {
     // This sender is one of 100 and probes an ejected destination every 10 s. Guards against a slow start that begins
-    // at each sender's own first success: the fleet then sent as slowly as at the recovery, long after the destination
-    // had warmed up.
+    // at each sender's own first success: long after the destination had warmed up, the fleet still sent as slowly as
+    // right after the recovery.
     let mut sent = 0;
     for run in 0..20 {
         let recovery = START + 20 * SECOND + run * 500 * MILLISECOND;
@@ -281,7 +282,8 @@
     }
 }
 
-/// Settings and endpoints of one of 300 senders at a limit of 85 calls per second: an even share is one call in 3.5 s.
+/// Settings and endpoints of one of 300 senders. At a reported limit of 85 calls per second, an even share is one call
+/// in 3.5 s.
 fn one_of_three_hundred() -> (Settings, Vec<EndpointEntry>) {
     let mut settings = settings(10);
     (settings.senders, settings.max_pending) = (300, 16);
@@ -290,8 +292,8 @@
     (settings, one_among_idle_destinations())
 }
 
-/// Completes each call in flight, with a report that this share is left of a limit of 85 calls per second. `completed`
-/// is the number of calls completed so far.
+/// Completes each call in flight. Its response reports that `remaining_share` of a limit of 85 calls per second is
+/// left. `completed` is the number of calls completed so far.
 fn complete_calls(harness: &mut Harness, completed: &mut usize, remaining_share: f64) {
     while let Some(send) = harness.sends.get(*completed).copied() {
         let end = ended(send.1, send.3, send.2, Outcome::Success, 40 * MILLISECOND);
--- a/crates/policy/tests/limits.rs
+++ b/crates/policy/tests/limits.rs
@@ -6,7 +6,7 @@
 use milletturn_policy::SECOND;
 use milletturn_test_support::limited_fleet::{LimitPolicy, Scenario, ScenarioResult, simulate};
 
-/// Seconds that the senders are given to find the limit before figures count.
+/// Seconds at the start of each scenario that are not measured, since the senders have yet to find the limit.
 const SETTLING_S: usize = 10;
 /// Seconds that each scenario lasts.
 const DURATION_S: usize = 40;
--- a/crates/policy/tests/module.rs
+++ b/crates/policy/tests/module.rs
@@ -1,8 +1,8 @@
 //! Bounds the size of the decision module.
 
-/// Maximum number of tokens in `decide.rs` and `rejection_correlation.rs` together, until the module is divided. Each
-/// name, number and punctuation mark outside comments counts as one token, and so does each string literal. Braces and
-/// commas do not count, since the formatter adds and removes them with the length of names.
+/// Maximum number of tokens in `decide.rs` and `rejection_correlation.rs` together. It applies until the module is
+/// divided. Each name, number and punctuation mark outside comments counts as one token, and so does each string
+/// literal. Braces and commas do not count, since the formatter adds or removes them when the length of a name changes.
 const MAX_TOKENS: usize = 12037;
 
 /// Counts the tokens of a source text as [`MAX_TOKENS`] defines them.
--- a/crates/policy/tests/noise.rs
+++ b/crates/policy/tests/noise.rs
@@ -29,7 +29,7 @@
                     Traffic::new(rate, duration, 5),
                     &mut random_failures(share, outcome),
                 );
-                // a destination with few calls so far is ejected by mistake, for half a minute at most
+                // a destination that has received few calls may be ejected by mistake, for half a minute at most
                 let min_delivered = if rate < 10.0 && share > 0.2 {
                     0.6
                 } else {
@@ -51,7 +51,8 @@
     }
 }
 
-/// Page's cumulative sum test with independent random failures, whose share is not known at first.
+/// Calls fail independently at random. The outage evidence, which is Page's cumulative sum test, does not know the share
+/// of failing calls at first.
 #[test]
 fn a_constant_failure_share_of_a_tenth_is_no_outage_in_a_million_calls() {
     let mut random = Pcg32::seed_from_u64(9);
