--- a/tests/dead_letter.rs
+++ b/tests/dead_letter.rs
@@ -174,7 +174,8 @@
     assert!(records[0]["notes"].to_string().contains("by rule"));
 }
 
-/// True if a copy of the journal has no unfinished message, which a process that started now would resume.
+/// True if the journal has no unfinished message, so that a process that started now would resume none. Opens a copy,
+/// since the running sender uses the journal.
 fn has_no_unfinished(node: &Node) -> bool {
     let copy = node.folder.join("copy");
     std::fs::create_dir_all(&copy).expect("the folder is created");
@@ -271,8 +272,8 @@
         "[store]\nmax_mb = 2\nkeep_returned = true",
     )
     .ready();
-    // the store's thread verifies the rows first; if the lock made that fail, the thread would end and this process would
-    // store no messages
+    // The store's thread first verifies the rows. If the lock made this check fail, the thread would end, and this
+    // process would store no messages.
     wait_until("the store reports that it is empty", || {
         node.undelivered(&["list"]).0 == 3
     });
@@ -303,7 +304,8 @@
 
 #[test]
 fn a_store_too_large_for_the_folder_is_rejected_at_the_start() {
-    // the state folder is limited to 3 MB, and the journal needs half of it
+    // The state folder is limited to 3 MB, and the journal needs half of it. The store may take up three times
+    // `max_mb`, so that 0.5 MB is the maximum.
     let (endpoint, _) = broken_endpoint();
     let mut node = Node::new(&discovery_with(&endpoint)).ready();
     node.kill();
--- a/tests/docs.rs
+++ b/tests/docs.rs
@@ -58,7 +58,8 @@
     line.split('`').skip(1).step_by(2)
 }
 
-/// The texts of the cells `type` and `file` of each row, from all tables of a page that have both columns.
+/// The texts of the cells `type` and `file` of each row, from all tables of a page that have both columns. The row of
+/// dashes below a table's header counts as a row.
 fn type_and_file_cells(text: &str) -> Vec<(&str, &str)> {
     let (mut rows, mut columns) = (Vec::new(), None);
     for line in text.lines() {
--- a/tests/duplicate_responses.rs
+++ b/tests/duplicate_responses.rs
@@ -211,7 +211,7 @@
     fixture.assert_none_repeated();
 }
 
-/// Checks that no message is lost when a 200 is sent a second time, this long after the next request.
+/// Checks that no message is lost when a 200 is sent a second time, `delay` after the next request.
 fn assert_no_loss(script: Script, delay: Duration) {
     submit_and_assert_none_lost(&Fixture::new(
         script,
@@ -283,7 +283,7 @@
     submit_and_assert_each_runs_at_most_once(&fixture);
 }
 
-/// Checks that no message is lost when a second 200 with other headers is sent, this long after the next request.
+/// Checks that no message is lost when a second 200 with other headers is sent, `delay` after the next request.
 fn assert_no_loss_with_different_headers(script: Script, delay: Duration) {
     let fixture = Fixture::with(
         script,
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -1,6 +1,5 @@
-//! Ends the sender process at each step of its start and of a message's delivery. Checks that it becomes ready and ends
-//! cleanly, and that it neither loses a message nor sends it again where the first attempt may have run and the message
-//! must run at most once.
+//! Ends the sender process at each step of its start and of a message's delivery. Checks that it becomes ready, ends
+//! cleanly and loses no message. An at-most-once message whose first attempt may have run must not be sent again.
 
 mod node;
 
@@ -86,7 +85,8 @@
     let node = Node::prepared(address, 3.0, &known, |state| {
         let (mut journal, _) =
             FileJournal::open(state, MAX_JOURNAL_BYTES, 1000).expect("a journal");
-        // fill the journal with messages that were not attempted, were attempted, or ended without a sent notification
+        // Fill the journal. A third of the messages has no attempt, a third has one, and a third has failed with a
+        // notification still to be sent.
         for number in 0.. {
             let class = ["order", "webhook"][number as usize % 2];
             if journal
@@ -188,7 +188,7 @@
     assert_eq!(node.readiness_status(), 503);
     node.terminate();
     assert!(node.process.wait().expect("the process ends").success());
-    // kills during the start lose nothing either, with any length of a partly written new journal file
+    // a kill during the start loses no message either, whatever the length of a partly written new journal file
     for byte_count in [0, 1000, 400_000] {
         std::fs::write(
             node.folder.join("state/journal.new"),
@@ -249,8 +249,8 @@
 }
 
 /// Starts a process on a journal with the first `complete` records and the first `torn` bytes of the next one. The
-/// process must send the message again where that is safe, fail it where the endpoint may already have processed it,
-/// and not send it where it has ended.
+/// process must send a message that has no recorded attempt or that may be repeated. It must notify the platform that
+/// an at-most-once message with a recorded attempt has failed. It must not send a message that has ended.
 fn check_start_after_kill(class: &str, records: &[&[u8]], complete: usize, torn: usize) {
     let next = records
         .get(complete)
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -11,7 +11,8 @@
 use milletturn_coordination_protocol::messages::{COMMAND_PATH, HEARTBEAT_PATH};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_milletturn");
-/// Attempts after which a test fails if another leader was elected in each of them while a write was delayed.
+/// Maximum number of attempts at a check that needs the same leader from start to end. The test fails if another leader
+/// is elected in each attempt.
 const MAX_ELECTIONS: usize = 5;
 
 /// The number of writes that the process did with this fencing token.
@@ -77,7 +78,8 @@
         wait_until("the other member writes", || writes_above(next, token) >= 3);
         owner.resume();
         wait_until("the former owner rejoins", || join_count(owner) > joined);
-        // one write may have been in flight at the suspension: it was done then and is reported now
+        // One write may have been in flight when the owner was suspended. It was performed at that time, and the owner
+        // reports it only now.
         let late = write_count_under(owner, token) - writes_before;
         assert!(
             late <= 1,
--- a/tests/fleet_commands/hold_command.rs
+++ b/tests/fleet_commands/hold_command.rs
@@ -104,7 +104,7 @@
 }
 
 /// Whether a printed event or a recorded request is compared with the golden file. Of the writes, only the first one of
-/// each term is, since the number of writes differs from run to run.
+/// each term is compared, since the number of writes differs from run to run.
 fn is_compared(record: &str) -> bool {
     let is_about_write = ["\"acting\":", "\"acted\":", "\"act\":"]
         .iter()
--- a/tests/fleet_commands/protocol_responses.rs
+++ b/tests/fleet_commands/protocol_responses.rs
@@ -7,7 +7,8 @@
 use std::io::{Read, Write};
 use std::net::TcpStream;
 
-/// Sends a call; returns a transcript of the call and of the response, without its `date` header.
+/// Sends a call; returns a transcript of the call, with 300 bytes of its body at most, and of the response, without its
+/// `date` header.
 fn transcript(
     address: &str,
     method: &str,
@@ -71,7 +72,8 @@
     format!("{}{}", open_body("long", 1), " ".repeat(17_000))
 }
 
-/// Valid calls to a coordinator. In this order each one either succeeds or is rejected for a known reason.
+/// Well-formed calls to a coordinator. If they are sent in this order, each one gets the same response in every run: it
+/// succeeds, or it is rejected.
 fn valid_calls() -> Vec<(&'static str, String)> {
     let batch = format!(
         "{{\"wishes\":[{{\"open\":{}}},{{\"order\":{}}}]}}",
--- a/tests/response_faults.rs
+++ b/tests/response_faults.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Submits repeatable and at-most-once messages to all destinations. Every second seed kills and restarts the
+    /// Submits repeatable and at-most-once messages to all destinations. If the seed is even, kills and restarts the
     /// sender halfway through.
     fn run(mut self) -> Self {
         let begin = Instant::now();
--- a/tests/service.rs
+++ b/tests/service.rs
@@ -108,7 +108,8 @@
 
 #[test]
 fn a_body_of_ambiguous_length_smuggles_no_second_request() {
-    // hyper reports only one of the two headers; in either order, the hidden request must not be read
+    // If a request has both `Content-Length` and `Transfer-Encoding`, hyper reports only one of them. In either order
+    // of the two headers, the request hidden in the body must not be read.
     let endpoint = FakeEndpoint::new(|_, _| OK);
     let node = Node::new(&discovery_with(&endpoint)).ready();
     let hidden =
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -166,7 +166,7 @@
         )
     }
 
-    /// Opens a stream of outcomes after a cursor, which acknowledges all outcomes up to that cursor.
+    /// Opens a stream of the outcomes after the cursor `from`. The request acknowledges all outcomes up to that cursor.
     fn reader(&self, from: u64) -> OutcomeReader {
         let mut stream = TcpStream::connect(self.outcomes).expect("the listener accepts");
         let request = format!("GET /v1/outcomes?from={from} HTTP/1.1\r\nHost: a\r\n\r\n");
@@ -196,8 +196,8 @@
 }
 
 impl OutcomeReader {
-    /// The next outcome; `None` if none has arrived, an error at the end of the connection. Lines of response heads and
-    /// chunk sizes are skipped.
+    /// The next outcome; `Ok(None)` if no data arrives for 100 ms, an error if the connection has ended. Lines of the
+    /// response head and of chunk sizes are skipped.
     fn next(&mut self) -> Result<Option<serde_json::Value>, ()> {
         loop {
             match self.stream.read_until(b'\n', &mut self.partial_line) {
@@ -253,7 +253,7 @@
             if sidecar.submit(class, &id, dest) == 202 {
                 accepted.push(id);
             }
-            // the reader is dropped in the middle of the stream, and reconnects with its cursor
+            // the reader disconnects in the middle of the stream, and a new one continues from the last cursor read
             if submitted % (70 + round) == 0 {
                 while let Ok(Some(outcome)) = reader.next() {
                     cursor = outcome["cursor"].as_u64().expect("a cursor");
--- a/tests/sockets.rs
+++ b/tests/sockets.rs
@@ -12,7 +12,7 @@
     FakeDiscovery::new(vec![endpoint_list(endpoint)])
 }
 
-/// A list with one endpoint for destination 7; destinations 8, 9 and 99 are known, but their only endpoint drains.
+/// A list with a serving endpoint for destination 7, and a draining one for each of the destinations 8, 9 and 99.
 fn endpoint_list(endpoint: &FakeEndpoint) -> String {
     let draining = |uid, destination| (uid, endpoint.address, "one", destination, "draining");
     list_json(&[
@@ -176,7 +176,7 @@
 
 /// Submits one message with an idempotency key and one at-most-once message, and answers the first attempt of each with
 /// `first`. Returns the number of attempts of each, and the notifications. An at-most-once message may be sent again
-/// only if it never ran; a message with a key until it is delivered.
+/// only if it never ran. A message with a key may be sent again until it is delivered.
 fn attempts_and_notifications_after(first: Reply) -> (usize, usize, Vec<String>) {
     let already_failed: Arc<Mutex<Vec<String>>> = Arc::default();
     let endpoint = FakeEndpoint::new(move |request, _| {
@@ -413,8 +413,8 @@
 
 #[test]
 fn a_restarted_sender_resumes_unfinished_messages_after_a_kill() {
-    // one message at each step: accepted and not sent; sent without an outcome (two: one with an idempotency key and
-    // one at-most-once message); ended, with a notification that is not acknowledged
+    // Four messages are unfinished at the kill. One is accepted and not sent. Two are sent without an outcome, one of
+    // them with an idempotency key and one at most once. One has ended, and its notification is not acknowledged.
     let endpoint = FakeEndpoint::new(|request, number| {
         if number < 2 || request.header("x-request-id") == "unsafe" {
             Reply::NoResponse
@@ -686,7 +686,7 @@
     *discovery.watch_events.lock().expect("not poisoned") =
         vec![list_json(&[("s-1", endpoint.address, "one", 7, "up")])];
     let node = node.ready();
-    // well before the 6 s within which any change must be known to the sender
+    // less than the 6 s within which the sender must know of any change of the list
     assert!(
         began.elapsed() < Duration::from_secs(5),
         "{:?}",
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -203,8 +203,8 @@
     let node = Node::new(&discovery_with(&endpoint)).ready();
     let socket = node.folder.join("state/handover");
     let hello = b"MTH1\x01\0\0\0";
-    // callers that send invalid bytes, nothing or part of a hello, a hello before they close the connection, or a hello
-    // followed by invalid bytes
+    // Each caller sends `first`. If there is a `then`, it waits for a response and sends `then`. Finally it closes the
+    // connection. `first` is invalid, empty, part of a hello or a whole hello; `then` is always invalid.
     for (first, then) in [
         (&b"GET / HTTP/1.1\r\n\r\n"[..], None),
         (b"", None),
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -169,7 +169,7 @@
         "up",
     )])]);
     let mut old = Node::with_program(from.path(), &discovery).ready();
-    // two calls are in flight while the process is replaced; the at-most-once message must not be called twice
+    // two calls are in flight while the process is replaced; the at-most-once message must not be sent twice
     for (class, id) in [("order", "waiting-order"), ("webhook", "waiting-webhook")] {
         assert_eq!(old.submit(class, id, 7, 20_000, b"x"), 202);
         wait_until("the message is sent", || endpoint.attempt_count(id) >= 1);
--- a/tests/watch.rs
+++ b/tests/watch.rs
@@ -16,7 +16,7 @@
 enum Script {
     /// Sends this text, and then nothing more.
     Text(String),
-    /// Sends the first text, and then repeats the second one, a byte every 200 ms.
+    /// Sends the first text at once, and then the second one again and again, one byte every 200 ms.
     Trickle(String, &'static str),
     /// Does not respond at all.
     Hang,
