--- a/crates/platform/tests/batch_calls.rs
+++ b/crates/platform/tests/batch_calls.rs
@@ -17,7 +17,8 @@
 }
 
 impl CallInFlight {
-    /// Starts a call with two messages, whose request has been written completely; the endpoint has not responded yet.
+    /// Starts a call with two messages, and waits until its request has been received completely. The endpoint does not
+    /// respond yet.
     async fn new() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("bound");
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -263,8 +263,8 @@
             .expect("the task runs");
     }
 
-    /// Waits until this many notifications have been reported to the engine as accepted; returns their numbers in that
-    /// order.
+    /// Waits until this many notifications have been reported to the engine as accepted; returns their numbers in the
+    /// order of the reports.
     async fn wait_for_accepted(&mut self, count: usize) -> Vec<u64> {
         let mut accepted = Vec::new();
         while accepted.len() < count {
--- a/crates/platform/tests/server.rs
+++ b/crates/platform/tests/server.rs
@@ -1,6 +1,6 @@
-//! The HTTP server for clients without the rest of the sender, on one thread as in the sender, with tokio's paused
-//! clock. In several tests, bytes arrive on a connection at the same instant at which the server would close it.
-//! Clients are plain sockets, written and read in the same thread.
+//! Tests the HTTP server to which clients submit messages, without the rest of the sender. All tasks run on one thread,
+//! as in the sender, and tokio's clock is paused. In several tests, bytes arrive on a connection at the same instant at
+//! which the server would close it. Clients are plain sockets, written and read in the same thread.
 
 use milletturn_engine::{ArrivalOutcome, Input};
 use milletturn_platform::DrainGate;
@@ -23,8 +23,8 @@
 /// Limit on the polls of a condition; every condition in these tests is reached sooner.
 const MAX_POLLS: usize = 200_000;
 
-/// A running server with `max_connections` slots, and `extra_connections` each for waiting and for lingering
-/// connections.
+/// A running server with `max_connections` slots for served connections, and `extra_connections` slots each for waiting
+/// and for lingering connections.
 struct ServerFixture {
     address: SocketAddr,
     server: Rc<Server>,
@@ -110,7 +110,7 @@
         (client, last)
     }
 
-    /// Connects a client whose first message has got a response.
+    /// Connects a client, submits a message with this id, and waits until its response has arrived.
     async fn idle_client(&self, id: &str) -> Client {
         let mut client = self.accepted_client().await;
         client.write(&message_request("order", id, 7, 20_000, b"x"));
@@ -210,7 +210,7 @@
         head.split(' ').nth(1).expect("a status").to_string()
     }
 
-    /// How the connection ends.
+    /// Waits until the connection ends. Returns `Ok` if the server has closed it, or the kind of the read error.
     async fn end(&mut self) -> Result<(), ErrorKind> {
         wait_until("the end", || {
             self.read();
@@ -388,7 +388,7 @@
 
 #[test]
 fn a_slot_is_freed_after_the_response_while_others_wait() {
-    // Guards against connections that wait although a slot has become available, because all were busy at first.
+    // Guards against a connection that finds all slots busy, and still waits after a slot has become free.
     with_paused_clock(async {
         let fixture = ServerFixture::open(1, 1).await;
         let (mut incomplete, last) = fixture.incomplete_request("m1").await;
--- a/crates/platform/tests/single_calls.rs
+++ b/crates/platform/tests/single_calls.rs
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Starts a call with one message, whose id is `m` and the number of the call. Returns the sender that cancels the
-    /// message.
+    /// Starts a call with one message, whose id is `m` followed by the number of the call. Returns the channel that
+    /// cancels the message.
     fn start(&mut self, address: SocketAddr, body_bytes: usize) -> mpsc::UnboundedSender<usize> {
         let item = item(&format!("m{}", self.next_number), vec![b'x'; body_bytes]);
         let (cancel, cancels) = mpsc::unbounded_channel();
@@ -72,8 +72,8 @@
         cancel
     }
 
-    /// Waits until the call has ended, and with `stream` also until its connection is closed, so that delays that
-    /// are reported late are included.
+    /// Waits until the call has ended. With `stream`, also waits until its connection is closed, so that a retry-after
+    /// delay that is reported after the end of the call is included.
     async fn next_report(&mut self, mut stream: Option<TcpStream>) -> CallReport {
         let mut retry_after_delays = Vec::new();
         loop {
@@ -118,7 +118,8 @@
         }
     }
 
-    /// The request of a call on a new connection for permission to start.
+    /// Waits until a call on a new connection requests permission to start. Returns the channel for the reply,
+    /// which is the deadline for writing the request. If the channel is dropped, the call may not start.
     async fn next_start_request(&mut self) -> oneshot::Sender<Instant> {
         match common::next_input(&mut self.received).await {
             Some(Input::RequestStart(_, reply)) => reply,
@@ -191,8 +192,8 @@
         }
     }
 
-    /// Starts a call on a connection whose previous call got the response `first`. Returns the stream with the sender
-    /// that cancels the message.
+    /// Starts a call on a connection whose previous call got the response `first`. Returns the endpoint's side of the
+    /// connection, and the channel that cancels the message.
     async fn call_after(&mut self, first: &str) -> (TcpStream, mpsc::UnboundedSender<usize>) {
         let (mut stream, _cancel) = self.call().await;
         stream.write_all(first.as_bytes()).await.expect("open");
@@ -204,8 +205,8 @@
         (stream, cancel)
     }
 
-    /// Starts a call on a new connection and reads its request. Returns the stream with the sender that cancels the
-    /// message.
+    /// Starts a call on a new connection and reads its request. Returns the endpoint's side of the connection, and the
+    /// channel that cancels the message.
     async fn call(&mut self) -> (TcpStream, mpsc::UnboundedSender<usize>) {
         let cancel = self
             .calls
--- a/crates/platform/tests/virtual_discovery/mod.rs
+++ b/crates/platform/tests/virtual_discovery/mod.rs
@@ -107,7 +107,7 @@
         self.0.borrow().accepted_at[id]
     }
 
-    /// Number of notifications received, including duplicates.
+    /// Number of notifications received, including those that the sender sent again.
     pub(crate) fn posted_notification_count(&self) -> usize {
         self.0.borrow().posted_notification_count
     }
--- a/crates/platform/tests/watch_stream.rs
+++ b/crates/platform/tests/watch_stream.rs
@@ -1,4 +1,4 @@
-//! The parser for the byte stream of an endpoint list watch, with chunks that end anywhere.
+//! Tests the parser for the byte stream of an endpoint list watch, with chunks that end at any byte.
 
 use milletturn_platform::watch_stream::{MAX_OBJECT_BYTES, WatchEvent, WatchStream};
 
--- a/crates/test-support/src/cold_fleet.rs
+++ b/crates/test-support/src/cold_fleet.rs
@@ -28,7 +28,8 @@
     pub capacity_per_s: f64,
     /// Message rate of all senders together, as a fraction of `capacity_per_s`.
     pub load_ratio: f64,
-    /// How unevenly messages are spread over the senders: 1 is even, and with 2 a tenth of the senders gets a third.
+    /// How unevenly messages are spread over the senders: 1 is even, and with 2 a tenth of the senders gets a third of
+    /// the messages.
     pub skew: f64,
     /// Whether responses report the rate limit, and that half of it is left.
     pub reports_limit: bool,
@@ -46,7 +47,7 @@
     /// Largest excess of the calls in one overload window over the number N that the settings allow in it, in units of
     /// the square root of N.
     pub max_normalized_excess: f64,
-    /// When that excess occurred, counted from the recovery.
+    /// When the largest excess occurred, counted from the recovery.
     pub max_excess_at: Micros,
     /// Whether an overload window had more than N + 2 x sqrt(N) + 2 calls, at which the destination collapses.
     pub collapsed: bool,
--- a/crates/test-support/src/config_variants.rs
+++ b/crates/test-support/src/config_variants.rs
@@ -1,7 +1,7 @@
 //! Generates variants of a configuration file with one changed setting, many of them invalid.
 
 /// All variants of a configuration file in which one setting is removed, emptied, given twice, negated, doubled, or
-/// given an extreme value or one of another type. Returns the changed line and the whole text of each.
+/// given an extreme value or one of another type. Returns the changed line and the whole text for each variant.
 #[must_use]
 pub fn config_variants(text: &str) -> Vec<(String, String)> {
     let lines: Vec<&str> = text.lines().collect();
--- a/crates/test-support/src/crash_point.rs
+++ b/crates/test-support/src/crash_point.rs
@@ -37,7 +37,7 @@
         true
     }
 
-    /// Whether the process has crashed, which is once it has taken `max_steps` steps.
+    /// Whether the process has crashed: true once it has taken `max_steps` steps.
     #[must_use]
     pub fn has_crashed(&self) -> bool {
         self.0.steps_taken.get() >= self.0.max_steps.get()
--- a/crates/test-support/src/duplicating_proxy.rs
+++ b/crates/test-support/src/duplicating_proxy.rs
@@ -25,8 +25,8 @@
 pub enum DuplicateContent {
     /// Every byte is the same.
     Identical,
-    /// The status is the same and some headers differ, as if the duplicate carried a newer load report. It announces
-    /// `Connection: close` if the request that it answers asked for that.
+    /// The status is the same and some headers differ, as if the duplicate carried a newer load report. The duplicate
+    /// has the header `Connection: close` if the latest request on the connection had it.
     DifferentHeaders,
 }
 
--- a/crates/test-support/src/engine_ports.rs
+++ b/crates/test-support/src/engine_ports.rs
@@ -79,8 +79,8 @@
     }
 }
 
-/// A message for destination 1 that is submitted now and expires in 20 s, with its ID as idempotency key if `keyed`;
-/// and the receiver of the submission's outcome.
+/// A submission, made now, of a message for destination 1 that expires in 20 s, and the receiver of the submission's
+/// outcome. If `keyed`, the message's ID is also its idempotency key; otherwise it has none.
 #[must_use]
 pub fn new_arrival(
     id: &str,
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -102,7 +102,7 @@
     }
 }
 
-/// Reads one request or response; `None` if the connection ends before that is complete.
+/// Reads one request or response; `None` if the connection ends before the request or response is complete.
 fn read_http(reader: &mut BufReader<TcpStream>) -> Option<Request> {
     let mut request = Request::default();
     loop {
@@ -417,7 +417,8 @@
         Client(BufReader::new(stream))
     }
 
-    /// Whether the sender has closed the connection. Waits 20 ms for that, and discards any response before it.
+    /// Whether the sender has closed the connection. Waits for the close until no data has arrived for 20 ms, and
+    /// discards all data received.
     pub fn is_closed(&mut self) -> bool {
         let mut discarded = Vec::new();
         self.0
--- a/crates/test-support/src/limited_fleet/mod.rs
+++ b/crates/test-support/src/limited_fleet/mod.rs
@@ -27,7 +27,8 @@
     pub max_batch_size: usize,
     /// Time after the start at which messages arrive at five times the rate for one second.
     pub burst_at: Micros,
-    /// How unevenly messages are spread over the senders: 1 is even, and with 2 a tenth of the senders gets a third.
+    /// How unevenly messages are spread over the senders: 1 is even, and with 2 a tenth of the senders gets a third of
+    /// the messages.
     pub skew: f64,
     /// The class of the messages and the behavior of the clients.
     pub profile: MessageProfile,
@@ -53,9 +54,9 @@
     pub latency_objective: Micros,
     /// Time within which a message may still be delivered.
     pub time_to_live: Micros,
-    /// Time after which a client again submits a message that its sender has returned without delivering it.
+    /// Time after which a client resubmits a message that a sender has returned undelivered.
     pub resubmit_delay: Micros,
-    /// Maximum number of times that a client submits a returned message again.
+    /// Maximum number of times that a client resubmits a returned message.
     pub max_resubmits: usize,
     /// How long a call takes.
     pub call_duration: Micros,
@@ -64,7 +65,7 @@
 }
 
 impl MessageProfile {
-    /// Notices that may wait for seconds, and clients that submit returned messages again up to three times.
+    /// Notices that may wait for seconds, and clients that resubmit a returned message up to three times.
     #[must_use]
     pub fn patient() -> Self {
         let effect = Effect::Keyed {
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Debits that should be delivered within 300 ms, and clients that submit returned messages again once.
+    /// Debits that should be delivered within 300 ms, and clients that resubmit a returned message once.
     #[must_use]
     pub fn urgent() -> Self {
         let (latency_objective, time_to_live, resubmit_delay) =
@@ -208,7 +209,7 @@
     among_idle_destinations(1)
 }
 
-/// As [`one_among_idle_destinations`], with `count` destinations that receive messages.
+/// Endpoint list with `count` destinations that receive messages, and 16 idle ones.
 fn among_idle_destinations(count: usize) -> Vec<EndpointEntry> {
     let used = (0..count as u64).map(|index| {
         EndpointEntry::new(
--- a/crates/test-support/src/limited_fleet/rate_limit.rs
+++ b/crates/test-support/src/limited_fleet/rate_limit.rs
@@ -12,8 +12,8 @@
     pub reports_limit: bool,
     /// Length of the fixed windows in which calls are counted; `None` means a token bucket.
     pub window: Option<Micros>,
-    /// Whether rejected calls consume the limit too. They can then put it into debt, by at most the number of calls
-    /// that a full bucket or an unused window lets through.
+    /// Whether rejected calls consume the limit too. They can then put it into debt: the number of calls left becomes
+    /// negative. The debt is at most the number of calls that a full bucket or an unused window lets through.
     pub rejections_consume: bool,
     /// Fraction of the rejections that carry a `Retry-After`.
     pub retry_after_share: f64,
--- a/crates/test-support/src/memory_journal.rs
+++ b/crates/test-support/src/memory_journal.rs
@@ -6,7 +6,8 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// A journal in memory whose content tests can inspect. Clones share that content, so it survives an engine.
+/// A journal in memory whose content tests can inspect. Clones share the content, so that it remains after an engine
+/// that used one of them has ended.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryJournal {
     /// Unfinished messages by their number.
--- a/crates/test-support/src/unused_address.rs
+++ b/crates/test-support/src/unused_address.rs
@@ -13,9 +13,9 @@
 impl UnusedAddress {
     /// Reserves a free port of the given local IP address.
     ///
-    /// The port is bound and never listened on, not even briefly: a child process that another thread starts at that
-    /// moment holds a copy of the listening descriptor until its `exec`, and the port would go on accepting
-    /// connections.
+    /// The port is bound, and nothing listens on it even briefly. Otherwise a child process that another thread starts
+    /// while the port listens would hold a copy of the listening descriptor until its `exec`, and the port would accept
+    /// connections until then.
     ///
     /// # Panics
     ///
--- a/crates/test-support/src/virtual_transport.rs
+++ b/crates/test-support/src/virtual_transport.rs
@@ -16,9 +16,9 @@
 #[derive(Debug, Clone, Copy)]
 pub struct ScriptedOutcome {
     /// Time until the message's last byte has arrived and the destination executes it; `None` if it never does. The
-    /// destination executes the message even if the sender has abandoned the call by then.
+    /// destination executes the message even if the call has been cancelled or has timed out by then.
     pub executes_after: Option<Duration>,
-    /// Time until the sender receives a result, and which; `None` if it receives none and the call times out.
+    /// Time until the sender receives a result, and the result; `None` if it receives none and the call times out.
     pub reported: Option<(Duration, Outcome)>,
 }
 
