--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -62,8 +62,9 @@
     }
 }
 
-/// Time from the recovery of discovery until the sender receives the new list. Discovery is healthy until
-/// `fault_start`, if that is not zero, then in `state`, and healthy again from `recovery` on.
+/// Time from the recovery of discovery until the sender receives the new list. Discovery is healthy before
+/// `fault_start`, in `state` until `recovery`, and healthy again afterwards. If `fault_start` is zero, it is in `state`
+/// from the beginning.
 async fn update_delay(
     state: State,
     fault_start: Duration,
--- a/crates/platform/tests/virtual_discovery/mod.rs
+++ b/crates/platform/tests/virtual_discovery/mod.rs
@@ -93,7 +93,7 @@
         })))
     }
 
-    /// Adds another service at this address.
+    /// Makes the service reachable at another address too, where it follows this schedule.
     pub(crate) fn add_address(&self, address: SocketAddr, schedule: Vec<(Duration, State)>) {
         self.0.borrow_mut().schedules.insert(address, schedule);
     }
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -1,4 +1,5 @@
-//! A recovering destination in slow start receives, from all senders together, no more calls than the settings allow.
+//! A destination in the slow start after an outage does not collapse under the calls of all senders together, and the
+//! senders use more than 0.4 of its capacity.
 
 use milletturn_policy::SECOND;
 use milletturn_test_support::cold_fleet::{RecoveryScenario, simulate};
--- a/crates/policy/tests/resumed.rs
+++ b/crates/policy/tests/resumed.rs
@@ -20,7 +20,8 @@
     harness
 }
 
-/// The event that a message without attempts is resumed, with this time left until its deadline.
+/// The event that a message without attempts is resumed. `time_left` is the time until its deadline, negative if the
+/// deadline has passed.
 fn resumed(id: u64, time_left: Micros) -> Event {
     Event::Resumed {
         message: NewMessage::new(MessageId(id), REPEATABLE, 7, time_left),
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -88,7 +88,8 @@
         }
     }
 
-    /// Advances the time to `until`. Each call ends after 50 ms with the outcome that `outcome_at` gives for that time.
+    /// Advances the time to `until` in steps. Each call ends at the first step that is at least 50 ms after its send,
+    /// with the outcome that `outcome_at` gives for the time of the step.
     fn run_until(&mut self, until: Micros, outcome_at: impl Fn(Micros) -> Outcome) {
         while self.now < until {
             self.now += STEP;
@@ -457,8 +458,8 @@
     }
 }
 
-/// Median of [`Sender::work_steps`] per turn, with this many pending messages for ten failing destinations and this
-/// many listed destinations.
+/// Median of [`Sender::work_steps`] per turn, with `pending` pending messages for ten failing destinations, and
+/// `destinations` listed destinations in all.
 fn median_work_steps(pending: u64, destinations: u32) -> u64 {
     let mut settings = settings(200);
     settings.max_pending = 20_000;
--- a/crates/test-support/src/limited_fleet/mod.rs
+++ b/crates/test-support/src/limited_fleet/mod.rs
@@ -25,7 +25,8 @@
     pub calls_per_s: f64,
     /// Maximum number of messages in one call.
     pub max_batch_size: usize,
-    /// Time after the start at which messages arrive at five times the rate for one second.
+    /// Time after the start from which messages arrive at five times the rate for one second. `Micros::MAX` means that
+    /// there is no burst.
     pub burst_at: Micros,
     /// How unevenly messages are spread over the senders: 1 is even, and with 2 a tenth of the senders gets a third of
     /// the messages.
@@ -52,7 +53,7 @@
     pub effect: Effect,
     /// Time within which a message should be delivered.
     pub latency_objective: Micros,
-    /// Time within which a message may still be delivered.
+    /// Time from the submission of a message to its deadline.
     pub time_to_live: Micros,
     /// Time after which a client resubmits a message that a sender has returned undelivered.
     pub resubmit_delay: Micros,
--- a/crates/test-support/src/limited_fleet/rate_limit.rs
+++ b/crates/test-support/src/limited_fleet/rate_limit.rs
@@ -126,7 +126,7 @@
         self.tokens / self.depth(elapsed)
     }
 
-    /// Serves or rejects a call that arrives now.
+    /// Serves or rejects a call that arrives at the time `elapsed` after the start.
     pub fn handle_call(&mut self, elapsed: Micros) -> Outcome {
         let depth = self.depth(elapsed);
         let is_served = self.tokens >= 1.0
--- a/crates/test-support/src/unreliable_endpoint.rs
+++ b/crates/test-support/src/unreliable_endpoint.rs
@@ -1,5 +1,6 @@
-//! An endpoint with random faults from a seed: it delivers, rejects, fails, closes, hangs and sends duplicates of
-//! earlier responses at moments that HTTP does not allow, and records which messages it executed.
+//! An endpoint whose behavior is drawn at random from a seed. It answers a request with 200, 503 or 500, closes the
+//! connection, or never responds. At times that HTTP does not allow, it sends duplicates of earlier responses. It
+//! records which messages it executed.
 
 use crate::{Request, asks_to_close, read_http};
 use rand_pcg::Pcg32;
@@ -32,7 +33,8 @@
     Never,
 }
 
-/// How the endpoint ends a request.
+/// How the endpoint ends a request. It executes the messages of a `Delivered`, `Failed` or `Closed` request, and not
+/// those of the others.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum RequestEnd {
     Delivered,
