--- a/tests/descriptors.rs
+++ b/tests/descriptors.rs
@@ -89,8 +89,7 @@
     }
 }
 
-/// Keeps this number of idle clients connected, each of which reconnects when its connection is closed, until `stop` is
-/// set.
+/// Keeps `count` idle clients connected until `stop` is set. A client whose connection is closed reconnects.
 fn connect_idle_clients(address: SocketAddr, count: usize, stop: &Arc<AtomicBool>) {
     let stop = stop.clone();
     thread::spawn(move || {
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -1,7 +1,7 @@
-//! Runs session proxies between members and coordinators as processes with faults. A proxy that is suspended,
-//! partitioned in one direction, slow or killed, or that shares its name with another one, may cost a member its lease.
-//! It must not prolong a lease, let two members own a resource at the same time, or open a second session for the same
-//! request.
+//! Runs members, session proxies and coordinators as processes, with faults of the proxies and of their links. A proxy
+//! that is suspended, partitioned in one direction, slow or killed, or that shares its name with another one, may cost a
+//! member its lease. It must not prolong a lease, let two members own a resource at the same time, or open a second
+//! session for the same request.
 
 #![expect(
     clippy::too_many_lines,
--- a/tests/sidecar.rs
+++ b/tests/sidecar.rs
@@ -27,8 +27,8 @@
     folder
 }
 
-/// A free port on a loopback address that nothing else uses: on 127.0.0.1 a client's connection could take the port
-/// before the sidecar does.
+/// A free port on a loopback IP address that no other call in this process returns. On 127.0.0.1, a client's
+/// connection could take the port before the sidecar does.
 fn unused_address() -> SocketAddr {
     static ADDRESSES: AtomicUsize = AtomicUsize::new(1);
     let number = ADDRESSES.fetch_add(1, Ordering::SeqCst) as u32 + (std::process::id() << 8);
