--- a/crates/platform/tests/virtual_discovery/mod.rs
+++ b/crates/platform/tests/virtual_discovery/mod.rs
@@ -93,7 +93,7 @@
         })))
     }
 
-    /// Adds another service at this address.
+    /// Makes the service reachable at another address too, where it follows this schedule.
     pub(crate) fn add_address(&self, address: SocketAddr, schedule: Vec<(Duration, State)>) {
         self.0.borrow_mut().schedules.insert(address, schedule);
     }
@@ -107,7 +107,7 @@
         self.0.borrow().accepted_at[id]
     }
 
-    /// Number of notifications received, including duplicates.
+    /// Number of notifications received, including those that the sender sent again.
     pub(crate) fn posted_notification_count(&self) -> usize {
         self.0.borrow().posted_notification_count
     }
