--- a/crates/engine/src/arrivals.rs
+++ b/crates/engine/src/arrivals.rs
@@ -26,8 +26,9 @@
 }
 
 impl Engine {
-    /// Admits a message, or rejects it if too many messages are open. An admitted message is passed to the decision
-    /// module in the next turn.
+    /// Handles a submission. A new message is admitted and passed to the decision module in the next turn, or rejected
+    /// if too many messages are open. A submission that repeats an open message gets its reply in the next turn; one
+    /// that repeats a recently delivered message gets its reply at once.
     pub(crate) fn on_arrival(&mut self, arrival: Arrival) {
         // a dropped receiver means that the client disconnected: the server also reports that by
         // `Input::ClientDisconnected`, so failures to send a reply are ignored below
@@ -109,9 +110,9 @@
         }
     }
 
-    /// Replies to the clients whose messages arrived since the last turn. A client is told that its message is
-    /// accepted once the journal holds the message. A message that the decision module ends in its first turn is not
-    /// accepted.
+    /// Replies to the clients whose messages arrived since the last turn. A client is told that its message is accepted
+    /// only after the journal has recorded the message. A message that the decision module ends in the turn of its
+    /// arrival is not accepted.
     pub(crate) fn reply_to_arrivals(&mut self, actions: &[Action]) {
         for (message_id, pending) in std::mem::take(&mut self.arrivals) {
             let ended_at_once = outcome_in(actions, message_id);
@@ -138,7 +139,8 @@
         pending: PendingArrival,
         ended_at_once: Option<ArrivalOutcome>,
     ) {
-        // the reply itself reports this end to the client, so no notification will follow
+        // the reply itself reports this end to the client. No notification follows, so the decision module is told at
+        // once that the end is acknowledged, which frees the ordering key
         let notified_key = ordering_key.filter(|_| ended_at_once.is_some());
         self.events
             .extend(notified_key.map(|key| Event::Notification {
@@ -177,7 +179,8 @@
         let _ = arrival.reply.send(outcome);
     }
 
-    /// Records an arrival in the journal, and returns the reply for the client.
+    /// Records an arrival in the journal, and returns the reply for the client: accepted, or no capacity if the entry
+    /// could not be written.
     fn record_accepted(
         &mut self,
         message_id: MessageId,
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -68,8 +68,8 @@
 }
 
 impl Engine {
-    /// Starts an attempt: records it in the journal, then adds it to a batch. The attempt ends as unsent if the
-    /// journal can't record it, or if its endpoint is no longer listed.
+    /// Starts an attempt: records it in the journal, then adds it to a batch. The attempt ends as unsent if the journal
+    /// can't record it, if its endpoint is no longer listed, or if its message is no longer open.
     pub(crate) fn send(
         &mut self,
         now: Micros,
@@ -98,7 +98,8 @@
         if max_batch_size == 0 {
             return self.finish_unsent(attempt_ref, endpoint);
         }
-        // a message that is not open was dropped in this turn: no journal entry, and no call
+        // the message may have ended earlier in this turn, for example because the journal could not record its
+        // acceptance: its attempt gets neither a journal entry nor a call
         let written = open.then(|| self.journal.record_attempt(message_id.0, &uid, now));
         if !written.is_some_and(|written| self.check_journal(written)) {
             return self.finish_unsent(attempt_ref, endpoint);
@@ -210,8 +211,8 @@
         }
     }
 
-    /// Replies to calls that ask whether they may still start. The attempts of a call start together, so a call must
-    /// not start if any one of its attempts must not.
+    /// Replies to calls that ask whether they may still start. The attempts of a call start together: the call must
+    /// not start if any of its attempts must not, and the reply is the earliest of their write deadlines.
     pub(crate) fn reply_to_start_requests(&mut self, now: Micros) {
         for request in std::mem::take(&mut self.start_requests) {
             let Some(call) = self.calls.get(&request.call) else {
--- a/crates/engine/src/classes.rs
+++ b/crates/engine/src/classes.rs
@@ -7,9 +7,9 @@
 /// The table of classes.
 ///
 /// A class that a reload removes or changes keeps its position for the messages that refer to it; a new or changed
-/// class gets another position. Positions that no message refers to are reused, so the table is at most as long as
-/// the classes of the settings and those of open messages together. Snapshots contain this type, so the order of its
-/// fields is part of their format.
+/// class gets another position. Positions that neither a message nor the latest two versions of the settings refer to
+/// are reused, which bounds the table's length. Snapshots contain this type, so the order of its fields is part of
+/// their format.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(crate) struct ClassTable {
     /// The class at each position.
@@ -65,7 +65,7 @@
     }
 
     /// Adds a class that only messages of an earlier process have. Returns the position of the class, and whether the
-    /// table did not contain it before.
+    /// class was added because the table did not contain it.
     pub(crate) fn add_recovered(&mut self, class: &Class) -> (usize, bool) {
         if let Some(at) = self.classes.iter().position(|known| known == class) {
             return (at, false);
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Applies the classes of new settings. `in_use` tells whether an open message has the class at a position.
+    /// Applies the classes of new settings. `in_use` tells whether an unfinished message has the class at a position.
     /// Returns the positions that now hold another class.
     pub(crate) fn replace(&mut self, new: &[Class], in_use: impl Fn(usize) -> bool) -> Vec<usize> {
         let was_current = std::mem::replace(&mut self.current, vec![false; self.classes.len()]);
--- a/crates/engine/src/dead_letter_sink.rs
+++ b/crates/engine/src/dead_letter_sink.rs
@@ -1,10 +1,10 @@
 //! The dead-letter port: stores messages that ended undelivered (dead letters), and requests their redrive.
 //!
 //! A message that ends undelivered stays in the journal until the dead-letter store has reported
-//! [`Input::Stored`](crate::Input::Stored) for its number, so that at every instant the message is in the journal or
-//! in the store. [`Input::Redrive`](crate::Input::Redrive) moves a message back: a single journal entry records it
-//! under its old number, and from that entry on the journal owns the message. When the redrive ends, delivered or not,
-//! the journal keeps the message until the store has stored that end.
+//! [`Input::Stored`](crate::Input::Stored) for its number, so that at every instant the message is in the journal or in
+//! the store. [`Input::Redrive`](crate::Input::Redrive) moves a message back: a single journal entry records it under
+//! its old number, and from then on the journal, not the store, is responsible for the message. When the redrive ends,
+//! delivered or not, the journal keeps the message until the store has stored that end.
 
 use crate::{Ending, SharedStr};
 use bytes::Bytes;
@@ -36,7 +36,7 @@
     pub uid: String,
     /// When the attempt was sent.
     pub sent_at: Micros,
-    /// How the attempt ended; `None` if the process ended first.
+    /// How the attempt ended; `None` if the process that made the attempt ended first.
     pub outcome: Option<Outcome>,
     /// Time from the start of the attempt to its end, in microseconds.
     pub latency: Option<Micros>,
@@ -134,8 +134,8 @@
 pub enum RedriveOutcome {
     /// The journal holds the message again; its end will be passed to [`DeadLetterSink::store`].
     Accepted,
-    /// The message is not finished: a call of the original message or of an earlier redrive is in flight, or its end
-    /// is not notified or stored yet.
+    /// The original message or an earlier redrive is not finished: a call is in flight, the notification of the end is
+    /// not acknowledged, or the dead-letter store has not stored the end yet.
     InFlight,
     /// New messages or other redrives use the capacity; the redrive may be requested again later.
     Busy,
--- a/crates/engine/src/endings.rs
+++ b/crates/engine/src/endings.rs
@@ -102,7 +102,8 @@
     }
 
     /// Ends a message that needs no further attempt. If an endpoint's response ended the message and notifications of
-    /// delivered messages are enabled, the client is notified.
+    /// delivered messages are enabled, the client is notified. The end of a redriven message is recorded for the
+    /// dead-letter store, and its client is not notified.
     pub(crate) fn end(&mut self, message_id: MessageId, origin: EndOrigin) {
         let Some(message) = self.messages.get_open_mut(message_id) else {
             return;
@@ -123,8 +124,8 @@
             let written = self.journal.record_end(message_id.0, end);
             self.check_journal(written);
             if !redriven {
-                // no ordering key: an endpoint's response ended the message, so the decision module already knows of
-                // the end and has freed the key
+                // no ordering key: an endpoint's response ended the message, so the decision module frees the key once
+                // it has handled the ends of the message's attempts, without waiting for an acknowledgement
                 self.notify(message_id, id, class, ending, None);
             }
             self.close(message_id);
@@ -153,7 +154,8 @@
         }
     }
 
-    /// Ends a message that the decision module ended undelivered, and notifies the client.
+    /// Handles the decision module's decision to end a message undelivered: records the end in the journal, and
+    /// notifies the client unless the message was redriven.
     pub(crate) fn abandon(&mut self, message_id: MessageId, ending: Ending) {
         let (now, max_attempts) = (self.clock.now(), self.max_attempts);
         let Some(message) = self.messages.get_open_mut(message_id) else {
--- a/crates/engine/src/endpoint_list.rs
+++ b/crates/engine/src/endpoint_list.rs
@@ -18,7 +18,8 @@
     pub destination: u64,
     /// Whether the endpoint is serving, draining or removed; unrelated to its health.
     pub status: EndpointStatus,
-    /// Calls per second that the list allows the destination, or the endpoint alone if its kind has separate routes.
+    /// Calls per second that the list allows to the destination. If the endpoints of the kind are separate routes, each
+    /// with limits of its own, the calls per second that the list allows to this endpoint.
     pub weight: f64,
 }
 
--- a/crates/engine/src/endpoints.rs
+++ b/crates/engine/src/endpoints.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// All endpoints with their numbers, in ascending order.
+    /// All endpoints with their numbers, in ascending order of the numbers.
     pub(crate) fn all(&self) -> impl Iterator<Item = (EndpointId, &Route)> {
         self.routes
             .iter()
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -23,7 +23,8 @@
 use tokio::sync::{mpsc, watch};
 use tokio::time::{Instant, sleep_until};
 
-/// How often idle connections are evicted, and failed writes to the journal and the dead-letter store are retried.
+/// How often idle connections are evicted, [`Journal::record_finished`] entries that could not be written are retried,
+/// and messages for which the dead-letter store had no capacity are offered to it again.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Owns the messages and the decision module, and connects the decision module to the ports.
@@ -31,11 +32,11 @@
     /// Decides which message is sent where and when, without I/O of its own.
     pub(crate) decision_module: Sender,
     pub(crate) clock: Clock,
-    /// Names of the zones, in the order of their numbers.
+    /// Names of the zones. The index of a name is the zone's number in the decision module.
     pub(crate) zones: Vec<String>,
-    /// Names of the kinds of destination, in the order of their numbers.
+    /// Names of the kinds of destination. The index of a name is the kind's number in the decision module.
     pub(crate) kinds: Vec<String>,
-    /// The maximum number of messages in one call, by kind of destination.
+    /// The maximum number of messages in one call, indexed by the number of the destination's kind.
     pub(crate) max_batch_size: Vec<usize>,
     /// While this many messages are open, arrivals are rejected.
     pub(crate) max_open_messages: usize,
@@ -51,11 +52,11 @@
     pub(crate) ready: watch::Sender<bool>,
     pub(crate) endpoints: EndpointTable,
     pub(crate) messages: MessageTable,
-    /// Ended messages that the journal must still hold, if there is a dead-letter store. Each of these messages is in
-    /// the journal, so the journal's capacity bounds the map's size.
+    /// Ended messages that the journal must still hold; always empty without a dead-letter store. Each of these
+    /// messages is in the journal, so the journal's capacity bounds the map's size.
     pub(crate) pending_release: BTreeMap<MessageId, PendingRelease>,
     /// Ordering keys of ended messages whose notification is not acknowledged. Each of these messages is in the
-    /// journal.
+    /// journal, so the journal's capacity bounds the map's size.
     pub(crate) unacknowledged_keys: BTreeMap<MessageId, u64>,
     /// Calls in flight, by number.
     pub(crate) calls: BTreeMap<u64, OutstandingCall>,
@@ -63,15 +64,16 @@
     pub(crate) delivered: DeliveredIds,
     /// Messages that arrived since the last turn and whose clients have no reply yet.
     pub(crate) arrivals: BTreeMap<MessageId, PendingArrival>,
-    /// Submissions since the last turn of messages that were already open. Their clients are told of the acceptance
-    /// only once the message is in the journal.
+    /// Submissions that arrived since the last turn and repeat a message that is already open. Their clients are told
+    /// that the message is accepted only once it is in the journal.
     pub(crate) duplicates: Vec<DuplicateArrival>,
-    /// Calls that ask whether they may start. They get their reply after the decision module has handled all earlier
-    /// events.
+    /// Requests of calls that ask whether they may still start. They get their reply after the decision module has
+    /// handled all earlier events.
     pub(crate) start_requests: Vec<StartRequest>,
     /// Events for the decision module's next turn.
     pub(crate) events: Vec<Event>,
-    /// When the alarm that the decision module has set is due, in its own time (microseconds); `None` if none is set.
+    /// When the alarm that the decision module has set is due, as Unix time in microseconds on [`Engine::clock`];
+    /// `None` if none is set.
     pub(crate) alarm: Option<Micros>,
 }
 
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -33,7 +33,8 @@
     pub id: SharedStr,
     /// The idempotency key, by which the destination drops duplicates; only messages of a keyed class have one.
     pub key: Option<SharedStr>,
-    /// Position of the message's class in the settings.
+    /// Position of the message's class in the engine's class table: at the start, its position in the settings; after a
+    /// reload, the one in the reply to [`Input::Reconfigure`](crate::Input::Reconfigure).
     pub class: usize,
     /// The message's subject: messages with the same subject are delivered one at a time if their class keeps order.
     pub subject: Option<SharedStr>,
@@ -83,7 +84,8 @@
     pub number: u64,
     /// The id that the client gave the message.
     pub id: SharedStr,
-    /// Position of the message's class in the settings; beyond their last class if they no longer have the class.
+    /// Position of the message's class in the engine's class table. If the settings no longer have the class, none of
+    /// their classes has this position.
     pub class: usize,
     /// How the message ended.
     pub ending: Ending,
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -28,8 +28,8 @@
     /// The process is shutting down and will exit at this time.
     Stopping(Instant),
     /// Asks whether the call with this number may still start, because its connection took long to open. The reply is
-    /// the time by which the last byte of the request must be written; a dropped reply means that the call must not
-    /// start.
+    /// the time by which the last byte of the request must be written. If the reply channel is dropped without a reply,
+    /// the call must not start.
     RequestStart(u64, oneshot::Sender<Instant>),
     /// An endpoint demanded a retry-after delay, for example by a `Retry-After` header.
     RetryAfter {
@@ -63,7 +63,7 @@
     Redrive(RedriveRequest),
     /// A server rejected a message for lack of capacity, without submitting it to the engine.
     Rejected {
-        /// Position of the message's class.
+        /// Position of the message's class in the class table.
         class: usize,
         /// The message's destination.
         destination: u64,
--- a/crates/engine/src/journal.rs
+++ b/crates/engine/src/journal.rs
@@ -24,7 +24,7 @@
 /// How a message ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Ending {
-    /// Not delivered; resubmitting the message may deliver it twice.
+    /// Ended as failed: an attempt may have run, so resubmitting the message may deliver it twice.
     Failed,
     /// Returned to the client undelivered; resubmitting the message is harmless.
     Returned {
@@ -77,11 +77,11 @@
 /// The start of one attempt of a message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AttemptStarted {
-    /// The endpoint's name.
+    /// The endpoint's name; empty for an attempt that is presumed because the journal was damaged.
     pub uid: String,
     /// When the attempt was sent, Unix time in microseconds.
     pub sent_at: Micros,
-    /// The outcome proved that the destination did not process the attempt.
+    /// The outcome proved that the destination did not process the attempt; false while the outcome is unknown.
     pub never_ran: bool,
 }
 
@@ -125,7 +125,8 @@
         accepted: Accepted,
         uncertain_attempt: Option<AttemptStarted>,
     ) -> Result<(), JournalError>;
-    /// Records an attempt; the call that carries the attempt may start once this has succeeded.
+    /// Records an attempt that goes to the endpoint named `uid` and is sent at `sent_at` (Unix time in microseconds).
+    /// The call that carries the attempt may start once this has succeeded.
     ///
     /// # Errors
     /// As [`Journal::record_accepted`].
@@ -135,7 +136,8 @@
         uid: &str,
         sent_at: Micros,
     ) -> Result<(), JournalError>;
-    /// Records that the destination did not process an attempt. An attempt without this entry may have run.
+    /// Records that the destination did not process an attempt, given by its index among the message's attempts. An
+    /// attempt without this entry may have run.
     ///
     /// # Errors
     /// As [`Journal::record_accepted`].
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -29,10 +29,10 @@
 //! | `recovery` | the start from the journal of an earlier process |
 //! | `reconfiguration` | new settings and endpoint lists |
 //! | `snapshot` | the state that one process passes to the next in a hot restart |
-//! | `message`, `message_table`, `classes`, `endpoints`, `delivered` | tables of messages, classes, endpoints, delivered ids |
+//! | `message`, `message_table`, `classes`, `endpoints`, `delivered` | the state of one message, and the tables of messages, classes, endpoints and delivered ids |
 //!
-//! Every input reaches the engine as an [`Input`] on one channel. Under tokio's paused clock, with test doubles for
-//! the ports, the engine runs in virtual time and each run is the same.
+//! Every input reaches the engine as an [`Input`] on one channel. Under tokio's paused clock and with deterministic
+//! test doubles for the ports, the engine runs in virtual time, and runs with equal inputs and seeds are identical.
 
 mod arrivals;
 mod calls;
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -22,7 +22,7 @@
     pub call: u64,
     /// The message's position in that call.
     pub position: usize,
-    /// The attempt has no outcome yet.
+    /// The attempt has not ended.
     pub in_flight: bool,
     /// `None` while the attempt is in flight, and for an attempt that was read from the journal or made before the
     /// latest redrive.
@@ -69,7 +69,8 @@
         attempts.get_mut(index).filter(|attempt| attempt.in_flight)
     }
 
-    /// Whether a call was started for the attempt; true if that is not known.
+    /// Whether the attempt counts as sent: false only if its outcome is [`Outcome::Unsent`]. True while the attempt is
+    /// in flight and if its outcome is unknown.
     pub(crate) fn was_sent(&self) -> bool {
         !matches!(self.outcome, Some(Outcome::Unsent { .. }))
     }
@@ -90,8 +91,8 @@
     /// Position of the message's class in the class table.
     pub class: usize,
     pub destination: u64,
-    /// Messages with the same ordering key are delivered one at a time if their class keeps order; `None` for a
-    /// message without a subject.
+    /// Hash of the message's subject; `None` for a message without a subject. Messages with the same ordering key are
+    /// delivered one at a time if their class keeps order.
     pub ordering_key: Option<u64>,
     /// When the client submitted the message, or when its redrive was accepted, in the decision module's time
     /// (microseconds).
@@ -100,7 +101,9 @@
     pub deadline: Micros,
     /// The message has no final outcome yet.
     pub open: bool,
-    /// How many connected clients submitted the message and wait for, or have received, its acceptance.
+    /// Number of clients that submitted the message, less those that disconnected before they received an outcome. A
+    /// disconnection that makes it zero ends the message. A message recovered from the journal starts with one, so
+    /// that a client that resubmits it and disconnects does not end it.
     pub clients: usize,
     /// The message's attempts in order, including those made before this process started.
     pub attempts: Vec<Attempt>,
@@ -109,7 +112,7 @@
     /// Number of attempts at the start of `attempts` that were made before the latest redrive; 0 if the message was
     /// not redriven.
     pub prior_attempts: usize,
-    /// The end of the message, if the journal records it.
+    /// The end of the message; `None` while the message is open, and for an end that the journal need not record.
     pub end: Option<MessageEnd>,
 }
 
--- a/crates/engine/src/message_table.rs
+++ b/crates/engine/src/message_table.rs
@@ -136,7 +136,7 @@
             .collect()
     }
 
-    /// All messages with their numbers, in ascending order.
+    /// All messages with their numbers, in ascending order of the numbers.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (MessageId, &Message)> {
         self.messages
             .iter()
--- a/crates/engine/src/observer.rs
+++ b/crates/engine/src/observer.rs
@@ -6,10 +6,11 @@
 };
 use milletturn_policy::{Micros, Outcome};
 
-/// One event of the engine. Times are Unix time in microseconds as shown by the engine's [`Clock`](crate::Clock).
+/// One event of the engine. Times are Unix time as shown by the engine's [`Clock`](crate::Clock). Times and durations
+/// are in microseconds.
 #[derive(Debug)]
 pub enum EngineEvent<'a> {
-    /// The names of the classes, indexed by the class positions that other events carry. Reported at the start and
+    /// The names of the classes. The `class` of other events is an index into this list. Reported at the start and
     /// whenever the classes change.
     Classes(&'a [String]),
     /// A message was accepted.
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -16,9 +16,9 @@
     pub settings: Settings,
     /// Seed of the decision module's random numbers.
     pub seed: u64,
-    /// Names of the zones, in the order of their numbers.
+    /// Names of the zones. The index of a name is the zone's number in the decision module.
     pub zones: Vec<String>,
-    /// Names of the kinds of destination, in the order of their numbers.
+    /// Names of the kinds of destination. The index of a name is the kind's number in the decision module.
     pub kinds: Vec<String>,
     /// Source of the time that the decision module and the journal see.
     pub clock: Clock,
@@ -26,14 +26,15 @@
     pub cached_endpoints: Option<EndpointListUpdate>,
     /// Records what must survive the process.
     pub journal: Box<dyn Journal>,
-    /// Stores undelivered messages; without a dead-letter store their bodies are dropped once their notification is
-    /// acknowledged.
+    /// Stores undelivered messages. `None` without a dead-letter store: the journal may then drop an undelivered
+    /// message once its notification is acknowledged.
     pub dead_letters: Option<Box<dyn DeadLetterSink>>,
-    /// The number of the first new message, greater than any number in the dead-letter store.
+    /// The lowest number for a new message, greater than any number recorded outside the journal, such as in the
+    /// dead-letter store. Higher numbers in the journal raise it.
     pub first_message_number: u64,
     /// Carries calls to endpoints.
     pub transport: Box<dyn Transport>,
-    /// Also sends a notification for each message that an endpoint's response ended, which includes delivered
+    /// Whether a notification is also sent for each message that an endpoint's response ended, which includes delivered
     /// messages.
     pub notify_delivered: bool,
     /// Receives the final outcomes of accepted messages that are not delivered and, if `notify_delivered` is set, of
--- a/crates/engine/src/recovery.rs
+++ b/crates/engine/src/recovery.rs
@@ -9,14 +9,14 @@
     Class, EndpointId, Event, MessageId, Micros, NewMessage, PastAttempt, SECOND,
 };
 
-/// Latency objective and deadline, in microseconds, of a class that the settings no longer have. They affect only the
-/// priority of the class's messages among others and the random delay of the first calls after a restart, because each
-/// message has its own deadline from the journal.
+/// Latency objective and deadline, in microseconds, of a class that the settings no longer have. Each message of the
+/// class has its own deadline from the journal, so these values affect only the priority of these messages relative to
+/// others and the random delay of the first calls after a restart.
 const REMOVED_CLASS_TIME: Micros = 20 * SECOND;
 
 impl Engine {
-    /// Resumes the messages in the journal: open messages are passed to the decision module; clients of ended messages
-    /// are notified again, and these messages are offered to the dead-letter store again.
+    /// Resumes the messages in the journal. Open messages are passed to the decision module. For ended messages, the
+    /// client is notified again, and the message is offered to the dead-letter store again.
     pub(crate) fn resume_unfinished(&mut self) {
         let unfinished = self.journal.unfinished();
         let now = self.clock.now();
@@ -77,6 +77,7 @@
             endpoint: self
                 .endpoints
                 .by_uid(&sent.uid)
+                // the endpoint is no longer listed; the decision module treats its zone as unknown
                 .unwrap_or(EndpointId(u32::MAX)),
             // an attempt in the future means that the clock was set back: how much of the key's deduplication window
             // has passed is unknown, and time 0 makes the window count as over
--- a/crates/engine/src/redrive.rs
+++ b/crates/engine/src/redrive.rs
@@ -15,8 +15,8 @@
 /// number, so that new messages have precedence.
 const BUSY_DIVISOR: usize = 2;
 /// The least time, in microseconds, that must be left of the idempotency key's deduplication window for a redrive to
-/// be accepted. With less, the message could reach the destination after the window: the decision module keeps a
-/// safety margin, and the call takes time to arrive.
+/// be accepted. With less, the message could reach the destination after the window has ended: the decision module
+/// keeps a safety margin before the window's end, and the call takes time to arrive.
 const MIN_TIME_TO_DELIVER: Micros = 100 * MILLISECOND;
 
 impl Engine {
@@ -117,8 +117,8 @@
         });
     }
 
-    /// When a redrive would expire; `None` if the class is no longer known, or if the deduplication window of the
-    /// idempotency key ends before a call could arrive.
+    /// When a redrive that is accepted now expires; `None` if the settings no longer have the class, or if the
+    /// deduplication window of the idempotency key ends before a call could arrive.
     fn redrive_deadline(
         &self,
         class: usize,
@@ -133,9 +133,9 @@
         }
     }
 
-    /// The time left, in microseconds, of the idempotency key's deduplication window; `None` if no attempt can have
-    /// run or the class has no window. If the current time is before that attempt, the clock was set back: how much
-    /// of the window has passed is unknown, so no time is left.
+    /// The time left, in microseconds, of the idempotency key's deduplication window; `None` if there is no attempt
+    /// that the redrive could duplicate, or if the class has no window. If `now` is before the attempt, the clock was
+    /// set back: how much of the window has passed is unknown, so the result is zero.
     fn deduplication_time_left(
         &self,
         class: usize,
--- a/crates/engine/src/retention.rs
+++ b/crates/engine/src/retention.rs
@@ -15,7 +15,8 @@
     notified: bool,
     /// The dead-letter store has stored the message.
     stored: bool,
-    /// The message itself, until the dead-letter store has capacity for it.
+    /// The message, while the dead-letter store has no capacity for it; `None` before the message is offered to the
+    /// store and after the store has taken it.
     unstored: Option<Box<EndedMessage>>,
 }
 
@@ -44,7 +45,9 @@
         self.store_ended(message_id, class, message);
     }
 
-    /// Offers a message to the dead-letter store if it is to be stored. The message and its attempts must have ended.
+    /// Offers a message to the dead-letter store if the message was redriven or the store keeps messages with its
+    /// ending, but never a message of an internal class. Any other message may be dropped from the journal once its
+    /// notification is acknowledged. The message and its attempts must have ended.
     pub(crate) fn store_ended(&mut self, message_id: MessageId, class: String, message: Message) {
         let Some(end) = message.end else { return };
         let wanted = !is_internal_class(&class)
--- a/crates/engine/src/shared_str.rs
+++ b/crates/engine/src/shared_str.rs
@@ -1,11 +1,11 @@
-//! Message ids and idempotency keys, in a form that every server and transport can carry.
+//! Message ids, idempotency keys, subjects and tenant names, in a form that every server and transport can carry.
 
 use std::fmt;
 use std::sync::Arc;
 use thiserror::Error;
 
-/// An id or a key: 1 to [`SharedStr::MAX_BYTES`] visible ASCII characters without spaces, so that the text fits in a
-/// header and in one line of a call that carries several messages. Clones share the same allocation.
+/// An id, key, subject or tenant name: 1 to [`SharedStr::MAX_BYTES`] visible ASCII characters without spaces, so that
+/// the text fits in a header and in one line of a call that carries several messages. Clones share the same allocation.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SharedStr(Arc<str>);
 
--- a/crates/engine/src/snapshot.rs
+++ b/crates/engine/src/snapshot.rs
@@ -72,8 +72,8 @@
     deadline: Micros,
     open: bool,
     clients: usize,
-    /// The end of the message, if the journal records it: when it ended and, for [`Ending::Returned`], the advised
-    /// retry-after delay `after_ms`.
+    /// The end of the message, if the journal records it: when the message ended, then `Some(after_ms)` for
+    /// [`Ending::Returned`] and `None` for any other ending.
     end: Option<(Micros, Option<Option<u64>>)>,
     attempts: Vec<StoredAttempt>,
 }
@@ -182,8 +182,9 @@
         self.calls.len()
     }
 
-    /// Restores the engine of another process. The settings, cached endpoints, seed, zones and kinds in `ports` are
-    /// not used, because the snapshot contains them.
+    /// Restores the engine of another process. The settings, clock, cached endpoints, seed, zones, kinds and first
+    /// message number in `ports` have no effect, because the snapshot contains the state that replaces them. The
+    /// settings must be valid nevertheless.
     ///
     /// # Errors
     /// When the settings in `ports` are invalid.
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -94,7 +94,7 @@
     ClosedByPeer,
     /// Data arrived that is not the response to any call.
     UnsolicitedData,
-    /// The calls that the connection has carried, or their responses, rule out another call on it.
+    /// The connection may not carry another call, because of the calls that it has carried or of their responses.
     NotReusable,
 }
 
