--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -70,7 +70,7 @@
         /// What ended the attempt, such as `answer 503` or `no head`.
         #[serde(default)]
         cause: String,
-        /// The Retry-After of a rejection, in microseconds.
+        /// The retry-after delay that a rejection demanded, in microseconds; `None` if there was none.
         #[serde(rename = "wait", default, skip_serializing_if = "Option::is_none")]
         retry_after_us: Option<u64>,
         /// Destination of the message, by number.
@@ -87,14 +87,15 @@
         /// Number of the call among those on the connection, from 1.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         call_on_connection: Option<u64>,
-        /// Time in microseconds from the last byte of the request to the first byte received after it.
+        /// Time in microseconds from the last byte of the request to the first byte received after it; `None` if the
+        /// request was not written completely or nothing was received.
         #[serde(
             rename = "response_after",
             default,
             skip_serializing_if = "Option::is_none"
         )]
         response_after_us: Option<u64>,
-        /// Why the response is known to belong to the call, such as `first call`.
+        /// Why the response is attributed to the call, such as `first call`; `None` if no response is.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         attributed_by: Option<String>,
     },
--- a/crates/access-log/src/summary.rs
+++ b/crates/access-log/src/summary.rs
@@ -6,7 +6,7 @@
 
 /// Maximum number of rows of a summary. Records that would need further rows are dropped and counted.
 ///
-/// A day of 24 h in intervals of one second at 50 destinations needs four million rows.
+/// A day in intervals of one second with 50 destinations needs 4.32 million rows.
 const MAX_ROWS: usize = 4_500_000;
 
 /// Counts of the events of all senders for one destination in one interval.
@@ -73,7 +73,8 @@
     pub destination: u64,
     /// Start of the interval, in seconds since the start of the earliest interval in the summary.
     pub from_s: f64,
-    /// Accepted messages that are neither delivered nor abandoned at the end of the interval.
+    /// Accepted messages that are neither delivered nor abandoned at the end of the interval. Negative if the logs lack
+    /// the acceptance of some messages that they show as ended.
     pub in_flight: i128,
     /// Counts for this destination in this interval.
     pub totals: &'a IntervalTotals,
--- a/crates/hot-restart/src/bridge.rs
+++ b/crates/hot-restart/src/bridge.rs
@@ -129,7 +129,7 @@
         let now = Instant::now();
         let age = Duration::from_micros(forwarded.age_us);
         let (reply, outcome) = oneshot::channel();
-        // remove the tasks of messages that have ended, so that the set does not grow with each message
+        // remove the tasks that have forwarded their outcome, so that the set does not grow with each message
         while self.tasks.try_join_next().is_some() {}
         self.tasks.spawn_local(forward_outcome(
             forwarded.slot,
--- a/crates/hot-restart/src/forwarding.rs
+++ b/crates/hot-restart/src/forwarding.rs
@@ -20,8 +20,8 @@
 
 /// Interval between two checks whether anything is left to forward.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time that the process stays after its last client connection and call have ended, so that clients can still read
-/// responses that have been sent.
+/// Time for which the process keeps running after its last client connection and call have ended, so that clients can
+/// still read responses that have been sent.
 const LINGER: Duration = Duration::from_millis(300);
 
 /// What a process that has been taken over needs to forward inputs to the new process.
@@ -35,8 +35,9 @@
 }
 
 impl ForwardingState {
-    /// Confirms the takeover, and then forwards until all clients and calls are gone or the connection to the new
-    /// process ends. The engine must be released before this call, as the new process uses its state from then on.
+    /// Confirms the takeover, and then forwards until the connection to the new process ends, or until this process has
+    /// had no client connection, no pending reply and no call in flight for 300 ms. The engine must be released before
+    /// this call, because the new process uses the engine's state from then on.
     pub async fn forward_until_idle(mut self, request: TakeoverRequest) {
         let (reader, mut writer) = request.0.into_split();
         if let Err(error) = write_frame(&mut writer, &TakeoverConfirmed).await {
@@ -157,8 +158,9 @@
                 let _ = reply.send(EngineStatus::default());
                 return None;
             }
-            // the new process has its own endpoint list, notifications and settings, and gets its own SIGTERM; a call
-            // that still waits for its connection is not started in this process any more
+            // The new process has its own endpoint list, notifications and settings, and gets its own SIGTERM. A call
+            // that still waits for its connection is not started in this process any more: its reply channel is
+            // dropped.
             Input::RequestStart(..)
             | Input::EndpointsListed(_)
             | Input::Notified(_)
--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -1,5 +1,5 @@
-//! The frames that the two processes exchange after the hello: the length in four bytes, little-endian, followed by
-//! the encoded frame.
+//! The frames that the two processes exchange after the hello. Each frame is preceded by its length in four bytes,
+//! little-endian.
 //!
 //! Frames are encoded by position (postcard): the order of fields and variants is the format.
 
@@ -15,8 +15,8 @@
 
 /// Maximum length of any frame other than an offer: a message body, plus 16 KiB for the other fields.
 pub(crate) const MAX_FRAME_BYTES: usize = MAX_BODY_BYTES + 16 * 1024;
-/// Maximum length of an offer. A message without its body takes a few hundred bytes, so far more messages fit than are
-/// ever in flight.
+/// Maximum length of an offer. An offer contains the unfinished messages without their bodies, a few hundred bytes
+/// each, so it can hold far more messages than are ever unfinished.
 pub(crate) const MAX_OFFER_BYTES: usize = 16 << 20;
 
 /// The state that the old process offers, sent after the hello with the descriptors.
@@ -74,12 +74,13 @@
     /// Position of the message in the call.
     pub position: usize,
     pub outcome: Outcome,
+    /// The message has ended and needs no further attempt.
     pub closed: bool,
     /// The endpoint's load report, in the order of the fields in the settings; empty if there was none.
     pub load_report: Vec<f64>,
 }
 
-/// A frame from the old process after the takeover, when it only forwards.
+/// A frame from the old process after the takeover, when it has no engine and only forwards inputs.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum ToNewProcess {
     Arrived(ForwardedArrival),
--- a/crates/hot-restart/src/lib.rs
+++ b/crates/hot-restart/src/lib.rs
@@ -4,8 +4,8 @@
 //! Only one engine runs at any time. The new process connects to a Unix socket in the state folder. The old process
 //! stops its engine between two iterations of its loop and offers a snapshot of the engine, the listening socket for
 //! clients, and the lock of the state folder. After the new process has committed, the old one releases its engine. It
-//! then forwards messages from its connected clients and the ends of its calls in flight to the new process, until all
-//! have ended or it is told to end. Envoy's hot restart drains its old process in the same way. See
+//! then forwards messages from its connected clients and the ends of its calls in flight to the new process, until its
+//! connections and calls have ended or it is shut down. Envoy's hot restart drains its old process in the same way. See
 //! `docs/design/hot-restart.md`.
 //!
 //! ```text
@@ -34,8 +34,8 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The version of the snapshot and frame formats. Raise it with each change to any of their types; a test compares the
-/// hash of a known snapshot, so that a change does not go unnoticed.
+/// The version of the snapshot and frame formats. Raise it with each change to a type that either format contains. A
+/// test compares the hash of a known snapshot, so that a change of the snapshot format does not go unnoticed.
 pub const FORMAT_VERSION: u32 = 7;
 
 /// An error in the communication between the old and the new process.
--- a/crates/hot-restart/src/new_process.rs
+++ b/crates/hot-restart/src/new_process.rs
@@ -19,8 +19,8 @@
 
 /// Name of the file in the state folder that the owner of the folder keeps locked. The file is always empty.
 const LOCK_NAME: &str = "lock";
-/// Maximum time for each step of the old process. A step is short: the old process only has to wait until its engine
-/// has finished the current iteration of its loop.
+/// Maximum wait for each response of the old process. A response is normally quick, because the old process only has to
+/// wait until its engine has finished the current iteration of its loop.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(2);
 /// Time between two attempts to acquire the folder.
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
@@ -153,7 +153,7 @@
     Ok((offer, snapshot))
 }
 
-/// Waits for a step of the old process for [`REPLY_TIMEOUT`] at most.
+/// Waits for a response of the old process for [`REPLY_TIMEOUT`] at most.
 async fn with_timeout<T>(
     step: impl Future<Output = Result<T, HotRestartError>>,
 ) -> Result<T, HotRestartError> {
--- a/crates/idle-state/src/compact.rs
+++ b/crates/idle-state/src/compact.rs
@@ -30,7 +30,7 @@
     pub retry_after_until: Micros,
     /// Whether the destination was healthy, ejected or recovering.
     pub health: Health,
-    /// When the destination was last ejected while it was healthy. Meaningful only if `health` is not
+    /// When the destination last changed from healthy to ejected. Meaningful only if `health` is not
     /// [`Health::Healthy`].
     pub unhealthy_since: Micros,
     /// When the destination was first known to this sender.
--- a/crates/journal/src/compaction.rs
+++ b/crates/journal/src/compaction.rs
@@ -51,7 +51,7 @@
                 Ok(())
             }
             Err(error) => {
-                // the write error is the one to report; the next start removes a file that is left over
+                // an error of this removal is ignored: the write error is reported, and the next start removes the file
                 let _ = fs::remove_file(&new_path);
                 Err(JournalError::Write(error))
             }
--- a/crates/journal/src/file_journal.rs
+++ b/crates/journal/src/file_journal.rs
@@ -14,7 +14,8 @@
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 
-/// Maximum size in bytes of the record of one attempt, attempt outcome or message end.
+/// Bytes reserved for the record of one attempt, attempt outcome or message end. The record of an attempt needs no more
+/// if the endpoint's name has at most 30 bytes.
 const MAX_SMALL_RECORD_BYTES: u64 = 64;
 /// At most the size limit divided by this number is reserved for the records of messages that are already accepted.
 const MAX_RESERVE_DIVISOR: u64 = 4;
@@ -33,7 +34,8 @@
     pub(crate) size: u64,
     /// Maximum size of the folder's files together, without [`ROUNDING_BYTES`].
     pub(crate) max_bytes: u64,
-    /// Bytes that new messages may not use: they are reserved for the attempts, outcomes and ends of accepted messages.
+    /// Bytes that the records of new messages may not use, because they are reserved for the attempts, outcomes and
+    /// ends of messages that are already accepted.
     reserved_bytes: u64,
     pub(crate) live: LiveMessages,
     /// Numbers of the finished messages whose [`Record::Finished`] could not be written yet.
@@ -58,7 +60,7 @@
     ) -> Result<(Self, Recovery), JournalError> {
         fs::create_dir_all(folder).map_err(JournalError::Write)?;
         let path = folder.join("journal");
-        // a kill during a compaction leaves an incomplete new file
+        // a process that was killed during a compaction may have left an incomplete new file
         match fs::remove_file(folder.join("journal.new")) {
             Err(error) if error.kind() != io::ErrorKind::NotFound => {
                 return Err(JournalError::Write(error));
@@ -130,7 +132,8 @@
         self.replace(&bytes)
     }
 
-    /// Appends a record, if `reserved_bytes` are still free after it. Compacts the file first where that makes space.
+    /// Appends a record, if `reserved_bytes` are still free after it. If the record does not fit, but would fit into a
+    /// compacted file, compacts the file first.
     fn append(&mut self, record: Record, reserved_bytes: u64) -> Result<(), JournalError> {
         if self.broken {
             return Err(JournalError::Full);
--- a/crates/journal/src/live_messages.rs
+++ b/crates/journal/src/live_messages.rs
@@ -1,5 +1,5 @@
-//! The unfinished messages of the journal after all records so far, and the number of bytes that a compacted file needs
-//! for them.
+//! The messages that are unfinished according to all records applied so far, and the number of bytes that a compacted
+//! file needs for them.
 
 use crate::records::{DetailEffect, Details, PriorAttempt, Record, encode_unfinished};
 use milletturn_engine::{
@@ -97,13 +97,13 @@
             Record::Ended(number, end) => {
                 self.update(number, bytes, |message| message.end = Some(end));
             }
-            // fails only where a record can't be encoded, and such a record can't be written to a file either
+            // the only possible error is a message that can't be encoded, and such a message was never in a file
             Record::DamageBefore => drop(self.presume_attempts()),
         }
     }
 
-    /// Adds to each message an attempt that may have run, because a record lost to damage may have been that of an
-    /// attempt.
+    /// Adds to each message an attempt that may have run, without an endpoint's name, because the record of such an
+    /// attempt may have been lost to the damage.
     ///
     /// # Errors
     /// When a message can't be encoded.
--- a/crates/journal/src/records.rs
+++ b/crates/journal/src/records.rs
@@ -9,8 +9,8 @@
 use milletturn_policy::Effect;
 use serde::{Deserialize, Serialize};
 
-/// Stored form of an accepted message. The skipped fields were added by later builds and are stored next to it, in
-/// their own variants of [`Record`].
+/// Stored form of an accepted message. The skipped fields were added by later builds; the variants of [`Record`] that
+/// were added with them store these fields after this form.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(remote = "Accepted")]
 struct StoredAccepted {
@@ -29,7 +29,7 @@
     body: Vec<u8>,
 }
 
-/// Stored form of the effect of a duplicate delivery.
+/// Stored form of a class's rule for duplicate deliveries.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(remote = "Effect")]
 enum StoredEffect {
@@ -98,11 +98,12 @@
 /// One record of the journal. The `u64` at the start of most variants is the number of the message.
 #[derive(Debug, Serialize, Deserialize)]
 pub(crate) enum Record {
-    /// A message is accepted; the effect of its class is not recorded.
+    /// A message is accepted. The record does not contain the effect of the message's class.
     Accepted(u64, #[serde(with = "StoredAccepted")] Accepted),
     /// An attempt starts.
     AttemptStarted(u64, #[serde(with = "StoredAttempt")] AttemptStarted),
-    /// The outcome of an attempt is known.
+    /// An attempt ended. This build writes the record only if the outcome proves that the destination did not process
+    /// the attempt.
     AttemptOutcome {
         message: u64,
         /// Position of the attempt among those of the message, from 0.
@@ -135,7 +136,7 @@
 }
 
 impl Record {
-    /// The record for a message that is accepted: of the variants that can hold the message, the oldest one.
+    /// The record for a message that is accepted. Uses the oldest variant that can hold all fields of the message.
     pub(crate) fn accepted(number: u64, mut accepted: Accepted) -> Self {
         if accepted.subject.is_some() || accepted.tenant.is_some() {
             let details = Details {
--- a/crates/journal/src/recovery.rs
+++ b/crates/journal/src/recovery.rs
@@ -1,6 +1,7 @@
-//! Recovery: reading the journal file at the start. An incomplete last record, as a kill leaves it, is reported here
-//! and truncated by `FileJournal`. Damaged bytes before intact records are skipped; each unfinished message is then
-//! presumed to have an attempt that may have run, because the lost records may have been those of attempts.
+//! Recovery: reading the journal file at the start. An incomplete last record, which a kill during a write can leave,
+//! is reported here and truncated by `FileJournal`. Damaged bytes before intact records are skipped. Each unfinished
+//! message is then presumed to have an attempt that may have run, because the lost records may have been those of
+//! attempts.
 
 use crate::codec::{MAGIC, decode};
 use crate::live_messages::LiveMessages;
--- a/src/assemble.rs
+++ b/src/assemble.rs
@@ -47,9 +47,9 @@
     pub settings: Settings,
     /// Seed of the decision module's random numbers.
     pub seed: u64,
-    /// Names of the zones, in the order of their numbers.
+    /// Names of the zones. The index of a name is the zone's number in the decision module.
     pub zones: Vec<String>,
-    /// Names of the kinds of destination, in the order of their numbers.
+    /// Names of the kinds of destination. The index of a name is the kind's number in the decision module.
     pub kinds: Vec<String>,
     /// Names of the fields in the load reports that endpoints send with their responses.
     pub report_fields: Vec<String>,
@@ -65,7 +65,8 @@
     pub connect_timeout: Duration,
     /// The endpoint list as cached by an earlier process; it may be stale.
     pub cached_endpoints: Option<EndpointListUpdate>,
-    /// Whether delivered messages cause a notification too, not only those that were not delivered.
+    /// Whether a notification is also sent for each message that an endpoint's response ended, which includes delivered
+    /// messages.
     pub notify_delivered: bool,
     /// Lower bound for the numbers of new messages: greater than any message number recorded outside the journal and
     /// the dead-letter store, such as in the sidecar's outcome log.
@@ -163,6 +164,7 @@
 /// Opens the journal and logs what its recovery found.
 fn open_journal(options: &SenderOptions) -> Result<(FileJournal, Recovery), Box<dyn Error>> {
     let settings = &options.settings;
+    // a message needs at most two records for each attempt, its start and its outcome, and one for its end
     let entries = settings
         .max_pending
         .saturating_mul(2 * settings.max_attempts + 1) as u64;
--- a/src/assemble/running.rs
+++ b/src/assemble/running.rs
@@ -14,7 +14,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until};
 
-/// Time from SIGTERM to the end of the process. Below 3.7 s, the earliest that SIGKILL follows SIGTERM.
+/// Maximum time from SIGTERM to the end of the process. SIGKILL follows SIGTERM after 3.7 s at the earliest, so this
+/// must be shorter.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3300);
 
 /// Handles that the components of a sender share.
--- a/src/assemble/takeover.rs
+++ b/src/assemble/takeover.rs
@@ -22,7 +22,7 @@
 /// state.
 #[derive(Default)]
 pub(super) struct InheritedParts {
-    /// Whether another process may listen on the same address (`SO_REUSEPORT`).
+    /// Whether another process may listen on the same address (`SO_REUSEPORT`); true with hot restart.
     pub(super) is_shared: bool,
     /// The lock of the state folder; none without hot restart.
     pub(super) lock: Option<File>,
@@ -118,7 +118,7 @@
 }
 
 /// Runs the engine until a new process has decided on an offered takeover, and returns the decision; `None` if the
-/// inputs end before. After a failed takeover the engine continues.
+/// inputs end first. After a failed takeover the engine continues.
 async fn run_until_takeover(
     engine: &mut Engine,
     inputs: &mut mpsc::UnboundedReceiver<Input>,
--- a/src/persistent_clock.rs
+++ b/src/persistent_clock.rs
@@ -16,9 +16,9 @@
 
 /// Returns a start time for the engine's clock, in Unix microseconds, and saves it for the next process.
 ///
-/// The time is the later of the wall clock and what the clock of the previous process would show now. If the file or
-/// the uptime can't be read, the time is that of the wall clock; a clock that was set back is then noticed only if it
-/// shows a time before a recorded attempt.
+/// The result is the later of the wall clock's time and the time that the clock of the previous process would show now.
+/// If the file or the uptime can't be read, the result is the wall clock's time. A wall clock that was set back is then
+/// noticed only if it shows a time before a recorded attempt.
 pub(crate) fn start_time_us(folder: &Path, wall_us: i64) -> i64 {
     let Some((boot_id, uptime_us)) = boot_id_and_uptime_us() else {
         return wall_us;
@@ -40,8 +40,8 @@
     time_us
 }
 
-/// The saved time plus the uptime that has passed since, which is unknown and taken as zero after a reboot. Never
-/// before `wall_us`.
+/// The saved time plus the uptime that has passed since it was saved; after a reboot that uptime is unknown, and zero
+/// is added. The result is `wall_us` if that is later, or if `text` is damaged.
 fn continued_time_us(text: &str, boot_id: &str, uptime_us: i64, wall_us: i64) -> i64 {
     let mut fields = text.split_whitespace();
     let (Some(saved_boot_id), Some(saved_uptime_us), Some(saved_time_us)) =
--- a/src/run.rs
+++ b/src/run.rs
@@ -96,7 +96,8 @@
     }
     tokio::select! {
         ownership = acquire_folder(&config.state_dir) => Ok(Some(FolderAccess::Locked(ownership?))),
-        // no message has been accepted yet, and the process that holds the folder may run for an unlimited time
+        // This process has not accepted any message yet, so it can exit at once. Otherwise it could wait without limit
+        // for the process that holds the folder.
         () = signals.wait_for_sigterm() => {
             log(format_args!("{}: SIGTERM while waiting for the state folder, exiting", config.name));
             Ok(None)
@@ -217,8 +218,8 @@
     .into())
 }
 
-/// Reload on SIGHUP: applies everything in the configuration file that a reload can change or, if any of the file is
-/// rejected, nothing.
+/// Reload on SIGHUP: applies everything in the configuration file that a reload can change. If any part of the file is
+/// rejected, nothing changes.
 struct Reload {
     name: String,
     path: PathBuf,
@@ -227,6 +228,7 @@
     discovery: watch::Sender<SocketAddr>,
     metrics: Rc<Metrics>,
     inputs: mpsc::UnboundedSender<Input>,
+    /// Classes that clients may name, with their positions in the engine's class table.
     classes: Rc<RefCell<Vec<(usize, Class)>>>,
     /// Serialises reloads, in the order of their signals.
     reload_lock: Mutex<()>,
