--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -111,11 +111,12 @@
         /// Why the connection was closed, such as `evicted` or `unsolicited data`.
         #[serde(rename = "why")]
         reason: String,
-        /// Status of a response that no call requested: one received while no call was in flight on the connection, or
-        /// after the end of another response.
+        /// Status of a response that no call requested, because it was received while no call was in flight on the
+        /// connection, or after the end of another response. `None` if there was no such response.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         unsolicited_status: Option<u16>,
-        /// Time in microseconds from the last request to the first data that no call requested.
+        /// Time in microseconds from the last byte of the last request to the first data that no call requested; `None`
+        /// if there was no such data.
         #[serde(
             rename = "unsolicited_after",
             default,
@@ -131,7 +132,8 @@
         /// Destination of the message, by number.
         #[serde(rename = "to")]
         destination: u64,
-        /// Microseconds since the message was accepted.
+        /// Microseconds since the client submitted the message or, for a redriven message, since the redrive was
+        /// accepted.
         #[serde(rename = "age")]
         age_us: u64,
     },
@@ -144,13 +146,14 @@
         /// Destination of the message, by number.
         #[serde(rename = "to")]
         destination: u64,
-        /// Microseconds since the message was accepted.
+        /// Microseconds since the client submitted the message or, for a redriven message, since the redrive was
+        /// accepted.
         #[serde(rename = "age")]
         age_us: u64,
         /// Why the message was abandoned.
         #[serde(rename = "why", default)]
         reason: AbandonReason,
-        /// True if no call was ever started for the message.
+        /// True if no attempt of the message counts as sent: there was none, or each ended unsent.
         #[serde(rename = "untried", default)]
         never_attempted: bool,
     },
--- a/crates/access-log/src/summary.rs
+++ b/crates/access-log/src/summary.rs
@@ -40,7 +40,7 @@
     /// Messages that were abandoned.
     #[serde(rename = "given_up")]
     pub abandoned: u64,
-    /// Abandoned messages for which no call was ever started, by reason.
+    /// Abandoned messages of which no attempt was sent, by reason.
     #[serde(rename = "untried")]
     pub never_attempted: BTreeMap<AbandonReason, u64>,
     /// Number of times that a sender ejected the destination.
--- a/crates/engine/src/calls.rs
+++ b/crates/engine/src/calls.rs
@@ -32,8 +32,8 @@
 /// Attempts of one turn that go to one endpoint in one call.
 pub(crate) struct Batch {
     endpoint: EndpointId,
-    /// The earliest expiry among the attempts. They share one response, and a response after this time counts for
-    /// none of them.
+    /// The earliest expiry among the attempts, at which the call times out. The attempts share one response, so a
+    /// response after this time counts for none of them.
     expires_at: Micros,
     attempts: Vec<AttemptRef>,
     size_bytes: usize,
@@ -206,7 +206,7 @@
             return;
         };
         if let Some(call) = self.calls.get(&attempt.call) {
-            // sending fails if the call has just ended; its outcome is reported anyway
+            // sending fails if the call has just ended, and then its outcome is reported without the cancellation
             let _ = call.cancellations.send(attempt.position);
         }
     }
--- a/crates/engine/src/delivered.rs
+++ b/crates/engine/src/delivered.rs
@@ -4,8 +4,8 @@
 use crate::shared_str::SharedStr;
 use std::collections::{HashSet, VecDeque};
 
-/// How many ids are remembered. At 120 messages per second this covers the last half minute, longer than any client
-/// waits before it resubmits.
+/// How many ids are remembered. At 120 deliveries per second these are the ids of the last 34 seconds, longer than any
+/// client waits before it resubmits.
 const MAX_REMEMBERED: usize = 4096;
 
 /// The ids of the most recently delivered messages, at most [`MAX_REMEMBERED`].
--- a/crates/engine/src/endings.rs
+++ b/crates/engine/src/endings.rs
@@ -73,7 +73,8 @@
         self.remove_if_finished(message_id);
     }
 
-    /// Counts one attempt of a call as ended and identifies the attempt; `None` for an unknown call or position.
+    /// Counts one attempt of a call as ended, forgets the call after its last one, and returns which attempt it was.
+    /// `None` for an unknown call or position.
     fn finish_position(&mut self, end: &AttemptEnd) -> Option<AttemptRef> {
         let call = self.calls.get_mut(&end.call)?;
         let attempt_ref = *call.attempts.get(end.position)?;
@@ -84,8 +85,8 @@
         Some(attempt_ref)
     }
 
-    /// Remembers the id of a delivered message, and reports the delivery to the observer if the message was still
-    /// open.
+    /// Records the id of a delivered message, so that a repeated submission is recognised, and reports the delivery to
+    /// the observer if the message was still open.
     fn on_delivered(&mut self, message_id: MessageId, now: Micros) {
         let Some(message) = self.messages.get(message_id) else {
             return;
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -2,9 +2,10 @@
 //!
 //! A server sends [`Input::Arrived`](crate::Input::Arrived) for each message and waits for its one
 //! [`ArrivalOutcome`]. If its client disconnects before that, the server sends
-//! [`Input::ClientDisconnected`](crate::Input::ClientDisconnected). A message whose client received
-//! [`ArrivalOutcome::Accepted`] and that is not delivered ends with one [`Notification`]. The receiver acknowledges
-//! it by [`Input::Notified`](crate::Input::Notified); after a restart, the same notification may be sent again.
+//! [`Input::ClientDisconnected`](crate::Input::ClientDisconnected). If the client received
+//! [`ArrivalOutcome::Accepted`] and the message ends undelivered, the engine sends one [`Notification`]. Its receiver
+//! acknowledges it by [`Input::Notified`](crate::Input::Notified). After a restart, the engine may send the same
+//! notification again.
 
 use crate::{Ending, SharedStr};
 use bytes::Bytes;
@@ -48,7 +49,7 @@
     pub submitted_at: Instant,
     /// The client has submitted the message before.
     pub resubmitted: bool,
-    /// The message was submitted before to a sender that is no longer running.
+    /// The client has submitted the message before, to a sender that is no longer running.
     pub from_lost_sender: bool,
     /// The message's body, at most [`MAX_BODY_BYTES`] bytes.
     pub body: Bytes,
--- a/crates/engine/src/message.rs
+++ b/crates/engine/src/message.rs
@@ -6,8 +6,8 @@
 use milletturn_policy::{EndpointId, MILLISECOND, Micros, Outcome};
 use std::sync::Arc;
 
-/// The decision module ends an expiring message up to this long before its deadline, in microseconds. An end within
-/// this margin of the deadline counts as caused by the deadline.
+/// Margin before a message's deadline, in microseconds. The decision module ends an expiring message within this
+/// margin, so an end within the margin or later counts as caused by the deadline.
 const DEADLINE_MARGIN: Micros = 50 * MILLISECOND;
 
 /// One attempt to deliver a message.
--- a/crates/engine/src/observer.rs
+++ b/crates/engine/src/observer.rs
@@ -102,7 +102,7 @@
         class: usize,
         /// The message's destination.
         destination: u64,
-        /// Time since the client submitted the message.
+        /// Time since the client submitted the message or, for a redriven message, since the redrive was accepted.
         age: Micros,
     },
     /// The decision module ended an accepted message undelivered.
@@ -117,9 +117,9 @@
         ending: Ending,
         /// Why the message ended.
         reason: EndReason,
-        /// No call was ever started for the message.
+        /// No attempt of the message counts as sent: there was none, or each ended with [`Outcome::Unsent`].
         never_attempted: bool,
-        /// Time since the client submitted the message.
+        /// Time since the client submitted the message or, for a redriven message, since the redrive was accepted.
         age: Micros,
     },
     /// A log line of the decision module.
--- a/crates/engine/src/ports.rs
+++ b/crates/engine/src/ports.rs
@@ -37,8 +37,8 @@
     /// Whether a notification is also sent for each message that an endpoint's response ended, which includes delivered
     /// messages.
     pub notify_delivered: bool,
-    /// Receives the final outcomes of accepted messages that are not delivered and, if `notify_delivered` is set, of
-    /// those that an endpoint's response ended.
+    /// Carries the notifications: the final outcomes of accepted messages that are not delivered and, if
+    /// `notify_delivered` is set, of those that an endpoint's response ended.
     pub notifications: mpsc::UnboundedSender<Notification>,
     /// Observes the engine's events.
     pub observer: Box<dyn Observer>,
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -105,8 +105,8 @@
     pub call: u64,
     /// The message's position in the call.
     pub position: usize,
-    /// How the attempt ended. An outcome that means that the attempt never ran, such as a rejection, is reported only
-    /// if that is certain or `ambiguous` is set.
+    /// How the attempt ended. An outcome by which the attempt never ran, such as a rejection, is reported only if it is
+    /// certain that the attempt never ran, or together with `ambiguous`.
     pub outcome: Outcome,
     /// The message has ended, for example because it was delivered, and needs no further attempt.
     pub message_closed: bool,
@@ -141,8 +141,8 @@
 
 /// Makes calls to endpoints.
 ///
-/// A call that can't start at once first asks whether it still may, by
-/// [`Input::RequestStart`](crate::Input::RequestStart). If a response has a `Retry-After`, the transport reports
+/// If a call could not start at once, the transport asks by [`Input::RequestStart`](crate::Input::RequestStart), before
+/// it starts the call, whether the call may still start. If a response has a `Retry-After`, the transport reports
 /// [`Input::RetryAfter`](crate::Input::RetryAfter) as soon as the response's bytes arrive, however the call ends. For
 /// each message of a call, the transport reports exactly one [`Input::AttemptEnded`](crate::Input::AttemptEnded). The
 /// transport never retries by itself: a retry that the decision module does not know of could deliver a message
@@ -158,7 +158,7 @@
     fn close_idle_connections(&self, endpoint: EndpointId);
     /// Closes connections that have been idle for too long. Called several times a second.
     fn evict_idle(&self);
-    /// The size in bytes of a message in a call that carries several messages.
+    /// The size in bytes that a message takes up in a call that carries several messages.
     fn item_bytes(&self, item: &CallItem) -> usize;
     /// The maximum size in bytes of a call that carries several messages.
     fn max_call_bytes(&self) -> usize;
--- a/crates/hot-restart/src/forwarding.rs
+++ b/crates/hot-restart/src/forwarding.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// Interval between two checks whether anything is left to forward.
+/// Interval between two checks whether a client connection, a pending reply or a call in flight is left.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time for which the process keeps running after its last client connection and call have ended, so that clients can
 /// still read responses that have been sent.
--- a/crates/hot-restart/src/new_process.rs
+++ b/crates/hot-restart/src/new_process.rs
@@ -110,8 +110,9 @@
             | HotRestartError::Decode(_)
             | HotRestartError::FrameTooLong(_)),
         ) => {
-            // unlike the offer, the journal can be read by any version: this process recovers from the journal as
-            // after a restart, and client connections wait in the inherited socket's queue instead of being refused
+            // Unlike the offer, the journal can be read by any version, so this process recovers from the journal as
+            // after a restart. Until then, client connections wait in the inherited socket's queue instead of being
+            // refused.
             write_frame(&mut stream, &Decision::Exit).await?;
             *listener = Some(inherited);
             return Err(error);
--- a/crates/idle-state/src/initial_limits.rs
+++ b/crates/idle-state/src/initial_limits.rs
@@ -7,13 +7,13 @@
 /// Time after the last call, in microseconds, from which the measurements of a destination are stale. An hour is far
 /// longer than any outage that may still be in progress, and short compared to the weeks between two messages of a
 /// small destination. A shorter time would discard the measurements after one evening without messages; a longer one
-/// would rely on limits that a deployment has changed since.
+/// would rely on limits that a deployment of the destination may have changed since.
 pub const STALE_AFTER: Micros = 3_600 * SECOND;
-/// Maximum initial rate, in calls per second, where the measurements are stale. Each success may raise the rate by
-/// half, so that 200 per second are reached after about ten. A higher value serves a burst sooner; a lower one causes
-/// fewer rejections if the destination has lowered its limit.
+/// Maximum initial rate, in calls per second, if the measurements are stale. Each success may raise the rate by half,
+/// so that 200 calls per second are reached after about ten successes. A higher value serves a burst sooner; a lower
+/// one causes fewer rejections if the destination has lowered its limit.
 const MAX_STALE_RATE: f64 = 4.0;
-/// Maximum initial number of calls in flight, where the measurements are stale.
+/// Maximum initial number of calls in flight, if the measurements are stale.
 const MAX_STALE_WINDOW: f64 = 4.0;
 
 /// The limits with which calls to an idle destination start again.
--- a/crates/journal/src/lib.rs
+++ b/crates/journal/src/lib.rs
@@ -3,7 +3,7 @@
 //! | module | contents |
 //! | --- | --- |
 //! | `file_journal` | the open file: appending records within the size limit |
-//! | `recovery` | reading the file at the start, with an incomplete last record or damage |
+//! | `recovery` | reading the file at the start, even if its last record is incomplete or some bytes are damaged |
 //! | `compaction` | replacing the file by one that holds only the unfinished messages |
 //! | `live_messages` | the unfinished messages, and the bytes that a compacted file needs for them |
 //! | `records` | the stored form of each record |
--- a/src/assemble/engine.rs
+++ b/src/assemble/engine.rs
@@ -27,8 +27,8 @@
 }
 
 impl EngineParts {
-    /// Builds the engine's ports from these parts and the options. Values that only the engine needs are moved out of
-    /// the options.
+    /// Builds the engine's ports from these parts and the options. Moves the zones, kinds and cached endpoints out of
+    /// the options, because only the engine needs them.
     pub(super) fn into_ports(self, options: &mut SenderOptions) -> Ports {
         let store_worker = self.store_worker.as_ref();
         Ports {
--- a/src/assemble/running.rs
+++ b/src/assemble/running.rs
@@ -28,7 +28,7 @@
     pub(super) gate: Rc<DrainGate>,
     /// Counters for the admin listener.
     pub(super) metrics: Rc<Metrics>,
-    /// Classes that clients may name, with their positions in the settings.
+    /// Classes that clients may name, with their positions in the engine's class table.
     pub(super) classes: Rc<RefCell<Vec<(usize, Class)>>>,
 }
 
@@ -62,7 +62,7 @@
     pub gate: Rc<DrainGate>,
     /// True once the sender knows its endpoints.
     pub ready: watch::Receiver<bool>,
-    /// Classes that clients may name, with their positions in the settings.
+    /// Classes that clients may name, with their positions in the engine's class table.
     pub classes: Rc<RefCell<Vec<(usize, Class)>>>,
     name: String,
     /// The engine's task; its result is false if the process must exit at once.
--- a/src/assemble/takeover.rs
+++ b/src/assemble/takeover.rs
@@ -175,8 +175,8 @@
         (limits.clients, in_use.clients),
         (limits.calls, in_use.calls),
     ] {
-        // reserves at most half of the available permits, so that this process can work at once; the predecessor closes
-        // its connections within seconds
+        // At most half of the available permits are reserved, so that this process can open connections at once. The
+        // predecessor closes its own within seconds.
         let reserved = u32::try_from(in_use.min(limit.available_permits() / 2)).unwrap_or(0);
         reserved_permits.extend(limit.try_acquire_many_owned(reserved));
     }
--- a/src/config.rs
+++ b/src/config.rs
@@ -142,8 +142,8 @@
     ExitCode::from(u8::from(finding_count > 0))
 }
 
-/// Checks files together: configurations as those of sidecars that run on the same machine, and endpoints files against
-/// the configurations that name them.
+/// Checks files together. All configurations are checked as those of sidecars that run on the same machine, and each
+/// endpoints file is checked against the configurations that name it.
 fn check(files: &[PathBuf], here: bool, format: Format) -> ExitCode {
     let read = files.iter().map(|file| Document::read(file));
     let (mut lists, sidecars): (Vec<_>, Vec<_>) =
--- a/src/dead_letter.rs
+++ b/src/dead_letter.rs
@@ -34,8 +34,8 @@
 /// Exit code: no sender runs, and the command needs one.
 const NO_SENDER: u8 = 5;
 
-/// Runs a command and returns its exit code, on which scripts rely. `settings` is the path of the store's settings,
-/// which name the store's file; without it the default file name applies.
+/// Runs a command and returns its exit code, on which scripts rely. `settings` is the path of the store's settings
+/// file, which contains the name of the store's file; without it, the default name is used.
 pub(crate) fn run(arguments: &Arguments, settings: Option<&Path>) -> ExitCode {
     ExitCode::from(execute(arguments, settings).unwrap_or_else(|code| code))
 }
--- a/src/fleet/hold.rs
+++ b/src/fleet/hold.rs
@@ -135,7 +135,8 @@
     }
 }
 
-/// Formats an event for people; none for a started write, since writes are frequent and the coordinators count them.
+/// Formats an event for people. `None` for a started write, because writes are frequent and the coordinators count
+/// them.
 fn event_text(event: &MemberEvent) -> Option<String> {
     Some(match event {
         MemberEvent::SessionOpened(session) => format!("joined, session {session}"),
