--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -205,7 +205,8 @@
     /// The endpoint rejected the message for now; a later attempt may succeed.
     #[serde(rename = "refused")]
     Rejected,
-    /// The endpoint responded with an error or not in time, no connection could be opened, or the connection broke.
+    /// The endpoint responded with an error, the call timed out, no connection could be opened, or the connection
+    /// broke.
     Failed,
     /// The attempt was cancelled, or is known not to have run: it never left the sender, or the endpoint responded that
     /// it did not run it.
--- a/crates/engine/src/endings.rs
+++ b/crates/engine/src/endings.rs
@@ -202,7 +202,7 @@
         if let Some(key) = ordering_key {
             self.unacknowledged_keys.insert(message_id, key);
         }
-        // sending can't fail: the receiver lives as long as the process
+        // sending fails only when the process ends, because the receiver exists until then
         let _ = self.notifications.send(Notification {
             number: message_id.0,
             id,
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -16,9 +16,9 @@
 
 /// One input of the engine.
 ///
-/// The channel that carries inputs needs no bound of its own: arrivals are bounded by the servers' connection limits,
-/// ends of attempts by the calls in flight, acknowledged notifications by the unfinished messages, and endpoint lists
-/// by their source.
+/// The channel that carries inputs is unbounded, because other limits bound the inputs in it: the servers' connection
+/// limits bound arrivals, the calls in flight bound ends of attempts, the unfinished messages bound acknowledged
+/// notifications, and the source of endpoint lists bounds these.
 #[derive(Debug)]
 pub enum Input {
     /// A client submitted a message.
@@ -48,7 +48,7 @@
         connection: u64,
         /// How many calls the connection carried.
         calls: u64,
-        /// Why it was closed.
+        /// Why the connection was closed.
         reason: CloseReason,
         /// Data that arrived while the connection had no call in flight.
         unsolicited: Option<UnsolicitedData>,
--- a/crates/engine/src/shared_str.rs
+++ b/crates/engine/src/shared_str.rs
@@ -33,7 +33,7 @@
         Ok(SharedStr(text.into()))
     }
 
-    /// The text of the id or key.
+    /// The validated text.
     #[must_use]
     pub fn as_str(&self) -> &str {
         &self.0
--- a/crates/engine/src/snapshot.rs
+++ b/crates/engine/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! Snapshots: the state that a process passes to its replacement in a hot restart.
 //!
 //! A snapshot holds no message bodies: the new process reads these from the journal. Calls in flight stay with the
-//! old process that made them, which reports their ends; to the new process they are [`ForeignCall`]s.
+//! old process, which reports their ends to the new one. The new process represents them as [`ForeignCall`]s.
 //!
 //! The encoding is postcard's, which depends only on the order and types of fields and variants, not on their names:
 //! that order is the snapshot's format. A snapshot carries no version of its format; the protocol that transfers a
--- a/crates/idle-state/src/compact.rs
+++ b/crates/idle-state/src/compact.rs
@@ -13,7 +13,7 @@
     Ejected {
         /// True if the ejection was caused by calls without a response, not by failures or rejections.
         unresponsive: bool,
-        /// When it was ejected.
+        /// When the destination was ejected.
         since: Micros,
     },
     /// A call has succeeded after an ejection, and the rate of calls rises in a slow start.
--- a/src/demo.rs
+++ b/src/demo.rs
@@ -24,7 +24,7 @@
 /// Runs the demo until SIGTERM or, with `once`, until one message has its final outcome.
 ///
 /// # Errors
-/// If the demo can't start, or the message gets no outcome in time.
+/// If the demo can't start or, with `once`, the message is not submitted or gets no outcome within [`CALL_TIMEOUT`].
 pub(crate) fn run(once: bool) -> Result<(), Box<dyn Error>> {
     block_on(run_demo(once))
 }
