--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -70,7 +70,7 @@
         /// What ended the attempt, such as `answer 503` or `no head`.
         #[serde(default)]
         cause: String,
-        /// The Retry-After of a rejection, in microseconds.
+        /// The retry-after delay that a rejection demanded, in microseconds; `None` if there was none.
         #[serde(rename = "wait", default, skip_serializing_if = "Option::is_none")]
         retry_after_us: Option<u64>,
         /// Destination of the message, by number.
@@ -87,14 +87,15 @@
         /// Number of the call among those on the connection, from 1.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         call_on_connection: Option<u64>,
-        /// Time in microseconds from the last byte of the request to the first byte received after it.
+        /// Time in microseconds from the last byte of the request to the first byte received after it; `None` if the
+        /// request was not written completely or nothing was received.
         #[serde(
             rename = "response_after",
             default,
             skip_serializing_if = "Option::is_none"
         )]
         response_after_us: Option<u64>,
-        /// Why the response is known to belong to the call, such as `first call`.
+        /// Why the response is attributed to the call, such as `first call`; `None` if no response is.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         attributed_by: Option<String>,
     },
@@ -110,11 +111,12 @@
         /// Why the connection was closed, such as `evicted` or `unsolicited data`.
         #[serde(rename = "why")]
         reason: String,
-        /// Status of a response that no call requested: one received while no call was in flight on the connection, or
-        /// after the end of another response.
+        /// Status of a response that no call requested, because it was received while no call was in flight on the
+        /// connection, or after the end of another response. `None` if there was no such response.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         unsolicited_status: Option<u16>,
-        /// Time in microseconds from the last request to the first data that no call requested.
+        /// Time in microseconds from the last byte of the last request to the first data that no call requested; `None`
+        /// if there was no such data.
         #[serde(
             rename = "unsolicited_after",
             default,
@@ -130,7 +132,8 @@
         /// Destination of the message, by number.
         #[serde(rename = "to")]
         destination: u64,
-        /// Microseconds since the message was accepted.
+        /// Microseconds since the client submitted the message or, for a redriven message, since the redrive was
+        /// accepted.
         #[serde(rename = "age")]
         age_us: u64,
     },
@@ -143,13 +146,14 @@
         /// Destination of the message, by number.
         #[serde(rename = "to")]
         destination: u64,
-        /// Microseconds since the message was accepted.
+        /// Microseconds since the client submitted the message or, for a redriven message, since the redrive was
+        /// accepted.
         #[serde(rename = "age")]
         age_us: u64,
         /// Why the message was abandoned.
         #[serde(rename = "why", default)]
         reason: AbandonReason,
-        /// True if no call was ever started for the message.
+        /// True if no attempt of the message counts as sent: there was none, or each ended unsent.
         #[serde(rename = "untried", default)]
         never_attempted: bool,
     },
@@ -201,7 +205,8 @@
     /// The endpoint rejected the message for now; a later attempt may succeed.
     #[serde(rename = "refused")]
     Rejected,
-    /// The endpoint responded with an error or not in time, no connection could be opened, or the connection broke.
+    /// The endpoint responded with an error, the call timed out, no connection could be opened, or the connection
+    /// broke.
     Failed,
     /// The attempt was cancelled, or is known not to have run: it never left the sender, or the endpoint responded that
     /// it did not run it.
--- a/crates/engine/src/endings.rs
+++ b/crates/engine/src/endings.rs
@@ -73,7 +73,8 @@
         self.remove_if_finished(message_id);
     }
 
-    /// Counts one attempt of a call as ended and identifies the attempt; `None` for an unknown call or position.
+    /// Counts one attempt of a call as ended, forgets the call after its last one, and returns which attempt it was.
+    /// `None` for an unknown call or position.
     fn finish_position(&mut self, end: &AttemptEnd) -> Option<AttemptRef> {
         let call = self.calls.get_mut(&end.call)?;
         let attempt_ref = *call.attempts.get(end.position)?;
@@ -84,8 +85,8 @@
         Some(attempt_ref)
     }
 
-    /// Remembers the id of a delivered message, and reports the delivery to the observer if the message was still
-    /// open.
+    /// Records the id of a delivered message, so that a repeated submission is recognised, and reports the delivery to
+    /// the observer if the message was still open.
     fn on_delivered(&mut self, message_id: MessageId, now: Micros) {
         let Some(message) = self.messages.get(message_id) else {
             return;
@@ -102,7 +103,8 @@
     }
 
     /// Ends a message that needs no further attempt. If an endpoint's response ended the message and notifications of
-    /// delivered messages are enabled, the client is notified.
+    /// delivered messages are enabled, the client is notified. The end of a redriven message is recorded for the
+    /// dead-letter store, and its client is not notified.
     pub(crate) fn end(&mut self, message_id: MessageId, origin: EndOrigin) {
         let Some(message) = self.messages.get_open_mut(message_id) else {
             return;
@@ -123,8 +125,8 @@
             let written = self.journal.record_end(message_id.0, end);
             self.check_journal(written);
             if !redriven {
-                // no ordering key: an endpoint's response ended the message, so the decision module already knows of
-                // the end and has freed the key
+                // no ordering key: an endpoint's response ended the message, so the decision module frees the key once
+                // it has handled the ends of the message's attempts, without waiting for an acknowledgement
                 self.notify(message_id, id, class, ending, None);
             }
             self.close(message_id);
@@ -153,7 +155,8 @@
         }
     }
 
-    /// Ends a message that the decision module ended undelivered, and notifies the client.
+    /// Handles the decision module's decision to end a message undelivered: records the end in the journal, and
+    /// notifies the client unless the message was redriven.
     pub(crate) fn abandon(&mut self, message_id: MessageId, ending: Ending) {
         let (now, max_attempts) = (self.clock.now(), self.max_attempts);
         let Some(message) = self.messages.get_open_mut(message_id) else {
@@ -199,7 +202,7 @@
         if let Some(key) = ordering_key {
             self.unacknowledged_keys.insert(message_id, key);
         }
-        // sending can't fail: the receiver lives as long as the process
+        // sending fails only when the process ends, because the receiver exists until then
         let _ = self.notifications.send(Notification {
             number: message_id.0,
             id,
--- a/crates/engine/src/ingress.rs
+++ b/crates/engine/src/ingress.rs
@@ -2,9 +2,10 @@
 //!
 //! A server sends [`Input::Arrived`](crate::Input::Arrived) for each message and waits for its one
 //! [`ArrivalOutcome`]. If its client disconnects before that, the server sends
-//! [`Input::ClientDisconnected`](crate::Input::ClientDisconnected). A message whose client received
-//! [`ArrivalOutcome::Accepted`] and that is not delivered ends with one [`Notification`]. The receiver acknowledges
-//! it by [`Input::Notified`](crate::Input::Notified); after a restart, the same notification may be sent again.
+//! [`Input::ClientDisconnected`](crate::Input::ClientDisconnected). If the client received
+//! [`ArrivalOutcome::Accepted`] and the message ends undelivered, the engine sends one [`Notification`]. Its receiver
+//! acknowledges it by [`Input::Notified`](crate::Input::Notified). After a restart, the engine may send the same
+//! notification again.
 
 use crate::{Ending, SharedStr};
 use bytes::Bytes;
@@ -33,7 +34,8 @@
     pub id: SharedStr,
     /// The idempotency key, by which the destination drops duplicates; only messages of a keyed class have one.
     pub key: Option<SharedStr>,
-    /// Position of the message's class in the settings.
+    /// Position of the message's class in the engine's class table: at the start, its position in the settings; after a
+    /// reload, the one in the reply to [`Input::Reconfigure`](crate::Input::Reconfigure).
     pub class: usize,
     /// The message's subject: messages with the same subject are delivered one at a time if their class keeps order.
     pub subject: Option<SharedStr>,
@@ -47,7 +49,7 @@
     pub submitted_at: Instant,
     /// The client has submitted the message before.
     pub resubmitted: bool,
-    /// The message was submitted before to a sender that is no longer running.
+    /// The client has submitted the message before, to a sender that is no longer running.
     pub from_lost_sender: bool,
     /// The message's body, at most [`MAX_BODY_BYTES`] bytes.
     pub body: Bytes,
@@ -83,7 +85,8 @@
     pub number: u64,
     /// The id that the client gave the message.
     pub id: SharedStr,
-    /// Position of the message's class in the settings; beyond their last class if they no longer have the class.
+    /// Position of the message's class in the engine's class table. If the settings no longer have the class, none of
+    /// their classes has this position.
     pub class: usize,
     /// How the message ended.
     pub ending: Ending,
--- a/crates/engine/src/input.rs
+++ b/crates/engine/src/input.rs
@@ -16,9 +16,9 @@
 
 /// One input of the engine.
 ///
-/// The channel that carries inputs needs no bound of its own: arrivals are bounded by the servers' connection limits,
-/// ends of attempts by the calls in flight, acknowledged notifications by the unfinished messages, and endpoint lists
-/// by their source.
+/// The channel that carries inputs is unbounded, because other limits bound the inputs in it: the servers' connection
+/// limits bound arrivals, the calls in flight bound ends of attempts, the unfinished messages bound acknowledged
+/// notifications, and the source of endpoint lists bounds these.
 #[derive(Debug)]
 pub enum Input {
     /// A client submitted a message.
@@ -28,8 +28,8 @@
     /// The process is shutting down and will exit at this time.
     Stopping(Instant),
     /// Asks whether the call with this number may still start, because its connection took long to open. The reply is
-    /// the time by which the last byte of the request must be written; a dropped reply means that the call must not
-    /// start.
+    /// the time by which the last byte of the request must be written. If the reply channel is dropped without a reply,
+    /// the call must not start.
     RequestStart(u64, oneshot::Sender<Instant>),
     /// An endpoint demanded a retry-after delay, for example by a `Retry-After` header.
     RetryAfter {
@@ -48,7 +48,7 @@
         connection: u64,
         /// How many calls the connection carried.
         calls: u64,
-        /// Why it was closed.
+        /// Why the connection was closed.
         reason: CloseReason,
         /// Data that arrived while the connection had no call in flight.
         unsolicited: Option<UnsolicitedData>,
@@ -63,7 +63,7 @@
     Redrive(RedriveRequest),
     /// A server rejected a message for lack of capacity, without submitting it to the engine.
     Rejected {
-        /// Position of the message's class.
+        /// Position of the message's class in the class table.
         class: usize,
         /// The message's destination.
         destination: u64,
--- a/crates/engine/src/observer.rs
+++ b/crates/engine/src/observer.rs
@@ -6,10 +6,11 @@
 };
 use milletturn_policy::{Micros, Outcome};
 
-/// One event of the engine. Times are Unix time in microseconds as shown by the engine's [`Clock`](crate::Clock).
+/// One event of the engine. Times are Unix time as shown by the engine's [`Clock`](crate::Clock). Times and durations
+/// are in microseconds.
 #[derive(Debug)]
 pub enum EngineEvent<'a> {
-    /// The names of the classes, indexed by the class positions that other events carry. Reported at the start and
+    /// The names of the classes. The `class` of other events is an index into this list. Reported at the start and
     /// whenever the classes change.
     Classes(&'a [String]),
     /// A message was accepted.
@@ -101,7 +102,7 @@
         class: usize,
         /// The message's destination.
         destination: u64,
-        /// Time since the client submitted the message.
+        /// Time since the client submitted the message or, for a redriven message, since the redrive was accepted.
         age: Micros,
     },
     /// The decision module ended an accepted message undelivered.
@@ -116,9 +117,9 @@
         ending: Ending,
         /// Why the message ended.
         reason: EndReason,
-        /// No call was ever started for the message.
+        /// No attempt of the message counts as sent: there was none, or each ended with [`Outcome::Unsent`].
         never_attempted: bool,
-        /// Time since the client submitted the message.
+        /// Time since the client submitted the message or, for a redriven message, since the redrive was accepted.
         age: Micros,
     },
     /// A log line of the decision module.
--- a/crates/engine/src/snapshot.rs
+++ b/crates/engine/src/snapshot.rs
@@ -1,7 +1,7 @@
 //! Snapshots: the state that a process passes to its replacement in a hot restart.
 //!
 //! A snapshot holds no message bodies: the new process reads these from the journal. Calls in flight stay with the
-//! old process that made them, which reports their ends; to the new process they are [`ForeignCall`]s.
+//! old process, which reports their ends to the new one. The new process represents them as [`ForeignCall`]s.
 //!
 //! The encoding is postcard's, which depends only on the order and types of fields and variants, not on their names:
 //! that order is the snapshot's format. A snapshot carries no version of its format; the protocol that transfers a
@@ -72,8 +72,8 @@
     deadline: Micros,
     open: bool,
     clients: usize,
-    /// The end of the message, if the journal records it: when it ended and, for [`Ending::Returned`], the advised
-    /// retry-after delay `after_ms`.
+    /// The end of the message, if the journal records it: when the message ended, then `Some(after_ms)` for
+    /// [`Ending::Returned`] and `None` for any other ending.
     end: Option<(Micros, Option<Option<u64>>)>,
     attempts: Vec<StoredAttempt>,
 }
@@ -182,8 +182,9 @@
         self.calls.len()
     }
 
-    /// Restores the engine of another process. The settings, cached endpoints, seed, zones and kinds in `ports` are
-    /// not used, because the snapshot contains them.
+    /// Restores the engine of another process. The settings, clock, cached endpoints, seed, zones, kinds and first
+    /// message number in `ports` have no effect, because the snapshot contains the state that replaces them. The
+    /// settings must be valid nevertheless.
     ///
     /// # Errors
     /// When the settings in `ports` are invalid.
--- a/crates/idle-state/src/compact.rs
+++ b/crates/idle-state/src/compact.rs
@@ -13,7 +13,7 @@
     Ejected {
         /// True if the ejection was caused by calls without a response, not by failures or rejections.
         unresponsive: bool,
-        /// When it was ejected.
+        /// When the destination was ejected.
         since: Micros,
     },
     /// A call has succeeded after an ejection, and the rate of calls rises in a slow start.
@@ -30,7 +30,7 @@
     pub retry_after_until: Micros,
     /// Whether the destination was healthy, ejected or recovering.
     pub health: Health,
-    /// When the destination was last ejected while it was healthy. Meaningful only if `health` is not
+    /// When the destination last changed from healthy to ejected. Meaningful only if `health` is not
     /// [`Health::Healthy`].
     pub unhealthy_since: Micros,
     /// When the destination was first known to this sender.
--- a/src/assemble/running.rs
+++ b/src/assemble/running.rs
@@ -14,7 +14,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep_until};
 
-/// Time from SIGTERM to the end of the process. Below 3.7 s, the earliest that SIGKILL follows SIGTERM.
+/// Maximum time from SIGTERM to the end of the process. SIGKILL follows SIGTERM after 3.7 s at the earliest, so this
+/// must be shorter.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3300);
 
 /// Handles that the components of a sender share.
@@ -27,7 +28,7 @@
     pub(super) gate: Rc<DrainGate>,
     /// Counters for the admin listener.
     pub(super) metrics: Rc<Metrics>,
-    /// Classes that clients may name, with their positions in the settings.
+    /// Classes that clients may name, with their positions in the engine's class table.
     pub(super) classes: Rc<RefCell<Vec<(usize, Class)>>>,
 }
 
@@ -61,7 +62,7 @@
     pub gate: Rc<DrainGate>,
     /// True once the sender knows its endpoints.
     pub ready: watch::Receiver<bool>,
-    /// Classes that clients may name, with their positions in the settings.
+    /// Classes that clients may name, with their positions in the engine's class table.
     pub classes: Rc<RefCell<Vec<(usize, Class)>>>,
     name: String,
     /// The engine's task; its result is false if the process must exit at once.
