--- a/crates/dead-letter/src/control/server.rs
+++ b/crates/dead-letter/src/control/server.rs
@@ -98,7 +98,7 @@
     responses.write(&last).await
 }
 
-/// Writes the responses of one answer, and counts the messages in it.
+/// Writes the answer to one request, one line for each [`Response`], and counts the messages in it.
 pub(super) struct ResponseWriter {
     write: OwnedWriteHalf,
     /// Number of messages in the answer so far.
--- a/crates/dead-letter/tests/simulation/mod.rs
+++ b/crates/dead-letter/tests/simulation/mod.rs
@@ -54,7 +54,7 @@
     /// The saves and redrives, in order, for the comparison of two runs.
     trace: RefCell<Vec<String>>,
     random: RefCell<Pcg32>,
-    /// All messages in the store up to this number were found resolved, after the operators' last redrive.
+    /// All stored messages up to this number were found resolved; later checks skip them.
     resolved_up_to: Cell<u64>,
 }
 
--- a/crates/dead-letter/tests/simulation/operators.rs
+++ b/crates/dead-letter/tests/simulation/operators.rs
@@ -39,9 +39,10 @@
     }
 
     /// Operators resolve the messages that no rule may redrive, according to whether the destination executed them.
-    /// Returns true once all messages in the store were found resolved.
+    /// Returns true if it found all messages in the store resolved.
     pub(super) fn resolve_and_check_done(&mut self) -> bool {
-        // operators no longer redrive messages, so a resolved message stays resolved
+        // skips the messages that an earlier call found resolved: operators redrive messages only until 10 s after the
+        // repair, so that resolved messages stay resolved from then on
         let found = summaries_after(&self.service, self.simulation.resolved_up_to.get());
         let mut has_unresolved = false;
         for summary in &found {
@@ -76,7 +77,7 @@
             .effect_count(&summary.id)
             > 0;
         match self.service.decide(summary, self.simulation.unix_now()) {
-            // the rules redrive the message until it has been redriven five times, the maximum of the plan's rule
+            // the plan's rule redrives a message at most five times; until then, operators leave it to the rule
             Ok(_) if summary.redrives < 5 => None,
             Ok(_) => Some(Resolution::Done),
             Err(_) if summary.state != State::Unresolved => None,
--- a/crates/dead-letter/tests/simulation/process.rs
+++ b/crates/dead-letter/tests/simulation/process.rs
@@ -23,7 +23,7 @@
 
 /// Interval between the iterations of a process's loop.
 const TICK: Duration = Duration::from_millis(10);
-/// A simulated process that runs longer than this hangs, and fails the test.
+/// A simulated process that runs for this long is considered hung, and the test fails.
 const MAX_PROCESS_TIME: Micros = 3_000 * SECOND;
 
 /// How a simulated process ended.
--- a/crates/engine/src/dead_letter_sink.rs
+++ b/crates/engine/src/dead_letter_sink.rs
@@ -14,7 +14,7 @@
 /// Why a message ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum EndReason {
-    /// The reason was not recorded, because an older version wrote the end.
+    /// The reason is unknown, because the end was recorded by an older version that did not store reasons.
     Unknown,
     /// The message's deadline passed.
     DeadlineExceeded,
--- a/crates/engine/src/transport.rs
+++ b/crates/engine/src/transport.rs
@@ -105,8 +105,8 @@
     pub call: u64,
     /// The message's position in the call.
     pub position: usize,
-    /// How the attempt ended. An outcome by which the attempt never ran, such as a rejection, is reported only if it is
-    /// certain that the attempt never ran, or together with `ambiguous`.
+    /// How the attempt ended. An outcome which means that the attempt never ran, such as a rejection, is reported only
+    /// if that is certain, or together with `ambiguous`.
     pub outcome: Outcome,
     /// The message has ended, for example because it was delivered, and needs no further attempt.
     pub message_closed: bool,
--- a/crates/idle-state/src/compact.rs
+++ b/crates/idle-state/src/compact.rs
@@ -50,7 +50,7 @@
     pub best_rate: f64,
     /// Maximum number of calls in flight.
     pub concurrency_window: f64,
-    /// Typical latency of a call in microseconds; `None` if it is not known.
+    /// Moving average of the latency of successful calls, in microseconds; `None` if it is not known.
     pub typical_latency: Option<Micros>,
     /// Time in microseconds after which a call without a response is hedged; `None` if it is not known.
     pub hedge_delay: Option<Micros>,
--- a/crates/journal/src/file_journal.rs
+++ b/crates/journal/src/file_journal.rs
@@ -32,7 +32,7 @@
     pub(crate) file: File,
     /// Size of the file in bytes.
     pub(crate) size: u64,
-    /// Maximum size of the folder's files together, without [`ROUNDING_BYTES`].
+    /// Maximum total size of the folder's files in bytes: the configured limit less [`ROUNDING_BYTES`].
     pub(crate) max_bytes: u64,
     /// Bytes that the records of new messages may not use, because they are reserved for the attempts, outcomes and
     /// ends of messages that are already accepted.
--- a/crates/journal/src/records.rs
+++ b/crates/journal/src/records.rs
@@ -47,7 +47,7 @@
     never_ran: bool,
 }
 
-/// Stored form of how a message ended.
+/// Stored form of [`Ending`]: how a message ended.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(remote = "Ending")]
 enum StoredEnding {
@@ -56,7 +56,7 @@
     Delivered,
 }
 
-/// Stored form of why a message ended.
+/// Stored form of [`EndReason`]: why a message ended.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(remote = "EndReason")]
 enum StoredEndReason {
--- a/crates/platform-settings/src/lib.rs
+++ b/crates/platform-settings/src/lib.rs
@@ -90,7 +90,7 @@
         .unwrap_or(usize::MAX)
 }
 
-/// Reads the decision module's settings, and the names that go with them.
+/// Reads the decision module's settings, and the names of the items to which they refer by position.
 ///
 /// # Errors
 /// When a setting is missing or invalid; the error names the first such setting.
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -1509,9 +1509,9 @@
                     if now < until { until } else { Micros::MAX },
                 )
             }
-            // An unsafe message cannot be sent again, so it is not sent to a scope that may be about to fail:
-            // a scope that has sent no response since a call in flight was sent, more than the hedge delay
-            // ago.
+            // An unsafe message cannot be sent again. It is therefore not sent to a scope that may be about
+            // to fail: one that has had a call in flight for longer than the hedge delay and has sent no
+            // response in that time.
             Health::Healthy
                 if unsafe_class
                     && scope.unresponsive_age
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -187,8 +187,7 @@
         }
     }
 
-    /// Sends messages of the queues that are to be checked, the most urgent first, and blocks queues that no
-    /// endpoint admits.
+    /// Sends messages of the active queues, the most urgent first, and blocks queues that no endpoint admits.
     fn dispatch_from_queues(&mut self, actions: &mut Vec<Action>) {
         let (mut open_calls, mut pass) = (OpenCalls::new(), DispatchPass::default());
         for queue in self.scheduler.active_queues() {
--- a/crates/policy/src/outage_evidence.rs
+++ b/crates/policy/src/outage_evidence.rs
@@ -13,7 +13,8 @@
 const PRIOR_FAILURES: f64 = 0.1;
 /// Calls in the prior of the baseline failure rate; see [`PRIOR_FAILURES`].
 const PRIOR_CALLS: f64 = 10.0;
-/// Calls that the baseline remembers. More calls make the baseline more stable, fewer follow a change sooner.
+/// Default maximum number of calls in the baseline; see [`OutageEvidence`]. More calls make the baseline more
+/// stable, fewer follow a change sooner.
 const DEFAULT_MAX_CALLS: f64 = 200.0;
 /// Lower bound of the baseline failure rate: below it, an isolated failure would add too much evidence.
 const MIN_BASELINE_RATE: f64 = 0.005;
@@ -33,11 +34,11 @@
 /// The baseline failure rate of a health scope, and the evidence that calls now fail more often.
 #[derive(Debug, Clone, serde::Serialize, serde::Deserialize)]
 pub struct OutageEvidence {
-    /// Maximum number of calls that the baseline remembers.
+    /// Maximum of `calls`; beyond it, `failures` and `calls` are scaled down by the same factor.
     max_calls: f64,
-    /// Failures that the baseline remembers.
+    /// Failures in the baseline.
     failures: f64,
-    /// Calls that the baseline remembers, including the failures.
+    /// Calls in the baseline, including the failures.
     calls: f64,
     /// Failures since the last success. They are noise, and join the baseline, only if a success follows.
     pending_failures: f64,
@@ -52,7 +53,7 @@
 }
 
 impl OutageEvidence {
-    /// Creates a state without observations whose baseline remembers at most this many calls.
+    /// Creates a state without observations whose baseline contains at most this many calls.
     #[must_use]
     pub fn with_memory(max_calls: f64) -> Self {
         OutageEvidence {
@@ -71,7 +72,7 @@
         rate.clamp(MIN_BASELINE_RATE, MAX_BASELINE_RATE)
     }
 
-    /// The numbers of failures and of all calls that the baseline remembers.
+    /// The numbers of failures and of all calls in the baseline.
     #[must_use]
     pub fn observed_counts(&self) -> (f64, f64) {
         (self.failures, self.calls)
@@ -83,7 +84,7 @@
         (self.failures, self.calls, self.evidence) = (failures.min(calls), calls, evidence);
     }
 
-    /// Number of calls that the baseline remembers.
+    /// Number of calls in the baseline.
     #[must_use]
     pub fn observed_calls(&self) -> f64 {
         self.calls
@@ -148,8 +149,8 @@
         (self.pending_failures, self.evidence) = (0.0, 0.0);
     }
 
-    /// Adds failures and calls to the baseline, and scales both down if there are more calls than it
-    /// remembers.
+    /// Adds failures and calls to the baseline. If it then contains more than `max_calls`, both counts are
+    /// scaled down by the same factor, which keeps the failure rate and reduces the weight of older calls.
     fn add_to_baseline(&mut self, failures: f64, calls: f64) {
         (self.failures, self.calls) = (self.failures + failures, self.calls + calls);
         let kept_part = (self.max_calls / self.calls).min(1.0);
--- a/crates/policy/src/rejection_correlation.rs
+++ b/crates/policy/src/rejection_correlation.rs
@@ -24,7 +24,7 @@
 /// If the baseline rejection rate is at or above this value, the rate limit is also halved without an
 /// increase of rejections, at intervals longer than `PROBE_INTERVAL`.
 const MIN_PROBED_REJECTION_RATE: f64 = 0.03;
-/// Number of remembered responses needed before a rate probe is started because of the baseline alone.
+/// Number of responses in the baseline needed before a rate probe is started because of the baseline alone.
 const MIN_BASELINE_CALLS: f64 = 200.0;
 /// Shortest time between the last halving of the rate limit and a rate probe because of the baseline alone.
 const PROBE_INTERVAL: Micros = 10 * SECOND;
@@ -123,7 +123,7 @@
 }
 
 impl RejectionCorrelation {
-    /// The numbers of rejections and of all responses that the baseline remembers.
+    /// The numbers of rejections and of all responses in the baseline.
     #[must_use]
     pub fn observed_counts(&self) -> (f64, f64) {
         self.evidence.observed_counts()
--- a/crates/policy/src/scheduler.rs
+++ b/crates/policy/src/scheduler.rs
@@ -110,7 +110,7 @@
     shedding: BTreeMap<DestinationId, BTreeSet<SheddingOrder>>,
     /// Messages that may be sent now, by time of acceptance.
     queues: BTreeMap<QueueKey, BTreeSet<(Micros, MessageId)>>,
-    /// Queues to be checked; all others are in `blocked_queues`.
+    /// Queues whose messages the next dispatch pass tries to send; all others are in `blocked_queues`.
     active_queues: BTreeSet<QueueKey>,
     /// Queues that no endpoint admits at present.
     blocked_queues: BTreeMap<QueueKey, BlockedUntil>,
@@ -315,7 +315,7 @@
         due_queues.iter().for_each(|queue| self.activate(queue));
     }
 
-    /// The queues that are to be checked.
+    /// The active queues: those that are not known to be blocked.
     pub(crate) fn active_queues(&self) -> Vec<QueueKey> {
         self.active_queues.iter().copied().collect()
     }
@@ -499,7 +499,8 @@
     low
 }
 
-/// One pass over the queues that are to be checked, the most urgent message first.
+/// Iterates over the messages of the active queues, the most urgent message first, to find those that can be
+/// sent now.
 #[derive(Debug, Default)]
 pub(crate) struct DispatchPass {
     heads: BinaryHeap<QueueHead>,
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -51,7 +51,7 @@
     /// Connection rejection score for each destination kind, computed like
     /// [`Endpoint::connection_rejection_score`].
     pub(crate) connection_rejection_scores: BTreeMap<usize, f64>,
-    /// Tokens of each tenant's bucket, and the time up to which refilled tokens are included.
+    /// Number of tokens in each tenant's bucket, and the time of the bucket's last refill.
     pub(crate) tenant_tokens: Vec<(f64, Micros)>,
     /// When to subscribe to the endpoint list again.
     pub(crate) list_retry_at: Option<Micros>,
@@ -248,7 +248,8 @@
     pub slow_start_ends_at: Micros,
     /// When the scope was last ejected while it was healthy.
     pub unhealthy_since: Micros,
-    /// Calls sent per second up to `unhealthy_since`: the outage that follows does not lower this rate.
+    /// Average rate of calls sent, in calls per second, as measured at `unhealthy_since`: the outage that
+    /// follows does not lower it.
     pub healthy_rate: f64,
     /// Time of the latest success, error response or rejection, which all show that the scope is alive.
     pub last_alive_at: Micros,
