--- a/crates/dead-letter/src/redrive_decision.rs
+++ b/crates/dead-letter/src/redrive_decision.rs
@@ -73,7 +73,7 @@
     Returned,
     /// The message may have run, and messages of its class must never run twice.
     Unsafe,
-    /// The message may have run, and has no key by which the destination could drop a repeat.
+    /// The message may have run, and has no key by which the destination could drop a duplicate.
     NoKey,
     /// The message may have run, and the deduplication window of its key has ended, or ends within
     /// [`DELIVERY_MARGIN`].
--- a/crates/engine/src/dead_letter_sink.rs
+++ b/crates/engine/src/dead_letter_sink.rs
@@ -80,7 +80,7 @@
 ///
 /// No method may block: an implementation writes to its storage on another thread or task.
 pub trait DeadLetterSink {
-    /// Whether messages with this ending are to be stored. Not asked for redriven messages, which are always stored.
+    /// Whether messages with this ending are stored. Not called for redriven messages, which are always stored.
     fn should_store(&self, ending: Ending) -> bool;
     /// Takes a message to store. [`Input::Stored`](crate::Input::Stored) follows once the message is stored
     /// durably. The same number may be passed again after a restart, and must be stored only once.
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -1665,7 +1665,7 @@
             .map_or(Effect::Unsafe, |class| class.effect)
     }
 
-    /// Credits a scope's rate-limit tokens up to now and sets how they are refilled from now on.
+    /// Credits the rate-limit tokens that a scope has accrued and sets how they are refilled from now on.
     pub(crate) fn settle_scope_tokens(&mut self, scope_id: HealthScopeId) {
         let (now, senders) = (self.now, f64::from(self.settings.senders));
         let Some(scope) = self.scopes.get_mut(&scope_id) else {
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -415,7 +415,7 @@
         exact.unwrap_or(estimate + 3)
     }
 
-    /// Credits the tokens up to now and sets the refill rate and the bucket's size from now on.
+    /// Credits the tokens accrued until now and sets the refill rate and the bucket's size from now on.
     pub(crate) fn settle_tokens(&mut self, now: Micros, refill: RefillRate, burst: f64) {
         (self.refill, self.burst) = (RefillRate::constant(refill.rate), burst);
         self.tokens = if refill.rate.is_finite() {
