--- a/crates/access-log/src/record.rs
+++ b/crates/access-log/src/record.rs
@@ -190,7 +190,7 @@
     /// The message failed before its deadline with attempts left, but may not be retried.
     #[serde(rename = "no_repeat")]
     NotRetryable,
-    /// The record gives no reason. Records of older senders never do.
+    /// The record states no reason. Records written by older senders never state one.
     #[default]
     Unknown,
 }
--- a/crates/config/src/neighbours.rs
+++ b/crates/config/src/neighbours.rs
@@ -1,5 +1,6 @@
-//! Checks the configurations of several sidecars on one machine against each other. Each file may be valid by itself
-//! and still claim a port, a folder or a share of a limit that another file claims.
+//! Checks the configurations of several sidecars on one machine against each other. Files that are valid by themselves
+//! may still conflict: two may use the same port, state folder or name, or contradict each other about a class, a
+//! destination or the machine, and all together may exceed a destination's limit or the machine's resources.
 
 use crate::codes::Code;
 use crate::document::{Document, host_and_port};
--- a/crates/platform/src/discovery_backoff.rs
+++ b/crates/platform/src/discovery_backoff.rs
@@ -79,8 +79,8 @@
 impl DiscoveryBackoff {
     /// Creates the backoff of one sender. `senders` is the number of senders that share one discovery, and `seed` must
     /// differ between them. With `is_pushed`, the list comes from a local process that serves this sender alone;
-    /// `senders` is then ignored, because the other senders put no load on that process, and each change must be
-    /// received within 6 s, whatever their number.
+    /// `senders` is then ignored, because the other senders put no load on that process, and each change of the list
+    /// must be received within 6 s, however many senders there are.
     #[must_use]
     pub fn new(senders: u32, is_pushed: bool, seed: u64) -> Self {
         let senders = if is_pushed { 1 } else { senders };
--- a/crates/platform/src/resource_budget.rs
+++ b/crates/platform/src/resource_budget.rs
@@ -6,8 +6,9 @@
 use crate::notifications::MAX_POSTS;
 use milletturn_engine::MAX_BODY_BYTES;
 
-/// The share of each part of a sender in its file descriptors and memory. Every descriptor and every byte of a request
-/// body that is being read counts against one of these shares, so that no part can starve another.
+/// How the file descriptors and memory of a sender are divided among its parts. Every descriptor and every byte of a
+/// request body that is being read counts against the limit of one part, so that no part can starve another. The
+/// descriptors that are reserved for everything else are not listed here.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResourceBudget {
     /// Maximum number of open connections from clients. Clients with an open request occupy up to a third of all
--- a/crates/platform/tests/discovery.rs
+++ b/crates/platform/tests/discovery.rs
@@ -62,9 +62,9 @@
     }
 }
 
-/// Time from the recovery of discovery until the sender receives the new list. Discovery is healthy before
-/// `fault_start`, in `state` until `recovery`, and healthy again afterwards. If `fault_start` is zero, it is in `state`
-/// from the beginning.
+/// Time from the recovery of discovery until the sender receives the new list. Discovery is in `state` from
+/// `fault_start` until `recovery`, and healthy before and afterwards. If `fault_start` is zero, discovery is faulty
+/// from the start of the sender.
 async fn update_delay(
     state: State,
     fault_start: Duration,
--- a/crates/platform/tests/server.rs
+++ b/crates/platform/tests/server.rs
@@ -361,7 +361,7 @@
             ));
         }
         wait_until("all are accepted", || fixture.gate.open_connections() == 4).await;
-        // their time limits start when their tasks run for the first time
+        // the 100 ms for which a connection waits for a slot start when its task first runs
         yield_times(200).await;
         advance(Duration::from_millis(101)).await;
         for client in &mut clients {
@@ -425,7 +425,8 @@
         advance(Duration::from_millis(2600)).await;
         let (mut incomplete, _) = fixture.incomplete_request("half").await;
         let (complete, last) = fixture.incomplete_request("whole").await;
-        // 300 ms before the process ends
+        // the rest of the request arrives just before connections without a complete request are closed, which is 3 s
+        // after the start of the shutdown and 300 ms before the process ends
         let mut complete =
             write_at(complete, last, shutdown_at + Duration::from_millis(3000)).await;
         assert_eq!(
@@ -438,7 +439,7 @@
         );
         assert_eq!(*fixture.accepted_ids.borrow(), ["whole"]);
         for client in [&incomplete, &complete] {
-            // this fails on a connection that is already closed
+            // `shutdown` fails on a connection that is already closed
             let _ = client.stream.shutdown(Shutdown::Both);
         }
         drop((incomplete, complete));
--- a/crates/platform/tests/virtual_discovery/mod.rs
+++ b/crates/platform/tests/virtual_discovery/mod.rs
@@ -205,7 +205,7 @@
     }
 }
 
-/// Waits until a time; `None` if the client closes the connection first.
+/// Waits until a time; `None` if the client closes the connection or sends a byte before that.
 async fn wait_until(stream: &mut DuplexStream, until: Instant) -> Option<()> {
     tokio::select! {
         _ = stream.read_u8() => None,
--- a/src/assemble/takeover.rs
+++ b/src/assemble/takeover.rs
@@ -130,8 +130,8 @@
             () = engine.run(inputs) => return None,
             Some(request) = requests.recv() => request,
         };
-        // While this process shuts down, requests are dropped: the new process waits for the folder's lock until this
-        // one has ended.
+        // While this process shuts down, takeover requests are dropped: the new process waits for the folder's lock
+        // until this one has ended.
         let Some(lock) = hot_restart
             .lock
             .as_ref()
--- a/src/config.rs
+++ b/src/config.rs
@@ -275,7 +275,7 @@
     let _ = output::print_lines(lines);
 }
 
-/// Formats an effective value with its source, a line of the file or "default"; none if the setting has no value.
+/// Formats an effective value with its source, a line of the file or "default"; `None` if the setting has no value.
 fn setting_line(document: &Document, field: &Field, path: &[&str]) -> Option<String> {
     let value = document.value(path)?;
     let source = match document.explicit_value(path) {
