--- a/crates/hot-restart/src/new_process.rs
+++ b/crates/hot-restart/src/new_process.rs
@@ -120,8 +120,8 @@
         Err(error) => return Err(error),
     };
     write_frame(&mut stream, &Decision::Commit).await?;
-    // The old process's engine has been released once that process confirms the commit or closes the connection. Only
-    // then may this process use the state.
+    // The old process confirms the commit after it has released its engine. A closed connection is taken to mean that
+    // the old process has ended. In both cases this process may use the state.
     match with_timeout(read_frame(&mut stream, MAX_FRAME_BYTES)).await {
         Ok(TakeoverConfirmed) => {}
         Err(HotRestartError::Socket(error)) => {
