--- a/crates/coordination-protocol/src/messages.rs
+++ b/crates/coordination-protocol/src/messages.rs
@@ -83,7 +83,8 @@
 pub struct HeartbeatRequest {
     /// The session whose lease is to be renewed.
     pub session: SessionId,
-    /// Whether the lease has already expired by the holder's own clock, because the holder received no response before.
+    /// Whether the lease had expired by the holder's own clock when the holder sent the heartbeat. If so, the holder has
+    /// received no confirmation of a request that it sent within the preceding lease duration.
     #[serde(rename = "run_out")]
     pub holder_expired: bool,
 }
@@ -125,10 +126,10 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BatchedRequest {
-    /// The same request as a call to [`OPEN_SESSION_PATH`].
+    /// A request to open a session, as in the body of a call to [`OPEN_SESSION_PATH`].
     #[serde(rename = "open")]
     OpenSession(OpenSession),
-    /// The same command as a call to [`COMMAND_PATH`].
+    /// A command, as in the body of a call to [`COMMAND_PATH`].
     #[serde(rename = "order")]
     Command(Command),
 }
--- a/crates/coordination-protocol/src/server.rs
+++ b/crates/coordination-protocol/src/server.rs
@@ -143,7 +143,7 @@
 }
 
 impl<H: Handler> Server<H> {
-    /// Creates a server for this handler; `name` begins each log line.
+    /// Creates a server for this handler; `name` is the prefix of each log line.
     pub fn new(name: impl Into<String>, limit: Rc<ConnectionLimit>, handler: Rc<H>) -> Self {
         Self {
             name: name.into(),
--- a/crates/coordination/src/lease_table.rs
+++ b/crates/coordination/src/lease_table.rs
@@ -29,7 +29,7 @@
 struct TrackedLease {
     confirmed_at: Timestamp,
     duration: Micros,
-    /// The last confirmed heartbeat said that the lease had expired by the holder's clock.
+    /// Whether the last confirmed heartbeat said that the lease had expired by the holder's clock.
     holder_expired: bool,
     /// The end of the session has been proposed. No heartbeat is confirmed from then on, even if the proposal fails.
     is_ending: bool,
--- a/crates/coordination/src/state.rs
+++ b/crates/coordination/src/state.rs
@@ -38,9 +38,10 @@
     history: EventHistory,
     /// The number of the last restore; 0 if the state was never restored.
     generation: u64,
-    /// The longest lease that a member may still hold from before the restore; `None` once all of them have expired.
+    /// The longest lease that a member may still hold from before the restore. `None` if the state was never restored, or
+    /// once all leases from before the restore have expired.
     restore_grace: Option<Micros>,
-    /// A batch has been applied, so a majority of the coordinators can read batches.
+    /// Whether a batch has been applied, which shows that a majority of the coordinators can read batches.
     batching_enabled: bool,
 }
 
@@ -50,7 +51,8 @@
 /// `in_restore_grace` can only change to `false`. Therefore no combination occurs twice.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LeasesVersion {
-    /// The highest assigned session id, or the start of the generation if a restored state has assigned none yet.
+    /// The highest assigned session id. If a restored state has assigned none yet, its generation times
+    /// [`GENERATION_STRIDE`](bounds::GENERATION_STRIDE); 0 initially.
     pub last_session: SessionId,
     /// The number of open sessions.
     pub open_sessions: usize,
--- a/crates/coordination/src/state/history.rs
+++ b/crates/coordination/src/state/history.rs
@@ -51,8 +51,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(super) struct EventHistory {
     events: VecDeque<Event>,
-    /// The number of the last event, or the start of the generation if a restored state has no new event yet; 0
-    /// initially.
+    /// The number of the last event. If a restored state has no new event yet, its generation times
+    /// [`GENERATION_STRIDE`](bounds::GENERATION_STRIDE); 0 initially.
     last: u64,
 }
 
@@ -65,8 +65,8 @@
         &self.events
     }
 
-    /// The number of the last event, or the start of the generation if a restored state has no new event yet; 0
-    /// initially.
+    /// The number of the last event. If a restored state has no new event yet, its generation times
+    /// [`GENERATION_STRIDE`](bounds::GENERATION_STRIDE); 0 initially.
     pub(super) fn last(&self) -> u64 {
         self.last
     }
--- a/crates/coordination/src/state/sessions.rs
+++ b/crates/coordination/src/state/sessions.rs
@@ -44,7 +44,8 @@
         &self.sessions
     }
 
-    /// The highest assigned id, or the start of the generation if a restored state has assigned none yet; 0 initially.
+    /// The highest assigned id. If a restored state has assigned none yet, its generation times
+    /// [`GENERATION_STRIDE`](crate::bounds::GENERATION_STRIDE); 0 initially.
     pub(super) fn last(&self) -> SessionId {
         self.last
     }
--- a/crates/coordination/tests/command_batcher.rs
+++ b/crates/coordination/tests/command_batcher.rs
@@ -175,8 +175,8 @@
 }
 
 proptest! {
-    /// In any order of steps, each request is sent at most once, each caller that still waits gets exactly one answer
-    /// and only the one to its own request, and the queue is empty at the end.
+    /// In any order of steps, each request is sent at most once, and the queue is empty at the end. Each caller that
+    /// still waits gets exactly one answer: the one to its own request, or `None` if the outcome is unknown.
     #[test]
     fn each_request_has_one_outcome(steps in steps()) {
         let mut batcher: CommandBatcher<u64> = CommandBatcher::default();
--- a/crates/coordination/tests/leases/main.rs
+++ b/crates/coordination/tests/leases/main.rs
@@ -44,8 +44,8 @@
 }
 
 /// In two of the three cases, the clocks of holder and leader differ by 1.98 %, almost the 2 % that leases allow for.
-/// Time advances in steps of one millisecond. A holder with a slow clock that ignored the clock error would still have
-/// permission after its lease has expired at the leader.
+/// Time advances in steps of one millisecond. If a holder did not allow for the clock error and its clock were slow, it
+/// would still have permission after its lease has expired at the leader.
 #[test]
 fn permission_ends_before_the_lease_when_clocks_differ_by_two_percent() {
     for (holder, leader) in [(-9_900, 9_900), (9_900, -9_900), (0, 0)] {
--- a/crates/coordination/tests/leases/simulation.rs
+++ b/crates/coordination/tests/leases/simulation.rs
@@ -114,8 +114,9 @@
         self.tables[coordinator].become_leader(self.leader_term, now, self.state.leases());
     }
 
-    /// Brings a coordinator's lease table up to date with the state. In reality, a deposed leader would see no state
-    /// newer than when it lost the leadership. Here it sees the leader's state, so it proposes to end more sessions.
+    /// Brings a coordinator's lease table up to date with the state. In production, a deposed leader sees no state newer
+    /// than when it lost the leadership. Here it sees the current leader's state, so it may also propose to end sessions
+    /// that were opened later.
     fn track(&mut self, coordinator: usize) {
         let now = self.coordinator_clock(coordinator);
         self.tables[coordinator].track(now, self.state.leases());
--- a/crates/coordination/tests/model/steps.rs
+++ b/crates/coordination/tests/model/steps.rs
@@ -269,7 +269,8 @@
         if self.scenario == Scenario::ProxiedOpens {
             return vec![state];
         }
-        // Both members start with a session, and the first member owns the resource. `ProxiedOpens` checks opening.
+        // Both members start with a session, and the first member owns the resource. Only the scenario `ProxiedOpens`
+        // starts without sessions, since it checks how sessions are opened through a proxy.
         for member in 0..2 {
             let sent = state.member_clock(member);
             let session = SessionId(member as u64 + 1);
--- a/crates/coordinator/tests/golden/support.rs
+++ b/crates/coordinator/tests/golden/support.rs
@@ -98,7 +98,8 @@
     }
 }
 
-/// Each kind of command, as an entry of its own and in a batch. The order lets the state accept most of them.
+/// Each kind of command as an entry of its own, and each except a batch inside a batch. They are ordered so that the
+/// state accepts most of them.
 pub(crate) fn commands() -> Vec<Command> {
     vec![
         open("sender-1", 0x1234_5678_9abc_def0),
--- a/crates/scale/src/figures.rs
+++ b/crates/scale/src/figures.rs
@@ -103,7 +103,7 @@
     pub peak_over_mean: BTreeMap<String, f64>,
     /// Destinations missing at a sender at the end; where no change is published, sessions that senders lost.
     pub lost: u64,
-    /// Changes that a sender received twice.
+    /// Changes or lines received twice, and destinations beyond those published; 0 where no change is published.
     pub doubled: u64,
     /// Changes that a sender received after a newer one.
     pub wrong_order: u64,
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -40,7 +40,7 @@
 const WAVES: u64 = 20;
 /// How long an outage lasts; longer than the lease of 9 s.
 const OUTAGE: Duration = Duration::from_secs(12);
-/// Changes that a region cut off for an hour misses, at 48,000 changes a day.
+/// Number of changes in one hour at 48,000 changes a day; a region that is cut off for an hour misses as many.
 const MISSED_CHANGES: u64 = 2_000;
 /// Number of steps in which the missed changes are published, spread over [`OUTAGE`] instead of an hour.
 const MISSED_CHANGE_STEPS: u64 = 40;
--- a/crates/scale/src/fleet/report.rs
+++ b/crates/scale/src/fleet/report.rs
@@ -259,9 +259,9 @@
     /// Changes that simulated senders received in a line of their own, summed over the senders. Changes that a busy
     /// machine merged into one line are not counted.
     pub received: u64,
-    /// Destinations that some sender lacked at the end.
+    /// Destinations missing at a sender at the end, summed over the senders.
     pub lost: u64,
-    /// Changes or lines received twice.
+    /// Changes or lines received twice, and destinations beyond those published.
     pub doubled: u64,
     /// Lines received after a line with a newer version.
     pub wrong_order: u64,
--- a/crates/scale/src/page/roles.rs
+++ b/crates/scale/src/page/roles.rs
@@ -18,17 +18,17 @@
 const SENDER_CORES_BUDGET: (f64, &str) = (MAX_SENDER_CORES, "the program uses one");
 pub(super) const START_BUDGET: (f64, &str) = (PLAN.max_start_s, "users: start to ready");
 
-/// Returns the number of destinations at a share of the plan.
+/// Returns the number of destinations at `share`, a fraction of the planned size.
 pub(super) fn destinations(share: f64) -> f64 {
     PLAN.destinations * share
 }
 
-/// Returns the number of senders at a share of the plan.
+/// Returns the number of senders at `share`, a fraction of the planned size.
 pub(super) fn senders(share: f64) -> f64 {
     PLAN.senders * share
 }
 
-/// Returns the number of messages pending in one sender at a share of the plan.
+/// Returns the number of messages pending in one sender at `share`, a fraction of the planned number.
 pub(super) fn pending(share: f64) -> f64 {
     PLAN.pending_per_sender() * share
 }
--- a/crates/scale/tests/small.rs
+++ b/crates/scale/tests/small.rs
@@ -25,7 +25,8 @@
         (0, 0, 0),
         "{counts:?}"
     );
-    // a sender receives each change in a separate update, or several in one update if the machine is slow
+    // a sender receives each change in a line of its own or, if the machine is slow, several changes merged into one
+    // line; merged changes are not counted
     assert!(
         counts.received <= counts.published * SIMULATED_SENDERS,
         "{counts:?}"
--- a/crates/session-proxy/src/commands.rs
+++ b/crates/session-proxy/src/commands.rs
@@ -84,7 +84,7 @@
     }
 
     /// Sends batches one after the other until the future is dropped. `call_timeout` is called before each batch and
-    /// returns its time limit; `name` begins each log line.
+    /// returns its time limit; `name` is the prefix of each log line.
     pub(crate) async fn run(
         &self,
         mut client: CoordinatorClient,
--- a/crates/session-proxy/src/heartbeats.rs
+++ b/crates/session-proxy/src/heartbeats.rs
@@ -105,7 +105,7 @@
         to_json(&response)
     }
 
-    /// Sends batches one after the other until the future is dropped; `name` begins each log line.
+    /// Sends batches one after the other until the future is dropped; `name` is the prefix of each log line.
     pub(crate) async fn run(&self, mut client: CoordinatorClient, name: &str) {
         let faults = RateLimitedLog::default();
         loop {
--- a/crates/session-proxy/src/settings.rs
+++ b/crates/session-proxy/src/settings.rs
@@ -77,7 +77,7 @@
 }
 
 impl Settings {
-    /// The name with which each log line of this session proxy begins.
+    /// The prefix of each log line of this session proxy.
     #[must_use]
     pub fn log_name(&self) -> String {
         format!("session proxy {} of {}", self.name, self.group)
--- a/crates/shard-map/src/limits.rs
+++ b/crates/shard-map/src/limits.rs
@@ -11,7 +11,7 @@
 ///
 /// A replica that missed more changes gets a snapshot of the shard, whose size is bounded by [`Limits::shard_bytes`]. At
 /// 0.56 changes a second over 65,536 shards, eight changes of one shard cover eleven days. Eight changes of 200 bytes
-/// take 1.6 KB, less than the 26 endpoints of a shard.
+/// take 1.6 KB, less than the endpoints of the 26 destinations that a shard has on average.
 pub const MAX_HISTORY: usize = 8;
 
 /// Maximum number of shards in one request. Each takes at most 131 bytes of JSON, so a request has at most 68 KB.
--- a/crates/shard-map/tests/assignment.rs
+++ b/crates/shard-map/tests/assignment.rs
@@ -135,7 +135,7 @@
     assert_eq!(senders_by_shard(&assignment, count), before);
     let mut known = new.clone();
     assert!(!known.replace_if_newer(old.clone()) && known == new);
-    // a later term is newer even with a lower number
+    // a membership of a later term is newer even if its version number is lower
     let mut raised = old;
     raised.raise_term(LeaderTerm(2));
     assert!(known.replace_if_newer(raised));
--- a/crates/shard-map/tests/replica_sync.rs
+++ b/crates/shard-map/tests/replica_sync.rs
@@ -114,8 +114,8 @@
 
 #[test]
 fn put_and_removal_that_cancel_out_still_count_as_changes() {
-    // the two changes leave the endpoints as they were but raise the version by two, so that a replica applies the next
-    // change only if it has that version
+    // the two changes leave the endpoints as they were but raise the shard's version by two; a replica that lacks them
+    // must not apply the next change, although it has the same endpoints as the source
     let mut source = filled_source(shard_count(64), 100);
     let mut replica = synced_replica(&source);
     let _lost = source.propose(put(5, "brief", 80)).expect("valid");
