--- a/crates/coordination/src/lease_table.rs
+++ b/crates/coordination/src/lease_table.rs
@@ -31,7 +31,7 @@
     duration: Micros,
     /// Whether the last confirmed heartbeat said that the lease had expired by the holder's clock.
     holder_expired: bool,
-    /// The end of the session has been proposed. No heartbeat is confirmed from then on, even if the proposal fails.
+    /// Whether the end of the session has been proposed. If so, no heartbeat is confirmed, even if the proposal failed.
     is_ending: bool,
 }
 
