--- a/crates/policy/benches/turn.rs
+++ b/crates/policy/benches/turn.rs
@@ -15,9 +15,9 @@
 };
 use std::time::Instant;
 
-/// Numbers of pending messages.
+/// Numbers of pending messages for which turns are measured.
 const PENDING: [usize; 4] = [10, 100, 1_000, 10_000];
-/// Numbers of destinations.
+/// Numbers of destinations for which turns are measured.
 const DESTINATIONS: [u64; 4] = [100, 1_000, 10_000, 50_000];
 /// Measured turns for each combination of [`PENDING`] and [`DESTINATIONS`].
 const ROUNDS: usize = 60;
@@ -62,7 +62,7 @@
     }
 }
 
-/// Median duration of a turn in microseconds.
+/// Median duration of a turn in microseconds, with `pending` pending messages and `destinations` listed destinations.
 fn median_turn_us(pending: usize, destinations: u64) -> f64 {
     let mut settings = Settings::new(200, 20_000);
     settings.classes.push(Class::new(
--- a/crates/policy/tests/common/traffic.rs
+++ b/crates/policy/tests/common/traffic.rs
@@ -25,7 +25,7 @@
     /// Time after the start at which the counts of wasted calls and ejections begin.
     pub measured_from: Micros,
     pub seed: u64,
-    /// Number of endpoints of the destination; their numbers count from 1.
+    /// Number of endpoints of the destination. Their ids are 1 to this number.
     pub endpoint_count: u32,
     /// Position of the class to which all messages belong.
     pub class: usize,
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -48,9 +48,9 @@
 }
 #[test]
 fn a_burst_over_all_senders_does_not_put_the_limit_into_debt() {
-    // Rejected calls use up the limit too, and can put it into debt: what is left becomes negative, and nothing is
-    // served until it is positive again. Guards against each sender retrying at the rate that it had reached while a
-    // large share of the limit was left. A burst of 1 s was then followed by 10 s in which nothing was served.
+    // Rejected calls use up the limit too, and can make the remaining limit negative, which the test names call debt.
+    // Nothing is served until it is positive again. Guards against each sender retrying at the rate that it had reached
+    // while a large share of the limit was left. A burst of 1 s was then followed by 10 s in which nothing was served.
     for seed in 1..=3 {
         let burst = simulate(Scenario {
             seed,
@@ -267,7 +267,8 @@
 #[test]
 fn a_starting_fleet_does_not_put_the_limit_into_debt_before_its_first_load_reports() {
     // Guards against each sender calling as fast as messages arrive until its first load report, at the start and again
-    // after most senders restarted: that put the limit into debt, and nothing was served for 3 s.
+    // after most senders restarted: the rejected calls made the remaining limit negative, and nothing was served for
+    // 3 s.
     for seed in 1..=3 {
         let start = simulate(Scenario {
             seed,
@@ -304,9 +305,9 @@
 
 #[test]
 fn an_unused_rate_permits_no_burst() {
-    // Guards against raising an unused rate: while reports said that a large share of the limit was left, the rate of
-    // senders with one call in 10 s grew up to 100 times the even share. A burst worth 2 s of the limit was then sent
-    // in 0.4 s and put the limit into debt.
+    // Guards against raising the permitted rate of senders that do not use it. While reports said that a large share of
+    // the limit was left, the rate of senders with one call in 10 s grew up to 100 times the even share. A burst worth
+    // 2 s of the limit was then sent in 0.4 s, and its rejected calls made the remaining limit negative.
     let (settings, entries) = one_of_three_hundred();
     let mut harness = Harness::new(settings, entries);
     let mut completed = 0;
--- a/crates/policy/tests/guards.rs
+++ b/crates/policy/tests/guards.rs
@@ -472,8 +472,9 @@
     for overtaken in [true, false] {
         let mut harness = Harness::new(settings(8), two_destinations());
         warm_up(&mut harness);
-        // If the call is overtaken, later calls succeed while it has no response. Otherwise only the two calls before it
-        // succeed, late but in the order of the calls, so the endpoint is only slow.
+        // In the first case, calls that are sent after message 1 succeed while it has no response. In the second case,
+        // only the two calls that were sent before it succeed. They take long, but no call overtakes another one, so the
+        // endpoint is only slow.
         harness.handle(vec![message(50, KEYED, 7), message(51, KEYED, 7)]);
         harness.run_until(harness.now + 10 * MILLISECOND);
         harness.handle(vec![message(1, KEYED, 7)]);
--- a/crates/policy/tests/resumed.rs
+++ b/crates/policy/tests/resumed.rs
@@ -126,7 +126,7 @@
 
 #[test]
 fn the_stagger_delay_after_a_restart_leaves_time_for_a_later_message_with_less_time() {
-    // The destination's first message has all its time left and the second one 0.4 s.
+    // The destination's first message has 9 s left until its deadline, and the second one only 0.4 s.
     let mut settings = settings(4);
     (
         settings.report_remaining_index,
--- a/crates/policy/tests/scale.rs
+++ b/crates/policy/tests/scale.rs
@@ -121,7 +121,7 @@
     }
 }
 
-/// Numbers of senders that each test runs with.
+/// Numbers of senders, for tests that repeat a scenario with fleets of different sizes.
 const FLEET_SIZES: [usize; 3] = [3, 60, 300];
 
 #[test]
--- a/crates/sidecar/src/endpoints/watcher.rs
+++ b/crates/sidecar/src/endpoints/watcher.rs
@@ -34,9 +34,9 @@
     }
 }
 
-/// Polls an endpoints file until the engine stops. Sends the engine each new list that can be read, preceded by the
-/// `fixed` endpoints. A file that can't be read or is invalid is logged once, and the engine keeps the last valid list.
-/// A file that changes while it is read is read again.
+/// Polls an endpoints file. Sends the engine each new list that can be read, preceded by the `fixed` endpoints, and
+/// returns when a list can't be sent because the engine has stopped. A file that can't be read or is invalid is logged
+/// once, and the engine keeps the last valid list. A file that changes while it is read is read again.
 pub async fn watch(
     path: PathBuf,
     fixed: Vec<ListedEndpoint>,
--- a/crates/sidecar/tests/golden/readers.rs
+++ b/crates/sidecar/tests/golden/readers.rs
@@ -12,7 +12,8 @@
 /// The last bytes of an outcome stream that has sent all pending outcomes; its connection stays open.
 const STREAM_END: &str = "\"order/16\",\"state\":\"delivered\"}\n\r\n";
 
-/// Whether a response is complete: its body has the length in its head, or contains all pending outcomes.
+/// Whether a response is complete: its body is as long as its `content-length` header says, or, without that header,
+/// ends with the last pending outcome.
 fn is_complete(text: &str) -> bool {
     let Some((head, body)) = text.split_once("\r\n\r\n") else {
         return false;
--- a/crates/test-support/src/cold_fleet.rs
+++ b/crates/test-support/src/cold_fleet.rs
@@ -49,7 +49,8 @@
     pub max_normalized_excess: f64,
     /// When the largest excess occurred, counted from the recovery.
     pub max_excess_at: Micros,
-    /// Whether an overload window had more than N + 2 x sqrt(N) + 2 calls, at which the destination collapses.
+    /// Whether an overload window had more than N + 2 x sqrt(N) + 2 calls, at which the destination collapses. N is the
+    /// number of calls that the settings allow in the window.
     pub collapsed: bool,
     /// Calls during the slow start, as a fraction of those that the settings allow in that time.
     pub capacity_used: f64,
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -262,8 +262,8 @@
     pub address: SocketAddr,
     /// All acknowledged notifications as received, one JSON line each, repeats included.
     pub notifications: Arc<Mutex<Vec<String>>>,
-    /// Events sent on each watch that is opened from now on, one JSON line each. If there are none, the watch stays
-    /// open without data, which simulates an outage of discovery.
+    /// Events sent on each watch, one JSON line each. A change applies only to watches that are opened after it. If
+    /// there are none, the watch stays open without data, which simulates an outage of discovery.
     pub watch_events: Arc<Mutex<Vec<String>>>,
     /// Number of watches opened so far.
     pub watch_count: Arc<AtomicUsize>,
--- a/crates/test-support/src/limited_fleet/mod.rs
+++ b/crates/test-support/src/limited_fleet/mod.rs
@@ -66,7 +66,7 @@
 }
 
 impl MessageProfile {
-    /// Notices that may wait for seconds, and clients that resubmit a returned message up to three times.
+    /// Messages with a latency objective of 4 s, and clients that resubmit a returned message up to three times.
     #[must_use]
     pub fn patient() -> Self {
         let effect = Effect::Keyed {
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Debits that should be delivered within 300 ms, and clients that resubmit a returned message once.
+    /// Messages with a latency objective of 300 ms that must not be executed twice, and clients that resubmit a returned
+    /// message once.
     #[must_use]
     pub fn urgent() -> Self {
         let (latency_objective, time_to_live, resubmit_delay) =
--- a/crates/test-support/src/limited_fleet/rate_limit.rs
+++ b/crates/test-support/src/limited_fleet/rate_limit.rs
@@ -12,8 +12,8 @@
     pub reports_limit: bool,
     /// Length of the fixed windows in which calls are counted; `None` means a token bucket.
     pub window: Option<Micros>,
-    /// Whether rejected calls consume the limit too. They can then put it into debt: the number of calls left becomes
-    /// negative. The debt is at most the number of calls that a full bucket or an unused window lets through.
+    /// Whether rejected calls consume the limit too. The number of calls left can then become negative, but not
+    /// below minus the number of calls that a full bucket or an unused window lets through.
     pub rejections_consume: bool,
     /// Fraction of the rejections that carry a `Retry-After`.
     pub retry_after_share: f64,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Remaining share of the bucket or window, negative while rejected calls have put it in debt.
+    /// Remaining share of the bucket or window, negative while rejected calls have consumed more than was left.
     #[must_use]
     pub fn remaining_share(&self, elapsed: Micros) -> f64 {
         self.tokens / self.depth(elapsed)
--- a/tests/dead_letter.rs
+++ b/tests/dead_letter.rs
@@ -272,8 +272,8 @@
         "[store]\nmax_mb = 2\nkeep_returned = true",
     )
     .ready();
-    // The store's thread first verifies the rows. If the lock made this check fail, the thread would end, and this
-    // process would store no messages.
+    // Waits until the store's thread has verified the rows, before the test locks the database. If the verification
+    // failed because of the lock, the thread would end, and this process would store no messages.
     wait_until("the store reports that it is empty", || {
         node.undelivered(&["list"]).0 == 3
     });
--- a/tests/duplicate_responses.rs
+++ b/tests/duplicate_responses.rs
@@ -22,8 +22,8 @@
 /// Number of messages that a test submits.
 const MESSAGES: usize = 20;
 
-/// Chooses the endpoint's reply to a request. The flag is true if the proxy sends a duplicate response while the request is
-/// in flight; the number counts the requests.
+/// Chooses the endpoint's reply to a request. `overlaps_duplicate` is true if the proxy sends a duplicate response while
+/// the request is in flight. `number` is the number of requests that the endpoint received before it.
 type Script = fn(overlaps_duplicate: bool, number: usize) -> Reply;
 
 /// Rejects requests that overlap with a duplicate response. Answers all other requests with 200 and their numbers, so
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -168,7 +168,8 @@
     );
     let node = node.ready();
     assert!(node.logged("damaged"));
-    // after the damage each old message may have run, so none may be sent
+    // After the damage each old message is presumed to have been attempted. All of them are at-most-once messages, so
+    // none must be sent.
     wait_until("a new message is accepted as the old ones end", || {
         node.submit("webhook", "new", 7, 20_000, b"x") == 202
     });
--- a/tests/session_proxy.rs
+++ b/tests/session_proxy.rs
@@ -472,8 +472,8 @@
         );
     }
     let log_entries = status.last_applied - before;
-    // a batch makes one log entry for all its session opens, but a delayed batch may have been sent to each
-    // coordinator, and more than once
+    // A batch makes one log entry for all its session opens. The bound of a quarter of the members allows for repeated
+    // entries, since a delayed batch may have been sent to each coordinator, and more than once.
     assert!(
         4 * log_entries <= MEMBERS,
         "{log_entries} log entries for {MEMBERS} session opens"
--- a/tests/upgrade.rs
+++ b/tests/upgrade.rs
@@ -224,7 +224,7 @@
             node.submit("webhook", "m1", 7, 20_000, b"x") == 200
         });
     }
-    // a valid new process still takes over
+    // a new process that uses the hot restart protocol correctly can still take over
     let new = node.hot_restart().ready();
     assert_eq!(new.submit("webhook", "m1", 7, 20_000, b"x"), 200);
 }
