--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -15,7 +15,7 @@
 /// is elected in each attempt.
 const MAX_ELECTIONS: usize = 5;
 
-/// The number of writes that the process did with this fencing token.
+/// The number of writes that the process performed with this fencing token.
 fn write_count_under(process: &Process, token: u64) -> usize {
     writes_of(process)
         .iter()
--- a/tests/versions.rs
+++ b/tests/versions.rs
@@ -34,7 +34,7 @@
     }
 }
 
-/// Waits until a member has done three more writes.
+/// Waits until a member has performed three more writes.
 fn wait_for_progress(condition: &str, process: &Process) {
     let done = writes_of(process).len();
     wait_for(condition, || writes_of(process).len() >= done + 3);
