--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -1,6 +1,6 @@
-//! Makes the sender's decisions: which messages to send, to hedge, to cancel or to end, and how many calls
-//! each destination gets. The types, events and actions are in `interface.rs`; the records of messages,
-//! attempts, calls and endpoints are plain data in `state.rs`.
+//! Makes the sender's decisions. Their types, events and actions are in `interface.rs`, and the records of
+//! messages, attempts, calls and endpoints are plain data in `state.rs`. The decisions are which messages to
+//! send, to hedge, to cancel or to end, and how many calls each destination gets.
 //!
 //! Order of this file: the constants; `handle`, which runs one turn (it applies a list of events and makes
 //! the decisions that follow from them); the handlers of events; the checks of the delivery rules; and the
