--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// Backoff before the first retry of a message, in microseconds, as in the decision module; it doubles with each retry.
-const MIN_RETRY_BACKOFF_US: i64 = 150_000;
+const INITIAL_RETRY_BACKOFF_US: i64 = 150_000;
 /// Longest backoff before a retry, in microseconds, as in the decision module.
 const MAX_RETRY_BACKOFF_US: i64 = 2_000_000;
 /// File descriptors for everything except connections from clients and to endpoints: standard streams, epoll, signals,
@@ -384,7 +384,7 @@
 /// The number of attempts that can start before a deadline, if each takes the time of a usual call and is followed by a
 /// backoff; both times are in microseconds. Stops counting at 1,000.
 fn max_attempts_within(deadline: i64, call: i64) -> u64 {
-    let (mut elapsed, mut backoff, mut attempts) = (0i64, MIN_RETRY_BACKOFF_US, 0u64);
+    let (mut elapsed, mut backoff, mut attempts) = (0i64, INITIAL_RETRY_BACKOFF_US, 0u64);
     while elapsed < deadline && attempts < 1_000 {
         attempts += 1;
         elapsed = elapsed.saturating_add(call).saturating_add(backoff);
--- a/crates/coordination/tests/model/cluster.rs
+++ b/crates/coordination/tests/model/cluster.rs
@@ -216,8 +216,8 @@
     pub(crate) first_sent: [Option<Timestamp>; 2],
 }
 
-/// Hashes every field except parts of the coordination state. The event history, the last session id, the minimum token
-/// and whether batches are enabled are left out.
+/// Hashes every field except parts of the coordination state. The event history is left out because it does not affect
+/// later steps. The last session id, the minimum token and whether batches are enabled are left out too.
 impl Hash for ClusterState {
     fn hash<H: Hasher>(&self, hasher: &mut H) {
         let hash_state = |state: &CoordinationState, hasher: &mut H| {
--- a/crates/dead-letter/src/config.rs
+++ b/crates/dead-letter/src/config.rs
@@ -63,8 +63,8 @@
     pub max_bytes: u64,
     /// Maximum number of messages.
     pub max_messages: u64,
-    /// Resolved messages are pruned this many microseconds after their last round of attempts ended, or earlier if the
-    /// store is full.
+    /// Delivered and resolved messages are pruned this many microseconds after their last round of attempts ended, or
+    /// earlier if the store is full.
     pub max_age: Micros,
     /// Whether messages that were returned to their clients are stored too.
     pub store_returned: bool,
--- a/crates/dead-letter/tests/simulation/operators.rs
+++ b/crates/dead-letter/tests/simulation/operators.rs
@@ -41,8 +41,8 @@
     /// Operators resolve the messages that no rule may redrive, according to whether the destination executed them.
     /// Returns true if it found all messages in the store resolved.
     pub(super) fn resolve_and_check_done(&mut self) -> bool {
-        // skips the messages that an earlier call found resolved: operators redrive messages only until 10 s after the
-        // repair, so that resolved messages stay resolved from then on
+        // skips the messages that an earlier call found resolved; operators redrive messages only until 10 s after the
+        // repair
         let found = summaries_after(&self.service, self.simulation.resolved_up_to.get());
         let mut has_unresolved = false;
         for summary in &found {
--- a/crates/hot-restart/src/frames.rs
+++ b/crates/hot-restart/src/frames.rs
@@ -53,7 +53,7 @@
     pub slot: u64,
     pub id: String,
     pub key: Option<String>,
-    /// Position of the message class in the settings.
+    /// Position of the message's class in the engine's class table.
     pub class: usize,
     pub subject: Option<String>,
     pub tenant: Option<String>,
--- a/crates/journal/src/records.rs
+++ b/crates/journal/src/records.rs
@@ -112,8 +112,8 @@
     },
     /// A message has ended; the record does not contain the reason and the time. Only older builds write this record.
     EndedWithoutReason(u64, #[serde(with = "StoredEnding")] Ending),
-    /// A message is finished: all its attempts have ended, and neither a notification nor storage as a dead letter is
-    /// due any more.
+    /// No further work is due for a message: neither a notification nor storage as a dead letter. Attempts may still be
+    /// in flight.
     Finished(u64),
     /// A message from the dead-letter store is redriven.
     Redriven(
--- a/crates/policy/src/decide.rs
+++ b/crates/policy/src/decide.rs
@@ -49,8 +49,8 @@
 /// with other senders.
 const RATE_REDUCTION: f64 = 0.8;
 /// Factor by which a rejection or failure reduces the rate limit if no call has succeeded since the last
-/// reduction. Smaller values cause fewer rejections. With larger ones, the sender keeps more of a limit that
-/// it shares with other senders.
+/// reduction. Not used if a limit is announced; `RATE_REDUCTION` applies then. Smaller values cause fewer
+/// rejections. With larger ones, the sender keeps more of a limit that it shares with other senders.
 const RATE_REDUCTION_WITHOUT_SUCCESS: f64 = 0.5;
 /// Increase of the rate limit with each success, in calls per second. It is larger while the rate limit is
 /// below the best rate so far, or if only failures have reduced the rate. Because the increase follows
@@ -149,7 +149,7 @@
 /// calls sooner, larger ones send fewer hedged requests to destinations with little traffic.
 const MIN_LATENCY_SAMPLES: usize = 8;
 /// Weight of a connection reset relative to other failures. A connection may break although the process at
-/// its other end is healthy; if the process has died, it also rejects the connections that follow. Larger
+/// its other end is healthy; if the process has died, the connections that follow are refused too. Larger
 /// values detect a dead process sooner, smaller ones avoid ejecting destinations behind unreliable
 /// connections.
 const RESET_FAILURE_WEIGHT: f64 = 0.3;
--- a/crates/policy/src/dispatch.rs
+++ b/crates/policy/src/dispatch.rs
@@ -15,7 +15,8 @@
 type OpenCalls = BTreeMap<EndpointId, u64>;
 
 impl Sender {
-    /// Rebuilds the schedule from the messages if it is not current; otherwise only updates changed entries.
+    /// Rebuilds the schedule from the messages if it is not current or incremental scheduling is off;
+    /// otherwise only updates changed entries.
     pub(crate) fn rebuild_schedule(&mut self) {
         if self.scheduler.is_current && self.incremental_scheduling {
             return self.update_changed_entries();
--- a/crates/scale/src/fleet/discovery.rs
+++ b/crates/scale/src/fleet/discovery.rs
@@ -20,7 +20,7 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// Interval of empty keepalive lines while nothing changes.
+/// Interval of empty keep-alive lines while nothing changes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 /// Longest request that is read, in bytes.
 const MAX_REQUEST_BYTES: usize = 1 << 20;
--- a/crates/scale/src/fleet/faults.rs
+++ b/crates/scale/src/fleet/faults.rs
@@ -158,7 +158,7 @@
     }
     let name = "discovery away for 10 s, list on request";
     if is_selected(name) && Instant::now() < plan.deadline {
-        measure_polling_recovery(plan, results, name, 250)?;
+        measure_subscription_recovery(plan, results, name, 250)?;
         write(out, &results.records)?;
     }
     Ok(())
@@ -376,8 +376,8 @@
     scenario.wait_until_healthy()
 }
 
-/// Measures how long senders that poll for the list take to receive a change after 10 s without discovery.
-fn measure_polling_recovery(
+/// Measures how long senders that subscribe to the list take to receive a change after 10 s without discovery.
+fn measure_subscription_recovery(
     plan: &Plan,
     results: &mut Results,
     name: &str,
--- a/crates/scale/src/fleet/harness.rs
+++ b/crates/scale/src/fleet/harness.rs
@@ -43,7 +43,7 @@
     pub regions: usize,
     /// How the first list is sent.
     pub list_layout: ListLayout,
-    /// Whether each sender polls for the list (the setting `on_request`) instead of having it pushed.
+    /// Whether each sender subscribes to the list itself (the setting `on_request`) instead of having it pushed.
     pub on_request: bool,
     /// Whether each simulated sender runs a real engine that receives its list.
     pub run_engines: bool,
--- a/crates/scale/src/fleet/simulated_fleet.rs
+++ b/crates/scale/src/fleet/simulated_fleet.rs
@@ -207,7 +207,7 @@
         Ok((informed, permitted))
     }
 
-    /// Returns how many senders hold a session whose lease has not expired.
+    /// Returns how many senders hold a session whose lease is still safe by their own clock.
     ///
     /// # Errors
     /// A process has ended.
--- a/crates/scale/src/fleet/simulated_senders.rs
+++ b/crates/scale/src/fleet/simulated_senders.rs
@@ -112,7 +112,7 @@
         /// Senders that may act on their resource.
         #[serde(rename = "may")]
         permitted: u64,
-        /// Senders whose session lease has not expired.
+        /// Senders whose session lease is still safe by their own clock.
         #[serde(rename = "hold")]
         with_session: u64,
     },
--- a/crates/scale/src/roles/journal.rs
+++ b/crates/scale/src/roles/journal.rs
@@ -135,7 +135,7 @@
             full: true,
             endpoints,
         };
-        let (started_at, started) = (probe::cpu(), Instant::now());
+        let (cpu_before, started) = (probe::cpu(), Instant::now());
         let (mut engine, inputs, mut received) =
             new_engine(Box::new(journal), Some(endpoint_list), 400)?;
         tokio::task::spawn_local(async move { engine.run(&mut received).await });
@@ -146,7 +146,7 @@
                 view.open_messages, context.size
             )));
         }
-        points.push(new_point("resume.cpu", "s", probe::cpu() - started_at));
+        points.push(new_point("resume.cpu", "s", probe::cpu() - cpu_before));
         points.push(new_point(
             "resume.wall",
             "s",
--- a/crates/session-proxy/src/settings.rs
+++ b/crates/session-proxy/src/settings.rs
@@ -151,7 +151,7 @@
     }
     if !matches!(listed.len(), 1 | 3 | 5 | 7) {
         let label = format!("{} are listed", listed.len());
-        let help = Some("list all coordinators of the group".to_string());
+        let help = Some("list all stewards of the group".to_string());
         let span = document.span(&["stewards"]);
         document.add(Code::InvalidCoordinatorCount, span, label, help);
     }
--- a/src/access_log.rs
+++ b/src/access_log.rs
@@ -1,4 +1,4 @@
-//! `milletturn access-log`: summarises the access logs of several senders by destination and interval.
+//! `milletturn access-log`: summarizes the access logs of several senders by destination and interval.
 
 use crate::format::Format;
 use crate::output::{self, Reader};
@@ -15,7 +15,7 @@
 /// Column titles of the text format.
 const COLUMN_TITLES: &str = "  to     from taken  away  sent again    ok refused failed delivered  mean-s given-up untried  held sick back left limit";
 
-/// Summarise the access logs of all senders of a fleet by destination and interval.
+/// Summarize the access logs of all senders of a fleet by destination and interval.
 ///
 /// A sender writes access records to its log if MILLETTURN_TRACE is 1 in its environment: about 100 bytes for each
 /// accepted message, each attempt and each end. One sender makes few calls; only the sum shows whether all senders
--- a/src/assemble.rs
+++ b/src/assemble.rs
@@ -164,7 +164,8 @@
 /// Opens the journal and logs what its recovery found.
 fn open_journal(options: &SenderOptions) -> Result<(FileJournal, Recovery), Box<dyn Error>> {
     let settings = &options.settings;
-    // a message needs at most two records for each attempt, its start and its outcome, and one for its end
+    // after its acceptance, a message needs at most two records for each attempt, its start and its outcome, and one
+    // for its end
     let entries = settings
         .max_pending
         .saturating_mul(2 * settings.max_attempts + 1) as u64;
--- a/src/main.rs
+++ b/src/main.rs
@@ -63,7 +63,7 @@
         #[arg(long)]
         once: bool,
     },
-    /// Summarise the access logs of all senders by destination and interval (formerly `account`).
+    /// Summarize the access logs of all senders by destination and interval (formerly `account`).
     #[command(alias = "account")]
     AccessLog(access_log::Arguments),
     /// Run one replica of the coordination service, together with the other coordinators of the group.
--- a/src/run.rs
+++ b/src/run.rs
@@ -230,7 +230,7 @@
     inputs: mpsc::UnboundedSender<Input>,
     /// Classes that clients may name, with their positions in the engine's class table.
     classes: Rc<RefCell<Vec<(usize, Class)>>>,
-    /// Serialises reloads, in the order of their signals.
+    /// Serializes reloads, in the order of their signals.
     reload_lock: Mutex<()>,
 }
 
